--- a/cmd/gingerfork/check.go
+++ b/cmd/gingerfork/check.go
@@ -71,14 +71,14 @@
 		if errors.As(err, &p) {
 			err = p.Err
 		}
-		return nil, fmt.Errorf("%s: %v, and no day of that name comes with the program (those that do: %s)", name, err, strings.Join(rehearse.Shipped(), ", "))
+		return nil, fmt.Errorf("%s: %w, and no day of that name comes with the program (those that do: %s)", name, err, strings.Join(rehearse.Shipped(), ", "))
 	}
 	return rehearse.Read(name+".day", string(text), rehearse.File)
 }
 
 type settingsCmd struct{}
 
-func (settingsCmd) Run(p *program) error {
+func (settingsCmd) Run(p *program) error { //nolint:unparam // kong asks for the error
 	fmt.Fprint(p.out, bootstrap.Document())
 	return nil
 }
--- a/cmd/gingerfork/emulate.go
+++ b/cmd/gingerfork/emulate.go
@@ -31,7 +31,7 @@
 	JSON  bool    `help:"Print a JSON line for each second."`
 }
 
-func (c emulateCmd) Run(p *program, ctx context.Context) error {
+func (c emulateCmd) Run(ctx context.Context, p *program) error {
 	d, err := readDay(c.Day)
 	if err != nil {
 		return badError{err}
@@ -154,16 +154,18 @@
 	Picture     string   `help:"Draw it to this PNG file." placeholder:"FILE"`
 }
 
-func (c loadCmd) Run(p *program, ctx context.Context) error {
+func (c loadCmd) Run(ctx context.Context, p *program) error {
 	s, err := bootstrap.Read(c.Settings)
 	if err != nil {
 		return badError{err}
 	}
 	m := s.Coordinator(0)
 	b := load.Bootstrap{Proxies: c.Proxies, Rate: c.Rate, Uneven: c.Uneven, To: c.Coordinator, Servers: c.Server, Seed: c.Seed}
-	t := standin.FrontTrade{Methods: standin.Methods(s.Methods, m), Pick: m.Word("pick"), Strikes: int(m.Num("strikes", 0)), KeepAway: 5,
+	t := standin.FrontTrade{
+		Methods: standin.Methods(s.Methods, m), Pick: m.Word("pick"), Strikes: int(m.Num("strikes", 0)), KeepAway: 5,
 		TryWait: m.Num("try_wait", 0.8), LineStill: 0.0002, LevelRate: m.Word("level_kind") == "rate", Period: m.Num("report_period", 1),
-		ConnectTimeout: 0.25, AgainMost: c.AtMost}
+		ConnectTimeout: 0.25, AgainMost: c.AtMost,
+	}
 	for i, x := range t.Methods {
 		b.Methods = append(b.Methods, rules.Method{Name: x.Name, Criticality: x.Criticality, SoftDeadline: x.SoftDeadline})
 		if len(c.Mix) > 0 && len(c.Mix) != len(t.Methods) {
--- a/cmd/gingerfork/emulate_test.go
+++ b/cmd/gingerfork/emulate_test.go
@@ -53,8 +53,10 @@
 			}
 		}()
 	}
-	args := []string{"load", "--settings", write(t, "perth.conf", perth(t)), "--rate", "60", "--proxies", "4", "--for", "3s", "--json",
-		"--wave", "20%", "--over", "3s", "--bursts", "150%", "--every", "1s", "--lasting", "200ms", "--keys", "50", "--again", "50%", "--mix", "60%", "--mix", "40%"}
+	args := []string{
+		"load", "--settings", write(t, "perth.conf", perth(t)), "--rate", "60", "--proxies", "4", "--for", "3s", "--json",
+		"--wave", "20%", "--over", "3s", "--bursts", "150%", "--every", "1s", "--lasting", "200ms", "--keys", "50", "--again", "50%", "--mix", "60%", "--mix", "40%",
+	}
 	for i := range 4 {
 		args = append(args, "--server", fmt.Sprintf("127.0.0.1:%d", port+1+i))
 	}
--- a/cmd/gingerfork/experiment.go
+++ b/cmd/gingerfork/experiment.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func (c experimentRunCmd) Run(p *program, ctx context.Context) error {
+func (c experimentRunCmd) Run(ctx context.Context, p *program) error {
 	text, err := os.ReadFile(c.Plan)
 	if err != nil {
 		return badError{fmt.Errorf("read the plan: %w", err)}
@@ -126,7 +126,7 @@
 	if err != nil {
 		return "", fmt.Errorf("read this program, to name it in results: %w", err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was only read
 	h := xxhash.New()
 	if _, err := io.Copy(h, f); err != nil {
 		return "", fmt.Errorf("read this program, to name it in results: %w", err)
@@ -143,7 +143,7 @@
 	Out     string   `short:"o" help:"Where runs and report go." default:"results" placeholder:"DIR"`
 }
 
-func (c experimentCompareCmd) Run(p *program, ctx context.Context) error {
+func (c experimentCompareCmd) Run(ctx context.Context, p *program) error {
 	day, err := files(c.Old)(c.Day + ".day")
 	if err != nil {
 		if day, err = os.ReadFile(c.Day); err != nil {
--- a/cmd/gingerfork/import.go
+++ b/cmd/gingerfork/import.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 
 	"gingerfork/internal/haproxy"
@@ -138,7 +139,7 @@
 	if err != nil {
 		return err
 	}
-	bad := append(old.Faults, now.Faults...)
+	bad := slices.Concat(old.Faults, now.Faults)
 	for _, f := range bad {
 		fmt.Fprintf(p.err, "%s: refused: %s\n", f.Place, f.What)
 	}
--- a/cmd/gingerfork/log.go
+++ b/cmd/gingerfork/log.go
@@ -11,9 +11,11 @@
 
 // logger writes through zerolog, which costs no allocation a line; slog is what the packages see of it.
 func (p *program) logger() *slog.Logger {
-	level := map[string]zerolog.Level{"debug": zerolog.DebugLevel, "info": zerolog.InfoLevel, "warn": zerolog.WarnLevel,
-		"error": zerolog.ErrorLevel}[p.LogLevel]
-	var w io.Writer = p.err
+	level := map[string]zerolog.Level{
+		"debug": zerolog.DebugLevel, "info": zerolog.InfoLevel, "warn": zerolog.WarnLevel,
+		"error": zerolog.ErrorLevel,
+	}[p.LogLevel]
+	w := p.err
 	if p.LogFormat == "text" {
 		w = zerolog.ConsoleWriter{Out: p.err, NoColor: p.err != io.Writer(os.Stderr) || !terminal(), TimeFormat: "15:04:05.000"}
 	}
--- a/cmd/gingerfork/main.go
+++ b/cmd/gingerfork/main.go
@@ -89,7 +89,7 @@
 
 type versionCmd struct{}
 
-func (versionCmd) Run(p *program) error {
+func (versionCmd) Run(p *program) error { //nolint:unparam // kong asks for the error
 	version, when := revision()
 	fmt.Fprintf(p.out, "gingerfork %s%s, protocol 1\n", version, when)
 	return nil
--- a/cmd/gingerfork/measure.go
+++ b/cmd/gingerfork/measure.go
@@ -14,7 +14,7 @@
 	Picture string   `help:"Draw goodput against offered load (retries) to this PNG file." placeholder:"FILE"`
 }
 
-func (c measureCmd) Run(p *program, ctx context.Context) error {
+func (c measureCmd) Run(ctx context.Context, p *program) (err error) {
 	exe, err := os.Executable()
 	if err != nil {
 		return fmt.Errorf("find this program, to start a coordinator with it: %w", err)
@@ -25,7 +25,11 @@
 		if err != nil {
 			return fmt.Errorf("draw the picture: %w", err)
 		}
-		defer f.Close()
+		defer func() {
+			if bad := f.Close(); bad != nil && err == nil {
+				err = fmt.Errorf("draw the picture: %w", bad)
+			}
+		}()
 		picture = f
 	}
 	return measure.Run(ctx, p.out, []string{exe, "--log-level", "error", "serve"}, c.Which, picture)
--- a/cmd/gingerfork/rehearse.go
+++ b/cmd/gingerfork/rehearse.go
@@ -29,7 +29,7 @@
 	Seed    uint64   `help:"Another seed than the day's; for a search, the first." placeholder:"N"`
 }
 
-func (c rehearseCmd) Run(p *program, ctx context.Context) error {
+func (c rehearseCmd) Run(ctx context.Context, p *program) error {
 	if c.Search > 0 {
 		return c.search(ctx, p)
 	}
@@ -126,7 +126,7 @@
 		fmt.Fprintf(p.out, "%-28s %11s %11s %11s %11s  %s\n", "day", "coordinator", "all servers", "frozen", "bound", "rules broken (coordinator; all servers; frozen)")
 	}
 	err := rehearse.Compare(ctx, days, func(v rehearse.Versus) error {
-		var broke []string
+		broke := make([]string, 0, len(v.Ways))
 		for w, r := range v.Ways {
 			var rules []string
 			for _, x := range r.Report.Rules {
@@ -143,9 +143,11 @@
 			broke = append(broke, strings.Join(rules, ","))
 		}
 		if c.JSON {
-			return json.NewEncoder(p.out).Encode(map[string]any{"day": v.Day.Name, "seed": v.Day.Seed, "coordinator": v.Ways[0].Report.Service.Share(),
+			return json.NewEncoder(p.out).Encode(map[string]any{
+				"day": v.Day.Name, "seed": v.Day.Seed, "coordinator": v.Ways[0].Report.Service.Share(),
 				"all_servers": v.Ways[1].Report.Service.Share(), "frozen": v.Ways[2].Report.Service.Share(), "bound": v.Bound.Share(),
-				"rules_broken": broke, "rpcs": v.Ways[0].Report.Service.RPCs, "messages": v.Ways[0].Report.Pushes, "lines": v.Ways[0].Report.Lines})
+				"rules_broken": broke, "rpcs": v.Ways[0].Report.Service.RPCs, "messages": v.Ways[0].Report.Pushes, "lines": v.Ways[0].Report.Lines,
+			})
 		}
 		fmt.Fprintf(p.out, "%-28s %11.3f %11.3f %11.3f %11.3f  %s\n", v.Day.Name, v.Ways[0].Report.Service.Share(), v.Ways[1].Report.Service.Share(),
 			v.Ways[2].Report.Service.Share(), v.Bound.Share(), strings.Join(broke, "; "))
@@ -199,7 +201,7 @@
 		if err != nil {
 			return rehearse.Result{}, fmt.Errorf("make a folder for the coordinators: %w", err)
 		}
-		defer os.RemoveAll(made)
+		defer func() { _ = os.RemoveAll(made) }() // what stays of it is the system's to clean up
 		dir = made
 	} else if err := os.MkdirAll(dir, 0o755); err != nil {
 		return rehearse.Result{}, fmt.Errorf("make the folder to keep: %w", err)
@@ -281,7 +283,7 @@
 		}
 		fmt.Fprintf(t, "%d\t%s\t%s\t%.0f%% at %.1f s  %s\n", v.Rule, v.Name, result, 100*v.Nearest, v.At, v.Note)
 	}
-	t.Flush()
+	_ = t.Flush() // as with all that is printed: who closed the pipe does not read the error either
 	for _, v := range r.Report.Rules {
 		if v.Broken > 0 {
 			fmt.Fprintf(out, "\nrule %d first broke at %.3f (record %d of the trace), %s: %s\n", v.Rule, v.T, v.Record, v.Who, v.Why)
@@ -309,12 +311,14 @@
 		Moment  float64 `json:"nearest_at"`
 		Note    string  `json:"note,omitempty"`
 	}
-	var rules []rule
+	rules := make([]rule, 0, len(r.Report.Rules))
 	for _, v := range r.Report.Rules {
 		rules = append(rules, rule{v.Rule, v.Name, v.Broken, v.T, v.Who, v.Record, v.Why, v.Nearest, v.At, v.Note})
 	}
 	s := r.Report.Service
-	return json.NewEncoder(out).Encode(map[string]any{"day": r.Day.Name, "seed": r.Day.Seed, "length": r.Report.Length, "rules": rules,
+	return json.NewEncoder(out).Encode(map[string]any{
+		"day": r.Day.Name, "seed": r.Day.Seed, "length": r.Report.Length, "rules": rules,
 		"service": s.Share(), "rpcs": s.RPCs, "ok": s.OK, "late": s.Late, "pushed_back": s.PushedBack, "aborted": s.Aborted,
-		"tries": r.Report.Tries, "messages": r.Report.Pushes, "lines": r.Report.Lines, "falls": r.Report.Falls, "defects": r.Fails, "figures": figures})
+		"tries": r.Report.Tries, "messages": r.Report.Pushes, "lines": r.Report.Lines, "falls": r.Report.Falls, "defects": r.Fails, "figures": figures,
+	})
 }
--- a/cmd/gingerfork/serve.go
+++ b/cmd/gingerfork/serve.go
@@ -30,14 +30,16 @@
 	for n, addr := range t.Peers {
 		peers[choice.Peer(n)] = addr
 	}
-	return coordinator.Bootstrap{Name: t.Name, Zone: module.Word("zone"), ListAddr: t.Text("list-service"), Peers: peers, Module: module,
+	return coordinator.Bootstrap{
+		Name: t.Name, Zone: module.Word("zone"), ListAddr: t.Text("list-service"), Peers: peers, Module: module,
 		Handshake: t.Num("handshake"), Silence: t.Num("stream-silence"), ListSilence: t.Num("list-silence"),
-		Text: t.Canonical(), ProbeTimeout: t.Num("probe-timeout"), MostStreams: int(t.Num("streams")), MostProbes: int(t.Num("probes-at-once"))}
+		Text: t.Canonical(), ProbeTimeout: t.Num("probe-timeout"), MostStreams: int(t.Num("streams")), MostProbes: int(t.Num("probes-at-once")),
+	}
 }
 
 // Run serves all files, or none: one that can't be served at the start ends the others. Later a coordinator that fails
 // takes only itself out; the process ends, with its error, once none is left.
-func (c serveCmd) Run(p *program, ctx context.Context) error {
+func (c serveCmd) Run(ctx context.Context, p *program) error {
 	// Before anything is started or said: a SIGHUP that comes while we start must not end the process.
 	again := make(chan os.Signal, 1)
 	signal.Notify(again, syscall.SIGHUP)
@@ -88,7 +90,8 @@
 		}
 		for what, v := range map[string]string{"name": t.Name, "listen": t.Text("listen"), "state": t.Text("state")} {
 			key := what + " " + v
-			if first, taken := by[key]; taken && v != "" && !(what == "listen" && strings.HasSuffix(v, ":0")) {
+			anyPort := what == "listen" && strings.HasSuffix(v, ":0")
+			if first, taken := by[key]; taken && v != "" && !anyPort {
 				err = errors.Join(err, fmt.Errorf("%s: its %s %s is that of %s", f, what, v, first))
 			}
 			by[key] = f
@@ -123,8 +126,10 @@
 		return nil, err
 	}
 	s.m = coordinator.NewMachine(coordinatorOf(t, t.Coordinator(s.clock.Now())), kept)
-	if s.loop, err = loop.Start(ctx, loop.Bootstrap{Machine: s.m, Listen: []string{t.Text("listen")}, Dir: dir, MostOut: int(t.Num("reader-buffer")),
-		Log: log, Clock: s.clock, Store: s.store}); err != nil {
+	if s.loop, err = loop.Start(ctx, loop.Bootstrap{
+		Machine: s.m, Listen: []string{t.Text("listen")}, Dir: dir, MostOut: int(t.Num("reader-buffer")),
+		Log: log, Clock: s.clock, Store: s.store,
+	}); err != nil {
 		s.source.end()
 		s.shut()
 		return nil, err
@@ -191,7 +196,7 @@
 	}
 	kept, err := keep.Read(st.Scan(""))
 	if err != nil {
-		st.Close()
+		_ = st.Close() // nothing was written; what it fails at would only hide why
 		return nil, badError{fmt.Errorf("the store is whole, but makes no sense: %w", err)}
 	}
 	s.store = st
--- a/cmd/gingerfork/standin.go
+++ b/cmd/gingerfork/standin.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"os"
 	"strconv"
@@ -29,7 +30,7 @@
 	Seed  uint64 `help:"What chance is drawn from." default:"1"`
 }
 
-func (f standinFlags) run(p *program, ctx context.Context, name string, m machine.Machine, listen ...string) error {
+func (f standinFlags) run(ctx context.Context, p *program, name string, m machine.Machine, listen ...string) (err error) {
 	log := p.logger().With("standin", name)
 	b := loop.Bootstrap{Machine: m, Listen: listen, Log: log}
 	if f.Trace != "" {
@@ -37,12 +38,15 @@
 		if err != nil {
 			return fmt.Errorf("write the trace: %w", err)
 		}
-		defer file.Close()
 		w := bufio.NewWriter(file)
-		defer w.Flush()
+		defer func() {
+			if bad := errors.Join(w.Flush(), file.Close()); bad != nil {
+				err = errors.Join(err, fmt.Errorf("write the trace: %w", bad))
+			}
+		}()
 		b.Trace = func(all []trace.Record) {
 			for _, r := range all {
-				_, _ = w.Write(r.Append(nil))
+				_, _ = w.Write(r.Append(nil)) // the writer keeps its first error for Flush
 			}
 		}
 	}
@@ -71,13 +75,15 @@
 	Settings string  `help:"The fleet's settings, for how cold servers warm and fall." placeholder:"FILE"`
 }
 
-func (c serverCmd) Run(p *program, ctx context.Context) error {
+func (c serverCmd) Run(ctx context.Context, p *program) error {
 	work, err := emulator.ParseWork(c.Work, float64(c.Workers)/c.Capacity)
 	if err != nil {
 		return err
 	}
-	t := emulator.Trade{EP: c.EP, Cores: c.Workers, Speed: 1, Work: []emulator.Work{work}, QueueMost: c.Queue, GiveUp: emulator.SkipsWait,
-		Cold: c.Cold, ProbeWork: work.Mean / 10, ConnWork: work.Mean / 10, Seed: c.Seed, Store: &emulator.Store{}}
+	t := emulator.Trade{
+		EP: c.EP, Cores: c.Workers, Speed: 1, Work: []emulator.Work{work}, QueueMost: c.Queue, GiveUp: emulator.SkipsWait,
+		Cold: c.Cold, ProbeWork: work.Mean / 10, ConnWork: work.Mean / 10, Seed: c.Seed, Store: &emulator.Store{},
+	}
 	if c.Settings != "" {
 		s, err := bootstrap.Read(c.Settings)
 		if err != nil {
@@ -87,7 +93,7 @@
 		t.ColdShare, t.WarmAfter = b.Num("cold_share", 1), b.Num("warm_after", 0)
 		t.FallMultiple, t.FallWindow = b.Num("fall_multiple", 0), b.Num("fall_window", 0)
 	}
-	return c.run(p, ctx, fmt.Sprint("server-", c.EP), emulator.NewServer(t), c.Listen)
+	return c.run(ctx, p, fmt.Sprint("server-", c.EP), emulator.NewServer(t), c.Listen)
 }
 
 type listCmd struct {
@@ -96,7 +102,7 @@
 	Servers []string `arg:"" help:"Servers, each as NUMBER,ZONE,WEIGHT,HOST:PORT."`
 }
 
-func (c listCmd) Run(p *program, ctx context.Context) error {
+func (c listCmd) Run(ctx context.Context, p *program) error {
 	var all []standin.Listing
 	for _, s := range c.Servers {
 		f := strings.Split(s, ",")
@@ -113,7 +119,7 @@
 		}
 		all = append(all, standin.Listing{EP: proto.EP(ep), State: proto.ServerOpen, Zone: f[1], Weight: w, Addr: f[3], Stamp: 1})
 	}
-	return c.run(p, ctx, "list", standin.NewList(all), c.Listen)
+	return c.run(ctx, p, "list", standin.NewList(all), c.Listen)
 }
 
 type frontendCmd struct {
@@ -125,7 +131,7 @@
 	Rate        float64  `help:"RPCs a second." default:"10"`
 }
 
-func (c frontendCmd) Run(p *program, ctx context.Context) error {
+func (c frontendCmd) Run(ctx context.Context, p *program) error {
 	s, err := bootstrap.Read(c.Settings)
 	if err != nil {
 		return badError{err}
@@ -134,9 +140,11 @@
 	if c.Zone == "" {
 		c.Zone = b.Word("zones.0")
 	}
-	t := standin.FrontTrade{Name: c.Name, Zone: c.Zone, Coordinators: c.Coordinator, Rate: c.Rate, Pick: b.Word("pick"),
+	t := standin.FrontTrade{
+		Name: c.Name, Zone: c.Zone, Coordinators: c.Coordinator, Rate: c.Rate, Pick: b.Word("pick"),
 		Strikes: int(b.Num("strikes", 0)), KeepAway: 5, TryWait: b.Num("try_wait", 0.8), LineStill: 0.0002,
 		LevelRate: b.Word("level_kind") == "rate", Period: b.Num("report_period", 1), ConnectTimeout: 0.25, Seed: c.Seed,
-		Methods: standin.Methods(s.Methods, b)}
-	return c.run(p, ctx, c.Name, standin.NewFrontEnd(t))
+		Methods: standin.Methods(s.Methods, b),
+	}
+	return c.run(ctx, p, c.Name, standin.NewFrontEnd(t))
 }
--- a/internal/bench/host/host.go
+++ b/internal/bench/host/host.go
@@ -4,6 +4,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 
@@ -36,10 +37,10 @@
 	h, r, w := New(), bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
 	for n := 1; ; n++ {
 		line, err := r.ReadBytes('\n')
-		if err == io.EOF && len(line) == 0 {
+		if errors.Is(err, io.EOF) && len(line) == 0 {
 			return nil
 		}
-		if err != nil && err != io.EOF {
+		if err != nil && !errors.Is(err, io.EOF) {
 			return fmt.Errorf("batch %d: %w", n, err)
 		}
 		reply, err := h.Answer(line)
@@ -82,7 +83,7 @@
 func (h *Host) deal(now choice.Seconds, e wire.Event, order *[]string) error {
 	if c, ok := e.Body.(wire.Catalog); ok {
 		if c.Number < 0 || c.Number >= lists {
-			return fmt.Errorf("Catalog: field Table is out of range: %d", c.Number)
+			return fmt.Errorf("Catalog: field Table is out of range: %d", c.Number) //nolint:staticcheck // it begins with a name of the wire
 		}
 		h.lists[c.Number], h.known[c.Number] = c.Entries, true
 		return nil
@@ -113,7 +114,7 @@
 		l := choice.Listed{Kind: body.Kind, Version: body.Version}
 		if body.Kind != choice.ListFailed {
 			if body.Number < 0 || body.Number >= lists || !h.known[body.Number] {
-				return fmt.Errorf("Members: field Table names an undefined list: %d", body.Number)
+				return fmt.Errorf("Members: field Table names an undefined list: %d", body.Number) //nolint:staticcheck // as above
 			}
 			l.Entries = h.lists[body.Number]
 		}
--- a/internal/bench/wire/wire.go
+++ b/internal/bench/wire/wire.go
@@ -17,16 +17,19 @@
 const prefix = "coordinator/"
 
 type (
-	// Enlist starts an instance; Detach ends it; Catalog defines a numbered list; Members names one.
+	// Enlist starts an instance.
 	Enlist struct {
 		Seed   uint64
 		Values map[string]any
 	}
-	Detach  struct{}
+	// Detach ends an instance.
+	Detach struct{}
+	// Catalog defines a numbered list.
 	Catalog struct {
 		Number  int
 		Entries []choice.Entry
 	}
+	// Members names a list that a Catalog defined.
 	Members struct {
 		Kind    choice.ListKind
 		Version int64
@@ -37,6 +40,7 @@
 		Method string
 		Sum    choice.UsageSum
 	}
+	// SliceUsage is Usage by slice.
 	SliceUsage struct {
 		Method string
 		Sum    choice.SliceSum
@@ -107,8 +111,8 @@
 	return v
 }
 
-func (f *fields) ep(key string) (v choice.EP) {
-	f.get(key, &v, true)
+func (f *fields) backend() (v choice.EP) {
+	f.get("Backend", &v, true)
 	return v
 }
 
@@ -128,10 +132,14 @@
 
 var (
 	states = map[string]choice.State{"U": choice.Open, "L": choice.Draining, "D": choice.Gone}
-	kinds  = map[string]choice.ListKind{"diff": choice.ListDelta, "snapshot": choice.ListFull,
-		"disk": choice.ListKept, "error": choice.ListFailed}
-	results = map[string]bool{"success": true, "failure": false, "overloaded": false, "timed_out": false,
-		"unreachable": false, "broken": false, "withdrawn": false, "void": false}
+	kinds  = map[string]choice.ListKind{
+		"diff": choice.ListDelta, "snapshot": choice.ListFull,
+		"disk": choice.ListKept, "error": choice.ListFailed,
+	}
+	results = map[string]bool{
+		"success": true, "failure": false, "overloaded": false, "timed_out": false,
+		"unreachable": false, "broken": false, "withdrawn": false, "void": false,
+	}
 )
 
 // Decode reads one line of input.
@@ -206,8 +214,10 @@
 	case "Due":
 		ev.Body = choice.Due{Token: choice.Token(f.whole("Token"))}
 	case "ProbeResult":
-		ev.Body = choice.Probed{EP: f.ep("Backend"), OK: pick(f, "StateCode", results),
-			Busy: f.text("StateCode") == "overloaded", Delay: f.opt("DelaySeenMs"), Load: f.load()}
+		ev.Body = choice.Probed{
+			EP: f.backend(), OK: pick(f, "StateCode", results),
+			Busy: f.text("StateCode") == "overloaded", Delay: f.opt("DelaySeenMs"), Load: f.load(),
+		}
 	case "Message":
 		data, bad := hex.DecodeString(f.text("Octets"))
 		if bad != nil && f.err == nil {
@@ -219,18 +229,24 @@
 	case "Disconnected":
 		ev.Body = choice.Left{Proxy: proxy()}
 	case "TrafficReport":
-		ev.Body = choice.TrySum{EP: f.ep("Backend"), Zone: zone(), Tries: int(f.whole("Count")),
-			Bad: int(f.whole("Bad")), Delay: f.opt("DelaySeenMs"), Over: f.secs("OverMs"), Load: f.load()}
+		ev.Body = choice.TrySum{
+			EP: f.backend(), Zone: zone(), Tries: int(f.whole("Count")),
+			Bad: int(f.whole("Bad")), Delay: f.opt("DelaySeenMs"), Over: f.secs("OverMs"), Load: f.load(),
+		}
 	case "Traffic":
-		ev.Body = Usage{f.text("Category"), choice.UsageSum{Proxy: proxy(), RPCs: int(f.whole("Count")),
-			Bad: int(f.whole("Bad")), Over: f.secs("OverMs")}}
+		ev.Body = Usage{f.text("Category"), choice.UsageSum{
+			Proxy: proxy(), RPCs: int(f.whole("Count")),
+			Bad: int(f.whole("Bad")), Over: f.secs("OverMs"),
+		}}
 	case "RangeLoad":
-		ev.Body = SliceUsage{f.text("Category"), choice.SliceSum{Slice: slice(), RPCs: int(f.whole("Count")),
-			Bad: int(f.whole("Bad")), Over: f.secs("OverMs")}}
+		ev.Body = SliceUsage{f.text("Category"), choice.SliceSum{
+			Slice: slice(), RPCs: int(f.whole("Count")),
+			Bad: int(f.whole("Bad")), Over: f.secs("OverMs"),
+		}}
 	case "Charge":
 		ev.Body = choice.Charged{Slice: slice(), Mine: f.flag("Flag")}
 	case "StoredLine":
-		ev.Body = choice.Held{Slice: slice(), EP: f.ep("Backend"), Weight: f.num("Heft")}
+		ev.Body = choice.Held{Slice: slice(), EP: f.backend(), Weight: f.num("Heft")}
 	case "Applied":
 		ev.Body = choice.Answered{Proxy: proxy(), Mark: choice.Mark(f.whole("Epoch")), Delay: f.opt("DelaySeenMs")}
 	default:
@@ -245,7 +261,7 @@
 	f.get("Hosts", &hosts, true)
 	for _, m := range hosts {
 		h := fields{name: "Catalog: Hosts", m: m, err: f.err}
-		e := choice.Entry{EP: h.ep("Backend"), State: pick(&h, "Readiness", states), Start: h.opt("UpSinceMs")}
+		e := choice.Entry{EP: h.backend(), State: pick(&h, "Readiness", states), Start: h.opt("UpSinceMs")}
 		h.get("GenerationHw", &e.Kind, false)
 		h.get("FailureDomain", &e.Zone, false)
 		h.get("Heft", &e.Weight, false)
--- a/internal/bootstrap/bootstrap_test.go
+++ b/internal/bootstrap/bootstrap_test.go
@@ -62,16 +62,20 @@
 		t.Fatal(faults)
 	}
 	b := choice.Bootstrap{Values: trade.Values}
-	for name, want := range map[string]float64{"warm_after": 15, "cold_share": 0.28, "fall_multiple": 2.5, "fall_window": 1.5, "drain_grace": 2.1,
+	for name, want := range map[string]float64{
+		"warm_after": 15, "cold_share": 0.28, "fall_multiple": 2.5, "fall_window": 1.5, "drain_grace": 2.1,
 		"bare_limit": 3.7, "proxies": 8, "channel_room": 14100, "channel_pace": 14100, "message_lines": 10, "messages": 0, "messages_span": 10,
 		"push_time": 0.135, "push_time_worst": 0.34, "report_period": 2, "strikes": 0, "try_wait": 0.8, "ask_within": 10, "slices": 0, "method.n": 2,
-		"method.0.soft_deadline": 1, "method.0.criticality": 1, "method.1.soft_deadline": 0.8, "method.1.window": 5, "zones.n": 2} {
+		"method.0.soft_deadline": 1, "method.0.criticality": 1, "method.1.soft_deadline": 0.8, "method.1.window": 5, "zones.n": 2,
+	} {
 		if got := b.Num(name, -1); got != want {
 			t.Errorf("%s is %v, want %v", name, got, want)
 		}
 	}
-	for name, want := range map[string]string{"zone": "dc a", "zones.1": "dc b", "level_kind": "none", "listing": "asked", "pick": "pair",
-		"method.1.effect": "non-idempotent", "method.1.group": "all", "method.0.name": "read"} {
+	for name, want := range map[string]string{
+		"zone": "dc a", "zones.1": "dc b", "level_kind": "none", "listing": "asked", "pick": "pair",
+		"method.1.effect": "non-idempotent", "method.1.group": "all", "method.0.name": "read",
+	} {
 		if got := b.Word(name); got != want {
 			t.Errorf("%s is %q, want %q", name, got, want)
 		}
--- a/internal/bootstrap/lex.go
+++ b/internal/bootstrap/lex.go
@@ -5,6 +5,7 @@
 
 import (
 	"cmp"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -27,7 +28,7 @@
 type Faults []Fault
 
 func (f Faults) Error() string {
-	var all []string
+	all := make([]string, 0, len(f))
 	for _, x := range f {
 		all = append(all, x.String())
 	}
@@ -138,8 +139,8 @@
 func load(path, shown string, within []string, from Line) (lines []Line, faults Faults) {
 	full, err := filepath.Abs(path)
 	if err == nil {
-		if real, e := filepath.EvalSymlinks(full); e == nil {
-			full = real
+		if resolved, e := filepath.EvalSymlinks(full); e == nil {
+			full = resolved
 		}
 	}
 	if at := slices.Index(within, full); at >= 0 {
@@ -158,7 +159,8 @@
 	}
 	if err != nil {
 		why := err
-		if p, ok := err.(*os.PathError); ok {
+		var p *os.PathError
+		if errors.As(err, &p) {
 			why = p.Err
 		}
 		return nil, Faults{from.Fault("%s can't be read: %v", shown, why)}
--- a/internal/bootstrap/read.go
+++ b/internal/bootstrap/read.go
@@ -192,20 +192,20 @@
 
 func (t *Trade) put(s *section, k *Keyword, v any, l Line) {
 	t.at[strings.Join(strings.Fields(s.name+" "+s.arg+" "+k.Name), " ")] = l
-	switch {
-	case k.Form == peer:
+	switch k.Form {
+	case peer:
 		args := v.([]string)
 		n, _ := strconv.Atoi(args[0])
 		t.Peers[n] = args[1]
 		return
-	case k.Form == names:
+	case names:
 		all := v.([]string)
 		t.Values[k.Module+".n"] = float64(len(all))
 		for i, x := range all {
 			t.Values[fmt.Sprintf("%s.%d", k.Module, i)] = x
 		}
 		return
-	case k.Form == path:
+	case path:
 		if p := v.(string); p != "-" && !filepath.IsAbs(p) && l.File != "" {
 			v = filepath.Join(filepath.Dir(l.File), p)
 		} else if p == "-" {
@@ -233,8 +233,9 @@
 			faults = append(faults, l.Fault(format, args...))
 		}
 	}
-	zones := []string{}
-	for i := range int(b.Num("zones.n", 0)) {
+	count := int(b.Num("zones.n", 0))
+	zones := make([]string, 0, count)
+	for i := range count {
 		zones = append(zones, b.Word(fmt.Sprintf("zones.%d", i)))
 	}
 	if z := b.Word("zone"); len(zones) > 0 && z != "" && !slices.Contains(zones, z) {
--- a/internal/bound/bound_test.go
+++ b/internal/bound/bound_test.go
@@ -57,8 +57,10 @@
 		}
 		var s []Supply
 		for range rapid.IntRange(0, 4).Draw(rt, "supplies") {
-			s = append(s, Supply{rapid.IntRange(0, 4).Draw(rt, "slot"), uint64(rapid.IntRange(0, 3).Draw(rt, "fails")),
-				rapid.SampledFrom([][]string{nil, {"a"}, {"b"}}).Draw(rt, "only"), float64(rapid.IntRange(0, 2).Draw(rt, "n"))})
+			s = append(s, Supply{
+				rapid.IntRange(0, 4).Draw(rt, "slot"), uint64(rapid.IntRange(0, 3).Draw(rt, "fails")),
+				rapid.SampledFrom([][]string{nil, {"a"}, {"b"}}).Draw(rt, "only"), float64(rapid.IntRange(0, 2).Draw(rt, "n")),
+			})
 		}
 		left := make([]float64, len(s))
 		for i := range s {
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -37,7 +37,7 @@
 	Sync() error
 }
 
-// ErrLocked: another process owns the folder.
+// ErrLocked says that another process owns the folder.
 var ErrLocked = errors.New("another process owns it")
 
 // LockName is the file that an owner holds.
@@ -135,7 +135,7 @@
 	if err != nil {
 		return err
 	}
-	defer d.Close()
+	defer func() { _ = d.Close() }() // it was opened to be synced, and that is told
 	return d.Sync()
 }
 
@@ -146,7 +146,7 @@
 		return nil, err
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		f.Close()
+		_ = f.Close() // nothing was written
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			return nil, ErrLocked
 		}
@@ -161,13 +161,17 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it is only read
 	size, err := f.Size()
 	if err != nil {
 		return nil, err
 	}
 	b := make([]byte, size)
-	if n, err := f.ReadAt(b, 0); err != nil && !(errors.Is(err, io.EOF) && int64(n) == size) {
+	n, err := f.ReadAt(b, 0)
+	if errors.Is(err, io.EOF) && int64(n) == size {
+		return b, nil
+	}
+	if err != nil {
 		return nil, err
 	}
 	return b, nil
--- a/internal/disk/memory.go
+++ b/internal/disk/memory.go
@@ -40,7 +40,7 @@
 	ops     int
 }
 
-// ErrPartial, wrapped or not, makes an append write half of its bytes and fail.
+// ErrPartial makes, wrapped or not, an append write half of its bytes and fail.
 var ErrPartial = errors.New("only a part was written")
 
 type change struct {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -169,8 +169,10 @@
 func TestFallFromBothSides(t *testing.T) {
 	for _, age := range []float64{0, 5, 9, 30} {
 		for _, part := range []float64{0.9, 1.15} {
-			trade := Trade{EP: 1, Cores: 4, Speed: 1, Work: []Work{{Mean: 0.05, Shape: Fixed}}, QueueMost: 1e6, Cold: true, ColdShare: 0.25, WarmAfter: 10,
-				FallMultiple: 2.5, FallWindow: 1, Seed: 1}
+			trade := Trade{
+				EP: 1, Cores: 4, Speed: 1, Work: []Work{{Mean: 0.05, Shape: Fixed}}, QueueMost: 1e6, Cold: true, ColdShare: 0.25, WarmAfter: 10,
+				FallMultiple: 2.5, FallWindow: 1, Seed: 1,
+			}
 			m := New(trade, 0)
 			m.Connect(1, "")
 			bound := 2.5*m.Warmth(age)*80 + 2 // RPCs in a window
@@ -240,9 +242,10 @@
 		m.Ask(2, RPC{ID: 3, Left: 9})
 		m.Disconnect(1)
 		begin := 3.0
-		if how == SkipsWait {
+		switch how {
+		case SkipsWait:
 			begin = 2
-		} else if how == Stops {
+		case Stops:
 			begin = 1
 		}
 		all, _ = ends(m, begin-0.01)
@@ -309,8 +312,10 @@
 
 // Each trouble does what it says and ends when it is healed.
 func TestTroubles(t *testing.T) {
-	for word, want := range map[string]Status{"fast": Aborted, "part 1": Aborted, "method 0": Aborted, "from c1": Aborted, "drain": PushedBack,
-		"method 1": OK, "from c2": OK, "dear 3": OK, "slow 2": OK} {
+	for word, want := range map[string]Status{
+		"fast": Aborted, "part 1": Aborted, "method 0": Aborted, "from c1": Aborted, "drain": PushedBack,
+		"method 1": OK, "from c2": OK, "dear 3": OK, "slow 2": OK,
+	} {
 		m := New(plain(1, Work{Mean: 0.1, Shape: Fixed}), 0)
 		s := &Server{trade: m.t, model: m}
 		m.Connect(1, "c1")
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -9,6 +9,7 @@
 // Status is how a try ends at the server.
 type Status uint8
 
+// How a try may end.
 const (
 	OK         Status = iota
 	PushedBack        // it never ran
@@ -18,6 +19,7 @@
 // GiveUp tells what a server does with work whose client has given up, at its deadline or by closing the connection.
 type GiveUp uint8
 
+// What a server may do with work that was given up.
 const (
 	RunsOn    GiveUp = iota // it neither knows nor cares
 	SkipsWait               // what still waits is dropped when its turn comes
@@ -89,7 +91,7 @@
 		Status Status
 		Load   float64 // reported; below 0: nothing is
 	}
-	// Ran: an RPC's effect began to take place.
+	// Ran tells that an RPC's effect began to take place.
 	Ran struct{ RPC RPC }
 	// Probed answers a probe.
 	Probed struct {
@@ -97,12 +99,12 @@
 		ID     uint64
 		Status Status
 	}
-	// Near: while cold it was brought so much of what topples it, more than ever before.
+	// Near tells that while cold it was brought so much of what topples it, more than ever before.
 	Near struct {
 		Part float64
 		RPCs int
 	}
-	// Fell: it was brought too much while cold; it is down for good.
+	// Fell tells that it was brought too much while cold; it is down for good.
 	Fell struct{}
 	// Shut closes a connection without a word.
 	Shut struct{ To Caller }
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -161,8 +161,10 @@
 }
 
 // Words are the troubles that a server can be told, with what each takes.
-var Words = map[string]string{"hang": "", "fast": "", "drain": "", "part": "SHARE", "method": "NUMBER", "from": "COORDINATOR", "slow": "FACTOR",
-	"dear": "FACTOR", "shake": "SECONDS", "conns": "NUMBER"}
+var Words = map[string]string{
+	"hang": "", "fast": "", "drain": "", "part": "SHARE", "method": "NUMBER", "from": "COORDINATOR", "slow": "FACTOR",
+	"dear": "FACTOR", "shake": "SECONDS", "conns": "NUMBER",
+}
 
 // Tell tells the server a trouble, or `heal` with one of them, or alone for all. Hangs add up: each needs its own heal.
 func (s *Server) Tell(text string) error {
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -3,6 +3,7 @@
 // Group tells which servers share what they know of tokens.
 type Group uint8
 
+// Which servers may share their tokens: all, those of a zone, those of a cell, or none.
 const (
 	All Group = iota
 	ByZone
--- a/internal/emulator/work.go
+++ b/internal/emulator/work.go
@@ -42,6 +42,7 @@
 // Shape is a family of distributions.
 type Shape uint8
 
+// The families that there are.
 const (
 	Exponential Shape = iota
 	Fixed
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -168,6 +168,7 @@
 	}
 	return n, nil
 }
+
 func (d *fullDisk) Seek(at int64, whence int) (int64, error) {
 	if whence == io.SeekStart {
 		d.at = at
@@ -253,8 +254,13 @@
 		all  []float64
 		want string
 		need bool
-	}{{[]float64{0, 0, 0}, "the same", false}, {[]float64{1}, "can't tell", true}, {[]float64{1, 1.1, 0.9, 1, 1.05}, "better", false},
-		{[]float64{1, -1.1, 0.9, -1, 0.5}, "can't tell", true}, {[]float64{2, 2, 2}, "better", false}} {
+	}{
+		{[]float64{0, 0, 0}, "the same", false},
+		{[]float64{1}, "can't tell", true},
+		{[]float64{1, 1.1, 0.9, 1, 1.05}, "better", false},
+		{[]float64{1, -1.1, 0.9, -1, 0.5}, "can't tell", true},
+		{[]float64{2, 2, 2}, "better", false},
+	} {
 		if got, need := Verdict(Bootstrap(c.all), 1); got != c.want || (need > 0) != c.need {
 			t.Errorf("%v: %s, %d", c.all, got, need)
 		}
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -208,7 +208,7 @@
 
 // Title names an arm.
 func (p *Plan) Title(a Arm) string {
-	var all []string
+	all := make([]string, 0, len(p.Factors))
 	for i, f := range p.Factors {
 		all = append(all, f.Name+"="+a[i])
 	}
@@ -297,7 +297,7 @@
 	lines := strings.Split(text, "\n")
 	for _, l := range p.set {
 		section, keyword := l.Words[1], l.Words[2]
-		var words []string
+		words := make([]string, 0, len(l.Words)-2)
 		for _, w := range l.Words[2:] {
 			words = append(words, bootstrap.Quote(p.fill(a, w)))
 		}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -71,7 +71,7 @@
 
 // CSV writes a line for each run, in the plan's order.
 func (p *Plan) CSV(out io.Writer, runs []Run) {
-	var head []string
+	head := make([]string, 0, len(p.Factors)+1)
 	for _, f := range p.Factors {
 		head = append(head, f.Name)
 	}
@@ -83,7 +83,8 @@
 		return s
 	}
 	for _, r := range runs {
-		cells := []string{r.Plan, quote(r.Commit)}
+		cells := make([]string, 0, len(r.Arm)+len(p.Measures)+4) // plan, commit, seed and broken beside these
+		cells = append(cells, r.Plan, quote(r.Commit))
 		for _, v := range r.Arm {
 			cells = append(cells, quote(v))
 		}
@@ -91,7 +92,7 @@
 		for _, m := range p.Measures {
 			cells = append(cells, strconv.FormatFloat(r.Figures[m], 'g', -1, 64))
 		}
-		var broken []string
+		broken := make([]string, 0, len(r.Broken))
 		for _, b := range r.Broken {
 			broken = append(broken, strconv.Itoa(b))
 		}
@@ -168,7 +169,7 @@
 	bars := []plotter.YErrors{}
 	names := []string{}
 	of := func(a Arm) int {
-		var words []string
+		words := make([]string, 0, max(last, 0))
 		for i := range max(last, 0) {
 			words = append(words, p.Factors[i].Name+"="+a[i])
 		}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -129,7 +129,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("open the finished runs: %w", err)
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }() // a run was synced before it counted
 	done, err := p.finished(file, commit)
 	if err != nil {
 		return nil, err
--- a/internal/experiment/stat.go
+++ b/internal/experiment/stat.go
@@ -109,6 +109,7 @@
 	if diff.Mean == 0 {
 		return "can't tell", 0
 	}
-	n := math.Pow(1.96*diff.Deviation/diff.Mean, 2)
+	ratio := 1.96 * diff.Deviation / diff.Mean
+	n := ratio * ratio
 	return "can't tell", max(diff.N+1, int(min(math.Ceil(n), 1e9)))
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -16,6 +16,7 @@
 // State is a server's on the list.
 type State uint8
 
+// The states on the list.
 const (
 	Open State = iota
 	Draining
@@ -62,8 +63,9 @@
 
 // Entries are all of the list, by number.
 func (f *Follow) Entries() []Entry {
-	var all []Entry
-	for _, n := range f.numbers() {
+	numbers := f.numbers()
+	all := slices.Grow([]Entry(nil), len(numbers)) // nil for none: it is stored so
+	for _, n := range numbers {
 		all = append(all, *f.list[n])
 	}
 	return all
@@ -107,11 +109,11 @@
 		}
 	}
 	if float64(lost) > f.terms.MostLost*float64(open) {
-		print := fingerprint(servers)
-		if f.held == print {
+		offered := fingerprint(servers)
+		if f.held == offered {
 			return f.take(now, servers, in), nil
 		}
-		f.held = print
+		f.held = offered
 		return nil, fmt.Errorf("it takes %d of %d servers out of use, more than %.0f%%: reload the same file once more if it is meant", lost, open, 100*f.terms.MostLost)
 	}
 	return f.take(now, servers, in), nil
@@ -174,13 +176,13 @@
 }
 
 // Wake is when Due has something next; false: never by itself.
-func (f *Follow) Wake() (at Seconds, any bool) {
+func (f *Follow) Wake() (at Seconds, ok bool) {
 	for _, e := range f.list {
-		if e.Until > 0 && (!any || e.Until < at) {
-			at, any = e.Until, true
+		if e.Until > 0 && (!ok || e.Until < at) {
+			at, ok = e.Until, true
 		}
 	}
-	return at, any
+	return at, ok
 }
 
 func fingerprint(servers []Server) string {
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -48,7 +48,7 @@
 	if len(c) != 1 || c[0].State != Draining || c[0].Until != 14 {
 		t.Fatalf("a server that left changed %v", c)
 	}
-	if at, any := f.Wake(); !any || at != 14 || len(f.Due(13.9)) != 0 {
+	if at, ok := f.Wake(); !ok || at != 14 || len(f.Due(13.9)) != 0 {
 		t.Fatal("it left before its drain was over")
 	}
 	// A flap: back in the file before its drain is over, it is the same process.
--- a/internal/haproxy/cond.go
+++ b/internal/haproxy/cond.go
@@ -181,15 +181,15 @@
 		}
 		return n != 0, nil
 	}
-	close := strings.IndexByte(p.s, ')')
-	if close < 0 {
+	end = strings.IndexByte(p.s, ')')
+	if end < 0 {
 		return false, fmt.Errorf("%s( is never closed", name)
 	}
 	var args []string
-	for _, a := range strings.Split(p.s[1:close], ",") {
+	for _, a := range strings.Split(p.s[1:end], ",") {
 		args = append(args, strings.TrimSpace(a))
 	}
-	p.s = p.s[close+1:]
+	p.s = p.s[end+1:]
 	return p.g.predicate(name, args)
 }
 
--- a/internal/haproxy/import.go
+++ b/internal/haproxy/import.go
@@ -102,8 +102,10 @@
 	return x
 }
 
-var kinds = []string{"global", "defaults", "frontend", "backend", "listen", "resolvers", "peers", "mailers", "userlist", "cache", "program",
-	"ring", "http-errors", "log-forward", "log-profile", "crt-store", "fcgi-app", "traces", "acme"}
+var kinds = []string{
+	"global", "defaults", "frontend", "backend", "listen", "resolvers", "peers", "mailers", "userlist", "cache", "program",
+	"ring", "http-errors", "log-forward", "log-profile", "crt-store", "fcgi-app", "traces", "acme",
+}
 
 // cut makes sections of lines. A proxy has the defaults that it names by from, else the last anonymous or named one
 // before it; a defaults section may follow another (manual, 4).
@@ -122,7 +124,8 @@
 		}
 		s := &section{Place: l.Place, kind: word}
 		rest := l.Words()[1:]
-		if len(rest) > 0 && !(word == "defaults" && rest[0] == "from") {
+		unnamed := len(rest) == 0 || word == "defaults" && rest[0] == "from"
+		if !unnamed {
 			s.name, rest = rest[0], rest[1:]
 		}
 		class, why := Dropped, "a section that concerns HAProxy itself"
@@ -180,13 +183,18 @@
 // strange is the first character of a name that none may have (manual, 4): names are put into files and logs.
 func strange(name string) string {
 	for _, c := range name {
-		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || strings.ContainsRune("-_.:", c)) {
+		if !allowed(c) {
 			return string(c)
 		}
 	}
 	return ""
 }
 
+// allowed tells whether a name may have a character.
+func allowed(c rune) bool {
+	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || strings.ContainsRune("-_.:", c)
+}
+
 // inherit gives the lines of a proxy's defaults, the farthest first.
 func (s *section) inherit() (all []Line) {
 	if s.defaults != nil {
@@ -402,9 +410,11 @@
 }
 
 // builtin are the ACLs that need no definition (manual, 7.4).
-var builtin = []string{"FALSE", "TRUE", "HTTP", "HTTP_1.0", "HTTP_1.1", "HTTP_2.0", "HTTP_3.0", "HTTP_CONTENT", "HTTP_URL_ABS", "HTTP_URL_SLASH", "HTTP_URL_STAR",
+var builtin = []string{
+	"FALSE", "TRUE", "HTTP", "HTTP_1.0", "HTTP_1.1", "HTTP_2.0", "HTTP_3.0", "HTTP_CONTENT", "HTTP_URL_ABS", "HTTP_URL_SLASH", "HTTP_URL_STAR",
 	"LOCALHOST", "METH_CONNECT", "METH_DELETE", "METH_GET", "METH_HEAD", "METH_OPTIONS", "METH_POST", "METH_PUT", "METH_TRACE",
-	"RDP_COOKIE", "REQ_CONTENT", "WAIT_END"}
+	"RDP_COOKIE", "REQ_CONTENT", "WAIT_END",
+}
 
 func (m *importer) balance(p *Pool, l Line) {
 	pick, class, why := "lottery", Differs, ""
@@ -476,15 +486,15 @@
 					m.fault(s.Place, "server %s tracks %s, which does not exist", s.Name, at.Track)
 					break
 				}
-				if key := to + "/" + name; seen[key] {
+				key := to + "/" + name
+				if seen[key] {
 					m.fault(s.Place, "server %s tracks itself in a circle, by %s", s.Name, key)
 					for k := range seen {
 						told[k] = true
 					}
 					break
-				} else {
-					seen[key] = true
 				}
+				seen[key] = true
 				pool, at = to, *next
 			}
 		}
--- a/internal/haproxy/import_test.go
+++ b/internal/haproxy/import_test.go
@@ -54,8 +54,10 @@
 			t.Errorf("%s: %q, %q wanted; %v", in, got, want, faults)
 		}
 	}
-	for in, want := range map[string]string{`a "b`: "weak quote", `a 'b`: "strong quote", `a "${NO}"`: "variable NO is not given", `a "${SITE"`: "brace is never closed",
-		`a "${}"`: "without a name", strings.Repeat("x ", 65): "65 arguments"} {
+	for in, want := range map[string]string{
+		`a "b`: "weak quote", `a 'b`: "strong quote", `a "${NO}"`: "variable NO is not given", `a "${SITE"`: "brace is never closed",
+		`a "${}"`: "without a name", strings.Repeat("x ", 65): "65 arguments",
+	} {
 		if _, faults := Lex("a", "fine\n"+in+"\nfine\n", map[string]string{"SITE": "x"}); len(faults) != 1 || !strings.Contains(faults[0].What, want) || faults[0].Line != 2 {
 			t.Errorf("%s: %v", in, faults)
 		}
--- a/internal/haproxy/lex.go
+++ b/internal/haproxy/lex.go
@@ -254,16 +254,16 @@
 			v.list = true
 			at += 3
 		}
-		close := strings.IndexByte(s[at:], '}')
+		length := strings.IndexByte(s[at:], '}')
 		switch {
-		case close < 0:
+		case length < 0:
 			return v, 0, "a variable's brace is never closed"
-		case close > 0 && s[at] != '-':
-			return v, 0, fmt.Sprintf("%q after a variable's name", s[at:at+close])
-		case close > 0 && !known:
-			text, known = s[at+1:at+close], true
+		case length > 0 && s[at] != '-':
+			return v, 0, fmt.Sprintf("%q after a variable's name", s[at:at+length])
+		case length > 0 && !known:
+			text, known = s[at+1:at+length], true
 		}
-		at += close + 1
+		at += length + 1
 	}
 	if !known {
 		return v, 0, fmt.Sprintf("variable %s is not given (--env %s=...), and has no default", s[from:end], s[from:end])
--- a/internal/haproxy/model.go
+++ b/internal/haproxy/model.go
@@ -12,6 +12,7 @@
 // Class tells what became of something in a file.
 type Class uint8
 
+// What may become of it.
 const (
 	Carried Class = iota // exactly
 	Differs              // carried, but not quite the same
@@ -65,6 +66,7 @@
 // State is what proxies would send to a server.
 type State uint8
 
+// The states that there are.
 const (
 	Used     State = iota
 	Draining       // weight 0: what it has goes on, nothing new comes
--- a/internal/haproxy/proof_test.go
+++ b/internal/haproxy/proof_test.go
@@ -55,11 +55,13 @@
 		}, s.Name)
 	}
 	w.Add("list", "imported", func(machine.Seconds, map[string][]byte) machine.Machine { return standin.NewList(list) }, "list")
-	w.Add("c0", "imported", func(now machine.Seconds, files map[string][]byte) machine.Machine {
+	w.Add("c0", "imported", func(now machine.Seconds, _ map[string][]byte) machine.Machine {
 		b := trade.Coordinator(now)
 		b.Seed = 3
-		return coordinator.NewMachine(coordinator.Bootstrap{Name: "c0", Zone: "imported", ListAddr: "list", Module: b, Handshake: 1, Silence: 10, ListSilence: 5,
-			ProbeTimeout: 1, MostStreams: 100, MostProbes: 10}, nil)
+		return coordinator.NewMachine(coordinator.Bootstrap{
+			Name: "c0", Zone: "imported", ListAddr: "list", Module: b, Handshake: 1, Silence: 10, ListSilence: 5,
+			ProbeTimeout: 1, MostStreams: 100, MostProbes: 10,
+		}, nil)
 	}, "c0")
 	m := trade.Coordinator(0)
 	methods := standin.Methods(trade.Methods, m)
@@ -72,8 +74,10 @@
 	for i := range 12 {
 		name := fmt.Sprint("f", i)
 		w.Add(name, "imported", func(machine.Seconds, map[string][]byte) machine.Machine {
-			return standin.NewFrontEnd(standin.FrontTrade{Name: name, Zone: "imported", Coordinators: []string{"c0"}, Methods: methods, Rate: 60,
-				Pick: m.Word("pick"), KeepAway: 5, Period: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1})
+			return standin.NewFrontEnd(standin.FrontTrade{
+				Name: name, Zone: "imported", Coordinators: []string{"c0"}, Methods: methods, Rate: 60,
+				Pick: m.Word("pick"), KeepAway: 5, Period: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
+			})
 		})
 		order = append(order, name)
 	}
--- a/internal/haproxy/routes.go
+++ b/internal/haproxy/routes.go
@@ -77,8 +77,10 @@
 var single = []string{"host", "authorization", "content-type", "content-length", "origin"}
 
 // methods that ACLs name without a definition (manual, 7.4).
-var methodACL = map[string][]string{"METH_CONNECT": {"CONNECT"}, "METH_DELETE": {"DELETE"}, "METH_GET": {"GET", "HEAD"}, "METH_HEAD": {"HEAD"},
-	"METH_OPTIONS": {"OPTIONS"}, "METH_POST": {"POST"}, "METH_PUT": {"PUT"}, "METH_TRACE": {"TRACE"}}
+var methodACL = map[string][]string{
+	"METH_CONNECT": {"CONNECT"}, "METH_DELETE": {"DELETE"}, "METH_GET": {"GET", "HEAD"}, "METH_HEAD": {"HEAD"},
+	"METH_OPTIONS": {"OPTIONS"}, "METH_POST": {"POST"}, "METH_PUT": {"PUT"}, "METH_TRACE": {"TRACE"},
+}
 
 // rows reads a condition as rows of terms. An ACL of several lines holds if any of them does, which multiplies rows; past
 // a hundred it is not taken.
--- a/internal/haproxy/routes_test.go
+++ b/internal/haproxy/routes_test.go
@@ -184,8 +184,10 @@
 	if diff := cmp.Diff(got.Routes, again); diff != "" || len(faults) > 0 {
 		t.Error(faults, diff)
 	}
-	for i, want := range []string{"www-METH_GET-adm idempotent once; www-adm non-idempotent once; www-adm-2 non-idempotent once; both-path-a-b non-idempotent once",
-		"www non-idempotent free", "both non-idempotent once"} {
+	for i, want := range []string{
+		"www-METH_GET-adm idempotent once; www-adm non-idempotent once; www-adm-2 non-idempotent once; both-path-a-b non-idempotent once",
+		"www non-idempotent free", "both non-idempotent once",
+	} {
 		lines, faults := bootstrap.Lex("x", got.Pools[i].Settings(got.Routes))
 		trade, more := bootstrap.Parse("x", lines)
 		if len(faults)+len(more) > 0 {
--- a/internal/haproxy/servers.go
+++ b/internal/haproxy/servers.go
@@ -10,7 +10,7 @@
 // Servers are a pool's as a list takes them. Where there is one pool its name may be left out.
 func (i Import) Servers(pool string) ([]follow.Server, error) {
 	if len(i.Faults) > 0 {
-		var all []string
+		all := make([]string, 0, len(i.Faults))
 		for _, f := range i.Faults {
 			all = append(all, f.String())
 		}
--- a/internal/haproxy/write.go
+++ b/internal/haproxy/write.go
@@ -16,7 +16,7 @@
 // Numbers gives each listed server of a pool its number on our list: by its name, so that it keeps the number whatever is
 // added or removed beside it. Where two names meet on one number, the one that sorts later takes the next.
 func (p Pool) Numbers() map[string]uint32 {
-	var names []string
+	names := make([]string, 0, len(p.Servers))
 	for _, s := range p.Servers {
 		names = append(names, s.Name)
 	}
--- a/internal/listing/day_test.go
+++ b/internal/listing/day_test.go
@@ -123,7 +123,7 @@
 	}
 	for i := range 2 {
 		name := fmt.Sprint("c", i)
-		w.Add(name, zone, func(at machine.Seconds, files map[string][]byte) machine.Machine {
+		w.Add(name, zone, func(at machine.Seconds, _ map[string][]byte) machine.Machine {
 			b := trade.Coordinator(at)
 			values := map[string]any{}
 			for k, v := range b.Values {
@@ -139,8 +139,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			return coordinator.NewMachine(coordinator.Bootstrap{Name: name, Zone: zone, ListAddr: "list", Module: b, Handshake: 1, Silence: 10, ListSilence: 5,
-				ProbeTimeout: 1, MostStreams: 100, MostProbes: 10}, kept)
+			return coordinator.NewMachine(coordinator.Bootstrap{
+				Name: name, Zone: zone, ListAddr: "list", Module: b, Handshake: 1, Silence: 10, ListSilence: 5,
+				ProbeTimeout: 1, MostStreams: 100, MostProbes: 10,
+			}, kept)
 		}, name)
 		records = append(records, trace.Record{T: epoch, Kind: trace.Boot, Who: name})
 		w.Start(name)
@@ -149,8 +151,10 @@
 	for i := range 8 {
 		name := fmt.Sprint("f", i)
 		w.Add(name, zone, func(machine.Seconds, map[string][]byte) machine.Machine {
-			return standin.NewFrontEnd(standin.FrontTrade{Name: name, Zone: zone, Coordinators: []string{fmt.Sprint("c", i%2), fmt.Sprint("c", 1-i%2)},
-				Methods: standin.Methods(trade.Methods, m), Rate: 15, Pick: m.Word("pick"), KeepAway: 5, TryWait: 0.8, Period: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1})
+			return standin.NewFrontEnd(standin.FrontTrade{
+				Name: name, Zone: zone, Coordinators: []string{fmt.Sprint("c", i%2), fmt.Sprint("c", 1-i%2)},
+				Methods: standin.Methods(trade.Methods, m), Rate: 15, Pick: m.Word("pick"), KeepAway: 5, TryWait: 0.8, Period: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
+			})
 		})
 		w.Start(name)
 	}
--- a/internal/listing/listing.go
+++ b/internal/listing/listing.go
@@ -109,7 +109,7 @@
 		}
 	}
 	out.At(s.beat)
-	if at, any := s.f.Wake(); any {
+	if at, ok := s.f.Wake(); ok {
 		out.At(at)
 	}
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -108,7 +108,7 @@
 		loops = append(loops, l)
 	}
 	if err == nil {
-		err = wait(ctx, b, clock, loops, func(second int) (report.Second, bool) {
+		err = wait(ctx, b, loops, func(second int) (report.Second, bool) {
 			mu.Lock()
 			defer mu.Unlock()
 			if second < len(maker.Report.Seconds) {
@@ -131,7 +131,7 @@
 	return maker.Done(), err
 }
 
-func wait(ctx context.Context, b Bootstrap, clock *loop.Clock, loops []*loop.Loop, look func(int) (report.Second, bool)) error {
+func wait(ctx context.Context, b Bootstrap, loops []*loop.Loop, look func(int) (report.Second, bool)) error {
 	over := time.NewTimer(b.For)
 	defer over.Stop()
 	beat := time.NewTicker(time.Second)
@@ -144,7 +144,7 @@
 		case <-over.C:
 			return nil
 		case <-beat.C:
-			if s, any := look(second); any && b.EachAbout != nil {
+			if s, ok := look(second); ok && b.EachAbout != nil {
 				b.EachAbout(second, s)
 			}
 			second++
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -41,8 +41,10 @@
 
 func boot(to []string) Bootstrap {
 	m := []rules.Method{{Name: "read", Criticality: 1, SoftDeadline: 0.5}}
-	return Bootstrap{Front: standin.FrontTrade{Methods: []standin.MethodTrade{{Name: "read", Criticality: 1, SoftDeadline: 0.5, Deadline: 2, Share: 1}},
-		Pick: "pair", Period: 0.5, ConnectTimeout: 1}, Methods: m, Proxies: 4, Rate: 200, Servers: to, For: 2500 * time.Millisecond, Seed: 3}
+	return Bootstrap{Front: standin.FrontTrade{
+		Methods: []standin.MethodTrade{{Name: "read", Criticality: 1, SoftDeadline: 0.5, Deadline: 2, Share: 1}},
+		Pick:    "pair", Period: 0.5, ConnectTimeout: 1,
+	}, Methods: m, Proxies: 4, Rate: 200, Servers: to, For: 2500 * time.Millisecond, Seed: 3}
 }
 
 // The asking goes on at its rate while all servers stand still, and what waited counts from when it was due.
--- a/internal/measure/emulator.go
+++ b/internal/measure/emulator.go
@@ -56,8 +56,10 @@
 		})
 		var listen []string
 		for i := k; i < servers; i += loops {
-			fleet.Add(fmt.Sprint("s", i), emulator.Trade{EP: uint32(i + 1), Cores: 8, Speed: 1, QueueMost: 1000, Seed: uint64(i),
-				Work: []emulator.Work{{Mean: 0.002, Shape: emulator.Exponential}}})
+			fleet.Add(fmt.Sprint("s", i), emulator.Trade{
+				EP: uint32(i + 1), Cores: 8, Speed: 1, QueueMost: 1000, Seed: uint64(i),
+				Work: []emulator.Work{{Mean: 0.002, Shape: emulator.Exponential}},
+			})
 			listen = append(listen, "127.0.0.1:0")
 		}
 		l, err := loop.Start(inner, loop.Bootstrap{Machine: fleet, Listen: listen})
@@ -68,10 +70,14 @@
 		addrs = append(addrs, l.Addrs()...)
 	}
 	before := cpu()
-	r, err := load.Run(ctx, load.Bootstrap{Proxies: 4, Rate: rate, Servers: addrs, For: span, Seed: 1,
+	r, err := load.Run(ctx, load.Bootstrap{
+		Proxies: 4, Rate: rate, Servers: addrs, For: span, Seed: 1,
 		Methods: []rules.Method{{Name: "read", Criticality: 1, SoftDeadline: 0.5}},
-		Front: standin.FrontTrade{Methods: []standin.MethodTrade{{Name: "read", Criticality: 1, SoftDeadline: 0.5, Deadline: 2, Share: 1}},
-			Pick: "lottery", Period: 0.5, ConnectTimeout: 2}})
+		Front: standin.FrontTrade{
+			Methods: []standin.MethodTrade{{Name: "read", Criticality: 1, SoftDeadline: 0.5, Deadline: 2, Share: 1}},
+			Pick:    "lottery", Period: 0.5, ConnectTimeout: 2,
+		},
+	})
 	if err != nil {
 		return c, fmt.Errorf("ask for %.0f RPCs a second: %w", rate, err)
 	}
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -129,8 +129,10 @@
 	}
 	proxies := standin.NewCrowd()
 	for i := range fronts {
-		proxies.Add(fmt.Sprint("f", i), standin.NewFrontEnd(standin.FrontTrade{Name: fmt.Sprint("f", i), Zone: "a", Coordinators: []string{at}, Rate: rate,
-			Methods: standin.Methods(trade.Methods, trade.Coordinator(0)), Pick: "pair", Period: 2, ConnectTimeout: 2, Seed: uint64(i + 1)}), 0)
+		proxies.Add(fmt.Sprint("f", i), standin.NewFrontEnd(standin.FrontTrade{
+			Name: fmt.Sprint("f", i), Zone: "a", Coordinators: []string{at}, Rate: rate,
+			Methods: standin.Methods(trade.Methods, trade.Coordinator(0)), Pick: "pair", Period: 2, ConnectTimeout: 2, Seed: uint64(i + 1),
+		}), 0)
 	}
 	f.fronts, err = loop.Start(ctx, loop.Bootstrap{Machine: proxies, Clock: f.clock, Trace: f.note})
 	return f, err
@@ -171,7 +173,7 @@
 		_ = f.cmd.Process.Signal(syscall.SIGTERM)
 		<-f.ended
 	}
-	os.RemoveAll(f.dir)
+	_ = os.RemoveAll(f.dir) // a temporary folder: what stays of it is the system's to clean up
 }
 
 // take gives what was recorded since the last call.
--- a/internal/measure/storm.go
+++ b/internal/measure/storm.go
@@ -123,8 +123,9 @@
 // picture, if not nil, is given the plot as a PNG.
 func Retries(out, picture io.Writer) error {
 	offered := []float64{0.2, 0.5, 0.8, 0.9, 1, 1.1, 1.3, 1.6, 2, 2.5, 3}
-	var all []Storm
-	for _, how := range [][2]bool{{true, true}, {false, true}, {true, false}} {
+	ways := [][2]bool{{true, true}, {false, true}, {true, false}}
+	all := make([]Storm, 0, len(ways)*len(offered))
+	for _, how := range ways {
 		for _, x := range offered {
 			all = append(all, Storm{Offered: x, Levels: how[0], Again: how[1], Seed: 4})
 		}
@@ -181,8 +182,11 @@
 	for k, x := range []struct {
 		name string
 		c    color.RGBA
-	}{{"levels, clients come again", color.RGBA{46, 125, 50, 255}}, {"no levels, clients come again", color.RGBA{198, 40, 40, 255}},
-		{"levels, nobody comes again", color.RGBA{21, 101, 192, 255}}} {
+	}{
+		{"levels, clients come again", color.RGBA{46, 125, 50, 255}},
+		{"no levels, clients come again", color.RGBA{198, 40, 40, 255}},
+		{"levels, nobody comes again", color.RGBA{21, 101, 192, 255}},
+	} {
 		xy := make(plotter.XYs, n)
 		for i := range xy {
 			xy[i].X, xy[i].Y = offered[i], all[k*n+i].Good/all[k*n+i].Capacity
--- a/internal/proto/messages.go
+++ b/internal/proto/messages.go
@@ -8,6 +8,7 @@
 // Role tells what a party that opens a stream wants to be.
 type Role uint8
 
+// The roles.
 const (
 	RoleProxy   Role = iota // to follow tables
 	RoleWatcher             // to follow the list
@@ -19,6 +20,7 @@
 // Status is the end of a try, a probe or an RPC.
 type Status uint8
 
+// The ends.
 const (
 	OK         Status = iota
 	PushedBack        // it never ran: proof that it may be sent again
@@ -33,6 +35,7 @@
 // ListKind tells what a List holds.
 type ListKind uint8
 
+// The kinds of List.
 const (
 	ListFull    ListKind = iota
 	ListChanges          // from Base to Version
@@ -43,6 +46,7 @@
 // ServerState is what the list says of a server.
 type ServerState uint8
 
+// The states on the list.
 const (
 	ServerGone ServerState = iota
 	ServerOpen
@@ -53,6 +57,7 @@
 // OpKind tells what an operation of a push does.
 type OpKind uint8
 
+// The kinds of operation.
 const (
 	OpBind     OpKind = iota // a whole table for some methods takes the place of what they had
 	OpLine                   // one line; weight 0 removes it
@@ -230,8 +235,10 @@
 
 var decoders = map[Type]func(*decoder) Message{
 	tHello: func(d *decoder) Message {
-		return Hello{d.whole(), Role(d.upTo(uint64(roles-1), "role")), d.word(), d.word(), d.num(), d.flag(), d.word(),
-			d.upTo(MostMark, "mark")}
+		return Hello{
+			d.whole(), Role(d.upTo(uint64(roles-1), "role")), d.word(), d.word(), d.num(), d.flag(), d.word(),
+			d.upTo(MostMark, "mark"),
+		}
 	},
 	tWelcome: func(d *decoder) Message {
 		return Welcome{d.whole(), d.word(), d.num(), items(d, 1, (*decoder).word)}
@@ -242,11 +249,13 @@
 	},
 	tAnswer: func(d *decoder) Message { return Answer{d.upTo(MostMark, "mark")} },
 	tSums: func(d *decoder) Message {
-		return Sums{d.num(), items(d, 3, func(d *decoder) Usage { return Usage{d.whole(), d.whole(), d.whole()} }),
-			items(d, 11, getTries)}
+		return Sums{
+			d.num(), items(d, 3, func(d *decoder) Usage { return Usage{d.whole(), d.whole(), d.whole()} }),
+			items(d, 11, getTries),
+		}
 	},
 	tWatch: func(d *decoder) Message { return Watch{d.flag(), d.whole()} },
-	tFetch: func(d *decoder) Message { return Fetch{} },
+	tFetch: func(*decoder) Message { return Fetch{} },
 	tList: func(d *decoder) Message {
 		return List{ListKind(d.upTo(uint64(listKinds-1), "kind")), d.whole(), d.whole(), d.word(), items(d, 21, getEntry)}
 	},
@@ -258,7 +267,7 @@
 	tProbeReply: func(d *decoder) Message {
 		return ProbeReply{d.whole(), Status(d.upTo(uint64(statuses-1), "status"))}
 	},
-	tHeard:    func(d *decoder) Message { return Heard{} },
+	tHeard:    func(*decoder) Message { return Heard{} },
 	tPeerNote: func(d *decoder) Message { return PeerNote{d.whole(), d.bytes()} },
 }
 
@@ -357,13 +366,16 @@
 }
 
 func getEntry(d *decoder) Entry {
-	return Entry{getEP(d), ServerState(d.upTo(uint64(serverStates-1), "state")), d.word(), d.word(), d.whole(), d.num(),
-		d.flag(), d.whole(), d.num(), d.word()}
+	return Entry{
+		getEP(d), ServerState(d.upTo(uint64(serverStates-1), "state")), d.word(), d.word(), d.whole(), d.num(),
+		d.flag(), d.whole(), d.num(), d.word(),
+	}
 }
 
 func (m RPC) put(b []byte) []byte {
 	return num(whole(whole(whole(whole(b, m.ID), m.Method), m.Token), m.Key), m.Left)
 }
+
 func (m Reply) put(b []byte) []byte {
 	return num(flag(append(whole(b, m.ID), byte(m.Status)), m.Reports), m.Load)
 }
--- a/internal/proto/proto_test.go
+++ b/internal/proto/proto_test.go
@@ -55,18 +55,22 @@
 		case int(tAnswer):
 			return Answer{mark}
 		case int(tSums):
-			return Sums{n(), some(t, rapid.Custom(func(t *rapid.T) Usage { return Usage{rapid.Uint64().Draw(t, "m"), 5, 2} })),
+			return Sums{
+				n(), some(t, rapid.Custom(func(t *rapid.T) Usage { return Usage{rapid.Uint64().Draw(t, "m"), 5, 2} })),
 				some(t, rapid.Custom(func(t *rapid.T) Tries {
 					return Tries{eps.Draw(t, "ep"), 7, rapid.Uint64Range(0, 7).Draw(t, "bad"), nums.Draw(t, "d")}
-				}))}
+				})),
+			}
 		case int(tWatch):
 			return Watch{flag, u()}
 		case int(tFetch):
 			return Fetch{}
 		case int(tList):
 			return List{ListKind(rapid.IntRange(0, int(listKinds)-1).Draw(t, "kind")), u(), u(), w(), some(t, rapid.Custom(func(t *rapid.T) Entry {
-				return Entry{eps.Draw(t, "ep"), ServerState(rapid.IntRange(0, int(serverStates)-1).Draw(t, "state")), words.Draw(t, "kind"),
-					words.Draw(t, "zone"), 3, nums.Draw(t, "w"), rapid.Bool().Draw(t, "old"), rapid.Uint64().Draw(t, "stamp"), nums.Draw(t, "age"), words.Draw(t, "addr")}
+				return Entry{
+					eps.Draw(t, "ep"), ServerState(rapid.IntRange(0, int(serverStates)-1).Draw(t, "state")), words.Draw(t, "kind"),
+					words.Draw(t, "zone"), 3, nums.Draw(t, "w"), rapid.Bool().Draw(t, "old"), rapid.Uint64().Draw(t, "stamp"), nums.Draw(t, "age"), words.Draw(t, "addr"),
+				}
 			}))}
 		case int(tRPC):
 			return RPC{u(), u(), u(), u(), n()}
@@ -154,7 +158,7 @@
 			t.Errorf("%s: got %v, want %s", name, err, c.want)
 		}
 		r.Feed(Append(nil, Answer{1}))
-		if _, again := r.Next(); again == nil || again != err {
+		if _, again := r.Next(); again == nil || again != err { //nolint:errorlint // the very same error is meant
 			t.Errorf("%s: the stream went on after it lost its place: %v", name, again)
 		}
 	}
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -25,20 +25,20 @@
 	q.count++
 	q.all = append(q.all, item[T]{at, q.count, x})
 	i := len(q.all) - 1
-	new := q.all[i]
+	added := q.all[i]
 	for i > 0 {
 		up := (i - 1) / 4
-		if !new.before(&q.all[up]) {
+		if !added.before(&q.all[up]) {
 			break
 		}
 		q.all[i] = q.all[up]
 		i = up
 	}
-	q.all[i] = new
+	q.all[i] = added
 }
 
 // Next is when the first is due; false if there is none.
-func (q *Queue[T]) Next() (at float64, any bool) {
+func (q *Queue[T]) Next() (at float64, ok bool) {
 	if len(q.all) == 0 {
 		return 0, false
 	}
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -19,8 +19,8 @@
 		var model []due
 		for i := range rapid.IntRange(1, 200).Draw(t, "steps") {
 			if rapid.IntRange(0, 2).Draw(t, "take") == 0 && len(model) > 0 {
-				at, any := q.Next()
-				if got := q.Take(); !any || got != model[0].n || at != model[0].at {
+				at, ok := q.Next()
+				if got := q.Take(); !ok || got != model[0].n || at != model[0].at {
 					t.Fatalf("%d at %g, %v wanted", got, at, model[0])
 				}
 				model = model[1:]
@@ -36,7 +36,7 @@
 				t.Fatalf("%d, %v wanted", got, want)
 			}
 		}
-		if _, any := q.Next(); any || q.Len() != 0 {
+		if _, ok := q.Next(); ok || q.Len() != 0 {
 			t.Fatal("something is left")
 		}
 	})
--- a/internal/rehearse/day.go
+++ b/internal/rehearse/day.go
@@ -272,8 +272,10 @@
 				d.Acts = append(d.Acts, a)
 			}
 		default:
-			known := []string{"day", "settings", "length", "seed", "coordinators", "line-still", "connect-timeout", "keep-away",
-				"notice", "latency", "traffic", "tokens", "clients", "mix", "servers", "frontends", "at"}
+			known := []string{
+				"day", "settings", "length", "seed", "coordinators", "line-still", "connect-timeout", "keep-away",
+				"notice", "latency", "traffic", "tokens", "clients", "mix", "servers", "frontends", "at",
+			}
 			err = fmt.Errorf("%s is no word of a day%s", w[0], like(w[0], known))
 		}
 		if err != nil {
@@ -450,8 +452,10 @@
 		case "saves":
 			g.Saves, err = bootstrap.Share(v)
 		default:
-			err = fmt.Errorf("unknown%s", like(name, []string{"zone", "kind", "capacity", "workers", "queue", "weight", "work", "give-up", "cell",
-				"connections", "reports", "noise", "memory", "saves"}))
+			err = fmt.Errorf("unknown%s", like(name, []string{
+				"zone", "kind", "capacity", "workers", "queue", "weight", "work", "give-up", "cell",
+				"connections", "reports", "noise", "memory", "saves",
+			}))
 		}
 		return err
 	})
@@ -620,14 +624,18 @@
 // Limits are the figures of the rules, from the settings.
 func (d *Day) Limits() rules.Limits {
 	b := choice.Bootstrap{Values: d.Trade.Values}
-	l := rules.Limits{Bare: b.Num("bare_limit", 1), Grace: b.Num("drain_grace", 1), WarmAfter: b.Num("warm_after", 1),
+	l := rules.Limits{
+		Bare: b.Num("bare_limit", 1), Grace: b.Num("drain_grace", 1), WarmAfter: b.Num("warm_after", 1),
 		FallWindow: b.Num("fall_window", 1), Room: int(b.Num("channel_room", 0)), Messages: int(b.Num("messages", 0)),
-		Span: b.Num("messages_span", 10), ListSilence: d.Trade.Num("list-silence"), AskWithin: b.Num("ask_within", 10), OnlyDraining: b.Flag("only_draining_binds")}
+		Span: b.Num("messages_span", 10), ListSilence: d.Trade.Num("list-silence"), AskWithin: b.Num("ask_within", 10), OnlyDraining: b.Flag("only_draining_binds"),
+	}
 	for i, name := range d.Trade.Methods {
 		at := fmt.Sprintf("method.%d.", i)
-		l.Methods = append(l.Methods, rules.Method{Name: name, NonIdempotent: b.Word(at+"effect") == "non-idempotent",
+		l.Methods = append(l.Methods, rules.Method{
+			Name: name, NonIdempotent: b.Word(at+"effect") == "non-idempotent",
 			Tokened: b.Word(at+"effect") == "tokened", Window: b.Num(at+"window", 0), Criticality: b.Num(at+"criticality", 1),
-			SoftDeadline: b.Num(at+"soft_deadline", 1)})
+			SoftDeadline: b.Num(at+"soft_deadline", 1),
+		})
 	}
 	return l
 }
--- a/internal/rehearse/emulate.go
+++ b/internal/rehearse/emulate.go
@@ -120,7 +120,7 @@
 	n := min(max(1, e.Loops), max(1, len(mine)))
 	store := c.store()
 	for k := range n {
-		fleet := emulator.NewFleet(func(t emulator.Tally) { s.tally(k, n, t) })
+		fleet := emulator.NewFleet(func(t emulator.Tally) { s.tally(n, t) })
 		b := loop.Bootstrap{Machine: fleet, Clock: s.clock, Trace: e.Trace}
 		var names []string
 		for i, a := range mine {
@@ -166,7 +166,7 @@
 }
 
 // tally gathers the loops' figures of a second.
-func (s *emulation) tally(k, n int, t emulator.Tally) {
+func (s *emulation) tally(n int, t emulator.Tally) {
 	if s.Figures == nil {
 		return
 	}
--- a/internal/rehearse/hard_test.go
+++ b/internal/rehearse/hard_test.go
@@ -164,8 +164,10 @@
 
 // A server that falls over during its drain ends what it had with a reset, and what still comes is refused.
 func TestFallDuringADrain(t *testing.T) {
-	m := emulator.New(emulator.Trade{EP: 1, Cores: 1, Speed: 1, Work: []emulator.Work{{Mean: 0.1, Shape: emulator.Fixed}}, QueueMost: 1000, Cold: true,
-		ColdShare: 0.3, WarmAfter: 10, FallMultiple: 2, FallWindow: 1, Seed: 1}, 0)
+	m := emulator.New(emulator.Trade{
+		EP: 1, Cores: 1, Speed: 1, Work: []emulator.Work{{Mean: 0.1, Shape: emulator.Fixed}}, QueueMost: 1000, Cold: true,
+		ColdShare: 0.3, WarmAfter: 10, FallMultiple: 2, FallWindow: 1, Seed: 1,
+	}, 0)
 	m.Connect(1, "")
 	for i := range uint64(4) {
 		m.Ask(1, emulator.RPC{ID: i + 1, Left: 5})
--- a/internal/rehearse/play.go
+++ b/internal/rehearse/play.go
@@ -114,8 +114,10 @@
 // listings is what the list service knows at the beginning; addr tells where servers are reached.
 func (c *cast) listings(addr func(a *actor) string) (all []standin.Listing) {
 	for _, s := range c.servers {
-		all = append(all, standin.Listing{EP: s.ep, State: proto.ServerOpen, Kind: s.kind, Zone: s.zone, Weight: s.group.Weight,
-			Addr: addr(s), Stamp: 1})
+		all = append(all, standin.Listing{
+			EP: s.ep, State: proto.ServerOpen, Kind: s.kind, Zone: s.zone, Weight: s.group.Weight,
+			Addr: addr(s), Stamp: 1,
+		})
 	}
 	return all
 }
@@ -136,16 +138,18 @@
 	g := a.group
 	work := g.Work
 	work.Mean = float64(g.Workers) / g.Capacity
-	return emulator.Trade{EP: uint32(a.ep), Zone: a.zone, Cores: g.Workers, Speed: 1, Work: []emulator.Work{work}, QueueMost: g.Queue,
+	return emulator.Trade{
+		EP: a.ep, Zone: a.zone, Cores: g.Workers, Speed: 1, Work: []emulator.Work{work}, QueueMost: g.Queue,
 		GiveUp: g.GiveUp, ColdShare: b.Num("cold_share", 0.3), WarmAfter: b.Num("warm_after", 10),
 		FallMultiple: b.Num("fall_multiple", 3), FallWindow: b.Num("fall_window", 1), ProbeWork: work.Mean / 10, ProbesMost: 10,
 		ConnWork: work.Mean / 10, Seed: standin.Seed(c.day.Seed, a.name), Store: store, Ledger: c.ledger,
-		Cell: g.Cell, Connections: g.Conns, Reports: g.Reports, ReportLate: g.Late, ReportNoise: g.Noise, Keys: g.Memory, KeySaves: g.Saves}
+		Cell: g.Cell, Connections: g.Conns, Reports: g.Reports, ReportLate: g.Late, ReportNoise: g.Noise, Keys: g.Memory, KeySaves: g.Saves,
+	}
 }
 
 func (c *cast) front(a *actor, coords []string) *standin.FrontEnd {
 	b := choice.Bootstrap{Values: c.day.Trade.Values}
-	var order []string
+	order := make([]string, 0, len(coords))
 	for i := range coords {
 		order = append(order, coords[(a.at+i)%len(coords)])
 	}
@@ -154,10 +158,12 @@
 	if a.pick != "" {
 		pick = a.pick
 	}
-	return standin.NewFrontEnd(standin.FrontTrade{Name: a.name, Zone: a.zone, Coordinators: order, Methods: c.day.methods(),
+	return standin.NewFrontEnd(standin.FrontTrade{
+		Name: a.name, Zone: a.zone, Coordinators: order, Methods: c.day.methods(),
 		Rate: a.rate, Pick: pick, Begin: c.begin, Shape: c.day.Shape, Keys: c.day.Keys, Strikes: int(b.Num("strikes", 0)), KeepAway: c.day.KeepAway, TryWait: b.Num("try_wait", 0.8),
 		LineStill: c.day.LineStill, LevelRate: b.Word("level_kind") == "rate", Period: b.Num("report_period", 1), Watch: c.glance > 0,
-		ConnectTimeout: c.day.Connect, ComeAgain: c.day.ComeAgain, AgainWait: c.day.AgainWait, AgainMost: c.day.AgainMost, Seed: standin.Seed(c.day.Seed, a.name) + uint64(a.lives)})
+		ConnectTimeout: c.day.Connect, ComeAgain: c.day.ComeAgain, AgainWait: c.day.AgainWait, AgainMost: c.day.AgainMost, Seed: standin.Seed(c.day.Seed, a.name) + uint64(a.lives),
+	})
 }
 
 // store is what servers share for tokens, as the settings' groups allow.
@@ -185,9 +191,11 @@
 	b.Values = values
 	a.lives++
 	b.Seed = standin.Seed(c.day.Seed, a.name) + uint64(a.lives)
-	return coordinator.Bootstrap{Name: a.name, Zone: a.zone, ListAddr: list, Module: b, Handshake: t.Num("handshake"),
+	return coordinator.Bootstrap{
+		Name: a.name, Zone: a.zone, ListAddr: list, Module: b, Handshake: t.Num("handshake"),
 		Silence: t.Num("stream-silence"), ListSilence: t.Num("list-silence"), ProbeTimeout: t.Num("probe-timeout"),
-		MostStreams: int(t.Num("streams")), MostProbes: int(t.Num("probes-at-once"))}
+		MostStreams: int(t.Num("streams")), MostProbes: int(t.Num("probes-at-once")),
+	}
 }
 
 // start brings all on the stage, and puts the script's acts on the clock.
@@ -313,7 +321,7 @@
 		c.afflict(a, hit)
 	case "pauses":
 		for _, x := range hit {
-			for t := 0.0; t < a.For; t += 1 {
+			for t := 0.0; t < a.For; t++ {
 				c.after(t+c.draw()*0.5, func() { c.stage.Tell(x.name, "hang") })
 				c.after(t+0.5+min(by, 0.5), func() { c.stage.Tell(x.name, "heal hang") })
 			}
@@ -563,10 +571,10 @@
 	for _, a := range c.servers {
 		w.Add(a.name, a.zone, func(machine.Seconds, map[string][]byte) machine.Machine { return c.server(a, store) }, a.name)
 	}
-	var coords []string
+	coords := make([]string, 0, len(c.coords))
 	for _, a := range c.coords {
 		coords = append(coords, a.name)
-		w.Add(a.name, a.zone, func(now machine.Seconds, files map[string][]byte) machine.Machine {
+		w.Add(a.name, a.zone, func(now machine.Seconds, _ map[string][]byte) machine.Machine {
 			b := c.coordinator(a, now, "list")
 			if o.Way == AllServers {
 				return standin.NewPlain(a.name, "list", d.Trade.Methods, b.Module.Num("report_period", 1))
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -151,7 +151,7 @@
 		rule int
 		edit func(p *proto.Push) int
 	}{
-		"as it is": {0, func(p *proto.Push) int { return 0 }},
+		"as it is": {0, func(*proto.Push) int { return 0 }},
 		"a table emptied": {1, func(p *proto.Push) int {
 			for i, o := range p.Ops {
 				if o.Kind == proto.OpLine {
@@ -172,7 +172,7 @@
 			p.Ops = slices.DeleteFunc(p.Ops, shuts)
 			return 0
 		}},
-		"a burst of messages": {5, func(p *proto.Push) int { return 35 }},
+		"a burst of messages": {5, func(*proto.Push) int { return 35 }},
 	} {
 		r, err := Virtual(script(t, spoilDay), Options{Wrap: func(_ string, m machine.Machine) machine.Machine {
 			return &spoiled{m, c.edit, map[machine.Conn]uint64{}}
--- a/internal/rehearse/sockets.go
+++ b/internal/rehearse/sockets.go
@@ -82,7 +82,7 @@
 	var held []net.Listener
 	defer func() {
 		for _, l := range held {
-			l.Close()
+			_ = l.Close() // nobody ever called there
 		}
 	}()
 	for p := 12000 + os.Getpid()*37%16000; len(all) < n; p++ {
@@ -131,30 +131,30 @@
 func (s *sockets) build(free []string) error {
 	c := s.cast
 	next := func() string { a := free[0]; free = free[1:]; return a }
-	add := func(a *actor, addr string, make func() machine.Machine) *node {
-		n := &node{actor: a, addr: addr, make: make}
+	add := func(a *actor, addr string, maker func() machine.Machine) *node {
+		n := &node{actor: a, addr: addr, make: maker}
 		s.nodes[a.name] = n
 		return n
 	}
 	store := c.store()
-	var servers, coords []string
-	real := map[string]string{} // any address that a server may be known by, to its name
+	servers, coords := make([]string, 0, len(c.servers)), make([]string, 0, len(c.coords))
+	names := map[string]string{} // any address that a server may be known by, to its name
 	for _, a := range c.servers {
 		n := add(a, next(), func() machine.Machine { return c.server(a, store) })
 		servers = append(servers, a.name)
-		real[n.addr] = a.name
+		names[n.addr] = a.name
 	}
 	for _, a := range c.coords {
 		n := add(a, next(), nil)
 		coords = append(coords, a.name)
-		real[n.addr] = a.name
+		names[n.addr] = a.name
 	}
 	list := add(c.all["list"], next(), nil)
 	list.make = func() machine.Machine {
 		l := standin.NewList(c.listings(func(a *actor) string { return s.nodes[a.name].addr }))
 		l.Via = func(watcher, addr string) string {
 			if r := s.relays[watcher]; r != nil {
-				return r.door(real[addr])
+				return r.door(names[addr])
 			}
 			return addr
 		}
@@ -166,7 +166,7 @@
 			return err
 		}
 		for i, t := range r.targets {
-			real[r.doors[i]] = t
+			names[r.doors[i]] = t
 		}
 	}
 	for _, a := range c.fronts {
@@ -174,13 +174,13 @@
 		if err != nil {
 			return err
 		}
-		var at []string
+		at := make([]string, 0, len(coords))
 		for _, name := range coords {
 			at = append(at, r.door(name))
 		}
 		n := add(a, "", func() machine.Machine { return c.front(a, at) })
 		n.via = func(addr string) string {
-			if name, known := real[addr]; known {
+			if name, known := names[addr]; known {
 				return r.door(name)
 			}
 			return addr
@@ -198,7 +198,7 @@
 
 func (s *sockets) relay(of string, targets []string) (*relay, error) {
 	r := &relay{targets: targets, told: make([]string, len(targets))}
-	var to, listen []string
+	to, listen := make([]string, 0, len(targets)), make([]string, 0, len(targets))
 	for _, t := range targets {
 		to = append(to, s.nodes[t].addr)
 		listen = append(listen, "127.0.0.1:0")
@@ -219,9 +219,9 @@
 	s.mu.Unlock()
 }
 
-func (s *sockets) failed(format string, args ...any) {
+func (s *sockets) failed(name string, err error) {
 	s.mu.Lock()
-	s.fails = append(s.fails, fmt.Sprintf(format, args...))
+	s.fails = append(s.fails, fmt.Sprintf("%s: %v", name, err))
 	s.mu.Unlock()
 }
 
@@ -315,7 +315,7 @@
 	}
 	l, err := loop.Start(s.ctx, b)
 	if err != nil {
-		s.failed("%s: %v", name, err)
+		s.failed(name, err)
 		return
 	}
 	n.loop = l
@@ -328,27 +328,27 @@
 	text := s.cast.day.instance(a, n.addr, s.relays[a.name].door("list"), filepath.Join(s.serving.Dir, a.name+".state"), a.lives)
 	a.lives++
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
-		s.failed("%s: %v", a.name, err)
+		s.failed(a.name, err)
 		return
 	}
 	log, err := os.OpenFile(filepath.Join(s.serving.Dir, a.name+".log"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
-		s.failed("%s: %v", a.name, err)
+		s.failed(a.name, err)
 		return
 	}
 	cmd := exec.Command(s.serving.Command[0], append(slices.Clone(s.serving.Command[1:]), file)...)
 	cmd.Env = append(os.Environ(), s.serving.Env...)
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
-		log.Close()
-		s.failed("%s: %v", a.name, err)
+		_ = log.Close() // nothing was written
+		s.failed(a.name, err)
 		return
 	}
 	n.cmd = cmd
 	s.work.Add(1)
 	go func() {
 		defer s.work.Done()
-		defer log.Close()
+		defer func() { _ = log.Close() }() // the process wrote it, not we
 		err := cmd.Wait()
 		s.mu.Lock()
 		defer s.mu.Unlock()
--- a/internal/rehearse/truth.go
+++ b/internal/rehearse/truth.go
@@ -91,7 +91,7 @@
 // Bound reckons the most service that the day allowed, from the servers' true state and from what was asked in a run.
 func (d *Day) Bound(truth *Truth, records []trace.Record) (bound.Bound, error) {
 	limits := d.Limits()
-	var methods []bound.Method
+	methods := make([]bound.Method, 0, len(limits.Methods))
 	for i := range limits.Methods {
 		soft := limits.Methods[i].SoftDeadline
 		fit := 0.0
@@ -100,8 +100,10 @@
 			work.Mean = float64(g.Workers) / g.Capacity
 			fit = max(fit, work.Within(soft))
 		}
-		methods = append(methods, bound.Method{Criticality: limits.Methods[i].Criticality, Fit: fit,
-			Slots: int(math.Ceil(soft / Glance))})
+		methods = append(methods, bound.Method{
+			Criticality: limits.Methods[i].Criticality, Fit: fit,
+			Slots: int(math.Ceil(soft / Glance)),
+		})
 	}
 	zone := map[string]string{}
 	for _, f := range newCast(d).fronts {
@@ -122,7 +124,7 @@
 			keys = append(keys, k)
 		}
 	}
-	var demand []bound.Demand
+	demand := make([]bound.Demand, 0, len(keys))
 	for _, k := range keys {
 		demand = append(demand, bound.Demand{Slot: k.slot, Zone: k.zone, Method: k.method, N: count[k]})
 	}
--- a/internal/rehearse/versus.go
+++ b/internal/rehearse/versus.go
@@ -12,6 +12,7 @@
 // Way is how proxies get their tables in a run.
 type Way uint8
 
+// The ways.
 const (
 	Coordinated Way = iota // by coordinators, as in service
 	AllServers             // one table of all servers that the list shows
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -122,8 +122,8 @@
 		m := k.methods[x.Method]
 		s.Asked += m.Criticality
 		k.asked[x.Method] += m.Criticality
-		switch {
-		case x.Text == "ok":
+		switch x.Text {
+		case "ok":
 			if err := k.took[x.Method].RecordValue(max(1, int64(x.X*1e6))); err != nil {
 				return fmt.Errorf("an answer after %v s: %w", x.X, err)
 			}
@@ -134,7 +134,7 @@
 			} else {
 				s.Late++
 			}
-		case x.Text == "pushed back":
+		case "pushed back":
 			s.PushedBack++
 		default:
 			s.Aborted++
@@ -259,7 +259,7 @@
 			to := max(t.To, t.From+length/300)
 			box, err := plotter.NewPolygon(plotter.XYs{{X: t.From, Y: 0}, {X: to, Y: 0}, {X: to, Y: most}, {X: t.From, Y: most}})
 			if err == nil {
-				box.Color, box.LineStyle.Width = shade, 0
+				box.Color, box.Width = shade, 0
 				p.Add(box)
 			}
 		}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -3,7 +3,7 @@
 package route
 
 import (
-	"cmp"
+	"maps"
 	"slices"
 	"strings"
 )
@@ -38,10 +38,10 @@
 	if len(r.Any) == 0 {
 		return true
 	}
-	any := slices.ContainsFunc(r.Any, func(row []Term) bool {
+	matched := slices.ContainsFunc(r.Any, func(row []Term) bool {
 		return !slices.ContainsFunc(row, func(t Term) bool { return !t.holds(q) })
 	})
-	return any != r.Unless
+	return matched != r.Unless
 }
 
 // Safe tells whether all of its requests have a method that RFC 9110 (9.2.1) calls safe, so that a second run does no
@@ -203,10 +203,5 @@
 
 // Fronts names a table's fronts, in order.
 func (t *Table) Fronts() []string {
-	var all []string
-	for name := range t.fronts {
-		all = append(all, name)
-	}
-	slices.SortFunc(all, cmp.Compare)
-	return all
+	return slices.Sorted(maps.Keys(t.fronts))
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -17,8 +17,10 @@
 		for range rapid.IntRange(1, 3).Draw(t, "rows") {
 			var row []Term
 			for range rapid.IntRange(1, 2).Draw(t, "terms") {
-				x := Term{Not: rapid.IntRange(0, 4).Draw(t, "not") == 4, Fetch: rapid.SampledFrom([]string{"path", "method", "hdr"}).Draw(t, "fetch"),
-					How: rapid.SampledFrom([]string{"str", "str", "str", "str", "beg", "end", "sub", "found"}).Draw(t, "how"), Fold: rapid.Bool().Draw(t, "fold")}
+				x := Term{
+					Not: rapid.IntRange(0, 4).Draw(t, "not") == 4, Fetch: rapid.SampledFrom([]string{"path", "method", "hdr"}).Draw(t, "fetch"),
+					How: rapid.SampledFrom([]string{"str", "str", "str", "str", "beg", "end", "sub", "found"}).Draw(t, "how"), Fold: rapid.Bool().Draw(t, "fold"),
+				}
 				if x.Fetch == "hdr" {
 					x.Header = "host"
 				}
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -166,11 +166,15 @@
 
 // Check goes through a trace, whose records must be in the order of time.
 func Check(records []trace.Record, l Limits) (Report, error) {
-	c := &checker{l: l, who: map[string]*proxy{}, of: map[string]*coordinator{}, runs: map[uint64]ran{},
+	c := &checker{
+		l: l, who: map[string]*proxy{}, of: map[string]*coordinator{}, runs: map[uint64]ran{},
 		first: map[uint64]float64{}, tries: map[uint32][]try{}, tokens: map[string]ran{}, starts: map[uint32]float64{},
-		open: map[uint64]int{}, truth: map[uint32]told{}}
-	for i, n := range []string{"no proxy without a backend", "no effect twice", "drains are kept", "no cold backend pushed over",
-		"the queue stays short"} {
+		open: map[uint64]int{}, truth: map[uint32]told{},
+	}
+	for i, n := range []string{
+		"no proxy without a backend", "no effect twice", "drains are kept", "no cold backend pushed over",
+		"the queue stays short",
+	} {
 		c.report.Rules[i].Rule, c.report.Rules[i].Name = i+1, n
 	}
 	if len(records) > 0 {
@@ -632,7 +636,7 @@
 		e, known := c.coordinator(p.of).list[r.EP]
 		binds := known && (e.state == 'd' || e.state == 'g' && !c.l.OnlyDraining)
 		x := c.coordinator(p.of)
-		binds = binds && !(x.behind && x.perhaps[r.EP])
+		binds = binds && (!x.behind || !x.perhaps[r.EP])
 		if !binds && x.behind && r.T > x.asked+c.l.AskWithin {
 			// It does not ask, and so counts as told of what was listed that long ago.
 			if e, known = c.truth[r.EP]; known && e.state != 'o' {
@@ -666,7 +670,8 @@
 			e := c.coordinator(p.of).list[r.EP]
 			known = e.start >= start-1 && e.state == 'o' && (r.T > e.known+c.l.Grace || p.applied > e.known)
 		}
-		all := append(c.tries[r.EP], try{r.T, r.Who, known})
+		all := c.tries[r.EP]
+		all = append(all, try{r.T, r.Who, known})
 		for len(all) > 0 && all[0].t < r.T-c.l.FallWindow-0.1 {
 			all = all[1:]
 		}
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -6,31 +6,43 @@
 	"gingerfork/internal/trace"
 )
 
-var limits = Limits{Bare: 3, Grace: 2, WarmAfter: 10, FallWindow: 1, Room: 100, Messages: 3, Span: 10, ListSilence: 5, AskWithin: 10,
-	Methods: []Method{{Name: "read", Criticality: 1, SoftDeadline: 1}, {Name: "submit", NonIdempotent: true, Criticality: 2, SoftDeadline: 1},
-		{Name: "save", Tokened: true, Window: 5, Criticality: 1, SoftDeadline: 1}}}
+var limits = Limits{
+	Bare: 3, Grace: 2, WarmAfter: 10, FallWindow: 1, Room: 100, Messages: 3, Span: 10, ListSilence: 5, AskWithin: 10,
+	Methods: []Method{
+		{Name: "read", Criticality: 1, SoftDeadline: 1},
+		{Name: "submit", NonIdempotent: true, Criticality: 2, SoftDeadline: 1},
+		{Name: "save", Tokened: true, Window: 5, Criticality: 1, SoftDeadline: 1},
+	},
+}
 
 // begin is a proxy that follows a coordinator with servers 1 and 2 listed and bound.
 func begin(more ...trace.Record) []trace.Record {
 	return append([]trace.Record{
-		{T: 0, Kind: trace.Boot, Who: "c0"}, {T: 0, Kind: trace.List, N: 1, Text: "full 1:o:0:a 2:o:0:a"},
-		{T: 0, Kind: trace.List, Of: "c0", N: 1, Text: "full 1:o:0:a 2:o:0:a"}, {T: 1, Kind: trace.Join, Who: "f0", Of: "c0", Zone: "a"},
-		{T: 1, Kind: trace.Push, Who: "f0", Of: "c0", Mark: 1, X: 3}, {T: 1, Kind: trace.Apply, Who: "f0", Of: "c0", Mark: 1, Text: "bind 0 0 1:1 2:1"},
+		{T: 0, Kind: trace.Boot, Who: "c0"},
+		{T: 0, Kind: trace.List, N: 1, Text: "full 1:o:0:a 2:o:0:a"},
+		{T: 0, Kind: trace.List, Of: "c0", N: 1, Text: "full 1:o:0:a 2:o:0:a"},
+		{T: 1, Kind: trace.Join, Who: "f0", Of: "c0", Zone: "a"},
+		{T: 1, Kind: trace.Push, Who: "f0", Of: "c0", Mark: 1, X: 3},
+		{T: 1, Kind: trace.Apply, Who: "f0", Of: "c0", Mark: 1, Text: "bind 0 0 1:1 2:1"},
 	}, more...)
 }
 
 func apply(t float64, text string) trace.Record {
 	return trace.Record{T: t, Kind: trace.Apply, Who: "f0", Of: "c0", Text: text}
 }
+
 func news(t float64, text string) trace.Record {
 	return trace.Record{T: t, Kind: trace.List, Of: "c0", N: int64(t), Text: text}
 }
+
 func send(t float64, ep uint32, rpc uint64, method int, why string) trace.Record {
 	return trace.Record{T: t, Kind: trace.Try, Who: "f0", Of: "c0", EP: ep, RPC: rpc, Method: method, Text: why}
 }
+
 func runs(t float64, ep uint32, rpc uint64, method int) trace.Record {
 	return trace.Record{T: t, Kind: trace.Run, EP: ep, RPC: rpc, Method: method}
 }
+
 func link(t float64, kind, who string) trace.Record {
 	return trace.Record{T: t, Kind: kind, Who: who, Of: "c0"}
 }
--- a/internal/standin/baseline.go
+++ b/internal/standin/baseline.go
@@ -1,6 +1,7 @@
 package standin
 
 import (
+	"maps"
 	"slices"
 
 	"gingerfork/internal/machine"
@@ -33,8 +34,10 @@
 
 // NewPlain makes one.
 func NewPlain(name, list string, methods []string, period float64) *Plain {
-	return &Plain{name: name, list: list, methods: methods, period: period, conns: machine.Dialled, open: map[proto.EP]proto.Line{},
-		proxies: map[machine.Conn]*plainProxy{}}
+	return &Plain{
+		name: name, list: list, methods: methods, period: period, conns: machine.Dialled, open: map[proto.EP]proto.Line{},
+		proxies: map[machine.Conn]*plainProxy{},
+	}
 }
 
 // Step implements machine.Machine.
@@ -210,7 +213,6 @@
 type frostedEnd struct {
 	in, out proto.Reader
 	name    string // of a proxy
-	seq     uint64
 }
 
 // Step implements machine.Machine.
@@ -320,20 +322,10 @@
 
 // tables are the orders that give a proxy what it had, all that was shut or shed then let in again.
 func (f *Frost) tables(proxy string) (ops []proto.Op) {
-	var numbers []uint64
-	for n := range f.held[proxy] {
-		numbers = append(numbers, n)
-	}
-	slices.Sort(numbers)
-	for _, n := range numbers {
+	for _, n := range slices.Sorted(maps.Keys(f.held[proxy])) {
 		t := f.held[proxy][n]
 		o := proto.Op{Kind: proto.OpBind, Table: n, Methods: t.methods}
-		var all []proto.EP
-		for ep := range t.lines {
-			all = append(all, ep)
-		}
-		slices.Sort(all)
-		for _, ep := range all {
+		for _, ep := range slices.Sorted(maps.Keys(t.lines)) {
 			l := t.lines[ep]
 			l.Shut = false
 			o.Lines = append(o.Lines, l)
--- a/internal/standin/common.go
+++ b/internal/standin/common.go
@@ -28,13 +28,13 @@
 
 // ring does what is due.
 func (t *timers) ring(now machine.Seconds) {
-	for at, any := t.Next(); any && at <= now; at, any = t.Next() {
+	for at, ok := t.Next(); ok && at <= now; at, ok = t.Next() {
 		t.Take()(now)
 	}
 }
 
 func (t *timers) wake(out *machine.Out) {
-	if at, any := t.Next(); any {
+	if at, ok := t.Next(); ok {
 		out.At(at)
 	}
 }
--- a/internal/standin/frontend.go
+++ b/internal/standin/frontend.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"slices"
 	"strconv"
 	"strings"
@@ -16,6 +17,7 @@
 // Effect tells what a second run of an RPC does.
 type Effect uint8
 
+// What a second run may do.
 const (
 	Idempotent Effect = iota
 	Tokened
@@ -36,12 +38,15 @@
 func Methods(names []string, b interface {
 	Num(name string, def float64) float64
 	Word(name string) string
-}) (all []MethodTrade) {
+},
+) (all []MethodTrade) {
 	for i, name := range names {
 		at := fmt.Sprintf("method.%d.", i)
 		effect := map[string]Effect{"idempotent": Idempotent, "tokened": Tokened, "non-idempotent": NonIdempotent}[b.Word(at+"effect")]
-		all = append(all, MethodTrade{Name: name, Effect: effect, Criticality: b.Num(at+"criticality", 1),
-			SoftDeadline: b.Num(at+"soft_deadline", 1), Deadline: b.Num(at+"deadline", 2), Share: 1 / float64(len(names))})
+		all = append(all, MethodTrade{
+			Name: name, Effect: effect, Criticality: b.Num(at+"criticality", 1),
+			SoftDeadline: b.Num(at+"soft_deadline", 1), Deadline: b.Num(at+"deadline", 2), Share: 1 / float64(len(names)),
+		})
 	}
 	return all
 }
@@ -180,10 +185,12 @@
 
 // NewFrontEnd makes one.
 func NewFrontEnd(t FrontTrade) *FrontEnd {
-	return &FrontEnd{trade: t, dice: emulator.NewDice(t.Seed), conns: machine.Dialled, rate: t.Rate, tables: map[uint64]*sheet{},
+	return &FrontEnd{
+		trade: t, dice: emulator.NewDice(t.Seed), conns: machine.Dialled, rate: t.Rate, tables: map[uint64]*sheet{},
 		methods: make([]*sheet, len(t.Methods)), withdrawn: map[proto.EP]bool{}, links: map[proto.EP]*link{},
 		health: map[proto.EP]health{}, byID: map[machine.Conn]*link{}, rpcs: map[uint64]*rpc{}, usage: make([]proto.Usage, len(t.Methods)),
-		sums: map[proto.EP]*met{}}
+		sums: map[proto.EP]*met{},
+	}
 }
 
 // Step implements machine.Machine.
@@ -205,7 +212,7 @@
 		if begin == 0 {
 			begin = now
 		}
-		var mix []float64
+		mix := make([]float64, 0, len(f.trade.Methods))
 		for _, m := range f.trade.Methods {
 			mix = append(mix, m.Share)
 		}
@@ -253,8 +260,10 @@
 	switch i.Kind {
 	case machine.Opened:
 		f.heard = now
-		f.out.Write(f.stream, proto.Append(nil, proto.Hello{Version: proto.Version, Role: proto.RoleProxy, Name: f.trade.Name,
-			Zone: f.trade.Zone, Rate: f.rate, Fresh: f.holds == "", Holds: f.holds, Mark: f.mark}))
+		f.out.Write(f.stream, proto.Append(nil, proto.Hello{
+			Version: proto.Version, Role: proto.RoleProxy, Name: f.trade.Name,
+			Zone: f.trade.Zone, Rate: f.rate, Fresh: f.holds == "", Holds: f.holds, Mark: f.mark,
+		}))
 	case machine.Closed:
 		f.leave(now, i.Text)
 	case machine.Data:
@@ -315,8 +324,10 @@
 		for _, o := range m.Ops {
 			lines += 1 + len(o.Lines) + len(o.Levels)
 		}
-		f.out.Record(trace.Record{T: now, Kind: trace.Push, Who: f.trade.Name, Of: f.of, Mark: int(m.Mark), N: int64(m.Waiting),
-			X: float64(lines)})
+		f.out.Record(trace.Record{
+			T: now, Kind: trace.Push, Who: f.trade.Name, Of: f.of, Mark: int(m.Mark), N: int64(m.Waiting),
+			X: float64(lines),
+		})
 		f.still = max(f.still, now) + float64(lines)*f.trade.LineStill
 		f.applied = append(f.applied, m)
 		if f.still <= now {
@@ -502,7 +513,7 @@
 func (f *FrontEnd) await(now machine.Seconds) {
 	f.due++
 	life := f.due
-	if d, any := f.source.Next(now); any {
+	if d, ok := f.source.Next(now); ok {
 		f.timers.at(d.At, func(now machine.Seconds) {
 			if f.due == life {
 				f.late = max(f.late, now-max(d.At, f.still))
@@ -679,8 +690,10 @@
 	f.count++
 	r.try, r.link, r.sent, r.n = f.count, l, now, r.n+1
 	r.tried = append(r.tried, x.ep)
-	f.out.Record(trace.Record{T: now, Kind: trace.Try, Who: f.trade.Name, Of: f.of, EP: x.ep, RPC: r.id, Method: r.method,
-		N: int64(r.n), Text: why})
+	f.out.Record(trace.Record{
+		T: now, Kind: trace.Try, Who: f.trade.Name, Of: f.of, EP: x.ep, RPC: r.id, Method: r.method,
+		N: int64(r.n), Text: why,
+	})
 	l.out[r.try] = r
 	if l.up {
 		f.write(now, l, r)
@@ -701,8 +714,10 @@
 
 func (f *FrontEnd) write(now machine.Seconds, l *link, r *rpc) {
 	m := f.trade.Methods[r.method]
-	f.out.Write(l.conn, proto.Append(nil, proto.RPC{ID: r.id, Method: uint64(r.method), Token: r.token, Key: r.key,
-		Left: max(0, r.asked+m.Deadline-now)}))
+	f.out.Write(l.conn, proto.Append(nil, proto.RPC{
+		ID: r.id, Method: uint64(r.method), Token: r.token, Key: r.key,
+		Left: max(0, r.asked+m.Deadline-now),
+	}))
 }
 
 // tries is what the table orders for the RPC's method.
@@ -786,8 +801,10 @@
 	if status != proto.OK && r.n > 0 {
 		f.usage[r.method].Bad = min(f.usage[r.method].Bad+1, f.usage[r.method].RPCs)
 	}
-	f.out.Record(trace.Record{T: now, Kind: trace.End, Who: f.trade.Name, RPC: r.id, Method: r.method, Text: status.String(),
-		X: now - r.asked})
+	f.out.Record(trace.Record{
+		T: now, Kind: trace.End, Who: f.trade.Name, RPC: r.id, Method: r.method, Text: status.String(),
+		X: now - r.asked,
+	})
 	f.comeAgain(now, r, status)
 }
 
@@ -810,8 +827,10 @@
 	case machine.Opened:
 		l.up = true
 		l.reader.Open()
-		f.out.Write(l.conn, proto.Append(nil, proto.Hello{Version: proto.Version, Role: proto.RoleCaller, Name: f.trade.Name,
-			Zone: f.trade.Zone, Holds: f.holds}))
+		f.out.Write(l.conn, proto.Append(nil, proto.Hello{
+			Version: proto.Version, Role: proto.RoleCaller, Name: f.trade.Name,
+			Zone: f.trade.Zone, Holds: f.holds,
+		}))
 		for _, try := range l.wait {
 			if r := l.out[try]; r != nil && !r.done {
 				f.write(now, l, r)
@@ -861,11 +880,7 @@
 // broke: the connection to a server is gone; what was sent on it may have run, what was not surely did not.
 func (f *FrontEnd) broke(now machine.Seconds, l *link) {
 	f.drop(l)
-	var all []uint64
-	for try := range l.out {
-		all = append(all, try)
-	}
-	slices.Sort(all)
+	all := slices.Sorted(maps.Keys(l.out))
 	for _, try := range all {
 		r := l.out[try]
 		f.failedTry(now, r, l.up)
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -56,7 +56,6 @@
 	name   string
 	on     bool
 	told   uint64 // version
-	queued machine.Seconds
 }
 
 const historyMost = 4096
@@ -182,8 +181,10 @@
 		}
 	}
 	for _, e := range entries {
-		x := proto.Entry{EP: e.EP, State: e.State, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, Old: e.Start == 0,
-			Stamp: e.Stamp, Addr: e.Addr}
+		x := proto.Entry{
+			EP: e.EP, State: e.State, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, Old: e.Start == 0,
+			Stamp: e.Stamp, Addr: e.Addr,
+		}
 		if l.Via != nil {
 			x.Addr = l.Via(w.name, e.Addr)
 		}
@@ -290,8 +291,10 @@
 		}
 	case "add":
 		cell, _ := strconv.ParseUint(arg(3), 10, 64)
-		l.change(now, Listing{EP: proto.EP(number(0)), State: proto.ServerOpen, Zone: arg(1), Kind: arg(2), Cell: cell,
-			Weight: number(4), Addr: arg(5), Start: now, Stamp: l.version + 1})
+		l.change(now, Listing{
+			EP: proto.EP(number(0)), State: proto.ServerOpen, Zone: arg(1), Kind: arg(2), Cell: cell,
+			Weight: number(4), Addr: arg(5), Start: now, Stamp: l.version + 1,
+		})
 	case "late":
 		l.late = number(0)
 	case "fail":
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -46,8 +46,10 @@
 
 // NewRelay makes one.
 func NewRelay(targets ...string) *Relay {
-	return &Relay{targets: targets, hinder: make([]hindrance, len(targets)), pairs: map[machine.Conn]*pipe{},
-		dialled: machine.Dialled}
+	return &Relay{
+		targets: targets, hinder: make([]hindrance, len(targets)), pairs: map[machine.Conn]*pipe{},
+		dialled: machine.Dialled,
+	}
 }
 
 // Step implements machine.Machine.
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -22,7 +22,7 @@
 	deaf    bool // says nothing more after the push
 }
 
-func (h *herald) Step(now machine.Seconds, in []machine.Input, out *machine.Out) {
+func (h *herald) Step(_ machine.Seconds, in []machine.Input, out *machine.Out) {
 	for _, i := range in {
 		if i.Kind == machine.Opened {
 			h.readers[i.Conn] = &proto.Reader{}
@@ -95,8 +95,10 @@
 
 // server is one that carries so many RPCs a second on so many cores.
 func server(ep proto.EP, capacity float64, cores, queue int) emulator.Trade {
-	return emulator.Trade{EP: uint32(ep), Cores: cores, Speed: 1, Work: []emulator.Work{{Mean: float64(cores) / capacity}}, QueueMost: queue, Seed: uint64(ep),
-		GiveUp: emulator.SkipsWait}
+	return emulator.Trade{
+		EP: ep, Cores: cores, Speed: 1, Work: []emulator.Work{{Mean: float64(cores) / capacity}}, QueueMost: queue, Seed: uint64(ep),
+		GiveUp: emulator.SkipsWait,
+	}
 }
 
 func quick(ep proto.EP) emulator.Trade {
@@ -353,8 +355,13 @@
 	var out machine.Out
 	out.Reset()
 	hello := proto.Append(nil, proto.Hello{Version: 1, Role: proto.RoleCaller, Name: "x"})
-	c.Step(1, []machine.Input{{Kind: machine.Opened, Conn: 5, Door: 2}, {Kind: machine.Opened, Conn: 6, Door: 0}, {Kind: machine.Data, Conn: 5, Data: hello},
-		{Kind: machine.Told, Text: "s0 drain"}, {Kind: machine.Data, Conn: 6, Data: proto.Append(hello, proto.RPC{ID: 1, Left: 1})}}, &out)
+	c.Step(1, []machine.Input{
+		{Kind: machine.Opened, Conn: 5, Door: 2},
+		{Kind: machine.Opened, Conn: 6, Door: 0},
+		{Kind: machine.Data, Conn: 5, Data: hello},
+		{Kind: machine.Told, Text: "s0 drain"},
+		{Kind: machine.Data, Conn: 6, Data: proto.Append(hello, proto.RPC{ID: 1, Left: 1})},
+	}, &out)
 	var names []string
 	for _, a := range out.Acts {
 		var r proto.Reader
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -6,8 +6,12 @@
 )
 
 func TestLinesComeBack(t *testing.T) {
-	all := []Record{{T: 1.5, Kind: Join, Who: "f0", Of: "c0", Zone: "a"}, {T: 2, Kind: Push, Who: "f0", Mark: 65535, N: 3, Text: `bind 0 3 1:1; "x"`},
-		{T: 1e6, Kind: Run, EP: 1<<32 - 1, RPC: 1<<64 - 1, Method: 2}, {T: 3, Kind: Offer, X: 0.25, EP: 4, N: -1}}
+	all := []Record{
+		{T: 1.5, Kind: Join, Who: "f0", Of: "c0", Zone: "a"},
+		{T: 2, Kind: Push, Who: "f0", Mark: 65535, N: 3, Text: `bind 0 3 1:1; "x"`},
+		{T: 1e6, Kind: Run, EP: 1<<32 - 1, RPC: 1<<64 - 1, Method: 2},
+		{T: 3, Kind: Offer, X: 0.25, EP: 4, N: -1},
+	}
 	var b []byte
 	for _, r := range all {
 		b = r.Append(b)
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -122,8 +122,8 @@
 }
 
 // Add puts a node on the network, reached at its doors' addresses; it does not run before Start.
-func (w *World) Add(name, zone string, make Maker, doors ...string) {
-	n := &node{name: name, zone: zone, make: make, doors: doors, files: map[string][]byte{}}
+func (w *World) Add(name, zone string, maker Maker, doors ...string) {
+	n := &node{name: name, zone: zone, make: maker, doors: doors, files: map[string][]byte{}}
 	w.nodes[name] = n
 	w.order = append(w.order, n)
 	for i, d := range doors {
@@ -339,8 +339,8 @@
 // Run goes on until a time.
 func (w *World) Run(until machine.Seconds) {
 	for {
-		at, any := w.events.Next()
-		if !any || at > until {
+		at, ok := w.events.Next()
+		if !ok || at > until {
 			break
 		}
 		w.now = at
--- a/internal/virtual/virtual_test.go
+++ b/internal/virtual/virtual_test.go
@@ -82,7 +82,7 @@
 }
 
 func TestEnds(t *testing.T) {
-	w, a, b := pair(t)
+	w, _, b := pair(t)
 	w.Tell("a", "say "+strings.Repeat("x", 1000))
 	w.Run(101.0001)
 	w.Kill("a") // in the middle of what it sent
@@ -90,7 +90,7 @@
 	if n := b.heard.Len(); n == 0 && len(b.events) != 2 || n == 1000 || b.events[len(b.events)-1] != "reset by the other side" {
 		t.Fatal(n, b.events)
 	}
-	w, a, b = pair(t)
+	w, a, b := pair(t)
 	w.Tell("a", "say bye")
 	w.Tell("a", "close")
 	w.Run(102)
