--- /dev/null
+++ b/internal/platform/recording_script_test.go
@@ -0,0 +1,282 @@
+package platform
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"gingerfork/choice"
+	"gingerfork/internal/machine"
+)
+
+const (
+	scriptProxies  = 12
+	scriptServers  = 10
+	scriptMaxConns = 26
+	scriptStart    = 1000.0
+)
+
+// script plays discovery, servers, proxies, collectors and strangers against one machine. Everything is drawn from one
+// generator and kept in slices, so that a seed always gives the same play.
+type script struct {
+	t         *testing.T
+	dice      *rand.Rand
+	recording *recording
+	machine   *Machine
+	boot      Bootstrap
+	now       machine.Seconds
+	peers     []*scriptPeer
+	accepted  machine.Conn // the last number given to a connection that the machine accepted
+	inputs    []machine.Input
+	timers    []scriptTimer
+	discovery *scriptDiscovery
+	proxies   []*scriptProxy
+	phase     scriptPhase
+	probes    int // that asked
+}
+
+type scriptTimer struct {
+	due machine.Seconds
+	do  func()
+}
+
+// scriptPhase is a part of the play.
+type scriptPhase struct {
+	name      string
+	length    machine.Seconds
+	before    func(*script)
+	accidents float64 // probability of an accident in a step
+	requests  int     // per second and proxy, at most
+	failing   float64 // share of tries that fail at any server
+	delay     float64 // mean time of good answers, in milliseconds
+	sick      []int   // servers at which every try fails
+	silent    []int   // servers of which collectors report nothing and that answer few probes
+}
+
+var scriptPhases = []scriptPhase{
+	{name: "start", length: 6, requests: 8, delay: 80},
+	{name: "steady", length: 15, requests: 12, delay: 90},
+	{name: "list changes", length: 12, requests: 12, delay: 90, before: (*script).changeServers},
+	{name: "sick servers", length: 25, requests: 20, delay: 90, failing: 0.01, sick: []int{2}, silent: []int{5, 6}},
+	{name: "recovery", length: 20, requests: 12, delay: 90},
+	{name: "overload", length: 20, requests: 60, delay: 900, failing: 0.4},
+	{name: "relief", length: 20, requests: 10, delay: 80},
+	{name: "discovery failures", length: 122, requests: 12, delay: 90, before: (*script).failDiscovery},
+	{name: "accidents", length: 90, requests: 15, delay: 120, failing: 0.02, accidents: 0.4, sick: []int{1}, silent: []int{7}},
+	{name: "pause", length: 10, requests: 10, delay: 80, before: func(s *script) { s.now += 5 }},
+	{name: "restart", length: 15, requests: 10, delay: 80, before: (*script).restart},
+	{name: "accidents after the restart", length: 40, requests: 15, delay: 100, failing: 0.05, accidents: 0.3, silent: []int{3}},
+	{name: "names are forgotten", length: 20, requests: 10, delay: 80, before: (*script).forgetServers},
+}
+
+func newScript(t *testing.T, variant recordingVariant) *script {
+	s := &script{t: t, dice: rand.New(rand.NewPCG(variant.seed, 1)), recording: newRecording(t), now: scriptStart}
+	values := settings(scriptProxies, 2)
+	for name, value := range variant.changes {
+		values[name] = value
+	}
+	s.boot = Bootstrap{Name: "c0", Discovery: "discovery-1:80", Module: choice.Bootstrap{Seed: variant.seed, Now: s.now, Values: values},
+		MostConns: scriptMaxConns, MostProbes: 3, MostAnswer: 1 << 16, Handshake: 1}
+	s.discovery = newScriptDiscovery()
+	for number := range scriptProxies {
+		s.proxies = append(s.proxies, &scriptProxy{number: number, zone: scriptZone(number)})
+	}
+	s.startMachine()
+	return s
+}
+
+func scriptZone(number int) string { return string(rune('a' + number%2)) }
+
+func (s *script) startMachine() {
+	s.boot.Module.Now = s.now
+	m, err := New(s.boot)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	s.machine = m
+}
+
+// restart puts a new machine, which knows the list as last held, in the place of the former. All connections are gone.
+func (s *script) restart() {
+	s.countFigures()
+	s.settle()
+	s.peers, s.inputs, s.timers, s.discovery.waiting = nil, nil, nil, nil
+	for _, proxy := range s.proxies {
+		proxy.peer = nil
+		s.reconnect(proxy)
+	}
+	s.boot.Known = s.discovery.body(true, 0)
+	s.startMachine()
+	s.startReports()
+}
+
+// settle ends the accidents that last.
+func (s *script) settle() {
+	s.discovery.mode = ""
+	for _, proxy := range s.proxies {
+		proxy.mute = false
+	}
+}
+
+// forgetServers lets pass the time after which the names of servers that are gone are forgotten, then has them come back.
+func (s *script) forgetServers() {
+	s.settle()
+	s.now += keepName + 10
+	s.after(5, func() {
+		for number, server := range s.discovery.servers {
+			if server.health != "active" {
+				s.discovery.set(s, number, "active", s.now)
+			}
+		}
+	})
+}
+
+func (s *script) play() {
+	for _, proxy := range s.proxies {
+		s.after(0.2*s.dice.Float64(), func() { s.attach(proxy, true) })
+	}
+	s.startReports()
+	for _, phase := range scriptPhases {
+		s.recording.add("phase %q", phase.name)
+		s.phase = phase
+		if phase.before != nil {
+			phase.before(s)
+		}
+		for end := s.now + phase.length; s.now < end; {
+			s.step()
+		}
+	}
+	s.countFigures()
+}
+
+// countFigures adds what the machine counted to what was seen.
+func (s *script) countFigures() {
+	figures := s.machine.Figures()
+	if figures.Panics+figures.Failures > 0 {
+		s.t.Errorf("%d inputs panicked, the module failed %d times", figures.Panics, figures.Failures)
+	}
+	seen := s.recording.seen
+	seen["stream taken over"] += figures.TakenOver
+	seen["connection refused"] += figures.Refused
+	seen["stranger evicted"] += figures.Evicted
+	seen["message dropped"] += figures.Spoilt
+	seen["connection ended for what it carried"] += figures.Broken
+	seen["answer to a mark not in flight"] += figures.Stale
+	seen["silent connection ended"] += figures.IdledOut
+	seen["outdated probe"] += figures.Outdated
+}
+
+// step has the machine take one step and lets time pass, at most until it wants to be stepped again.
+func (s *script) step() {
+	s.runTimers()
+	if s.dice.Float64() < s.phase.accidents {
+		s.accident()
+	}
+	s.deliver()
+	out := &machine.Out{}
+	out.Reset()
+	s.machine.Step(s.now, s.inputs, out)
+	s.inputs = nil
+	s.recording.step(s.now, out)
+	for _, act := range out.Acts {
+		s.react(act)
+	}
+	next := s.now + 0.002 + 0.25*s.dice.Float64()
+	for _, timer := range s.timers {
+		next = min(next, max(timer.due, s.now+0.0001))
+	}
+	s.now = min(next, out.Wake)
+}
+
+func (s *script) after(delay machine.Seconds, do func()) {
+	s.timers = append(s.timers, scriptTimer{s.now + delay, do})
+}
+
+func (s *script) runTimers() {
+	waiting := s.timers
+	s.timers = nil
+	for _, timer := range waiting {
+		if timer.due <= s.now {
+			timer.do()
+		} else {
+			s.timers = append(s.timers, timer)
+		}
+	}
+}
+
+// saw counts an occurrence for the checks of coverage.
+func (s *script) saw(what string) { s.recording.seen[what]++ }
+
+// oneOf draws an element.
+func oneOf[T any](dice *rand.Rand, all []T) T { return all[dice.IntN(len(all))] }
+
+// changeServers has servers drain, leave, restart and come back, one after the other.
+func (s *script) changeServers() {
+	s.after(0.5, func() { s.discovery.set(s, 3, "leaving", 0) })
+	s.after(2, func() { s.discovery.set(s, 4, "left", 0) })
+	s.after(4, func() { s.discovery.set(s, 4, "active", s.now) })
+	s.after(5, func() { s.discovery.set(s, 3, "left", 0) })
+	s.after(6, func() { s.discovery.set(s, 0, "active", s.now) })
+	s.after(8, func() { s.discovery.set(s, 3, "active", s.now) })
+	s.after(9, func() { s.discovery.set(s, scriptServers-1, "active", s.now) })
+}
+
+// failDiscovery has discovery fail in each of its ways, while a server changes.
+func (s *script) failDiscovery() {
+	for number, mode := range discoveryModes {
+		begin := 12 * float64(number)
+		s.after(begin, func() {
+			s.discovery.mode = mode
+			s.discovery.set(s, 1, "active", 0)
+		})
+		s.after(begin+8, func() { s.discovery.mode = "" })
+	}
+}
+
+// startReports has proxies and collectors report each second.
+func (s *script) startReports() {
+	s.after(1, s.startReports)
+	for _, zone := range []string{"a", "b"} {
+		collectors := slices.DeleteFunc(slices.Clone(s.peers), func(p *scriptPeer) bool { return p.role != scriptCollector || p.zone != zone })
+		if len(collectors) == 0 {
+			s.connectCollector(zone)
+			continue
+		}
+		s.reportTries(collectors[len(collectors)-1])
+	}
+	for _, proxy := range s.proxies {
+		if proxy.peer != nil {
+			s.reportUsage(proxy)
+		}
+	}
+}
+
+func (s *script) reportUsage(proxy *scriptProxy) {
+	for _, class := range []string{"read", "submit"} {
+		tries := s.dice.IntN(s.phase.requests + 1)
+		failed := int(float64(tries) * s.phase.failing)
+		proxy.peer.send("client_stats proxy=%d class=%s tries=%d failed=%d span_ms=1000\r\n", proxy.number, class, tries, failed)
+		s.saw("usage report")
+	}
+}
+
+func (s *script) reportTries(collector *scriptPeer) {
+	for number, server := range s.discovery.servers {
+		if server.health == "left" || slices.Contains(s.phase.silent, number) {
+			continue
+		}
+		tries := s.dice.IntN(2*s.phase.requests + 1)
+		failed := int(float64(tries) * s.phase.failing)
+		if slices.Contains(s.phase.sick, number) {
+			failed = tries
+		}
+		load := ""
+		if s.dice.IntN(2) == 0 {
+			load = fmt.Sprintf(" load=cpu:%.2f,queue:%d", s.dice.Float64(), s.dice.IntN(9))
+		}
+		collector.send("upstream_stats zone=%s server=%s tries=%d failed=%d mean_ms=%.1f span_ms=1000%s\r\n",
+			collector.zone, server.name, tries, failed, s.phase.delay*(0.8+0.4*s.dice.Float64()), load)
+		s.saw("report of tries")
+	}
+}
--- /dev/null
+++ b/internal/platform/recording_test.go
@@ -0,0 +1,217 @@
+package platform
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"hash"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"testing"
+
+	"gingerfork/internal/machine"
+)
+
+// A recording pins the outputs of the machine byte for byte: a script that is drawn from a seed plays everything that can be
+// sent to it, and the SHA-256 sum of all that it does in return is compared with the stored one. Log lines are left out.
+// After an intended change of behaviour the sums are stored anew with
+//
+//	go test ./internal/platform -run TestRecording -record
+//
+// To see where two versions part, have both write their recordings as text with -transcripts and compare the files.
+// The sums hold for amd64: on other processors the last bits of floating-point results may differ.
+var (
+	recordSums     = flag.Bool("record", false, "store the sums of the recordings as they are now")
+	transcriptsDir = flag.String("transcripts", "", "an absolute directory to which the recordings are written as text")
+)
+
+const recordingSums = "testdata/recording.sum"
+
+// recording is the serialised output of a machine.
+type recording struct {
+	t    *testing.T
+	sum  hash.Hash
+	text *bytes.Buffer  // nil if nobody wants it
+	seen map[string]int // what occurred, for the checks of coverage
+}
+
+func newRecording(t *testing.T) *recording {
+	r := &recording{t: t, sum: sha256.New(), seen: map[string]int{}}
+	if *transcriptsDir != "" {
+		r.text = &bytes.Buffer{}
+	}
+	return r
+}
+
+func (r *recording) add(format string, args ...any) {
+	entry := fmt.Appendf(nil, format+"\n", args...)
+	r.sum.Write(entry)
+	if r.text != nil {
+		r.text.Write(entry)
+	}
+}
+
+// step adds what one step at a time put out.
+func (r *recording) step(now machine.Seconds, out *machine.Out) {
+	r.add("step %s wake %s", exact(now), exact(out.Wake))
+	for _, act := range out.Acts {
+		r.act(act)
+	}
+	for _, name := range slices.Sorted(maps.Keys(out.Saves)) {
+		r.add("save %q %q", name, out.Saves[name])
+	}
+	for _, put := range out.Puts {
+		r.add("put %q %q", put.Key, put.Value)
+	}
+	if out.Batch != 0 {
+		r.add("batch %d", out.Batch)
+	}
+	if out.Fail != "" || len(out.Trace) > 0 {
+		r.t.Fatalf("an output that recordings do not cover: failure %q, %d trace records", out.Fail, len(out.Trace))
+	}
+	if out.Stop {
+		r.add("stop")
+	}
+}
+
+func (r *recording) act(act machine.Act) {
+	switch act.Kind {
+	case machine.Dial:
+		r.add("dial %s %q", connName(act.Conn), act.Addr)
+	case machine.Write:
+		r.add("write %s %q", connName(act.Conn), act.Data)
+	case machine.Close:
+		r.add("close %s", connName(act.Conn))
+	case machine.Reset:
+		r.add("reset %s", connName(act.Conn))
+	default:
+		r.t.Fatalf("an action of the unknown kind %d", act.Kind)
+	}
+}
+
+// exact writes a number with all its bits.
+func exact(value float64) string { return strconv.FormatFloat(value, 'g', -1, 64) }
+
+func connName(conn machine.Conn) string {
+	if conn&machine.Dialled != 0 {
+		return fmt.Sprintf("out/%d", conn&^machine.Dialled)
+	}
+	return fmt.Sprintf("in/%d", conn)
+}
+
+// finish compares the sum with the stored one, or stores it.
+func (r *recording) finish(name string) {
+	r.t.Helper()
+	if r.text != nil {
+		if err := os.WriteFile(filepath.Join(*transcriptsDir, name+".txt"), r.text.Bytes(), 0o644); err != nil {
+			r.t.Fatal(err)
+		}
+	}
+	got, stored := hex.EncodeToString(r.sum.Sum(nil)), readSums(r.t)
+	if *recordSums && !r.t.Failed() {
+		stored[name] = got
+		writeSums(r.t, stored)
+		return
+	}
+	if want := stored[name]; got != want {
+		r.t.Errorf("recording %s: the outputs have the sum\n%s %s\nand %s has\n%s %s", name, name, got, recordingSums, name, want)
+	}
+}
+
+// readSums reads lines of a name and a sum.
+func readSums(t *testing.T) map[string]string {
+	t.Helper()
+	file, err := os.ReadFile(recordingSums)
+	if err != nil && !(*recordSums && os.IsNotExist(err)) {
+		t.Fatal(err)
+	}
+	sums := map[string]string{}
+	for entry := range bytes.Lines(file) {
+		words := bytes.Fields(entry)
+		if len(words) != 2 {
+			t.Fatalf("%s: a line that is not a name and a sum: %q", recordingSums, entry)
+		}
+		sums[string(words[0])] = string(words[1])
+	}
+	return sums
+}
+
+func writeSums(t *testing.T, sums map[string]string) {
+	t.Helper()
+	var file []byte
+	for _, name := range slices.Sorted(maps.Keys(sums)) {
+		file = fmt.Appendf(file, "%s %s\n", name, sums[name])
+	}
+	if err := os.MkdirAll(filepath.Dir(recordingSums), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(recordingSums, file, 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// covers checks that the recording has at least so many of each thing, so that a script can't become empty unnoticed.
+func (r *recording) covers(least map[string]int) {
+	r.t.Helper()
+	for _, what := range slices.Sorted(maps.Keys(least)) {
+		if r.seen[what] < least[what] {
+			r.t.Errorf("the recording has %d of %q, it should have at least %d", r.seen[what], what, least[what])
+		}
+	}
+}
+
+// recordingVariant is a setting under which a script is played.
+type recordingVariant struct {
+	name    string
+	seed    uint64
+	changes map[string]any
+	least   map[string]int // of what this variant has beyond the others
+}
+
+var recordingVariants = []recordingVariant{
+	{name: "plain", seed: 11, least: map[string]int{"probe asks health": 20}},
+	{name: "shares-with-load-feedback", seed: 12, changes: map[string]any{"level_kind": "share", "Feedback.Source": "servers",
+		"Feedback.Columns.n": 2.0, "Feedback.Columns.0": "cpu", "Feedback.Columns.1": "queue", "price.crossing": 0.1},
+		least: map[string]int{"probe asks load": 20, "order with an admission level below 1": 20}},
+	{name: "rates-and-zone-bound-methods", seed: 13, changes: map[string]any{"level_kind": "rate", "method.0.own_zone": true, "pick": "random",
+		"method.1.effect": "tokened", "method.1.group": "all", "method.1.window": 10.0, "message_lines": 3.0, "ask_within": 3.0},
+		least: map[string]int{"order for some methods": 20}},
+}
+
+func TestRecording(t *testing.T) {
+	for _, variant := range recordingVariants {
+		t.Run(variant.name, func(t *testing.T) {
+			s := newScript(t, variant)
+			s.play()
+			s.recording.covers(recordingCoverage)
+			s.recording.covers(variant.least)
+			s.recording.finish(variant.name)
+		})
+	}
+}
+
+// recordingCoverage has what every recording must have.
+var recordingCoverage = map[string]int{
+	"proxy joins with fresh=0": 80, "proxy joins with fresh=1": 25, "proxy joins late": 15, "collector joins": 30,
+	"stream taken over": 40, "connection refused": 100, "stranger evicted": 200, "peer ends a connection": 100,
+	"machine ends a connection": 500, "machine ends a stream that was cut off": 4, "silent connection ended": 10,
+	"message dropped": 20, "connection ended for what it carried": 15, "split bytes": 1000,
+	"usage report": 3000, "report of tries": 2000, "accident: heartbeat": 15, "line of the kind hb_ok": 15,
+	"mark answered": 800, "mark without an answer": 400, "answer to a mark not in flight": 20,
+	"line of the kind assign": 1500, "line of the kind reject": 100, "order with whole": 500, "order with changed lines": 700,
+	"order with ticket": 1500, "order with out": 80, "order with back": 150, "order with level": 600, "order that forbids second tries": 5,
+	"dial to discovery": 50, "dial to a server": 60, "dial that is refused": 8, "dial that fails for want of local resources": 8,
+	"discovery is asked for all": 2, "discovery is asked for changes at once": 30, "discovery is asked to wait for changes": 40,
+	"list in chunks": 8, "list up to the connection's end": 8, "list with its length": 25, "server is active": 30, "server is leaving": 10,
+	"server is left": 10, "probe answer: OK": 8, "probe answer: hang": 15, "probe answer: reset": 10, "probe answer: unavailable": 8,
+	"probe answer: cut off": 5, "probe answer: malformed": 1, "probe answer: OK with load": 1, "accident: settings are read again": 15,
+	"discovery answers: unavailable": 1, "discovery answers: unavailable and closed": 1, "discovery answers: hang": 1,
+	"discovery answers: reset": 1, "discovery answers: cut off": 1, "discovery answers: cut chunk": 1,
+	"discovery answers: malformed list": 1, "discovery answers: malformed HTTP": 1, "discovery answers: too long": 1,
+	"discovery answers: old list": 1,
+}
