--- a/internal/bench/host/recording_script_test.go
+++ b/internal/bench/host/recording_script_test.go
@@ -70,13 +70,19 @@
 
 // enlist starts an instance anew: it hears the list as kept, and of the proxies.
 func (s *script) enlist(instance string) {
-	profiles := []object{{"Name": "read", "AimMs": 500, "Effect": "idempotent", "Worth": 2},
-		{"Name": "submit", "AimMs": 800, "Effect": "deduplicated", "Worth": 1, "Group": "all", "RepeatWindowMs": 10000}}
-	family := object{"LevelKind": s.levelKind, "MostWaiting": 9000, "LinesPerS": 9000, "ProxyCount": scriptProxies * scriptInstances, "PeriodMs": 1000,
-		"PushDelayMs": 100, "WorstTransitMs": 300, "PartitionsN": s.slices, "Strikes": 5, "SelectsBy": "pair", "ClassOwnZone": []bool{false, true}}
-	s.event("Enlist", object{"CoordinatorId": instance, "Entropy": s.dice.Uint64(), "Conf": object{"Profiles": profiles, "Zones": []string{"a", "b"}, "Az": "a",
+	profiles := []object{
+		{"Name": "read", "AimMs": 500, "Effect": "idempotent", "Worth": 2},
+		{"Name": "submit", "AimMs": 800, "Effect": "deduplicated", "Worth": 1, "Group": "all", "RepeatWindowMs": 10000},
+	}
+	family := object{
+		"LevelKind": s.levelKind, "MostWaiting": 9000, "LinesPerS": 9000, "ProxyCount": scriptProxies * scriptInstances, "PeriodMs": 1000,
+		"PushDelayMs": 100, "WorstTransitMs": 300, "PartitionsN": s.slices, "Strikes": 5, "SelectsBy": "pair", "ClassOwnZone": []bool{false, true},
+	}
+	s.event("Enlist", object{"CoordinatorId": instance, "Entropy": s.dice.Uint64(), "Conf": object{
+		"Profiles": profiles, "Zones": []string{"a", "b"}, "Az": "a",
 		"FamilyInfo": family, "Discovery": "on_request", "RoundMs": 4, "Bounds": object{"Probes": true, "Peers": true}, "Penalties": object{"CrossZone": 0.1},
-		"Obligations": object{"DrainGraceMs": 2000, "AskWithinMs": 10000, "ColdShare": 0.3, "WarmAfterMs": 10000, "FallMultiple": 2.5}}})
+		"Obligations": object{"DrainGraceMs": 2000, "AskWithinMs": 10000, "ColdShare": 0.3, "WarmAfterMs": 10000, "FallMultiple": 2.5},
+	}})
 	s.members(instance, "disk")
 	for proxy := range scriptProxies {
 		s.subscribe(instance, proxy)
@@ -93,8 +99,10 @@
 	number := s.epoch % lists
 	hosts := []object{}
 	for backend, readiness := range s.readiness {
-		hosts = append(hosts, object{"Backend": backend + 1, "GenerationHw": "k", "Readiness": readiness, "FailureDomain": zoneName(backend),
-			"Heft": 1 + backend%3, "UnitGroup": backend % 2, "UpSinceMs": s.born[backend]})
+		hosts = append(hosts, object{
+			"Backend": backend + 1, "GenerationHw": "k", "Readiness": readiness, "FailureDomain": zoneName(backend),
+			"Heft": 1 + backend%3, "UnitGroup": backend % 2, "UpSinceMs": s.born[backend],
+		})
 	}
 	s.event("Catalog", object{"Table": number, "Hosts": hosts})
 	s.event("Members", object{"CoordinatorId": instance, "Kind": kind, "Epoch": s.epoch, "Table": number})
@@ -149,8 +157,10 @@
 var probeResults = []string{"success", "success", "failure", "overloaded", "timed_out", "unreachable", "broken", "withdrawn", "void"}
 
 func (s *script) probeResult(instance string, backend any) {
-	s.event("ProbeResult", object{"CoordinatorId": instance, "Backend": backend, "StateCode": probeResults[s.dice.IntN(len(probeResults))],
-		"DelaySeenMs": s.dice.IntN(400), "Gauge": []float64{s.dice.Float64(), 2}})
+	s.event("ProbeResult", object{
+		"CoordinatorId": instance, "Backend": backend, "StateCode": probeResults[s.dice.IntN(len(probeResults))],
+		"DelaySeenMs": s.dice.IntN(400), "Gauge": []float64{s.dice.Float64(), 2},
+	})
 }
 
 // obey carries out an order, or what of it matters to the module.
@@ -234,8 +244,10 @@
 		if backend == 1 {
 			bad = tries
 		}
-		s.event("TrafficReport", object{"CoordinatorId": instance, "Backend": backend + 1, "FailureDomain": zoneName(s.dice.IntN(scriptZones)), "Count": tries, "Bad": bad,
-			"DelaySeenMs": 50 + 800*failing, "OverMs": 1000, "Gauge": []float64{s.dice.Float64()}})
+		s.event("TrafficReport", object{
+			"CoordinatorId": instance, "Backend": backend + 1, "FailureDomain": zoneName(s.dice.IntN(scriptZones)), "Count": tries, "Bad": bad,
+			"DelaySeenMs": 50 + 800*failing, "OverMs": 1000, "Gauge": []float64{s.dice.Float64()},
+		})
 	}
 	for proxy := range scriptProxies {
 		class := []string{"read", "submit"}[s.dice.IntN(2)]
--- a/internal/bench/host/recording_test.go
+++ b/internal/bench/host/recording_test.go
@@ -72,7 +72,7 @@
 func readSums(t *testing.T) map[string]string {
 	t.Helper()
 	file, err := os.ReadFile(recordingSums)
-	if err != nil && !(*recordSums && os.IsNotExist(err)) {
+	if err != nil && (!*recordSums || !os.IsNotExist(err)) {
 		t.Fatal(err)
 	}
 	sums := map[string]string{}
--- a/internal/platform/recording_accidents_test.go
+++ b/internal/platform/recording_accidents_test.go
@@ -27,8 +27,10 @@
 }
 
 // brokenLines end the connection that carries them.
-var brokenLines = []string{"hb\n", "\r\n", "nonsense x=1\r\n", "\x00\r\n", "assign whole=1\r\n", "client_stats " + strings.Repeat("x", 20<<10) + "\r\n",
-	"hb " + strings.Repeat("y=1 ", 5<<10)}
+var brokenLines = []string{
+	"hb\n", "\r\n", "nonsense x=1\r\n", "\x00\r\n", "assign whole=1\r\n", "client_stats " + strings.Repeat("x", 20<<10) + "\r\n",
+	"hb " + strings.Repeat("y=1 ", 5<<10),
+}
 
 var discoveryModes = []string{"unavailable", "unavailable and closed", "hang", "reset", "cut off", "cut chunk", "malformed list", "malformed HTTP", "too long", "old list"}
 
--- a/internal/platform/recording_answers_test.go
+++ b/internal/platform/recording_answers_test.go
@@ -103,12 +103,12 @@
 	default:
 		s.t.Fatalf("a server is asked %q", path)
 	}
-	outcomes := []string{"OK", "OK", "OK with load", "unavailable", "reset", "hang", "cut off", "malformed"}
+	outcomes, asked := []string{"OK", "OK", "OK with load", "unavailable", "reset", "hang", "cut off", "malformed"}, &s.probes
 	if peer.server != nil && s.isSilent(peer.server) {
-		outcomes = []string{"OK", "hang", "reset", "hang", "unavailable", "reset", "cut off", "hang"}
+		outcomes, asked = []string{"OK", "hang", "reset", "hang", "unavailable", "reset", "cut off", "hang"}, &s.unheard
 	}
-	outcome := outcomes[s.probes%len(outcomes)]
-	s.probes++
+	outcome := outcomes[*asked%len(outcomes)]
+	*asked++
 	s.saw("probe answer: " + outcome)
 	s.after(0.3*s.dice.Float64(), func() {
 		if s.alive(peer) {
--- a/internal/platform/recording_peers_test.go
+++ b/internal/platform/recording_peers_test.go
@@ -60,8 +60,10 @@
 func newScriptDiscovery() *scriptDiscovery {
 	d := &scriptDiscovery{version: scriptServers}
 	for number := range scriptServers {
-		d.servers = append(d.servers, &scriptServer{name: fmt.Sprintf("s-%04d", number), address: fmt.Sprintf("server-%d:80", number), health: "active",
-			share: float64(1 + number%3), version: number + 1})
+		d.servers = append(d.servers, &scriptServer{
+			name: fmt.Sprintf("s-%04d", number), address: fmt.Sprintf("server-%d:80", number), health: "active",
+			share: float64(1 + number%3), version: number + 1,
+		})
 	}
 	return d
 }
@@ -85,8 +87,10 @@
 		if whole && server.health == "left" || !whole && server.version <= since {
 			continue
 		}
-		hosts = append(hosts, map[string]any{"host": server.name, "dial": server.address, "site": scriptZone(number), "class": "m2", "block": number % 4,
-			"health": server.health, "share": server.share, "born_ms": server.born * 1000})
+		hosts = append(hosts, map[string]any{
+			"host": server.name, "dial": server.address, "site": scriptZone(number), "class": "m2", "block": number % 4,
+			"health": server.health, "share": server.share, "born_ms": server.born * 1000,
+		})
 	}
 	body, err := json.Marshal(map[string]any{"seq": d.version, "whole": whole, "hosts": hosts})
 	if err != nil {
--- a/internal/platform/recording_script_test.go
+++ b/internal/platform/recording_script_test.go
@@ -33,7 +33,8 @@
 	discovery *scriptDiscovery
 	proxies   []*scriptProxy
 	phase     scriptPhase
-	probes    int // that asked
+	probes    int // that asked a server which is not silent
+	unheard   int // that asked a silent one
 }
 
 type scriptTimer struct {
@@ -76,8 +77,10 @@
 	for name, value := range variant.changes {
 		values[name] = value
 	}
-	s.boot = Bootstrap{Name: "c0", Discovery: "discovery-1:80", Module: choice.Bootstrap{Seed: variant.seed, Now: s.now, Values: values},
-		MostConns: scriptMaxConns, MostProbes: 3, MostAnswer: 1 << 16, Handshake: 1}
+	s.boot = Bootstrap{
+		Name: "c0", Discovery: "discovery-1:80", Module: choice.Bootstrap{Seed: variant.seed, Now: s.now, Values: values},
+		MostConns: scriptMaxConns, MostProbes: 3, MostAnswer: 1 << 16, Handshake: 1,
+	}
 	s.discovery = newScriptDiscovery()
 	for number := range scriptProxies {
 		s.proxies = append(s.proxies, &scriptProxy{number: number, zone: scriptZone(number)})
--- a/internal/platform/recording_test.go
+++ b/internal/platform/recording_test.go
@@ -127,7 +127,7 @@
 func readSums(t *testing.T) map[string]string {
 	t.Helper()
 	file, err := os.ReadFile(recordingSums)
-	if err != nil && !(*recordSums && os.IsNotExist(err)) {
+	if err != nil && (!*recordSums || !os.IsNotExist(err)) {
 		t.Fatal(err)
 	}
 	sums := map[string]string{}
@@ -175,12 +175,20 @@
 
 var recordingVariants = []recordingVariant{
 	{name: "plain", seed: 14, least: map[string]int{"probe asks health": 20}},
-	{name: "shares-with-load-feedback", seed: 12, changes: map[string]any{"level_kind": "share", "Feedback.Source": "servers",
-		"Feedback.Columns.n": 2.0, "Feedback.Columns.0": "cpu", "Feedback.Columns.1": "queue", "price.crossing": 0.1},
-		least: map[string]int{"probe asks load": 20, "order with an admission level below 1": 20}},
-	{name: "rates-and-zone-bound-methods", seed: 13, changes: map[string]any{"level_kind": "rate", "method.0.own_zone": true, "pick": "random",
-		"method.1.effect": "tokened", "method.1.group": "all", "method.1.window": 10.0, "message_lines": 3.0, "ask_within": 3.0},
-		least: map[string]int{"order for some methods": 20}},
+	{
+		name: "shares-with-load-feedback", seed: 12, changes: map[string]any{
+			"level_kind": "share", "Feedback.Source": "servers",
+			"Feedback.Columns.n": 2.0, "Feedback.Columns.0": "cpu", "Feedback.Columns.1": "queue", "price.crossing": 0.1,
+		},
+		least: map[string]int{"probe asks load": 20, "order with an admission level below 1": 20},
+	},
+	{
+		name: "rates-and-zone-bound-methods", seed: 13, changes: map[string]any{
+			"level_kind": "rate", "method.0.own_zone": true, "pick": "random",
+			"method.1.effect": "tokened", "method.1.group": "all", "method.1.window": 10.0, "message_lines": 3.0, "ask_within": 3.0,
+		},
+		least: map[string]int{"order for some methods": 20},
+	},
 }
 
 func TestRecording(t *testing.T) {
