--- a/choice/bench_test.go
+++ b/choice/bench_test.go
@@ -8,7 +8,7 @@
 // How a deal and a quiet step grow with the fleet; figures of growth stand in docs/design.md.
 func BenchmarkGrowth(b *testing.B) {
 	for _, size := range [][2]int{{100, 100}, {350, 270}, {600, 770}} {
-		c := New(Bootstrap{Seed: 7, Now: 100, Values: values(nil)})
+		c := New(Config{Seed: 7, Now: 100, Settings: DecodeSettings(values(nil))})
 		c.Step(100, []Event{full(size[0], 0)})
 		now := 100.0
 		c.Step(now, crowd(size[1]))
@@ -16,10 +16,10 @@
 			now += 0.1
 			var all []Event
 			for _, p := range c.proxies {
-				all = append(all, Answered{p.id, p.mark, 0.2})
+				all = append(all, PushAcknowledged{p.id, p.mark, 0.2})
 			}
 			for _, id := range c.id {
-				all = append(all, TrySum{EP: id, Zone: "a", Tries: 3, Delay: 0.2, Over: 1})
+				all = append(all, AttemptReport{Backend: id, Zone: "a", Attempts: 3, MeanLatency: 0.2, Span: 1})
 			}
 			c.Step(now, all)
 		}
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -54,10 +54,10 @@
 
 // KeepPlace is how long what left or is gone keeps its place, in seconds: long after any order, sum or probe
 // of it.
-const KeepPlace = 600.0
+const BackendRetention = 600.0
 
 // Step takes the events of one moment and returns what to do.
-func (c *Planner) Step(now Seconds, events []Event) []Order {
+func (c *Planner) Step(now Seconds, events []Event) []Command {
 	c.now, c.out = now, nil
 	for _, e := range events {
 		c.route(e)
@@ -74,10 +74,10 @@
 			}
 		}
 		c.alarm = now + tick
-		c.out = append(c.out, Alarm{1, c.alarm})
+		c.out = append(c.out, SetTimer{1, c.alarm})
 		c.loop()
 	}
-	if c.boot.Num("slices", 0) == 0 {
+	if c.boot.Settings.Slices.Or(0) == 0 {
 		c.pull()
 		c.readmit()
 		if c.ring.refresh() && c.spareCold() {
@@ -96,15 +96,15 @@
 
 func (r *roll) take(n note) {
 	c := r.c
-	if n, ok := n.(Listed); ok {
-		if n.Kind == ListFailed {
+	if n, ok := n.(EndpointUpdate); ok {
+		if n.Kind == UpdateFailed {
 			// Against a list service that is jammed by everybody asking again at once: later each time,
 			// by chance, but well inside the time after which we would count as told.
 			r.tried = min(r.tried+1, 4)
-			r.ask = c.now + min(0.25*math.Exp2(float64(r.tried)), c.boot.Num("ask_within", 10)/3)*(0.5+c.chance())
+			r.ask = c.now + min(0.25*math.Exp2(float64(r.tried)), c.boot.Settings.AskWithin.Or(10)/3)*(0.5+c.chance())
 			return
 		}
-		if n.Kind != ListKept {
+		if n.Kind != UpdateCached {
 			r.tried, r.ask = 0, math.Inf(1)
 		}
 		c.spread(n)
@@ -113,24 +113,24 @@
 }
 
 func (r *roll) look() {
-	if r.c.boot.Word("listing") == "asked" && r.c.now >= r.ask {
-		r.c.out = append(r.c.out, Watch{true})
+	if r.c.boot.Settings.Listing == "asked" && r.c.now >= r.ask {
+		r.c.out = append(r.c.out, WatchEndpoints{true})
 		// An answer that never comes must not leave us deaf.
-		r.ask = r.c.now + r.c.boot.Num("ask_within", 10)/2
+		r.ask = r.c.now + r.c.boot.Settings.AskWithin.Or(10)/2
 	}
 }
 
 func (b *backend) take(n note) {
 	c, i := b.c, b.i
 	switch n := n.(type) {
-	case Entry:
+	case Endpoint:
 		b.listed(n)
-	case TrySum:
-		if c.met(i, n, healthSpan, delayOld); n.Tries > n.Bad && !c.away(i) {
+	case AttemptReport:
+		if c.met(i, n, healthSpan, delayOld); n.Attempts > n.Failures && !c.away(i) {
 			c.deaf[i] = 0 // a deep probe waits in the queue of a jam; RPCs that are answered tell better
 		}
 		b.judge()
-	case Probed:
+	case ProbeResult:
 		b.probed(n)
 	case clock:
 		if ease := b.climb(); ease != c.ease[i] {
@@ -149,28 +149,28 @@
 		b.lean()
 		// Silence proves nothing, but where others are heard it calls for a question.
 		quiet := c.heard - max(c.good[i], c.dealt[i])
-		silent := quiet > 1.5*c.boot.Num("report_period", 1) && quiet*c.carry[i] > healthTries && !c.gate.jammed
-		ask := c.boot.Flag("probes") && c.state[i] == Open && c.now >= c.probe[i]
+		silent := quiet > 1.5*c.boot.Settings.ReportPeriod.Or(1) && quiet*c.carry[i] > healthTries && !c.gate.jammed
+		ask := c.boot.Settings.Probes && c.state[i] == BackendOpen && c.now >= c.probe[i]
 		if ask && (silent || c.deaf[i] > 0) {
 			c.probe[i] = c.now + probeEvery
-			c.out = append(c.out, Probe{c.id[i]})
+			c.out = append(c.out, ProbeBackend{c.id[i]})
 		}
 	}
 }
 
-func (b *backend) listed(e Entry) {
+func (b *backend) listed(e Endpoint) {
 	c, i := b.c, b.i
-	if e.State != Gone {
+	if e.State != BackendGone {
 		c.zone[i], c.weight[i] = c.place(e.Zone), max(e.Weight, 1e-3)
 	}
-	if e.State == Open && e.Start > c.start[i] {
+	if e.State == BackendOpen && e.StartedAt > c.start[i] {
 		// A restart under the same id: what was held against the old process is void, and it is cold.
 		c.forget(i)
 	}
-	c.state[i], c.start[i] = e.State, max(e.Start, c.start[i])
+	c.state[i], c.start[i] = e.State, max(e.StartedAt, c.start[i])
 	c.ease[i] = b.climb()
 	// Where gone does not bind, a server dropped from the list leaves by the clock.
-	binds := e.State == Draining || e.State == Gone && !c.boot.Flag("only_draining_binds")
+	binds := e.State == BackendDraining || e.State == BackendGone && !c.boot.Settings.OnlyDrainingBinds
 	if binds && !c.shut[i] {
 		c.owed[i] = cmp.Or(c.owed[i], c.now)
 	} else if !binds {
@@ -182,7 +182,7 @@
 // climb is the share of its full weight that a server may have: it follows the slowest warming that the
 // bootstrap allows, in few steps, each at the capacity surely there when the step begins.
 func (b *backend) climb() float64 {
-	span, cold := b.c.boot.Num("warm_after", 10), b.c.boot.Num("cold_share", 0.3)
+	span, cold := b.c.boot.Settings.WarmAfter.Or(10), b.c.boot.Settings.ColdShare.Or(0.3)
 	since := max(b.c.start[b.i], b.c.back[b.i])
 	age := b.c.now - since
 	if since == 0 || age >= span || span <= 0 {
@@ -214,7 +214,7 @@
 // probed takes a server that answers neither RPCs nor probes out of all arcs until it answers a probe:
 // one that died, hangs or is cut off, long before its RPCs time out or the list tells. It comes back as a
 // cold one does, as it may have restarted. When most seem deaf, it is we who are cut off.
-func (b *backend) probed(n Probed) {
+func (b *backend) probed(n ProbeResult) {
 	c, i := b.c, b.i
 	was, alone := c.away(i), c.alone
 	switch {
@@ -241,11 +241,11 @@
 // where they would, nothing flees before a jam, nor in one where few find a busy server to flee from, and
 // a release would only drown behind those that wait.
 func (c *Planner) frail(line float64) float64 {
-	g, strikes := c.gate, c.boot.Num("strikes", 0)
+	g, strikes := c.gate, c.boot.Settings.Strikes.Or(0)
 	few := max(line, sum(g.came)/c.ring.lines)*gateSpan < strikes && g.struck < struckMost
 	// Then who picks the less busy flees only as far as there is one busy to flee from.
 	flight := sum(g.came) * (1 + min(1, sum(g.came)/c.ring.lines*g.slow*g.soft)) / max(1e-9, c.room())
-	none := !g.jammed || flight < coldStrain*c.boot.Num("fall_multiple", 3)*g.best
+	none := !g.jammed || flight < coldStrain*c.boot.Settings.FallMultiple.Or(3)*g.best
 	if g.calm || strikes <= 0 || few && none {
 		return 0
 	}
@@ -253,11 +253,11 @@
 		return 1 // a start of ours knows nothing of a jam yet
 	}
 	part := 1 / c.open(c.full)
-	if c.boot.Word("pick") == "pair" {
+	if c.boot.Settings.Pick == "pair" {
 		part *= 2 // who has nothing out is picked whenever drawn
 	}
 	part = min(part, 1/max(1e-9, c.open(func(i int) float64 { return c.weight[i] * math.Ceil(1-c.ease[i]) })))
-	return sum(g.came) * part / (coldStrain * c.boot.Num("fall_multiple", 3) * max(g.best, 1e-9))
+	return sum(g.came) * part / (coldStrain * c.boot.Settings.FallMultiple.Or(3) * max(g.best, 1e-9))
 }
 
 // fit tells whether health lets a zone's arcs take a server.
@@ -527,7 +527,7 @@
 func (p *proxy) take(n note) {
 	c := p.c
 	switch n := n.(type) {
-	case Joined:
+	case ProxyJoined:
 		// The stream is new: a push of the last one is forgotten, and nothing of ours is bound.
 		p.joined, p.bound, p.flying, p.due, p.sent = true, false, false, 0, nil
 		p.warned, p.since = false, c.now
@@ -541,15 +541,15 @@
 		}
 		c.post(c.ring, moved{p})
 		c.stir(p)
-	case Left:
+	case ProxyLeft:
 		p.joined, p.bound, p.flying, c.gate.broke = false, false, false, c.now
 		c.post(c.ring, moved{p})
-	case Answered:
-		if p.flying && n.Mark == p.mark {
+	case PushAcknowledged:
+		if p.flying && n.Nonce == p.mark {
 			p.flying, p.confirmed = false, p.version
 			c.stir(p)
 		}
-	case UsageSum:
+	case UsageReport:
 		// A proxy with nothing to tell sends no sum, so the average fades with the time since the last.
 		m := n.Method
 		p.usage[m] = p.usage[m]*math.Exp(-(c.now-p.summed[m])/usageSpan) + float64(n.RPCs)/usageSpan
@@ -602,8 +602,8 @@
 	}
 	p.waits = true
 	none := slices.ContainsFunc(p.sheets, func(s *sheet) bool { return len(s.told)+len(s.want) == 0 })
-	soon := !none && c.now < p.since+warnPart*c.boot.Num("drain_grace", 1)
-	if soon || float64(c.channel.lines()+c.channel.queued+out) > urgentPart*c.boot.Num("channel_room", math.Inf(1)) {
+	soon := !none && c.now < p.since+warnPart*c.boot.Settings.DrainGrace.Or(1)
+	if soon || float64(c.channel.lines()+c.channel.queued+out) > urgentPart*c.boot.Settings.ChannelRoom.Or(math.Inf(1)) {
 		return
 	}
 	p.warned = true
@@ -624,7 +624,7 @@
 
 // level is what a table lets in of a method, in the unit that the proxies go by.
 func (p *proxy) level(m int) float64 {
-	if p.share[m] >= 1 || p.c.boot.Word("level_kind") != "rate" {
+	if p.share[m] >= 1 || p.c.boot.Settings.LevelKind != "rate" {
 		return p.share[m]
 	}
 	// A proxy with little usage sees bursts that its mean rate would refuse beside a level meant for the mean.
@@ -643,7 +643,7 @@
 	for _, since := range c.owed {
 		oldest = min(oldest, cmp.Or(since, oldest))
 	}
-	hold := max(0, c.boot.Num("drain_grace", 1)-c.boot.Num("push_time_worst", 0.4)-3*c.channel.usual) / 2
+	hold := max(0, c.boot.Settings.DrainGrace.Or(1)-c.boot.Settings.PushTimeWorst.Or(0.4)-3*c.channel.usual) / 2
 	crowded := func(p *proxy) bool { return p.joined && !c.channel.few(p, ordinaryPart) }
 	if math.IsInf(oldest, 1) || c.now < oldest+hold && slices.ContainsFunc(c.proxies, crowded) {
 		return
@@ -661,12 +661,12 @@
 // so the bound is wider: a fleet that is all cold at its usual load stays within it. It harms where the
 // best rate was seen on a very quiet day.
 func (c *Planner) topples(i int) bool {
-	most := c.boot.Num("fall_multiple", 3) * c.ease[i] * c.weight[i] * c.gate.best / coldStrain * c.ours()
+	most := c.boot.Settings.FallMultiple.Or(3) * c.ease[i] * c.weight[i] * c.gate.best / coldStrain * c.ours()
 	if c.shut[i] {
 		most /= 2 // else it would come and go
 	}
 	// What counts is the start that the list tells: a server that was only deaf for a while is owed to rule 1.
-	young := func(k int) bool { return c.start[k] > 0 && c.now < c.start[k]+c.boot.Num("warm_after", 10) }
+	young := func(k int) bool { return c.start[k] > 0 && c.now < c.start[k]+c.boot.Settings.WarmAfter.Or(10) }
 	return young(i) && c.gate.best > 0 && c.brought[i] > most && c.open(func(k int) float64 {
 		if young(k) {
 			return 0
@@ -679,7 +679,7 @@
 // down for good; rule 1 asks for a line only where a warm one is listed.
 func (c *Planner) spareCold() (any bool) {
 	for i := range c.id {
-		if c.state[i] == Open && !c.shut[i] && c.topples(i) {
+		if c.state[i] == BackendOpen && !c.shut[i] && c.topples(i) {
 			c.withdraw(i, true)
 			any = true
 		}
@@ -690,7 +690,7 @@
 // readmit lets a withdrawn server in again once no table gives it more than it may have.
 func (c *Planner) readmit() {
 	for i := range c.id {
-		if !c.shut[i] || c.state[i] != Open {
+		if !c.shut[i] || c.state[i] != BackendOpen {
 			continue
 		}
 		risky := func(p *proxy) bool { return p.joined && p.heaviest(i) > 1.05*c.weight[i]*c.ease[i] }
@@ -719,44 +719,44 @@
 // few tells whether a proxy has had so few messages of late that another keeps within part of the limit: the
 // rest stays free for what can't be put off.
 func (h *channel) few(p *proxy, part float64) bool {
-	most, span := h.c.boot.Num("messages", 0), h.c.boot.Num("messages_span", 10)
+	most, span := h.c.boot.Settings.Messages.Or(0), h.c.boot.Settings.MessagesSpan.Or(10)
 	p.sent = slices.DeleteFunc(p.sent, func(at Seconds) bool { return at < h.c.now-span-1 })
 	return most == 0 || float64(len(p.sent)+1) <= part*most
 }
 
 // room tells whether an ordinary push fits. One that rides with a withdrawal is no message more.
 func (h *channel) room(p *proxy) bool {
-	fits := float64(h.lines()+h.queued+p.cost()) < ordinaryPart*h.c.boot.Num("channel_room", math.Inf(1))
+	fits := float64(h.lines()+h.queued+p.cost()) < ordinaryPart*h.c.boot.Settings.ChannelRoom.Or(math.Inf(1))
 	return fits && (!p.bound || p.due > 0 || h.few(p, ordinaryPart))
 }
 
 // free is when a method's RPCs are tried again while there is no jam. After proof only, idempotent ones
 // too: a second send after a mere time-out feeds the jam that it came from.
-func (c *Planner) free(at string) Tries {
+func (c *Planner) free(method MethodSettings) RetryPolicy {
 	// A second send is at most one try's wait after the first: is the repeat surely dropped then?
-	soon := c.boot.Num("try_wait", 1)*c.boot.Num(at+"soft_deadline", 1) < 0.9*c.boot.Num(at+"window", 0)
-	most := c.boot.Word(at + "most_tries")
+	soon := c.boot.Settings.TryWait.Or(1)*method.SoftDeadline.Or(1) < 0.9*method.Window.Or(0)
+	most := method.MostTries
 	if most == "once" {
-		return TryOnce
+		return RetryNever
 	}
-	if most != "proven" && c.boot.Word(at+"effect") == "tokened" && c.boot.Word(at+"group") == "all" && soon {
-		return TryAgain
+	if most != "proven" && method.Effect == "tokened" && method.Group == "all" && soon {
+		return RetryOnce
 	}
-	return TryProven
+	return RetryIfUnprocessed
 }
 
 // now gives the tries for the present: in a jam, second sends feed the jam.
-func (g *gate) now() []Tries {
+func (g *gate) now() []RetryPolicy {
 	if !g.jammed {
 		return g.free
 	}
-	return slices.Repeat([]Tries{TryOnce}, len(g.free))
+	return slices.Repeat([]RetryPolicy{RetryNever}, len(g.free))
 }
 
 func (g *gate) take(n note) {
 	c := g.c
 	switch n := n.(type) {
-	case UsageSum:
+	case UsageReport:
 		g.came[n.Method] += float64(n.RPCs) / gateSpan
 	case clock:
 		for m := range g.came {
@@ -774,7 +774,7 @@
 func (g *gate) look() {
 	c := g.c
 	jam, all, good, slow, crowded, met, struck := 0.0, 0.0, 0.0, 0.0, 0.0, 1.0, 0.0
-	strikes := c.boot.Num("strikes", 0)
+	strikes := c.boot.Settings.Strikes.Or(0)
 	// Servers push back when their queues are full, and then what they answer has waited. Bad tries beside
 	// quick answers are something else: a group that fails, or fails us alone; letting in less would not help.
 	// It harms where servers push back early, before their queues cost half a soft deadline.
@@ -792,7 +792,7 @@
 				best = min(best, max(crowded*c.bad[i][z]/t/jamBad, c.delay[i][z]/g.soft/jamDelay))
 			}
 		}
-		if !math.IsInf(best, 1) && c.state[i] == Open {
+		if !math.IsInf(best, 1) && c.state[i] == BackendOpen {
 			all++
 			jam += math.Ceil(min(1, max(0, best-1)))
 		}
@@ -806,7 +806,7 @@
 	g.slow, g.struck = slow/max(good, 1e-9), struck/met
 	// A zone with more than its part is the first to jam when a burst comes, and then it is late for a new deal:
 	// it may be that full only as far as it saves what crossings cost.
-	most := min(fairMost, fairLeast+fairPrice*c.boot.Num("price.crossing", 0))
+	most := min(fairMost, fairLeast+fairPrice*c.boot.Settings.CrossingPrice.Or(0))
 	g.fair += 0.2 * (fairLeast + (most-fairLeast)*min(1, max(0, 2-4*g.slow)) - g.fair)
 	// Answers that are still told of while nothing is open, as when the list emptied, are nobody's rate.
 	if room > 1e-6 {
@@ -849,7 +849,7 @@
 		g.limit = math.Inf(1)
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(g.criticality[a], g.criticality[b]) })
-	for k := 0; k < len(order) && over > 0 && c.boot.Word("level_kind") != "none"; {
+	for k := 0; k < len(order) && over > 0 && c.boot.Settings.LevelKind != "none"; {
 		end, came := k, 0.0
 		for ; end < len(order) && g.criticality[order[end]] == g.criticality[order[k]]; end++ {
 			came += g.came[order[end]]
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -12,20 +12,20 @@
 	t        *testing.T
 	c        *Planner
 	now      Seconds
-	shut     map[EP]bool
-	tables   map[Table]map[EP]float64
-	bound    map[Proxy][]Table
-	open     map[EP]Entry // the list as last told, open ones only
-	told     map[EP]State
-	joined   map[Proxy]bool
-	unacked  map[Proxy][]Mark
-	sent     map[Proxy][]Seconds
-	waiting  map[Mark]int
-	orders   []Order
-	messages map[Proxy]bool // of the last step
-	informed map[Proxy]bool // of all that is withdrawn, by a table or by a list
-	since    map[Proxy]Seconds
-	zone     map[Proxy]Zone
+	shut     map[BackendID]bool
+	tables   map[TableID]map[BackendID]float64
+	bound    map[ProxyID][]TableID
+	open     map[BackendID]Endpoint // the list as last told, open ones only
+	told     map[BackendID]BackendState
+	joined   map[ProxyID]bool
+	unacked  map[ProxyID][]Nonce
+	sent     map[ProxyID][]Seconds
+	waiting  map[Nonce]int
+	orders   []Command
+	messages map[ProxyID]bool // of the last step
+	informed map[ProxyID]bool // of all that is withdrawn, by a table or by a list
+	since    map[ProxyID]Seconds
+	zone     map[ProxyID]Zone
 }
 
 func values(more map[string]any) map[string]any {
@@ -43,48 +43,48 @@
 }
 
 func newWorld(t *testing.T, more map[string]any) *world {
-	return &world{t: t, c: New(Bootstrap{Seed: 7, Now: 100, Values: values(more)}), now: 100, shut: map[EP]bool{},
-		tables: map[Table]map[EP]float64{}, bound: map[Proxy][]Table{}, open: map[EP]Entry{}, told: map[EP]State{},
-		joined: map[Proxy]bool{}, unacked: map[Proxy][]Mark{}, sent: map[Proxy][]Seconds{}, waiting: map[Mark]int{},
-		zone: map[Proxy]Zone{}, informed: map[Proxy]bool{}, since: map[Proxy]Seconds{}}
+	return &world{t: t, c: New(Config{Seed: 7, Now: 100, Settings: DecodeSettings(values(more))}), now: 100, shut: map[BackendID]bool{},
+		tables: map[TableID]map[BackendID]float64{}, bound: map[ProxyID][]TableID{}, open: map[BackendID]Endpoint{}, told: map[BackendID]BackendState{},
+		joined: map[ProxyID]bool{}, unacked: map[ProxyID][]Nonce{}, sent: map[ProxyID][]Seconds{}, waiting: map[Nonce]int{},
+		zone: map[ProxyID]Zone{}, informed: map[ProxyID]bool{}, since: map[ProxyID]Seconds{}}
 }
 
-func (w *world) step(after Seconds, events ...Event) []Order {
+func (w *world) step(after Seconds, events ...Event) []Command {
 	w.now += after
 	for _, e := range events {
 		switch e := e.(type) {
-		case Listed:
-			if e.Kind == ListFull || e.Kind == ListKept {
+		case EndpointUpdate:
+			if e.Kind == UpdateFull || e.Kind == UpdateCached {
 				for id := range w.told {
 					delete(w.open, id)
-					w.told[id] = Gone
+					w.told[id] = BackendGone
 				}
 			}
-			for _, x := range e.Entries {
-				w.told[x.EP] = x.State
-				if delete(w.open, x.EP); x.State == Open {
-					w.open[x.EP] = x
+			for _, x := range e.Endpoints {
+				w.told[x.Backend] = x.State
+				if delete(w.open, x.Backend); x.State == BackendOpen {
+					w.open[x.Backend] = x
 				}
 			}
-		case Joined:
+		case ProxyJoined:
 			w.joined[e.Proxy], w.zone[e.Proxy] = true, e.Zone
 			w.bound[e.Proxy], w.unacked[e.Proxy], w.sent[e.Proxy] = nil, nil, nil
 			w.informed[e.Proxy], w.since[e.Proxy] = false, w.now
-		case Left:
+		case ProxyLeft:
 			w.joined[e.Proxy], w.bound[e.Proxy], w.unacked[e.Proxy] = false, nil, nil
-		case Answered:
-			if q := w.unacked[e.Proxy]; len(q) > 0 && q[0] == e.Mark {
+		case PushAcknowledged:
+			if q := w.unacked[e.Proxy]; len(q) > 0 && q[0] == e.Nonce {
 				w.unacked[e.Proxy] = q[1:]
 				for m := range w.waiting { // what was sent before has left
-					if (e.Mark-m+MarkSpan)%MarkSpan < MarkSpan/2 && m != e.Mark {
+					if (e.Nonce-m+NonceSpace)%NonceSpace < NonceSpace/2 && m != e.Nonce {
 						delete(w.waiting, m)
 					}
 				}
 			}
 		}
 	}
-	flying, bare := map[Proxy]bool{}, map[Proxy]bool{}
-	late := map[Proxy]bool{}
+	flying, bare := map[ProxyID]bool{}, map[ProxyID]bool{}
+	late := map[ProxyID]bool{}
 	for _, p := range w.c.proxies {
 		flying[p.id], late[p.id] = p.flying, w.now > p.left+0.7*silence*w.c.channel.usual // the usual time moves within the step
 	}
@@ -93,12 +93,12 @@
 			bare[p] = bare[p] || !w.usable(t)
 		}
 	}
-	answered := map[Proxy]bool{}
+	answered := map[ProxyID]bool{}
 	for _, e := range events {
-		if a, ok := e.(Answered); ok {
+		if a, ok := e.(PushAcknowledged); ok {
 			answered[a.Proxy] = true
 		}
-		if j, ok := e.(Joined); ok {
+		if j, ok := e.(ProxyJoined); ok {
 			answered[j.Proxy] = true
 		}
 	}
@@ -113,7 +113,7 @@
 	return w.orders
 }
 
-func (w *world) usable(t Table) bool {
+func (w *world) usable(t TableID) bool {
 	for id := range w.tables[t] {
 		if !w.shut[id] {
 			return true
@@ -126,10 +126,10 @@
 func (w *world) guarded() bool {
 	for _, o := range w.orders {
 		switch o := o.(type) {
-		case Withdraw:
+		case SetExclusion:
 			return true
-		case SetLine:
-			if i := w.c.index[o.EP]; w.c.ease[i] < 1 {
+		case SetTableEntry:
+			if i := w.c.index[o.Backend]; w.c.ease[i] < 1 {
 				return true
 			}
 		}
@@ -138,9 +138,9 @@
 }
 
 func (w *world) apply() {
-	w.messages = map[Proxy]bool{}
+	w.messages = map[ProxyID]bool{}
 	lines := 0
-	users := func(t Table) {
+	users := func(t TableID) {
 		for p, ts := range w.bound {
 			for _, x := range ts {
 				if x == t && w.joined[p] {
@@ -154,18 +154,18 @@
 		switch o := o.(type) {
 		case ClearTable:
 			delete(w.tables, o.Table)
-		case SetLine:
+		case SetTableEntry:
 			if w.tables[o.Table] == nil {
-				w.tables[o.Table] = map[EP]float64{}
+				w.tables[o.Table] = map[BackendID]float64{}
 			}
-			if w.tables[o.Table][o.EP] = o.Weight; o.Weight == 0 {
-				delete(w.tables[o.Table], o.EP)
+			if w.tables[o.Table][o.Backend] = o.Weight; o.Weight == 0 {
+				delete(w.tables[o.Table], o.Backend)
 			}
 			users(o.Table)
-		case SetLevel:
+		case SetAdmission:
 			users(o.Table)
-			if o.Methods&2 != 0 && o.Tries > TryProven || o.Methods&4 != 0 && o.Tries > TryAgain {
-				w.t.Fatalf("%.2f: forbidden tries %d for methods %b", w.now, o.Tries, o.Methods)
+			if o.Methods&2 != 0 && o.Retry > RetryIfUnprocessed || o.Methods&4 != 0 && o.Retry > RetryOnce {
+				w.t.Fatalf("%.2f: forbidden tries %d for methods %b", w.now, o.Retry, o.Methods)
 			}
 		case BindTable:
 			if !w.joined[o.Proxy] {
@@ -174,15 +174,15 @@
 			w.bound[o.Proxy] = append(w.bound[o.Proxy], o.Table)
 			w.messages[o.Proxy], w.informed[o.Proxy] = true, true
 			lines += 1 + len(w.tables[o.Table])
-		case Withdraw:
-			w.shut[o.EP] = o.On
+		case SetExclusion:
+			w.shut[o.Backend] = o.Excluded
 			for t, ls := range w.tables {
-				if _, ok := ls[o.EP]; ok {
+				if _, ok := ls[o.Backend]; ok {
 					users(t)
 				}
 			}
 			for p, joined := range w.joined {
-				if joined && len(w.bound[p]) == 0 && o.On {
+				if joined && len(w.bound[p]) == 0 && o.Excluded {
 					w.messages[p] = true
 					lines++
 				}
@@ -195,13 +195,13 @@
 					lines++
 				}
 			}
-		case SetMark:
+		case SetNonce:
 			for p := range w.messages {
-				w.unacked[p] = append(w.unacked[p], o.Mark)
+				w.unacked[p] = append(w.unacked[p], o.Nonce)
 				w.sent[p] = append(w.sent[p], w.now)
 				lines += 11
 			}
-			w.waiting[o.Mark] = lines
+			w.waiting[o.Nonce] = lines
 		}
 	}
 }
@@ -210,14 +210,14 @@
 	for id, s := range w.told {
 		if _, kept := w.c.index[id]; !kept { // its place was given back: no table may name it
 			for table, lines := range w.tables {
-				if s == Open || lines[id] > 0 {
+				if s == BackendOpen || lines[id] > 0 {
 					w.t.Fatalf("%.2f: server %d lost its place while table %d names it", w.now, id, table)
 				}
 			}
 			delete(w.told, id)
 			continue
 		}
-		if i := w.c.index[id]; s != Open && !w.shut[id] && w.c.owed[i] == 0 {
+		if i := w.c.index[id]; s != BackendOpen && !w.shut[id] && w.c.owed[i] == 0 {
 			w.t.Fatalf("%.2f: server %d is not open but neither withdrawn nor owed", w.now, id)
 		}
 		if i := w.c.index[id]; w.c.owed[i] > 0 && w.now-w.c.owed[i] > 1.3 {
@@ -237,7 +237,7 @@
 				w.t.Fatalf("%.2f: table %d of proxy %d is empty beside an open server", w.now, t, p)
 			}
 		}
-		if len(w.shut) > 0 && !w.informed[p] && w.now > w.since[p]+w.c.boot.Num("drain_grace", 1)/2 {
+		if len(w.shut) > 0 && !w.informed[p] && w.now > w.since[p]+w.c.boot.Settings.DrainGrace.Or(1)/2 {
 			w.t.Fatalf("%.2f: proxy %d joined at %.2f and knows nothing of what is withdrawn", w.now, p, w.since[p])
 		}
 		recent := 0
@@ -254,22 +254,22 @@
 	for _, n := range w.waiting {
 		sum += n
 	}
-	if float64(sum) > w.c.boot.Num("channel_room", 0) {
+	if float64(sum) > w.c.boot.Settings.ChannelRoom.Or(0) {
 		w.t.Fatalf("%.2f: %d lines wait", w.now, sum)
 	}
 }
 
-func full(n int, start Seconds) Listed {
-	l := Listed{Kind: ListFull}
+func full(n int, start Seconds) EndpointUpdate {
+	l := EndpointUpdate{Kind: UpdateFull}
 	for i := range n {
-		l.Entries = append(l.Entries, Entry{EP: EP(1000 + 77*i), State: Open, Start: start, Zone: home(i), Weight: 2})
+		l.Endpoints = append(l.Endpoints, Endpoint{Backend: BackendID(1000 + 77*i), State: BackendOpen, StartedAt: start, Zone: home(i), Weight: 2})
 	}
 	return l
 }
 
 func (w *world) join(proxies int) {
 	for p := range proxies {
-		w.step(0.02, Joined{Proxy(p), home(p), 10, true})
+		w.step(0.02, ProxyJoined{ProxyID(p), home(p), 10, true})
 	}
 }
 
@@ -287,7 +287,7 @@
 // crowd has many proxies of unlike usage join at once.
 func crowd(proxies int) (all []Event) {
 	for p := range proxies {
-		all = append(all, Joined{Proxy(p), home(p), float64(1 + p%7), true})
+		all = append(all, ProxyJoined{ProxyID(p), home(p), float64(1 + p%7), true})
 	}
 	return all
 }
@@ -296,9 +296,9 @@
 func (w *world) settle() {
 	for range 40 {
 		var all []Event
-		for p := range Proxy(len(w.joined)) {
+		for p := range ProxyID(len(w.joined)) {
 			if q := w.unacked[p]; len(q) > 0 {
-				all = append(all, Answered{p, q[0], 0.2})
+				all = append(all, PushAcknowledged{p, q[0], 0.2})
 			}
 		}
 		w.step(0.3, all...)
@@ -306,14 +306,14 @@
 }
 
 // restart tells of a restart in place of the first server.
-func (w *world) restart() Entry {
-	again := full(8, 0).Entries[0]
-	again.Start = w.now
-	w.step(0.1, Listed{Kind: ListDelta, Entries: []Entry{again}})
+func (w *world) restart() Endpoint {
+	again := full(8, 0).Endpoints[0]
+	again.StartedAt = w.now
+	w.step(0.1, EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{again}})
 	return again
 }
 
-func count[T Order](orders []Order) (n int) {
+func count[T Command](orders []Command) (n int) {
 	for _, o := range orders {
 		if _, ok := o.(T); ok {
 			n++
@@ -325,8 +325,8 @@
 func TestJoinGetsTheFullTableInOneMessage(t *testing.T) {
 	w := newWorld(t, nil)
 	w.step(0, full(8, 0))
-	out := w.step(0.1, Joined{0, "a", 10, true})
-	if count[BindTable](out) != 1 || count[SetMark](out) != 1 || len(w.tables[0]) < arcLeast {
+	out := w.step(0.1, ProxyJoined{0, "a", 10, true})
+	if count[BindTable](out) != 1 || count[SetNonce](out) != 1 || len(w.tables[0]) < arcLeast {
 		t.Fatalf("a join gave %v", out)
 	}
 }
@@ -334,19 +334,19 @@
 func TestStaleMarksAreIgnored(t *testing.T) {
 	w := newWorld(t, nil)
 	w.step(0, full(8, 0))
-	w.step(0.1, Joined{0, "a", 10, true})
+	w.step(0.1, ProxyJoined{0, "a", 10, true})
 	p := w.c.proxies[0]
 	mark := p.mark
-	w.step(0.01, Answered{0, mark + 1, 0.1}, Answered{0, mark + 9, 0.1})
+	w.step(0.01, PushAcknowledged{0, mark + 1, 0.1}, PushAcknowledged{0, mark + 9, 0.1})
 	if !p.flying {
 		t.Fatal("an unknown mark ended the push in flight")
 	}
-	if w.step(0.01, Answered{0, mark, 0.1}); p.flying || p.confirmed != 1 {
+	if w.step(0.01, PushAcknowledged{0, mark, 0.1}); p.flying || p.confirmed != 1 {
 		t.Fatalf("the mark did not confirm: %+v", p)
 	}
-	w.step(0.01, Left{0})
-	w.step(0.01, Joined{0, "a", 10, false})
-	if w.step(0.01, Answered{0, mark, 0.1}); !p.flying {
+	w.step(0.01, ProxyLeft{0})
+	w.step(0.01, ProxyJoined{0, "a", 10, false})
+	if w.step(0.01, PushAcknowledged{0, mark, 0.1}); !p.flying {
 		t.Fatal("a mark of the last stream ended the push of this one")
 	}
 }
@@ -354,9 +354,9 @@
 // A list that changes all the time, or all proxies joining at once, stays inside the limits that step checks.
 // The settings may hold a method's tries below what its effect permits, never above.
 func TestTriesHeldBySettings(t *testing.T) {
-	for most, want := range map[string][]Tries{"": {TryProven, TryAgain}, "free": {TryProven, TryAgain}, "proven": {TryProven, TryProven}, "once": {TryOnce, TryOnce}} {
+	for most, want := range map[string][]RetryPolicy{"": {RetryIfUnprocessed, RetryOnce}, "free": {RetryIfUnprocessed, RetryOnce}, "proven": {RetryIfUnprocessed, RetryIfUnprocessed}, "once": {RetryNever, RetryNever}} {
 		c := newWorld(t, map[string]any{"method.0.most_tries": most, "method.2.most_tries": most}).c
-		if got := []Tries{c.gate.free[0], c.gate.free[2]}; !slices.Equal(got, want) || c.gate.free[1] != TryProven {
+		if got := []RetryPolicy{c.gate.free[0], c.gate.free[2]}; !slices.Equal(got, want) || c.gate.free[1] != RetryIfUnprocessed {
 			t.Errorf("%q: %v, %v wanted", most, got, want)
 		}
 	}
@@ -366,10 +366,10 @@
 	w := started(t, map[string]any{"channel_room": 100.0}, 8, 6)
 	w = started(t, nil, 8, 6)
 	for i := range 60 {
-		all := []Event{Listed{Kind: ListDelta, Entries: []Entry{{EP: EP(5 + i), State: Open, Zone: "a", Weight: 2}}}}
-		for p := range Proxy(6) {
+		all := []Event{EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{{Backend: BackendID(5 + i), State: BackendOpen, Zone: "a", Weight: 2}}}}
+		for p := range ProxyID(6) {
 			for _, m := range w.unacked[p] {
-				all = append(all, Answered{p, m, 0.2})
+				all = append(all, PushAcknowledged{p, m, 0.2})
 			}
 		}
 		w.step(0.3, all...)
@@ -378,9 +378,9 @@
 
 func TestMarksWrap(t *testing.T) {
 	w := newWorld(t, nil)
-	w.c.channel.mark = MarkSpan - 1
+	w.c.channel.mark = NonceSpace - 1
 	w.step(0, full(8, 0))
-	if w.step(0.1, Joined{0, "a", 10, true}); w.c.channel.mark != 0 {
+	if w.step(0.1, ProxyJoined{0, "a", 10, true}); w.c.channel.mark != 0 {
 		t.Fatalf("mark %d", w.c.channel.mark)
 	}
 }
@@ -389,7 +389,7 @@
 func TestSilenceBringsTheFullTable(t *testing.T) {
 	w := newWorld(t, nil)
 	w.step(0, full(8, 0))
-	w.step(0.1, Joined{0, "a", 10, true})
+	w.step(0.1, ProxyJoined{0, "a", 10, true})
 	if out := w.step(0.5); count[BindTable](out) != 0 {
 		t.Fatalf("resent too soon: %v", out)
 	}
@@ -401,12 +401,12 @@
 func TestWithdrawalSkipsTheClockAndBringsReplacements(t *testing.T) {
 	w := started(t, nil, 16, 6)
 	w.settle()
-	w.step(0.1, Listed{Kind: ListDelta, Entries: []Entry{{EP: 9, State: Open, Zone: "a", Weight: 2}}})
-	l := Listed{Kind: ListDelta}
+	w.step(0.1, EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{{Backend: 9, State: BackendOpen, Zone: "a", Weight: 2}}})
+	l := EndpointUpdate{Kind: UpdateDelta}
 	for id := range w.tables[0] {
-		l.Entries = append(l.Entries, Entry{EP: id, State: Draining, Zone: w.open[id].Zone, Weight: 2})
+		l.Endpoints = append(l.Endpoints, Endpoint{Backend: id, State: BackendDraining, Zone: w.open[id].Zone, Weight: 2})
 	}
-	if out := w.step(0.05, l); count[Withdraw](out) != len(l.Entries) || count[SetLine](out) == 0 {
+	if out := w.step(0.05, l); count[SetExclusion](out) != len(l.Endpoints) || count[SetTableEntry](out) == 0 {
 		t.Fatalf("an emptied arc got %v", out)
 	}
 }
@@ -415,10 +415,10 @@
 func TestEmptyListRecoversCheaply(t *testing.T) {
 	w := started(t, nil, 8, 4)
 	w.settle()
-	if out := w.step(0.1, Listed{Kind: ListFull}); count[Withdraw](out) != 8 {
+	if out := w.step(0.1, EndpointUpdate{Kind: UpdateFull}); count[SetExclusion](out) != 8 {
 		t.Fatalf("an empty list gave %v", out)
 	}
-	if out := w.step(1, full(8, 0)); count[Withdraw](out) != 8 || count[SetLine](out) > 4 {
+	if out := w.step(1, full(8, 0)); count[SetExclusion](out) != 8 || count[SetTableEntry](out) > 4 {
 		t.Fatalf("its return gave %v", out)
 	}
 }
@@ -428,8 +428,8 @@
 	w := started(t, nil, 8, 4)
 	again := w.restart()
 	for table, lines := range w.tables {
-		if lines[again.EP] > 0.2*2+1e-9 {
-			t.Fatalf("table %d gives a cold server %v", table, lines[again.EP])
+		if lines[again.Backend] > 0.2*2+1e-9 {
+			t.Fatalf("table %d gives a cold server %v", table, lines[again.Backend])
 		}
 	}
 }
@@ -444,11 +444,11 @@
 	}
 	for k := range 12 {
 		again.Weight = 2 / float64(2+k)
-		if out := w.step(0.05, Listed{Kind: ListDelta, Entries: []Entry{again}}); count[SetLine](out) > 0 {
+		if out := w.step(0.05, EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{again}}); count[SetTableEntry](out) > 0 {
 			t.Fatalf("a weight of %v is told at once: %v", again.Weight, out)
 		}
 	}
-	again.Start = w.now + 0.05
+	again.StartedAt = w.now + 0.05
 	w.now += 3 // it climbed, and starts anew
 	w.step(0)
 	for _, p := range w.c.proxies {
@@ -459,8 +459,8 @@
 	for _, p := range w.c.proxies {
 		p.flying, p.left = true, w.now+1e6
 	}
-	again.Start = w.now
-	if out := w.step(0.01, Listed{Kind: ListDelta, Entries: []Entry{again}}); count[SetLine](out) == 0 {
+	again.StartedAt = w.now
+	if out := w.step(0.01, EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{again}}); count[SetTableEntry](out) == 0 {
 		t.Error("a restart waits")
 	}
 }
@@ -470,9 +470,9 @@
 	w := started(t, map[string]any{"messages": 16.0, "level_kind": "none", "warm_after": 0.4}, 8, 4)
 	w.settle()
 	for k := range 60 {
-		e := full(8, 0).Entries[k%8]
-		e.Start = w.now
-		w.step(0.1, Listed{Kind: ListDelta, Entries: []Entry{e}})
+		e := full(8, 0).Endpoints[k%8]
+		e.StartedAt = w.now
+		w.step(0.1, EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{e}})
 	}
 	for p, sent := range w.sent {
 		if n := len(slices.DeleteFunc(slices.Clone(sent), func(at Seconds) bool { return at < w.now-10 })); n > 15 {
@@ -490,16 +490,16 @@
 		w := newWorld(t, map[string]any{"probes": false, "listing": "pushed", "proxies": c.proxies, "channel_room": 1e6, "price.crossing": c.price})
 		w.step(0, full(40, 0))
 		var sums []Event
-		for p := range Proxy(60) {
+		for p := range ProxyID(60) {
 			zone := Zone("a")
 			if p%4 == 0 {
 				zone = "b"
 			}
-			w.step(0, Joined{Proxy: p, Zone: zone, Rate: 1})
-			sums = append(sums, UsageSum{Proxy: p, Method: 0, RPCs: 1, Over: 1})
+			w.step(0, ProxyJoined{Proxy: p, Zone: zone, Rate: 1})
+			sums = append(sums, UsageReport{Proxy: p, Method: 0, RPCs: 1, Span: 1})
 		}
-		for i, e := range full(40, 0).Entries {
-			sums = append(sums, TrySum{EP: e.EP, Zone: home(i), Tries: 8, Delay: 0.05, Over: 1})
+		for i, e := range full(40, 0).Endpoints {
+			sums = append(sums, AttemptReport{Backend: e.Backend, Zone: home(i), Attempts: 8, MeanLatency: 0.05, Span: 1})
 		}
 		for range 30 {
 			w.step(1, sums...)
@@ -519,15 +519,15 @@
 // In a storm of joins at a full-sized planner most of the time is left for other things than deals, and yet whoever joins has a
 // table soon.
 func TestStormOfJoinsLeavesTime(t *testing.T) {
-	c := New(Bootstrap{Seed: 7, Now: 100, Values: values(map[string]any{"proxies": 2600.0, "channel_room": 1e7, "channel_pace": 1e7, "messages": 0.0})})
+	c := New(Config{Seed: 7, Now: 100, Settings: DecodeSettings(values(map[string]any{"proxies": 2600.0, "channel_room": 1e7, "channel_pace": 1e7, "messages": 0.0}))})
 	c.Step(100, []Event{full(200, 0)})
 	deals, last, now := 0, c.ring.sized, 100.0
-	waits := map[Proxy]Seconds{}
-	for p := Proxy(0); now < 102; {
+	waits := map[ProxyID]Seconds{}
+	for p := ProxyID(0); now < 102; {
 		now += 0.004
 		var all []Event
 		for k := 0; k < 6 && p < 2600; k++ {
-			all = append(all, Joined{Proxy: p, Zone: home(int(p)), Rate: 2})
+			all = append(all, ProxyJoined{Proxy: p, Zone: home(int(p)), Rate: 2})
 			waits[p] = now
 			p++
 		}
@@ -550,25 +550,25 @@
 }
 
 // feed tells of a second in which the servers answer, but for those with a share of bad tries.
-func (w *world) feed(servers int, delay Seconds, bad map[EP]float64, quiet map[EP]bool) {
+func (w *world) feed(servers int, delay Seconds, bad map[BackendID]float64, quiet map[BackendID]bool) {
 	var all []Event
 	for i := range servers {
-		id := EP(1000 + 77*i)
+		id := BackendID(1000 + 77*i)
 		for _, z := range []Zone{"a", "b"} {
 			if !quiet[id] {
-				all = append(all, TrySum{EP: id, Zone: z, Tries: 6, Bad: int(6 * bad[id]), Delay: delay, Over: 1})
+				all = append(all, AttemptReport{Backend: id, Zone: z, Attempts: 6, Failures: int(6 * bad[id]), MeanLatency: delay, Span: 1})
 			}
 		}
 	}
-	for p := range Proxy(6) {
+	for p := range ProxyID(6) {
 		if w.joined[p] {
-			all = append(all, UsageSum{Proxy: p, RPCs: 10, Over: 1}, UsageSum{Proxy: p, Method: 1, RPCs: 10, Over: 1})
+			all = append(all, UsageReport{Proxy: p, RPCs: 10, Span: 1}, UsageReport{Proxy: p, Method: 1, RPCs: 10, Span: 1})
 		}
 	}
 	w.step(1, all...)
 }
 
-func (w *world) lines(id EP) (n int) {
+func (w *world) lines(id BackendID) (n int) {
 	for _, lines := range w.tables {
 		if lines[id] > 0 {
 			n++
@@ -582,7 +582,7 @@
 	w.settle()
 	w.feed(8, 0.1, nil, nil) // shows what the servers can carry
 	for range 4 {
-		w.feed(8, 0.1, map[EP]float64{1000: 0.7}, nil)
+		w.feed(8, 0.1, map[BackendID]float64{1000: 0.7}, nil)
 		w.settle()
 	}
 	// settle outlasts the first bench, so the server is back; what it did must still stand against it.
@@ -598,9 +598,9 @@
 // Trouble of most servers together is a jam: nobody is benched, levels fall, the lowest criticality first.
 func TestJamShedsAndBenchesNobody(t *testing.T) {
 	w := started(t, nil, 8, 4)
-	bad := map[EP]float64{}
+	bad := map[BackendID]float64{}
 	for i := range 8 {
-		bad[EP(1000+77*i)] = 0.6
+		bad[BackendID(1000+77*i)] = 0.6
 	}
 	for range 10 {
 		w.feed(8, 1.5, bad, nil)
@@ -625,7 +625,7 @@
 // Half of the servers failing beside quick answers of the rest is no overload: nothing is refused for it.
 func TestAGroupThatFailsIsNoJam(t *testing.T) {
 	w := started(t, nil, 8, 4)
-	bad := map[EP]float64{1000: 0.7, 1077: 0.7, 1154: 0.7, 1231: 0.7}
+	bad := map[BackendID]float64{1000: 0.7, 1077: 0.7, 1154: 0.7, 1231: 0.7}
 	for range 10 {
 		w.feed(8, 0.1, bad, nil)
 	}
@@ -640,18 +640,18 @@
 	w.settle()
 	probed := 0
 	for range 6 {
-		w.feed(8, 0.1, nil, map[EP]bool{1000: true})
-		probed += count[Probe](w.orders)
+		w.feed(8, 0.1, nil, map[BackendID]bool{1000: true})
+		probed += count[ProbeBackend](w.orders)
 	}
 	if probed == 0 || w.c.away(0) {
 		t.Fatalf("%d probes, away %v", probed, w.c.away(0))
 	}
-	w.step(0.1, Probed{EP: 1000})
-	w.step(0.1, Probed{EP: 1000})
+	w.step(0.1, ProbeResult{Backend: 1000})
+	w.step(0.1, ProbeResult{Backend: 1000})
 	if w.settle(); !w.c.away(0) || w.lines(1000) > 0 {
 		t.Fatal("a deaf server kept its lines")
 	}
-	w.step(0.1, Probed{EP: 1000, OK: true})
+	w.step(0.1, ProbeResult{Backend: 1000, OK: true})
 	if w.settle(); w.lines(1000) == 0 {
 		t.Fatal("a server that hears again got no lines")
 	}
@@ -662,7 +662,7 @@
 	w := started(t, nil, 8, 6)
 	for range 20 {
 		w.feed(8, 0.1, nil, nil)
-		w.step(0.01, TrySum{EP: 1000, Zone: "a", Tries: 40, Delay: 0.9, Over: 1})
+		w.step(0.01, AttemptReport{Backend: 1000, Zone: "a", Attempts: 40, MeanLatency: 0.9, Span: 1})
 	}
 	if w.c.trust[0] >= 1 || w.c.trust[1] < 1 {
 		t.Fatalf("trust %v", w.c.trust)
@@ -687,7 +687,7 @@
 func TestColdServerComesInWhereNothingFlees(t *testing.T) {
 	for _, share := range []float64{0, 1} {
 		w := started(t, map[string]any{"strikes": 50.0}, 8, 6)
-		w.feed(8, 0.1, map[EP]float64{1077: share, 1154: share, 1231: share, 1308: share}, nil)
+		w.feed(8, 0.1, map[BackendID]float64{1077: share, 1154: share, 1231: share, 1308: share}, nil)
 		w.step(1)
 		if w.restart(); (w.lines(1000) == 0) != (share == 1) {
 			t.Fatalf("share %v: %d lines", share, w.lines(1000))
@@ -700,11 +700,11 @@
 	w := started(t, map[string]any{"proxies": 60.0, "channel_room": 1e6}, 100, 60)
 	w.feed(8, 0.1, nil, nil) // before any sum the starts are dealt anew with each join
 	w.settle()
-	for _, state := range []State{Draining, Open} {
-		e := full(100, 0).Entries[7]
+	for _, state := range []BackendState{BackendDraining, BackendOpen} {
+		e := full(100, 0).Endpoints[7]
 		e.State = state
-		touched, had := map[Proxy]bool{}, w.lines(e.EP)
-		w.step(0.1, Listed{Kind: ListDelta, Entries: []Entry{e}})
+		touched, had := map[ProxyID]bool{}, w.lines(e.Backend)
+		w.step(0.1, EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{e}})
 		for range 8 {
 			for p := range w.messages {
 				touched[p] = true
@@ -754,7 +754,7 @@
 		w.feed(8, 0.1, nil, nil)
 	}
 	calm := w.c.gate.calm
-	w.step(0.1, Left{1})
+	w.step(0.1, ProxyLeft{1})
 	if w.feed(8, 0.1, nil, nil); !calm || w.c.gate.calm {
 		t.Fatalf("calm before %v, after %v", calm, w.c.gate.calm)
 	}
@@ -789,62 +789,62 @@
 func TestSlicesStayAsTheStoreHasThem(t *testing.T) {
 	w := newWorld(t, map[string]any{"slices": 8.0})
 	w.step(0, full(4, 0))
-	out := w.step(1, Joined{0, "a", 1, true}, Charged{0, true}, Held{0, 1000, 1})
-	if count[BindTable](out)+count[SetLine](out) > 0 {
+	out := w.step(1, ProxyJoined{0, "a", 1, true}, SliceOwnership{0, true}, StoredSliceEntry{0, 1000, 1})
+	if count[BindTable](out)+count[SetTableEntry](out) > 0 {
 		t.Fatalf("orders %v", out)
 	}
 }
 
 // random plays a seeded day of joins, losses, lists, sums and answers, late, stale or missing.
-func random(w *world, seed int64, steps int) (trace []Order) {
+func random(w *world, seed int64, steps int) (trace []Command) {
 	r := rand.New(rand.NewSource(seed))
-	states := []State{Open, Open, Open, Draining, Gone}
+	states := []BackendState{BackendOpen, BackendOpen, BackendOpen, BackendDraining, BackendGone}
 	w.step(0, full(10, 0))
 	for range steps {
 		var all []Event
-		p := Proxy(r.Intn(6))
-		id := EP(1000 + 77*r.Intn(12))
+		p := ProxyID(r.Intn(6))
+		id := BackendID(1000 + 77*r.Intn(12))
 		zone := home(int(id))
 		switch r.Intn(14) {
 		case 0:
 			if !w.joined[p] {
-				all = append(all, Joined{p, home(int(p)), 20 * r.Float64(), r.Intn(2) == 0})
+				all = append(all, ProxyJoined{p, home(int(p)), 20 * r.Float64(), r.Intn(2) == 0})
 			}
 		case 1:
 			if w.joined[p] && r.Intn(4) == 0 {
-				all = append(all, Left{p})
+				all = append(all, ProxyLeft{p})
 			}
 		case 2:
-			start := w.open[id].Start
+			start := w.open[id].StartedAt
 			if r.Intn(3) == 0 {
 				start = w.now
 			}
-			all = append(all, Listed{Kind: ListDelta,
-				Entries: []Entry{{EP: id, State: states[r.Intn(5)], Start: start, Zone: zone, Weight: 1 + r.Float64()}}})
+			all = append(all, EndpointUpdate{Kind: UpdateDelta,
+				Endpoints: []Endpoint{{Backend: id, State: states[r.Intn(5)], StartedAt: start, Zone: zone, Weight: 1 + r.Float64()}}})
 		case 3:
 			if r.Intn(12) == 0 {
 				all = append(all, full(r.Intn(12), 0))
 			}
 		case 4:
-			all = append(all, Listed{Kind: ListFailed})
+			all = append(all, EndpointUpdate{Kind: UpdateFailed})
 		case 5, 6:
 			if w.c.index[id] > 0 {
 				n := 1 + r.Intn(30)
-				all = append(all, TrySum{EP: id, Zone: zone, Tries: n, Bad: r.Intn(n + 1), Delay: r.Float64() * 2, Over: 1})
+				all = append(all, AttemptReport{Backend: id, Zone: zone, Attempts: n, Failures: r.Intn(n + 1), MeanLatency: r.Float64() * 2, Span: 1})
 			}
 		case 7:
 			if w.joined[p] {
-				all = append(all, UsageSum{Proxy: p, Method: Method(r.Intn(3)), RPCs: r.Intn(60), Over: 1})
+				all = append(all, UsageReport{Proxy: p, Method: MethodID(r.Intn(3)), RPCs: r.Intn(60), Span: 1})
 			}
 		case 8:
-			all = append(all, Answered{p, Mark(r.Intn(200)), 0.1})
+			all = append(all, PushAcknowledged{p, Nonce(r.Intn(200)), 0.1})
 		case 9:
 			if w.c.index[id] > 0 {
-				all = append(all, Probed{EP: id, OK: r.Intn(2) == 0})
+				all = append(all, ProbeResult{Backend: id, OK: r.Intn(2) == 0})
 			}
 		default:
 			if q := w.unacked[p]; len(q) > 0 {
-				all = append(all, Answered{p, q[0], 0.3})
+				all = append(all, PushAcknowledged{p, q[0], 0.3})
 			}
 		}
 		trace = append(trace, w.step(0.25*r.Float64(), all...)...)
@@ -869,26 +869,26 @@
 // Odd sites: an empty list, one server, a list that doubles at once, one zone, one proxy; and ten times the size.
 func TestOddSites(t *testing.T) {
 	w := newWorld(t, map[string]any{"zones.n": 1.0})
-	w.step(0, Listed{Kind: ListFull})
+	w.step(0, EndpointUpdate{Kind: UpdateFull})
 	w.join(1)
 	for _, n := range []int{1, 8, 16, 1, 0, 4} {
 		l := full(n, 0)
-		for k := range l.Entries {
-			l.Entries[k].Zone = "a"
+		for k := range l.Endpoints {
+			l.Endpoints[k].Zone = "a"
 		}
 		w.step(1, l)
 		if w.settle(); n > 0 && !w.usable(0) {
 			t.Fatalf("no line with %d servers", n)
 		}
 	}
-	c := New(Bootstrap{Seed: 7, Now: 100, Values: values(map[string]any{"channel_room": 1e9})})
+	c := New(Config{Seed: 7, Now: 100, Settings: DecodeSettings(values(map[string]any{"channel_room": 1e9}))})
 	c.Step(100, []Event{full(3500, 0)})
 	if out := c.Step(101, crowd(2700)); count[BindTable](out) != 2700 {
 		t.Fatalf("%d of 2700 proxies were bound", count[BindTable](out))
 	}
-	c.Step(102, []Event{Listed{Kind: ListDelta, Entries: []Entry{{EP: 1000, State: Draining, Zone: "a", Weight: 2}}}})
+	c.Step(102, []Event{EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{{Backend: 1000, State: BackendDraining, Zone: "a", Weight: 2}}}})
 	for i, n := range c.cover {
-		if c.state[i] == Open && n < coverage {
+		if c.state[i] == BackendOpen && n < coverage {
 			t.Fatalf("server %d lies in %d arcs", i, n)
 		}
 	}
@@ -898,8 +898,8 @@
 func TestAFullZoneSpills(t *testing.T) {
 	w := newWorld(t, map[string]any{"proxies": 48.0})
 	w.step(0, full(12, 0))
-	for p := range Proxy(12) {
-		w.step(0.02, Joined{p, "a", 10, true})
+	for p := range ProxyID(12) {
+		w.step(0.02, ProxyJoined{p, "a", 10, true})
 	}
 	w.settle()
 	for i := range w.c.id {
@@ -922,36 +922,36 @@
 			step = func(after Seconds, events ...Event) {
 				for p, q := range w.unacked {
 					if len(q) > 0 {
-						events = append(events, Answered{Proxy: p, Mark: q[len(q)-1], Delay: 0.1})
+						events = append(events, PushAcknowledged{Proxy: p, Nonce: q[len(q)-1], Delay: 0.1})
 					}
 				}
 				w.step(after, events...)
 			}
 		}
-		next, first := EP(1), Proxy(0)
-		var fleet []EP
+		next, first := BackendID(1), ProxyID(0)
+		var fleet []BackendID
 		for range servers {
-			step(0, Listed{Entries: []Entry{{EP: next, State: Open, Zone: "a", Weight: 1}}})
+			step(0, EndpointUpdate{Endpoints: []Endpoint{{Backend: next, State: BackendOpen, Zone: "a", Weight: 1}}})
 			fleet, next = append(fleet, next), next+1
 		}
 		for ; first < proxies; first++ {
-			step(0, Joined{Proxy: first, Zone: "a", Rate: 5})
+			step(0, ProxyJoined{Proxy: first, Zone: "a", Rate: 5})
 		}
 		quiet := func() float64 { return testing.AllocsPerRun(20, func() { w.now += tick; w.c.Step(w.now, nil) }) }
-		step(KeepPlace)
+		step(BackendRetention)
 		before, most, mostProxies := quiet(), 0, 0
 		for deploy := range deploys {
 			old := fleet[deploy%servers]
-			step(30, Listed{Entries: []Entry{{EP: old, State: Gone}, {EP: next, State: Open, Zone: "a", Weight: 1, Start: w.now}}})
+			step(30, EndpointUpdate{Endpoints: []Endpoint{{Backend: old, State: BackendGone}, {Backend: next, State: BackendOpen, Zone: "a", Weight: 1, StartedAt: w.now}}})
 			fleet[deploy%servers], next = next, next+1
 			for range 5 {
-				step(0.5, Left{first - proxies}, Joined{Proxy: first, Zone: "a", Rate: 5})
+				step(0.5, ProxyLeft{first - proxies}, ProxyJoined{Proxy: first, Zone: "a", Rate: 5})
 				first++
 			}
 			most, mostProxies = max(most, len(w.c.id)), max(mostProxies, len(w.c.proxies))
 		}
 		for range 10 {
-			step(KeepPlace / 3)
+			step(BackendRetention / 3)
 		}
 		if most > 4*servers || mostProxies > proxies+5*40 || len(w.c.index) > servers || len(w.c.proxies) > proxies {
 			t.Fatalf("%d deploys: places of %d servers and %d proxies are kept", deploys, most, mostProxies)
@@ -965,15 +965,15 @@
 // busy is a fleet of eight warm servers that has seen its usual rate of answers.
 func busy(t *testing.T) (w *world, now []Event) {
 	w = newWorld(t, map[string]any{"probes": false, "listing": "pushed", "proxies": 4.0})
-	l := Listed{Kind: ListFull}
-	for id := range EP(8) {
-		l.Entries = append(l.Entries, Entry{EP: id + 1, State: Open, Zone: "a", Weight: 1})
-		now = append(now, TrySum{EP: id + 1, Zone: "a", Tries: 10, Delay: 0.05, Over: 1})
+	l := EndpointUpdate{Kind: UpdateFull}
+	for id := range BackendID(8) {
+		l.Endpoints = append(l.Endpoints, Endpoint{Backend: id + 1, State: BackendOpen, Zone: "a", Weight: 1})
+		now = append(now, AttemptReport{Backend: id + 1, Zone: "a", Attempts: 10, MeanLatency: 0.05, Span: 1})
 	}
 	w.step(0, l)
-	for p := range Proxy(4) {
-		w.step(0, Joined{Proxy: p, Zone: "a", Rate: 20})
-		now = append(now, UsageSum{Proxy: p, Method: 0, RPCs: 20, Over: 1})
+	for p := range ProxyID(4) {
+		w.step(0, ProxyJoined{Proxy: p, Zone: "a", Rate: 20})
+		now = append(now, UsageReport{Proxy: p, Method: 0, RPCs: 20, Span: 1})
 	}
 	for range 15 {
 		w.step(1, now...)
@@ -986,7 +986,7 @@
 func TestEmptiedListSpoilsNoRate(t *testing.T) {
 	w, sums := busy(t)
 	before := w.c.gate.best
-	w.step(0.1, Listed{Kind: ListFull})
+	w.step(0.1, EndpointUpdate{Kind: UpdateFull})
 	for range 5 {
 		w.step(0.5, sums...)
 	}
@@ -1000,7 +1000,7 @@
 func TestSoleServerBackFromDeafnessStays(t *testing.T) {
 	w, _ := busy(t)
 	w.c.back[0], w.c.gate.next = w.now, w.now+10 // late sums of the others do not raise the best rate meanwhile
-	w.step(1.1, Listed{Kind: ListFull, Entries: []Entry{{EP: 1, State: Open, Zone: "a", Weight: 1}}})
+	w.step(1.1, EndpointUpdate{Kind: UpdateFull, Endpoints: []Endpoint{{Backend: 1, State: BackendOpen, Zone: "a", Weight: 1}}})
 	if w.c.ease[0] >= 1 || w.shut[1] {
 		t.Fatalf("ease %v, withdrawn %v", w.c.ease[0], w.shut[1])
 	}
@@ -1016,19 +1016,19 @@
 		shut    bool
 	}{"alone": {1, false, 20, true}, "with a warm one": {1, true, 20, false}, "little usage": {1, false, 0.2, false}, "all cold": {8, false, 20, false}} {
 		w, _ := busy(t)
-		l := Listed{Kind: ListFull}
-		for id := range EP(c.servers) {
-			l.Entries = append(l.Entries, Entry{EP: id + 1, State: Open, Zone: "a", Weight: 1, Start: w.now})
+		l := EndpointUpdate{Kind: UpdateFull}
+		for id := range BackendID(c.servers) {
+			l.Endpoints = append(l.Endpoints, Endpoint{Backend: id + 1, State: BackendOpen, Zone: "a", Weight: 1, StartedAt: w.now})
 		}
 		if c.warm {
-			l.Entries = append(l.Entries, Entry{EP: 8, State: Open, Zone: "a", Weight: 1})
+			l.Endpoints = append(l.Endpoints, Endpoint{Backend: 8, State: BackendOpen, Zone: "a", Weight: 1})
 		}
 		for _, p := range w.c.proxies {
 			p.usage[0] = c.rate
 		}
 		w.step(1.1, l)
 		shut := false
-		for id := range EP(c.servers) {
+		for id := range BackendID(c.servers) {
 			shut = shut || w.shut[id+1]
 		}
 		if shut != c.shut {
@@ -1049,12 +1049,12 @@
 	w := newWorld(t, map[string]any{"probes": false, "listing": "pushed", "proxies": 120.0, "channel_room": 1e6, "price.crossing": 0.12})
 	w.step(0, full(80, 0))
 	var sums []Event
-	for p := range Proxy(120) {
-		w.step(0, Joined{Proxy: p, Zone: home(int(p)), Rate: 1})
-		sums = append(sums, UsageSum{Proxy: p, Method: 0, RPCs: 1, Over: 1})
+	for p := range ProxyID(120) {
+		w.step(0, ProxyJoined{Proxy: p, Zone: home(int(p)), Rate: 1})
+		sums = append(sums, UsageReport{Proxy: p, Method: 0, RPCs: 1, Span: 1})
 	}
-	for i, e := range full(80, 0).Entries {
-		sums = append(sums, TrySum{EP: e.EP, Zone: home(i), Tries: 8, Delay: 0.05, Over: 1})
+	for i, e := range full(80, 0).Endpoints {
+		sums = append(sums, AttemptReport{Backend: e.Backend, Zone: home(i), Attempts: 8, MeanLatency: 0.05, Span: 1})
 	}
 	for range 20 {
 		w.step(1, sums...)
@@ -1063,9 +1063,9 @@
 		t.Fatalf("with quick answers a server may take %v of its part", w.c.gate.fair)
 	}
 	back := full(80, 0)
-	for i := range back.Entries {
+	for i := range back.Endpoints {
 		if home(i) == "b" {
-			back.Entries[i].Start = w.now
+			back.Endpoints[i].StartedAt = w.now
 		}
 	}
 	w.step(0.1, back)
@@ -1093,8 +1093,8 @@
 	}{"few to a line": {200, 70, 5, false}, "too much": {200, 260, 5, true}, "they strike": {200, 70, 0.1, true}, "many to a line": {2, 70, 5, true}} {
 		w := newWorld(t, map[string]any{"probes": false, "listing": "pushed", "strikes": c.strikes, "pick": "pair", "proxies": float64(c.proxies)})
 		w.step(0, full(8, 0))
-		for p := range Proxy(c.proxies) {
-			w.step(0, Joined{Proxy: p, Zone: home(int(p)), Rate: 1})
+		for p := range ProxyID(c.proxies) {
+			w.step(0, ProxyJoined{Proxy: p, Zone: home(int(p)), Rate: 1})
 		}
 		g := w.c.gate
 		g.jammed, g.since, g.first, g.best, g.slow = true, w.now, w.now-100, 10, 0.5
@@ -1115,16 +1115,16 @@
 		w.feed(12, 0.1, nil, nil)
 		for p, ok := range w.joined {
 			if ok {
-				w.step(0.001, UsageSum{Proxy: p, RPCs: 10, Over: 1})
+				w.step(0.001, UsageReport{Proxy: p, RPCs: 10, Span: 1})
 			}
 		}
 	}
 	for range 12 {
 		sums()
 	}
-	for p := range Proxy(12) {
+	for p := range ProxyID(12) {
 		if home(int(p)) == "b" {
-			w.step(0.02, Left{p}, Joined{12 + p, "a", 10, true})
+			w.step(0.02, ProxyLeft{p}, ProxyJoined{12 + p, "a", 10, true})
 		}
 	}
 	for range 3 {
@@ -1150,11 +1150,11 @@
 func TestAbortingServerIsBenchedAtOurStart(t *testing.T) {
 	w := started(t, nil, 8, 6)
 	for range 2 { // sums come every other second, and those of tries tell of less than came
-		for p := range Proxy(6) {
-			w.step(0.01, UsageSum{Proxy: p, RPCs: 60, Over: 2})
+		for p := range ProxyID(6) {
+			w.step(0.01, UsageReport{Proxy: p, RPCs: 60, Span: 2})
 		}
 		w.step(1.3)
-		w.feed(8, 0.1, map[EP]float64{1000: 1}, nil)
+		w.feed(8, 0.1, map[BackendID]float64{1000: 1}, nil)
 	}
 	if i := w.c.index[1000]; w.c.bench[i][0] <= w.now || w.c.bench[i][1] <= w.now {
 		t.Fatalf("it is in use: benched until %v, now %.1f", w.c.bench[i], w.now)
--- a/choice/join_test.go
+++ b/choice/join_test.go
@@ -10,16 +10,16 @@
 func (w *world) joinAll(after Seconds, first, last int, beside ...Event) {
 	events := slices.Clone(beside)
 	for p := first; p < last; p++ {
-		events = append(events, Joined{Proxy: Proxy(p), Zone: home(p), Rate: 2})
+		events = append(events, ProxyJoined{Proxy: ProxyID(p), Zone: home(p), Rate: 2})
 	}
 	w.step(after, events...)
 }
 
 // drain lists a backend as draining.
-func drain(i int) Listed {
-	e := full(i+1, 0).Entries[i]
-	e.State = Draining
-	return Listed{Kind: ListDelta, Entries: []Entry{e}}
+func drain(i int) EndpointUpdate {
+	e := full(i+1, 0).Endpoints[i]
+	e.State = BackendDraining
+	return EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{e}}
 }
 
 // Proxies that join in the step in which a backend begins to drain get tables without it, and the exclusion goes out at once.
@@ -27,11 +27,11 @@
 	w := started(t, map[string]any{"proxies": 60.0}, 8, 40)
 	w.settle()
 	w.joinAll(0.1, 40, 43, drain(3))
-	drained := EP(1000 + 77*3)
+	drained := BackendID(1000 + 77*3)
 	if !w.shut[drained] {
 		t.Error("the drain waits")
 	}
-	for p := Proxy(40); p < 43; p++ {
+	for p := ProxyID(40); p < 43; p++ {
 		if len(w.bound[p]) == 0 {
 			t.Fatalf("proxy %d has no table", p)
 		}
@@ -51,7 +51,7 @@
 	w.step(0, full(40, 0))
 	w.joinAll(0.01, 0, proxies)
 	waiting := 0
-	for p := range Proxy(proxies) {
+	for p := range ProxyID(proxies) {
 		if len(w.bound[p]) == 0 {
 			waiting++
 		}
@@ -60,11 +60,11 @@
 		t.Fatalf("%d proxies wait for their table", waiting)
 	}
 	w.step(0.01, drain(3))
-	if !w.shut[EP(1000+77*3)] {
+	if !w.shut[BackendID(1000+77*3)] {
 		t.Error("the exclusion waits")
 	}
 	w.settle()
-	for p := range Proxy(proxies) {
+	for p := range ProxyID(proxies) {
 		if len(w.bound[p]) == 0 {
 			t.Fatalf("proxy %d has no table", p)
 		}
@@ -78,9 +78,9 @@
 	w.settle()
 	w.step(0.3)
 	rounds, before := w.c.ring.round, sum(w.c.carry)
-	again := Joined{Proxy: 50, Zone: "a", Rate: 2}
+	again := ProxyJoined{Proxy: 50, Zone: "a", Rate: 2}
 	w.step(0.01, again)
-	w.step(0.01, Left{50})
+	w.step(0.01, ProxyLeft{50})
 	w.step(0.01, again)
 	if w.c.ring.round != rounds {
 		t.Fatal("all arcs were assigned anew within the round")
@@ -110,7 +110,7 @@
 			w.settle()
 			w.step(0.3)
 			spoil(w)
-			w.step(0.01, Joined{Proxy: 50, Zone: "a", Rate: 2})
+			w.step(0.01, ProxyJoined{Proxy: 50, Zone: "a", Rate: 2})
 			if len(w.bound[50]) == 0 || !w.usable(w.bound[50][0]) {
 				t.Error("it has no table")
 			}
@@ -131,7 +131,7 @@
 	}
 	w.c.channel.ledger = nil
 	w.settle()
-	for p := range Proxy(10) {
+	for p := range ProxyID(10) {
 		if len(w.bound[p]) == 0 {
 			t.Errorf("proxy %d has no table", p)
 		}
@@ -152,7 +152,7 @@
 	}
 	w.step(0.7)
 	told := 0
-	for p := range Proxy(10) {
+	for p := range ProxyID(10) {
 		if w.informed[p] && len(w.bound[p]) == 0 {
 			told++
 		}
--- /dev/null
+++ b/choice/settings.go
@@ -0,0 +1,172 @@
+package choice
+
+import "fmt"
+
+// defaultMethods is the number of methods where the settings leave it out.
+const defaultMethods = 1
+
+// Number is a numeric setting that a settings file may leave out. Times are in seconds.
+type Number struct {
+	value float64
+	set   bool
+}
+
+// NumberOf returns a number that is set.
+func NumberOf(value float64) Number { return Number{value, true} }
+
+// Or returns the number, or def where the settings leave it out.
+func (n Number) Or(def float64) float64 {
+	if n.set {
+		return n.value
+	}
+	return def
+}
+
+// MethodSettings are the settings of one method.
+type MethodSettings struct {
+	Name         string
+	Effect       string // "idempotent", "tokened" (idempotent with a key) or "non-idempotent"
+	Group        string // which processes know a token: "all" of them, or fewer
+	MostTries    string // the limit on retries: "once", "proven" or none
+	OwnZone      bool   // requests must stay in the proxy's zone
+	Criticality  Number // requests of the lowest one are shed first
+	SoftDeadline Number
+	Deadline     Number
+	Window       Number // how long a token is remembered
+}
+
+// Settings are the site's settings, decoded from the flat form in which the adapters hand them over. What the flat form has
+// beyond these fields is passed over.
+type Settings struct {
+	AskWithin         Number // longest time between two polls of the endpoint list
+	BareLimit         Number // longest time that a proxy may be without a backend
+	ChannelPace       Number // lines a second
+	ChannelRoom       Number // lines that may wait in the channel
+	ColdShare         Number // capacity of a cold backend, as a share of a warm one's
+	Coordinators      Number
+	CrossingPrice     Number // of a request that leaves its zone
+	DrainGrace        Number // after which nothing may reach a draining or gone backend
+	FallMultiple      Number // of its capacity, what pushes a cold backend over
+	FallWindow        Number
+	FeedbackColumns   []string // names of the columns of a load report
+	FeedbackSource    string
+	Intake            Number // lines of reports a second that the module takes
+	LevelKind         string // unit of admission levels: "share", "rate" or "none"
+	Listing           string // "asked" where the endpoint list has to be polled
+	MessageLines      Number // lines that a message costs beside its own
+	Messages          Number // limit on messages to a proxy; 0: none
+	MessagesSpan      Number // within which they are counted
+	Methods           []MethodSettings
+	OnlyDrainingBinds bool // a backend dropped from the list without draining is not bound by the grace
+	Pick              string
+	Probes            bool
+	Proxies           Number
+	PushTime          Number // usual time from a push to its acknowledgement
+	PushTimeWorst     Number
+	ReportPeriod      Number
+	Self              Number // number of this coordinator
+	Slices            Number
+	Strikes           Number // failures in a row after which a proxy avoids a backend for a while
+	Tick              Number // shortest time between two steps
+	TryWait           Number // time after which an attempt counts as failed
+	WarmAfter         Number
+	Zone              string
+	Zones             []string
+}
+
+// flatSettings reads single values of the flat form. A value of another type than expected counts as absent.
+type flatSettings map[string]any
+
+func (f flatSettings) number(name string) Number {
+	value, ok := f[name].(float64)
+	return Number{value, ok}
+}
+
+func (f flatSettings) word(name string) string {
+	value, _ := f[name].(string)
+	return value
+}
+
+func (f flatSettings) flag(name string) bool {
+	value, _ := f[name].(bool)
+	return value
+}
+
+// words reads a list that is stored as its length under name.n and its items under name.0, name.1 and so on.
+func (f flatSettings) words(name string) (all []string) {
+	for i := range int(f.number(name + ".n").Or(0)) {
+		all = append(all, f.word(fmt.Sprintf("%s.%d", name, i)))
+	}
+	return all
+}
+
+// zones reads the zones up to the first that is missing: the simulator's settings have their number under another name. Where
+// there is but one place, its name may be empty.
+func (f flatSettings) zones() (all []string) {
+	for i := 0; ; i++ {
+		zone, ok := f[fmt.Sprintf("zones.%d", i)].(string)
+		if !ok {
+			return all
+		}
+		all = append(all, zone)
+	}
+}
+
+func (f flatSettings) method(i int) MethodSettings {
+	prefix := fmt.Sprintf("method.%d.", i)
+	return MethodSettings{
+		Name:         f.word(prefix + "name"),
+		Effect:       f.word(prefix + "effect"),
+		Group:        f.word(prefix + "group"),
+		MostTries:    f.word(prefix + "most_tries"),
+		OwnZone:      f.flag(prefix + "own_zone"),
+		Criticality:  f.number(prefix + "criticality"),
+		SoftDeadline: f.number(prefix + "soft_deadline"),
+		Deadline:     f.number(prefix + "deadline"),
+		Window:       f.number(prefix + "window"),
+	}
+}
+
+// DecodeSettings decodes the flat form: names to numbers (float64, times in seconds), flags and words.
+func DecodeSettings(values map[string]any) Settings {
+	f := flatSettings(values)
+	s := Settings{
+		AskWithin:         f.number("ask_within"),
+		BareLimit:         f.number("bare_limit"),
+		ChannelPace:       f.number("channel_pace"),
+		ChannelRoom:       f.number("channel_room"),
+		ColdShare:         f.number("cold_share"),
+		Coordinators:      f.number("coordinators"),
+		CrossingPrice:     f.number("price.crossing"),
+		DrainGrace:        f.number("drain_grace"),
+		FallMultiple:      f.number("fall_multiple"),
+		FallWindow:        f.number("fall_window"),
+		FeedbackColumns:   f.words("Feedback.Columns"),
+		FeedbackSource:    f.word("Feedback.Source"),
+		Intake:            f.number("intake"),
+		LevelKind:         f.word("level_kind"),
+		Listing:           f.word("listing"),
+		MessageLines:      f.number("message_lines"),
+		Messages:          f.number("messages"),
+		MessagesSpan:      f.number("messages_span"),
+		OnlyDrainingBinds: f.flag("only_draining_binds"),
+		Pick:              f.word("pick"),
+		Probes:            f.flag("probes"),
+		Proxies:           f.number("proxies"),
+		PushTime:          f.number("push_time"),
+		PushTimeWorst:     f.number("push_time_worst"),
+		ReportPeriod:      f.number("report_period"),
+		Self:              f.number("self"),
+		Slices:            f.number("slices"),
+		Strikes:           f.number("strikes"),
+		Tick:              f.number("tick"),
+		TryWait:           f.number("try_wait"),
+		WarmAfter:         f.number("warm_after"),
+		Zone:              f.word("zone"),
+		Zones:             f.zones(),
+	}
+	for i := range int(f.number("method.n").Or(defaultMethods)) {
+		s.Methods = append(s.Methods, f.method(i))
+	}
+	return s
+}
--- a/choice/state.go
+++ b/choice/state.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"encoding/binary"
-	"fmt"
 	"hash/crc32"
 	"iter"
 	"math"
@@ -14,12 +13,12 @@
 
 // Planner is one instance.
 type Planner struct {
-	boot  Bootstrap
+	boot  Config
 	now   Seconds
 	count uint32
 	figures
 	eps     []*backend
-	index   map[EP]int
+	index   map[BackendID]int
 	spared  []int     // places in the figures that were given back
 	gone    []Seconds // since when each server is gone; 0: it is not
 	zones   map[Zone]int
@@ -29,7 +28,7 @@
 	gate    *gate
 	channel *channel
 	waiting []part
-	out     []Order
+	out     []Command
 	alarm   Seconds
 	heard   Seconds  // the newest sum
 	alone   bool     // most servers seem deaf
@@ -47,24 +46,24 @@
 // route puts an event into the inbox of the part that it concerns.
 func (c *Planner) route(e Event) {
 	switch e := e.(type) {
-	case Listed:
+	case EndpointUpdate:
 		c.post(c.roll, e)
-	case Joined:
+	case ProxyJoined:
 		c.post(c.proxy(e.Proxy), e)
-	case Left:
+	case ProxyLeft:
 		c.post(c.proxy(e.Proxy), e)
-	case Answered:
-		c.post(c.channel, heard{e.Mark, e.Delay})
+	case PushAcknowledged:
+		c.post(c.channel, heard{e.Nonce, e.Delay})
 		c.post(c.proxy(e.Proxy), e)
-	case UsageSum:
+	case UsageReport:
 		c.post(c.gate, e)
 		c.post(c.proxy(e.Proxy), e)
-	case TrySum:
-		if i, ok := c.index[e.EP]; ok {
+	case AttemptReport:
+		if i, ok := c.index[e.Backend]; ok {
 			c.post(c.eps[i], e)
 		}
-	case Probed:
-		if i, ok := c.index[e.EP]; ok {
+	case ProbeResult:
+		if i, ok := c.index[e.Backend]; ok {
 			c.post(c.eps[i], e)
 		}
 	}
@@ -117,16 +116,16 @@
 }
 
 // spread posts a list to the actors of its servers, and to those that a whole list no longer names.
-func (c *Planner) spread(n Listed) {
+func (c *Planner) spread(n EndpointUpdate) {
 	listed := map[int]bool{}
-	for _, e := range n.Entries {
-		i := c.backend(e.EP)
+	for _, e := range n.Endpoints {
+		i := c.backend(e.Backend)
 		listed[i] = true
 		c.post(c.eps[i], e)
 	}
 	for i, e := range c.eps {
-		if n.Kind != ListDelta && !listed[i] && c.state[i] != Gone {
-			c.post(e, Entry{EP: c.id[i], State: Gone, Start: c.start[i]})
+		if n.Kind != UpdateDelta && !listed[i] && c.state[i] != BackendGone {
+			c.post(e, Endpoint{Backend: c.id[i], State: BackendGone, StartedAt: c.start[i]})
 		}
 	}
 }
@@ -138,7 +137,7 @@
 	i int
 }
 
-func (c *Planner) backend(id EP) int {
+func (c *Planner) backend(id BackendID) int {
 	if i, ok := c.index[id]; ok {
 		return i
 	}
@@ -152,7 +151,7 @@
 	c.index[id] = i
 	c.eps = append(c.eps, &backend{c: c, i: i})
 	c.id, c.zone, c.weight = append(c.id, id), append(c.zone, 0), append(c.weight, 1)
-	c.state, c.start = append(c.state, Gone), append(c.start, 0)
+	c.state, c.start = append(c.state, BackendGone), append(c.start, 0)
 	c.hash = append(c.hash, crc32.ChecksumIEEE(binary.LittleEndian.AppendUint32(nil, uint32(id))))
 	c.carry, c.cover, c.brought = append(c.carry, 0), append(c.cover, 0), append(c.brought, 0)
 	c.ease, c.shut, c.probe = append(c.ease, 1), append(c.shut, false), append(c.probe, 0)
@@ -168,9 +167,9 @@
 }
 
 // settleIn gives a place that was given back to another server, as if it were new.
-func (c *Planner) settleIn(i int, id EP) {
+func (c *Planner) settleIn(i int, id BackendID) {
 	c.index[id] = i
-	c.id[i], c.zone[i], c.weight[i], c.state[i], c.start[i] = id, 0, 1, Gone, 0
+	c.id[i], c.zone[i], c.weight[i], c.state[i], c.start[i] = id, 0, 1, BackendGone, 0
 	c.hash[i] = crc32.ChecksumIEEE(binary.LittleEndian.AppendUint32(nil, uint32(id)))
 	c.brought[i], c.carry[i], c.cover[i], c.ease[i], c.shut[i], c.probe[i] = 0, 0, 0, 1, false, 0
 	c.good[i], c.back[i], c.dealt[i], c.deaf[i], c.owed[i] = 0, 0, c.now, 0, 0
@@ -189,7 +188,7 @@
 			p.parted = 0
 			return false
 		}
-		if p.parted = cmp.Or(p.parted, c.now); c.now < p.parted+KeepPlace {
+		if p.parted = cmp.Or(p.parted, c.now); c.now < p.parted+BackendRetention {
 			return false
 		}
 		for _, s := range p.sheets {
@@ -199,11 +198,11 @@
 	})
 	for i, state := range c.state {
 		switch _, used := c.index[c.id[i]]; {
-		case state != Gone || !used || c.index[c.id[i]] != i:
+		case state != BackendGone || !used || c.index[c.id[i]] != i:
 			c.gone[i] = 0
 		case c.gone[i] == 0:
 			c.gone[i] = c.now
-		case c.now >= c.gone[i]+KeepPlace && !slices.ContainsFunc(c.proxies, func(p *proxy) bool { return p.names(i) }):
+		case c.now >= c.gone[i]+BackendRetention && !slices.ContainsFunc(c.proxies, func(p *proxy) bool { return p.names(i) }):
 			if c.shut[i] {
 				c.withdraw(i, false)
 			}
@@ -280,7 +279,7 @@
 type proxy struct {
 	box
 	c         *Planner
-	id        Proxy
+	id        ProxyID
 	zone      int
 	joined    bool
 	parted    Seconds // since when it is not
@@ -299,27 +298,27 @@
 	sheets    []*sheet
 	version   int // of the newest push
 	confirmed int
-	flying    bool // a push is in flight,
-	mark      Mark // with this mark,
+	flying    bool  // a push is in flight,
+	mark      Nonce // with this mark,
 	left      Seconds
 	sent      []Seconds // of the messages within the span that is limited
 	due       int       // lines for it in this step
 	clocked   bool      // this step's message is a push
 	share     []float64
-	tries     []Tries
+	tries     []RetryPolicy
 }
 
-func (c *Planner) proxy(id Proxy) *proxy {
-	at, ok := slices.BinarySearchFunc(c.proxies, id, func(p *proxy, id Proxy) int { return int(p.id - id) })
+func (c *Planner) proxy(id ProxyID) *proxy {
+	at, ok := slices.BinarySearchFunc(c.proxies, id, func(p *proxy, id ProxyID) int { return int(p.id - id) })
 	if ok {
 		return c.proxies[at]
 	}
-	methods := int(c.boot.Num("method.n", 1))
+	methods := len(c.boot.Settings.Methods)
 	p := &proxy{c: c, id: id, share: c.gate.share, tries: c.gate.now()}
 	p.usage, p.summed = make([]float64, methods), make([]Seconds, methods)
 	open, near := uint64(0), uint64(0)
-	for m := range methods {
-		if c.boot.Flag(fmt.Sprintf("method.%d.own_zone", m)) {
+	for m, method := range c.boot.Settings.Methods {
+		if method.OwnZone {
 			near |= 1 << m
 		} else {
 			open |= 1 << m
@@ -327,8 +326,8 @@
 	}
 	for k, mask := range []uint64{open, near} {
 		if mask != 0 {
-			s := &sheet{table: Table(2*int(id) + k), methods: mask, near: k == 1}
-			s.level, s.tries = slices.Repeat([]float64{-1}, methods), make([]Tries, methods)
+			s := &sheet{table: TableID(2*int(id) + k), methods: mask, near: k == 1}
+			s.level, s.tries = slices.Repeat([]float64{-1}, methods), make([]RetryPolicy, methods)
 			p.sheets = append(p.sheets, s)
 		}
 	}
@@ -358,7 +357,7 @@
 // withdraw shuts a server out of all tables, or lets it in again, and counts the lines that this costs.
 func (c *Planner) withdraw(i int, on bool) {
 	c.shut[i] = on
-	c.out = append(c.out, Withdraw{c.id[i], on})
+	c.out = append(c.out, SetExclusion{c.id[i], on})
 	for _, p := range c.proxies {
 		if p.joined && (!p.bound || p.heaviest(i) > 0 || p.lacks()) {
 			p.due++
@@ -391,17 +390,17 @@
 		return
 	}
 	for _, l := range delta(s.told, s.want) {
-		c.out = append(c.out, SetLine{s.table, c.id[l.ep], l.w})
+		c.out = append(c.out, SetTableEntry{s.table, c.id[l.ep], l.w})
 		p.due++
 	}
 	s.told = slices.Clone(s.want)
 	for m := range p.share {
 		if level := p.level(m); s.has(m) && (s.level[m] != level || s.tries[m] != p.tries[m]) {
 			s.level[m], s.tries[m] = level, p.tries[m]
-			if c.boot.Word("level_kind") == "rate" && level == 1 {
+			if c.boot.Settings.LevelKind == "rate" && level == 1 {
 				level = 1e6
 			}
-			c.out = append(c.out, SetLevel{s.table, 1 << m, level, p.tries[m]})
+			c.out = append(c.out, SetAdmission{s.table, 1 << m, level, p.tries[m]})
 			p.due++
 		}
 	}
@@ -411,7 +410,7 @@
 type channel struct {
 	box
 	c      *Planner
-	mark   Mark
+	mark   Nonce
 	usual  Seconds
 	queued int // lines of this step, so far
 	ledger []load
@@ -429,14 +428,14 @@
 	if p.due == 0 {
 		return 0
 	}
-	return p.due + int(h.c.boot.Num("message_lines", 10)) + 1
+	return p.due + int(h.c.boot.Settings.MessageLines.Or(10)) + 1
 }
 
 // seal closes the step: one mark for all its messages.
 func (c *Planner) seal() {
 	h := c.channel
 	h.queued = 0
-	lines, ahead, next := 0, h.lines(), (h.mark+1)%MarkSpan
+	lines, ahead, next := 0, h.lines(), (h.mark+1)%NonceSpace
 	for _, p := range c.proxies {
 		if p.due == 0 {
 			continue
@@ -445,14 +444,14 @@
 		p.sent = append(p.sent, c.now)
 		if p.clocked {
 			p.flying, p.mark, p.version = true, next, p.version+1
-			p.left = c.now + leaving*float64(ahead+lines)/c.boot.Num("channel_pace", 1e4)
+			p.left = c.now + leaving*float64(ahead+lines)/c.boot.Settings.ChannelPace.Or(1e4)
 		}
 		p.due, p.clocked = 0, false
 	}
 	if lines > 0 {
 		h.mark = next
 		h.ledger = append(h.ledger, load{next, c.now, lines})
-		c.out = append(c.out, SetMark{next, false})
+		c.out = append(c.out, SetNonce{next, false})
 	}
 }
 
@@ -461,17 +460,17 @@
 	box
 	c           *Planner
 	share       []float64
-	free        []Tries   // while there is room
-	criticality []float64 // by method
-	came        []float64 // RPCs a second of late, by method
-	soft        Seconds   // the shortest soft deadline
-	limit       float64   // RPCs a second that are let in
-	rate        float64   // answers a second for each weight
-	best        float64   // answers a second for each weight, the best so far
-	slow        float64   // mean time of answers, in soft deadlines
-	struck      float64   // share of tries at servers that fail as many in a row as proxies bear
-	norm        float64   // share of bad tries at the best quarter of the servers, from the zone that fares best
-	fair        float64   // of its part, what arcs may bring a server
+	free        []RetryPolicy // while there is room
+	criticality []float64     // by method
+	came        []float64     // RPCs a second of late, by method
+	soft        Seconds       // the shortest soft deadline
+	limit       float64       // RPCs a second that are let in
+	rate        float64       // answers a second for each weight
+	best        float64       // answers a second for each weight, the best so far
+	slow        float64       // mean time of answers, in soft deadlines
+	struck      float64       // share of tries at servers that fail as many in a row as proxies bear
+	norm        float64       // share of bad tries at the best quarter of the servers, from the zone that fares best
+	fair        float64       // of its part, what arcs may bring a server
 	jammed      bool
 	calm        bool    // no jam, and none near
 	first       Seconds // sums
@@ -484,7 +483,7 @@
 // hashed gives the open servers, in the order of the ring.
 func (c *Planner) hashed() (order []int) {
 	for i := range c.id {
-		if c.state[i] == Open {
+		if c.state[i] == BackendOpen {
 			order = append(order, i)
 		}
 	}
@@ -522,17 +521,17 @@
 }
 
 // met adds a sum to the faded sums of its pair; the old mean time counts for a part of its tries.
-func (c *Planner) met(i int, n TrySum, span Seconds, old float64) {
+func (c *Planner) met(i int, n AttemptReport, span Seconds, old float64) {
 	z := c.place(n.Zone)
 	keep := math.Exp(-(c.now - c.last[i][z]) / span)
 	c.last[i][z], c.heard = c.now, c.now
-	good := float64(n.Tries - n.Bad)
+	good := float64(n.Attempts - n.Failures)
 	if have := (c.tries[i][z] - c.bad[i][z]) * keep * old; good > 0 {
-		c.delay[i][z] = (c.delay[i][z]*have + n.Delay*good) / (have + good)
+		c.delay[i][z] = (c.delay[i][z]*have + n.MeanLatency*good) / (have + good)
 		c.good[i] = c.now
 	}
-	c.tries[i][z] = c.tries[i][z]*keep + float64(n.Tries)
-	c.bad[i][z] = c.bad[i][z]*keep + float64(n.Bad)
+	c.tries[i][z] = c.tries[i][z]*keep + float64(n.Attempts)
+	c.bad[i][z] = c.bad[i][z]*keep + float64(n.Failures)
 }
 
 // shares gives the shares of bad tries from a zone, in order, of the servers with so many tries since a time.
@@ -563,7 +562,7 @@
 // open adds up a figure of the open servers.
 func (c *Planner) open(figure func(i int) float64) (total float64) {
 	for i := range c.id {
-		if c.state[i] == Open {
+		if c.state[i] == BackendOpen {
 			total += figure(i)
 		}
 	}
@@ -602,27 +601,26 @@
 }
 
 // New makes an instance.
-func New(b Bootstrap) *Planner {
-	c := &Planner{boot: b, now: b.Now, index: map[EP]int{}, zones: map[Zone]int{}}
+func New(b Config) *Planner {
+	c := &Planner{boot: b, now: b.Now, index: map[BackendID]int{}, zones: map[Zone]int{}}
 	c.roll, c.ring = &roll{c: c}, &ring{c: c}
-	c.gate, c.channel = newGate(c), &channel{c: c, usual: b.Num("push_time", 0.2)}
+	c.gate, c.channel = newGate(c), &channel{c: c, usual: b.Settings.PushTime.Or(0.2)}
 	return c
 }
 
 func newGate(c *Planner) *gate {
 	g := &gate{c: c, fair: fairLeast, limit: math.Inf(1), soft: math.Inf(1)}
-	for m := range int(c.boot.Num("method.n", 1)) {
-		at := fmt.Sprintf("method.%d.", m)
-		g.share, g.free = append(g.share, 1), append(g.free, c.free(at))
-		g.criticality, g.came = append(g.criticality, c.boot.Num(at+"criticality", 1)), append(g.came, 0)
-		g.soft = min(g.soft, c.boot.Num(at+"soft_deadline", 1))
+	for _, method := range c.boot.Settings.Methods {
+		g.share, g.free = append(g.share, 1), append(g.free, c.free(method))
+		g.criticality, g.came = append(g.criticality, method.Criticality.Or(1)), append(g.came, 0)
+		g.soft = min(g.soft, method.SoftDeadline.Or(1))
 	}
 	return g
 }
 
 // ours is our part of all proxies.
 func (c *Planner) ours() float64 {
-	return float64(c.ring.joined) / max(c.boot.Num("proxies", 1), float64(c.ring.joined), 1)
+	return float64(c.ring.joined) / max(c.boot.Settings.Proxies.Or(1), float64(c.ring.joined), 1)
 }
 
 func (c *Planner) full(i int) float64 { return c.weight[i] }
--- a/choice/types.go
+++ b/choice/types.go
@@ -3,86 +3,66 @@
 // Ids, events, orders and plain state types: the interface of the module. No decision is taken here.
 
 type (
-	EP      uint32 // a backend
-	Proxy   int    // a proxy
-	Table   int    // a table of lines
-	Method  int    // a method, by its place in the bootstrap values
-	Slice   int    // a range of keys
-	Peer    int    // another coordinator
-	Mark    int    // what a proxy answers to
-	Token   int64  // what an alarm brings back
-	Zone    string // a data centre
-	Seconds = float64
+	BackendID uint32 // a backend
+	ProxyID   int    // a proxy
+	TableID   int    // a table of lines
+	MethodID  int    // a method, by its place in the bootstrap values
+	SliceID   int    // a range of keys
+	PeerID    int    // another coordinator
+	Nonce     int    // what a proxy answers to
+	TimerID   int64  // what an alarm brings back
+	Zone      string // a data centre
+	Seconds   = float64
 )
 
 // MarkSpan is the size of the space of marks; marks wrap round in it.
-const MarkSpan = 65536
+const NonceSpace = 65536
 
-// Bootstrap is what an instance reads once, at its start.
-type Bootstrap struct {
-	Seed   uint64
-	Now    Seconds
-	Values map[string]any // flat: names to numbers (seconds), flags and words
-}
-
-// Num reads a number, or def where there is none.
-func (b Bootstrap) Num(name string, def float64) float64 {
-	if v, ok := b.Values[name].(float64); ok {
-		return v
-	}
-	return def
-}
-
-// Word reads a word, or "" where there is none.
-func (b Bootstrap) Word(name string) string {
-	v, _ := b.Values[name].(string)
-	return v
-}
-
-// Flag reads a flag, false where there is none.
-func (b Bootstrap) Flag(name string) bool {
-	v, _ := b.Values[name].(bool)
-	return v
+// Config is what an instance reads once, at its start.
+type Config struct {
+	Seed     uint64
+	Now      Seconds
+	Settings Settings
 }
 
 // State is what the list says of a backend.
-type State int
+type BackendState int
 
 const (
-	Gone State = iota
-	Open
-	Draining
+	BackendGone BackendState = iota
+	BackendOpen
+	BackendDraining
 )
 
 // ListKind tells what sort of news a list is.
-type ListKind int
+type UpdateKind int
 
 const (
-	ListDelta ListKind = iota
-	ListFull
-	ListKept // as last held before the start
-	ListFailed
+	UpdateDelta UpdateKind = iota
+	UpdateFull
+	UpdateCached // as last held before the start
+	UpdateFailed
 )
 
 // Tries tells when a proxy tries again, and how often.
-type Tries int
+type RetryPolicy int
 
 const (
-	TryOnce       Tries = iota // never again
-	TryProven                  // once more, after proof that the first never ran
-	TryAgain                   // once more, after any failure
-	TryAgainTwice              // twice more, after any failure
+	RetryNever         RetryPolicy = iota // never again
+	RetryIfUnprocessed                    // once more, after proof that the first never ran
+	RetryOnce                             // once more, after any failure
+	RetryTwice                            // twice more, after any failure
 )
 
 // Entry is a backend as listed.
-type Entry struct {
-	EP     EP
-	Kind   string
-	State  State
-	Start  Seconds // 0: long ago
-	Zone   Zone
-	Weight float64
-	Cell   int
+type Endpoint struct {
+	Backend   BackendID
+	Kind      string
+	State     BackendState
+	StartedAt Seconds // 0: long ago
+	Zone      Zone
+	Weight    float64
+	Cell      int
 }
 
 // Event is one of the types below.
@@ -90,131 +70,131 @@
 
 type (
 	// Listed is news of the list of backends.
-	Listed struct {
-		Kind    ListKind
-		Version int64
-		Entries []Entry
+	EndpointUpdate struct {
+		Kind      UpdateKind
+		Version   int64
+		Endpoints []Endpoint
 	}
 	// Joined: a stream to a proxy stands.
-	Joined struct {
-		Proxy Proxy
+	ProxyJoined struct {
+		Proxy ProxyID
 		Zone  Zone
 		Rate  float64 // RPCs a second that it usually gets
 		Fresh bool    // it holds only its standing tables
 	}
 	// Left: the stream to a proxy broke.
-	Left struct{ Proxy Proxy }
+	ProxyLeft struct{ Proxy ProxyID }
 	// Answered: a proxy applied the push with this mark and all before it.
-	Answered struct {
-		Proxy Proxy
-		Mark  Mark
+	PushAcknowledged struct {
+		Proxy ProxyID
+		Nonce Nonce
 		Delay Seconds
 	}
 	// TrySum is what the proxies of a zone met at a backend.
-	TrySum struct {
-		EP          EP
-		Zone        Zone
-		Tries, Bad  int
-		Delay, Over Seconds
-		Load        []float64
+	AttemptReport struct {
+		Backend            BackendID
+		Zone               Zone
+		Attempts, Failures int
+		MeanLatency, Span  Seconds
+		Load               []float64
 	}
 	// UsageSum is what came to a proxy of one method.
-	UsageSum struct {
-		Proxy     Proxy
-		Method    Method
-		RPCs, Bad int
-		Over      Seconds
+	UsageReport struct {
+		Proxy          ProxyID
+		Method         MethodID
+		RPCs, Failures int
+		Span           Seconds
 	}
 	// SliceSum is what came for a slice of one method.
-	SliceSum struct {
-		Slice     Slice
-		Method    Method
-		RPCs, Bad int
-		Over      Seconds
+	SliceReport struct {
+		Slice          SliceID
+		Method         MethodID
+		RPCs, Failures int
+		Span           Seconds
 	}
 	// Charged: a slice comes into, or goes out of, this instance's charge.
-	Charged struct {
-		Slice Slice
-		Mine  bool
+	SliceOwnership struct {
+		Slice SliceID
+		Owned bool
 	}
 	// Held is a line of a slice's table in the store.
-	Held struct {
-		Slice  Slice
-		EP     EP
-		Weight float64
+	StoredSliceEntry struct {
+		Slice   SliceID
+		Backend BackendID
+		Weight  float64
 	}
 	// Due: an alarm rang.
-	Due struct{ Token Token }
+	TimerFired struct{ Timer TimerID }
 	// Probed is the result of a probe.
-	Probed struct {
-		EP    EP
-		OK    bool
-		Busy  bool // it answered that it has no room for probes
-		Delay Seconds
-		Load  []float64
+	ProbeResult struct {
+		Backend BackendID
+		OK      bool
+		Busy    bool // it answered that it has no room for probes
+		Latency Seconds
+		Load    []float64
 	}
 	// PeerNote is a message of another instance.
-	PeerNote struct {
-		From Peer
+	PeerMessage struct {
+		From PeerID
 		Data []byte
 	}
 )
 
 // Order is one of the types below.
-type Order any
+type Command any
 
 type (
 	// SetLine sets a line of a table; weight 0 removes it.
-	SetLine struct {
-		Table  Table
-		EP     EP
-		Weight float64
+	SetTableEntry struct {
+		Table   TableID
+		Backend BackendID
+		Weight  float64
 	}
 	// ClearTable removes all lines and levels of a table.
-	ClearTable struct{ Table Table }
+	ClearTable struct{ Table TableID }
 	// BindTable sends a whole table to a proxy for some methods (bits; 0: all).
 	BindTable struct {
-		Proxy   Proxy
-		Table   Table
+		Proxy   ProxyID
+		Table   TableID
 		Methods uint64
 	}
 	// Withdraw shuts a backend out of all tables, or lets it in again.
-	Withdraw struct {
-		EP EP
-		On bool
+	SetExclusion struct {
+		Backend  BackendID
+		Excluded bool
 	}
 	// NotifyExclusions tells a proxy all that is withdrawn: it may go by a table of an earlier stream.
-	NotifyExclusions struct{ Proxy Proxy }
+	NotifyExclusions struct{ Proxy ProxyID }
 	// SetLevel sets what a table lets in of some methods, and its tries.
-	SetLevel struct {
-		Table   Table
+	SetAdmission struct {
+		Table   TableID
 		Methods uint64
 		Level   float64
-		Tries   Tries
+		Retry   RetryPolicy
 	}
 	// SetMark marks this step's messages; All also reaches proxies with none.
-	SetMark struct {
-		Mark Mark
-		All  bool
+	SetNonce struct {
+		Nonce Nonce
+		All   bool
 	}
 	// Watch asks for changes of the list.
-	Watch struct{ On bool }
+	WatchEndpoints struct{ On bool }
 	// Fetch asks for the whole list once.
-	Fetch struct{}
+	FetchEndpoints struct{}
 	// Probe checks a backend.
-	Probe struct{ EP EP }
+	ProbeBackend struct{ Backend BackendID }
 	// Alarm asks for a Due.
-	Alarm struct {
-		Token Token
+	SetTimer struct {
+		Timer TimerID
 		At    Seconds
 	}
 	// Tell sends a message to a peer, or to all (-1).
-	Tell struct {
-		To   Peer
+	SendToPeer struct {
+		To   PeerID
 		Data []byte
 	}
 	// Say adds a line to the log.
-	Say struct{ Text string }
+	LogMessage struct{ Text string }
 )
 
 // note is what parts put into each other's inboxes; box is such an inbox; part is whoever owns one.
@@ -236,11 +216,11 @@
 	clock  struct{}           // time has passed
 	levels struct {           // what tables should let in, by method
 		share []float64
-		tries []Tries
+		tries []RetryPolicy
 	}
 	flush struct{} // send what waits, if the clock allows
 	heard struct {
-		mark  Mark
+		mark  Nonce
 		delay Seconds
 	}
 )
@@ -254,17 +234,17 @@
 
 // sheet is a table of one proxy for some methods: what it should hold, and what was sent.
 type sheet struct {
-	table      Table
+	table      TableID
 	methods    uint64
 	near       bool // for methods that must stay in the proxy's zone
 	want, told []line
 	level      []float64 // as sent, by method
-	tries      []Tries
+	tries      []RetryPolicy
 }
 
 // load is a step's messages that no answer has yet shown to have left the channel.
 type load struct {
-	mark  Mark
+	mark  Nonce
 	at    Seconds
 	lines int
 }
@@ -272,10 +252,10 @@
 // figures of the backends, as parallel arrays under a dense index; those by pair have a place for each
 // zone.
 type figures struct {
-	id                []EP
+	id                []BackendID
 	zone              []int
 	weight            []float64
-	state             []State
+	state             []BackendState
 	start             []Seconds // of its process
 	hash              []uint32
 	ease              []float64 // share of its full weight
--- a/cmd/gingerfork/check.go
+++ b/cmd/gingerfork/check.go
@@ -8,8 +8,8 @@
 	"strings"
 
 	"gingerfork/internal/bootstrap"
-	"gingerfork/internal/doubts"
-	"gingerfork/internal/rehearse"
+	"gingerfork/internal/configcheck"
+	"gingerfork/internal/scenario"
 )
 
 type checkCmd struct {
@@ -26,7 +26,7 @@
 		}
 		fmt.Fprintf(p.out, "%s: good\n", f)
 		if t, err := bootstrap.Read(f); err == nil {
-			for _, h := range doubts.Of(t.Coordinator(0)) {
+			for _, h := range configcheck.Of(t.Coordinator(0)) {
 				fmt.Fprintf(p.err, "%s: a doubt: %s\n", f, h)
 			}
 		}
@@ -51,29 +51,29 @@
 }
 
 // readDay reads a day from a file, or one that comes with the program by its name.
-func readDay(name string) (*rehearse.Day, error) {
+func readDay(name string) (*scenario.Day, error) {
 	text, err := os.ReadFile(name)
 	if err == nil {
-		return rehearse.Read(name, string(text), func(file string) ([]byte, error) {
+		return scenario.Read(name, string(text), func(file string) ([]byte, error) {
 			if data, err := os.ReadFile(filepath.Join(filepath.Dir(name), file)); err == nil {
 				return data, nil
 			}
-			data, err := rehearse.File(file)
+			data, err := scenario.File(file)
 			if err != nil {
 				return nil, fmt.Errorf("%s is neither beside the day nor among the settings that come with the program", file)
 			}
 			return data, nil
 		})
 	}
-	text, own := rehearse.File(name + ".day")
+	text, own := scenario.File(name + ".day")
 	if own != nil {
 		var p *os.PathError
 		if errors.As(err, &p) {
 			err = p.Err
 		}
-		return nil, fmt.Errorf("%s: %w, and no day of that name comes with the program (those that do: %s)", name, err, strings.Join(rehearse.Shipped(), ", "))
+		return nil, fmt.Errorf("%s: %w, and no day of that name comes with the program (those that do: %s)", name, err, strings.Join(scenario.Shipped(), ", "))
 	}
-	return rehearse.Read(name+".day", string(text), rehearse.File)
+	return scenario.Read(name+".day", string(text), scenario.File)
 }
 
 type settingsCmd struct{}
--- a/cmd/gingerfork/emulate.go
+++ b/cmd/gingerfork/emulate.go
@@ -13,11 +13,11 @@
 
 	"gingerfork/internal/bootstrap"
 	"gingerfork/internal/emulator"
+	"gingerfork/internal/fake"
+	"gingerfork/internal/invariant"
 	"gingerfork/internal/load"
-	"gingerfork/internal/rehearse"
 	"gingerfork/internal/report"
-	"gingerfork/internal/rules"
-	"gingerfork/internal/standin"
+	"gingerfork/internal/scenario"
 	"gingerfork/internal/traffic"
 )
 
@@ -39,7 +39,7 @@
 	if c.Scale != 1 && c.Scale > 0 {
 		d.Scale(c.Scale)
 	}
-	e := rehearse.Emulation{Day: d, Port: c.Port, Loops: c.Loops}
+	e := scenario.Emulation{Day: d, Port: c.Port, Loops: c.Loops}
 	if c.Part != "" {
 		k, n, _ := strings.Cut(c.Part, "/")
 		e.Part, err = strconv.Atoi(k)
@@ -161,13 +161,13 @@
 	}
 	m := s.Coordinator(0)
 	b := load.Bootstrap{Proxies: c.Proxies, Rate: c.Rate, Uneven: c.Uneven, To: c.Coordinator, Servers: c.Server, Seed: c.Seed}
-	t := standin.FrontTrade{
-		Methods: standin.Methods(s.Methods, m), Pick: m.Word("pick"), Strikes: int(m.Num("strikes", 0)), KeepAway: 5,
-		TryWait: m.Num("try_wait", 0.8), LineStill: 0.0002, LevelRate: m.Word("level_kind") == "rate", Period: m.Num("report_period", 1),
+	t := fake.FrontTrade{
+		Methods: fake.Methods(m.Settings.Methods), Pick: m.Settings.Pick, Strikes: int(m.Settings.Strikes.Or(0)), KeepAway: 5,
+		TryWait: m.Settings.TryWait.Or(0.8), LineStill: 0.0002, LevelRate: m.Settings.LevelKind == "rate", Period: m.Settings.ReportPeriod.Or(1),
 		ConnectTimeout: 0.25, AgainMost: c.AtMost,
 	}
 	for i, x := range t.Methods {
-		b.Methods = append(b.Methods, rules.Method{Name: x.Name, Criticality: x.Criticality, SoftDeadline: x.SoftDeadline})
+		b.Methods = append(b.Methods, invariant.Method{Name: x.Name, Criticality: x.Criticality, SoftDeadline: x.SoftDeadline})
 		if len(c.Mix) > 0 && len(c.Mix) != len(t.Methods) {
 			return fmt.Errorf("mix has %d shares, the settings have %d methods", len(c.Mix), len(t.Methods))
 		}
@@ -177,9 +177,7 @@
 			}
 		}
 	}
-	for i := range int(m.Num("zones.n", 0)) {
-		b.Zones = append(b.Zones, m.Word(fmt.Sprintf("zones.%d", i)))
-	}
+	b.Zones = append(b.Zones, m.Settings.Zones...)
 	span := func(name, text string, into *float64) {
 		if err == nil && text != "" {
 			if *into, err = bootstrap.Duration(text); err != nil {
@@ -189,7 +187,7 @@
 	}
 	share := func(name, text string, into *float64) {
 		if err == nil && text != "" {
-			if *into, err = rehearse.Percent(text); err != nil {
+			if *into, err = scenario.Percent(text); err != nil {
 				err = fmt.Errorf("%s: %w", name, err)
 			}
 		}
--- a/cmd/gingerfork/experiment.go
+++ b/cmd/gingerfork/experiment.go
@@ -16,7 +16,7 @@
 
 	"gingerfork/internal/bootstrap"
 	"gingerfork/internal/experiment"
-	"gingerfork/internal/rehearse"
+	"gingerfork/internal/scenario"
 )
 
 type experimentCmd struct {
@@ -35,7 +35,7 @@
 	return func(name string) ([]byte, error) {
 		data, err := os.ReadFile(filepath.Join(filepath.Dir(beside), name))
 		if err != nil {
-			if own, e := rehearse.File(name); e == nil {
+			if own, e := scenario.File(name); e == nil {
 				return own, nil
 			}
 			return nil, fmt.Errorf("%s is neither beside the plan nor among what comes with the program", name)
--- a/cmd/gingerfork/follow.go
+++ b/cmd/gingerfork/follow.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"gingerfork/internal/bootstrap"
+	"gingerfork/internal/eventloop"
 	"gingerfork/internal/follow"
 	"gingerfork/internal/haproxy"
 	"gingerfork/internal/listing"
-	"gingerfork/internal/loop"
 )
 
 // source is the list service that a coordinator's process runs itself, where its settings name a file; nil: it runs none.
@@ -23,12 +23,12 @@
 	file, pool string
 	dir        string // where the status is kept; "": nowhere
 	service    *listing.Service
-	loop       *loop.Loop
+	loop       *eventloop.Loop
 	log        *slog.Logger
 	writing    sync.Mutex // the status is written by whoever reads the file and by the service's owner
 }
 
-func follows(ctx context.Context, t *bootstrap.Trade, dir string, clock *loop.Clock, log *slog.Logger) (*source, error) {
+func follows(ctx context.Context, t *bootstrap.Trade, dir string, clock *eventloop.Clock, log *slog.Logger) (*source, error) {
 	if file := t.Text("list-from"); file == "" || file == "-" {
 		return nil, nil
 	}
@@ -41,7 +41,7 @@
 		}
 	}
 	var err error
-	s.service, err = listing.New(t.Name, t.Coordinator(0).Word("zone"), follow.Terms{DrainFor: t.Num("list-drain"), MostLost: t.Num("list-most-lost")}, kept,
+	s.service, err = listing.New(t.Name, t.Coordinator(0).Settings.Zone, follow.Terms{DrainFor: t.Num("list-drain"), MostLost: t.Num("list-most-lost")}, kept,
 		func(changed int, err error) {
 			if err != nil {
 				log.Error("the file of servers is held back; the list stays as it was", "file", s.file, "cause", err.Error())
@@ -54,7 +54,7 @@
 	if err != nil {
 		log.Warn("what was followed before is not usable; the list starts anew", "cause", err.Error())
 	}
-	if s.loop, err = loop.Start(ctx, loop.Bootstrap{Machine: s.service, Listen: []string{t.Text("list-service")}, Dir: dir, Log: log, Clock: clock}); err != nil {
+	if s.loop, err = eventloop.Start(ctx, eventloop.Bootstrap{Machine: s.service, Listen: []string{t.Text("list-service")}, Dir: dir, Log: log, Clock: clock}); err != nil {
 		return nil, fmt.Errorf("list the servers of %s: %w", s.file, err)
 	}
 	s.look()
--- a/cmd/gingerfork/main_test.go
+++ b/cmd/gingerfork/main_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"gingerfork/internal/proto"
-	"gingerfork/internal/rehearse"
+	"gingerfork/internal/scenario"
 	"gingerfork/internal/trace"
 )
 
@@ -45,7 +45,7 @@
 
 func perth(t *testing.T) string {
 	t.Helper()
-	text, err := rehearse.File("perth.conf")
+	text, err := scenario.File("perth.conf")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/gingerfork/node.go
+++ b/cmd/gingerfork/node.go
@@ -16,7 +16,7 @@
 	"github.com/rs/zerolog"
 
 	"gingerfork/internal/bench/wire"
-	"gingerfork/internal/loop"
+	"gingerfork/internal/eventloop"
 	"gingerfork/internal/platform"
 )
 
@@ -42,16 +42,16 @@
 		lines.end(late)
 	}()
 	log := slog.New(zerolog.NewSlogHandler(zerolog.New(lines).With().Timestamp().Logger())).With("instance", s.Name)
-	clock := loop.NewClock()
+	clock := eventloop.NewClock()
 	m, err := platform.New(s.Bootstrap(clock.Now()))
 	if err != nil {
 		log.Warn("the list as last held was refused, we begin without", "cause", err.Error())
 	}
-	boot := loop.Bootstrap{Machine: m, Listen: []string{s.Listen}, MostConns: s.LoopConns(), DialTimeout: 2 * time.Second, Log: log, Clock: clock}
+	boot := eventloop.Bootstrap{Machine: m, Listen: []string{s.Listen}, MostConns: s.LoopConns(), DialTimeout: 2 * time.Second, Log: log, Clock: clock}
 	if s.Memory > 0 {
 		boot.MostOut, boot.MostIn = int(min(4<<20, s.Memory/32)), int(min(64<<20, s.Memory/16))
 	}
-	l, err := listen(ctx, func() (*loop.Loop, error) { return loop.Start(ctx, boot) })
+	l, err := listen(ctx, func() (*eventloop.Loop, error) { return eventloop.Start(ctx, boot) })
 	if err != nil {
 		return badError{err}
 	}
@@ -87,7 +87,7 @@
 }
 
 // listen starts the loop. Its address may still be the former process's, which was killed a moment ago: that is waited for.
-func listen(ctx context.Context, start func() (*loop.Loop, error)) (*loop.Loop, error) {
+func listen(ctx context.Context, start func() (*eventloop.Loop, error)) (*eventloop.Loop, error) {
 	for end := time.Now().Add(portWait); ; {
 		l, err := start()
 		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(end) {
--- a/cmd/gingerfork/rare_test.go
+++ b/cmd/gingerfork/rare_test.go
@@ -14,13 +14,13 @@
 	"testing"
 	"time"
 
-	"gingerfork/internal/loop"
-	"gingerfork/internal/machine"
+	"gingerfork/internal/eventloop"
+	"gingerfork/internal/statemachine"
 )
 
 type idle struct{}
 
-func (idle) Step(machine.Seconds, []machine.Input, *machine.Out) {}
+func (idle) Step(statemachine.Seconds, []statemachine.Input, *statemachine.Effects) {}
 
 // The former process still holds the address when the new one comes to listen on it.
 func TestTakenAddressIsWaitedFor(t *testing.T) {
@@ -32,8 +32,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	tries := 0
-	start := func() (*loop.Loop, error) {
-		l, err := loop.Start(ctx, loop.Bootstrap{Machine: idle{}, Listen: []string{former.Addr().String()}})
+	start := func() (*eventloop.Loop, error) {
+		l, err := eventloop.Start(ctx, eventloop.Bootstrap{Machine: idle{}, Listen: []string{former.Addr().String()}})
 		if tries++; tries == 2 {
 			former.Close()
 		}
@@ -45,7 +45,7 @@
 	}
 	defer func() { l.Stop(); _ = l.Wait() }()
 	// SIGTERM while it is waited for ends the waiting.
-	if l, err := listen(ctx, func() (*loop.Loop, error) { stop(); return nil, syscall.EADDRINUSE }); l != nil || err != nil {
+	if l, err := listen(ctx, func() (*eventloop.Loop, error) { stop(); return nil, syscall.EADDRINUSE }); l != nil || err != nil {
 		t.Errorf("told to end, it has %v and %v", l, err)
 	}
 }
--- a/cmd/gingerfork/rehearse.go
+++ b/cmd/gingerfork/rehearse.go
@@ -10,8 +10,8 @@
 	"strings"
 	"text/tabwriter"
 
-	"gingerfork/internal/rehearse"
 	"gingerfork/internal/report"
+	"gingerfork/internal/scenario"
 	"gingerfork/internal/trace"
 )
 
@@ -37,7 +37,7 @@
 		c.Days = []string{"evening"}
 	}
 	if len(c.Days) == 1 && c.Days[0] == "incidents" {
-		c.Days = rehearse.Incidents()
+		c.Days = scenario.Incidents()
 	}
 	if c.Beside {
 		return c.beside(ctx, p)
@@ -63,7 +63,7 @@
 			return fmt.Errorf("reckon the report: %w", err)
 		}
 		if r.Truth != nil {
-			figures.Fleet = &report.Fleet{Step: rehearse.Glance, Able: r.Truth.Able, Busy: r.Truth.Busy, Waits: r.Truth.Waits}
+			figures.Fleet = &report.Fleet{Step: scenario.Glance, Able: r.Truth.Able, Busy: r.Truth.Busy, Waits: r.Truth.Waits}
 			b, err := d.Bound(r.Truth, r.Records)
 			if err != nil {
 				return fmt.Errorf("reckon the bound: %w", err)
@@ -98,7 +98,7 @@
 }
 
 // alter makes of a day what the flags say.
-func (c rehearseCmd) alter(d *rehearse.Day) {
+func (c rehearseCmd) alter(d *scenario.Day) {
 	if c.Seed > 0 {
 		d.Seed = c.Seed
 	}
@@ -112,7 +112,7 @@
 
 // beside prints a line for each day: its service in each way, the bound, and what broke.
 func (c rehearseCmd) beside(ctx context.Context, p *program) error {
-	var days []*rehearse.Day
+	var days []*scenario.Day
 	for _, name := range c.Days {
 		d, err := readDay(name)
 		if err != nil {
@@ -125,7 +125,7 @@
 	if !c.JSON {
 		fmt.Fprintf(p.out, "%-28s %11s %11s %11s %11s  %s\n", "day", "coordinator", "all servers", "frozen", "bound", "rules broken (coordinator; all servers; frozen)")
 	}
-	err := rehearse.Compare(ctx, days, func(v rehearse.Versus) error {
+	err := scenario.Compare(ctx, days, func(v scenario.Versus) error {
 		broke := make([]string, 0, len(v.Ways))
 		for w, r := range v.Ways {
 			var rules []string
@@ -164,7 +164,7 @@
 
 func (c rehearseCmd) search(ctx context.Context, p *program) error {
 	n := 0
-	err := rehearse.Search(ctx, max(c.Seed, 1), c.Search, func(f rehearse.Found) {
+	err := scenario.Search(ctx, max(c.Seed, 1), c.Search, func(f scenario.Found) {
 		n++
 		fmt.Fprintf(p.out, "seed %d: %s\n", f.Seed, f.What)
 		for _, v := range f.Result.Report.Rules {
@@ -191,30 +191,30 @@
 	return nil
 }
 
-func (c rehearseCmd) play(ctx context.Context, p *program, d *rehearse.Day) (rehearse.Result, error) {
+func (c rehearseCmd) play(ctx context.Context, p *program, d *scenario.Day) (scenario.Result, error) {
 	if c.Virtual {
-		return rehearse.Virtual(d, rehearse.Options{Truth: true})
+		return scenario.Virtual(d, scenario.Options{Truth: true})
 	}
 	dir := c.Keep
 	if dir == "" {
 		made, err := os.MkdirTemp("", "gingerfork-rehearse-")
 		if err != nil {
-			return rehearse.Result{}, fmt.Errorf("make a folder for the coordinators: %w", err)
+			return scenario.Result{}, fmt.Errorf("make a folder for the coordinators: %w", err)
 		}
 		defer func() { _ = os.RemoveAll(made) }() // what stays of it is the system's to clean up
 		dir = made
 	} else if err := os.MkdirAll(dir, 0o755); err != nil {
-		return rehearse.Result{}, fmt.Errorf("make the folder to keep: %w", err)
+		return scenario.Result{}, fmt.Errorf("make the folder to keep: %w", err)
 	}
 	exe, err := os.Executable()
 	if err != nil {
-		return rehearse.Result{}, fmt.Errorf("find this program, to start coordinators with it: %w", err)
+		return scenario.Result{}, fmt.Errorf("find this program, to start coordinators with it: %w", err)
 	}
 	if !c.JSON {
 		fmt.Fprintf(p.out, "%s: %d coordinators, %d servers, %d front ends on loopback sockets, %.0f s\n", d.Name, d.Coordinators,
-			count(d.Servers, func(g rehearse.ServerGroup) int { return g.N }), count(d.Fronts, func(g rehearse.FrontGroup) int { return g.N }), d.Length)
+			count(d.Servers, func(g scenario.ServerGroup) int { return g.N }), count(d.Fronts, func(g scenario.FrontGroup) int { return g.N }), d.Length)
 	}
-	return rehearse.Sockets(ctx, d, rehearse.Serving{Command: []string{exe, "--log-format", "json", "serve"}, Env: serveEnv, Dir: dir})
+	return scenario.Sockets(ctx, d, scenario.Serving{Command: []string{exe, "--log-format", "json", "serve"}, Env: serveEnv, Dir: dir})
 }
 
 // serveEnv is added to a coordinator's environment; the tests, whose program is another, need it.
@@ -268,7 +268,7 @@
 	return nil
 }
 
-func printResult(out io.Writer, r rehearse.Result, virtual bool) {
+func printResult(out io.Writer, r scenario.Result, virtual bool) {
 	where := "on sockets"
 	if virtual {
 		where = "in virtual time"
@@ -298,7 +298,7 @@
 	}
 }
 
-func printJSON(out io.Writer, r rehearse.Result, figures *report.Report) error {
+func printJSON(out io.Writer, r scenario.Result, figures *report.Report) error {
 	type rule struct {
 		Rule    int     `json:"rule"`
 		Name    string  `json:"name"`
--- a/cmd/gingerfork/serve.go
+++ b/cmd/gingerfork/serve.go
@@ -13,10 +13,10 @@
 
 	"gingerfork/choice"
 	"gingerfork/internal/bootstrap"
+	"gingerfork/internal/checkpoint"
 	"gingerfork/internal/coordinator"
 	"gingerfork/internal/disk"
-	"gingerfork/internal/keep"
-	"gingerfork/internal/loop"
+	"gingerfork/internal/eventloop"
 	"gingerfork/internal/store"
 )
 
@@ -25,13 +25,13 @@
 }
 
 // coordinatorOf is what a coordinator is started with, from its settings.
-func coordinatorOf(t *bootstrap.Trade, module choice.Bootstrap) coordinator.Bootstrap {
-	peers := map[choice.Peer]string{}
+func coordinatorOf(t *bootstrap.Trade, module choice.Config) coordinator.Bootstrap {
+	peers := map[choice.PeerID]string{}
 	for n, addr := range t.Peers {
-		peers[choice.Peer(n)] = addr
+		peers[choice.PeerID(n)] = addr
 	}
 	return coordinator.Bootstrap{
-		Name: t.Name, Zone: module.Word("zone"), ListAddr: t.Text("list-service"), Peers: peers, Module: module,
+		Name: t.Name, Zone: module.Settings.Zone, ListAddr: t.Text("list-service"), Peers: peers, Module: module,
 		Handshake: t.Num("handshake"), Silence: t.Num("stream-silence"), ListSilence: t.Num("list-silence"),
 		Text: t.Canonical(), ProbeTimeout: t.Num("probe-timeout"), MostStreams: int(t.Num("streams")), MostProbes: int(t.Num("probes-at-once")),
 	}
@@ -105,18 +105,18 @@
 type served struct {
 	file   string
 	trade  *bootstrap.Trade
-	clock  *loop.Clock
+	clock  *eventloop.Clock
 	source *source
 	store  *store.Store // nil: nothing is kept
 	m      *coordinator.Machine
-	loop   *loop.Loop
+	loop   *eventloop.Loop
 	log    *slog.Logger
 }
 
 func start(ctx context.Context, p *program, file string, t *bootstrap.Trade) (*served, error) {
 	log := p.logger().With("instance", t.Name)
 	dir := t.Text("state")
-	s := &served{file: file, trade: t, clock: loop.NewClock(), log: log}
+	s := &served{file: file, trade: t, clock: eventloop.NewClock(), log: log}
 	kept, err := s.open(dir)
 	if err != nil {
 		return nil, err
@@ -126,7 +126,7 @@
 		return nil, err
 	}
 	s.m = coordinator.NewMachine(coordinatorOf(t, t.Coordinator(s.clock.Now())), kept)
-	if s.loop, err = loop.Start(ctx, loop.Bootstrap{
+	if s.loop, err = eventloop.Start(ctx, eventloop.Bootstrap{
 		Machine: s.m, Listen: []string{t.Text("listen")}, Dir: dir, MostOut: int(t.Num("reader-buffer")),
 		Log: log, Clock: s.clock, Store: s.store,
 	}); err != nil {
@@ -163,7 +163,7 @@
 	err := s.loop.Wait()
 	f, lf := s.m.Figures(), s.loop.Figures()
 	s.log.Info("coordinator ended", "joins", f.Joins, "messages", f.Messages, "lines", f.Lines, "steps", lf.Steps, "longest", lf.Longest)
-	if errors.Is(err, loop.ErrFailed) {
+	if errors.Is(err, eventloop.ErrFailed) {
 		return badError{err}
 	}
 	return err
@@ -179,7 +179,7 @@
 
 // open opens the store in the state folder, and reads what the last run kept. A store that is damaged ends the start: to
 // go on without it is the operator's word.
-func (s *served) open(dir string) (*keep.Kept, error) {
+func (s *served) open(dir string) (*checkpoint.Kept, error) {
 	if dir == "" {
 		return nil, nil
 	}
@@ -194,7 +194,7 @@
 	if r.Cut > 0 {
 		s.log.Warn("the store had a torn tail, never acknowledged, and it was cut", "file", r.CutFile, "bytes", r.Cut)
 	}
-	kept, err := keep.Read(st.Scan(""))
+	kept, err := checkpoint.Read(st.Scan(""))
 	if err != nil {
 		_ = st.Close() // nothing was written; what it fails at would only hide why
 		return nil, badError{fmt.Errorf("the store is whole, but makes no sense: %w", err)}
--- a/cmd/gingerfork/standin.go
+++ b/cmd/gingerfork/standin.go
@@ -11,10 +11,10 @@
 
 	"gingerfork/internal/bootstrap"
 	"gingerfork/internal/emulator"
-	"gingerfork/internal/loop"
-	"gingerfork/internal/machine"
+	"gingerfork/internal/eventloop"
+	"gingerfork/internal/fake"
 	"gingerfork/internal/proto"
-	"gingerfork/internal/standin"
+	"gingerfork/internal/statemachine"
 	"gingerfork/internal/trace"
 )
 
@@ -30,9 +30,9 @@
 	Seed  uint64 `help:"What chance is drawn from." default:"1"`
 }
 
-func (f standinFlags) run(ctx context.Context, p *program, name string, m machine.Machine, listen ...string) (err error) {
+func (f standinFlags) run(ctx context.Context, p *program, name string, m statemachine.Machine, listen ...string) (err error) {
 	log := p.logger().With("standin", name)
-	b := loop.Bootstrap{Machine: m, Listen: listen, Log: log}
+	b := eventloop.Bootstrap{Machine: m, Listen: listen, Log: log}
 	if f.Trace != "" {
 		file, err := os.Create(f.Trace)
 		if err != nil {
@@ -50,7 +50,7 @@
 			}
 		}
 	}
-	l, err := loop.Start(ctx, b)
+	l, err := eventloop.Start(ctx, b)
 	if err != nil {
 		return err
 	}
@@ -90,8 +90,8 @@
 			return badError{err}
 		}
 		b := s.Coordinator(0)
-		t.ColdShare, t.WarmAfter = b.Num("cold_share", 1), b.Num("warm_after", 0)
-		t.FallMultiple, t.FallWindow = b.Num("fall_multiple", 0), b.Num("fall_window", 0)
+		t.ColdShare, t.WarmAfter = b.Settings.ColdShare.Or(1), b.Settings.WarmAfter.Or(0)
+		t.FallMultiple, t.FallWindow = b.Settings.FallMultiple.Or(0), b.Settings.FallWindow.Or(0)
 	}
 	return c.run(ctx, p, fmt.Sprint("server-", c.EP), emulator.NewServer(t), c.Listen)
 }
@@ -103,7 +103,7 @@
 }
 
 func (c listCmd) Run(ctx context.Context, p *program) error {
-	var all []standin.Listing
+	var all []fake.Listing
 	for _, s := range c.Servers {
 		f := strings.Split(s, ",")
 		if len(f) != 4 {
@@ -117,9 +117,9 @@
 		if err != nil {
 			return fmt.Errorf("server %q: weight %w", s, err)
 		}
-		all = append(all, standin.Listing{EP: proto.EP(ep), State: proto.ServerOpen, Zone: f[1], Weight: w, Addr: f[3], Stamp: 1})
+		all = append(all, fake.Listing{EP: proto.EP(ep), State: proto.ServerOpen, Zone: f[1], Weight: w, Addr: f[3], Stamp: 1})
 	}
-	return c.run(ctx, p, "list", standin.NewList(all), c.Listen)
+	return c.run(ctx, p, "list", fake.NewList(all), c.Listen)
 }
 
 type frontendCmd struct {
@@ -138,13 +138,15 @@
 	}
 	b := s.Coordinator(0)
 	if c.Zone == "" {
-		c.Zone = b.Word("zones.0")
+		if zones := b.Settings.Zones; len(zones) > 0 {
+			c.Zone = zones[0]
+		}
 	}
-	t := standin.FrontTrade{
-		Name: c.Name, Zone: c.Zone, Coordinators: c.Coordinator, Rate: c.Rate, Pick: b.Word("pick"),
-		Strikes: int(b.Num("strikes", 0)), KeepAway: 5, TryWait: b.Num("try_wait", 0.8), LineStill: 0.0002,
-		LevelRate: b.Word("level_kind") == "rate", Period: b.Num("report_period", 1), ConnectTimeout: 0.25, Seed: c.Seed,
-		Methods: standin.Methods(s.Methods, b),
+	t := fake.FrontTrade{
+		Name: c.Name, Zone: c.Zone, Coordinators: c.Coordinator, Rate: c.Rate, Pick: b.Settings.Pick,
+		Strikes: int(b.Settings.Strikes.Or(0)), KeepAway: 5, TryWait: b.Settings.TryWait.Or(0.8), LineStill: 0.0002,
+		LevelRate: b.Settings.LevelKind == "rate", Period: b.Settings.ReportPeriod.Or(1), ConnectTimeout: 0.25, Seed: c.Seed,
+		Methods: fake.Methods(b.Settings.Methods),
 	}
-	return c.run(ctx, p, c.Name, standin.NewFrontEnd(t))
+	return c.run(ctx, p, c.Name, fake.NewFrontEnd(t))
 }
--- a/internal/bench/host/host.go
+++ b/internal/bench/host/host.go
@@ -17,13 +17,13 @@
 // Host holds the living instances and the numbered lists.
 type Host struct {
 	insts map[string]*inst
-	lists [lists][]choice.Entry
+	lists [lists][]choice.Endpoint
 	known [lists]bool
 }
 
 type inst struct {
 	planner *choice.Planner
-	methods map[string]choice.Method
+	methods map[string]choice.MethodID
 	events  []choice.Event
 	failed  string
 	queued  bool
@@ -89,10 +89,10 @@
 		return nil
 	}
 	if start, ok := e.Body.(wire.Enlist); ok {
-		in := &inst{methods: map[string]choice.Method{}}
-		boot := choice.Bootstrap{Seed: start.Seed, Now: now, Values: start.Values}
-		for m := 0; m < int(boot.Num("method.n", 0)); m++ {
-			in.methods[boot.Word(fmt.Sprintf("method.%d.name", m))] = choice.Method(m)
+		in := &inst{methods: map[string]choice.MethodID{}}
+		boot := choice.Config{Seed: start.Seed, Now: now, Settings: choice.DecodeSettings(start.Values)}
+		for m, method := range boot.Settings.Methods {
+			in.methods[method.Name] = choice.MethodID(m)
 		}
 		in.guard(func() { in.planner = choice.New(boot) })
 		h.insts[e.Inst] = in
@@ -111,12 +111,12 @@
 		// What waited for a killed instance dies with it.
 		delete(h.insts, e.Inst)
 	case wire.Members:
-		l := choice.Listed{Kind: body.Kind, Version: body.Version}
-		if body.Kind != choice.ListFailed {
+		l := choice.EndpointUpdate{Kind: body.Kind, Version: body.Version}
+		if body.Kind != choice.UpdateFailed {
 			if body.Number < 0 || body.Number >= lists || !h.known[body.Number] {
 				return fmt.Errorf("Members: field Table names an undefined list: %d", body.Number) //nolint:staticcheck // as above
 			}
-			l.Entries = h.lists[body.Number]
+			l.Endpoints = h.lists[body.Number]
 		}
 		in.events = append(in.events, l)
 	case wire.Usage:
@@ -135,7 +135,7 @@
 	return nil
 }
 
-func (in *inst) method(event, name string) (choice.Method, error) {
+func (in *inst) method(event, name string) (choice.MethodID, error) {
 	m, ok := in.methods[name]
 	if !ok {
 		return 0, fmt.Errorf("%s: field Category names an unknown method: %q", event, name)
@@ -143,12 +143,12 @@
 	return m, nil
 }
 
-func (in *inst) step(now choice.Seconds) (orders []choice.Order) {
+func (in *inst) step(now choice.Seconds) (orders []choice.Command) {
 	events := in.events
 	in.events = nil
 	in.guard(func() { orders = in.planner.Step(now, events) })
 	if in.failed != "" {
-		return []choice.Order{wire.Die{Text: in.failed}}
+		return []choice.Command{wire.Die{Text: in.failed}}
 	}
 	return orders
 }
--- a/internal/bench/host/recording_script_test.go
+++ b/internal/bench/host/recording_script_test.go
@@ -134,7 +134,7 @@
 	s.batches++
 	s.nowMs += 20 + float64(s.dice.IntN(100))
 	if s.batches%pauseEvery == 0 {
-		s.nowMs += 1000 * (choice.KeepPlace + 10)
+		s.nowMs += 1000 * (choice.BackendRetention + 10)
 	}
 }
 
--- a/internal/bench/wire/wire.go
+++ b/internal/bench/wire/wire.go
@@ -27,23 +27,23 @@
 	// Catalog defines a numbered list.
 	Catalog struct {
 		Number  int
-		Entries []choice.Entry
+		Entries []choice.Endpoint
 	}
 	// Members names a list that a Catalog defined.
 	Members struct {
-		Kind    choice.ListKind
+		Kind    choice.UpdateKind
 		Version int64
 		Number  int
 	}
 	// Usage names its method as the wire does; the host knows which place that has.
 	Usage struct {
 		Method string
-		Sum    choice.UsageSum
+		Sum    choice.UsageReport
 	}
 	// SliceUsage is Usage by slice.
 	SliceUsage struct {
 		Method string
-		Sum    choice.SliceSum
+		Sum    choice.SliceReport
 	}
 )
 
@@ -111,7 +111,7 @@
 	return v
 }
 
-func (f *fields) backend() (v choice.EP) {
+func (f *fields) backend() (v choice.BackendID) {
 	f.get("Backend", &v, true)
 	return v
 }
@@ -131,10 +131,10 @@
 }
 
 var (
-	states = map[string]choice.State{"U": choice.Open, "L": choice.Draining, "D": choice.Gone}
-	kinds  = map[string]choice.ListKind{
-		"diff": choice.ListDelta, "snapshot": choice.ListFull,
-		"disk": choice.ListKept, "error": choice.ListFailed,
+	states = map[string]choice.BackendState{"U": choice.BackendOpen, "L": choice.BackendDraining, "D": choice.BackendGone}
+	kinds  = map[string]choice.UpdateKind{
+		"diff": choice.UpdateDelta, "snapshot": choice.UpdateFull,
+		"disk": choice.UpdateCached, "error": choice.UpdateFailed,
 	}
 	results = map[string]bool{
 		"success": true, "failure": false, "overloaded": false, "timed_out": false,
@@ -187,8 +187,8 @@
 			return ev, fmt.Errorf("%s: field CoordinatorId is mistyped: %q", name, ev.Inst)
 		}
 	}
-	proxy := func() choice.Proxy { return choice.Proxy(f.whole("Sidecar")) }
-	slice := func() choice.Slice { return choice.Slice(f.whole("RouteTable")) }
+	proxy := func() choice.ProxyID { return choice.ProxyID(f.whole("Sidecar")) }
+	slice := func() choice.SliceID { return choice.SliceID(f.whole("RouteTable")) }
 	zone := func() choice.Zone { return choice.Zone(f.text("FailureDomain")) }
 	switch name {
 	case "Enlist":
@@ -207,48 +207,48 @@
 		ev.Body = f.catalog()
 	case "Members":
 		m := Members{Kind: pick(f, "Kind", kinds), Number: -1}
-		if m.Kind != choice.ListFailed {
+		if m.Kind != choice.UpdateFailed {
 			m.Version, m.Number = f.whole("Epoch"), int(f.whole("Table"))
 		}
 		ev.Body = m
 	case "Due":
-		ev.Body = choice.Due{Token: choice.Token(f.whole("Token"))}
+		ev.Body = choice.TimerFired{Timer: choice.TimerID(f.whole("Token"))}
 	case "ProbeResult":
-		ev.Body = choice.Probed{
-			EP: f.backend(), OK: pick(f, "StateCode", results),
-			Busy: f.text("StateCode") == "overloaded", Delay: f.opt("DelaySeenMs"), Load: f.load(),
+		ev.Body = choice.ProbeResult{
+			Backend: f.backend(), OK: pick(f, "StateCode", results),
+			Busy: f.text("StateCode") == "overloaded", Latency: f.opt("DelaySeenMs"), Load: f.load(),
 		}
 	case "Message":
 		data, bad := hex.DecodeString(f.text("Octets"))
 		if bad != nil && f.err == nil {
 			f.err = fmt.Errorf("%s: field Octets is mistyped", name)
 		}
-		ev.Body = choice.PeerNote{From: choice.Peer(f.whole("From")), Data: data}
+		ev.Body = choice.PeerMessage{From: choice.PeerID(f.whole("From")), Data: data}
 	case "Subscribed":
-		ev.Body = choice.Joined{Proxy: proxy(), Zone: zone(), Rate: f.num("Heft"), Fresh: f.flag("Flag")}
+		ev.Body = choice.ProxyJoined{Proxy: proxy(), Zone: zone(), Rate: f.num("Heft"), Fresh: f.flag("Flag")}
 	case "Disconnected":
-		ev.Body = choice.Left{Proxy: proxy()}
+		ev.Body = choice.ProxyLeft{Proxy: proxy()}
 	case "TrafficReport":
-		ev.Body = choice.TrySum{
-			EP: f.backend(), Zone: zone(), Tries: int(f.whole("Count")),
-			Bad: int(f.whole("Bad")), Delay: f.opt("DelaySeenMs"), Over: f.secs("OverMs"), Load: f.load(),
+		ev.Body = choice.AttemptReport{
+			Backend: f.backend(), Zone: zone(), Attempts: int(f.whole("Count")),
+			Failures: int(f.whole("Bad")), MeanLatency: f.opt("DelaySeenMs"), Span: f.secs("OverMs"), Load: f.load(),
 		}
 	case "Traffic":
-		ev.Body = Usage{f.text("Category"), choice.UsageSum{
+		ev.Body = Usage{f.text("Category"), choice.UsageReport{
 			Proxy: proxy(), RPCs: int(f.whole("Count")),
-			Bad: int(f.whole("Bad")), Over: f.secs("OverMs"),
+			Failures: int(f.whole("Bad")), Span: f.secs("OverMs"),
 		}}
 	case "RangeLoad":
-		ev.Body = SliceUsage{f.text("Category"), choice.SliceSum{
+		ev.Body = SliceUsage{f.text("Category"), choice.SliceReport{
 			Slice: slice(), RPCs: int(f.whole("Count")),
-			Bad: int(f.whole("Bad")), Over: f.secs("OverMs"),
+			Failures: int(f.whole("Bad")), Span: f.secs("OverMs"),
 		}}
 	case "Charge":
-		ev.Body = choice.Charged{Slice: slice(), Mine: f.flag("Flag")}
+		ev.Body = choice.SliceOwnership{Slice: slice(), Owned: f.flag("Flag")}
 	case "StoredLine":
-		ev.Body = choice.Held{Slice: slice(), EP: f.backend(), Weight: f.num("Heft")}
+		ev.Body = choice.StoredSliceEntry{Slice: slice(), Backend: f.backend(), Weight: f.num("Heft")}
 	case "Applied":
-		ev.Body = choice.Answered{Proxy: proxy(), Mark: choice.Mark(f.whole("Epoch")), Delay: f.opt("DelaySeenMs")}
+		ev.Body = choice.PushAcknowledged{Proxy: proxy(), Nonce: choice.Nonce(f.whole("Epoch")), Delay: f.opt("DelaySeenMs")}
 	default:
 		return ev, fmt.Errorf("unknown event %q", name)
 	}
@@ -261,7 +261,7 @@
 	f.get("Hosts", &hosts, true)
 	for _, m := range hosts {
 		h := fields{name: "Catalog: Hosts", m: m, err: f.err}
-		e := choice.Entry{EP: h.backend(), State: pick(&h, "Readiness", states), Start: h.opt("UpSinceMs")}
+		e := choice.Endpoint{Backend: h.backend(), State: pick(&h, "Readiness", states), StartedAt: h.opt("UpSinceMs")}
 		h.get("GenerationHw", &e.Kind, false)
 		h.get("FailureDomain", &e.Zone, false)
 		h.get("Heft", &e.Weight, false)
@@ -358,7 +358,7 @@
 // Reply is what one instance orders.
 type Reply struct {
 	Inst   string
-	Orders []choice.Order
+	Orders []choice.Command
 }
 
 type body = map[string]any
@@ -380,32 +380,32 @@
 	return append(raw, '\n'), err
 }
 
-func encode(o choice.Order) (string, body) {
+func encode(o choice.Command) (string, body) {
 	switch o := o.(type) {
-	case choice.SetLine:
-		return "SetWeight", body{"RouteTable": o.Table, "Backend": o.EP, "Heft": o.Weight}
+	case choice.SetTableEntry:
+		return "SetWeight", body{"RouteTable": o.Table, "Backend": o.Backend, "Heft": o.Weight}
 	case choice.ClearTable:
 		return "Truncate", body{"RouteTable": o.Table}
 	case choice.BindTable:
 		return "HandTable", body{"Only": o.Methods, "Sidecar": o.Proxy, "RouteTable": o.Table}
-	case choice.Withdraw:
-		return "Suspend", body{"Flag": o.On, "Backend": o.EP}
-	case choice.SetLevel:
-		return "GateClass", body{"RouteTable": o.Table, "Only": o.Methods, "Allowance": o.Level, "How": int(o.Tries)}
-	case choice.SetMark:
-		return "Seal", body{"Epoch": o.Mark, "Flag": o.All}
-	case choice.Watch:
+	case choice.SetExclusion:
+		return "Suspend", body{"Flag": o.Excluded, "Backend": o.Backend}
+	case choice.SetAdmission:
+		return "GateClass", body{"RouteTable": o.Table, "Only": o.Methods, "Allowance": o.Level, "How": int(o.Retry)}
+	case choice.SetNonce:
+		return "Seal", body{"Epoch": o.Nonce, "Flag": o.All}
+	case choice.WatchEndpoints:
 		return "Follow", body{"Flag": o.On}
-	case choice.Fetch:
+	case choice.FetchEndpoints:
 		return "ListAll", body{}
-	case choice.Probe:
-		return "Sample", body{"Backend": o.EP}
-	case choice.Alarm:
+	case choice.ProbeBackend:
+		return "Sample", body{"Backend": o.Backend}
+	case choice.SetTimer:
 		// Rounded up: an alarm that rings a hair early would ask for itself again in the same round.
-		return "After", body{"Token": o.Token, "AlarmTimeMs": math.Ceil(o.At*1e6) / 1e3}
-	case choice.Tell:
+		return "After", body{"Token": o.Timer, "AlarmTimeMs": math.Ceil(o.At*1e6) / 1e3}
+	case choice.SendToPeer:
 		return "Publish", body{"Addressee": o.To, "Octets": hex.EncodeToString(o.Data)}
-	case choice.Say:
+	case choice.LogMessage:
 		return "Print", body{"Msg": o.Text}
 	case Die:
 		return "Die", body{"Msg": o.Text}
--- a/internal/bootstrap/bootstrap_test.go
+++ b/internal/bootstrap/bootstrap_test.go
@@ -61,14 +61,14 @@
 	if faults.Err() != nil {
 		t.Fatal(faults)
 	}
-	b := choice.Bootstrap{Values: trade.Values}
+	b := choice.Config{Settings: choice.DecodeSettings(trade.Values)}
 	for name, want := range map[string]float64{
 		"warm_after": 15, "cold_share": 0.28, "fall_multiple": 2.5, "fall_window": 1.5, "drain_grace": 2.1,
 		"bare_limit": 3.7, "proxies": 8, "channel_room": 14100, "channel_pace": 14100, "message_lines": 10, "messages": 0, "messages_span": 10,
 		"push_time": 0.135, "push_time_worst": 0.34, "report_period": 2, "strikes": 0, "try_wait": 0.8, "ask_within": 10, "slices": 0, "method.n": 2,
 		"method.0.soft_deadline": 1, "method.0.criticality": 1, "method.1.soft_deadline": 0.8, "method.1.window": 5, "zones.n": 2,
 	} {
-		if got := b.Num(name, -1); got != want {
+		if got, ok := trade.Values[name].(float64); !ok || got != want {
 			t.Errorf("%s is %v, want %v", name, got, want)
 		}
 	}
@@ -76,11 +76,11 @@
 		"zone": "dc a", "zones.1": "dc b", "level_kind": "none", "listing": "asked", "pick": "pair",
 		"method.1.effect": "non-idempotent", "method.1.group": "all", "method.0.name": "read",
 	} {
-		if got := b.Word(name); got != want {
+		if got, ok := trade.Values[name].(string); !ok || got != want {
 			t.Errorf("%s is %q, want %q", name, got, want)
 		}
 	}
-	if !b.Flag("probes") || trade.Peers[1] != "127.0.0.1:7401" || trade.Text("state") != "here" || trade.Num("handshake") != 5 || trade.Name != "west-1" {
+	if !b.Settings.Probes || trade.Peers[1] != "127.0.0.1:7401" || trade.Text("state") != "here" || trade.Num("handshake") != 5 || trade.Name != "west-1" {
 		t.Error(trade)
 	}
 }
--- a/internal/bootstrap/read.go
+++ b/internal/bootstrap/read.go
@@ -227,29 +227,25 @@
 
 // together checks what only shows when values stand side by side.
 func (t *Trade) together() (faults Faults) {
-	b := choice.Bootstrap{Values: t.Values}
+	b := choice.Config{Settings: choice.DecodeSettings(t.Values)}
 	blame := func(key, format string, args ...any) {
 		if l, ok := t.at[key]; ok {
 			faults = append(faults, l.Fault(format, args...))
 		}
 	}
-	count := int(b.Num("zones.n", 0))
-	zones := make([]string, 0, count)
-	for i := range count {
-		zones = append(zones, b.Word(fmt.Sprintf("zones.%d", i)))
-	}
-	if z := b.Word("zone"); len(zones) > 0 && z != "" && !slices.Contains(zones, z) {
+	zones := b.Settings.Zones
+	if z := b.Settings.Zone; len(zones) > 0 && z != "" && !slices.Contains(zones, z) {
 		blame("instance "+t.Name+" zone", "zone %s is none of the fleet's zones %s%s", z, strings.Join(zones, ", "), meant(z, zones))
 	}
-	if b.Num("self", 0) >= b.Num("coordinators", 1) {
-		blame("instance "+t.Name+" self", "self %v is not below the number of coordinators, %v", b.Num("self", 0), b.Num("coordinators", 1))
+	if b.Settings.Self.Or(0) >= b.Settings.Coordinators.Or(1) {
+		blame("instance "+t.Name+" self", "self %v is not below the number of coordinators, %v", b.Settings.Self.Or(0), b.Settings.Coordinators.Or(1))
 	}
-	if b.Num("push_time_worst", 0) < b.Num("push_time", 0) {
+	if b.Settings.PushTimeWorst.Or(0) < b.Settings.PushTime.Or(0) {
 		blame("proxies push-time-worst", "push-time-worst is shorter than push-time")
 	}
 	for i, m := range t.Methods {
-		at := fmt.Sprintf("method.%d.", i)
-		if soft, dead := b.Num(at+"soft_deadline", 0), b.Num(at+"deadline", 0); soft > dead && dead > 0 {
+		method := b.Settings.Methods[i]
+		if soft, dead := method.SoftDeadline.Or(0), method.Deadline.Or(0); soft > dead && dead > 0 {
 			blame("method "+m+" deadline", "the deadline %vs of %s is before its soft deadline %vs", dead, m, soft)
 		}
 	}
@@ -260,6 +256,6 @@
 }
 
 // Coordinator gives what the module reads at a start.
-func (t *Trade) Coordinator(now choice.Seconds) choice.Bootstrap {
-	return choice.Bootstrap{Seed: uint64(t.Num("seed")), Now: now, Values: t.Values}
+func (t *Trade) Coordinator(now choice.Seconds) choice.Config {
+	return choice.Config{Seed: uint64(t.Num("seed")), Now: now, Settings: choice.DecodeSettings(t.Values)}
 }
--- a/internal/keep/keep.go
+++ b/internal/checkpoint/keep.go
@@ -1,7 +1,7 @@
-// Package keep decides what a coordinator keeps between starts, and what must be durable before what. It is a plain
+// Package checkpoint decides what a coordinator keeps between starts, and what must be durable before what. It is a plain
 // module: it is told what was decided and sent, and what the store has made durable; it hands out records. It has no
 // file, clock or goroutine. docs/store.md weighs its rules.
-package keep
+package checkpoint
 
 import (
 	"cmp"
@@ -13,7 +13,7 @@
 	"strings"
 
 	"gingerfork/choice"
-	"gingerfork/internal/machine"
+	"gingerfork/internal/statemachine"
 )
 
 const (
@@ -28,11 +28,11 @@
 )
 
 // Put is a record to be written.
-type Put = machine.Put
+type Put = statemachine.Mutation
 
 // Server is a server of the list as held.
 type Server struct {
-	Entry choice.Entry
+	Entry choice.Endpoint
 	Stamp uint64 // of its process
 	Addr  string
 }
@@ -53,8 +53,8 @@
 type Kept struct {
 	Held     bool // a list was held at all
 	Version  uint64
-	Servers  map[choice.EP]Server
-	Drains   map[choice.EP]Drain
+	Servers  map[choice.BackendID]Server
+	Drains   map[choice.BackendID]Drain
 	Proxies  map[string]Proxy
 	Marks    uint64 // all below may have been given out
 	Settings string
@@ -64,24 +64,24 @@
 	listKey, serverKey, drainKey, proxyKey, marksKey, settingsKey = "list", "server/", "drain/", "proxy/", "marks", "settings"
 )
 
-func epKey(prefix string, ep choice.EP) string { return fmt.Sprintf("%s%010d", prefix, ep) }
+func epKey(prefix string, ep choice.BackendID) string { return fmt.Sprintf("%s%010d", prefix, ep) }
 
 func num(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 
 func (s Server) encode() []byte {
 	e := s.Entry
-	return fmt.Appendf(nil, "%d %q %q %d %s %s %d %q", e.State, e.Kind, e.Zone, e.Cell, num(e.Weight), num(e.Start), s.Stamp, s.Addr)
+	return fmt.Appendf(nil, "%d %q %q %d %s %s %d %q", e.State, e.Kind, e.Zone, e.Cell, num(e.Weight), num(e.StartedAt), s.Stamp, s.Addr)
 }
 
 // Read makes sense of a store's records. One that makes none spoils the whole: what is known in part is not known.
 func Read(records iter.Seq2[string, []byte]) (*Kept, error) {
-	k := &Kept{Servers: map[choice.EP]Server{}, Drains: map[choice.EP]Drain{}, Proxies: map[string]Proxy{}}
+	k := &Kept{Servers: map[choice.BackendID]Server{}, Drains: map[choice.BackendID]Drain{}, Proxies: map[string]Proxy{}}
 	for key, value := range records {
 		text := string(value)
 		scan := func(format string, into ...any) error { _, err := fmt.Sscanf(text, format, into...); return err }
-		of := func(prefix string) (choice.EP, error) {
+		of := func(prefix string) (choice.BackendID, error) {
 			n, err := strconv.ParseUint(key[len(prefix):], 10, 32)
-			return choice.EP(n), err
+			return choice.BackendID(n), err
 		}
 		var err error
 		switch {
@@ -94,14 +94,14 @@
 		case strings.HasPrefix(key, serverKey):
 			var s Server
 			var zone string
-			if s.Entry.EP, err = of(serverKey); err == nil {
-				err = scan("%d %q %q %d %g %g %d %q", &s.Entry.State, &s.Entry.Kind, &zone, &s.Entry.Cell, &s.Entry.Weight, &s.Entry.Start, &s.Stamp, &s.Addr)
+			if s.Entry.Backend, err = of(serverKey); err == nil {
+				err = scan("%d %q %q %d %g %g %d %q", &s.Entry.State, &s.Entry.Kind, &zone, &s.Entry.Cell, &s.Entry.Weight, &s.Entry.StartedAt, &s.Stamp, &s.Addr)
 			}
 			s.Entry.Zone = choice.Zone(zone)
-			k.Servers[s.Entry.EP] = s
+			k.Servers[s.Entry.Backend] = s
 		case strings.HasPrefix(key, drainKey):
 			var d Drain
-			var ep choice.EP
+			var ep choice.BackendID
 			if ep, err = of(drainKey); err == nil {
 				err = scan("%g %d %t", &d.Told, &d.Stamp, &d.Gone)
 			}
@@ -137,7 +137,7 @@
 	batch   uint64         // handed out
 	durable uint64
 	lost    bool // the store is out of order: nothing waits for it
-	drains  map[choice.EP]Drain
+	drains  map[choice.BackendID]Drain
 	graves  []grave // not durable, oldest first
 	heavy   bool    // this step has one
 
@@ -155,7 +155,7 @@
 
 // New makes one that goes on from what was kept; nil: nothing is to be kept.
 func New(now choice.Seconds, k *Kept) *Keeper {
-	x := &Keeper{at: map[string]int{}, drains: map[choice.EP]Drain{}, proxies: map[string]Proxy{}, absent: map[string]bool{}, changed: map[string]bool{}, began: now, flushed: now}
+	x := &Keeper{at: map[string]int{}, drains: map[choice.BackendID]Drain{}, proxies: map[string]Proxy{}, absent: map[string]bool{}, changed: map[string]bool{}, began: now, flushed: now}
 	if k == nil {
 		x.off, x.opened, x.next = true, true, 1
 		return x
@@ -200,20 +200,20 @@
 }
 
 // Listed takes over what news changed on the list: servers as they are now, and those that left it.
-func (k *Keeper) Listed(now choice.Seconds, version uint64, changed []Server, gone []choice.EP) {
+func (k *Keeper) Listed(now choice.Seconds, version uint64, changed []Server, gone []choice.BackendID) {
 	if k.off {
 		return
 	}
 	k.put(listKey, strconv.AppendUint(nil, version, 10))
 	for _, s := range changed {
-		ep := s.Entry.EP
+		ep := s.Entry.Backend
 		k.put(epKey(serverKey, ep), s.encode())
 		d, was := k.drains[ep]
 		switch {
-		case s.Entry.State == choice.Open && was:
+		case s.Entry.State == choice.BackendOpen && was:
 			delete(k.drains, ep)
 			k.put(epKey(drainKey, ep), nil)
-		case s.Entry.State != choice.Open && (!was || d.Stamp != s.Stamp):
+		case s.Entry.State != choice.BackendOpen && (!was || d.Stamp != s.Stamp):
 			k.drain(ep, Drain{Told: now, Stamp: s.Stamp})
 		}
 	}
@@ -228,21 +228,21 @@
 	}
 	for _, ep := range slices.Sorted(maps.Keys(k.drains)) {
 		// Nobody holds a line of it by now.
-		if d := k.drains[ep]; d.Gone && now > d.Told+2*choice.KeepPlace {
+		if d := k.drains[ep]; d.Gone && now > d.Told+2*choice.BackendRetention {
 			delete(k.drains, ep)
 			k.put(epKey(drainKey, ep), nil)
 		}
 	}
 }
 
-func (k *Keeper) drain(ep choice.EP, d Drain) {
+func (k *Keeper) drain(ep choice.BackendID, d Drain) {
 	k.drains[ep] = d
 	k.put(epKey(drainKey, ep), fmt.Appendf(nil, "%s %d %t", num(d.Told), d.Stamp, d.Gone))
 	k.heavy = true
 }
 
 // Drained are the servers that are out of use by the list's word, in order.
-func (k *Keeper) Drained() []choice.EP { return slices.Sorted(maps.Keys(k.drains)) }
+func (k *Keeper) Drained() []choice.BackendID { return slices.Sorted(maps.Keys(k.drains)) }
 
 // Sent: a push with this mark left for a proxy.
 func (k *Keeper) Sent(name string, mark uint64) {
@@ -286,7 +286,7 @@
 	if k.off {
 		return nil, 0
 	}
-	if len(k.absent) > 0 && now > k.began+2*choice.KeepPlace {
+	if len(k.absent) > 0 && now > k.began+2*choice.BackendRetention {
 		// They went while nobody looked, and nobody else will tell of it: their records would stay for good.
 		for _, name := range slices.Sorted(maps.Keys(k.absent)) {
 			k.Forget(name)
--- a/internal/keep/keep_test.go
+++ b/internal/checkpoint/keep_test.go
@@ -1,4 +1,4 @@
-package keep
+package checkpoint
 
 import (
 	"fmt"
@@ -31,7 +31,7 @@
 			durable, version := 0, kept.Version
 			type answer struct {
 				needs uint64
-				out   map[choice.EP]bool // by then
+				out   map[choice.BackendID]bool // by then
 			}
 			var answers []answer
 			for range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -39,12 +39,12 @@
 				switch rapid.SampledFrom([]string{"list", "mark", "proxy", "durable"}).Draw(t, "what") {
 				case "list":
 					version++
-					ep := choice.EP(rapid.IntRange(1, 4).Draw(t, "ep"))
+					ep := choice.BackendID(rapid.IntRange(1, 4).Draw(t, "ep"))
 					if rapid.IntRange(0, 3).Draw(t, "gone") == 0 {
-						k.Listed(now, version, nil, []choice.EP{ep})
+						k.Listed(now, version, nil, []choice.BackendID{ep})
 					} else {
-						k.Listed(now, version, []Server{{Entry: choice.Entry{EP: ep, Kind: "a b", Zone: "z\"", Weight: 1.5, Start: now,
-							State: choice.State(rapid.IntRange(0, 1).Draw(t, "state"))}, Stamp: version, Addr: "h:1"}}, nil)
+						k.Listed(now, version, []Server{{Entry: choice.Endpoint{Backend: ep, Kind: "a b", Zone: "z\"", Weight: 1.5, StartedAt: now,
+							State: choice.BackendState(rapid.IntRange(0, 1).Draw(t, "state"))}, Stamp: version, Addr: "h:1"}}, nil)
 					}
 				case "mark":
 					if !k.Open(now) {
@@ -55,7 +55,7 @@
 						t.Fatalf("mark %d after %d", m, given)
 					}
 					given = m
-					out := map[choice.EP]bool{}
+					out := map[choice.BackendID]bool{}
 					for _, ep := range k.Drained() {
 						out[ep] = true
 					}
@@ -104,7 +104,7 @@
 				}
 				for ep := range a.out {
 					s, listed := then.Servers[ep]
-					if _, known := then.Drains[ep]; !known && !(listed && s.Entry.State == choice.Open) {
+					if _, known := then.Drains[ep]; !known && !(listed && s.Entry.State == choice.BackendOpen) {
 						t.Fatalf("an answer counted that needs batch %d of %d, and the drain of %d is not known", a.needs, durable, ep)
 					}
 				}
@@ -116,8 +116,8 @@
 // What is kept is read as it was.
 func TestRead(t *testing.T) {
 	k := New(50, &Kept{})
-	s := Server{Entry: choice.Entry{EP: 3, Kind: "big one", Zone: "dc \"a\"", Weight: 0.1, Start: 1234.5678901, Cell: 2, State: choice.Draining}, Stamp: 1 << 63, Addr: "[::1]:80"}
-	k.Listed(51.25, 9, []Server{s}, []choice.EP{4})
+	s := Server{Entry: choice.Endpoint{Backend: 3, Kind: "big one", Zone: "dc \"a\"", Weight: 0.1, StartedAt: 1234.5678901, Cell: 2, State: choice.BackendDraining}, Stamp: 1 << 63, Addr: "[::1]:80"}
+	k.Listed(51.25, 9, []Server{s}, []choice.BackendID{4})
 	k.Mark()
 	k.Sent("f 0", 7)
 	k.Confirmed("f 0", 5)
@@ -125,7 +125,7 @@
 	k.Take(51)
 	records := map[string][]byte{}
 	k = New(50, &Kept{})
-	k.Listed(51.25, 9, []Server{s}, []choice.EP{4})
+	k.Listed(51.25, 9, []Server{s}, []choice.BackendID{4})
 	k.Sent("f 0", 7)
 	k.Confirmed("f 0", 5)
 	k.Settings("a\nb")
@@ -136,7 +136,7 @@
 		}
 	}
 	got, err := Read(maps.All(records))
-	want := &Kept{Held: true, Version: 9, Servers: map[choice.EP]Server{3: s}, Drains: map[choice.EP]Drain{3: {51.25, 1 << 63, false}, 4: {51.25, 0, true}},
+	want := &Kept{Held: true, Version: 9, Servers: map[choice.BackendID]Server{3: s}, Drains: map[choice.BackendID]Drain{3: {51.25, 1 << 63, false}, 4: {51.25, 0, true}},
 		Proxies: map[string]Proxy{"f 0": {5, 7}}, Marks: 1 + marksAtOnce, Settings: "a\nb"}
 	if diff := cmp.Diff(want, got); err != nil || diff != "" {
 		t.Fatal(err, diff)
@@ -160,7 +160,7 @@
 	k.Sent("back", k.Mark())
 	k.Take(51)
 	var removed []string
-	for now := 52.0; now < 60+2*choice.KeepPlace; now += 100 {
+	for now := 52.0; now < 60+2*choice.BackendRetention; now += 100 {
 		puts, _ := k.Take(now)
 		for _, p := range puts {
 			if p.Value == nil {
--- a/internal/doubts/doubts.go
+++ b/internal/configcheck/doubts.go
@@ -1,5 +1,5 @@
-// Package doubts says which settings, each permitted, promise together what can't be kept. It reads values alone.
-package doubts
+// Package configcheck says which settings, each permitted, promise together what can't be kept. It reads values alone.
+package configcheck
 
 import (
 	"fmt"
@@ -16,13 +16,13 @@
 )
 
 // Of gives the doubts about a coordinator's settings.
-func Of(b choice.Bootstrap) (all []string) {
-	proxies := b.Num("proxies", 0) / max(1, b.Num("coordinators", 1))
-	pace, limit := b.Num("channel_pace", 0), b.Num("bare_limit", 0)
+func Of(b choice.Config) (all []string) {
+	proxies := b.Settings.Proxies.Or(0) / max(1, b.Settings.Coordinators.Or(1))
+	pace, limit := b.Settings.ChannelPace.Or(0), b.Settings.BareLimit.Or(0)
 	if pace <= 0 || limit <= 0 {
 		return nil
 	}
-	if took := proxies * (b.Num("message_lines", 0) + tableLines) / pace; took > atMost*limit {
+	if took := proxies * (b.Settings.MessageLines.Or(0) + tableLines) / pace; took > atMost*limit {
 		all = append(all, fmt.Sprintf("when all %.0f proxies of this coordinator join at once the last has its table after about %.1f s at pace %g; bare-limit is %gs: a greater pace, or more coordinators", proxies, took, pace, limit))
 	}
 	return all
--- a/internal/coordinator/bench_test.go
+++ b/internal/coordinator/bench_test.go
@@ -12,8 +12,8 @@
 // fleet is a core with so many servers and joined proxies, all of whose pushes were answered.
 func fleet(b testing.TB, servers, proxies int) (c *Core, now float64, version uint64) {
 	now = 1000
-	c = New(choice.Bootstrap{Now: now, Values: values(map[string]any{"proxies": float64(proxies), "channel_room": 1e9, "channel_pace": 1e9,
-		"messages": 0.0, "tick": 0.0, "probes": false})}, nil)
+	c = New(choice.Config{Now: now, Settings: choice.DecodeSettings(values(map[string]any{"proxies": float64(proxies), "channel_room": 1e9, "channel_pace": 1e9,
+		"messages": 0.0, "tick": 0.0, "probes": false}))}, nil)
 	l := proto.List{Kind: proto.ListFull, Version: 1}
 	for i := range servers {
 		l.Entries = append(l.Entries, entry(i+1, proto.ServerOpen))
@@ -49,8 +49,8 @@
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
 			c, now, version := fleet(b, size[0], size[1])
 			full := 0
-			for f := range c.book.Joined() {
-				full += len(proto.Append(nil, proto.Push{Ops: c.ops(c.book.Holds(f))}))
+			for f := range c.book.Subscribers() {
+				full += len(proto.Append(nil, proto.Push{Ops: c.ops(c.book.BoundTables(f))}))
 			}
 			lines, bytes := 0, 0
 			var within time.Duration
--- a/internal/coordinator/channel.go
+++ b/internal/coordinator/channel.go
@@ -13,7 +13,7 @@
 	lines  int            // as the settings count them, with its head
 	ops    []proto.Op
 	marked bool
-	mark   choice.Mark
+	mark   choice.Nonce
 	wire   uint64 // the mark as proxies see it
 	needs  uint64 // what must be durable before its answer counts
 	urgent bool   // it takes a server out of use
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -8,9 +8,9 @@
 	"testing"
 
 	"gingerfork/choice"
-	"gingerfork/internal/keep"
-	"gingerfork/internal/machine"
+	"gingerfork/internal/checkpoint"
 	"gingerfork/internal/proto"
+	"gingerfork/internal/statemachine"
 )
 
 func values(more map[string]any) map[string]any {
@@ -31,12 +31,12 @@
 	t       *testing.T
 	m       *Machine
 	now     float64
-	out     machine.Out
-	list    machine.Conn
-	probes  map[machine.Conn]string
-	readers map[machine.Conn]*proto.Reader
-	got     map[machine.Conn][]proto.Message
-	closed  map[machine.Conn]bool
+	out     statemachine.Effects
+	list    statemachine.Conn
+	probes  map[statemachine.Conn]string
+	readers map[statemachine.Conn]*proto.Reader
+	got     map[statemachine.Conn][]proto.Message
+	closed  map[statemachine.Conn]bool
 	version uint64
 	records map[string][]byte // what is kept
 	batch   uint64            // that the machine is yet to be told of as durable
@@ -44,48 +44,48 @@
 	logs    []string
 }
 
-func newRig(t *testing.T, more map[string]any, kept *keep.Kept) *rig {
-	r := &rig{t: t, now: 1000, probes: map[machine.Conn]string{}, readers: map[machine.Conn]*proto.Reader{}, got: map[machine.Conn][]proto.Message{},
-		closed: map[machine.Conn]bool{}, records: map[string][]byte{}}
-	r.m = NewMachine(Bootstrap{Name: "c0", Zone: "a", ListAddr: "list", Module: choice.Bootstrap{Seed: 1, Now: r.now, Values: values(more)}, Handshake: 5,
+func newRig(t *testing.T, more map[string]any, kept *checkpoint.Kept) *rig {
+	r := &rig{t: t, now: 1000, probes: map[statemachine.Conn]string{}, readers: map[statemachine.Conn]*proto.Reader{}, got: map[statemachine.Conn][]proto.Message{},
+		closed: map[statemachine.Conn]bool{}, records: map[string][]byte{}}
+	r.m = NewMachine(Bootstrap{Name: "c0", Zone: "a", ListAddr: "list", Module: choice.Config{Seed: 1, Now: r.now, Settings: choice.DecodeSettings(values(more))}, Handshake: 5,
 		Silence: 10, ListSilence: 5, ProbeTimeout: 1, MostStreams: 1000, MostProbes: 4}, kept)
 	return r
 }
 
 // step has the machine take inputs, and sorts what it says by connection.
-func (r *rig) step(after float64, in ...machine.Input) {
+func (r *rig) step(after float64, in ...statemachine.Input) {
 	r.t.Helper()
 	r.now += after
 	r.out.Reset()
 	if r.batch > 0 && !r.stuck {
-		in = append([]machine.Input{{Kind: machine.Kept, N: r.batch}}, in...)
+		in = append([]statemachine.Input{{Kind: statemachine.Persisted, Batch: r.batch}}, in...)
 		r.batch = 0
 	}
 	r.m.Step(r.now, in, &r.out)
-	if r.out.Fail != "" {
-		r.t.Fatal(r.out.Fail)
+	if r.out.Failure != "" {
+		r.t.Fatal(r.out.Failure)
 	}
-	for _, n := range r.out.Notes {
-		r.logs = append(r.logs, fmt.Sprint(n.Text, n.Pairs))
+	for _, n := range r.out.LogEntries {
+		r.logs = append(r.logs, fmt.Sprint(n.Message, n.Attributes))
 	}
-	for _, p := range r.out.Puts {
+	for _, p := range r.out.Mutations {
 		if r.records[p.Key] = p.Value; p.Value == nil {
 			delete(r.records, p.Key)
 		}
 	}
 	if r.out.Batch > 0 {
 		r.batch = r.out.Batch
-		r.out.At(r.now + 0.001)
+		r.out.WakeBy(r.now + 0.001)
 	}
-	for _, a := range r.out.Acts {
+	for _, a := range r.out.Actions {
 		switch a.Kind {
-		case machine.Dial:
+		case statemachine.ActionDial:
 			if a.Addr == "list" {
 				r.list = a.Conn
 			} else {
 				r.probes[a.Conn] = a.Addr
 			}
-		case machine.Write:
+		case statemachine.ActionWrite:
 			if r.readers[a.Conn] == nil {
 				r.readers[a.Conn] = &proto.Reader{}
 				r.readers[a.Conn].Open()
@@ -111,30 +111,34 @@
 func (r *rig) run(span float64) {
 	r.t.Helper()
 	for end := r.now + span; r.now < end; {
-		r.step(max(0.0001, min(r.out.Wake, end)-r.now))
+		r.step(max(0.0001, min(r.out.WakeAt, end)-r.now))
 	}
 }
 
 // kept is what a restart finds.
-func (r *rig) kept() *keep.Kept {
+func (r *rig) kept() *checkpoint.Kept {
 	r.t.Helper()
-	k, err := keep.Read(maps.All(r.records))
+	k, err := checkpoint.Read(maps.All(r.records))
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	return k
 }
 
-func data(c machine.Conn, all ...proto.Message) machine.Input {
+func data(c statemachine.Conn, all ...proto.Message) statemachine.Input {
 	var b []byte
 	for _, m := range all {
 		b = proto.Append(b, m)
 	}
-	return machine.Input{Kind: machine.Data, Conn: c, Data: b}
+	return statemachine.Input{Kind: statemachine.ConnData, Conn: c, Data: b}
 }
 
-func opened(c machine.Conn) machine.Input { return machine.Input{Kind: machine.Opened, Conn: c} }
-func gone(c machine.Conn) machine.Input   { return machine.Input{Kind: machine.Closed, Conn: c} }
+func opened(c statemachine.Conn) statemachine.Input {
+	return statemachine.Input{Kind: statemachine.ConnOpened, Conn: c}
+}
+func gone(c statemachine.Conn) statemachine.Input {
+	return statemachine.Input{Kind: statemachine.ConnClosed, Conn: c}
+}
 
 func hello(name string) proto.Hello {
 	return proto.Hello{Version: proto.Version, Role: proto.RoleProxy, Name: name, Zone: "a", Rate: 10, Fresh: true}
@@ -165,12 +169,12 @@
 	r.step(0.01, data(r.list, proto.List{Kind: proto.ListChanges, Base: r.version - 1, Version: r.version, Entries: entries}))
 }
 
-func (r *rig) join(c machine.Conn, name string) {
+func (r *rig) join(c statemachine.Conn, name string) {
 	r.step(0.01, opened(c), data(c, hello(name)))
 }
 
 // pushes takes what a connection was pushed since it was last asked.
-func (r *rig) pushes(c machine.Conn) (all []proto.Push) {
+func (r *rig) pushes(c statemachine.Conn) (all []proto.Push) {
 	for _, m := range r.got[c] {
 		if p, ok := m.(proto.Push); ok {
 			all = append(all, p)
@@ -180,7 +184,7 @@
 	return all
 }
 
-func (r *rig) refused(c machine.Conn) string {
+func (r *rig) refused(c statemachine.Conn) string {
 	for _, m := range r.got[c] {
 		if x, ok := m.(proto.Refuse); ok && r.closed[c] {
 			return x.Reason
@@ -291,8 +295,8 @@
 func TestDrainPassesByWhatWaits(t *testing.T) {
 	r := newRig(t, map[string]any{"channel_pace": 200.0, "messages": 0.0}, nil)
 	r.listed(6)
-	var in []machine.Input
-	for c := range machine.Conn(20) {
+	var in []statemachine.Input
+	for c := range statemachine.Conn(20) {
 		in = append(in, opened(c+1), data(c+1, hello(fmt.Sprint("f", c))))
 	}
 	r.step(0.01, in...)
@@ -300,7 +304,7 @@
 	r.change(entry(1, proto.ServerDraining))
 	r.step(0.005)
 	waiting := 0
-	for c := range machine.Conn(20) {
+	for c := range statemachine.Conn(20) {
 		if len(r.got[c+1]) == 1 {
 			waiting++
 		}
@@ -309,7 +313,7 @@
 		t.Fatalf("only %d of 20 tables wait: the channel is not slow enough for the test", waiting)
 	}
 	r.run(6)
-	for c := range machine.Conn(20) {
+	for c := range statemachine.Conn(20) {
 		all := r.pushes(c + 1)
 		for i, p := range all {
 			if p.Seq != uint64(i+1) {
@@ -346,7 +350,7 @@
 
 // An answer to a message that went ahead must not tell the module that those it passed have left.
 func TestAnswerToAWithdrawalWaitsForWhatItPassed(t *testing.T) {
-	core := New(choice.Bootstrap{Now: 10, Values: values(map[string]any{"channel_pace": 100.0})}, nil)
+	core := New(choice.Config{Now: 10, Settings: choice.DecodeSettings(values(map[string]any{"channel_pace": 100.0}))}, nil)
 	streams := make([]*stream, 3)
 	for i := range streams {
 		core.Step(10, []Event{Join{StreamID(i + 1), hello(fmt.Sprint("f", i))}})
@@ -354,7 +358,7 @@
 	}
 	core.channel.free = 20 // it is busy
 	for i, s := range streams {
-		core.channel.add(&message{to: s, step: uint64(i + 1), lines: 10, marked: true, mark: choice.Mark(i + 1), wire: uint64(i + 1), urgent: i == 2})
+		core.channel.add(&message{to: s, step: uint64(i + 1), lines: 10, marked: true, mark: choice.Nonce(i + 1), wire: uint64(i + 1), urgent: i == 2})
 	}
 	core.out = Orders{}
 	core.channel.free = 10.5
@@ -378,7 +382,7 @@
 
 // The list fails during a restart: the kept list serves at once, and the list service is asked again until it answers.
 func TestRestartWhileTheListFails(t *testing.T) {
-	r := newRig(t, nil, &keep.Kept{})
+	r := newRig(t, nil, &checkpoint.Kept{})
 	r.listed(5)
 	r = newRig(t, nil, r.kept())
 	r.join(1, "f0")
@@ -391,7 +395,7 @@
 		if was := r.list; was != 0 {
 			asked++
 			r.list = 0
-			r.step(0.01, machine.Input{Kind: machine.Closed, Conn: was, Text: "refused"})
+			r.step(0.01, statemachine.Input{Kind: statemachine.ConnClosed, Conn: was, Text: "refused"})
 		}
 		r.run(3)
 		r.step(0, data(1, proto.Sums{Over: 1}))
@@ -422,10 +426,10 @@
 		{proto.Append(proto.Append(nil, hello("x")), proto.Push{}), "out of order"},
 		{proto.Append(proto.Append(nil, hello("x")), proto.RPC{}), "out of order"},
 	} {
-		conn := machine.Conn(10 + i)
+		conn := statemachine.Conn(10 + i)
 		r.step(0.01, opened(conn))
 		for _, b := range c.in { // a byte at a time
-			r.step(0, machine.Input{Kind: machine.Data, Conn: conn, Data: []byte{b}})
+			r.step(0, statemachine.Input{Kind: statemachine.ConnData, Conn: conn, Data: []byte{b}})
 		}
 		if got := r.refused(conn); !strings.Contains(got, c.want) {
 			t.Errorf("%d: refused with %q, want %q", i, got, c.want)
@@ -481,7 +485,7 @@
 	for range 3 { // the same version again changes nothing
 		r.step(0.01, data(r.list, proto.List{Kind: proto.ListChanges, Base: 0, Version: 1, Entries: []proto.Entry{entry(1, proto.ServerDraining)}}))
 	}
-	if r.closed[r.list] || r.m.core.roll.entries[1].Entry.State != choice.Open {
+	if r.closed[r.list] || r.m.core.roll.entries[1].Entry.State != choice.BackendOpen {
 		t.Error("a version that came twice applied twice")
 	}
 }
@@ -494,7 +498,7 @@
 	r.join(2, "f1")
 	r.run(0.1)
 	r.step(0, data(1, proto.Answer{Mark: r.pushes(1)[0].Mark}), data(2, proto.Answer{Mark: r.pushes(2)[0].Mark}))
-	var late []machine.Input
+	var late []statemachine.Input
 	for range 5 {
 		late = append(late, data(1, proto.Sums{Over: 1}), data(2, proto.Sums{Over: 1}))
 	}
@@ -515,8 +519,8 @@
 	r := newRig(t, map[string]any{"proxies": 300.0}, nil)
 	r.listed(40)
 	steps := r.m.Figures().Steps
-	var in []machine.Input
-	for c := range machine.Conn(300) {
+	var in []statemachine.Input
+	for c := range statemachine.Conn(300) {
 		in = append(in, opened(c+1), data(c+1, hello(fmt.Sprint("f", c))))
 	}
 	r.step(0.01, in...)
@@ -525,7 +529,7 @@
 	}
 	r.run(2)
 	last := 0.0
-	for c := range machine.Conn(300) {
+	for c := range statemachine.Conn(300) {
 		p := r.pushes(c + 1)
 		if len(p) == 0 || len(holds(p)) < 3 {
 			t.Fatalf("proxy %d has no table: %+v", c, p)
@@ -539,12 +543,12 @@
 
 // Sums reach the module gathered by zone, oldest first, no more lines a second than set, with the span they cover.
 func TestIntake(t *testing.T) {
-	k := newIntake(choice.Bootstrap{Values: map[string]any{"intake": 10.0, "report_period": 1.0}})
-	all := func(choice.EP) bool { return true }
+	k := newIntake(choice.Config{Settings: choice.DecodeSettings(map[string]any{"intake": 10.0, "report_period": 1.0})})
+	all := func(choice.BackendID) bool { return true }
 	now := 100.0
 	k.due(now)
 	for p := range 20 {
-		s := &stream{proxy: choice.Proxy(p), zone: "a"}
+		s := &stream{proxy: choice.ProxyID(p), zone: "a"}
 		k.heard(now, s, proto.Sums{Over: 2, Usage: []proto.Usage{{Method: 0, RPCs: 3, Bad: 1}, {Method: 9, RPCs: 3}},
 			Tries: []proto.Tries{{EP: 1, Tries: 4, Bad: 2, Delay: 0.1}, {EP: 2, Tries: 1, Delay: 0.2}}}, all, 2)
 	}
@@ -554,12 +558,12 @@
 		for _, e := range k.due(now) {
 			at = append(at, now)
 			switch e := e.(type) {
-			case choice.TrySum:
-				if tries++; e.EP == 1 && (e.Tries != 80 || e.Bad != 40 || e.Delay < 0.0999 || e.Delay > 0.1001 || e.Over != 2) {
+			case choice.AttemptReport:
+				if tries++; e.Backend == 1 && (e.Attempts != 80 || e.Failures != 40 || e.MeanLatency < 0.0999 || e.MeanLatency > 0.1001 || e.Span != 2) {
 					t.Errorf("%+v", e)
 				}
-			case choice.UsageSum:
-				if usage++; e.RPCs != 3 || e.Bad != 1 || e.Method != 0 {
+			case choice.UsageReport:
+				if usage++; e.RPCs != 3 || e.Failures != 1 || e.Method != 0 {
 					t.Errorf("%+v", e)
 				}
 			}
@@ -585,9 +589,9 @@
 // Rounding must not make the intake ask for the same moment for ever. Found by a day that never ended.
 func TestIntakeDoesNotSpin(t *testing.T) {
 	for _, rate := range []float64{3, 7, 500, 1e4 / 3} {
-		k := newIntake(choice.Bootstrap{Now: 1e6, Values: map[string]any{"intake": rate, "report_period": 2.0}})
+		k := newIntake(choice.Config{Now: 1e6, Settings: choice.DecodeSettings(map[string]any{"intake": rate, "report_period": 2.0})})
 		for p := range 50 {
-			k.heard(1e6, &stream{proxy: choice.Proxy(p)}, proto.Sums{Usage: []proto.Usage{{RPCs: 1}}}, nil, 1)
+			k.heard(1e6, &stream{proxy: choice.ProxyID(p)}, proto.Sums{Usage: []proto.Usage{{RPCs: 1}}}, nil, 1)
 		}
 		now, steps, handed := 1e6, 0, 0
 		for at, any := now, true; any && steps < 200; at, any = k.wake() {
@@ -607,13 +611,13 @@
 	r.listed(3)
 	core := r.m.core
 	for i := range 200 {
-		c := machine.Conn(i + 1)
+		c := statemachine.Conn(i + 1)
 		r.join(c, fmt.Sprint("f", i))
 		r.run(0.02)
 		r.step(100, gone(c), data(r.list, proto.List{Kind: proto.ListChanges, Base: r.version, Version: r.version}))
 	}
-	if len(core.numbered) > 20 || core.book.Tables() > 20 || len(core.members) > 20 {
-		t.Fatalf("%d numbers, %d tables and %d names for proxies that came one by one", len(core.numbered), core.book.Tables(), len(core.members))
+	if len(core.numbered) > 20 || core.book.TableCount() > 20 || len(core.members) > 20 {
+		t.Fatalf("%d numbers, %d tables and %d names for proxies that came one by one", len(core.numbered), core.book.TableCount(), len(core.members))
 	}
 }
 
@@ -625,9 +629,9 @@
 	r.m.core.planner = nil
 	r.now += 1
 	r.out.Reset()
-	r.m.Step(r.now, []machine.Input{opened(2), data(2, hello("f1"))}, &r.out)
-	if !strings.Contains(r.out.Fail, "the decision module failed") || len(r.out.Acts) > 0 {
-		t.Fatalf("%q, %d acts", r.out.Fail, len(r.out.Acts))
+	r.m.Step(r.now, []statemachine.Input{opened(2), data(2, hello("f1"))}, &r.out)
+	if !strings.Contains(r.out.Failure, "the decision module failed") || len(r.out.Actions) > 0 {
+		t.Fatalf("%q, %d acts", r.out.Failure, len(r.out.Actions))
 	}
 }
 
@@ -638,7 +642,7 @@
 	r.join(1, "f0")
 	r.run(0.1)
 	boot := r.m.boot
-	boot.Module.Values = values(map[string]any{"report_period": 3.0})
+	boot.Module.Settings = choice.DecodeSettings(values(map[string]any{"report_period": 3.0}))
 	boot.Module.Now = r.now
 	r.m.Renew(boot)
 	r.step(0.01)
@@ -679,25 +683,25 @@
 // Peers' notes come through within their bound; what can't go at once is lost, and harms nothing.
 func TestPeers(t *testing.T) {
 	r := newRig(t, map[string]any{"coordinators": 2.0, "self": 0.0}, nil)
-	r.m.boot.Peers = map[choice.Peer]string{1: "peer"}
+	r.m.boot.Peers = map[choice.PeerID]string{1: "peer"}
 	r.listed(3)
 	tell := func(data string) {
 		r.out.Reset()
-		r.m.carry(r.now, Orders{Tells: []choice.Tell{{To: -1, Data: []byte(data)}}}, &r.out)
+		r.m.carry(r.now, Orders{Tells: []choice.SendToPeer{{To: -1, Data: []byte(data)}}}, &r.out)
 	}
 	tell("lost")
-	if len(r.out.Acts) != 1 || r.out.Acts[0].Addr != "peer" {
-		t.Fatalf("%+v", r.out.Acts)
+	if len(r.out.Actions) != 1 || r.out.Actions[0].Addr != "peer" {
+		t.Fatalf("%+v", r.out.Actions)
 	}
-	c := r.out.Acts[0].Conn
+	c := r.out.Actions[0].Conn
 	tell("lost too")
 	r.step(0.01, opened(c), data(c, proto.Welcome{Version: 1, Name: "c1"}))
 	tell(strings.Repeat("x", 300))
-	if len(r.out.Acts) != 0 {
-		t.Fatalf("more than a note may hold was sent: %+v", r.out.Acts)
+	if len(r.out.Actions) != 0 {
+		t.Fatalf("more than a note may hold was sent: %+v", r.out.Actions)
 	}
-	if tell("\xff\x00!"); len(r.out.Acts) != 1 {
-		t.Fatalf("%+v", r.out.Acts)
+	if tell("\xff\x00!"); len(r.out.Actions) != 1 {
+		t.Fatalf("%+v", r.out.Actions)
 	}
 	r.step(0.01, opened(7), data(7, proto.Hello{Version: 1, Role: proto.RolePeer, Name: "c1", Zone: "b"}, proto.PeerNote{From: 1, Data: "\xff\x00!"}))
 	if r.closed[7] || r.m.sessions[7].role != peerRole {
--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -11,8 +11,8 @@
 	"slices"
 
 	"gingerfork/choice"
+	"gingerfork/internal/checkpoint"
 	"gingerfork/internal/fanout"
-	"gingerfork/internal/keep"
 	"gingerfork/internal/proto"
 )
 
@@ -50,13 +50,13 @@
 	NotKept struct{}
 	// Probed: a probe ended.
 	Probed struct {
-		EP       choice.EP
+		EP       choice.BackendID
 		OK, Busy bool
 		Delay    choice.Seconds
 	}
 	// PeerNote came from another coordinator.
 	PeerNote struct {
-		From choice.Peer
+		From choice.PeerID
 		Data string
 	}
 )
@@ -68,11 +68,11 @@
 	Probes []Target
 	Watch  *proto.Watch
 	Fetch  bool
-	Tells  []choice.Tell
+	Tells  []choice.SendToPeer
 	Says   []string
-	Turns  []Turn     // servers withdrawn or let in again, for the log
-	Puts   []keep.Put // records to keep,
-	Batch  uint64     // under this number
+	Turns  []Turn           // servers withdrawn or let in again, for the log
+	Puts   []checkpoint.Put // records to keep,
+	Batch  uint64           // under this number
 	Wake   choice.Seconds
 	// ListBad says why the last list frame was refused; the stream that it came on is to be closed.
 	ListBad error
@@ -91,14 +91,14 @@
 	}
 	// Turn tells that a server was withdrawn, or let in again, at so many proxies, with the step's mark.
 	Turn struct {
-		EP      choice.EP
+		EP      choice.BackendID
 		Out     bool
 		Proxies int
 		Mark    uint64 // as proxies see it
 	}
 	// Target is a server to probe.
 	Target struct {
-		EP   choice.EP
+		EP   choice.BackendID
 		Addr string
 	}
 )
@@ -107,20 +107,20 @@
 type stream struct {
 	id     StreamID
 	name   string
-	proxy  choice.Proxy
+	proxy  choice.ProxyID
 	zone   choice.Zone
 	queue  []*message
 	urgent bool // a withdrawal is among them
 	sent   uint64
 	marks  []pending // sent, not answered
 	// follower is what it is to the book of tables.
-	follower *fanout.Follower
+	follower *fanout.Subscriber
 }
 
 // pending is a mark that was given to a proxy.
 type pending struct {
 	wire  uint64 // the mark as proxies see it
-	mark  choice.Mark
+	mark  choice.Nonce
 	step  uint64
 	needs uint64 // what must be durable before its answer counts
 	at    choice.Seconds
@@ -129,7 +129,7 @@
 // member is a proxy's number. It is given to another once the module has forgotten what it knew of it.
 type member struct {
 	name   string
-	number choice.Proxy
+	number choice.ProxyID
 	stream *stream
 	left   choice.Seconds
 }
@@ -138,33 +138,33 @@
 type held struct {
 	step   uint64
 	needs  uint64
-	answer choice.Answered
+	answer choice.PushAcknowledged
 	stream *stream
 }
 
 // Core is one coordinator without its protocol.
 type Core struct {
-	boot    choice.Bootstrap
+	boot    choice.Config
 	planner *choice.Planner
 	methods int
 	round   choice.Seconds
 
 	roll    *roll
-	keep    *keep.Keeper
+	keep    *checkpoint.Keeper
 	channel channel
 	intake  *intake
 	streams map[StreamID]*stream
 	members map[string]*member
 	gone    []*member // left, oldest first
-	spare   []choice.Proxy
+	spare   []choice.ProxyID
 	// numbered has the streams by their proxy's number, nil where none is joined.
 	numbered []*stream
-	book     *fanout.Book
+	book     *fanout.Distributor
 
 	events  []choice.Event
 	answers []held // held back
 	alarm   choice.Seconds
-	ring    choice.Token
+	ring    choice.TimerID
 	step    uint64
 	stepped choice.Seconds
 	out     Orders
@@ -190,15 +190,15 @@
 }
 
 // New makes a coordinator that goes on from what its last run kept; nil: nothing is kept.
-func New(boot choice.Bootstrap, kept *keep.Kept) *Core {
-	c := &Core{boot: boot, planner: choice.New(boot), methods: int(boot.Num("method.n", 1)), round: boot.Num("tick", 0),
-		roll: &roll{entries: map[choice.EP]*server{}}, keep: keep.New(boot.Now, kept), intake: newIntake(boot), streams: map[StreamID]*stream{},
+func New(boot choice.Config, kept *checkpoint.Kept) *Core {
+	c := &Core{boot: boot, planner: choice.New(boot), methods: len(boot.Settings.Methods), round: boot.Settings.Tick.Or(0),
+		roll: &roll{entries: map[choice.BackendID]*server{}}, keep: checkpoint.New(boot.Now, kept), intake: newIntake(boot), streams: map[StreamID]*stream{},
 		members: map[string]*member{}, book: fanout.New(), alarm: boot.Now}
-	c.channel = channel{pace: boot.Num("channel_pace", 1e4), head: int(boot.Num("message_lines", 0)), burst: c.round,
+	c.channel = channel{pace: boot.Settings.ChannelPace.Or(1e4), head: int(boot.Settings.MessageLines.Or(0)), burst: c.round,
 		free: boot.Now}
 	c.stepped = boot.Now - c.round
 	if kept != nil && kept.Held {
-		c.roll = &roll{version: kept.Version, held: true, entries: map[choice.EP]*server{}}
+		c.roll = &roll{version: kept.Version, held: true, entries: map[choice.BackendID]*server{}}
 		for ep, s := range kept.Servers {
 			c.roll.entries[ep] = &s
 		}
@@ -228,7 +228,7 @@
 	c.release(now)
 	if due := now >= c.alarm; due || len(c.events) > 0 && now >= c.stepped+c.round {
 		if due {
-			c.events = append(c.events, choice.Due{Token: c.ring})
+			c.events = append(c.events, choice.TimerFired{Timer: c.ring})
 			c.alarm = now + 3600
 		}
 		c.decide(now)
@@ -273,27 +273,27 @@
 	case Sums:
 		if s := c.streams[e.Stream]; s != nil {
 			c.figures.Sums++
-			c.intake.heard(now, s, e.Sums, func(ep choice.EP) bool { return c.roll.entries[ep] != nil }, c.methods)
+			c.intake.heard(now, s, e.Sums, func(ep choice.BackendID) bool { return c.roll.entries[ep] != nil }, c.methods)
 		}
 	case News:
 		l, changed, gone, err := c.roll.news(now, e.List)
 		if err != nil {
 			c.out.ListBad = err
-			l = &choice.Listed{Kind: choice.ListFailed}
-		} else if len(l.Entries) > 0 || l.Kind == choice.ListFull {
+			l = &choice.EndpointUpdate{Kind: choice.UpdateFailed}
+		} else if len(l.Endpoints) > 0 || l.Kind == choice.UpdateFull {
 			c.keep.Listed(now, c.roll.version, changed, gone)
 		}
 		c.events = append(c.events, *l)
 	case ListLost:
-		c.events = append(c.events, choice.Listed{Kind: choice.ListFailed})
+		c.events = append(c.events, choice.EndpointUpdate{Kind: choice.UpdateFailed})
 	case Durable:
 		c.keep.Durable(e.Batch)
 	case NotKept:
 		c.keep.Lost()
 	case Probed:
-		c.events = append(c.events, choice.Probed{EP: e.EP, OK: e.OK, Busy: e.Busy, Delay: e.Delay})
+		c.events = append(c.events, choice.ProbeResult{Backend: e.EP, OK: e.OK, Busy: e.Busy, Latency: e.Delay})
 	case PeerNote:
-		c.events = append(c.events, choice.PeerNote{From: e.From, Data: []byte(e.Data)})
+		c.events = append(c.events, choice.PeerMessage{From: e.From, Data: []byte(e.Data)})
 	default:
 		panic(fmt.Sprintf("coordinator: unknown event %T", e))
 	}
@@ -302,7 +302,7 @@
 func (c *Core) join(now choice.Seconds, e Join) {
 	m := c.members[e.Hello.Name]
 	if m == nil {
-		m = &member{name: e.Hello.Name, number: choice.Proxy(len(c.numbered))}
+		m = &member{name: e.Hello.Name, number: choice.ProxyID(len(c.numbered))}
 		if n := len(c.spare); n > 0 {
 			m.number, c.spare = c.spare[n-1], c.spare[:n-1]
 		} else {
@@ -320,7 +320,7 @@
 	m.stream = s
 	c.streams[e.Stream], c.numbered[s.proxy] = s, s
 	c.figures.Joins++
-	c.events = append(c.events, choice.Joined{Proxy: s.proxy, Zone: s.zone, Rate: e.Hello.Rate, Fresh: e.Hello.Fresh})
+	c.events = append(c.events, choice.ProxyJoined{Proxy: s.proxy, Zone: s.zone, Rate: e.Hello.Rate, Fresh: e.Hello.Fresh})
 }
 
 func (c *Core) leave(now choice.Seconds, s *stream) {
@@ -333,19 +333,19 @@
 	m.stream, m.left = nil, now
 	c.gone = append(c.gone, m)
 	c.figures.Leaves++
-	c.events = append(c.events, choice.Left{Proxy: s.proxy})
+	c.events = append(c.events, choice.ProxyLeft{Proxy: s.proxy})
 }
 
 // forget gives back the numbers of proxies that left so long ago that the module has dropped them.
 func (c *Core) forget(now choice.Seconds) {
 	for len(c.gone) > 0 {
 		m := c.gone[0]
-		if now < m.left+choice.KeepPlace*2 {
+		if now < m.left+choice.BackendRetention*2 {
 			return
 		}
 		c.gone = c.gone[1:]
 		// One that came back in between, and perhaps left again, stands in the row once more.
-		if m.stream == nil && now >= m.left+choice.KeepPlace*2 && c.members[m.name] == m {
+		if m.stream == nil && now >= m.left+choice.BackendRetention*2 && c.members[m.name] == m {
 			delete(c.members, m.name)
 			c.keep.Forget(m.name)
 			c.intake.forget(m.number)
@@ -364,7 +364,7 @@
 	p := s.marks[at]
 	s.marks = append(s.marks[:0], s.marks[at+1:]...)
 	c.keep.Confirmed(s.name, mark)
-	c.answers = append(c.answers, held{p.step, p.needs, choice.Answered{Proxy: s.proxy, Mark: p.mark, Delay: now - p.at}, s})
+	c.answers = append(c.answers, held{p.step, p.needs, choice.PushAcknowledged{Proxy: s.proxy, Nonce: p.mark, Delay: now - p.at}, s})
 }
 
 // release hands over answers. The module takes an answer as proof that all that was ordered before has left the channel;
@@ -392,22 +392,22 @@
 	c.figures.Steps++
 	orders := c.ask(now, events)
 	c.figures.Orders += len(orders)
-	var mark *choice.SetMark
+	var mark *choice.SetNonce
 	for _, o := range orders {
-		if m, ok := o.(choice.SetMark); ok {
+		if m, ok := o.(choice.SetNonce); ok {
 			mark = &m
 		} else {
 			c.carry(now, o)
 		}
 	}
 	if mark != nil && mark.All {
-		for f := range c.book.Joined() {
-			c.book.Touch(f)
+		for f := range c.book.Subscribers() {
+			c.book.MarkDirty(f)
 		}
 	}
 	// What the list took out of use before a restart is withdrawn, too: the module, which was not there, orders nothing
 	// for it.
-	messages, turns := c.book.Close(c.keep.Drained)
+	messages, turns := c.book.Flush(c.keep.Drained)
 	var wire, needs uint64
 	if mark != nil && len(messages) > 0 {
 		wire, needs = c.keep.Mark(), c.keep.Needs()
@@ -415,38 +415,38 @@
 	for _, x := range messages {
 		m := &message{to: c.numbered[x.To.Proxy], step: c.step, at: c.stepped, lines: x.Lines, urgent: x.Urgent, ops: c.ops(x.Ops)}
 		if mark != nil {
-			m.marked, m.mark, m.wire, m.needs = true, mark.Mark, wire, needs
+			m.marked, m.mark, m.wire, m.needs = true, mark.Nonce, wire, needs
 			m.lines++
 		}
 		c.channel.add(m)
 	}
 	for _, t := range turns {
-		c.out.Turns = append(c.out.Turns, Turn{EP: t.EP, Out: t.Out, Proxies: t.Proxies, Mark: wire})
+		c.out.Turns = append(c.out.Turns, Turn{EP: t.Backend, Out: t.Excluded, Proxies: t.Proxies, Mark: wire})
 	}
 }
 
 // opKinds are the protocol's words for what proxies are told.
-var opKinds = map[fanout.Kind]proto.OpKind{fanout.Line: proto.OpLine, fanout.Clear: proto.OpClear, fanout.Bind: proto.OpBind,
-	fanout.Level: proto.OpLevel, fanout.Withdraw: proto.OpWithdraw, fanout.Readmit: proto.OpReadmit}
+var opKinds = map[fanout.OpKind]proto.OpKind{fanout.OpSetEntry: proto.OpLine, fanout.OpClear: proto.OpClear, fanout.OpBind: proto.OpBind,
+	fanout.OpAdmission: proto.OpLevel, fanout.OpExclude: proto.OpWithdraw, fanout.OpRestore: proto.OpReadmit}
 
 // ops puts what a proxy is told into the protocol's form.
-func (c *Core) ops(all []fanout.Op) []proto.Op {
+func (c *Core) ops(all []fanout.TableOp) []proto.Op {
 	out := make([]proto.Op, 0, len(all))
 	for _, x := range all {
 		op := proto.Op{Kind: opKinds[x.Kind]}
-		if x.Kind != fanout.Withdraw && x.Kind != fanout.Readmit {
+		if x.Kind != fanout.OpExclude && x.Kind != fanout.OpRestore {
 			op.Table = uint64(x.Table)
 		}
-		if x.Kind == fanout.Bind {
+		if x.Kind == fanout.OpBind {
 			op.Methods = x.Methods
 		}
-		for _, l := range x.Lines {
+		for _, l := range x.Entries {
 			op.Lines = append(op.Lines, c.line(l))
 		}
-		for _, g := range x.Levels {
-			op.Levels = append(op.Levels, proto.Level{Methods: g.Methods, Level: g.Level, Tries: uint64(g.Tries)})
+		for _, g := range x.Admissions {
+			op.Levels = append(op.Levels, proto.Level{Methods: g.Methods, Level: g.Level, Tries: uint64(g.Retry)})
 		}
-		for _, ep := range x.EPs {
+		for _, ep := range x.Backends {
 			op.Withdrawn = append(op.Withdrawn, proto.EP(ep))
 		}
 		out = append(out, op)
@@ -454,7 +454,7 @@
 	return out
 }
 
-func (c *Core) ask(now choice.Seconds, events []choice.Event) (orders []choice.Order) {
+func (c *Core) ask(now choice.Seconds, events []choice.Event) (orders []choice.Command) {
 	defer func() {
 		if r := recover(); r != nil {
 			panic(Failure{r, debug.Stack()})
@@ -463,39 +463,39 @@
 	return c.planner.Step(now, events)
 }
 
-func (c *Core) line(e fanout.Entry) proto.Line {
-	l := proto.Line{EP: proto.EP(e.EP), Weight: e.Weight, Shut: e.Shut}
-	if s := c.roll.entries[e.EP]; s != nil && e.Weight > 0 {
+func (c *Core) line(e fanout.TableEntry) proto.Line {
+	l := proto.Line{EP: proto.EP(e.Backend), Weight: e.Weight, Shut: e.Excluded}
+	if s := c.roll.entries[e.Backend]; s != nil && e.Weight > 0 {
 		l.Addr = s.Addr
 	}
 	return l
 }
 
 // carry does one order.
-func (c *Core) carry(now choice.Seconds, o choice.Order) {
+func (c *Core) carry(now choice.Seconds, o choice.Command) {
 	switch o := o.(type) {
-	case choice.Watch:
+	case choice.WatchEndpoints:
 		c.out.Watch = &proto.Watch{On: o.On, Since: c.roll.version}
 		if !c.roll.held {
 			c.out.Watch.Since = 0
 		}
-	case choice.Fetch:
+	case choice.FetchEndpoints:
 		c.out.Fetch = true
-	case choice.Probe:
-		if s := c.roll.entries[o.EP]; s != nil {
-			c.out.Probes = append(c.out.Probes, Target{o.EP, s.Addr})
+	case choice.ProbeBackend:
+		if s := c.roll.entries[o.Backend]; s != nil {
+			c.out.Probes = append(c.out.Probes, Target{o.Backend, s.Addr})
 		}
-	case choice.Alarm:
+	case choice.SetTimer:
 		// The module asks for one at a time and looks at the clock itself; the soonest serves them all.
 		if o.At < c.alarm {
-			c.alarm, c.ring = o.At, o.Token
+			c.alarm, c.ring = o.At, o.Timer
 		}
-	case choice.Tell:
+	case choice.SendToPeer:
 		c.out.Tells = append(c.out.Tells, o)
-	case choice.Say:
+	case choice.LogMessage:
 		c.out.Says = append(c.out.Says, o.Text)
 	default:
-		if !c.book.Carry(o) {
+		if !c.book.Apply(o) {
 			panic(Failure{fmt.Sprintf("an order of unknown type %T", o), nil})
 		}
 	}
--- a/internal/coordinator/intake.go
+++ b/internal/coordinator/intake.go
@@ -27,12 +27,12 @@
 
 type (
 	tryPair struct {
-		ep   choice.EP
+		ep   choice.BackendID
 		zone choice.Zone
 	}
 	usagePair struct {
-		proxy  choice.Proxy
-		method choice.Method
+		proxy  choice.ProxyID
+		method choice.MethodID
 	}
 	// sum is a line that waits. Its span is from the oldest moment that it covers to the newest.
 	sum struct {
@@ -48,15 +48,15 @@
 	}
 )
 
-func newIntake(boot choice.Bootstrap) *intake {
-	return &intake{rate: boot.Num("intake", 0), period: boot.Num("report_period", 1), last: boot.Now,
+func newIntake(boot choice.Config) *intake {
+	return &intake{rate: boot.Settings.Intake.Or(0), period: boot.Settings.ReportPeriod.Or(1), last: boot.Now,
 		tries: map[tryPair]*sum{}, usage: map[usagePair]*sum{}}
 }
 
-func (k *intake) heard(now choice.Seconds, s *stream, m proto.Sums, known func(choice.EP) bool, methods int) {
+func (k *intake) heard(now choice.Seconds, s *stream, m proto.Sums, known func(choice.BackendID) bool, methods int) {
 	from := now - m.Over
 	for _, t := range m.Tries {
-		pair := tryPair{choice.EP(t.EP), s.zone}
+		pair := tryPair{choice.BackendID(t.EP), s.zone}
 		if t.Tries == 0 || !known(pair.ep) {
 			continue
 		}
@@ -78,7 +78,7 @@
 		if int(u.Method) >= methods || u.RPCs == 0 {
 			continue
 		}
-		pair := usagePair{s.proxy, choice.Method(u.Method)}
+		pair := usagePair{s.proxy, choice.MethodID(u.Method)}
 		x := k.usage[pair]
 		if x == nil {
 			x = &sum{ripe: now, from: from, use: pair, usage: true}
@@ -102,12 +102,12 @@
 		k.credit--
 		if x.usage {
 			delete(k.usage, x.use)
-			events = append(events, choice.UsageSum{Proxy: x.use.proxy, Method: x.use.method, RPCs: x.n,
-				Bad: min(x.bad, x.n), Over: x.to - x.from})
+			events = append(events, choice.UsageReport{Proxy: x.use.proxy, Method: x.use.method, RPCs: x.n,
+				Failures: min(x.bad, x.n), Span: x.to - x.from})
 		} else {
 			delete(k.tries, x.pair)
-			events = append(events, choice.TrySum{EP: x.pair.ep, Zone: x.pair.zone, Tries: x.n, Bad: x.bad,
-				Delay: x.delay, Over: x.to - x.from})
+			events = append(events, choice.AttemptReport{Backend: x.pair.ep, Zone: x.pair.zone, Attempts: x.n, Failures: x.bad,
+				MeanLatency: x.delay, Span: x.to - x.from})
 		}
 	}
 	return events
@@ -131,7 +131,7 @@
 }
 
 // forget drops what waits of a proxy whose number may be given to another.
-func (k *intake) forget(p choice.Proxy) {
+func (k *intake) forget(p choice.ProxyID) {
 	var gone []*sum
 	for _, x := range k.queue {
 		if x.usage && x.use.proxy == p {
--- a/internal/coordinator/intake_test.go
+++ b/internal/coordinator/intake_test.go
@@ -10,15 +10,15 @@
 // Usage is handed over at once; in one row with tries it waited behind them while they gathered, and levels began so
 // much later. Found on an emulated fleet.
 func TestUsageDoesNotWaitBehindTries(t *testing.T) {
-	k := newIntake(choice.Bootstrap{Now: 100, Values: map[string]any{"intake": 0.0, "report_period": 2.0}})
-	known := func(choice.EP) bool { return true }
+	k := newIntake(choice.Config{Now: 100, Settings: choice.DecodeSettings(map[string]any{"intake": 0.0, "report_period": 2.0})})
+	known := func(choice.BackendID) bool { return true }
 	sums := proto.Sums{Over: 1, Tries: []proto.Tries{{EP: 1, Tries: 4}}, Usage: []proto.Usage{{Method: 0, RPCs: 5}}}
 	k.heard(100, &stream{zone: "a"}, sums, known, 1)
 	first := k.due(100)
 	if len(first) != 1 {
 		t.Fatalf("%d events at once", len(first))
 	}
-	if _, usage := first[0].(choice.UsageSum); !usage {
+	if _, usage := first[0].(choice.UsageReport); !usage {
 		t.Fatalf("first came %T", first[0])
 	}
 	if later := k.due(101); len(later) != 1 {
--- a/internal/coordinator/kept_test.go
+++ b/internal/coordinator/kept_test.go
@@ -6,10 +6,10 @@
 	"strings"
 	"testing"
 
+	"gingerfork/internal/checkpoint"
 	"gingerfork/internal/disk"
-	"gingerfork/internal/keep"
-	"gingerfork/internal/machine"
 	"gingerfork/internal/proto"
+	"gingerfork/internal/statemachine"
 	"gingerfork/internal/store"
 )
 
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept, err := keep.Read(s.Scan(""))
+	kept, err := checkpoint.Read(s.Scan(""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 }
 
 // go on for a time; each batch is durable before the machine hears so.
-func (r *storeRun) pass(span float64, in ...machine.Input) {
+func (r *storeRun) pass(span float64, in ...statemachine.Input) {
 	r.t.Helper()
 	r.stuck = true // this run tells it itself
 	for end := r.now + span; ; {
@@ -59,7 +59,7 @@
 		in = nil
 		if r.batch > 0 {
 			var b store.Batch
-			for _, p := range r.out.Puts {
+			for _, p := range r.out.Mutations {
 				if p.Value == nil {
 					b.Delete(p.Key)
 				} else {
@@ -69,14 +69,14 @@
 			if err := r.s.Commit(&b); err != nil {
 				r.t.Fatal(err)
 			}
-			in, r.batch = []machine.Input{{Kind: machine.Kept, N: r.batch}}, 0
+			in, r.batch = []statemachine.Input{{Kind: statemachine.Persisted, Batch: r.batch}}, 0
 			r.now += 0.001
 			continue
 		}
 		if r.now >= end {
 			return
 		}
-		r.now += max(0.0001, min(r.out.Wake, end)-r.now)
+		r.now += max(0.0001, min(r.out.WakeAt, end)-r.now)
 	}
 }
 
@@ -85,10 +85,10 @@
 	r.t.Helper()
 	for range 3 {
 		for c := 1; c <= proxies; c++ {
-			for _, p := range r.pushes(machine.Conn(c)) {
+			for _, p := range r.pushes(statemachine.Conn(c)) {
 				_, at := r.segment()
 				r.facts = append(r.facts, fact{at: at, mark: p.Mark})
-				r.pass(0.01, data(machine.Conn(c), proto.Answer{Mark: p.Mark}))
+				r.pass(0.01, data(statemachine.Conn(c), proto.Answer{Mark: p.Mark}))
 				for _, o := range p.Ops {
 					if o.Kind == proto.OpWithdraw {
 						_, at := r.segment()
@@ -126,7 +126,7 @@
 	}
 	r.pass(0.1, opened(r.list), data(r.list, proto.Welcome{Version: 1, Name: "list"}, l))
 	for c := 1; c <= proofProxies; c++ {
-		r.pass(0.01, opened(machine.Conn(c)), data(machine.Conn(c), hello(fmt.Sprint("f", c))))
+		r.pass(0.01, opened(statemachine.Conn(c)), data(statemachine.Conn(c), hello(fmt.Sprint("f", c))))
 	}
 	r.pass(0.2)
 	r.obey(proofProxies)
@@ -191,11 +191,11 @@
 			for c := 1; c <= proofProxies; c++ {
 				h := hello(fmt.Sprint("f", c))
 				h.Fresh, h.Holds, h.Mark = false, "c0", given
-				next.pass(0.01, opened(machine.Conn(c)), data(machine.Conn(c), h))
+				next.pass(0.01, opened(statemachine.Conn(c)), data(statemachine.Conn(c), h))
 			}
 			next.pass(0.3)
 			for c := 1; c <= proofProxies; c++ {
-				pushes := next.pushes(machine.Conn(c))
+				pushes := next.pushes(statemachine.Conn(c))
 				may := holds(pushes)
 				for ep, by := range out {
 					if may[ep] {
@@ -225,7 +225,7 @@
 // A withdrawal leaves at once, whatever the disk does; its answer counts when it is durable, or when that has taken too
 // long; with a store out of order nothing waits.
 func TestWithdrawalWaitsForNoDisk(t *testing.T) {
-	r := newRig(t, nil, &keep.Kept{})
+	r := newRig(t, nil, &checkpoint.Kept{})
 	r.listed(6)
 	r.join(1, "f0")
 	r.run(0.1)
@@ -236,7 +236,7 @@
 		r.stuck = true
 		r.change(entry(i+1, proto.ServerDraining))
 		if want == "out of order" {
-			r.step(0, machine.Input{Kind: machine.NotKept, Text: "no space"})
+			r.step(0, statemachine.Input{Kind: statemachine.PersistFailed, Text: "no space"})
 		}
 		r.run(0.02)
 		p := r.pushes(1)
@@ -276,11 +276,11 @@
 // Nothing that has a mark leaves before the first lot of marks is durable; a disk that hangs delays that by half a second.
 func TestMarksAreSetAsideFirst(t *testing.T) {
 	for _, hangs := range []bool{false, true} {
-		r := newRig(t, nil, &keep.Kept{Marks: 500})
+		r := newRig(t, nil, &checkpoint.Kept{Marks: 500})
 		r.stuck = true
 		r.listed(5)
 		began := r.now
-		r.m.core.keep = keep.New(began, &keep.Kept{Marks: 500})
+		r.m.core.keep = checkpoint.New(began, &checkpoint.Kept{Marks: 500})
 		r.join(1, "f0")
 		r.run(0.1)
 		if p := r.pushes(1); len(p) != 0 {
@@ -300,7 +300,7 @@
 // All servers left the list, and the coordinator died: a proxy that comes back with the tables of before is told what is
 // out of use, though there is no table to give it.
 func TestDrainsAreKnownWithoutATable(t *testing.T) {
-	r := newRig(t, nil, &keep.Kept{})
+	r := newRig(t, nil, &checkpoint.Kept{})
 	r.listed(2)
 	r.join(1, "f0")
 	r.run(0.1)
--- a/internal/coordinator/machine.go
+++ b/internal/coordinator/machine.go
@@ -3,13 +3,14 @@
 import (
 	"errors"
 	"fmt"
+	"slices"
 	"strings"
 	"unicode"
 
 	"gingerfork/choice"
-	"gingerfork/internal/keep"
-	"gingerfork/internal/machine"
+	"gingerfork/internal/checkpoint"
 	"gingerfork/internal/proto"
+	"gingerfork/internal/statemachine"
 )
 
 // Bootstrap is what a coordinator is started with.
@@ -17,12 +18,12 @@
 	Name         string
 	Zone         string
 	ListAddr     string
-	Peers        map[choice.Peer]string // addresses
-	Module       choice.Bootstrap
-	Handshake    machine.Seconds // within which a stream must say hello
-	Silence      machine.Seconds // of a proxy's stream, after which it counts as broken
-	ListSilence  machine.Seconds // of the list service
-	ProbeTimeout machine.Seconds
+	Peers        map[choice.PeerID]string // addresses
+	Module       choice.Config
+	Handshake    statemachine.Seconds // within which a stream must say hello
+	Silence      statemachine.Seconds // of a proxy's stream, after which it counts as broken
+	ListSilence  statemachine.Seconds // of the list service
+	ProbeTimeout statemachine.Seconds
 	MostStreams  int
 	MostProbes   int    // at once; more wait
 	Text         string // the settings as they are kept
@@ -41,31 +42,31 @@
 
 // session is one connection.
 type session struct {
-	conn   machine.Conn
+	conn   statemachine.Conn
 	role   role
 	name   string
 	reader proto.Reader
-	opened machine.Seconds
-	heard  machine.Seconds
+	opened statemachine.Seconds
+	heard  statemachine.Seconds
 	up     bool // dialled ones: it stands
 	ready  bool // lists: it had its welcome
 	probe  Target
-	peer   choice.Peer
+	peer   choice.PeerID
 }
 
 // Machine is a coordinator with its protocol.
 type Machine struct {
 	boot     Bootstrap
 	core     *Core
-	sessions map[machine.Conn]*session
+	sessions map[statemachine.Conn]*session
 	order    []*session // in the order they came, for sweeps; closed ones are nil
-	dialled  machine.Conn
+	dialled  statemachine.Conn
 	list     *session
 	asks     []proto.Message // for the list service, once it is reached
 	probing  int
 	queued   []Target
-	peers    map[choice.Peer]*session
-	swept    machine.Seconds
+	peers    map[choice.PeerID]*session
+	swept    statemachine.Seconds
 	faulted  map[string]int // refusals by reason, so that a storm of them makes few lines in the log
 	started  bool
 	unkept   string // why the store is out of order; "": it is not
@@ -74,9 +75,9 @@
 
 // NewMachine makes a coordinator that goes on from what its last run kept; nil: nothing is kept. Whoever drives it with
 // something kept must write out.Puts, and tell what became of them.
-func NewMachine(boot Bootstrap, kept *keep.Kept) *Machine {
-	return &Machine{boot: boot, core: New(boot.Module, kept), sessions: map[machine.Conn]*session{}, peers: map[choice.Peer]*session{},
-		dialled: machine.Dialled, swept: boot.Module.Now, faulted: map[string]int{}}
+func NewMachine(boot Bootstrap, kept *checkpoint.Kept) *Machine {
+	return &Machine{boot: boot, core: New(boot.Module, kept), sessions: map[statemachine.Conn]*session{}, peers: map[choice.PeerID]*session{},
+		dialled: statemachine.Dialed, swept: boot.Module.Now, faulted: map[string]int{}}
 }
 
 // Renew puts other settings in force. The module reads its settings once, so a fresh instance takes over, as after a
@@ -95,7 +96,7 @@
 func (m *Machine) Figures() Figures { return m.core.Figures() }
 
 // Step implements machine.Machine. If the module fails, nothing of the step is done and out.Fail says why.
-func (m *Machine) Step(now machine.Seconds, in []machine.Input, out *machine.Out) {
+func (m *Machine) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	defer func() {
 		if r := recover(); r != nil {
 			f, ok := r.(Failure)
@@ -103,7 +104,7 @@
 				panic(r)
 			}
 			out.Reset()
-			out.Fail = f.Error() + "\n" + string(f.Stack)
+			out.Failure = f.Error() + "\n" + string(f.Stack)
 		}
 	}()
 	if !m.started {
@@ -129,12 +130,12 @@
 	events = m.sweep(now, out, events)
 	o := m.core.Step(now, events)
 	m.carry(now, o, out)
-	out.At(o.Wake)
-	out.At(m.swept + m.pause())
+	out.WakeBy(o.Wake)
+	out.WakeBy(m.swept + m.pause())
 }
 
 // pause is how often silent connections are looked for.
-func (m *Machine) pause() machine.Seconds {
+func (m *Machine) pause() statemachine.Seconds {
 	return min(m.boot.Handshake, m.boot.Silence, m.boot.ListSilence, m.boot.ProbeTimeout) / 4
 }
 
@@ -144,18 +145,18 @@
 	return s
 }
 
-func (m *Machine) dial(now machine.Seconds, addr string, s *session, out *machine.Out) *session {
+func (m *Machine) dial(now statemachine.Seconds, addr string, s *session, out *statemachine.Effects) *session {
 	m.dialled++
 	s.conn, s.opened, s.heard = m.dialled, now, now
 	out.Dial(s.conn, addr)
 	return m.add(s)
 }
 
-func (m *Machine) input(now machine.Seconds, i machine.Input, out *machine.Out, events []Event) []Event {
+func (m *Machine) input(now statemachine.Seconds, i statemachine.Input, out *statemachine.Effects, events []Event) []Event {
 	s := m.sessions[i.Conn]
 	switch i.Kind {
-	case machine.Opened:
-		if s == nil && i.Conn&machine.Dialled == 0 {
+	case statemachine.ConnOpened:
+		if s == nil && i.Conn&statemachine.Dialed == 0 {
 			if len(m.sessions) >= m.boot.MostStreams {
 				m.refuse(&session{conn: i.Conn}, "too many streams, try another coordinator", out)
 				return events
@@ -164,11 +165,11 @@
 		} else if s != nil {
 			m.reached(s, out)
 		}
-	case machine.Closed:
+	case statemachine.ConnClosed:
 		if s != nil {
 			return m.lost(now, s, out, events, i.Text)
 		}
-	case machine.Data:
+	case statemachine.ConnData:
 		if s == nil {
 			return events
 		}
@@ -187,26 +188,26 @@
 				return m.lost(now, s, out, events, err.Error())
 			}
 		}
-	case machine.Kept:
+	case statemachine.Persisted:
 		if m.unkept != "" {
 			out.Log(1, "the store is in order again")
 			m.unkept = ""
 		}
-		return append(events, Durable{i.N})
-	case machine.NotKept:
+		return append(events, Durable{i.Batch})
+	case statemachine.PersistFailed:
 		if i.Text != m.unkept {
 			m.unkept = i.Text
 			out.Log(3, "the store is out of order: what is decided from now on is not known after a restart", "cause", i.Text)
 		}
 		return append(events, NotKept{})
-	case machine.Told:
+	case statemachine.OperatorCommand:
 		out.Log(2, "this coordinator takes no words yet", "word", i.Text)
 	}
 	return events
 }
 
 // reached: a connection that we opened stands.
-func (m *Machine) reached(s *session, out *machine.Out) {
+func (m *Machine) reached(s *session, out *statemachine.Effects) {
 	s.up = true
 	hello := proto.Hello{Version: proto.Version, Name: m.boot.Name, Zone: m.boot.Zone}
 	switch s.role {
@@ -223,25 +224,25 @@
 }
 
 // refuse says why and closes; the session's events are the caller's to raise.
-func (m *Machine) refuse(s *session, reason string, out *machine.Out) {
+func (m *Machine) refuse(s *session, reason string, out *statemachine.Effects) {
 	out.Write(s.conn, proto.Append(nil, proto.Refuse{Reason: reason}))
 	out.Close(s.conn)
 	m.complain(s, reason, out)
 }
 
 // complain logs a refused stream: each reason's first time and then each time that their number has doubled.
-func (m *Machine) complain(s *session, reason string, out *machine.Out) {
+func (m *Machine) complain(s *session, reason string, out *statemachine.Effects) {
 	if len(m.faulted) > 1000 {
 		clear(m.faulted)
 	}
 	m.faulted[reason]++
 	if n := m.faulted[reason]; n&(n-1) == 0 {
-		out.Log(2, "stream refused", "peer", s.name, "conn", uint64(s.conn&^machine.Dialled), "reason", reason, "times", n)
+		out.Log(2, "stream refused", "peer", s.name, "conn", uint64(s.conn&^statemachine.Dialed), "reason", reason, "times", n)
 	}
 }
 
 // lost forgets a session, whoever ended it, and tells the core what it needs to know.
-func (m *Machine) lost(now machine.Seconds, s *session, out *machine.Out, events []Event, why string) []Event {
+func (m *Machine) lost(now statemachine.Seconds, s *session, out *statemachine.Effects, events []Event, why string) []Event {
 	if m.sessions[s.conn] != s {
 		return events
 	}
@@ -269,7 +270,7 @@
 var errOrder = errors.New("a frame out of order")
 
 // message takes one message of a stream; an error closes that stream, and no other.
-func (m *Machine) message(now machine.Seconds, s *session, msg proto.Message, out *machine.Out, events []Event) ([]Event, error) {
+func (m *Machine) message(now statemachine.Seconds, s *session, msg proto.Message, out *statemachine.Effects, events []Event) ([]Event, error) {
 	if r, ok := msg.(proto.Refuse); ok {
 		return events, fmt.Errorf("the other side refused: %s", r.Reason)
 	}
@@ -323,7 +324,7 @@
 			s.ready = true
 			return events, nil
 		case proto.PeerNote:
-			return append(events, PeerNote{choice.Peer(x.From), x.Data}), nil
+			return append(events, PeerNote{choice.PeerID(x.From), x.Data}), nil
 		}
 	}
 	return events, fmt.Errorf("%w: %T", errOrder, msg)
@@ -334,7 +335,7 @@
 	return s != "" && len(s) <= 64 && !strings.ContainsFunc(s, func(r rune) bool { return unicode.IsSpace(r) || !unicode.IsPrint(r) })
 }
 
-func (m *Machine) hello(now machine.Seconds, s *session, h proto.Hello, out *machine.Out, events []Event) ([]Event, error) {
+func (m *Machine) hello(now statemachine.Seconds, s *session, h proto.Hello, out *statemachine.Effects, events []Event) ([]Event, error) {
 	switch {
 	case h.Version != proto.Version:
 		return events, fmt.Errorf("version %d of the protocol, %d wanted", h.Version, proto.Version)
@@ -343,9 +344,9 @@
 	}
 	s.name = h.Name
 	s.reader.Open()
-	welcome := proto.Welcome{Version: proto.Version, Name: m.boot.Name, Period: m.boot.Module.Num("report_period", 1)}
-	for i := range int(m.boot.Module.Num("method.n", 1)) {
-		welcome.Methods = append(welcome.Methods, m.boot.Module.Word(fmt.Sprintf("method.%d.name", i)))
+	welcome := proto.Welcome{Version: proto.Version, Name: m.boot.Name, Period: m.boot.Module.Settings.ReportPeriod.Or(1)}
+	for _, method := range m.boot.Module.Settings.Methods {
+		welcome.Methods = append(welcome.Methods, method.Name)
 	}
 	switch h.Role {
 	case proto.RoleProxy:
@@ -366,18 +367,13 @@
 }
 
 func (m *Machine) knownZone(zone string) bool {
-	n := int(m.boot.Module.Num("zones.n", 0))
-	for i := range n {
-		if m.boot.Module.Word(fmt.Sprintf("zones.%d", i)) == zone {
-			return true
-		}
-	}
-	return n == 0
+	zones := m.boot.Module.Settings.Zones
+	return len(zones) == 0 || slices.Contains(zones, zone)
 }
 
 // sweep closes what has been silent for too long: strangers, proxies and the list service whose link died without a
 // word, probes that nobody answers.
-func (m *Machine) sweep(now machine.Seconds, out *machine.Out, events []Event) []Event {
+func (m *Machine) sweep(now statemachine.Seconds, out *statemachine.Effects, events []Event) []Event {
 	if now < m.swept+m.pause() {
 		return events
 	}
@@ -397,7 +393,7 @@
 		case s.role == listRole && silent > m.boot.ListSilence,
 			s.role == probeRole && now-s.opened > m.boot.ProbeTimeout,
 			s.role == peerRole && !s.ready && now-s.opened > m.boot.Handshake:
-			out.Kill(s.conn)
+			out.Abort(s.conn)
 		default:
 			continue
 		}
@@ -408,7 +404,7 @@
 	return events
 }
 
-func (m *Machine) probeNext(now machine.Seconds, out *machine.Out) {
+func (m *Machine) probeNext(now statemachine.Seconds, out *statemachine.Effects) {
 	for len(m.queued) > 0 && m.probing < m.boot.MostProbes {
 		t := m.queued[0]
 		m.queued = m.queued[1:]
@@ -418,9 +414,9 @@
 }
 
 // carry does what the core wants done.
-func (m *Machine) carry(now machine.Seconds, o Orders, out *machine.Out) {
+func (m *Machine) carry(now statemachine.Seconds, o Orders, out *statemachine.Effects) {
 	for _, d := range o.Drops {
-		s := m.sessions[machine.Conn(d.Stream)]
+		s := m.sessions[statemachine.Conn(d.Stream)]
 		if s != nil {
 			m.refuse(s, d.Reason, out)
 			delete(m.sessions, s.conn)
@@ -429,7 +425,7 @@
 	for _, x := range o.Sends {
 		frame := proto.Append(nil, x.Push)
 		m.core.figures.Bytes += len(frame)
-		out.Write(machine.Conn(x.Stream), frame)
+		out.Write(statemachine.Conn(x.Stream), frame)
 	}
 	if o.ListBad != nil {
 		out.Log(3, "list frame refused, the list stays as it was", "cause", o.ListBad.Error())
@@ -464,16 +460,16 @@
 		}
 		out.Log(1, text, "backend", uint32(t.EP), "mark", t.Mark, "proxies", t.Proxies)
 	}
-	out.Keep(o.Puts, o.Batch)
+	out.Persist(o.Puts, o.Batch)
 }
 
-func (m *Machine) askList(now machine.Seconds, ask proto.Message, out *machine.Out) {
+func (m *Machine) askList(now statemachine.Seconds, ask proto.Message, out *statemachine.Effects) {
 	if m.list != nil && m.list.ready {
 		out.Write(m.list.conn, proto.Append(nil, ask))
 		return
 	}
 	if m.list != nil && now-m.list.opened > m.boot.ListSilence {
-		out.Kill(m.list.conn)
+		out.Abort(m.list.conn)
 		delete(m.sessions, m.list.conn)
 		m.list, m.asks = nil, nil
 	}
@@ -486,8 +482,8 @@
 }
 
 // tell sends to peers that are reached; what can't go now is lost, as their protocol allows.
-func (m *Machine) tell(now machine.Seconds, t choice.Tell, out *machine.Out) {
-	for p := range choice.Peer(int(m.boot.Module.Num("coordinators", 1))) {
+func (m *Machine) tell(now statemachine.Seconds, t choice.SendToPeer, out *statemachine.Effects) {
+	for p := range choice.PeerID(int(m.boot.Module.Settings.Coordinators.Or(1))) {
 		addr := m.boot.Peers[p]
 		if addr == "" || t.To >= 0 && t.To != p || len(t.Data) > proto.MostWord {
 			continue
@@ -496,7 +492,7 @@
 		if s == nil {
 			m.peers[p] = m.dial(now, addr, &session{role: peerRole, peer: p, name: addr}, out)
 		} else if s.ready {
-			out.Write(s.conn, proto.Append(nil, proto.PeerNote{From: uint64(m.boot.Module.Num("self", 0)), Data: string(t.Data)}))
+			out.Write(s.conn, proto.Append(nil, proto.PeerNote{From: uint64(m.boot.Module.Settings.Self.Or(0)), Data: string(t.Data)}))
 		}
 	}
 }
--- a/internal/coordinator/roll.go
+++ b/internal/coordinator/roll.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"gingerfork/choice"
-	"gingerfork/internal/keep"
+	"gingerfork/internal/checkpoint"
 	"gingerfork/internal/proto"
 )
 
@@ -14,16 +14,16 @@
 type roll struct {
 	version uint64
 	held    bool // a list was held at all
-	entries map[choice.EP]*server
+	entries map[choice.BackendID]*server
 }
 
-type server = keep.Server
+type server = checkpoint.Server
 
 // news checks a list frame, takes it over and gives what the module is to hear of it. Nothing of a frame that is
 // refused is taken over.
-func (r *roll) news(now choice.Seconds, m proto.List) (l *choice.Listed, changed []server, gone []choice.EP, err error) {
+func (r *roll) news(now choice.Seconds, m proto.List) (l *choice.EndpointUpdate, changed []server, gone []choice.BackendID, err error) {
 	if m.Kind == proto.ListError {
-		return &choice.Listed{Kind: choice.ListFailed}, nil, nil, nil
+		return &choice.EndpointUpdate{Kind: choice.UpdateFailed}, nil, nil, nil
 	}
 	seen := make(map[proto.EP]bool, len(m.Entries))
 	for _, e := range m.Entries {
@@ -39,49 +39,49 @@
 	}
 	if m.Kind == proto.ListChanges {
 		if r.held && m.Version <= r.version {
-			return &choice.Listed{Kind: choice.ListDelta, Version: int64(r.version)}, nil, nil, nil // it came twice, or nothing is new
+			return &choice.EndpointUpdate{Kind: choice.UpdateDelta, Version: int64(r.version)}, nil, nil, nil // it came twice, or nothing is new
 		}
 		if !r.held || m.Base != r.version {
 			return nil, nil, nil, fmt.Errorf("list changes from version %d, but version %d is held", m.Base, r.version)
 		}
 	}
-	l = &choice.Listed{Kind: choice.ListDelta, Version: int64(m.Version)}
+	l = &choice.EndpointUpdate{Kind: choice.UpdateDelta, Version: int64(m.Version)}
 	old := r.entries
 	if m.Kind == proto.ListFull {
-		l.Kind, r.entries = choice.ListFull, make(map[choice.EP]*server, len(m.Entries))
+		l.Kind, r.entries = choice.UpdateFull, make(map[choice.BackendID]*server, len(m.Entries))
 	} else { // what it had of the servers that the news names
-		old = make(map[choice.EP]*server, len(m.Entries))
+		old = make(map[choice.BackendID]*server, len(m.Entries))
 		for _, e := range m.Entries {
-			if was := r.entries[choice.EP(e.EP)]; was != nil {
-				old[choice.EP(e.EP)] = was
+			if was := r.entries[choice.BackendID(e.EP)]; was != nil {
+				old[choice.BackendID(e.EP)] = was
 			}
 		}
 	}
 	for _, e := range m.Entries {
-		id := choice.EP(e.EP)
+		id := choice.BackendID(e.EP)
 		if e.State == proto.ServerGone {
 			if was := r.entries[id]; was != nil {
 				delete(r.entries, id)
 				gone := was.Entry
-				gone.State = choice.Gone
-				l.Entries = append(l.Entries, gone)
+				gone.State = choice.BackendGone
+				l.Endpoints = append(l.Endpoints, gone)
 			}
 			continue
 		}
-		s := &server{Stamp: e.Stamp, Addr: e.Addr, Entry: choice.Entry{EP: id, Kind: e.Kind, Zone: choice.Zone(e.Zone),
-			Weight: e.Weight, Cell: int(e.Cell), State: choice.Open}}
+		s := &server{Stamp: e.Stamp, Addr: e.Addr, Entry: choice.Endpoint{Backend: id, Kind: e.Kind, Zone: choice.Zone(e.Zone),
+			Weight: e.Weight, Cell: int(e.Cell), State: choice.BackendOpen}}
 		if e.State == proto.ServerDraining {
-			s.Entry.State = choice.Draining
+			s.Entry.State = choice.BackendDraining
 		}
 		// The list's clock and ours need not agree: a start is told as an age, and reckoned once for each process,
 		// as what looks like a later start is a restart to the module.
 		if was := old[id]; was != nil && was.Stamp == e.Stamp {
-			s.Entry.Start = was.Entry.Start
+			s.Entry.StartedAt = was.Entry.StartedAt
 		} else if !e.Old {
-			s.Entry.Start = max(now-e.Age, 1e-6)
+			s.Entry.StartedAt = max(now-e.Age, 1e-6)
 		}
 		r.entries[id] = s
-		l.Entries = append(l.Entries, s.Entry)
+		l.Endpoints = append(l.Endpoints, s.Entry)
 	}
 	r.version, r.held = m.Version, true
 	changed, gone = r.changes(old, l)
@@ -93,22 +93,22 @@
 	for _, s := range r.entries {
 		all = append(all, s)
 	}
-	slices.SortFunc(all, func(a, b *server) int { return cmp.Compare(a.Entry.EP, b.Entry.EP) })
+	slices.SortFunc(all, func(a, b *server) int { return cmp.Compare(a.Entry.Backend, b.Entry.Backend) })
 	return all
 }
 
 // changes tells what news made of the servers held before: those that are new or otherwise, and those that left.
-func (r *roll) changes(old map[choice.EP]*server, l *choice.Listed) (changed []server, gone []choice.EP) {
-	for _, e := range l.Entries {
-		is, was := r.entries[e.EP], old[e.EP]
+func (r *roll) changes(old map[choice.BackendID]*server, l *choice.EndpointUpdate) (changed []server, gone []choice.BackendID) {
+	for _, e := range l.Endpoints {
+		is, was := r.entries[e.Backend], old[e.Backend]
 		switch {
 		case is == nil:
-			gone = append(gone, e.EP)
+			gone = append(gone, e.Backend)
 		case was == nil || *was != *is:
 			changed = append(changed, *is)
 		}
 	}
-	if l.Kind == choice.ListFull {
+	if l.Kind == choice.UpdateFull {
 		for ep := range old {
 			if r.entries[ep] == nil {
 				gone = append(gone, ep)
@@ -120,10 +120,10 @@
 }
 
 // kept is the list as the module hears of it at a start.
-func (r *roll) kept() choice.Listed {
-	l := choice.Listed{Kind: choice.ListKept, Version: int64(r.version)}
+func (r *roll) kept() choice.EndpointUpdate {
+	l := choice.EndpointUpdate{Kind: choice.UpdateCached, Version: int64(r.version)}
 	for _, s := range r.sorted() {
-		l.Entries = append(l.Entries, s.Entry)
+		l.Endpoints = append(l.Endpoints, s.Entry)
 	}
 	return l
 }
