--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"gingerfork/internal/machine"
+	"gingerfork/internal/statemachine"
 	"gingerfork/internal/trace"
 )
 
@@ -16,23 +16,23 @@
 type Fleet struct {
 	members []*member
 	byName  map[string]*member
-	of      map[machine.Conn]*member
+	of      map[statemachine.Conn]*member
 	due     fleetDue
-	began   machine.Seconds
+	began   statemachine.Seconds
 	tally   Tally
-	second  machine.Seconds
+	second  statemachine.Seconds
 	figures func(Tally)
 }
 
 // Tally is what a fleet did in about a second, and how it is.
 type Tally struct {
-	T                       machine.Seconds // since its start
-	Servers, Up, Cold, Down int             // Down: fallen, of those that are up
-	Able, Busy              float64         // RPCs a second that it could do, cores' share that is busy
-	Waiting                 int             // RPCs
-	Ran                     int             // RPCs begun
-	Near                    float64         // the nearest that a cold server came to falling, of its bound
-	Late                    machine.Seconds // the most that anything was done after it was due
+	T                       statemachine.Seconds // since its start
+	Servers, Up, Cold, Down int                  // Down: fallen, of those that are up
+	Able, Busy              float64              // RPCs a second that it could do, cores' share that is busy
+	Waiting                 int                  // RPCs
+	Ran                     int                  // RPCs begun
+	Near                    float64              // the nearest that a cold server came to falling, of its bound
+	Late                    statemachine.Seconds // the most that anything was done after it was due
 }
 
 type member struct {
@@ -40,10 +40,10 @@
 	trade Trade
 	lives int
 	s     *Server // nil: down
-	conns map[machine.Conn]bool
-	wake  machine.Seconds
+	conns map[statemachine.Conn]bool
+	wake  statemachine.Seconds
 	at    int
-	in    []machine.Input
+	in    []statemachine.Input
 }
 
 type fleetDue []*member
@@ -56,13 +56,13 @@
 
 // NewFleet makes an empty one; figures, if not nil, is given what it did each second, by the goroutine that steps it.
 func NewFleet(figures func(Tally)) *Fleet {
-	return &Fleet{byName: map[string]*member{}, of: map[machine.Conn]*member{}, figures: figures, second: machine.Never}
+	return &Fleet{byName: map[string]*member{}, of: map[statemachine.Conn]*member{}, figures: figures, second: statemachine.Never}
 }
 
 // Add adds a server before the fleet is first stepped; its door is the number of those added before it. Its processes
 // after the first start cold.
 func (f *Fleet) Add(name string, t Trade) {
-	m := &member{name: name, trade: t, conns: map[machine.Conn]bool{}, wake: 0}
+	m := &member{name: name, trade: t, conns: map[statemachine.Conn]bool{}, wake: 0}
 	f.members = append(f.members, m)
 	f.byName[name] = m
 	f.start(m)
@@ -78,12 +78,12 @@
 }
 
 // Step implements machine.Machine.
-func (f *Fleet) Step(now machine.Seconds, in []machine.Input, out *machine.Out) {
+func (f *Fleet) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	if f.began == 0 {
 		f.began, f.second = now, now+1
 	}
 	var busy []*member
-	give := func(m *member, i machine.Input) {
+	give := func(m *member, i statemachine.Input) {
 		if len(m.in) == 0 {
 			busy = append(busy, m)
 		}
@@ -91,23 +91,23 @@
 	}
 	for _, i := range in {
 		switch i.Kind {
-		case machine.Told:
+		case statemachine.OperatorCommand:
 			f.told(now, i.Text, give, out)
-		case machine.Opened:
-			m := f.members[i.Door]
+		case statemachine.ConnOpened:
+			m := f.members[i.Listener]
 			if m.s == nil { // nobody listens there; a door can't be refused, so it is opened and shut
-				out.Kill(i.Conn)
+				out.Abort(i.Conn)
 				continue
 			}
 			f.of[i.Conn], m.conns[i.Conn] = m, true
-			i.Door = 0
+			i.Listener = 0
 			give(m, i)
 		default:
 			m := f.of[i.Conn]
 			if m == nil {
 				continue
 			}
-			if i.Kind == machine.Closed {
+			if i.Kind == statemachine.ConnClosed {
 				delete(f.of, i.Conn)
 				delete(m.conns, i.Conn)
 			}
@@ -126,14 +126,14 @@
 		f.second = now + 1
 		f.tell(now)
 	}
-	out.Wake = min(f.second, f.due[0].wake)
+	out.WakeAt = min(f.second, f.due[0].wake)
 }
 
-func (f *Fleet) step(now machine.Seconds, m *member, out *machine.Out) {
+func (f *Fleet) step(now statemachine.Seconds, m *member, out *statemachine.Effects) {
 	in := m.in
 	m.in = nil
 	if m.s == nil {
-		m.wake = machine.Never
+		m.wake = statemachine.Never
 		heap.Fix(&f.due, m.at)
 		return
 	}
@@ -142,11 +142,11 @@
 			f.tally.Late = max(f.tally.Late, now-at)
 		}
 	}
-	acts, records := len(out.Acts), len(out.Trace)
-	out.Wake = machine.Never
+	acts, records := len(out.Actions), len(out.Trace)
+	out.WakeAt = statemachine.Never
 	m.s.Step(now, in, out)
-	for _, a := range out.Acts[acts:] {
-		if a.Kind == machine.Close || a.Kind == machine.Reset {
+	for _, a := range out.Actions[acts:] {
+		if a.Kind == statemachine.ActionClose || a.Kind == statemachine.ActionAbort {
 			delete(f.of, a.Conn)
 			delete(m.conns, a.Conn)
 		}
@@ -159,11 +159,11 @@
 			f.tally.Near = max(f.tally.Near, r.X)
 		}
 	}
-	m.wake = max(out.Wake, now+1e-6)
+	m.wake = max(out.WakeAt, now+1e-6)
 	heap.Fix(&f.due, m.at)
 }
 
-func (f *Fleet) told(now machine.Seconds, text string, give func(*member, machine.Input), out *machine.Out) {
+func (f *Fleet) told(now statemachine.Seconds, text string, give func(*member, statemachine.Input), out *statemachine.Effects) {
 	name, word, _ := strings.Cut(text, " ")
 	var all []*member
 	if name == "*" {
@@ -179,13 +179,13 @@
 		case word == "kill" && m.s != nil:
 			m.s, m.in = nil, nil
 			out.Record(trace.Record{T: now, Kind: trace.Gone, EP: m.trade.EP})
-			var conns []machine.Conn
+			var conns []statemachine.Conn
 			for c := range m.conns {
 				conns = append(conns, c)
 			}
 			slices.Sort(conns)
 			for _, c := range conns {
-				out.Kill(c)
+				out.Abort(c)
 				delete(f.of, c)
 			}
 			clear(m.conns)
@@ -195,13 +195,13 @@
 			heap.Fix(&f.due, m.at)
 		case word == "kill" || word == "start":
 		case m.s != nil:
-			give(m, machine.Input{Kind: machine.Told, Text: word})
+			give(m, statemachine.Input{Kind: statemachine.OperatorCommand, Text: word})
 		}
 	}
 }
 
 // tell reckons the second's figures.
-func (f *Fleet) tell(now machine.Seconds) {
+func (f *Fleet) tell(now statemachine.Seconds) {
 	t := f.tally
 	t.T, t.Servers = now-f.began, len(f.members)
 	cores, used := 0, 0.0
@@ -249,4 +249,4 @@
 	return t
 }
 
-var _ machine.Machine = (*Fleet)(nil)
+var _ statemachine.Machine = (*Fleet)(nil)
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"gingerfork/internal/machine"
 	"gingerfork/internal/proto"
+	"gingerfork/internal/statemachine"
 	"gingerfork/internal/trace"
 )
 
@@ -61,22 +61,22 @@
 	f      *Fleet
 	now    float64
 	wake   float64
-	killed map[machine.Conn]bool
+	killed map[statemachine.Conn]bool
 	ok     int
 	trace  []trace.Record
 	notes  []string
 }
 
-func (w *wire) step(in ...machine.Input) {
-	out := &machine.Out{}
+func (w *wire) step(in ...statemachine.Input) {
+	out := &statemachine.Effects{}
 	out.Reset()
 	w.f.Step(w.now, in, out)
-	w.wake = out.Wake
-	for _, a := range out.Acts {
-		if a.Kind == machine.Reset {
+	w.wake = out.WakeAt
+	for _, a := range out.Actions {
+		if a.Kind == statemachine.ActionAbort {
 			w.killed[a.Conn] = true
 		}
-		if a.Kind != machine.Write {
+		if a.Kind != statemachine.ActionWrite {
 			continue
 		}
 		var r proto.Reader
@@ -89,8 +89,8 @@
 		}
 	}
 	w.trace = append(w.trace, out.Trace...)
-	for _, n := range out.Notes {
-		w.notes = append(w.notes, fmt.Sprint(n.Text, n.Pairs))
+	for _, n := range out.LogEntries {
+		w.notes = append(w.notes, fmt.Sprint(n.Message, n.Attributes))
 	}
 }
 
@@ -112,16 +112,16 @@
 		trade.EP, trade.ColdShare, trade.WarmAfter, trade.FallMultiple, trade.FallWindow = uint32(i+1), 0.3, 5, 50, 1
 		f.Add(fmt.Sprint("s", i), trade)
 	}
-	w := &wire{f: f, now: 100, killed: map[machine.Conn]bool{}}
+	w := &wire{f: f, now: 100, killed: map[statemachine.Conn]bool{}}
 	hello := proto.Append(nil, proto.Hello{Version: proto.Version, Role: proto.RoleCaller, Name: "x"})
-	open := func(c machine.Conn, door int) {
-		w.step(machine.Input{Kind: machine.Opened, Conn: c, Door: door}, machine.Input{Kind: machine.Data, Conn: c, Data: hello})
+	open := func(c statemachine.Conn, door int) {
+		w.step(statemachine.Input{Kind: statemachine.ConnOpened, Conn: c, Listener: door}, statemachine.Input{Kind: statemachine.ConnData, Conn: c, Data: hello})
 	}
-	ask := func(c machine.Conn, id uint64) {
-		w.step(machine.Input{Kind: machine.Data, Conn: c, Data: proto.Append(nil, proto.RPC{ID: id, Left: 5})})
+	ask := func(c statemachine.Conn, id uint64) {
+		w.step(statemachine.Input{Kind: statemachine.ConnData, Conn: c, Data: proto.Append(nil, proto.RPC{ID: id, Left: 5})})
 	}
-	told := func(text string) { w.step(machine.Input{Kind: machine.Told, Text: text}) }
-	for c := range machine.Conn(3) {
+	told := func(text string) { w.step(statemachine.Input{Kind: statemachine.OperatorCommand, Text: text}) }
+	for c := range statemachine.Conn(3) {
 		open(c+1, int(c))
 		ask(c+1, uint64(c)+1)
 	}
@@ -180,8 +180,8 @@
 	worst := 0.0
 	f := NewFleet(func(x Tally) { worst = max(worst, x.Late) })
 	f.Add("s0", plain(1, Work{Mean: 0.01, Shape: Fixed}))
-	w := &wire{f: f, now: 10, killed: map[machine.Conn]bool{}}
-	w.step(machine.Input{Kind: machine.Opened, Conn: 1}, machine.Input{Kind: machine.Data, Conn: 1, Data: proto.Append(
+	w := &wire{f: f, now: 10, killed: map[statemachine.Conn]bool{}}
+	w.step(statemachine.Input{Kind: statemachine.ConnOpened, Conn: 1}, statemachine.Input{Kind: statemachine.ConnData, Conn: 1, Data: proto.Append(
 		proto.Append(nil, proto.Hello{Version: proto.Version, Role: proto.RoleCaller, Name: "x"}), proto.RPC{ID: 1, Left: 5})})
 	w.now = 10.31 // due at 10.01
 	w.step()
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -7,8 +7,8 @@
 	"strconv"
 	"strings"
 
-	"gingerfork/internal/machine"
 	"gingerfork/internal/proto"
+	"gingerfork/internal/statemachine"
 	"gingerfork/internal/trace"
 )
 
@@ -16,19 +16,19 @@
 type Server struct {
 	trade   Trade
 	model   *Model
-	readers map[machine.Conn]*proto.Reader
-	out     *machine.Out
+	readers map[statemachine.Conn]*proto.Reader
+	out     *statemachine.Effects
 	glance  Seconds // when it tells of itself next
 	late    Seconds // the most since the last time
 }
 
 // NewServer makes one, whose process starts at its first step.
 func NewServer(t Trade) *Server {
-	return &Server{trade: t, readers: map[machine.Conn]*proto.Reader{}}
+	return &Server{trade: t, readers: map[statemachine.Conn]*proto.Reader{}}
 }
 
 // Step implements machine.Machine.
-func (s *Server) Step(now machine.Seconds, in []machine.Input, out *machine.Out) {
+func (s *Server) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	s.out = out
 	if s.model == nil {
 		s.model = New(s.trade, now)
@@ -40,17 +40,17 @@
 	s.do(now, s.model.Advance(now))
 	for _, i := range in {
 		switch i.Kind {
-		case machine.Opened:
+		case statemachine.ConnOpened:
 			s.readers[i.Conn] = &proto.Reader{}
 			s.model.Connect(Caller(i.Conn), "")
-		case machine.Closed:
+		case statemachine.ConnClosed:
 			delete(s.readers, i.Conn)
 			s.model.Disconnect(Caller(i.Conn))
-		case machine.Told:
+		case statemachine.OperatorCommand:
 			if err := s.Tell(i.Text); err != nil {
 				out.Log(2, "word not taken", "word", i.Text, "cause", err.Error())
 			}
-		case machine.Data:
+		case statemachine.ConnData:
 			if r := s.readers[i.Conn]; r != nil {
 				r.Feed(i.Data)
 				s.read(i.Conn, r)
@@ -59,26 +59,26 @@
 		s.do(now, s.model.Advance(now))
 	}
 	if at := s.model.Wake(); !math.IsInf(at, 1) {
-		out.At(at)
+		out.WakeBy(at)
 	}
 	if every := s.trade.Glance; every > 0 {
 		if now >= s.glance {
 			s.glance = now + every
 			s.look(now)
 		}
-		out.At(s.glance)
+		out.WakeBy(s.glance)
 	}
 }
 
 // look tells how it is, and how late it did what was due.
-func (s *Server) look(now machine.Seconds) {
+func (s *Server) look(now statemachine.Seconds) {
 	_, waiting, busy := s.model.Load()
 	s.out.Record(trace.Record{T: now, Kind: trace.Glance, EP: s.trade.EP, X: s.model.Able(now, 0), N: int64(waiting), Text: strconv.FormatFloat(busy, 'g', 3, 64)})
 	s.out.Record(trace.Record{T: now, Kind: trace.Late, EP: s.trade.EP, X: max(0, s.late)})
 	s.late = 0
 }
 
-func (s *Server) read(c machine.Conn, r *proto.Reader) {
+func (s *Server) read(c statemachine.Conn, r *proto.Reader) {
 	for s.readers[c] == r {
 		msg, err := r.Next()
 		if err != nil {
@@ -105,7 +105,7 @@
 
 // Able tells what it could do at present of a method, RPCs a second; Load how many RPCs are under way and waiting, and the
 // share of its cores that are busy. Whoever watches a rehearsal asks; nobody who takes part in it does.
-func (s *Server) Able(now machine.Seconds, method int) float64 {
+func (s *Server) Able(now statemachine.Seconds, method int) float64 {
 	if s.model == nil {
 		return 0
 	}
@@ -121,13 +121,13 @@
 }
 
 // do carries out what the model did.
-func (s *Server) do(now machine.Seconds, effects []Effect) {
+func (s *Server) do(now statemachine.Seconds, effects []Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case Reply:
-			s.write(machine.Conn(e.To), proto.Reply{ID: e.ID, Status: proto.Status(e.Status), Reports: e.Load >= 0, Load: max(0, e.Load)})
+			s.write(statemachine.Conn(e.To), proto.Reply{ID: e.ID, Status: proto.Status(e.Status), Reports: e.Load >= 0, Load: max(0, e.Load)})
 		case Probed:
-			s.write(machine.Conn(e.To), proto.ProbeReply{ID: e.ID, Status: proto.Status(e.Status)})
+			s.write(statemachine.Conn(e.To), proto.ProbeReply{ID: e.ID, Status: proto.Status(e.Status)})
 		case Ran:
 			r := trace.Record{T: now, Kind: trace.Run, EP: s.trade.EP, RPC: e.RPC.ID, Method: e.RPC.Method}
 			if e.RPC.Token != 0 {
@@ -138,23 +138,23 @@
 			s.out.Record(trace.Record{T: now, Kind: trace.Offer, EP: s.trade.EP, X: e.Part, N: int64(e.RPCs)})
 		case Fell:
 			s.out.Record(trace.Record{T: now, Kind: trace.Fall, EP: s.trade.EP})
-			all := make([]machine.Conn, 0, len(s.readers))
+			all := make([]statemachine.Conn, 0, len(s.readers))
 			for c := range s.readers {
 				all = append(all, c)
 			}
 			slices.Sort(all)
 			for _, c := range all {
-				s.out.Kill(c)
+				s.out.Abort(c)
 			}
 			clear(s.readers)
 		case Shut:
-			s.out.Kill(machine.Conn(e.To))
-			delete(s.readers, machine.Conn(e.To))
+			s.out.Abort(statemachine.Conn(e.To))
+			delete(s.readers, statemachine.Conn(e.To))
 		}
 	}
 }
 
-func (s *Server) write(c machine.Conn, m proto.Message) {
+func (s *Server) write(c statemachine.Conn, m proto.Message) {
 	if s.readers[c] != nil {
 		s.out.Write(c, proto.Append(nil, m))
 	}
--- a/internal/loop/keeper.go
+++ b/internal/eventloop/keeper.go
@@ -1,11 +1,11 @@
-package loop
+package eventloop
 
 import (
 	"errors"
 	"sync"
 	"time"
 
-	"gingerfork/internal/machine"
+	"gingerfork/internal/statemachine"
 	"gingerfork/internal/store"
 )
 
@@ -19,7 +19,7 @@
 // as one batch with one sync.
 type keeper struct {
 	store *store.Store
-	tell  func(machine.Input)
+	tell  func(statemachine.Input)
 	over  <-chan struct{}
 
 	mu     sync.Mutex
@@ -30,12 +30,12 @@
 	closed chan struct{}
 }
 
-func newKeeper(s *store.Store, over <-chan struct{}, tell func(machine.Input)) *keeper {
+func newKeeper(s *store.Store, over <-chan struct{}, tell func(statemachine.Input)) *keeper {
 	return &keeper{store: s, tell: tell, over: over, rouse: make(chan struct{}, 1), closed: make(chan struct{})}
 }
 
 // keep takes records; it never waits.
-func (k *keeper) keep(puts []machine.Put, batch uint64) {
+func (k *keeper) keep(puts []statemachine.Mutation, batch uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.full {
@@ -84,7 +84,7 @@
 			}
 			k.mu.Unlock()
 			if full {
-				k.tell(machine.Input{Kind: machine.NotKept, Text: "too much waits for the disk; nothing more is kept until a restart"})
+				k.tell(statemachine.Input{Kind: statemachine.PersistFailed, Text: "too much waits for the disk; nothing more is kept until a restart"})
 				return
 			}
 			if now.Len() == 0 {
@@ -93,10 +93,10 @@
 			err := k.store.Commit(&now)
 			if err == nil {
 				now.Reset()
-				k.tell(machine.Input{Kind: machine.Kept, N: batch})
+				k.tell(statemachine.Input{Kind: statemachine.Persisted, Batch: batch})
 				continue
 			}
-			k.tell(machine.Input{Kind: machine.NotKept, Text: err.Error()})
+			k.tell(statemachine.Input{Kind: statemachine.PersistFailed, Text: err.Error()})
 			if !errors.Is(err, store.ErrRefused) || over {
 				return
 			}
--- a/internal/loop/keeper_test.go
+++ b/internal/eventloop/keeper_test.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"time"
 
 	"gingerfork/internal/disk"
-	"gingerfork/internal/machine"
+	"gingerfork/internal/statemachine"
 	"gingerfork/internal/store"
 )
 
@@ -21,28 +21,28 @@
 	heard []string
 }
 
-func (n *noter) Step(now machine.Seconds, in []machine.Input, out *machine.Out) {
+func (n *noter) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var puts []machine.Put
+	var puts []statemachine.Mutation
 	for _, i := range in {
 		switch i.Kind {
-		case machine.Told:
+		case statemachine.OperatorCommand:
 			key, value, _ := strings.Cut(i.Text, "=")
-			p := machine.Put{Key: key}
+			p := statemachine.Mutation{Key: key}
 			if value != "" {
 				p.Value = []byte(value)
 			}
 			puts = append(puts, p)
-		case machine.Kept:
-			n.heard = append(n.heard, fmt.Sprint("kept ", i.N))
-		case machine.NotKept:
+		case statemachine.Persisted:
+			n.heard = append(n.heard, fmt.Sprint("kept ", i.Batch))
+		case statemachine.PersistFailed:
 			n.heard = append(n.heard, "not kept: "+i.Text)
 		}
 	}
 	if len(puts) > 0 {
 		n.batch++
-		out.Keep(puts, n.batch)
+		out.Persist(puts, n.batch)
 	}
 }
 
--- a/internal/loop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,7 +1,7 @@
-// Package loop drives a machine on sockets and real time: gnet event loops read and write, one goroutine owns the
+// Package eventloop drives a machine on sockets and real time: gnet event loops read and write, one goroutine owns the
 // machine and steps it with all that came since the last step, one goroutine accepts for each listening address, and
 // one per dial that is under way. docs/coordinator.md tells why it is cut so.
-package loop
+package eventloop
 
 import (
 	"context"
@@ -18,14 +18,14 @@
 	"github.com/panjf2000/gnet/v2"
 	"github.com/panjf2000/gnet/v2/pkg/logging"
 
-	"gingerfork/internal/machine"
+	"gingerfork/internal/statemachine"
 	"gingerfork/internal/store"
 	"gingerfork/internal/trace"
 )
 
 // Bootstrap is what a loop is started with. Zero values are usable where it says so.
 type Bootstrap struct {
-	Machine machine.Machine
+	Machine statemachine.Machine
 	Listen  []string     // TCP addresses; the machine knows them as doors, by their place here
 	Store   *store.Store // where records are kept; nil: nowhere. Close it after Wait
 	Dir     string       // where files are saved; "": nowhere
@@ -57,7 +57,7 @@
 }
 
 // Now is the time in seconds.
-func (c *Clock) Now() machine.Seconds { return c.base + time.Since(c.start).Seconds() }
+func (c *Clock) Now() statemachine.Seconds { return c.base + time.Since(c.start).Seconds() }
 
 // ErrFailed is what Wait returns when the machine failed.
 var ErrFailed = errors.New("the machine failed")
@@ -88,20 +88,20 @@
 	held    int // bytes in box
 	conns   int // that stand or are being dialled
 	figures Figures
-	nextIn  machine.Conn
+	nextIn  statemachine.Conn
 	over    bool
 	rouse   chan struct{}
 
 	sendMu sync.Mutex
 	sends  map[gnet.EventLoop][]doing // what each event loop is still to do, in order
 
-	peers  map[machine.Conn]*peer // the owner's alone
-	keeper *keeper                // nil: nothing is kept
+	peers  map[statemachine.Conn]*peer // the owner's alone
+	keeper *keeper                     // nil: nothing is kept
 }
 
 // peer is one connection. conn is set before its Opened is in the box.
 type peer struct {
-	id      machine.Conn
+	id      statemachine.Conn
 	door    int
 	conn    gnet.Conn
 	open    bool               // the owner's: its Opened was handed on
@@ -112,7 +112,7 @@
 }
 
 type mail struct {
-	input machine.Input
+	input statemachine.Input
 	peer  *peer
 	do    func()
 }
@@ -127,7 +127,7 @@
 	if boot.Clock == nil {
 		boot.Clock = NewClock()
 	}
-	l := &Loop{boot: boot, done: make(chan struct{}), rouse: make(chan struct{}, 1), sends: map[gnet.EventLoop][]doing{}, peers: map[machine.Conn]*peer{}}
+	l := &Loop{boot: boot, done: make(chan struct{}), rouse: make(chan struct{}, 1), sends: map[gnet.EventLoop][]doing{}, peers: map[statemachine.Conn]*peer{}}
 	l.room = sync.NewCond(&l.mu)
 	for _, addr := range boot.Listen {
 		door, err := net.Listen("tcp", addr)
@@ -153,7 +153,7 @@
 		go l.accept(i, door)
 	}
 	if boot.Store != nil {
-		l.keeper = newKeeper(boot.Store, l.ctx.Done(), func(i machine.Input) { l.post(mail{input: i}) })
+		l.keeper = newKeeper(boot.Store, l.ctx.Done(), func(i statemachine.Input) { l.post(mail{input: i}) })
 		go l.keeper.run() // end waits for it
 	}
 	go l.own()
@@ -184,7 +184,7 @@
 
 // Tell hands the machine an operator's or a script's word.
 func (l *Loop) Tell(text string) {
-	l.post(mail{input: machine.Input{Kind: machine.Told, Text: text}})
+	l.post(mail{input: statemachine.Input{Kind: statemachine.OperatorCommand, Text: text}})
 }
 
 // Between has something done by the machine's owner, between two steps: what the machine is told that way must not
@@ -286,7 +286,7 @@
 		} else if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded) {
 			why = "no answer"
 		}
-		l.post(mail{input: machine.Input{Kind: machine.Closed, Conn: p.id, Text: why, Ours: short(err)}, peer: p})
+		l.post(mail{input: statemachine.Input{Kind: statemachine.ConnClosed, Conn: p.id, Text: why, LocalFailure: short(err)}, peer: p})
 	}
 }
 
@@ -318,10 +318,10 @@
 
 // own is the goroutine that owns the machine.
 func (l *Loop) own() {
-	out := &machine.Out{}
+	out := &statemachine.Effects{}
 	out.Reset()
 	timer := time.NewTimer(0)
-	var inputs []machine.Input
+	var inputs []statemachine.Input
 	var box []mail
 	for l.ctx.Err() == nil {
 		l.mu.Lock()
@@ -332,7 +332,7 @@
 		now := l.boot.Clock.Now()
 		inputs = l.sort(box, inputs[:0])
 		clear(box)
-		if len(inputs) > 0 || len(box) > 0 || now >= out.Wake || out.Wake == machine.Never {
+		if len(inputs) > 0 || len(box) > 0 || now >= out.WakeAt || out.WakeAt == statemachine.Never {
 			out.Reset()
 			begin := time.Now()
 			l.boot.Machine.Step(now, inputs, out)
@@ -343,9 +343,9 @@
 			l.figures.Busy += took
 			l.figures.Longest = max(l.figures.Longest, took)
 			l.mu.Unlock()
-			if out.Fail != "" {
-				l.boot.Log.Error("the machine failed", "cause", out.Fail)
-				l.err = fmt.Errorf("%w: %s", ErrFailed, out.Fail)
+			if out.Failure != "" {
+				l.boot.Log.Error("the machine failed", "cause", out.Failure)
+				l.err = fmt.Errorf("%w: %s", ErrFailed, out.Failure)
 				break
 			}
 			if err := l.carry(out); err != nil {
@@ -355,7 +355,7 @@
 				break
 			}
 		}
-		wait := time.Duration(min(max(out.Wake-l.boot.Clock.Now(), 0), 3600) * 1e9)
+		wait := time.Duration(min(max(out.WakeAt-l.boot.Clock.Now(), 0), 3600) * 1e9)
 		timer.Reset(wait)
 		select {
 		case <-l.rouse:
@@ -385,7 +385,7 @@
 }
 
 // sort turns mail into what the machine is to hear: nothing of connections that it has closed.
-func (l *Loop) sort(box []mail, inputs []machine.Input) []machine.Input {
+func (l *Loop) sort(box []mail, inputs []statemachine.Input) []statemachine.Input {
 	for _, m := range box {
 		p := m.peer
 		if m.do != nil {
@@ -397,14 +397,14 @@
 			continue
 		}
 		switch m.input.Kind {
-		case machine.Opened:
+		case statemachine.ConnOpened:
 			if p.dropped {
 				l.shut(p, false)
 				continue
 			}
 			p.open = true
 			l.peers[p.id] = p
-		case machine.Closed:
+		case statemachine.ConnClosed:
 			delete(l.peers, p.id)
 		}
 		if !p.dropped {
@@ -416,9 +416,9 @@
 
 // shut closes a connection on its own event loop.
 func (l *Loop) shut(p *peer, reset bool) {
-	kind := machine.Close
+	kind := statemachine.ActionClose
 	if reset {
-		kind = machine.Reset
+		kind = statemachine.ActionAbort
 	}
 	_ = l.send(doing{peer: p, kind: kind})
 }
@@ -447,14 +447,14 @@
 // doing is what an event loop is to do with one connection.
 type doing struct {
 	peer  *peer
-	kind  machine.ActKind
+	kind  statemachine.ActionKind
 	bytes []byte
 }
 
 // carry does what a step wants done; writes and closes go to each event loop in order.
-func (l *Loop) carry(out *machine.Out) error {
-	for _, a := range out.Acts {
-		if a.Kind == machine.Dial {
+func (l *Loop) carry(out *statemachine.Effects) error {
+	for _, a := range out.Actions {
+		if a.Kind == statemachine.ActionDial {
 			p := &peer{id: a.Conn}
 			ctx, giveUp := context.WithCancel(l.ctx)
 			p.giveUp = giveUp
@@ -470,7 +470,7 @@
 		if p == nil || p.dropped {
 			continue
 		}
-		if a.Kind != machine.Write {
+		if a.Kind != statemachine.ActionWrite {
 			p.dropped = true
 			delete(l.peers, a.Conn)
 		}
@@ -484,16 +484,16 @@
 			return fmt.Errorf("hand writes to an event loop: %w", err)
 		}
 	}
-	for _, n := range out.Notes {
-		l.boot.Log.Log(l.ctx, []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError}[n.Level], n.Text, n.Pairs...)
+	for _, n := range out.LogEntries {
+		l.boot.Log.Log(l.ctx, []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError}[n.Level], n.Message, n.Attributes...)
 	}
 	if out.Batch > 0 && l.keeper != nil {
-		l.keeper.keep(out.Puts, out.Batch)
+		l.keeper.keep(out.Mutations, out.Batch)
 	}
 	if l.boot.Trace != nil && len(out.Trace) > 0 {
 		l.boot.Trace(out.Trace)
 	}
-	for name, data := range out.Saves {
+	for name, data := range out.Files {
 		if l.boot.Dir != "" {
 			if err := Replace(filepath.Join(l.boot.Dir, name), data); err != nil {
 				return err
@@ -512,7 +512,7 @@
 			continue
 		}
 		switch d.kind {
-		case machine.Write:
+		case statemachine.ActionWrite:
 			if d.peer.refused {
 				continue
 			}
@@ -527,7 +527,7 @@
 				continue
 			}
 			_, _ = c.Write(d.bytes) // a failed write closes the connection, and OnClose tells
-		case machine.Reset:
+		case statemachine.ActionAbort:
 			_ = c.SetLinger(0)
 			_ = c.Close()
 		default:
@@ -571,7 +571,7 @@
 		return nil, gnet.Close
 	}
 	p.conn = c
-	h.l.post(mail{input: machine.Input{Kind: machine.Opened, Conn: p.id, Door: p.door}, peer: p})
+	h.l.post(mail{input: statemachine.Input{Kind: statemachine.ConnOpened, Conn: p.id, Listener: p.door}, peer: p})
 	return nil, gnet.None
 }
 
@@ -585,7 +585,7 @@
 		return gnet.Close
 	}
 	if len(b) > 0 {
-		h.l.post(mail{input: machine.Input{Kind: machine.Data, Conn: p.id, Data: append([]byte(nil), b...)}, peer: p})
+		h.l.post(mail{input: statemachine.Input{Kind: statemachine.ConnData, Conn: p.id, Data: append([]byte(nil), b...)}, peer: p})
 	}
 	return gnet.None
 }
@@ -600,7 +600,7 @@
 		} else if err != nil && errors.Is(err, syscall.ECONNRESET) {
 			why = "reset by the other side"
 		}
-		h.l.post(mail{input: machine.Input{Kind: machine.Closed, Conn: p.id, Text: why}, peer: p})
+		h.l.post(mail{input: statemachine.Input{Kind: statemachine.ConnClosed, Conn: p.id, Text: why}, peer: p})
 	}
 	return gnet.None
 }
--- a/internal/loop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 
 	"go.uber.org/goleak"
 
-	"gingerfork/internal/machine"
+	"gingerfork/internal/statemachine"
 	"gingerfork/internal/trace"
 )
 
@@ -29,14 +29,14 @@
 // echo is a machine that sends back what it gets, and does as it is told.
 type echo struct {
 	mu    sync.Mutex
-	seen  []machine.Input
-	conns []machine.Conn
+	seen  []statemachine.Input
+	conns []statemachine.Conn
 	wakes int
 	due   float64
 	big   int // bytes written on a connection's opening
 }
 
-func (e *echo) Step(now machine.Seconds, in []machine.Input, out *machine.Out) {
+func (e *echo) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.due > 0 && now >= e.due {
@@ -44,28 +44,28 @@
 		e.due = 0
 	}
 	for _, i := range in {
-		e.seen = append(e.seen, machine.Input{Kind: i.Kind, Conn: i.Conn, Door: i.Door, Text: i.Text, Ours: i.Ours})
+		e.seen = append(e.seen, statemachine.Input{Kind: i.Kind, Conn: i.Conn, Listener: i.Listener, Text: i.Text, LocalFailure: i.LocalFailure})
 		switch i.Kind {
-		case machine.Opened:
+		case statemachine.ConnOpened:
 			e.conns = append(e.conns, i.Conn)
 			for n := 0; n < e.big; n += 1 << 16 {
 				out.Write(i.Conn, make([]byte, 1<<16))
 			}
-		case machine.Data:
+		case statemachine.ConnData:
 			out.Write(i.Conn, i.Data)
-		case machine.Told:
+		case statemachine.OperatorCommand:
 			word, arg, _ := strings.Cut(i.Text, " ")
 			switch word {
 			case "wake":
 				e.due = now + 0.01
 			case "dial":
-				out.Dial(machine.Dialled+1, arg)
+				out.Dial(statemachine.Dialed+1, arg)
 			case "close":
 				out.Close(e.conns[len(e.conns)-1])
 			case "save":
-				out.Save("x", []byte(arg))
+				out.SaveFile("x", []byte(arg))
 			case "fail":
-				out.Fail = arg
+				out.Failure = arg
 			case "stop":
 				out.Stop = true
 			case "trace":
@@ -74,11 +74,11 @@
 		}
 	}
 	if e.due > 0 {
-		out.At(e.due)
+		out.WakeBy(e.due)
 	}
 }
 
-func (e *echo) count(is func(machine.Input) bool) (n int) {
+func (e *echo) count(is func(statemachine.Input) bool) (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, i := range e.seen {
@@ -142,7 +142,7 @@
 		}
 	}
 	a, b := both[0], both[1]
-	if e.count(func(i machine.Input) bool { return i.Kind == machine.Opened && i.Door == 1 }) != 1 {
+	if e.count(func(i statemachine.Input) bool { return i.Kind == statemachine.ConnOpened && i.Listener == 1 }) != 1 {
 		t.Fatal("no connection at the second door")
 	}
 	l.Tell("wake")
@@ -150,7 +150,9 @@
 	l.Tell("save kept")
 	eventually(t, "the file", func() bool { data, _ := os.ReadFile(filepath.Join(dir, "x")); return string(data) == "kept" })
 	a.Close()
-	eventually(t, "the end of a connection", func() bool { return e.count(func(i machine.Input) bool { return i.Kind == machine.Closed }) == 1 })
+	eventually(t, "the end of a connection", func() bool {
+		return e.count(func(i statemachine.Input) bool { return i.Kind == statemachine.ConnClosed }) == 1
+	})
 	l.Tell("close")
 	if _, err := b.Read(make([]byte, 1)); err != io.EOF {
 		t.Fatal(err)
@@ -163,7 +165,7 @@
 	if err := l.Wait(); err != nil {
 		t.Fatal(err)
 	}
-	if e.count(func(i machine.Input) bool { return i.Kind == machine.Closed }) != 1 {
+	if e.count(func(i statemachine.Input) bool { return i.Kind == statemachine.ConnClosed }) != 1 {
 		t.Fatal("a Closed came for a connection that the machine itself closed")
 	}
 	if len(records) != 1 || records[0].Kind != "mark" {
@@ -176,14 +178,18 @@
 	l, e := start(t, Bootstrap{Via: func(a string) string { return strings.Replace(a, "other", other.Addrs()[0], 1) }})
 	l.Tell("dial other")
 	eventually(t, "the dialled connection", func() bool {
-		return e.count(func(i machine.Input) bool { return i.Kind == machine.Opened && i.Conn == machine.Dialled+1 }) == 1
+		return e.count(func(i statemachine.Input) bool {
+			return i.Kind == statemachine.ConnOpened && i.Conn == statemachine.Dialed+1
+		}) == 1
 	})
 	other.Stop()
-	eventually(t, "its end", func() bool { return e.count(func(i machine.Input) bool { return i.Kind == machine.Closed }) == 1 })
+	eventually(t, "its end", func() bool {
+		return e.count(func(i statemachine.Input) bool { return i.Kind == statemachine.ConnClosed }) == 1
+	})
 	_ = other.Wait()
 	l.Tell("dial other")
 	eventually(t, "the refusal", func() bool {
-		return e.count(func(i machine.Input) bool { return i.Kind == machine.Closed && i.Text == "refused" }) == 1
+		return e.count(func(i statemachine.Input) bool { return i.Kind == statemachine.ConnClosed && i.Text == "refused" }) == 1
 	})
 }
 
@@ -204,8 +210,8 @@
 	l, e := start(t, Bootstrap{Machine: &echo{big: 64 << 20}, MostOut: 1 << 20})
 	dial(t, l.Addrs()[0])
 	eventually(t, "the cut", func() bool {
-		return e.count(func(i machine.Input) bool {
-			return i.Kind == machine.Closed && i.Text == "it did not read what was sent"
+		return e.count(func(i statemachine.Input) bool {
+			return i.Kind == statemachine.ConnClosed && i.Text == "it did not read what was sent"
 		}) == 1
 	})
 	e.mu.Lock()
@@ -268,7 +274,9 @@
 	// Who is dialled meanwhile is not to blame: the end of that says that the want was ours.
 	l.Tell("dial " + l.Addrs()[0])
 	eventually(t, "the dial that had no descriptor", func() bool {
-		return e.count(func(i machine.Input) bool { return i.Kind == machine.Closed && i.Conn == machine.Dialled+1 && i.Ours }) == 1
+		return e.count(func(i statemachine.Input) bool {
+			return i.Kind == statemachine.ConnClosed && i.Conn == statemachine.Dialed+1 && i.LocalFailure
+		}) == 1
 	})
 	fmt.Fprint(old, "y")
 	if _, err := io.ReadFull(old, make([]byte, 1)); err != nil {
@@ -312,7 +320,9 @@
 // Past the bound nobody is accepted, and the next one is as soon as one has ended; dialled ones count.
 func TestConnectionsAreBounded(t *testing.T) {
 	l, e := start(t, Bootstrap{MostConns: 3})
-	opened := func() int { return e.count(func(i machine.Input) bool { return i.Kind == machine.Opened }) }
+	opened := func() int {
+		return e.count(func(i statemachine.Input) bool { return i.Kind == statemachine.ConnOpened })
+	}
 	far, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/loop/race_test.go
+++ b/internal/eventloop/race_test.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"context"
@@ -14,24 +14,24 @@
 
 	"github.com/panjf2000/gnet/v2"
 
-	"gingerfork/internal/machine"
+	"gingerfork/internal/statemachine"
 )
 
 // held is a machine that, when told, stops in the middle of a step until it is let go, and then does what it had decided.
 // What comes in meanwhile comes between the machine's decision and its being carried out.
 type held struct {
-	conns []machine.Conn
+	conns []statemachine.Conn
 	in    chan struct{} // a step is held
 	goOn  chan struct{}
-	then  func(out *machine.Out, conns []machine.Conn)
+	then  func(out *statemachine.Effects, conns []statemachine.Conn)
 }
 
-func (h *held) Step(now machine.Seconds, in []machine.Input, out *machine.Out) {
+func (h *held) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	for _, i := range in {
 		switch {
-		case i.Kind == machine.Opened:
+		case i.Kind == statemachine.ConnOpened:
 			h.conns = append(h.conns, i.Conn)
-		case i.Kind == machine.Told && h.then != nil:
+		case i.Kind == statemachine.OperatorCommand && h.then != nil:
 			conns, then := slices.Clone(h.conns), h.then
 			h.then = nil
 			h.in <- struct{}{}
@@ -53,7 +53,7 @@
 }
 
 // boxed looks at what waits for the owner.
-func (l *Loop) boxed(kind machine.Kind) (all []*peer) {
+func (l *Loop) boxed(kind statemachine.InputKind) (all []*peer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, m := range l.box {
@@ -67,13 +67,13 @@
 // Connections close after the machine decided to write to them and before that is done, and others get their descriptors:
 // not a byte may reach those, and their closing must be as they are told, not as the dead ones were.
 func TestOrdersOfClosedConnectionsReachNobodyElse(t *testing.T) {
-	for name, then := range map[string]func(out *machine.Out, c machine.Conn){
-		"write": func(out *machine.Out, c machine.Conn) { out.Write(c, []byte("not for you")) },
-		"reset": func(out *machine.Out, c machine.Conn) { out.Kill(c) },
+	for name, then := range map[string]func(out *statemachine.Effects, c statemachine.Conn){
+		"write": func(out *statemachine.Effects, c statemachine.Conn) { out.Write(c, []byte("not for you")) },
+		"reset": func(out *statemachine.Effects, c statemachine.Conn) { out.Abort(c) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := &held{in: make(chan struct{}), goOn: make(chan struct{})}
-			h.then = func(out *machine.Out, conns []machine.Conn) {
+			h.then = func(out *statemachine.Effects, conns []statemachine.Conn) {
 				for _, c := range conns {
 					then(out, c)
 				}
@@ -103,10 +103,10 @@
 			for _, c := range old {
 				c.Close()
 			}
-			eventually(t, "their ends are in the box", func() bool { return len(l.boxed(machine.Closed)) == len(old) })
+			eventually(t, "their ends are in the box", func() bool { return len(l.boxed(statemachine.ConnClosed)) == len(old) })
 			var fresh []net.Conn
 			reused := func() (n int) {
-				for _, p := range l.boxed(machine.Opened) {
+				for _, p := range l.boxed(statemachine.ConnOpened) {
 					if fds[p.conn.Fd()] {
 						n++
 					}
@@ -123,12 +123,12 @@
 				}
 				c := dial(t, l.Addrs()[0])
 				fresh = append(fresh, c)
-				eventually(t, "it is taken in", func() bool { return len(l.boxed(machine.Opened)) == len(fresh) })
+				eventually(t, "it is taken in", func() bool { return len(l.boxed(statemachine.ConnOpened)) == len(fresh) })
 			}
 			if reused() < 2 {
 				t.Fatalf("of %d new connections %d got a descriptor of those that ended", len(fresh), reused())
 			}
-			opened := l.boxed(machine.Opened)
+			opened := l.boxed(statemachine.ConnOpened)
 			h.goOn <- struct{}{}
 			// What was decided is carried out before a step that comes after it, and that before this is done on the event loop.
 			l.Between(func() {
@@ -148,14 +148,14 @@
 }
 
 // teller writes what it is told to every connection.
-type teller struct{ conns []machine.Conn }
+type teller struct{ conns []statemachine.Conn }
 
-func (m *teller) Step(now machine.Seconds, in []machine.Input, out *machine.Out) {
+func (m *teller) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	for _, i := range in {
 		switch i.Kind {
-		case machine.Opened:
+		case statemachine.ConnOpened:
 			m.conns = append(m.conns, i.Conn)
-		case machine.Told:
+		case statemachine.OperatorCommand:
 			for _, c := range m.conns {
 				out.Write(c, []byte(i.Text))
 			}
@@ -218,13 +218,13 @@
 // dialler dials where it is told, and gives that up when it is told nothing.
 type dialler struct{}
 
-func (dialler) Step(now machine.Seconds, in []machine.Input, out *machine.Out) {
+func (dialler) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	for _, i := range in {
 		switch {
-		case i.Kind == machine.Told && i.Text != "":
-			out.Dial(machine.Dialled+1, i.Text)
-		case i.Kind == machine.Told:
-			out.Kill(machine.Dialled + 1)
+		case i.Kind == statemachine.OperatorCommand && i.Text != "":
+			out.Dial(statemachine.Dialed+1, i.Text)
+		case i.Kind == statemachine.OperatorCommand:
+			out.Abort(statemachine.Dialed + 1)
 		}
 	}
 }
--- a/internal/experiment/bench_test.go
+++ b/internal/experiment/bench_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"gingerfork/internal/rehearse"
+	"gingerfork/internal/scenario"
 )
 
 // fleet is a plan's text for a fleet of a size, with an RPC for each proxy every half second.
@@ -30,7 +30,7 @@
 	if name == "empty.day" {
 		return []byte("day empty\nsettings perth.conf\nlength 10s\nmix 70% 30%\n"), nil
 	}
-	return rehearse.File(name)
+	return scenario.File(name)
 }
 
 // Ten seconds of fleets of several sizes; what is above 1 plays faster than the time that it plays.
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -14,7 +14,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"gingerfork/internal/rehearse"
+	"gingerfork/internal/scenario"
 )
 
 const small = `experiment small
@@ -30,7 +30,7 @@
 
 func read(t *testing.T, text string) *Plan {
 	t.Helper()
-	p, err := Read("small.plan", text, rehearse.File)
+	p, err := Read("small.plan", text, scenario.File)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 		"day evening\nsay coordinators {n}\nfactor n 1 2": "must stand before",
 		"day evening\nseeds 3 5":                          "seeds takes a number",
 	} {
-		if _, err := Read("x.plan", text+"\n", rehearse.File); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Read("x.plan", text+"\n", scenario.File); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, %q wanted", text, err, want)
 		}
 	}
@@ -282,7 +282,7 @@
 			if data, err := os.ReadFile(filepath.Join(filepath.Dir(file), name)); err == nil {
 				return data, nil
 			}
-			return rehearse.File(name)
+			return scenario.File(name)
 		}); err != nil {
 			t.Error(err)
 		}
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"gingerfork/internal/bootstrap"
-	"gingerfork/internal/rehearse"
+	"gingerfork/internal/scenario"
 )
 
 // Factor is something that is tried at several values.
@@ -227,7 +227,7 @@
 }
 
 // Make makes the day that an arm plays on a seed.
-func (p *Plan) Make(a Arm, seed uint64) (*rehearse.Day, error) {
+func (p *Plan) Make(a Arm, seed uint64) (*scenario.Day, error) {
 	name := p.fill(a, p.Day)
 	text, err := p.openFiles(name + ".day")
 	if err != nil {
@@ -246,7 +246,7 @@
 			b.WriteString(bootstrap.Quote(p.fill(a, w)))
 		}
 	}
-	d, err := rehearse.Read(name, b.String()+"\n", func(file string) ([]byte, error) {
+	d, err := scenario.Read(name, b.String()+"\n", func(file string) ([]byte, error) {
 		data, err := p.openFiles(file)
 		if err != nil {
 			return nil, err
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -16,8 +16,8 @@
 	"sync"
 	"time"
 
-	"gingerfork/internal/rehearse"
 	"gingerfork/internal/report"
+	"gingerfork/internal/scenario"
 )
 
 // Run is one day played.
@@ -35,25 +35,25 @@
 type measure struct {
 	sign float64
 	unit string
-	of   func(r rehearse.Result, f *report.Report) float64
+	of   func(r scenario.Result, f *report.Report) float64
 }
 
 var measures = map[string]measure{
-	"service":  {1, "", func(r rehearse.Result, _ *report.Report) float64 { return r.Report.Service.Share() }},
-	"worst10":  {1, "", func(_ rehearse.Result, f *report.Report) float64 { return f.Worst10 }},
-	"messages": {-1, "", func(r rehearse.Result, _ *report.Report) float64 { return float64(r.Report.Pushes) }},
-	"lines":    {-1, "", func(r rehearse.Result, _ *report.Report) float64 { return float64(r.Report.Lines) }},
-	"tries":    {-1, "", func(r rehearse.Result, _ *report.Report) float64 { return float64(r.Report.Tries) }},
-	"falls":    {-1, "", func(r rehearse.Result, _ *report.Report) float64 { return float64(r.Report.Falls) }},
-	"margin":   {-1, "of the limit", func(r rehearse.Result, _ *report.Report) float64 { return nearest(r, 1, 2, 3, 4, 5) }},
-	"margin1":  {-1, "of the limit", func(r rehearse.Result, _ *report.Report) float64 { return nearest(r, 1) }},
-	"margin3":  {-1, "of the limit", func(r rehearse.Result, _ *report.Report) float64 { return nearest(r, 3) }},
-	"margin4":  {-1, "of the limit", func(r rehearse.Result, _ *report.Report) float64 { return nearest(r, 4) }},
-	"margin5":  {-1, "of the limit", func(r rehearse.Result, _ *report.Report) float64 { return nearest(r, 5) }},
-	"latency-p50": {-1, "ms", func(_ rehearse.Result, f *report.Report) float64 {
+	"service":  {1, "", func(r scenario.Result, _ *report.Report) float64 { return r.Report.Service.Share() }},
+	"worst10":  {1, "", func(_ scenario.Result, f *report.Report) float64 { return f.Worst10 }},
+	"messages": {-1, "", func(r scenario.Result, _ *report.Report) float64 { return float64(r.Report.Pushes) }},
+	"lines":    {-1, "", func(r scenario.Result, _ *report.Report) float64 { return float64(r.Report.Lines) }},
+	"tries":    {-1, "", func(r scenario.Result, _ *report.Report) float64 { return float64(r.Report.Tries) }},
+	"falls":    {-1, "", func(r scenario.Result, _ *report.Report) float64 { return float64(r.Report.Falls) }},
+	"margin":   {-1, "of the limit", func(r scenario.Result, _ *report.Report) float64 { return nearest(r, 1, 2, 3, 4, 5) }},
+	"margin1":  {-1, "of the limit", func(r scenario.Result, _ *report.Report) float64 { return nearest(r, 1) }},
+	"margin3":  {-1, "of the limit", func(r scenario.Result, _ *report.Report) float64 { return nearest(r, 3) }},
+	"margin4":  {-1, "of the limit", func(r scenario.Result, _ *report.Report) float64 { return nearest(r, 4) }},
+	"margin5":  {-1, "of the limit", func(r scenario.Result, _ *report.Report) float64 { return nearest(r, 5) }},
+	"latency-p50": {-1, "ms", func(_ scenario.Result, f *report.Report) float64 {
 		return latency(f, func(l report.Latency) float64 { return l.P50 })
 	}},
-	"latency-p99": {-1, "ms", func(_ rehearse.Result, f *report.Report) float64 {
+	"latency-p99": {-1, "ms", func(_ scenario.Result, f *report.Report) float64 {
 		return latency(f, func(l report.Latency) float64 { return l.P99 })
 	}},
 }
@@ -61,7 +61,7 @@
 // Measures names what can be measured.
 func Measures() []string { return slices.Sorted(maps.Keys(measures)) }
 
-func nearest(r rehearse.Result, rules ...int) (most float64) {
+func nearest(r scenario.Result, rules ...int) (most float64) {
 	for _, v := range r.Report.Rules {
 		if slices.Contains(rules, v.Rule) {
 			most = max(most, v.Nearest)
@@ -85,7 +85,7 @@
 	if err != nil {
 		return Run{}, err
 	}
-	got, err := rehearse.Virtual(d, rehearse.Options{})
+	got, err := scenario.Virtual(d, scenario.Options{})
 	if err != nil {
 		return Run{}, err
 	}
--- a/internal/standin/baseline.go
+++ b/internal/fake/baseline.go
@@ -1,11 +1,11 @@
-package standin
+package fake
 
 import (
 	"maps"
 	"slices"
 
-	"gingerfork/internal/machine"
 	"gingerfork/internal/proto"
+	"gingerfork/internal/statemachine"
 )
 
 // Plain is a coordinator as many fleets run one, to compare with: every proxy has one table of all servers that the
@@ -16,14 +16,14 @@
 	list    string // its address
 	methods []string
 	period  float64
-	conns   machine.Conn
-	watch   machine.Conn // to the list service; 0: none
+	conns   statemachine.Conn
+	watch   statemachine.Conn // to the list service; 0: none
 	reader  proto.Reader
-	retry   machine.Seconds
+	retry   statemachine.Seconds
 	version uint64
 	open    map[proto.EP]proto.Line
-	proxies map[machine.Conn]*plainProxy
-	out     *machine.Out
+	proxies map[statemachine.Conn]*plainProxy
+	out     *statemachine.Effects
 }
 
 type plainProxy struct {
@@ -35,23 +35,23 @@
 // NewPlain makes one.
 func NewPlain(name, list string, methods []string, period float64) *Plain {
 	return &Plain{
-		name: name, list: list, methods: methods, period: period, conns: machine.Dialled, open: map[proto.EP]proto.Line{},
-		proxies: map[machine.Conn]*plainProxy{},
+		name: name, list: list, methods: methods, period: period, conns: statemachine.Dialed, open: map[proto.EP]proto.Line{},
+		proxies: map[statemachine.Conn]*plainProxy{},
 	}
 }
 
 // Step implements machine.Machine.
-func (p *Plain) Step(now machine.Seconds, in []machine.Input, out *machine.Out) {
+func (p *Plain) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	p.out = out
 	for _, i := range in {
 		switch {
 		case i.Conn == p.watch && p.watch != 0:
 			p.fromList(now, i)
-		case i.Kind == machine.Opened && i.Conn&machine.Dialled == 0:
+		case i.Kind == statemachine.ConnOpened && i.Conn&statemachine.Dialed == 0:
 			p.proxies[i.Conn] = &plainProxy{}
-		case i.Kind == machine.Closed:
+		case i.Kind == statemachine.ConnClosed:
 			delete(p.proxies, i.Conn)
-		case i.Kind == machine.Data:
+		case i.Kind == statemachine.ConnData:
 			if x := p.proxies[i.Conn]; x != nil {
 				x.reader.Feed(i.Data)
 				p.fromProxy(i.Conn, x)
@@ -64,26 +64,26 @@
 		out.Dial(p.watch, p.list)
 	}
 	if p.watch == 0 {
-		out.At(p.retry)
+		out.WakeBy(p.retry)
 	}
 }
 
-func (p *Plain) fromList(now machine.Seconds, i machine.Input) {
+func (p *Plain) fromList(now statemachine.Seconds, i statemachine.Input) {
 	lost := func() {
 		p.watch, p.retry = 0, now+0.5
 	}
 	switch i.Kind {
-	case machine.Opened:
+	case statemachine.ConnOpened:
 		hello := proto.Append(nil, proto.Hello{Version: proto.Version, Role: proto.RoleWatcher, Name: p.name})
 		p.out.Write(p.watch, proto.Append(hello, proto.Watch{On: true, Since: p.version}))
-	case machine.Closed:
+	case statemachine.ConnClosed:
 		lost()
-	case machine.Data:
+	case statemachine.ConnData:
 		p.reader.Feed(i.Data)
 		for {
 			msg, err := p.reader.Next()
 			if err != nil {
-				p.out.Kill(p.watch)
+				p.out.Abort(p.watch)
 				lost()
 				return
 			}
@@ -152,16 +152,16 @@
 	return all
 }
 
-func (p *Plain) push(c machine.Conn, x *plainProxy, ops []proto.Op) {
+func (p *Plain) push(c statemachine.Conn, x *plainProxy, ops []proto.Op) {
 	x.seq++
 	p.out.Write(c, proto.Append(nil, proto.Push{Seq: x.seq, Ops: ops}))
 }
 
-func (p *Plain) fromProxy(c machine.Conn, x *plainProxy) {
+func (p *Plain) fromProxy(c statemachine.Conn, x *plainProxy) {
 	for {
 		msg, err := x.reader.Next()
 		if err != nil {
-			p.out.Kill(c)
+			p.out.Abort(c)
 			delete(p.proxies, c)
 			return
 		}
@@ -186,7 +186,7 @@
 // Frost freezes what coordinators order, to compare with: from a time on, every proxy keeps the tables that it had then,
 // for good. A coordinator's process that starts later, and a proxy that joins again, are given the same.
 type Frost struct {
-	After machine.Seconds
+	After statemachine.Seconds
 	held  map[string]map[uint64]*frozen // by proxy and table
 	hello []byte                        // the welcome, as the coordinators gave it
 }
@@ -197,17 +197,17 @@
 }
 
 // Wrap puts a coordinator under the frost.
-func (f *Frost) Wrap(m machine.Machine) machine.Machine {
+func (f *Frost) Wrap(m statemachine.Machine) statemachine.Machine {
 	if f.held == nil {
 		f.held = map[string]map[uint64]*frozen{}
 	}
-	return &frosted{f: f, inner: m, ends: map[machine.Conn]*frostedEnd{}}
+	return &frosted{f: f, inner: m, ends: map[statemachine.Conn]*frostedEnd{}}
 }
 
 type frosted struct {
 	f     *Frost
-	inner machine.Machine
-	ends  map[machine.Conn]*frostedEnd
+	inner statemachine.Machine
+	ends  map[statemachine.Conn]*frostedEnd
 }
 
 type frostedEnd struct {
@@ -216,18 +216,18 @@
 }
 
 // Step implements machine.Machine.
-func (x *frosted) Step(now machine.Seconds, in []machine.Input, out *machine.Out) {
+func (x *frosted) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	frozen := now >= x.f.After
 	for _, i := range in {
 		switch {
-		case i.Kind == machine.Opened && i.Conn&machine.Dialled == 0:
+		case i.Kind == statemachine.ConnOpened && i.Conn&statemachine.Dialed == 0:
 			e := &frostedEnd{}
 			e.in.Open()
 			e.out.Open()
 			x.ends[i.Conn] = e
-		case i.Kind == machine.Closed:
+		case i.Kind == statemachine.ConnClosed:
 			delete(x.ends, i.Conn)
-		case i.Kind == machine.Data && x.ends[i.Conn] != nil:
+		case i.Kind == statemachine.ConnData && x.ends[i.Conn] != nil:
 			x.read(i.Conn, x.ends[i.Conn], i.Data, frozen, out)
 		}
 	}
@@ -235,15 +235,15 @@
 		return
 	}
 	x.inner.Step(now, in, out)
-	for _, a := range out.Acts {
-		if e := x.ends[a.Conn]; e != nil && a.Kind == machine.Write {
+	for _, a := range out.Actions {
+		if e := x.ends[a.Conn]; e != nil && a.Kind == statemachine.ActionWrite {
 			x.note(e, a.Data)
 		}
 	}
-	out.At(x.f.After)
+	out.WakeBy(x.f.After)
 }
 
-func (x *frosted) read(c machine.Conn, e *frostedEnd, data []byte, frozen bool, out *machine.Out) {
+func (x *frosted) read(c statemachine.Conn, e *frostedEnd, data []byte, frozen bool, out *statemachine.Effects) {
 	e.in.Feed(data)
 	for {
 		msg, err := e.in.Next()
--- a/internal/standin/common.go
+++ b/internal/fake/common.go
@@ -1,13 +1,13 @@
-// Package standin has small parties to run a coordinator against: front ends that follow tables, servers, a list
+// Package fake has small parties to run a coordinator against: front ends that follow tables, servers, a list
 // service, relays that hinder what passes. All are machines: they run on sockets and in virtual time alike. They write
 // the trace that the rule checker reads. None is meant for service.
-package standin
+package fake
 
 import (
 	"hash/crc32"
 
-	"gingerfork/internal/machine"
 	"gingerfork/internal/queue"
+	"gingerfork/internal/statemachine"
 )
 
 // Seed makes a seed out of one and a name.
@@ -17,24 +17,24 @@
 
 // timers are what is due when; equal times go by the order in which they were set.
 type timers struct {
-	queue.Queue[func(now machine.Seconds)]
+	queue.Queue[func(now statemachine.Seconds)]
 }
 
-func (t *timers) at(when machine.Seconds, what func(now machine.Seconds)) {
-	if when < machine.Never {
+func (t *timers) at(when statemachine.Seconds, what func(now statemachine.Seconds)) {
+	if when < statemachine.Never {
 		t.Put(when, what)
 	}
 }
 
 // ring does what is due.
-func (t *timers) ring(now machine.Seconds) {
+func (t *timers) ring(now statemachine.Seconds) {
 	for at, ok := t.Next(); ok && at <= now; at, ok = t.Next() {
 		t.Take()(now)
 	}
 }
 
-func (t *timers) wake(out *machine.Out) {
+func (t *timers) wake(out *statemachine.Effects) {
 	if at, ok := t.Next(); ok {
-		out.At(at)
+		out.WakeBy(at)
 	}
 }
--- a/internal/standin/crowd.go
+++ b/internal/fake/crowd.go
@@ -1,10 +1,10 @@
-package standin
+package fake
 
 import (
 	"container/heap"
 	"strings"
 
-	"gingerfork/internal/machine"
+	"gingerfork/internal/statemachine"
 )
 
 // Crowd is many machines in one, so that a single loop can drive thousands of stand-ins. Each member has as many of the
@@ -15,25 +15,25 @@
 	byName  map[string]*member
 	door    []*member // by the crowd's doors
 	first   map[*member]int
-	local   map[machine.Conn]place
-	dialled machine.Conn
+	local   map[statemachine.Conn]place
+	dialled statemachine.Conn
 	wakes   wakes
-	out     machine.Out
+	out     statemachine.Effects
 }
 
 type member struct {
 	name  string
-	m     machine.Machine
-	outer map[machine.Conn]machine.Conn // the crowd's number of each of its connections
-	in    []machine.Input
-	next  machine.Conn // for accepted ones
-	wake  machine.Seconds
+	m     statemachine.Machine
+	outer map[statemachine.Conn]statemachine.Conn // the crowd's number of each of its connections
+	in    []statemachine.Input
+	next  statemachine.Conn // for accepted ones
+	wake  statemachine.Seconds
 	at    int // in the heap
 }
 
 type place struct {
 	who  *member
-	conn machine.Conn
+	conn statemachine.Conn
 }
 
 type wakes []*member
@@ -46,12 +46,12 @@
 
 // NewCrowd makes an empty one.
 func NewCrowd() *Crowd {
-	return &Crowd{byName: map[string]*member{}, first: map[*member]int{}, local: map[machine.Conn]place{}, dialled: machine.Dialled}
+	return &Crowd{byName: map[string]*member{}, first: map[*member]int{}, local: map[statemachine.Conn]place{}, dialled: statemachine.Dialed}
 }
 
 // Add adds a member before the crowd is first stepped.
-func (c *Crowd) Add(name string, m machine.Machine, doors int) {
-	x := &member{name: name, m: m, outer: map[machine.Conn]machine.Conn{}}
+func (c *Crowd) Add(name string, m statemachine.Machine, doors int) {
+	x := &member{name: name, m: m, outer: map[statemachine.Conn]statemachine.Conn{}}
 	c.members = append(c.members, x)
 	c.byName[name] = x
 	c.first[x] = len(c.door)
@@ -62,37 +62,37 @@
 }
 
 // Step implements machine.Machine: only members to whom something came, or who asked for it, are stepped.
-func (c *Crowd) Step(now machine.Seconds, in []machine.Input, out *machine.Out) {
+func (c *Crowd) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	var busy []*member
-	give := func(x *member, i machine.Input) {
+	give := func(x *member, i statemachine.Input) {
 		if len(x.in) == 0 {
 			busy = append(busy, x)
 		}
 		x.in = append(x.in, i)
 	}
 	for _, i := range in {
-		if i.Kind == machine.Told {
+		if i.Kind == statemachine.OperatorCommand {
 			name, rest, _ := strings.Cut(i.Text, " ")
 			if x := c.byName[name]; x != nil {
-				give(x, machine.Input{Kind: machine.Told, Text: rest})
+				give(x, statemachine.Input{Kind: statemachine.OperatorCommand, Text: rest})
 			} else if name == "*" {
 				for _, x := range c.members {
-					give(x, machine.Input{Kind: machine.Told, Text: rest})
+					give(x, statemachine.Input{Kind: statemachine.OperatorCommand, Text: rest})
 				}
 			}
 			continue
 		}
 		p, known := c.local[i.Conn]
 		switch {
-		case !known && i.Kind == machine.Opened && i.Conn&machine.Dialled == 0:
-			x := c.door[i.Door]
+		case !known && i.Kind == statemachine.ConnOpened && i.Conn&statemachine.Dialed == 0:
+			x := c.door[i.Listener]
 			x.next++
 			p = place{x, x.next}
 			c.local[i.Conn], x.outer[p.conn] = p, i.Conn
-			i.Door -= c.first[x]
+			i.Listener -= c.first[x]
 		case !known:
 			continue
-		case i.Kind == machine.Closed:
+		case i.Kind == statemachine.ConnClosed:
 			delete(c.local, i.Conn)
 			delete(p.who.outer, p.conn)
 		}
@@ -109,17 +109,17 @@
 		}
 	}
 	if len(c.wakes) > 0 {
-		out.At(c.wakes[0].wake)
+		out.WakeBy(c.wakes[0].wake)
 	}
 }
 
-func (c *Crowd) step(now machine.Seconds, x *member, out *machine.Out) {
+func (c *Crowd) step(now statemachine.Seconds, x *member, out *statemachine.Effects) {
 	in := x.in
 	x.in = nil
 	c.out.Reset()
 	x.m.Step(now, in, &c.out)
-	for _, a := range c.out.Acts {
-		if a.Kind == machine.Dial {
+	for _, a := range c.out.Actions {
+		if a.Kind == statemachine.ActionDial {
 			c.dialled++
 			c.local[c.dialled], x.outer[a.Conn] = place{x, a.Conn}, c.dialled
 			out.Dial(c.dialled, a.Addr)
@@ -129,19 +129,19 @@
 		if !known {
 			continue
 		}
-		if a.Kind != machine.Write {
+		if a.Kind != statemachine.ActionWrite {
 			delete(x.outer, a.Conn)
 			delete(c.local, outer)
 		}
 		a.Conn = outer
-		out.Acts = append(out.Acts, a)
+		out.Actions = append(out.Actions, a)
 	}
-	out.Notes = append(out.Notes, c.out.Notes...)
+	out.LogEntries = append(out.LogEntries, c.out.LogEntries...)
 	out.Trace = append(out.Trace, c.out.Trace...)
-	if c.out.Fail != "" {
-		out.Fail = x.name + ": " + c.out.Fail
+	if c.out.Failure != "" {
+		out.Failure = x.name + ": " + c.out.Failure
 	}
 	// A member that asks for this very moment is stepped at the next.
-	x.wake = max(c.out.Wake, now+1e-6)
+	x.wake = max(c.out.WakeAt, now+1e-6)
 	heap.Fix(&c.wakes, x.at)
 }
--- a/internal/standin/frontend.go
+++ b/internal/fake/frontend.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"fmt"
@@ -7,9 +7,10 @@
 	"strconv"
 	"strings"
 
+	"gingerfork/choice"
 	"gingerfork/internal/emulator"
-	"gingerfork/internal/machine"
 	"gingerfork/internal/proto"
+	"gingerfork/internal/statemachine"
 	"gingerfork/internal/trace"
 	"gingerfork/internal/traffic"
 )
@@ -29,23 +30,18 @@
 	Name         string
 	Effect       Effect
 	Criticality  float64
-	SoftDeadline machine.Seconds
-	Deadline     machine.Seconds
+	SoftDeadline statemachine.Seconds
+	Deadline     statemachine.Seconds
 	Share        float64 // of the RPCs
 }
 
 // Methods are the methods of a fleet's settings, each with an equal share of the RPCs.
-func Methods(names []string, b interface {
-	Num(name string, def float64) float64
-	Word(name string) string
-},
-) (all []MethodTrade) {
-	for i, name := range names {
-		at := fmt.Sprintf("method.%d.", i)
-		effect := map[string]Effect{"idempotent": Idempotent, "tokened": Tokened, "non-idempotent": NonIdempotent}[b.Word(at+"effect")]
+func Methods(methods []choice.MethodSettings) (all []MethodTrade) {
+	for _, method := range methods {
+		effect := map[string]Effect{"idempotent": Idempotent, "tokened": Tokened, "non-idempotent": NonIdempotent}[method.Effect]
 		all = append(all, MethodTrade{
-			Name: name, Effect: effect, Criticality: b.Num(at+"criticality", 1),
-			SoftDeadline: b.Num(at+"soft_deadline", 1), Deadline: b.Num(at+"deadline", 2), Share: 1 / float64(len(names)),
+			Name: method.Name, Effect: effect, Criticality: method.Criticality.Or(1),
+			SoftDeadline: method.SoftDeadline.Or(1), Deadline: method.Deadline.Or(2), Share: 1 / float64(len(methods)),
 		})
 	}
 	return all
@@ -57,25 +53,25 @@
 	Zone           string
 	Coordinators   []string // addresses, tried in this order
 	Methods        []MethodTrade
-	Rate           float64         // RPCs a second that come to it
-	Begin          machine.Seconds // of the day, which the traffic's shape goes by; 0: its own first step
+	Rate           float64              // RPCs a second that come to it
+	Begin          statemachine.Seconds // of the day, which the traffic's shape goes by; 0: its own first step
 	Shape          traffic.Shape
 	Keys           *traffic.Zipf // nil: RPCs are about nothing
 	Pick           string        // even, weight, pair, or report: the one of two that reported less
 	Strikes        int           // own failures in a row after which it keeps away from a server; 0: never
-	KeepAway       machine.Seconds
+	KeepAway       statemachine.Seconds
 	TryWait        float64 // of the soft deadline, what a try that may be followed waits
-	LineStill      machine.Seconds
+	LineStill      statemachine.Seconds
 	LevelRate      bool // levels are rates, not shares
-	Period         machine.Seconds
+	Period         statemachine.Seconds
 	Watch          bool         // it tells how late it did what was due
 	Fixed          []proto.Line // its one table, in place of a coordinator's
-	ConnectTimeout machine.Seconds
+	ConnectTimeout statemachine.Seconds
 	Seed           uint64
 	// Clients whose RPC failed come again, with this chance, after about so long, at most so many times: idempotent and
 	// tokened RPCs after any failure, others only after a push back, which proves that they never ran.
 	ComeAgain float64
-	AgainWait machine.Seconds
+	AgainWait statemachine.Seconds
 	AgainMost int
 }
 
@@ -84,17 +80,17 @@
 	trade  FrontTrade
 	dice   emulator.Dice
 	source *traffic.Source
-	late   machine.Seconds // the most that an arrival was late, since the last report
-	due    uint64          // counts the arrivals that were put on the clock
-	self   uint64          // upper half of its RPCs' numbers
+	late   statemachine.Seconds // the most that an arrival was late, since the last report
+	due    uint64               // counts the arrivals that were put on the clock
+	self   uint64               // upper half of its RPCs' numbers
 	timers timers
-	out    *machine.Out
-	conns  machine.Conn
+	out    *statemachine.Effects
+	conns  statemachine.Conn
 	begun  bool
 	rate   float64
 
 	// The stream to a coordinator.
-	stream  machine.Conn // 0: none
+	stream  statemachine.Conn // 0: none
 	joined  bool
 	of      string // whose welcome it had
 	holds   string // whose tables it holds
@@ -103,10 +99,10 @@
 	at      int // which coordinator is tried
 	failed  int // in a row
 	reader  proto.Reader
-	heard   machine.Seconds
-	still   machine.Seconds // it stands still until then
-	held    []machine.Input // what came meanwhile
-	applied []proto.Push    // to take effect at the end of that
+	heard   statemachine.Seconds
+	still   statemachine.Seconds // it stands still until then
+	held    []statemachine.Input // what came meanwhile
+	applied []proto.Push         // to take effect at the end of that
 
 	tables    map[uint64]*sheet
 	methods   []*sheet // by method
@@ -114,13 +110,13 @@
 
 	health map[proto.EP]health
 	links  map[proto.EP]*link
-	byID   map[machine.Conn]*link
+	byID   map[statemachine.Conn]*link
 	rpcs   map[uint64]*rpc
 	count  uint64
 
 	usage []proto.Usage
 	sums  map[proto.EP]*met
-	since machine.Seconds
+	since statemachine.Seconds
 }
 
 // sheet is one table as held.
@@ -140,42 +136,42 @@
 	level float64
 	tries uint64
 	room  float64 // for rates
-	last  machine.Seconds
+	last  statemachine.Seconds
 }
 
 // link is the connection to a server, and what it met there.
 type link struct {
 	ep     proto.EP
 	addr   string
-	conn   machine.Conn
+	conn   statemachine.Conn
 	up     bool
 	reader proto.Reader
 	out    map[uint64]*rpc // sent and not answered, by try
 	wait   []uint64
-	load   float64         // as last reported,
-	told   machine.Seconds // then; 0: never
+	load   float64              // as last reported,
+	told   statemachine.Seconds // then; 0: never
 }
 
 // health is what a server showed this front end; it outlives connections.
 type health struct {
-	fails int             // in a row
-	away  machine.Seconds // kept away from until then
+	fails int                  // in a row
+	away  statemachine.Seconds // kept away from until then
 }
 
 type met struct {
 	tries, bad uint64
-	delay      machine.Seconds
+	delay      statemachine.Seconds
 }
 
 // rpc is one RPC of a client.
 type rpc struct {
 	id     uint64
 	method int
-	asked  machine.Seconds
+	asked  statemachine.Seconds
 	token  uint64
 	try    uint64 // the one under way; 0: none
 	link   *link
-	sent   machine.Seconds
+	sent   statemachine.Seconds
 	n      int
 	key    uint64
 	tried  []proto.EP
@@ -186,15 +182,15 @@
 // NewFrontEnd makes one.
 func NewFrontEnd(t FrontTrade) *FrontEnd {
 	return &FrontEnd{
-		trade: t, dice: emulator.NewDice(t.Seed), conns: machine.Dialled, rate: t.Rate, tables: map[uint64]*sheet{},
+		trade: t, dice: emulator.NewDice(t.Seed), conns: statemachine.Dialed, rate: t.Rate, tables: map[uint64]*sheet{},
 		methods: make([]*sheet, len(t.Methods)), withdrawn: map[proto.EP]bool{}, links: map[proto.EP]*link{},
-		health: map[proto.EP]health{}, byID: map[machine.Conn]*link{}, rpcs: map[uint64]*rpc{}, usage: make([]proto.Usage, len(t.Methods)),
+		health: map[proto.EP]health{}, byID: map[statemachine.Conn]*link{}, rpcs: map[uint64]*rpc{}, usage: make([]proto.Usage, len(t.Methods)),
 		sums: map[proto.EP]*met{},
 	}
 }
 
 // Step implements machine.Machine.
-func (f *FrontEnd) Step(now machine.Seconds, in []machine.Input, out *machine.Out) {
+func (f *FrontEnd) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	f.out = out
 	if !f.begun {
 		f.begun, f.since = true, now
@@ -223,7 +219,7 @@
 	f.held = append(f.held, in...)
 	for {
 		if now < f.still {
-			out.At(f.still)
+			out.WakeBy(f.still)
 			return
 		}
 		for _, p := range f.applied {
@@ -241,12 +237,12 @@
 	f.timers.ring(now)
 	f.timers.wake(out)
 	if f.still > now {
-		out.At(f.still)
+		out.WakeBy(f.still)
 	}
 }
 
-func (f *FrontEnd) input(now machine.Seconds, i machine.Input) {
-	if i.Kind == machine.Told {
+func (f *FrontEnd) input(now statemachine.Seconds, i statemachine.Input) {
+	if i.Kind == statemachine.OperatorCommand {
 		f.told(now, i.Text)
 		return
 	}
@@ -258,15 +254,15 @@
 		return
 	}
 	switch i.Kind {
-	case machine.Opened:
+	case statemachine.ConnOpened:
 		f.heard = now
 		f.out.Write(f.stream, proto.Append(nil, proto.Hello{
 			Version: proto.Version, Role: proto.RoleProxy, Name: f.trade.Name,
 			Zone: f.trade.Zone, Rate: f.rate, Fresh: f.holds == "", Holds: f.holds, Mark: f.mark,
 		}))
-	case machine.Closed:
+	case statemachine.ConnClosed:
 		f.leave(now, i.Text)
-	case machine.Data:
+	case statemachine.ConnData:
 		f.heard = now
 		f.reader.Feed(i.Data)
 		for f.stream == i.Conn {
@@ -286,14 +282,14 @@
 	}
 }
 
-func (f *FrontEnd) dial(now machine.Seconds) {
+func (f *FrontEnd) dial(now statemachine.Seconds) {
 	f.conns++
 	f.stream, f.reader, f.heard, f.seq = f.conns, proto.Reader{}, now, 0
 	f.out.Dial(f.stream, f.trade.Coordinators[f.at%len(f.trade.Coordinators)])
 }
 
 // leave: the stream ended. What is held stays in force; another coordinator is tried when this one fails again.
-func (f *FrontEnd) leave(now machine.Seconds, why string) {
+func (f *FrontEnd) leave(now statemachine.Seconds, why string) {
 	if f.joined {
 		f.out.Record(trace.Record{T: now, Kind: trace.Leave, Who: f.trade.Name, Of: f.of, Text: why})
 		f.failed = 0
@@ -303,14 +299,14 @@
 	if f.failed++; f.failed > 1 {
 		f.at++
 	}
-	f.timers.at(now+min(0.1*float64(f.failed), 2)*(0.5+f.dice.Draw()), func(now machine.Seconds) {
+	f.timers.at(now+min(0.1*float64(f.failed), 2)*(0.5+f.dice.Draw()), func(now statemachine.Seconds) {
 		if f.stream == 0 {
 			f.dial(now)
 		}
 	})
 }
 
-func (f *FrontEnd) message(now machine.Seconds, msg proto.Message) error {
+func (f *FrontEnd) message(now statemachine.Seconds, msg proto.Message) error {
 	switch m := msg.(type) {
 	case proto.Welcome:
 		f.reader.Open()
@@ -345,7 +341,7 @@
 }
 
 // apply has a push take effect.
-func (f *FrontEnd) apply(now machine.Seconds, m proto.Push) {
+func (f *FrontEnd) apply(now statemachine.Seconds, m proto.Push) {
 	if f.stream == 0 {
 		return
 	}
@@ -467,7 +463,7 @@
 }
 
 // report sends what was met since the last one; an empty one too, as a sign of life.
-func (f *FrontEnd) report(now machine.Seconds) {
+func (f *FrontEnd) report(now statemachine.Seconds) {
 	f.timers.at(now+f.trade.Period, f.report)
 	if f.trade.Watch {
 		f.out.Record(trace.Record{T: now, Kind: trace.Late, Who: f.trade.Name, X: f.late})
@@ -479,13 +475,13 @@
 	}
 	if !f.joined {
 		if f.stream != 0 && now-f.heard > 4*f.trade.Period {
-			f.out.Kill(f.stream)
+			f.out.Abort(f.stream)
 			f.leave(now, "no welcome")
 		}
 		return
 	}
 	if now-f.heard > 4*f.trade.Period {
-		f.out.Kill(f.stream)
+		f.out.Abort(f.stream)
 		f.leave(now, "silent for too long")
 		return
 	}
@@ -510,11 +506,11 @@
 }
 
 // await puts the next arrival on the clock; one drawn before is forgotten.
-func (f *FrontEnd) await(now machine.Seconds) {
+func (f *FrontEnd) await(now statemachine.Seconds) {
 	f.due++
 	life := f.due
 	if d, ok := f.source.Next(now); ok {
-		f.timers.at(d.At, func(now machine.Seconds) {
+		f.timers.at(d.At, func(now statemachine.Seconds) {
 			if f.due == life {
 				f.late = max(f.late, now-max(d.At, f.still))
 				f.await(d.At) // from when it was due: a process that stood still has them all to serve
@@ -525,7 +521,7 @@
 }
 
 // clearSums forgets what was met, where nobody is told.
-func (f *FrontEnd) clearSums(now machine.Seconds) {
+func (f *FrontEnd) clearSums(now statemachine.Seconds) {
 	for m := range f.usage {
 		f.usage[m] = proto.Usage{Method: uint64(m)}
 	}
@@ -534,7 +530,7 @@
 }
 
 // arrive: a client's RPC comes.
-func (f *FrontEnd) arrive(now machine.Seconds, d traffic.Due) {
+func (f *FrontEnd) arrive(now statemachine.Seconds, d traffic.Due) {
 	f.count++
 	r := &rpc{id: f.self | f.count, asked: d.At, method: d.Method, key: d.Key}
 	if f.trade.Methods[r.method].Effect == Tokened {
@@ -544,14 +540,14 @@
 }
 
 // begin lets an RPC in, or not, and sends it.
-func (f *FrontEnd) begin(now machine.Seconds, r *rpc) {
+func (f *FrontEnd) begin(now statemachine.Seconds, r *rpc) {
 	f.rpcs[r.id] = r
 	f.usage[r.method].RPCs++
 	if !f.admit(now, r.method) {
 		f.end(now, r, proto.PushedBack)
 		return
 	}
-	f.timers.at(r.asked+f.trade.Methods[r.method].Deadline, func(now machine.Seconds) {
+	f.timers.at(r.asked+f.trade.Methods[r.method].Deadline, func(now statemachine.Seconds) {
 		if !r.done {
 			f.tried(now, r, false)
 			f.end(now, r, proto.Aborted)
@@ -560,7 +556,7 @@
 	f.send(now, r, "")
 }
 
-func (f *FrontEnd) admit(now machine.Seconds, m int) bool {
+func (f *FrontEnd) admit(now statemachine.Seconds, m int) bool {
 	t := f.methods[m]
 	if t == nil {
 		return true
@@ -583,7 +579,7 @@
 }
 
 // pick chooses a line, not one that was tried, if possible not one that it keeps away from.
-func (f *FrontEnd) pick(now machine.Seconds, r *rpc) *row {
+func (f *FrontEnd) pick(now statemachine.Seconds, r *rpc) *row {
 	t := f.methods[r.method]
 	if t == nil {
 		return nil
@@ -655,14 +651,14 @@
 }
 
 // reported is the load that a server reported last, if that is not long ago, else what is known here.
-func (f *FrontEnd) reported(now machine.Seconds, ep proto.EP) float64 {
+func (f *FrontEnd) reported(now statemachine.Seconds, ep proto.EP) float64 {
 	if l := f.links[ep]; l != nil && l.told > 0 && now < l.told+f.trade.Period {
 		return l.load
 	}
 	return float64(f.busy(ep))
 }
 
-func (f *FrontEnd) send(now machine.Seconds, r *rpc, why string) bool {
+func (f *FrontEnd) send(now statemachine.Seconds, r *rpc, why string) bool {
 	x := f.pick(now, r)
 	if x == nil {
 		if r.n == 0 {
@@ -680,9 +676,9 @@
 		l = &link{ep: x.ep, addr: x.addr, conn: f.conns, out: map[uint64]*rpc{}}
 		f.links[x.ep], f.byID[l.conn] = l, l
 		f.out.Dial(l.conn, x.addr)
-		f.timers.at(now+f.trade.ConnectTimeout, func(now machine.Seconds) {
+		f.timers.at(now+f.trade.ConnectTimeout, func(now statemachine.Seconds) {
 			if !l.up && f.byID[l.conn] == l {
-				f.out.Kill(l.conn)
+				f.out.Abort(l.conn)
 				f.broke(now, l)
 			}
 		})
@@ -702,7 +698,7 @@
 	}
 	if tries := f.tries(r); tries >= 2 && r.n < int(tries) {
 		try := r.try
-		f.timers.at(now+f.trade.TryWait*f.trade.Methods[r.method].SoftDeadline, func(now machine.Seconds) {
+		f.timers.at(now+f.trade.TryWait*f.trade.Methods[r.method].SoftDeadline, func(now statemachine.Seconds) {
 			if !r.done && r.try == try {
 				// It is given up, though it may run or have run.
 				f.failedTry(now, r, true)
@@ -712,7 +708,7 @@
 	return true
 }
 
-func (f *FrontEnd) write(now machine.Seconds, l *link, r *rpc) {
+func (f *FrontEnd) write(now statemachine.Seconds, l *link, r *rpc) {
 	m := f.trade.Methods[r.method]
 	f.out.Write(l.conn, proto.Append(nil, proto.RPC{
 		ID: r.id, Method: uint64(r.method), Token: r.token, Key: r.key,
@@ -729,7 +725,7 @@
 }
 
 // tried counts how a try ended, and forgets it.
-func (f *FrontEnd) tried(now machine.Seconds, r *rpc, good bool) {
+func (f *FrontEnd) tried(now statemachine.Seconds, r *rpc, good bool) {
 	l := r.link
 	if l == nil || r.try == 0 {
 		return
@@ -763,7 +759,7 @@
 }
 
 // failedTry ends a try that failed; may says whether it may have run all the same.
-func (f *FrontEnd) failedTry(now machine.Seconds, r *rpc, may bool) {
+func (f *FrontEnd) failedTry(now statemachine.Seconds, r *rpc, may bool) {
 	f.tried(now, r, false)
 	tries := f.tries(r)
 	again := false
@@ -792,7 +788,7 @@
 	f.end(now, r, status)
 }
 
-func (f *FrontEnd) end(now machine.Seconds, r *rpc, status proto.Status) {
+func (f *FrontEnd) end(now statemachine.Seconds, r *rpc, status proto.Status) {
 	if r.done {
 		return
 	}
@@ -809,22 +805,22 @@
 }
 
 // comeAgain has the client of an RPC that failed ask once more, as a new RPC with the token of the first.
-func (f *FrontEnd) comeAgain(now machine.Seconds, r *rpc, status proto.Status) {
+func (f *FrontEnd) comeAgain(now statemachine.Seconds, r *rpc, status proto.Status) {
 	safe := f.trade.Methods[r.method].Effect != NonIdempotent || status == proto.PushedBack
 	if status == proto.OK || !safe || r.came >= f.trade.AgainMost || f.dice.Draw() >= f.trade.ComeAgain {
 		return
 	}
 	wait := f.trade.AgainWait * float64(int(1)<<min(r.came, 10)) * (0.5 + f.dice.Draw())
-	f.timers.at(now+wait, func(now machine.Seconds) {
+	f.timers.at(now+wait, func(now statemachine.Seconds) {
 		f.count++
 		f.begin(now, &rpc{id: f.self | f.count, method: r.method, asked: now, token: r.token, key: r.key, came: r.came + 1})
 	})
 }
 
 // server takes what comes from a server.
-func (f *FrontEnd) server(now machine.Seconds, l *link, i machine.Input) {
+func (f *FrontEnd) server(now statemachine.Seconds, l *link, i statemachine.Input) {
 	switch i.Kind {
-	case machine.Opened:
+	case statemachine.ConnOpened:
 		l.up = true
 		l.reader.Open()
 		f.out.Write(l.conn, proto.Append(nil, proto.Hello{
@@ -837,9 +833,9 @@
 			}
 		}
 		l.wait = nil
-	case machine.Closed:
+	case statemachine.ConnClosed:
 		f.broke(now, l)
-	case machine.Data:
+	case statemachine.ConnData:
 		l.reader.Feed(i.Data)
 		for f.byID[l.conn] == l {
 			msg, err := l.reader.Next()
@@ -858,7 +854,7 @@
 	}
 }
 
-func (f *FrontEnd) replied(now machine.Seconds, l *link, m proto.Reply) {
+func (f *FrontEnd) replied(now statemachine.Seconds, l *link, m proto.Reply) {
 	if m.Reports {
 		l.load, l.told = m.Load, now
 	}
@@ -878,7 +874,7 @@
 }
 
 // broke: the connection to a server is gone; what was sent on it may have run, what was not surely did not.
-func (f *FrontEnd) broke(now machine.Seconds, l *link) {
+func (f *FrontEnd) broke(now statemachine.Seconds, l *link) {
 	f.drop(l)
 	all := slices.Sorted(maps.Keys(l.out))
 	for _, try := range all {
@@ -895,7 +891,7 @@
 }
 
 // told takes a script's word: rate RPCS, still SECONDS or reset.
-func (f *FrontEnd) told(now machine.Seconds, text string) {
+func (f *FrontEnd) told(now statemachine.Seconds, text string) {
 	word, rest, _ := strings.Cut(text, " ")
 	v, _ := strconv.ParseFloat(rest, 64)
 	switch word {
@@ -907,7 +903,7 @@
 		f.still = max(f.still, now+v)
 	case "reset":
 		if f.stream != 0 {
-			f.out.Kill(f.stream)
+			f.out.Abort(f.stream)
 			f.leave(now, "reset by the script")
 		}
 	default:
--- a/internal/standin/list.go
+++ b/internal/fake/list.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"cmp"
@@ -7,8 +7,8 @@
 	"strconv"
 	"strings"
 
-	"gingerfork/internal/machine"
 	"gingerfork/internal/proto"
+	"gingerfork/internal/statemachine"
 	"gingerfork/internal/trace"
 )
 
@@ -21,7 +21,7 @@
 	Cell   uint64
 	Weight float64
 	Addr   string
-	Start  machine.Seconds // of its process; 0: long ago
+	Start  statemachine.Seconds // of its process; 0: long ago
 	Stamp  uint64
 }
 
@@ -32,15 +32,15 @@
 	past     map[proto.EP]Listing // all that ever were, as last listed
 	version  uint64
 	history  []change // oldest first
-	watchers map[machine.Conn]*watcher
+	watchers map[statemachine.Conn]*watcher
 	timers   timers
-	late     machine.Seconds
+	late     statemachine.Seconds
 	fail     bool
 	stale    bool
 	wrong    map[proto.EP]bool // the only servers that it shows; nil: the truth
-	beat     machine.Seconds
+	beat     statemachine.Seconds
 	begun    bool
-	out      *machine.Out
+	out      *statemachine.Effects
 	// Via tells at which address a watcher is to reach a server; nil: at its own.
 	Via func(watcher, addr string) string
 }
@@ -51,7 +51,7 @@
 }
 
 type watcher struct {
-	conn   machine.Conn
+	conn   statemachine.Conn
 	reader proto.Reader
 	name   string
 	on     bool
@@ -62,7 +62,7 @@
 
 // NewList makes a list service that shows these servers.
 func NewList(all []Listing) *List {
-	l := &List{all: map[proto.EP]Listing{}, past: map[proto.EP]Listing{}, version: 1, watchers: map[machine.Conn]*watcher{}}
+	l := &List{all: map[proto.EP]Listing{}, past: map[proto.EP]Listing{}, version: 1, watchers: map[statemachine.Conn]*watcher{}}
 	for _, e := range all {
 		l.all[e.EP], l.past[e.EP] = e, e
 	}
@@ -70,7 +70,7 @@
 }
 
 // Step implements machine.Machine.
-func (l *List) Step(now machine.Seconds, in []machine.Input, out *machine.Out) {
+func (l *List) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	l.out = out
 	if !l.begun {
 		l.begun = true
@@ -79,13 +79,13 @@
 	l.timers.ring(now)
 	for _, i := range in {
 		switch i.Kind {
-		case machine.Opened:
+		case statemachine.ConnOpened:
 			l.watchers[i.Conn] = &watcher{conn: i.Conn}
-		case machine.Closed:
+		case statemachine.ConnClosed:
 			delete(l.watchers, i.Conn)
-		case machine.Told:
+		case statemachine.OperatorCommand:
 			l.told(now, i.Text)
-		case machine.Data:
+		case statemachine.ConnData:
 			if w := l.watchers[i.Conn]; w != nil {
 				w.reader.Feed(i.Data)
 				l.read(now, w)
@@ -101,12 +101,12 @@
 			}
 		}
 	}
-	out.At(l.beat)
+	out.WakeBy(l.beat)
 	l.timers.wake(out)
 }
 
-func sortedConns[T any](of map[machine.Conn]T) []machine.Conn {
-	all := make([]machine.Conn, 0, len(of))
+func sortedConns[T any](of map[statemachine.Conn]T) []statemachine.Conn {
+	all := make([]statemachine.Conn, 0, len(of))
 	for c := range of {
 		all = append(all, c)
 	}
@@ -114,7 +114,7 @@
 	return all
 }
 
-func (l *List) read(now machine.Seconds, w *watcher) {
+func (l *List) read(now statemachine.Seconds, w *watcher) {
 	for l.watchers[w.conn] == w {
 		msg, err := w.reader.Next()
 		if err != nil {
@@ -144,7 +144,7 @@
 }
 
 // answer to a call: what changed since a version, or all of it.
-func (l *List) answer(now machine.Seconds, w *watcher, since uint64) {
+func (l *List) answer(now statemachine.Seconds, w *watcher, since uint64) {
 	if l.fail {
 		l.out.Write(w.conn, proto.Append(nil, proto.List{Kind: proto.ListError, Reason: "the list service is out of order"}))
 		return
@@ -158,7 +158,7 @@
 }
 
 // deliver sends a watcher what it lacks.
-func (l *List) deliver(now machine.Seconds, w *watcher, called bool) {
+func (l *List) deliver(now statemachine.Seconds, w *watcher, called bool) {
 	if l.stale && !called || l.watchers[w.conn] != w || w.told == l.version && !called {
 		return
 	}
@@ -222,7 +222,7 @@
 }
 
 // change makes a new version, and tells the watchers once it is late enough.
-func (l *List) change(now machine.Seconds, entries ...Listing) {
+func (l *List) change(now statemachine.Seconds, entries ...Listing) {
 	l.version++
 	for _, e := range entries {
 		l.past[e.EP] = e
@@ -240,8 +240,8 @@
 	l.spread(now)
 }
 
-func (l *List) spread(now machine.Seconds) {
-	tell := func(now machine.Seconds) {
+func (l *List) spread(now statemachine.Seconds) {
+	tell := func(now statemachine.Seconds) {
 		for _, c := range sortedConns(l.watchers) {
 			if w := l.watchers[c]; w.on {
 				l.deliver(now, w, false)
@@ -259,7 +259,7 @@
 //
 //	state EP open|draining|gone   restart EP ADDR   add EP ZONE KIND CELL WEIGHT ADDR   weight EP W
 //	late SECONDS   fail on|off   stale on|off   show all|none|EP…   break
-func (l *List) told(now machine.Seconds, text string) {
+func (l *List) told(now statemachine.Seconds, text string) {
 	word, rest, _ := strings.Cut(text, " ")
 	args := strings.Fields(rest)
 	arg := func(i int) string {
@@ -326,9 +326,9 @@
 	}
 }
 
-func (l *List) drop(machine.Seconds) {
+func (l *List) drop(statemachine.Seconds) {
 	for _, c := range sortedConns(l.watchers) {
-		l.out.Kill(c)
+		l.out.Abort(c)
 		delete(l.watchers, c)
 	}
 }
--- a/internal/standin/relay.go
+++ b/internal/fake/relay.go
@@ -1,10 +1,10 @@
-package standin
+package fake
 
 import (
 	"fmt"
 	"slices"
 
-	"gingerfork/internal/machine"
+	"gingerfork/internal/statemachine"
 )
 
 // Relay passes bytes between who dials it and a target, a door for each target, and hinders them on command, each door
@@ -12,28 +12,28 @@
 type Relay struct {
 	targets []string
 	hinder  []hindrance
-	pairs   map[machine.Conn]*pipe
-	dialled machine.Conn
+	pairs   map[statemachine.Conn]*pipe
+	dialled statemachine.Conn
 	timers  timers
-	out     *machine.Out
+	out     *statemachine.Effects
 }
 
 type hindrance struct {
 	cut   bool // holds what comes, as a network does that may come back
 	drop  bool // resets who dials
-	delay machine.Seconds
+	delay statemachine.Seconds
 	pace  float64 // bytes a second of each pipe and way; 0: unbounded
 }
 
 // pipe is two connections: from who dialled, and to the target.
 type pipe struct {
 	door int
-	ends [2]machine.Conn
+	ends [2]statemachine.Conn
 	open bool
 	wait [][]byte // of the dialler, until the target is reached
 	held []piece  // while the door is cut
 	n    int
-	free [2]machine.Seconds // when the next bytes of that way may leave
+	free [2]statemachine.Seconds // when the next bytes of that way may leave
 }
 
 // piece is bytes of one way, or the end of a pipe.
@@ -47,37 +47,37 @@
 // NewRelay makes one.
 func NewRelay(targets ...string) *Relay {
 	return &Relay{
-		targets: targets, hinder: make([]hindrance, len(targets)), pairs: map[machine.Conn]*pipe{},
-		dialled: machine.Dialled,
+		targets: targets, hinder: make([]hindrance, len(targets)), pairs: map[statemachine.Conn]*pipe{},
+		dialled: statemachine.Dialed,
 	}
 }
 
 // Step implements machine.Machine.
-func (r *Relay) Step(now machine.Seconds, in []machine.Input, out *machine.Out) {
+func (r *Relay) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	r.out = out
 	r.timers.ring(now)
 	for _, i := range in {
 		p := r.pairs[i.Conn]
 		switch {
-		case i.Kind == machine.Told:
+		case i.Kind == statemachine.OperatorCommand:
 			r.told(now, i.Text)
-		case i.Kind == machine.Opened && p == nil:
-			if r.hinder[i.Door].drop {
-				out.Kill(i.Conn)
+		case i.Kind == statemachine.ConnOpened && p == nil:
+			if r.hinder[i.Listener].drop {
+				out.Abort(i.Conn)
 				continue
 			}
 			r.dialled++
-			p = &pipe{door: i.Door, ends: [2]machine.Conn{i.Conn, r.dialled}}
+			p = &pipe{door: i.Listener, ends: [2]statemachine.Conn{i.Conn, r.dialled}}
 			r.pairs[i.Conn], r.pairs[r.dialled] = p, p
-			out.Dial(r.dialled, r.targets[i.Door])
+			out.Dial(r.dialled, r.targets[i.Listener])
 		case p == nil:
-		case i.Kind == machine.Opened:
+		case i.Kind == statemachine.ConnOpened:
 			p.open = true
 			for _, b := range p.wait {
 				r.pass(now, p, piece{data: b})
 			}
 			p.wait = nil
-		case i.Kind == machine.Data:
+		case i.Kind == statemachine.ConnData:
 			from := 0
 			if i.Conn == p.ends[1] {
 				from = 1
@@ -87,7 +87,7 @@
 			} else {
 				r.pass(now, p, piece{from: from, data: i.Data})
 			}
-		case i.Kind == machine.Closed:
+		case i.Kind == statemachine.ConnClosed:
 			from := 0
 			if i.Conn == p.ends[1] {
 				from = 1
@@ -100,7 +100,7 @@
 }
 
 // pass sends a piece on, as late as the door makes it, and never before what came earlier.
-func (r *Relay) pass(now machine.Seconds, p *pipe, x piece) {
+func (r *Relay) pass(now statemachine.Seconds, p *pipe, x piece) {
 	if x.n == 0 {
 		p.n++
 		x.n = p.n
@@ -119,7 +119,7 @@
 		r.deliver(p, x)
 		return
 	}
-	r.timers.at(at, func(machine.Seconds) {
+	r.timers.at(at, func(statemachine.Seconds) {
 		if r.hinder[p.door].cut || len(p.held) > 0 {
 			p.hold(x)
 			return
@@ -151,7 +151,7 @@
 }
 
 // told takes a script's word: set DOOR CUT DROP DELAY PACE (flags as 0 and 1), or reset DOOR.
-func (r *Relay) told(now machine.Seconds, text string) {
+func (r *Relay) told(now statemachine.Seconds, text string) {
 	var door, cut, drop int
 	var h hindrance
 	if n, _ := fmt.Sscanf(text, "set %d %d %d %g %g", &door, &cut, &drop, &h.delay, &h.pace); n == 5 && door < len(r.targets) {
@@ -173,7 +173,7 @@
 }
 
 // release lets go what a cut held.
-func (r *Relay) release(now machine.Seconds, door int) {
+func (r *Relay) release(now statemachine.Seconds, door int) {
 	done := map[*pipe]bool{}
 	for _, c := range sortedConns(r.pairs) {
 		p := r.pairs[c]
@@ -192,7 +192,7 @@
 func (r *Relay) reset(door int) {
 	for _, c := range sortedConns(r.pairs) {
 		if r.pairs[c].door == door {
-			r.out.Kill(c)
+			r.out.Abort(c)
 			delete(r.pairs, c)
 		}
 	}
--- a/internal/standin/standin_test.go
+++ b/internal/fake/standin_test.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"fmt"
@@ -7,28 +7,28 @@
 	"testing"
 
 	"gingerfork/internal/emulator"
-	"gingerfork/internal/machine"
 	"gingerfork/internal/proto"
+	"gingerfork/internal/simnet"
+	"gingerfork/internal/statemachine"
 	"gingerfork/internal/trace"
-	"gingerfork/internal/virtual"
 )
 
 // herald welcomes proxies and pushes them one table.
 type herald struct {
 	ops     []proto.Op
-	readers map[machine.Conn]*proto.Reader
+	readers map[statemachine.Conn]*proto.Reader
 	answers int
 	hellos  int
 	deaf    bool // says nothing more after the push
 }
 
-func (h *herald) Step(_ machine.Seconds, in []machine.Input, out *machine.Out) {
+func (h *herald) Step(_ statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	for _, i := range in {
-		if i.Kind == machine.Opened {
+		if i.Kind == statemachine.ConnOpened {
 			h.readers[i.Conn] = &proto.Reader{}
 		}
 		r := h.readers[i.Conn]
-		if i.Kind != machine.Data || r == nil {
+		if i.Kind != statemachine.ConnData || r == nil {
 			continue
 		}
 		r.Feed(i.Data)
@@ -53,7 +53,7 @@
 // play runs a front end under one table with servers, and counts tries by server and ends by kind.
 func play(t *testing.T, span float64, trade FrontTrade, h *herald, servers ...emulator.Trade) (tries map[uint32]int, ends map[string]int, all []trace.Record) {
 	t.Helper()
-	w := virtual.New(1, 1e6, 0.0003, 0.0006)
+	w := simnet.New(1, 1e6, 0.0003, 0.0006)
 	tries, ends = map[uint32]int{}, map[string]int{}
 	w.Trace = func(r trace.Record) {
 		all = append(all, r)
@@ -64,19 +64,19 @@
 			ends[r.Text]++
 		}
 	}
-	h.readers = map[machine.Conn]*proto.Reader{}
-	w.Add("c0", "a", func(machine.Seconds, map[string][]byte) machine.Machine { return h }, "c0")
+	h.readers = map[statemachine.Conn]*proto.Reader{}
+	w.Add("c0", "a", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return h }, "c0")
 	w.Start("c0")
 	for _, s := range servers {
 		name := fmt.Sprint("s", s.EP)
-		w.Add(name, "a", func(machine.Seconds, map[string][]byte) machine.Machine { return emulator.NewServer(s) }, name)
+		w.Add(name, "a", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return emulator.NewServer(s) }, name)
 		w.Start(name)
 	}
 	trade.Name, trade.Zone, trade.Coordinators, trade.Period, trade.ConnectTimeout, trade.Seed = "f0", "a", []string{"c0"}, 1, 0.2, 3
 	if trade.Methods == nil {
 		trade.Methods = []MethodTrade{{Name: "m", Criticality: 1, SoftDeadline: 0.5, Deadline: 2, Share: 1}}
 	}
-	w.Add("f0", "a", func(machine.Seconds, map[string][]byte) machine.Machine { return NewFrontEnd(trade) })
+	w.Add("f0", "a", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return NewFrontEnd(trade) })
 	w.Start("f0")
 	w.Run(1e6 + span)
 	return tries, ends, all
@@ -257,13 +257,13 @@
 	var r proto.Reader
 	r.Open()
 	now := 10.0
-	step := func(in ...machine.Input) []proto.List {
+	step := func(in ...statemachine.Input) []proto.List {
 		now += 0.01
-		var out machine.Out
+		var out statemachine.Effects
 		out.Reset()
 		l.Step(now, in, &out)
 		got = nil
-		for _, a := range out.Acts {
+		for _, a := range out.Actions {
 			r.Feed(a.Data)
 			for m, _ := r.Next(); m != nil; m, _ = r.Next() {
 				if x, ok := m.(proto.List); ok && (x.Kind != proto.ListChanges || len(x.Entries) > 0) {
@@ -273,11 +273,13 @@
 		}
 		return got
 	}
-	say := func(text string) machine.Input { return machine.Input{Kind: machine.Told, Text: text} }
-	ask := func(since uint64) machine.Input {
-		return machine.Input{Kind: machine.Data, Conn: 1, Data: proto.Append(nil, proto.Watch{On: true, Since: since})}
+	say := func(text string) statemachine.Input {
+		return statemachine.Input{Kind: statemachine.OperatorCommand, Text: text}
 	}
-	step(machine.Input{Kind: machine.Opened, Conn: 1}, machine.Input{Kind: machine.Data, Conn: 1, Data: proto.Append(nil, proto.Hello{Version: 1, Role: proto.RoleWatcher, Name: "c0"})})
+	ask := func(since uint64) statemachine.Input {
+		return statemachine.Input{Kind: statemachine.ConnData, Conn: 1, Data: proto.Append(nil, proto.Watch{On: true, Since: since})}
+	}
+	step(statemachine.Input{Kind: statemachine.ConnOpened, Conn: 1}, statemachine.Input{Kind: statemachine.ConnData, Conn: 1, Data: proto.Append(nil, proto.Hello{Version: 1, Role: proto.RoleWatcher, Name: "c0"})})
 	if all := step(ask(0)); len(all) != 1 || all[0].Kind != proto.ListFull || len(all[0].Entries) != 2 {
 		t.Fatal(all)
 	}
@@ -312,30 +314,34 @@
 	r := NewRelay("there")
 	now := 10.0
 	var wrote []string
-	var to machine.Conn
-	out := machine.Out{}
-	step := func(at float64, in ...machine.Input) {
+	var to statemachine.Conn
+	out := statemachine.Effects{}
+	step := func(at float64, in ...statemachine.Input) {
 		now = at
 		out.Reset()
 		r.Step(now, in, &out)
-		for _, a := range out.Acts {
+		for _, a := range out.Actions {
 			switch a.Kind {
-			case machine.Dial:
+			case statemachine.ActionDial:
 				to = a.Conn
-			case machine.Write:
+			case statemachine.ActionWrite:
 				wrote = append(wrote, string(a.Data))
-			case machine.Close:
+			case statemachine.ActionClose:
 				wrote = append(wrote, "end")
 			}
 		}
 	}
-	send := func(text string) machine.Input { return machine.Input{Kind: machine.Data, Conn: 1, Data: []byte(text)} }
-	word := func(text string) machine.Input { return machine.Input{Kind: machine.Told, Text: text} }
-	step(10, machine.Input{Kind: machine.Opened, Conn: 1}, send("a"))
-	step(11, machine.Input{Kind: machine.Opened, Conn: to}, send("b"))
+	send := func(text string) statemachine.Input {
+		return statemachine.Input{Kind: statemachine.ConnData, Conn: 1, Data: []byte(text)}
+	}
+	word := func(text string) statemachine.Input {
+		return statemachine.Input{Kind: statemachine.OperatorCommand, Text: text}
+	}
+	step(10, statemachine.Input{Kind: statemachine.ConnOpened, Conn: 1}, send("a"))
+	step(11, statemachine.Input{Kind: statemachine.ConnOpened, Conn: to}, send("b"))
 	step(12, word("set 0 0 0 2 0"), send("c"))
 	step(13, word("set 0 1 0 0 0"), send("d"))
-	step(20, send("e"), machine.Input{Kind: machine.Closed, Conn: 1})
+	step(20, send("e"), statemachine.Input{Kind: statemachine.ConnClosed, Conn: 1})
 	if got := strings.Join(wrote, " "); got != "a b" {
 		t.Fatalf("through a cut went %q", got)
 	}
@@ -352,18 +358,18 @@
 	for i := range 3 {
 		c.Add(fmt.Sprint("s", i), emulator.NewServer(quick(proto.EP(i+1))), 1)
 	}
-	var out machine.Out
+	var out statemachine.Effects
 	out.Reset()
 	hello := proto.Append(nil, proto.Hello{Version: 1, Role: proto.RoleCaller, Name: "x"})
-	c.Step(1, []machine.Input{
-		{Kind: machine.Opened, Conn: 5, Door: 2},
-		{Kind: machine.Opened, Conn: 6, Door: 0},
-		{Kind: machine.Data, Conn: 5, Data: hello},
-		{Kind: machine.Told, Text: "s0 drain"},
-		{Kind: machine.Data, Conn: 6, Data: proto.Append(hello, proto.RPC{ID: 1, Left: 1})},
+	c.Step(1, []statemachine.Input{
+		{Kind: statemachine.ConnOpened, Conn: 5, Listener: 2},
+		{Kind: statemachine.ConnOpened, Conn: 6, Listener: 0},
+		{Kind: statemachine.ConnData, Conn: 5, Data: hello},
+		{Kind: statemachine.OperatorCommand, Text: "s0 drain"},
+		{Kind: statemachine.ConnData, Conn: 6, Data: proto.Append(hello, proto.RPC{ID: 1, Left: 1})},
 	}, &out)
 	var names []string
-	for _, a := range out.Acts {
+	for _, a := range out.Actions {
 		var r proto.Reader
 		r.Open()
 		r.Feed(a.Data)
@@ -374,7 +380,7 @@
 	if got := strings.Join(names, "; "); !strings.Contains(got, "5 {1 server-3 0 []}") || !strings.Contains(got, "6 {1 server-1 0 []}") || !strings.Contains(got, "6 {1 pushed back false 0}") {
 		t.Fatal(got)
 	}
-	if c.members[1].wake < machine.Never && c.members[1].next != 0 {
+	if c.members[1].wake < statemachine.Never && c.members[1].next != 0 {
 		t.Fatal("a member that nothing came for was opened")
 	}
 }
--- a/internal/haproxy/proof_test.go
+++ b/internal/haproxy/proof_test.go
@@ -8,11 +8,11 @@
 	"gingerfork/internal/bootstrap"
 	"gingerfork/internal/coordinator"
 	"gingerfork/internal/emulator"
-	"gingerfork/internal/machine"
+	"gingerfork/internal/fake"
 	"gingerfork/internal/proto"
-	"gingerfork/internal/standin"
+	"gingerfork/internal/simnet"
+	"gingerfork/internal/statemachine"
 	"gingerfork/internal/trace"
-	"gingerfork/internal/virtual"
 )
 
 // served serves an imported pool for some seconds in virtual time: a coordinator with the imported settings, a list service
@@ -26,7 +26,7 @@
 		t.Fatal(faults, more)
 	}
 	const epoch = 1e6
-	w := virtual.New(5, epoch, 0.0003, 0.0006)
+	w := simnet.New(5, epoch, 0.0003, 0.0006)
 	before, after = map[string]int{}, map[string]int{}
 	names := map[uint32]string{}
 	w.Trace = func(r trace.Record) {
@@ -40,7 +40,7 @@
 			after[names[r.EP]]++
 		}
 	}
-	var list []standin.Listing
+	var list []fake.Listing
 	numbers := p.Numbers()
 	for _, s := range p.Listed() {
 		ep := numbers[s.Name]
@@ -49,13 +49,13 @@
 		if s.State == Draining {
 			state = proto.ServerDraining
 		}
-		list = append(list, standin.Listing{EP: ep, State: state, Zone: "imported", Weight: float64(max(1, s.Weight)), Addr: s.Name, Stamp: 1})
-		w.Add(s.Name, "imported", func(machine.Seconds, map[string][]byte) machine.Machine {
+		list = append(list, fake.Listing{EP: ep, State: state, Zone: "imported", Weight: float64(max(1, s.Weight)), Addr: s.Name, Stamp: 1})
+		w.Add(s.Name, "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
 			return emulator.NewServer(emulator.Trade{EP: ep, Zone: "imported", Cores: 64, Speed: 1, Work: []emulator.Work{{Mean: 0.002}}, QueueMost: 1000, Seed: uint64(ep)})
 		}, s.Name)
 	}
-	w.Add("list", "imported", func(machine.Seconds, map[string][]byte) machine.Machine { return standin.NewList(list) }, "list")
-	w.Add("c0", "imported", func(now machine.Seconds, _ map[string][]byte) machine.Machine {
+	w.Add("list", "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return fake.NewList(list) }, "list")
+	w.Add("c0", "imported", func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
 		b := trade.Coordinator(now)
 		b.Seed = 3
 		return coordinator.NewMachine(coordinator.Bootstrap{
@@ -64,7 +64,7 @@
 		}, nil)
 	}, "c0")
 	m := trade.Coordinator(0)
-	methods := standin.Methods(trade.Methods, m)
+	methods := fake.Methods(m.Settings.Methods)
 	order := append([]string{"list", "c0"}, func() (all []string) {
 		for _, s := range p.Listed() {
 			all = append(all, s.Name)
@@ -73,10 +73,10 @@
 	}()...)
 	for i := range 12 {
 		name := fmt.Sprint("f", i)
-		w.Add(name, "imported", func(machine.Seconds, map[string][]byte) machine.Machine {
-			return standin.NewFrontEnd(standin.FrontTrade{
+		w.Add(name, "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
+			return fake.NewFrontEnd(fake.FrontTrade{
 				Name: name, Zone: "imported", Coordinators: []string{"c0"}, Methods: methods, Rate: 60,
-				Pick: m.Word("pick"), KeepAway: 5, Period: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
+				Pick: m.Settings.Pick, KeepAway: 5, Period: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
 			})
 		})
 		order = append(order, name)
--- a/internal/haproxy/routes_test.go
+++ b/internal/haproxy/routes_test.go
@@ -196,8 +196,8 @@
 		b := trade.Coordinator(0)
 		var all []string
 		for m, name := range trade.Methods {
-			at := fmt.Sprintf("method.%d.", m)
-			all = append(all, name+" "+b.Word(at+"effect")+" "+b.Word(at+"most_tries"))
+			method := b.Settings.Methods[m]
+			all = append(all, name+" "+method.Effect+" "+method.MostTries)
 		}
 		if strings.Join(all, "; ") != want {
 			t.Errorf("%s, %s wanted", strings.Join(all, "; "), want)
--- a/internal/rules/rules.go
+++ b/internal/invariant/rules.go
@@ -1,7 +1,7 @@
-// Package rules reads the trace of a run and says which of the five rules broke: when, by whom, at which record, and
+// Package invariant reads the trace of a run and says which of the five rules broke: when, by whom, at which record, and
 // how near the others came. It knows the trace and the limits, and nothing of what it checks: it shares no code with
 // the coordinator, the module or the protocol.
-package rules
+package invariant
 
 import (
 	"fmt"
--- a/internal/rules/rules_test.go
+++ b/internal/invariant/rules_test.go
@@ -1,4 +1,4 @@
-package rules
+package invariant
 
 import (
 	"testing"
--- a/internal/listing/day_test.go
+++ b/internal/listing/day_test.go
@@ -5,37 +5,38 @@
 	"strings"
 	"testing"
 
+	"gingerfork/choice"
 	"gingerfork/internal/bootstrap"
+	"gingerfork/internal/checkpoint"
 	"gingerfork/internal/coordinator"
 	"gingerfork/internal/emulator"
+	"gingerfork/internal/fake"
 	"gingerfork/internal/follow"
-	"gingerfork/internal/keep"
-	"gingerfork/internal/machine"
+	"gingerfork/internal/invariant"
 	"gingerfork/internal/proto"
-	"gingerfork/internal/rehearse"
-	"gingerfork/internal/rules"
-	"gingerfork/internal/standin"
+	"gingerfork/internal/scenario"
+	"gingerfork/internal/simnet"
+	"gingerfork/internal/statemachine"
 	"gingerfork/internal/trace"
-	"gingerfork/internal/virtual"
 )
 
 // watched writes the trace of what a list service says, as the list stand-in does of itself, for the rule checker.
 type watched struct {
 	*Service
-	out  map[machine.Conn]*proto.Reader
-	in   map[machine.Conn]*proto.Reader
-	name map[machine.Conn]string
+	out  map[statemachine.Conn]*proto.Reader
+	in   map[statemachine.Conn]*proto.Reader
+	name map[statemachine.Conn]string
 	seen uint64
 }
 
-func (w *watched) Step(now machine.Seconds, in []machine.Input, out *machine.Out) {
+func (w *watched) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	for _, i := range in {
 		switch i.Kind {
-		case machine.Opened:
+		case statemachine.ConnOpened:
 			w.in[i.Conn], w.out[i.Conn] = &proto.Reader{}, &proto.Reader{}
 			w.in[i.Conn].Open()
 			w.out[i.Conn].Open()
-		case machine.Data:
+		case statemachine.ConnData:
 			w.in[i.Conn].Feed(i.Data)
 			for m, _ := w.in[i.Conn].Next(); m != nil; m, _ = w.in[i.Conn].Next() {
 				switch m := m.(type) {
@@ -56,9 +57,9 @@
 		}
 		out.Record(trace.Record{T: now, Kind: trace.List, N: int64(v), Text: text})
 	}
-	for _, a := range out.Acts {
+	for _, a := range out.Actions {
 		r := w.out[a.Conn]
-		if a.Kind != machine.Write || r == nil {
+		if a.Kind != statemachine.ActionWrite || r == nil {
 			continue
 		}
 		r.Feed(a.Data)
@@ -82,9 +83,9 @@
 
 // followed plays a fleet whose list follows files: what happens at which second. It gives the report, what was held back, and
 // the records.
-func followed(t *testing.T, seconds float64, happens map[float64]func(offer func([]follow.Server), w *virtual.World)) (rules.Report, []string, []trace.Record) {
+func followed(t *testing.T, seconds float64, happens map[float64]func(offer func([]follow.Server), w *simnet.World)) (invariant.Report, []string, []trace.Record) {
 	t.Helper()
-	conf, err := rehearse.File("perth.conf")
+	conf, err := scenario.File("perth.conf")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,12 +95,12 @@
 		t.Fatal(faults, more)
 	}
 	const epoch, zone = 1e6, "dc-kewdale"
-	w := virtual.New(3, epoch, 0.0003, 0.0006)
+	w := simnet.New(3, epoch, 0.0003, 0.0006)
 	var records []trace.Record
 	w.Trace = func(r trace.Record) { records = append(records, r) }
 	var held []string
 	var now *Service
-	w.Add("list", zone, func(_ machine.Seconds, files map[string][]byte) machine.Machine {
+	w.Add("list", zone, func(_ statemachine.Seconds, files map[string][]byte) statemachine.Machine {
 		s, err := New("list", zone, follow.Terms{DrainFor: 4, MostLost: 0.5}, files[Kept], func(_ int, err error) {
 			if err != nil {
 				held = append(held, err.Error())
@@ -109,33 +110,33 @@
 			t.Fatal(err)
 		}
 		now = s
-		return &watched{Service: s, out: map[machine.Conn]*proto.Reader{}, in: map[machine.Conn]*proto.Reader{}, name: map[machine.Conn]string{}}
+		return &watched{Service: s, out: map[statemachine.Conn]*proto.Reader{}, in: map[statemachine.Conn]*proto.Reader{}, name: map[statemachine.Conn]string{}}
 	}, "list")
 	// An offer is looked at in the next step, as on sockets.
 	offer := func(s []follow.Server) { now.Offer(s); w.Tell("list", "look") }
 	w.Start("list")
 	offer(servers(6, 1))
 	for i, s := range servers(6, 1) {
-		w.Add(s.Addr, zone, func(machine.Seconds, map[string][]byte) machine.Machine {
+		w.Add(s.Addr, zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
 			return emulator.NewServer(emulator.Trade{EP: s.Number, Zone: zone, Cores: 4, Speed: 1, Work: []emulator.Work{{Mean: 0.02}}, QueueMost: 100, Seed: uint64(i)})
 		}, s.Addr)
 		w.Start(s.Addr)
 	}
 	for i := range 2 {
 		name := fmt.Sprint("c", i)
-		w.Add(name, zone, func(at machine.Seconds, _ map[string][]byte) machine.Machine {
+		w.Add(name, zone, func(at statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
 			b := trade.Coordinator(at)
 			values := map[string]any{}
-			for k, v := range b.Values {
+			for k, v := range trade.Values {
 				values[k] = v
 			}
 			values["self"], values["coordinators"] = float64(i), 2.0
-			b.Values, b.Seed = values, uint64(i)+1
+			b.Settings, b.Seed = choice.DecodeSettings(values), uint64(i)+1
 			records, err := w.Records(name)
 			if err != nil {
 				t.Fatal(err)
 			}
-			kept, err := keep.Read(records)
+			kept, err := checkpoint.Read(records)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -150,10 +151,10 @@
 	m := trade.Coordinator(0)
 	for i := range 8 {
 		name := fmt.Sprint("f", i)
-		w.Add(name, zone, func(machine.Seconds, map[string][]byte) machine.Machine {
-			return standin.NewFrontEnd(standin.FrontTrade{
+		w.Add(name, zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
+			return fake.NewFrontEnd(fake.FrontTrade{
 				Name: name, Zone: zone, Coordinators: []string{fmt.Sprint("c", i%2), fmt.Sprint("c", 1-i%2)},
-				Methods: standin.Methods(trade.Methods, m), Rate: 15, Pick: m.Word("pick"), KeepAway: 5, TryWait: 0.8, Period: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
+				Methods: fake.Methods(m.Settings.Methods), Rate: 15, Pick: m.Settings.Pick, KeepAway: 5, TryWait: 0.8, Period: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
 			})
 		})
 		w.Start(name)
@@ -165,7 +166,7 @@
 	if len(w.Fails) > 0 {
 		t.Fatal(w.Fails)
 	}
-	report, err := rules.Check(records, (&rehearse.Day{Trade: trade}).Limits())
+	report, err := invariant.Check(records, (&scenario.Day{Trade: trade}).Limits())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -181,16 +182,16 @@
 // moves: all rules are kept, and hardly an RPC is lost.
 func TestFollowedListKeepsTheRules(t *testing.T) {
 	five := servers(5, 1)
-	report, held, records := followed(t, 40, map[float64]func(func([]follow.Server), *virtual.World){
-		5:  func(offer func([]follow.Server), _ *virtual.World) { offer(five) },
-		7:  func(_ func([]follow.Server), w *virtual.World) { w.Kill("list") },
-		10: func(offer func([]follow.Server), w *virtual.World) { w.Start("list"); offer(servers(4, 1)) }, // the last one's drain ended meanwhile
-		16: func(offer func([]follow.Server), _ *virtual.World) { offer(servers(1, 1)) },                  // cut short
-		18: func(offer func([]follow.Server), _ *virtual.World) { offer(five) },
-		19: func(offer func([]follow.Server), _ *virtual.World) { offer(servers(4, 1)) },
-		20: func(offer func([]follow.Server), _ *virtual.World) { offer(five) },
-		24: func(_ func([]follow.Server), w *virtual.World) { w.Kill("c0") },
-		25: func(offer func([]follow.Server), w *virtual.World) { w.Start("c0"); offer(servers(6, 1)) },
+	report, held, records := followed(t, 40, map[float64]func(func([]follow.Server), *simnet.World){
+		5:  func(offer func([]follow.Server), _ *simnet.World) { offer(five) },
+		7:  func(_ func([]follow.Server), w *simnet.World) { w.Kill("list") },
+		10: func(offer func([]follow.Server), w *simnet.World) { w.Start("list"); offer(servers(4, 1)) }, // the last one's drain ended meanwhile
+		16: func(offer func([]follow.Server), _ *simnet.World) { offer(servers(1, 1)) },                  // cut short
+		18: func(offer func([]follow.Server), _ *simnet.World) { offer(five) },
+		19: func(offer func([]follow.Server), _ *simnet.World) { offer(servers(4, 1)) },
+		20: func(offer func([]follow.Server), _ *simnet.World) { offer(five) },
+		24: func(_ func([]follow.Server), w *simnet.World) { w.Kill("c0") },
+		25: func(offer func([]follow.Server), w *simnet.World) { w.Start("c0"); offer(servers(6, 1)) },
 	})
 	if len(held) != 1 || !strings.Contains(held[0], "out of use") {
 		t.Errorf("held back: %q", held)
@@ -213,8 +214,8 @@
 func TestChangedWeightIsALine(t *testing.T) {
 	heavier := servers(6, 1)
 	heavier[2].Weight = 1.3
-	_, _, records := followed(t, 20, map[float64]func(func([]follow.Server), *virtual.World){
-		12: func(offer func([]follow.Server), _ *virtual.World) { offer(heavier) },
+	_, _, records := followed(t, 20, map[float64]func(func([]follow.Server), *simnet.World){
+		12: func(offer func([]follow.Server), _ *simnet.World) { offer(heavier) },
 	})
 	lines := map[string]int{}
 	for _, r := range records {
--- a/internal/listing/listing.go
+++ b/internal/listing/listing.go
@@ -7,8 +7,8 @@
 	"slices"
 
 	"gingerfork/internal/follow"
-	"gingerfork/internal/machine"
 	"gingerfork/internal/proto"
+	"gingerfork/internal/statemachine"
 )
 
 // Kept is the file that it keeps between starts.
@@ -25,10 +25,10 @@
 	f          *follow.Follow
 	offers     [][]follow.Server
 	told       func(changed int, err error)
-	watchers   map[machine.Conn]*watcher
+	watchers   map[statemachine.Conn]*watcher
 	history    []change // oldest first
-	beat       machine.Seconds
-	out        *machine.Out
+	beat       statemachine.Seconds
+	out        *statemachine.Effects
 }
 
 type change struct {
@@ -37,7 +37,7 @@
 }
 
 type watcher struct {
-	conn   machine.Conn
+	conn   statemachine.Conn
 	reader proto.Reader
 	on     bool
 	held   uint64
@@ -46,7 +46,7 @@
 // New makes a service whose servers are all of a zone. kept is what its last life kept, nil if none did; what can't be
 // read is an error, and the service starts with an empty list. told is called with what became of each offer.
 func New(name, zone string, t follow.Terms, kept []byte, told func(changed int, err error)) (*Service, error) {
-	s := &Service{name: name, zone: zone, f: follow.New(t), told: told, watchers: map[machine.Conn]*watcher{}}
+	s := &Service{name: name, zone: zone, f: follow.New(t), told: told, watchers: map[statemachine.Conn]*watcher{}}
 	if kept == nil {
 		return s, nil
 	}
@@ -61,7 +61,7 @@
 func (s *Service) Offer(servers []follow.Server) { s.offers = append(s.offers, servers) }
 
 // Step implements machine.Machine.
-func (s *Service) Step(now machine.Seconds, in []machine.Input, out *machine.Out) {
+func (s *Service) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	s.out = out
 	changed := false
 	for _, o := range s.offers {
@@ -84,16 +84,16 @@
 		if data, err := s.f.Encode(); err != nil {
 			out.Log(3, "the list could not be kept", "cause", err.Error())
 		} else {
-			out.Save(Kept, data)
+			out.SaveFile(Kept, data)
 		}
 	}
 	for _, i := range in {
 		switch i.Kind {
-		case machine.Opened:
+		case statemachine.ConnOpened:
 			s.watchers[i.Conn] = &watcher{conn: i.Conn}
-		case machine.Closed:
+		case statemachine.ConnClosed:
 			delete(s.watchers, i.Conn)
-		case machine.Data:
+		case statemachine.ConnData:
 			if w := s.watchers[i.Conn]; w != nil {
 				w.reader.Feed(i.Data)
 				s.read(now, w)
@@ -108,9 +108,9 @@
 			}
 		}
 	}
-	out.At(s.beat)
+	out.WakeBy(s.beat)
 	if at, ok := s.f.Wake(); ok {
-		out.At(at)
+		out.WakeBy(at)
 	}
 }
 
@@ -127,7 +127,7 @@
 	return all
 }
 
-func (s *Service) spread(now machine.Seconds, entries []follow.Entry) {
+func (s *Service) spread(now statemachine.Seconds, entries []follow.Entry) {
 	s.history = append(s.history, change{s.f.Version(), entries})
 	if len(s.history) > historyMost {
 		s.history = slices.Clone(s.history[len(s.history)-historyMost/2:])
@@ -140,7 +140,7 @@
 }
 
 // deliver sends a watcher what it lacks: changes if they are known from its version on, else the whole list.
-func (s *Service) deliver(now machine.Seconds, w *watcher) {
+func (s *Service) deliver(now statemachine.Seconds, w *watcher) {
 	version := s.f.Version()
 	if version == 0 {
 		return // no file was taken yet: an empty list would be a lie
@@ -183,7 +183,7 @@
 	s.out.Write(w.conn, proto.Append(nil, m))
 }
 
-func (s *Service) read(now machine.Seconds, w *watcher) {
+func (s *Service) read(now statemachine.Seconds, w *watcher) {
 	for s.watchers[w.conn] == w {
 		msg, err := w.reader.Next()
 		if err == nil {
@@ -215,7 +215,7 @@
 }
 
 // answer to a call; before any file was taken there is nothing to tell.
-func (s *Service) answer(now machine.Seconds, w *watcher) {
+func (s *Service) answer(now statemachine.Seconds, w *watcher) {
 	if s.f.Version() == 0 {
 		s.out.Write(w.conn, proto.Append(nil, proto.List{Kind: proto.ListError, Reason: "no file was taken yet"}))
 		return
--- a/internal/listing/listing_test.go
+++ b/internal/listing/listing_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"gingerfork/internal/follow"
-	"gingerfork/internal/machine"
 	"gingerfork/internal/proto"
+	"gingerfork/internal/statemachine"
 )
 
 var terms = follow.Terms{DrainFor: 10, MostLost: 0.5}
@@ -25,12 +25,12 @@
 	s     *Service
 	now   float64
 	kept  []byte
-	heard map[machine.Conn][]string
+	heard map[statemachine.Conn][]string
 	errs  []string
 }
 
 func drive(t *testing.T, kept []byte, now float64) *driven {
-	d := &driven{t: t, now: now, heard: map[machine.Conn][]string{}, kept: kept}
+	d := &driven{t: t, now: now, heard: map[statemachine.Conn][]string{}, kept: kept}
 	var err error
 	if d.s, err = New("list", "z", terms, kept, func(_ int, err error) {
 		if err != nil {
@@ -42,16 +42,16 @@
 	return d
 }
 
-func (d *driven) step(after float64, in ...machine.Input) {
+func (d *driven) step(after float64, in ...statemachine.Input) {
 	d.now += after
-	out := &machine.Out{}
+	out := &statemachine.Effects{}
 	out.Reset()
 	d.s.Step(d.now, in, out)
-	if data, saved := out.Saves[Kept]; saved {
+	if data, saved := out.Files[Kept]; saved {
 		d.kept = data
 	}
-	for _, a := range out.Acts {
-		if a.Kind != machine.Write {
+	for _, a := range out.Actions {
+		if a.Kind != statemachine.ActionWrite {
 			d.heard[a.Conn] = append(d.heard[a.Conn], "closed")
 			continue
 		}
@@ -74,17 +74,17 @@
 			}
 		}
 	}
-	if out.Wake > d.now+1.01 {
+	if out.WakeAt > d.now+1.01 {
 		d.t.Fatal("it would not show a sign of life in a second")
 	}
 }
 
-func (d *driven) watch(c machine.Conn, since uint64) {
-	d.step(0, machine.Input{Kind: machine.Opened, Conn: c}, machine.Input{Kind: machine.Data, Conn: c, Data: proto.Append(
+func (d *driven) watch(c statemachine.Conn, since uint64) {
+	d.step(0, statemachine.Input{Kind: statemachine.ConnOpened, Conn: c}, statemachine.Input{Kind: statemachine.ConnData, Conn: c, Data: proto.Append(
 		proto.Append(nil, proto.Hello{Version: proto.Version, Role: proto.RoleWatcher, Name: "c0"}), proto.Watch{On: true, Since: since})})
 }
 
-func (d *driven) want(c machine.Conn, all ...string) {
+func (d *driven) want(c statemachine.Conn, all ...string) {
 	d.t.Helper()
 	if got, want := strings.Join(d.heard[c], "; "), strings.Join(all, "; "); got != want {
 		d.t.Fatalf("heard %q, %q wanted", got, want)
@@ -117,7 +117,7 @@
 	d.want(1)
 	d.step(0.2)
 	d.want(1, "changes 3-4 3gone1")
-	d.step(0, machine.Input{Kind: machine.Data, Conn: 3, Data: proto.Append(nil, proto.Fetch{})}, machine.Input{Kind: machine.Data, Conn: 2, Data: proto.Append(nil, proto.Heard{})})
+	d.step(0, statemachine.Input{Kind: statemachine.ConnData, Conn: 3, Data: proto.Append(nil, proto.Fetch{})}, statemachine.Input{Kind: statemachine.ConnData, Conn: 2, Data: proto.Append(nil, proto.Heard{})})
 	d.want(3, "changes 3-4 3gone1", "full 0-4 1open1 2open5")
 	d.want(2, "changes 3-4 3gone1", "refused", "closed")
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -11,19 +11,19 @@
 	"sync"
 	"time"
 
-	"gingerfork/internal/loop"
+	"gingerfork/internal/eventloop"
+	"gingerfork/internal/fake"
+	"gingerfork/internal/invariant"
 	"gingerfork/internal/proto"
 	"gingerfork/internal/report"
-	"gingerfork/internal/rules"
-	"gingerfork/internal/standin"
 	"gingerfork/internal/trace"
 	"gingerfork/internal/traffic"
 )
 
 // Bootstrap is what a run is started with.
 type Bootstrap struct {
-	Front     standin.FrontTrade // what all proxies are; Name, Rate, Coordinators and Seed are set for each
-	Methods   []rules.Method
+	Front     fake.FrontTrade // what all proxies are; Name, Rate, Coordinators and Seed are set for each
+	Methods   []invariant.Method
 	Proxies   int
 	Zones     []string // that they are of, by turns
 	Rate      float64  // RPCs a second of all together
@@ -68,7 +68,7 @@
 			}
 		}
 	}
-	clock := loop.NewClock()
+	clock := eventloop.NewClock()
 	rates := traffic.Uneven(b.Proxies, b.Uneven, b.Seed)
 	inner, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -81,15 +81,15 @@
 	for i, addr := range b.Servers {
 		fixed = append(fixed, proto.Line{EP: proto.EP(i + 1), Weight: 1, Addr: addr})
 	}
-	var loops []*loop.Loop
+	var loops []*eventloop.Loop
 	var err error
 	for k := range n {
-		crowd := standin.NewCrowd()
+		crowd := fake.NewCrowd()
 		for i := k; i < b.Proxies; i += n {
 			t := b.Front
 			t.Name = fmt.Sprint("load-", i)
 			t.Rate = b.Rate / float64(b.Proxies) * rates[i]
-			t.Seed = standin.Seed(b.Seed, t.Name)
+			t.Seed = fake.Seed(b.Seed, t.Name)
 			t.Watch, t.Fixed = true, fixed
 			t.Begin = clock.Now()
 			if len(b.Zones) > 0 {
@@ -98,10 +98,10 @@
 			for j := range b.To {
 				t.Coordinators = append(t.Coordinators, b.To[(i+j)%len(b.To)])
 			}
-			crowd.Add(t.Name, standin.NewFrontEnd(t), 0)
+			crowd.Add(t.Name, fake.NewFrontEnd(t), 0)
 		}
-		var l *loop.Loop
-		if l, err = loop.Start(inner, loop.Bootstrap{Machine: crowd, Clock: clock, Trace: take}); err != nil {
+		var l *eventloop.Loop
+		if l, err = eventloop.Start(inner, eventloop.Bootstrap{Machine: crowd, Clock: clock, Trace: take}); err != nil {
 			err = fmt.Errorf("start the proxies: %w", err)
 			break
 		}
@@ -131,7 +131,7 @@
 	return maker.Done(), err
 }
 
-func wait(ctx context.Context, b Bootstrap, loops []*loop.Loop, look func(int) (report.Second, bool)) error {
+func wait(ctx context.Context, b Bootstrap, loops []*eventloop.Loop, look func(int) (report.Second, bool)) error {
 	over := time.NewTimer(b.For)
 	defer over.Stop()
 	beat := time.NewTicker(time.Second)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -8,13 +8,13 @@
 	"time"
 
 	"gingerfork/internal/emulator"
-	"gingerfork/internal/loop"
+	"gingerfork/internal/eventloop"
+	"gingerfork/internal/fake"
+	"gingerfork/internal/invariant"
 	"gingerfork/internal/report"
-	"gingerfork/internal/rules"
-	"gingerfork/internal/standin"
 )
 
-func start(t *testing.T, servers int, more func(*emulator.Trade)) (addrs []string, l *loop.Loop) {
+func start(t *testing.T, servers int, more func(*emulator.Trade)) (addrs []string, l *eventloop.Loop) {
 	t.Helper()
 	fleet := emulator.NewFleet(nil)
 	var listen []string
@@ -27,7 +27,7 @@
 		listen = append(listen, "127.0.0.1:0")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	l, err := loop.Start(ctx, loop.Bootstrap{Machine: fleet, Listen: listen})
+	l, err := eventloop.Start(ctx, eventloop.Bootstrap{Machine: fleet, Listen: listen})
 	if err != nil {
 		cancel()
 		t.Fatal(err)
@@ -40,9 +40,9 @@
 }
 
 func boot(to []string) Bootstrap {
-	m := []rules.Method{{Name: "read", Criticality: 1, SoftDeadline: 0.5}}
-	return Bootstrap{Front: standin.FrontTrade{
-		Methods: []standin.MethodTrade{{Name: "read", Criticality: 1, SoftDeadline: 0.5, Deadline: 2, Share: 1}},
+	m := []invariant.Method{{Name: "read", Criticality: 1, SoftDeadline: 0.5}}
+	return Bootstrap{Front: fake.FrontTrade{
+		Methods: []fake.MethodTrade{{Name: "read", Criticality: 1, SoftDeadline: 0.5, Deadline: 2, Share: 1}},
 		Pick:    "pair", Period: 0.5, ConnectTimeout: 1,
 	}, Methods: m, Proxies: 4, Rate: 200, Servers: to, For: 2500 * time.Millisecond, Seed: 3}
 }
--- a/internal/measure/emulator.go
+++ b/internal/measure/emulator.go
@@ -8,12 +8,12 @@
 	"time"
 
 	"gingerfork/internal/emulator"
+	"gingerfork/internal/eventloop"
+	"gingerfork/internal/fake"
+	"gingerfork/internal/invariant"
 	"gingerfork/internal/load"
-	"gingerfork/internal/loop"
-	"gingerfork/internal/rehearse"
 	"gingerfork/internal/report"
-	"gingerfork/internal/rules"
-	"gingerfork/internal/standin"
+	"gingerfork/internal/scenario"
 )
 
 // cpu is the CPU that this process has used, in seconds.
@@ -38,7 +38,7 @@
 func Carry(ctx context.Context, servers, loops int, rate float64, span time.Duration) (Carried, error) {
 	c := Carried{Servers: servers, Loops: loops, Rate: rate}
 	inner, cancel := context.WithCancel(ctx)
-	var all []*loop.Loop
+	var all []*eventloop.Loop
 	defer func() {
 		cancel()
 		for _, l := range all {
@@ -62,7 +62,7 @@
 			})
 			listen = append(listen, "127.0.0.1:0")
 		}
-		l, err := loop.Start(inner, loop.Bootstrap{Machine: fleet, Listen: listen})
+		l, err := eventloop.Start(inner, eventloop.Bootstrap{Machine: fleet, Listen: listen})
 		if err != nil {
 			return c, fmt.Errorf("start %d servers: %w", servers, err)
 		}
@@ -72,9 +72,9 @@
 	before := cpu()
 	r, err := load.Run(ctx, load.Bootstrap{
 		Proxies: 4, Rate: rate, Servers: addrs, For: span, Seed: 1,
-		Methods: []rules.Method{{Name: "read", Criticality: 1, SoftDeadline: 0.5}},
-		Front: standin.FrontTrade{
-			Methods: []standin.MethodTrade{{Name: "read", Criticality: 1, SoftDeadline: 0.5, Deadline: 2, Share: 1}},
+		Methods: []invariant.Method{{Name: "read", Criticality: 1, SoftDeadline: 0.5}},
+		Front: fake.FrontTrade{
+			Methods: []fake.MethodTrade{{Name: "read", Criticality: 1, SoftDeadline: 0.5, Deadline: 2, Share: 1}},
 			Pick:    "lottery", Period: 0.5, ConnectTimeout: 2,
 		},
 	})
@@ -132,12 +132,12 @@
 		rate            float64
 	}{{10, 30, 5}, {100, 300, 5}, {1000, 3000, 5}} {
 		text := fmt.Sprintf("day size\nsettings region.conf\nlength 10s\ncoordinators 2\nservers %d capacity 30\nfrontends %d rate %g\nmix 70%% 30%%\n", size.servers, size.fronts, size.rate)
-		d, err := rehearse.Read("size.day", text, rehearse.File)
+		d, err := scenario.Read("size.day", text, scenario.File)
 		if err != nil {
 			return err
 		}
 		begin := time.Now()
-		r, err := rehearse.Virtual(d, rehearse.Options{})
+		r, err := scenario.Virtual(d, scenario.Options{})
 		if err != nil {
 			return err
 		}
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -20,22 +20,22 @@
 
 	"gingerfork/internal/bootstrap"
 	"gingerfork/internal/emulator"
-	"gingerfork/internal/loop"
+	"gingerfork/internal/eventloop"
+	"gingerfork/internal/fake"
 	"gingerfork/internal/proto"
-	"gingerfork/internal/standin"
 	"gingerfork/internal/trace"
 )
 
 // Fleet is a coordinator's process with its list service, servers and front ends.
 type Fleet struct {
-	clock   *loop.Clock
+	clock   *eventloop.Clock
 	dir     string
 	serve   []string
 	cmd     *exec.Cmd
 	ended   chan struct{}
-	list    *loop.Loop
-	servers *loop.Loop
-	fronts  *loop.Loop
+	list    *eventloop.Loop
+	servers *eventloop.Loop
+	fronts  *eventloop.Loop
 
 	mu      sync.Mutex
 	records []trace.Record
@@ -82,7 +82,7 @@
 
 // start is Start with a state folder, within the fleet's own.
 func start(ctx context.Context, serve []string, servers, fronts int, rate float64, state string) (f *Fleet, err error) {
-	f = &Fleet{clock: loop.NewClock(), serve: serve}
+	f = &Fleet{clock: eventloop.NewClock(), serve: serve}
 	defer func() {
 		if err != nil {
 			f.Stop()
@@ -91,26 +91,26 @@
 	if f.dir, err = os.MkdirTemp("", "gingerfork-measure-"); err != nil {
 		return f, err
 	}
-	var all []standin.Listing
-	crowd := standin.NewCrowd()
+	var all []fake.Listing
+	crowd := fake.NewCrowd()
 	var doors []string
 	for i := range servers {
 		ep := proto.EP(i + 1)
-		all = append(all, standin.Listing{EP: ep, State: proto.ServerOpen, Zone: "a", Weight: 1, Stamp: 1, Addr: "127.0.0.1:1"})
+		all = append(all, fake.Listing{EP: ep, State: proto.ServerOpen, Zone: "a", Weight: 1, Stamp: 1, Addr: "127.0.0.1:1"})
 		if rate > 0 {
 			crowd.Add(fmt.Sprint("s", i), emulator.NewServer(emulator.Trade{EP: ep, Cores: 8, Speed: 1, Work: []emulator.Work{{Mean: 0.008}}, QueueMost: 100, Seed: uint64(ep)}), 1)
 			doors = append(doors, "127.0.0.1:0")
 		}
 	}
 	if rate > 0 {
-		if f.servers, err = loop.Start(ctx, loop.Bootstrap{Machine: crowd, Listen: doors, Clock: f.clock}); err != nil {
+		if f.servers, err = eventloop.Start(ctx, eventloop.Bootstrap{Machine: crowd, Listen: doors, Clock: f.clock}); err != nil {
 			return f, err
 		}
 		for i, a := range f.servers.Addrs() {
 			all[i].Addr = a
 		}
 	}
-	f.list, err = loop.Start(ctx, loop.Bootstrap{Machine: standin.NewList(all), Listen: []string{"127.0.0.1:0"}, Clock: f.clock, Trace: f.note})
+	f.list, err = eventloop.Start(ctx, eventloop.Bootstrap{Machine: fake.NewList(all), Listen: []string{"127.0.0.1:0"}, Clock: f.clock, Trace: f.note})
 	if err != nil {
 		return f, err
 	}
@@ -127,14 +127,14 @@
 	if err = f.exec(); err != nil {
 		return f, err
 	}
-	proxies := standin.NewCrowd()
+	proxies := fake.NewCrowd()
 	for i := range fronts {
-		proxies.Add(fmt.Sprint("f", i), standin.NewFrontEnd(standin.FrontTrade{
+		proxies.Add(fmt.Sprint("f", i), fake.NewFrontEnd(fake.FrontTrade{
 			Name: fmt.Sprint("f", i), Zone: "a", Coordinators: []string{at}, Rate: rate,
-			Methods: standin.Methods(trade.Methods, trade.Coordinator(0)), Pick: "pair", Period: 2, ConnectTimeout: 2, Seed: uint64(i + 1),
+			Methods: fake.Methods(trade.Coordinator(0).Settings.Methods), Pick: "pair", Period: 2, ConnectTimeout: 2, Seed: uint64(i + 1),
 		}), 0)
 	}
-	f.fronts, err = loop.Start(ctx, loop.Bootstrap{Machine: proxies, Clock: f.clock, Trace: f.note})
+	f.fronts, err = eventloop.Start(ctx, eventloop.Bootstrap{Machine: proxies, Clock: f.clock, Trace: f.note})
 	return f, err
 }
 
@@ -163,7 +163,7 @@
 
 // Stop ends all that Start began.
 func (f *Fleet) Stop() {
-	for _, l := range []*loop.Loop{f.fronts, f.servers, f.list} {
+	for _, l := range []*eventloop.Loop{f.fronts, f.servers, f.list} {
 		if l != nil {
 			l.Stop()
 			_ = l.Wait()
--- a/internal/measure/storm.go
+++ b/internal/measure/storm.go
@@ -15,7 +15,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgimg"
 
-	"gingerfork/internal/rehearse"
+	"gingerfork/internal/scenario"
 	"gingerfork/internal/trace"
 )
 
@@ -35,7 +35,7 @@
 }
 
 // storm is the day of it: 100 servers, 300 proxies.
-func (s Storm) day() (*rehearse.Day, error) {
+func (s Storm) day() (*scenario.Day, error) {
 	const servers, fronts, each = 100, 300, 30.0
 	b := &strings.Builder{}
 	fmt.Fprintf(b, "day storm\nsettings storm.conf\nlength 40s\nseed %d\ncoordinators 2\nservers %d capacity %g\nfrontends %d rate %g uneven 0.5\nmix 70%% 30%%\n",
@@ -46,8 +46,8 @@
 	if s.Hanging {
 		fmt.Fprintln(b, "at 12s hang servers 10% for 8s")
 	}
-	return rehearse.Read("storm.day", b.String(), func(string) ([]byte, error) {
-		text, err := rehearse.File("region.conf")
+	return scenario.Read("storm.day", b.String(), func(string) ([]byte, error) {
+		text, err := scenario.File("region.conf")
 		if !s.Levels {
 			text = []byte(strings.Replace(string(text), "level-kind      share", "level-kind      none", 1))
 		}
@@ -61,7 +61,7 @@
 		return s, err
 	}
 	s.Capacity = 3000
-	r, err := rehearse.Virtual(d, rehearse.Options{})
+	r, err := scenario.Virtual(d, scenario.Options{})
 	if err != nil {
 		return s, err
 	}
--- a/internal/bound/bound.go
+++ b/internal/optimum/bound.go
@@ -1,4 +1,4 @@
-// Package bound reckons the most service that anybody could have given on a day: one who knows at every moment which
+// Package optimum reckons the most service that anybody could have given on a day: one who knows at every moment which
 // servers work and how fast, reaches any of them that the network lets him reach, wastes nothing, and answers what is
 // dear before what is cheap. No coordinator gets there, as news takes time; how far one stays below is what its design,
 // late news and its own faults cost together.
@@ -8,7 +8,7 @@
 // found for all levels of criticality at once: sets of RPCs that can be served together are independent sets of a matroid
 // (a transversal one), on which taking the dearest first is best. So the best is the sum over the levels w1 > w2 > …
 // of (w_i - w_{i+1}) times the largest flow of the RPCs with at least w_i.
-package bound
+package optimum
 
 import (
 	"fmt"
--- a/internal/bound/bound_test.go
+++ b/internal/optimum/bound_test.go
@@ -1,4 +1,4 @@
-package bound
+package optimum
 
 import (
 	"math"
--- a/internal/platform/belief_test.go
+++ b/internal/platform/belief_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"gingerfork/choice"
-	"gingerfork/internal/machine"
+	"gingerfork/internal/statemachine"
 )
 
 // A sequence taken down by hand, and what is believed of load and health after it. Each period the two collectors and the
@@ -21,7 +21,7 @@
 	}
 	values := settings(3, 1)
 	values["report_period"] = period
-	m, err := New(Bootstrap{Discovery: "d", Known: []byte(strings.TrimSuffix(known, ",") + "]}"), Module: choice.Bootstrap{Now: 1000, Values: values},
+	m, err := New(Bootstrap{Discovery: "d", Known: []byte(strings.TrimSuffix(known, ",") + "]}"), Module: choice.Config{Now: 1000, Settings: choice.DecodeSettings(values)},
 		MostConns: 50, MostProbes: 4, MostAnswer: 1 << 16, Handshake: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -41,15 +41,15 @@
 		}
 		return [2]met{{20 + server, 1, 0.1}, {10, 0, 0.2 + 0.01*float64(server)}}
 	}
-	out := &machine.Out{}
+	out := &statemachine.Effects{}
 	now, probed := 1000.0, map[string]int{}
-	var sessions []machine.Input // of what we dial, which must be answered
-	step := func(in ...machine.Input) {
+	var sessions []statemachine.Input // of what we dial, which must be answered
+	step := func(in ...statemachine.Input) {
 		out.Reset()
 		m.Step(now, append(sessions, in...), out)
 		sessions = nil
-		for _, d := range out.Acts {
-			if d.Kind != machine.Dial {
+		for _, d := range out.Actions {
+			if d.Kind != statemachine.ActionDial {
 				continue
 			}
 			if strings.HasPrefix(d.Addr, "server:") {
@@ -58,15 +58,15 @@
 			if d.Addr == "server:4" && now > 1000+life/2 || d.Addr == "d" {
 				continue // nobody is there
 			}
-			sessions = append(sessions, machine.Input{Kind: machine.Opened, Conn: d.Conn},
-				machine.Input{Kind: machine.Data, Conn: d.Conn, Data: []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")})
+			sessions = append(sessions, statemachine.Input{Kind: statemachine.ConnOpened, Conn: d.Conn},
+				statemachine.Input{Kind: statemachine.ConnData, Conn: d.Conn, Data: []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")})
 		}
 	}
-	say := func(c machine.Conn, text string) {
-		step(machine.Input{Kind: machine.Data, Conn: c, Data: []byte(text)})
+	say := func(c statemachine.Conn, text string) {
+		step(statemachine.Input{Kind: statemachine.ConnData, Conn: c, Data: []byte(text)})
 	}
-	open := func(c machine.Conn, text string) {
-		step(machine.Input{Kind: machine.Opened, Conn: c})
+	open := func(c statemachine.Conn, text string) {
+		step(statemachine.Input{Kind: statemachine.ConnOpened, Conn: c})
 		say(c, text)
 	}
 	open(1, "telemetry zone=a\r\n")
@@ -81,7 +81,7 @@
 					continue
 				}
 				text := fmt.Sprintf("upstream_stats zone=%c server=s-%d tries=%d failed=%d mean_ms=%g span_ms=%g\r\n", 'a'+z, server, x.tries, x.bad, x.delay*1000, period*1000)
-				c := machine.Conn(1 + z)
+				c := statemachine.Conn(1 + z)
 				say(c, fmt.Sprintf("upstream_stats zone=%c server=s-%d tries=900 failed=901 mean_ms=1 span_ms=1\r\n", 'a'+z, server)) // more bad than tries
 				say(c, text[:20])
 				say(c, text[20:]+"upstream_stats zone=a server=s-9 tries=50 failed=50 mean_ms=1 span_ms=1\r\nupstream_stats zone=a server=s-1 tries=1e99 failed=0 mean_ms=1 span_ms=1\r\n")
@@ -94,10 +94,10 @@
 			step()
 			if now > end-3*period {
 				samples++
-				for _, b := range m.planner.Beliefs() {
-					name := m.roll.servers[b.EP].name
-					sampled[name] += b.Tries
-					rates[name] = []float64{b.Bad, b.Delay}
+				for _, b := range m.planner.Estimates() {
+					name := m.roll.servers[b.Backend].name
+					sampled[name] += b.AttemptRate
+					rates[name] = []float64{b.FailureShare, b.MeanLatency}
 				}
 			}
 		}
@@ -108,8 +108,8 @@
 			t.Errorf("%s: %.4f is believed, %.4f crossed the sockets", what, got, want)
 		}
 	}
-	for _, b := range m.planner.Beliefs() {
-		name := m.roll.servers[b.EP].name
+	for _, b := range m.planner.Estimates() {
+		name := m.roll.servers[b.Backend].name
 		var tries, bad, slow float64
 		for _, x := range truth(now, int(name[2]-'0')) {
 			tries, bad, slow = tries+float64(x.tries), bad+float64(x.bad), slow+float64(x.tries-x.bad)*x.delay
@@ -119,10 +119,10 @@
 			near(name+": share of bad ones", rates[name][0], bad/tries, 0.02)
 			near(name+": delay", rates[name][1], slow/(tries-bad), 0.02)
 		}
-		if b.Away != (name == "s-4") {
-			t.Errorf("%s is believed to be deaf: %v, after %d probes", name, b.Away, probed["server:"+name[2:]])
+		if b.Unreachable != (name == "s-4") {
+			t.Errorf("%s is believed to be deaf: %v, after %d probes", name, b.Unreachable, probed["server:"+name[2:]])
 		}
-		if b.Benched && name != "s-3" {
+		if b.Ejected && name != "s-3" {
 			t.Errorf("%s is benched, and its tries are answered", name)
 		}
 	}
--- a/internal/platform/day_test.go
+++ b/internal/platform/day_test.go
@@ -10,9 +10,9 @@
 	"testing"
 
 	"gingerfork/choice"
-	"gingerfork/internal/machine"
-	"gingerfork/internal/platform/line"
-	"gingerfork/internal/virtual"
+	"gingerfork/internal/platform/wire"
+	"gingerfork/internal/simnet"
+	"gingerfork/internal/statemachine"
 )
 
 // The stand-ins of this file are written from the platform's pages: discovery and the servers, which speak HTTP, and a
@@ -30,8 +30,8 @@
 	hosts   map[string]*standinHost
 	mode    string // "": it answers; 503, hang, reset, cut (an answer breaks off), bad (no JSON)
 	chunked bool
-	waits   map[machine.Conn]wait
-	buf     map[machine.Conn]string
+	waits   map[statemachine.Conn]wait
+	buf     map[statemachine.Conn]string
 	calls   int
 	most    int // calls under way at once, of each coordinator
 	dead    map[int]bool
@@ -40,7 +40,7 @@
 
 type wait struct {
 	since int
-	due   machine.Seconds
+	due   statemachine.Seconds
 }
 
 func (d *registry) set(name, health string, born float64) {
@@ -48,7 +48,7 @@
 	d.hosts[name] = &standinHost{health, born, d.seq}
 }
 
-func (d *registry) reply(c machine.Conn, whole bool, since int, out *machine.Out) {
+func (d *registry) reply(c statemachine.Conn, whole bool, since int, out *statemachine.Effects) {
 	type entry map[string]any
 	hosts := []entry{}
 	var names []string
@@ -71,7 +71,7 @@
 		out.Write(c, []byte("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"))
 	case "hang":
 	case "reset":
-		out.Kill(c)
+		out.Abort(c)
 	case "cut":
 		out.Write(c, fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body)+1, body))
 		out.Close(c)
@@ -92,13 +92,13 @@
 	}
 }
 
-func (d *registry) Step(now machine.Seconds, in []machine.Input, out *machine.Out) {
+func (d *registry) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	for _, i := range in {
 		switch i.Kind {
-		case machine.Closed:
+		case statemachine.ConnClosed:
 			delete(d.waits, i.Conn)
 			delete(d.buf, i.Conn)
-		case machine.Data:
+		case statemachine.ConnData:
 			d.buf[i.Conn] += string(i.Data)
 			if !strings.HasSuffix(d.buf[i.Conn], "\r\n\r\n") {
 				continue
@@ -129,7 +129,7 @@
 			delete(d.waits, c)
 			d.reply(c, false, w.since, out)
 		} else {
-			out.At(w.due)
+			out.WakeBy(w.due)
 		}
 	}
 }
@@ -139,14 +139,14 @@
 	t       *testing.T
 	doors   []string
 	all     []*standinProxy
-	by      map[machine.Conn]*standinProxy
-	n       machine.Conn
-	late    map[string][]machine.Conn // collectors' connections by door
+	by      map[statemachine.Conn]*standinProxy
+	n       statemachine.Conn
+	late    map[string][]statemachine.Conn // collectors' connections by door
 	known   func(string) bool
-	rude    map[machine.Conn]machine.Seconds // strangers, and when they came
-	worst   machine.Seconds                  // that one was kept
+	rude    map[statemachine.Conn]statemachine.Seconds // strangers, and when they came
+	worst   statemachine.Seconds                       // that one was kept
 	refused int
-	next    machine.Seconds
+	next    statemachine.Seconds
 	good    map[string]bool // servers that answer
 	dice    *rand.Rand
 }
@@ -154,11 +154,11 @@
 type standinProxy struct {
 	n      int
 	zone   string
-	conn   machine.Conn
+	conn   statemachine.Conn
 	door   int
 	up     bool
-	since  machine.Seconds
-	redial machine.Seconds
+	since  statemachine.Seconds
+	redial statemachine.Seconds
 	buf    string
 	lines  map[string]float64
 	out    map[string]bool
@@ -170,15 +170,15 @@
 }
 
 func newCrowd(t *testing.T, n int, known func(string) bool, doors ...string) *crowd {
-	c := &crowd{t: t, doors: doors, by: map[machine.Conn]*standinProxy{}, late: map[string][]machine.Conn{}, known: known,
-		rude: map[machine.Conn]machine.Seconds{}, good: map[string]bool{}, dice: rand.New(rand.NewPCG(7, 7)), n: machine.Dialled}
+	c := &crowd{t: t, doors: doors, by: map[statemachine.Conn]*standinProxy{}, late: map[string][]statemachine.Conn{}, known: known,
+		rude: map[statemachine.Conn]statemachine.Seconds{}, good: map[string]bool{}, dice: rand.New(rand.NewPCG(7, 7)), n: statemachine.Dialed}
 	for i := range n {
 		c.all = append(c.all, &standinProxy{n: i, zone: string(rune('a' + i%2)), door: i % len(doors), lines: map[string]float64{}, out: map[string]bool{}, levels: map[string]string{}, fresh: true})
 	}
 	return c
 }
 
-func (c *crowd) dial(addr string, out *machine.Out) machine.Conn {
+func (c *crowd) dial(addr string, out *statemachine.Effects) statemachine.Conn {
 	c.n++
 	out.Dial(c.n, addr)
 	return c.n
@@ -194,13 +194,13 @@
 	return all
 }
 
-func (c *crowd) Step(now machine.Seconds, in []machine.Input, out *machine.Out) {
+func (c *crowd) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	for _, i := range in {
 		p := c.by[i.Conn]
 		switch i.Kind {
-		case machine.Told:
+		case statemachine.OperatorCommand:
 			c.told(now, strings.Fields(i.Text), out)
-		case machine.Opened:
+		case statemachine.ConnOpened:
 			if p != nil {
 				fresh := 0
 				if p.fresh {
@@ -220,7 +220,7 @@
 				out.Write(i.Conn, []byte([]string{"GET / HTTP/1.1\r\n\r\n", "hb\r\n", "atta", "attach proxy=9999 zone=a weight=1 fresh=1\r\n", "done proxy=1 mark=1 took_ms=1\r\n",
 					"assign whole=1\r\n", "\x00\xff", "telemetry zone=nowhere\r\n"}[i.Conn%8]))
 			}
-		case machine.Closed:
+		case statemachine.ConnClosed:
 			if at, ok := c.rude[i.Conn]; ok {
 				c.worst = max(c.worst, now-at)
 				c.refused++
@@ -236,7 +236,7 @@
 					delete(c.late, door)
 				}
 			}
-		case machine.Data:
+		case statemachine.ConnData:
 			if p != nil && p.conn == i.Conn {
 				c.heard(now, p, string(i.Data), out)
 			}
@@ -252,11 +252,11 @@
 		c.next = now + 1
 		c.report(out)
 	}
-	out.At(c.next)
-	out.At(now + 0.05)
+	out.WakeBy(c.next)
+	out.WakeBy(now + 0.05)
 }
 
-func (c *crowd) told(now machine.Seconds, words []string, out *machine.Out) {
+func (c *crowd) told(now statemachine.Seconds, words []string, out *statemachine.Effects) {
 	switch words[0] {
 	case "break": // the stream ends; its proxy comes back, perhaps before the end is seen
 		n, _ := strconv.Atoi(words[1])
@@ -272,7 +272,7 @@
 				p.conn = c.dial(c.doors[p.door], out)
 				c.by[p.conn] = p
 			}
-			out.Kill(old)
+			out.Abort(old)
 		}
 	case "dumb": // its machine is cut off without a word: the stream stands, and the proxy is elsewhere
 		n, _ := strconv.Atoi(words[1])
@@ -290,7 +290,7 @@
 	}
 }
 
-func (c *crowd) heard(now machine.Seconds, p *standinProxy, s string, out *machine.Out) {
+func (c *crowd) heard(now statemachine.Seconds, p *standinProxy, s string, out *statemachine.Effects) {
 	p.buf += s
 	for {
 		l, rest, ok := strings.Cut(p.buf, "\r\n")
@@ -354,7 +354,7 @@
 	}
 }
 
-func (c *crowd) report(out *machine.Out) {
+func (c *crowd) report(out *statemachine.Effects) {
 	met := map[string]map[string]int{}
 	for _, p := range c.all {
 		if !p.up {
@@ -372,7 +372,7 @@
 	}
 	for d, door := range c.doors {
 		if c.late[door] == nil {
-			c.late[door] = []machine.Conn{c.dial(door, out), c.dial(door, out)}
+			c.late[door] = []statemachine.Conn{c.dial(door, out), c.dial(door, out)}
 			continue
 		}
 		for z, conn := range c.late[door] {
@@ -408,7 +408,7 @@
 // town is a network with two coordinators, discovery and a crowd.
 type town struct {
 	t     *testing.T
-	w     *virtual.World
+	w     *simnet.World
 	disco *registry
 	crowd *crowd
 	nodes []*Machine
@@ -416,17 +416,17 @@
 }
 
 func newTown(t *testing.T, seed uint64, servers, proxies int) *town {
-	x := &town{t: t, w: virtual.New(seed, 1000, 0.0005, 0.002), ever: map[string]bool{}, nodes: make([]*Machine, 2)}
-	x.disco = &registry{hosts: map[string]*standinHost{}, waits: map[machine.Conn]wait{}, buf: map[machine.Conn]string{}, dead: map[int]bool{}}
+	x := &town{t: t, w: simnet.New(seed, 1000, 0.0005, 0.002), ever: map[string]bool{}, nodes: make([]*Machine, 2)}
+	x.disco = &registry{hosts: map[string]*standinHost{}, waits: map[statemachine.Conn]wait{}, buf: map[statemachine.Conn]string{}, dead: map[int]bool{}}
 	x.crowd = newCrowd(t, proxies, func(s string) bool { return x.ever[s] }, "c0:1", "c1:1")
 	for i := range servers {
 		x.list(fmt.Sprintf("s-%04d", i), "active", 0)
 	}
-	x.w.Add("disco", "a", func(machine.Seconds, map[string][]byte) machine.Machine { return x.disco }, "disco:1", "disco:2", "servers")
+	x.w.Add("disco", "a", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return x.disco }, "disco:1", "disco:2", "servers")
 	for i := range x.nodes {
 		name := fmt.Sprint("c", i)
-		x.w.Add(name, "a", func(now machine.Seconds, _ map[string][]byte) machine.Machine {
-			m, err := New(Bootstrap{Name: name, Discovery: "disco:1", Module: choice.Bootstrap{Seed: seed, Now: now, Values: settings(proxies, 2)},
+		x.w.Add(name, "a", func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
+			m, err := New(Bootstrap{Name: name, Discovery: "disco:1", Module: choice.Config{Seed: seed, Now: now, Settings: choice.DecodeSettings(settings(proxies, 2))},
 				MostConns: 4 * proxies, MostProbes: 4, MostAnswer: 1 << 20, Handshake: 1})
 			if err != nil {
 				t.Fatal(err)
@@ -435,7 +435,7 @@
 			return m
 		}, name+":1")
 	}
-	x.w.Add("crowd", "b", func(machine.Seconds, map[string][]byte) machine.Machine { return x.crowd })
+	x.w.Add("crowd", "b", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return x.crowd })
 	for _, n := range []string{"disco", "c0", "c1", "crowd"} {
 		x.w.Start(n)
 	}
@@ -451,7 +451,7 @@
 	}
 }
 
-func (x *town) run(span machine.Seconds) {
+func (x *town) run(span statemachine.Seconds) {
 	x.t.Helper()
 	x.w.Run(x.w.Now() + span)
 	if len(x.w.Fails) > 0 {
@@ -474,18 +474,18 @@
 			joined++
 			p := x.crowd.all[s.proxy]
 			want, shut := map[string]float64{}, map[string]bool{}
-			for _, op := range m.book.Holds(s.follower) {
-				for _, g := range op.Levels {
+			for _, op := range m.book.BoundTables(s.follower) {
+				for _, g := range op.Admissions {
 					for i, name := range m.methods {
-						if told := fmt.Sprintf("%v/%d", g.Level, g.Tries); g.Methods>>i&1 == 1 && p.levels[name] != told {
+						if told := fmt.Sprintf("%v/%d", g.Level, g.Retry); g.Methods>>i&1 == 1 && p.levels[name] != told {
 							x.t.Errorf("proxy %d has level %s for %s, c%d believes %s", p.n, p.levels[name], name, p.door, told)
 						}
 					}
 				}
-				for _, l := range op.Lines {
-					name := m.roll.servers[l.EP].name
+				for _, l := range op.Entries {
+					name := m.roll.servers[l.Backend].name
 					want[name] = l.Weight
-					shut[name] = l.Shut
+					shut[name] = l.Excluded
 				}
 			}
 			if p.door != i || !p.up {
@@ -654,22 +654,22 @@
 // tables of some methods name them, and a server that others may have shut out is let back with its line.
 func TestPartsOfAMessage(t *testing.T) {
 	m, err := New(Bootstrap{Discovery: "d", Known: []byte(`{"seq":3,"whole":true,"hosts":[{"host":"s-1","dial":"x","site":"a","class":"m","block":1,"health":"active","share":1,"born_ms":0},
-		{"host":"s-2","dial":"x","site":"a","class":"m","block":1,"health":"active","share":1,"born_ms":0}]}`), Module: choice.Bootstrap{Now: 1, Values: settings(2, 1)}})
+		{"host":"s-2","dial":"x","site":"a","class":"m","block":1,"health":"active","share":1,"born_ms":0}]}`), Module: choice.Config{Now: 1, Settings: choice.DecodeSettings(settings(2, 1))}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	one, two := m.roll.numbers["s-1"], m.roll.numbers["s-2"]
-	s := &stream{proxy: 1, follower: m.book.Join(1), told: map[choice.EP]bool{}}
-	for _, o := range []choice.Order{choice.SetLine{Table: 2, EP: one, Weight: 1.5}, choice.SetLine{Table: 2, EP: two, Weight: 1}, choice.Withdraw{EP: two, On: true},
-		choice.SetLevel{Table: 2, Methods: 1, Level: 1, Tries: 1}, choice.SetLevel{Table: 2, Methods: 2, Level: 1, Tries: 1}, choice.SetLine{Table: 3, EP: one, Weight: 2},
-		choice.BindTable{Proxy: 1, Table: 2, Methods: 3}, choice.BindTable{Proxy: 1, Table: 3, Methods: 2}, choice.SetLine{Table: 3, EP: one, Weight: 4}} {
-		if !m.book.Carry(o) {
+	s := &stream{proxy: 1, follower: m.book.Join(1), told: map[choice.BackendID]bool{}}
+	for _, o := range []choice.Command{choice.SetTableEntry{Table: 2, Backend: one, Weight: 1.5}, choice.SetTableEntry{Table: 2, Backend: two, Weight: 1}, choice.SetExclusion{Backend: two, Excluded: true},
+		choice.SetAdmission{Table: 2, Methods: 1, Level: 1, Retry: 1}, choice.SetAdmission{Table: 2, Methods: 2, Level: 1, Retry: 1}, choice.SetTableEntry{Table: 3, Backend: one, Weight: 2},
+		choice.BindTable{Proxy: 1, Table: 2, Methods: 3}, choice.BindTable{Proxy: 1, Table: 3, Methods: 2}, choice.SetTableEntry{Table: 3, Backend: one, Weight: 4}} {
+		if !m.book.Apply(o) {
 			t.Fatalf("%T is not carried out", o)
 		}
 	}
-	mark := choice.Mark(9)
-	messages, _ := m.book.Close(nil)
-	got := string(line.Append(nil, m.parts(s, messages[0].Ops, &mark)))
+	mark := choice.Nonce(9)
+	messages, _ := m.book.Flush(nil)
+	got := string(wire.Append(nil, m.parts(s, messages[0].Ops, &mark)))
 	first, second := "s-1:1.5", "s-2:1"
 	if two < one {
 		first, second = second, first
@@ -678,10 +678,10 @@
 	if !strings.HasPrefix(got, want) || !strings.Contains(got, " out=s-2 back=s-1 ticket=9\r\n") || len(messages) != 1 {
 		t.Errorf("%d messages, the first is %q", len(messages), got)
 	}
-	m.book.Carry(choice.ClearTable{Table: 3})
-	m.book.Carry(choice.Withdraw{EP: two})
-	messages, _ = m.book.Close(nil)
-	if got := string(line.Append(nil, m.parts(s, messages[0].Ops, nil))); got != "assign classes=submit whole=1 back=s-2\r\n" {
+	m.book.Apply(choice.ClearTable{Table: 3})
+	m.book.Apply(choice.SetExclusion{Backend: two})
+	messages, _ = m.book.Flush(nil)
+	if got := string(wire.Append(nil, m.parts(s, messages[0].Ops, nil))); got != "assign classes=submit whole=1 back=s-2\r\n" {
 		t.Errorf("then %q", got)
 	}
 }
@@ -728,7 +728,7 @@
 	}
 }
 
-func told(s *stream) map[choice.EP]bool {
+func told(s *stream) map[choice.BackendID]bool {
 	if s == nil {
 		return nil
 	}
@@ -742,7 +742,7 @@
 	x.run(3)
 	grown := func() (n int) {
 		m := x.nodes[0]
-		n = len(m.sessions) + len(m.strange) + len(m.events) + len(m.lost) + len(m.ill) + len(m.probes.queue) + len(m.roll.servers) + len(m.roll.numbers) + m.book.Tables()
+		n = len(m.sessions) + len(m.strange) + len(m.events) + len(m.lost) + len(m.ill) + len(m.probes.queue) + len(m.roll.servers) + len(m.roll.numbers) + m.book.TableCount()
 		for _, s := range m.streams {
 			if s != nil {
 				n += len(s.told) + len(s.marks)
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -5,7 +5,7 @@
 	"net/http"
 
 	"gingerfork/choice"
-	"gingerfork/internal/machine"
+	"gingerfork/internal/statemachine"
 )
 
 // caller speaks with discovery: one call at a time, on one connection that is kept. A watch that the module orders
@@ -14,16 +14,16 @@
 type caller struct {
 	m        *Machine
 	addr     string
-	conn     machine.Conn // 0: none
-	up       bool         // it stands
-	calling  bool         // a call is under way, or about to be
-	asked    bool         // the call was written
-	longPoll bool         // it may wait for a change
-	whole    bool         // it asks for the whole list
-	fetch    bool         // the module asked for the whole list meanwhile
-	kept     bool         // the connection has carried an answer already
-	wrote    machine.Seconds
-	due      machine.Seconds
+	conn     statemachine.Conn // 0: none
+	up       bool              // it stands
+	calling  bool              // a call is under way, or about to be
+	asked    bool              // the call was written
+	longPoll bool              // it may wait for a change
+	whole    bool              // it asks for the whole list
+	fetch    bool              // the module asked for the whole list meanwhile
+	kept     bool              // the connection has carried an answer already
+	wrote    statemachine.Seconds
+	due      statemachine.Seconds
 	answer   answer
 }
 
@@ -31,41 +31,41 @@
 // tell counts as told toldWithin later, whether it came or not, and toldAfter past the end of a call that waits: so nobody
 // may wait for an answer for longer than that, whatever the settings allow between two calls.
 const (
-	watchGap   machine.Seconds = 0.2
-	toldWithin machine.Seconds = 6
-	toldAfter  machine.Seconds = 2
+	watchGap   statemachine.Seconds = 0.2
+	toldWithin statemachine.Seconds = 6
+	toldAfter  statemachine.Seconds = 2
 )
 
 // within is how long we may go without asking; settings of who has his lists pushed elsewhere have no such figure.
-func (d *caller) within() machine.Seconds {
-	if v := d.m.boot.Module.Num("ask_within", 0); v > 0 {
+func (d *caller) within() statemachine.Seconds {
+	if v := d.m.boot.Module.Settings.AskWithin.Or(0); v > 0 {
 		return v
 	}
 	return 10
 }
 
 // pollTimeout is how long a long poll waits: well inside the time after which we would count as told.
-func (d *caller) pollTimeout() machine.Seconds { return min(d.within()/2, toldWithin) }
+func (d *caller) pollTimeout() statemachine.Seconds { return min(d.within()/2, toldWithin) }
 
 // answerTimeout is how long an answer may take beyond what the call waits. Asking again must still come before we count as told.
-func (d *caller) answerTimeout() machine.Seconds {
+func (d *caller) answerTimeout() statemachine.Seconds {
 	if d.longPoll {
 		return min(max(d.within()/5, toldAfter/2), 3*toldAfter/4)
 	}
 	return min(max(d.within()/5, toldAfter/2), toldAfter)
 }
 
-func (d *caller) watch(now machine.Seconds, out *machine.Out) {
+func (d *caller) watch(now statemachine.Seconds, out *statemachine.Effects) {
 	if !d.calling {
 		d.call(now, false, d.m.roll.partial(), out)
 		return
 	}
 	if d.longPoll { // it stands already
-		d.m.events = append(d.m.events, choice.Listed{Kind: choice.ListDelta, Version: d.m.roll.version})
+		d.m.events = append(d.m.events, choice.EndpointUpdate{Kind: choice.UpdateDelta, Version: d.m.roll.version})
 	}
 }
 
-func (d *caller) fetchAll(now machine.Seconds, out *machine.Out) {
+func (d *caller) fetchAll(now statemachine.Seconds, out *statemachine.Effects) {
 	if d.calling && !d.longPoll {
 		d.fetch = true
 		return
@@ -74,7 +74,7 @@
 	d.call(now, false, true, out)
 }
 
-func (d *caller) call(now machine.Seconds, longPoll, whole bool, out *machine.Out) {
+func (d *caller) call(now statemachine.Seconds, longPoll, whole bool, out *statemachine.Effects) {
 	d.calling, d.asked, d.longPoll, d.whole = true, false, longPoll, whole
 	d.due = now + d.answerTimeout()
 	d.answer.reset()
@@ -87,7 +87,7 @@
 	}
 }
 
-func (d *caller) ask(now machine.Seconds, out *machine.Out) {
+func (d *caller) ask(now statemachine.Seconds, out *statemachine.Effects) {
 	d.asked, d.wrote = true, now
 	path := "/api/targets"
 	d.due = now + d.answerTimeout()
@@ -102,7 +102,7 @@
 	out.Write(d.conn, fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", path, d.addr))
 }
 
-func (d *caller) opened(now machine.Seconds, out *machine.Out) {
+func (d *caller) opened(now statemachine.Seconds, out *statemachine.Effects) {
 	d.up = true
 	if d.calling {
 		d.ask(now, out)
@@ -110,7 +110,7 @@
 }
 
 // data takes bytes of an answer; ended tells that the connection ended.
-func (d *caller) data(now machine.Seconds, b []byte, ended bool, why string, out *machine.Out) {
+func (d *caller) data(now statemachine.Seconds, b []byte, ended bool, why string, out *statemachine.Effects) {
 	if ended {
 		d.conn, d.up = 0, false
 	}
@@ -158,7 +158,7 @@
 	}
 }
 
-func (d *caller) took(now machine.Seconds, l *list, out *machine.Out) {
+func (d *caller) took(now statemachine.Seconds, l *list, out *statemachine.Effects) {
 	first := !d.longPoll
 	listed, err := d.m.roll.news(now, l)
 	if err != nil {
@@ -169,7 +169,7 @@
 		out.Log(1, "discovery answers again", "failures", d.m.lost["discovery"], "version", *l.Seq)
 		delete(d.m.lost, "discovery")
 	}
-	if first || len(listed.Entries) > 0 || listed.Kind == choice.ListFull {
+	if first || len(listed.Endpoints) > 0 || listed.Kind == choice.UpdateFull {
 		d.m.events = append(d.m.events, listed)
 	}
 	fetch := d.fetch
@@ -178,21 +178,21 @@
 }
 
 // fail ends the call, and the connection, of which nothing can be expected any more.
-func (d *caller) fail(now machine.Seconds, why string, out *machine.Out) {
+func (d *caller) fail(now statemachine.Seconds, why string, out *statemachine.Effects) {
 	d.drop(out)
 	d.failed(now, why, out)
 }
 
-func (d *caller) failed(now machine.Seconds, why string, out *machine.Out) {
+func (d *caller) failed(now statemachine.Seconds, why string, out *statemachine.Effects) {
 	d.calling, d.fetch = false, false
 	d.answer.reset()
-	d.m.events = append(d.m.events, choice.Listed{Kind: choice.ListFailed})
+	d.m.events = append(d.m.events, choice.EndpointUpdate{Kind: choice.UpdateFailed})
 	d.m.often(out, "discovery", 2, "a call to discovery failed", "addr", d.addr, "why", why)
 }
 
-func (d *caller) drop(out *machine.Out) {
+func (d *caller) drop(out *statemachine.Effects) {
 	if d.conn != 0 {
-		out.Kill(d.conn)
+		out.Abort(d.conn)
 		delete(d.m.sessions, d.conn)
 		d.conn, d.up = 0, false
 	}
@@ -201,7 +201,7 @@
 // move goes on at another address. What is held stays, and so does what a call that was under way would have told: the
 // first call at the new address asks for all since. It does not wait for what is left of a pause after failures: those were
 // the old address's, and past the time that a move allows everything counts as told.
-func (d *caller) move(now machine.Seconds, addr string, out *machine.Out) {
+func (d *caller) move(now statemachine.Seconds, addr string, out *statemachine.Effects) {
 	if addr == d.addr {
 		return
 	}
@@ -211,7 +211,7 @@
 	d.call(now, false, whole, out)
 }
 
-func (d *caller) sweep(now machine.Seconds, out *machine.Out) {
+func (d *caller) sweep(now statemachine.Seconds, out *statemachine.Effects) {
 	if !d.calling {
 		return
 	}
@@ -219,5 +219,5 @@
 		d.fail(now, "no answer in time", out)
 		return
 	}
-	out.At(d.due)
+	out.WakeBy(d.due)
 }
--- a/internal/platform/noise_test.go
+++ b/internal/platform/noise_test.go
@@ -9,7 +9,7 @@
 	"testing"
 
 	"gingerfork/choice"
-	"gingerfork/internal/machine"
+	"gingerfork/internal/statemachine"
 )
 
 // noise draws an input's bytes: sound messages, spoilt ones, and rubbish, whole or cut.
@@ -51,44 +51,44 @@
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		dice := rand.New(rand.NewPCG(seed, 3))
 		known := `{"seq":41,"whole":true,"hosts":[{"host":"s-0001","dial":"x","site":"a","class":"m","block":1,"health":"active","share":1,"born_ms":0}]}`
-		m, err := New(Bootstrap{Discovery: "d", Known: []byte(known), Module: choice.Bootstrap{Now: 100, Values: settings(5, 1)}, MostConns: 12, MostProbes: 2, MostAnswer: 1 << 16, Handshake: 1})
+		m, err := New(Bootstrap{Discovery: "d", Known: []byte(known), Module: choice.Config{Now: 100, Settings: choice.DecodeSettings(settings(5, 1))}, MostConns: 12, MostProbes: 2, MostAnswer: 1 << 16, Handshake: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
-		now, next := 100.0, machine.Conn(0)
-		open := map[machine.Conn]string{}
+		now, next := 100.0, statemachine.Conn(0)
+		open := map[statemachine.Conn]string{}
 		for range 400 {
-			var in []machine.Input
+			var in []statemachine.Input
 			for range dice.IntN(4) {
 				if dice.IntN(3) == 0 {
 					next++
 					open[next] = "in"
-					in = append(in, machine.Input{Kind: machine.Opened, Conn: next})
+					in = append(in, statemachine.Input{Kind: statemachine.ConnOpened, Conn: next})
 				}
 				if all := slices.Sorted(maps.Keys(open)); len(all) > 0 {
 					c := all[dice.IntN(len(all))]
 					switch role := open[c]; {
 					case role == "dialled":
 						open[c] = "up"
-						in = append(in, machine.Input{Kind: machine.Opened, Conn: c})
+						in = append(in, statemachine.Input{Kind: statemachine.ConnOpened, Conn: c})
 					case dice.IntN(12) == 0:
 						delete(open, c)
-						in = append(in, machine.Input{Kind: machine.Closed, Conn: c, Text: "noise"})
+						in = append(in, statemachine.Input{Kind: statemachine.ConnClosed, Conn: c, Text: "noise"})
 					case role == "in":
-						in = append(in, machine.Input{Kind: machine.Data, Conn: c, Data: []byte(noise(dice, 0))})
+						in = append(in, statemachine.Input{Kind: statemachine.ConnData, Conn: c, Data: []byte(noise(dice, 0))})
 					default:
-						in = append(in, machine.Input{Kind: machine.Data, Conn: c, Data: []byte(noise(dice, 1))})
+						in = append(in, statemachine.Input{Kind: statemachine.ConnData, Conn: c, Data: []byte(noise(dice, 1))})
 					}
 				}
 			}
-			var out machine.Out
+			var out statemachine.Effects
 			out.Reset()
 			m.Step(now, in, &out)
-			for _, a := range out.Acts {
+			for _, a := range out.Actions {
 				switch a.Kind {
-				case machine.Dial:
+				case statemachine.ActionDial:
 					open[a.Conn] = "dialled"
-				case machine.Write:
+				case statemachine.ActionWrite:
 					if s := string(a.Data); open[a.Conn] == "in" && (!strings.HasSuffix(s, "\r\n") || !strings.HasPrefix(s, "assign") && !strings.HasPrefix(s, "hb_ok") && !strings.HasPrefix(s, "reject")) {
 						t.Fatalf("it writes %q", s)
 					}
@@ -96,16 +96,16 @@
 					delete(open, a.Conn)
 				}
 			}
-			if out.Fail != "" || m.figures.Panics+m.figures.Failures > 0 {
-				t.Fatalf("seed %d: %s %+v %v", seed, out.Fail, m.figures, out.Notes)
+			if out.Failure != "" || m.figures.Panics+m.figures.Failures > 0 {
+				t.Fatalf("seed %d: %s %+v %v", seed, out.Failure, m.figures, out.LogEntries)
 			}
-			if out.Wake <= now {
+			if out.WakeAt <= now {
 				t.Fatal("it asks for this very moment again")
 			}
 			if len(m.sessions) > 12+2 {
 				t.Fatalf("%d connections are held", len(m.sessions))
 			}
-			now += min(out.Wake-now, dice.Float64())
+			now += min(out.WakeAt-now, dice.Float64())
 		}
 	})
 }
--- a/internal/platform/orders.go
+++ b/internal/platform/orders.go
@@ -5,24 +5,24 @@
 
 	"gingerfork/choice"
 	"gingerfork/internal/fanout"
-	"gingerfork/internal/machine"
-	"gingerfork/internal/platform/line"
+	"gingerfork/internal/platform/wire"
+	"gingerfork/internal/statemachine"
 )
 
 // stream is a joined proxy's.
 type stream struct {
 	session  *session
-	follower *fanout.Follower
-	proxy    choice.Proxy
+	follower *fanout.Subscriber
+	proxy    choice.ProxyID
 	zone     choice.Zone
-	rate     float64         // RPCs a second that it usually gets, as it said
-	marks    []choice.Mark   // sent on this stream and not answered, oldest first
-	asked    machine.Seconds // since when marks have been unanswered; its time while there are none is of no use
-	heard    machine.Seconds // when bytes last came
+	rate     float64              // RPCs a second that it usually gets, as it said
+	marks    []choice.Nonce       // sent on this stream and not answered, oldest first
+	asked    statemachine.Seconds // since when marks have been unanswered; its time while there are none is of no use
+	heard    statemachine.Seconds // when bytes last came
 	// told has what the proxy was told on this stream of servers shut out (true) and let in (false). Withdrawals stay with
 	// a proxy across streams, and other coordinators order them too: of what is not here nothing is known, unless it came
 	// with nothing (pristine).
-	told     map[choice.EP]bool
+	told     map[choice.BackendID]bool
 	pristine bool
 }
 
@@ -31,40 +31,40 @@
 
 // sheet is what a message does to one table.
 type sheet struct {
-	table   choice.Table
+	table   choice.TableID
 	methods uint64
 	whole   bool
-	lines   []fanout.Entry
-	levels  []fanout.Gate
+	lines   []fanout.TableEntry
+	levels  []fanout.Admission
 }
 
-func (s *sheet) set(e fanout.Entry) {
-	if at := slices.IndexFunc(s.lines, func(x fanout.Entry) bool { return x.EP == e.EP }); at >= 0 {
+func (s *sheet) set(e fanout.TableEntry) {
+	if at := slices.IndexFunc(s.lines, func(x fanout.TableEntry) bool { return x.Backend == e.Backend }); at >= 0 {
 		s.lines[at] = e
 		return
 	}
 	s.lines = append(s.lines, e)
 }
 
-func (s *sheet) gate(g fanout.Gate) {
-	s.levels = slices.DeleteFunc(s.levels, func(x fanout.Gate) bool { return x.Methods == g.Methods })
+func (s *sheet) gate(g fanout.Admission) {
+	s.levels = slices.DeleteFunc(s.levels, func(x fanout.Admission) bool { return x.Methods == g.Methods })
 	s.levels = append(s.levels, g)
 }
 
 // parts makes the platform's message of what a step orders of a proxy: of each line, level and server the last word
 // only, as all of it takes effect at once.
-func (m *Machine) parts(s *stream, ops []fanout.Op, mark *choice.Mark) []line.Part {
+func (m *Machine) parts(s *stream, ops []fanout.TableOp, mark *choice.Nonce) []wire.Part {
 	var sheets []*sheet
-	var turned []choice.EP // in the order of their last word
-	turn := func(ep choice.EP, out bool) {
+	var turned []choice.BackendID // in the order of their last word
+	turn := func(ep choice.BackendID, out bool) {
 		was, known := s.told[ep]
 		if known && was == out || !known && !out && s.pristine {
 			return
 		}
 		s.told[ep] = out
-		turned = append(slices.DeleteFunc(turned, func(x choice.EP) bool { return x == ep }), ep)
+		turned = append(slices.DeleteFunc(turned, func(x choice.BackendID) bool { return x == ep }), ep)
 	}
-	at := func(op fanout.Op) *sheet {
+	at := func(op fanout.TableOp) *sheet {
 		for _, x := range sheets {
 			if x.table == op.Table {
 				return x
@@ -76,62 +76,62 @@
 	}
 	for _, op := range ops {
 		switch op.Kind {
-		case fanout.Line:
+		case fanout.OpSetEntry:
 			x := at(op)
-			for _, e := range op.Lines {
+			for _, e := range op.Entries {
 				x.set(e)
 			}
-		case fanout.Clear:
+		case fanout.OpClear:
 			x := at(op)
 			x.whole, x.lines, x.levels = true, nil, nil
-		case fanout.Bind:
+		case fanout.OpBind:
 			x := at(op)
 			x.whole, x.methods = true, op.Methods
-			x.lines, x.levels = slices.Clone(op.Lines), slices.Clone(op.Levels)
-			for _, ep := range op.EPs { // also what is not in this table: a method without one goes by what the proxy brought along
+			x.lines, x.levels = slices.Clone(op.Entries), slices.Clone(op.Admissions)
+			for _, ep := range op.Backends { // also what is not in this table: a method without one goes by what the proxy brought along
 				turn(ep, true)
 			}
-		case fanout.Level:
+		case fanout.OpAdmission:
 			x := at(op)
-			for _, g := range op.Levels {
+			for _, g := range op.Admissions {
 				x.gate(g)
 			}
-		case fanout.Withdraw:
-			for _, ep := range op.EPs {
+		case fanout.OpExclude:
+			for _, ep := range op.Backends {
 				turn(ep, true)
 			}
-		case fanout.Readmit:
-			for _, ep := range op.EPs {
+		case fanout.OpRestore:
+			for _, ep := range op.Backends {
 				turn(ep, false)
 			}
 		}
 	}
-	var parts []line.Part
+	var parts []wire.Part
 	for _, x := range sheets {
-		p := line.Part{Methods: m.named(x.methods), Whole: x.whole}
+		p := wire.Part{Methods: m.named(x.methods), Whole: x.whole}
 		for _, e := range x.lines {
 			if e.Weight > 0 {
-				turn(e.EP, e.Shut)
+				turn(e.Backend, e.Excluded)
 			}
-			if srv := m.roll.servers[e.EP]; srv != nil && !(x.whole && e.Weight <= 0) {
-				p.Lines = append(p.Lines, line.Weight{Server: srv.name, Weight: e.Weight})
+			if srv := m.roll.servers[e.Backend]; srv != nil && !(x.whole && e.Weight <= 0) {
+				p.Lines = append(p.Lines, wire.Weight{Server: srv.name, Weight: e.Weight})
 			}
 		}
 		gates := m.gather(x.levels)
 		if len(gates) > 0 && m.all(gates[0].Methods) == m.all(x.methods) {
-			p.Gated, p.Level, p.Tries = true, gates[0].Level, int(gates[0].Tries)
+			p.Gated, p.Level, p.Tries = true, gates[0].Level, int(gates[0].Retry)
 			gates = gates[1:]
 		}
 		if p.Whole || len(p.Lines) > 0 || p.Gated {
 			parts = append(parts, p)
 		}
 		for _, g := range gates {
-			parts = append(parts, line.Part{Methods: m.named(g.Methods), Gated: true, Level: g.Level, Tries: int(g.Tries)})
+			parts = append(parts, wire.Part{Methods: m.named(g.Methods), Gated: true, Level: g.Level, Tries: int(g.Retry)})
 		}
 	}
 	if len(turned) > 0 || len(parts) == 0 {
 		if len(parts) == 0 {
-			parts = append(parts, line.Part{})
+			parts = append(parts, wire.Part{})
 		}
 		last := &parts[len(parts)-1]
 		for _, ep := range turned {
@@ -153,11 +153,11 @@
 }
 
 // gather joins levels that say the same of different methods.
-func (m *Machine) gather(levels []fanout.Gate) (all []fanout.Gate) {
+func (m *Machine) gather(levels []fanout.Admission) (all []fanout.Admission) {
 	for _, g := range levels {
-		at := slices.IndexFunc(all, func(x fanout.Gate) bool { return x.Level == g.Level && x.Tries == g.Tries })
+		at := slices.IndexFunc(all, func(x fanout.Admission) bool { return x.Level == g.Level && x.Retry == g.Retry })
 		if at < 0 {
-			all = append(all, fanout.Gate{Methods: m.all(g.Methods), Level: g.Level, Tries: g.Tries})
+			all = append(all, fanout.Admission{Methods: m.all(g.Methods), Level: g.Level, Retry: g.Retry})
 		} else {
 			all[at].Methods |= m.all(g.Methods)
 		}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -12,21 +12,21 @@
 
 	"gingerfork/choice"
 	"gingerfork/internal/fanout"
-	"gingerfork/internal/machine"
-	"gingerfork/internal/platform/line"
+	"gingerfork/internal/platform/wire"
+	"gingerfork/internal/statemachine"
 )
 
 // Bootstrap is what a coordinator on the platform is started with.
 type Bootstrap struct {
 	Name      string
 	Discovery string // address
-	Module    choice.Bootstrap
+	Module    choice.Config
 	Known     []byte // the list as last held, in discovery's form; none: nothing was
 	// MostConns is how many connections may stand at once; past it strangers make room for who comes.
 	MostConns  int
-	MostProbes int             // at once
-	MostAnswer int             // bytes of an HTTP answer
-	Handshake  machine.Seconds // within which a connection must have joined
+	MostProbes int                  // at once
+	MostAnswer int                  // bytes of an HTTP answer
+	Handshake  statemachine.Seconds // within which a connection must have joined
 }
 
 type role uint8
@@ -41,45 +41,45 @@
 
 // session is one connection.
 type session struct {
-	conn   machine.Conn
+	conn   statemachine.Conn
 	role   role
-	opened machine.Seconds
-	reader line.Reader
+	opened statemachine.Seconds
+	reader wire.Reader
 	stream *stream
 	probe  *probe
-	zone   string          // a collector's
-	heard  machine.Seconds // a collector's: when bytes last came
+	zone   string               // a collector's
+	heard  statemachine.Seconds // a collector's: when bytes last came
 }
 
 // Machine is the coordinator.
 type Machine struct {
 	boot       Bootstrap
 	planner    *choice.Planner
-	book       *fanout.Book
+	book       *fanout.Distributor
 	roll       *roll
 	list       caller
 	probes     prober
-	sessions   map[machine.Conn]*session
+	sessions   map[statemachine.Conn]*session
 	strange    []*session // that have not joined, oldest first; others among them are passed over
 	streams    []*stream  // by proxy, nil where none is joined
 	collectors []*session // collectors, also some that are gone
 	methods    []string
 	zones      map[string]bool
-	soft       machine.Seconds // the shortest soft deadline
-	round      machine.Seconds
-	dialled    machine.Conn
+	soft       statemachine.Seconds // the shortest soft deadline
+	round      statemachine.Seconds
+	dialled    statemachine.Conn
 
 	events  []choice.Event
-	alarm   machine.Seconds
-	ring    choice.Token
-	stepped machine.Seconds
-	failed  machine.Seconds      // when the module last failed
-	heard   machine.Seconds      // when bytes last came from anybody who was accepted
-	looked  machine.Seconds      // when dead streams were last looked for
-	stopped machine.Seconds      // until when we last stood still
-	moved   *Bootstrap           // what is to be in force from the next step on
-	lost    map[string]int       // troubles by kind, so that a storm of them makes few lines in the log
-	ill     map[choice.EP]string // servers that the module keeps out of arcs, and why, as last logged
+	alarm   statemachine.Seconds
+	ring    choice.TimerID
+	stepped statemachine.Seconds
+	failed  statemachine.Seconds        // when the module last failed
+	heard   statemachine.Seconds        // when bytes last came from anybody who was accepted
+	looked  statemachine.Seconds        // when dead streams were last looked for
+	stopped statemachine.Seconds        // until when we last stood still
+	moved   *Bootstrap                  // what is to be in force from the next step on
+	lost    map[string]int              // troubles by kind, so that a storm of them makes few lines in the log
+	ill     map[choice.BackendID]string // servers that the module keeps out of arcs, and why, as last logged
 	figures Figures
 }
 
@@ -110,8 +110,8 @@
 
 // New makes a coordinator. A list that was held and can't be read is an error; the coordinator is usable without it.
 func New(boot Bootstrap) (*Machine, error) {
-	m := &Machine{boot: boot, roll: newRoll(), sessions: map[machine.Conn]*session{}, dialled: machine.Dialled, lost: map[string]int{},
-		ill: map[choice.EP]string{}}
+	m := &Machine{boot: boot, roll: newRoll(), sessions: map[statemachine.Conn]*session{}, dialled: statemachine.Dialed, lost: map[string]int{},
+		ill: map[choice.BackendID]string{}}
 	m.list = caller{m: m, addr: boot.Discovery, answer: answer{most: boot.MostAnswer}}
 	m.probes = prober{m: m}
 	m.settle()
@@ -130,28 +130,19 @@
 func (m *Machine) settle() {
 	b := m.boot.Module
 	m.methods, m.zones, m.soft = nil, map[string]bool{}, math.Inf(1)
-	for i := range int(b.Num("method.n", 0)) {
-		m.methods = append(m.methods, b.Word(fmt.Sprintf("method.%d.name", i)))
-		m.soft = min(m.soft, b.Num(fmt.Sprintf("method.%d.soft_deadline", i), 1))
-	}
-	if math.IsInf(m.soft, 1) {
-		m.soft = 1
-	}
-	// Counted by what is there: the simulator's settings carry the zones' number under another name than their words. Where
-	// there is but one place, its name may be empty.
-	for i := 0; ; i++ {
-		zone, ok := b.Values[fmt.Sprintf("zones.%d", i)].(string)
-		if !ok {
-			break
-		}
+	for _, method := range b.Settings.Methods {
+		m.methods = append(m.methods, method.Name)
+		m.soft = min(m.soft, method.SoftDeadline.Or(1))
+	}
+	for _, zone := range b.Settings.Zones {
 		m.zones[zone] = true
 	}
-	m.round = b.Num("tick", 0)
-	m.streams = make([]*stream, min(max(int(b.Num("proxies", 0)), 0), 1<<16))
+	m.round = b.Settings.Tick.Or(0)
+	m.streams = make([]*stream, min(max(int(b.Settings.Proxies.Or(0)), 0), 1<<16))
 }
 
 // instance begins with a fresh instance of the module: from the list as held, and the streams that stand.
-func (m *Machine) instance(b choice.Bootstrap) {
+func (m *Machine) instance(b choice.Config) {
 	m.planner, m.book = choice.New(b), fanout.New()
 	m.book.Methods = m.all(0)
 	m.events, m.alarm, m.stepped = nil, b.Now, b.Now-m.round
@@ -161,7 +152,7 @@
 	for _, s := range m.streams {
 		if s != nil {
 			s.follower, s.marks = m.book.Join(s.proxy), nil
-			m.events = append(m.events, choice.Joined{Proxy: s.proxy, Zone: s.zone, Rate: s.rate})
+			m.events = append(m.events, choice.ProxyJoined{Proxy: s.proxy, Zone: s.zone, Rate: s.rate})
 		}
 	}
 }
@@ -170,7 +161,7 @@
 func (m *Machine) Renew(boot Bootstrap) { m.moved = &boot }
 
 // Step implements machine.Machine.
-func (m *Machine) Step(now machine.Seconds, in []machine.Input, out *machine.Out) {
+func (m *Machine) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	m.renew(now, out)
 	for _, i := range in {
 		m.guarded(now, i, out)
@@ -178,23 +169,23 @@
 	m.survive(now, out, m.sweep)
 	if due := now >= m.alarm; due || len(m.events) > 0 && now >= m.stepped+m.round {
 		if due {
-			m.events = append(m.events, choice.Due{Token: m.ring})
+			m.events = append(m.events, choice.TimerFired{Timer: m.ring})
 			m.alarm = now + 3600
 		}
 		m.survive(now, out, m.decide)
 	}
 	if len(m.events) > 0 {
-		out.At(m.stepped + m.round)
+		out.WakeBy(m.stepped + m.round)
 	}
-	out.At(m.alarm)
+	out.WakeBy(m.alarm)
 	m.forget(m.roll.tidy(now))
 	// Whatever asks, the next step is not at this very moment: it would be asked for again and again.
-	out.Wake = max(out.Wake, now+shortest)
+	out.WakeAt = max(out.WakeAt, now+shortest)
 }
 
 // forget drops what streams were told of servers whose names are forgotten. A proxy goes on holding one as shut out, so should
 // the name ever come back, it must be let back in.
-func (m *Machine) forget(gone []choice.EP) {
+func (m *Machine) forget(gone []choice.BackendID) {
 	for _, s := range m.streams {
 		for _, ep := range gone {
 			if s != nil {
@@ -205,11 +196,11 @@
 	}
 }
 
-const shortest machine.Seconds = 1e-4
+const shortest statemachine.Seconds = 1e-4
 
 // survive has something done that concerns all connections. Should it panic, a fresh instance of the module begins: the end of
 // the process would leave every proxy alone.
-func (m *Machine) survive(now machine.Seconds, out *machine.Out, what func(machine.Seconds, *machine.Out)) {
+func (m *Machine) survive(now statemachine.Seconds, out *statemachine.Effects, what func(statemachine.Seconds, *statemachine.Effects)) {
 	defer func() {
 		if r := recover(); r != nil {
 			m.restart(now, fmt.Errorf("a step failed: %v\n%s", r, debug.Stack()), out)
@@ -218,7 +209,7 @@
 	what(now, out)
 }
 
-func (m *Machine) renew(now machine.Seconds, out *machine.Out) {
+func (m *Machine) renew(now statemachine.Seconds, out *statemachine.Effects) {
 	if m.moved == nil {
 		return
 	}
@@ -231,7 +222,7 @@
 	}
 }
 
-func (m *Machine) dial(addr string, out *machine.Out) machine.Conn {
+func (m *Machine) dial(addr string, out *statemachine.Effects) statemachine.Conn {
 	m.dialled++
 	out.Dial(m.dialled, addr)
 	return m.dialled
@@ -239,7 +230,7 @@
 
 // guarded takes an input. Should one ever make us panic, it costs its own connection and not all the others theirs, which
 // the end of the process would.
-func (m *Machine) guarded(now machine.Seconds, i machine.Input, out *machine.Out) {
+func (m *Machine) guarded(now statemachine.Seconds, i statemachine.Input, out *statemachine.Effects) {
 	defer func() {
 		r := recover()
 		if r == nil {
@@ -252,7 +243,7 @@
 			return
 		}
 		delete(m.sessions, i.Conn)
-		out.Kill(i.Conn)
+		out.Abort(i.Conn)
 		switch s.role {
 		case proxyRole:
 			for _, st := range m.streams { // not by the session, which may be what is broken
@@ -270,19 +261,19 @@
 	m.input(now, i, out)
 }
 
-func (m *Machine) input(now machine.Seconds, i machine.Input, out *machine.Out) {
+func (m *Machine) input(now statemachine.Seconds, i statemachine.Input, out *statemachine.Effects) {
 	s := m.sessions[i.Conn]
 	switch i.Kind {
-	case machine.Opened:
+	case statemachine.ConnOpened:
 		switch {
-		case s == nil && i.Conn&machine.Dialled == 0:
+		case s == nil && i.Conn&statemachine.Dialed == 0:
 			m.accept(now, i.Conn, out)
 		case s != nil && s.role == listRole:
 			m.list.opened(now, out)
 		case s != nil && s.role == probeRole:
 			m.probes.opened(s, out)
 		}
-	case machine.Closed:
+	case statemachine.ConnClosed:
 		if s == nil {
 			return
 		}
@@ -291,7 +282,7 @@
 		case listRole:
 			m.list.data(now, nil, true, i.Text, out)
 		case probeRole:
-			if i.Ours {
+			if i.LocalFailure {
 				m.probes.unasked(now, s, out)
 			} else {
 				m.probes.data(now, s, nil, true, out)
@@ -299,7 +290,7 @@
 		case proxyRole:
 			m.leave(s.stream)
 		}
-	case machine.Data:
+	case statemachine.ConnData:
 		if s == nil {
 			return
 		}
@@ -326,8 +317,8 @@
 	lineMost  = 16 << 10
 )
 
-func (m *Machine) accept(now machine.Seconds, c machine.Conn, out *machine.Out) {
-	s := &session{conn: c, opened: now, reader: line.Reader{Most: firstLine}}
+func (m *Machine) accept(now statemachine.Seconds, c statemachine.Conn, out *statemachine.Effects) {
+	s := &session{conn: c, opened: now, reader: wire.Reader{Most: firstLine}}
 	m.sessions[c] = s
 	m.strange = append(m.strange, s)
 	if len(m.sessions) <= m.boot.MostConns {
@@ -338,7 +329,7 @@
 		m.figures.Evicted++
 		m.often(out, "evicted", 2, "connections are at their limit, a stranger made room", "limit", m.boot.MostConns)
 		delete(m.sessions, x.conn)
-		out.Kill(x.conn)
+		out.Abort(x.conn)
 	}
 }
 
@@ -356,10 +347,10 @@
 }
 
 // sweep ends what takes too long.
-func (m *Machine) sweep(now machine.Seconds, out *machine.Out) {
+func (m *Machine) sweep(now statemachine.Seconds, out *statemachine.Effects) {
 	for s := m.oldest(); s != nil; s = m.oldest() {
 		if now < s.opened+m.boot.Handshake {
-			out.At(s.opened + m.boot.Handshake)
+			out.WakeBy(s.opened + m.boot.Handshake)
 			break
 		}
 		m.refuse(s, "it did not join in time", out)
@@ -379,15 +370,15 @@
 
 // idleTimeout is how long a stream may owe answers and say nothing at all: three periods of its usage reports, and far
 // longer than any answer takes.
-func (m *Machine) idleTimeout() machine.Seconds {
-	return max(3*m.boot.Module.Num("report_period", 1), 20*m.boot.Module.Num("push_time_worst", 0.3), 6)
+func (m *Machine) idleTimeout() statemachine.Seconds {
+	return max(3*m.boot.Module.Settings.ReportPeriod.Or(1), 20*m.boot.Module.Settings.PushTimeWorst.Or(0.3), 6)
 }
 
 // endIdle ends streams whose other end is gone without a word, as after a cut or the loss of a machine: their proxies are
 // elsewhere, and would be dealt tables, and sent the same ones again and again, for as long as TCP keeps the connection.
 // Not when nobody is heard: then it is we who are cut off, or were stopped for a while. A proxy that lives all the same dials
 // again and gets a whole table.
-func (m *Machine) endIdle(now machine.Seconds, out *machine.Out) {
+func (m *Machine) endIdle(now statemachine.Seconds, out *statemachine.Effects) {
 	limit := m.idleTimeout()
 	if now > m.heard+limit/4 {
 		return
@@ -399,14 +390,14 @@
 		m.figures.IdledOut++
 		m.often(out, "buried", 2, "a stream was silent and owed answers, it counts as left", "proxy", int(s.proxy), "silent", now-s.heard)
 		delete(m.sessions, s.session.conn)
-		out.Kill(s.session.conn)
+		out.Abort(s.session.conn)
 		m.leave(s)
 	}
 }
 
 // endReplaced ends collectors' connections that are silent while a later one of the same zone speaks: the collector was cut off
 // without a word and is back, and nothing else would ever give the old descriptor back.
-func (m *Machine) endReplaced(now machine.Seconds, out *machine.Out) {
+func (m *Machine) endReplaced(now statemachine.Seconds, out *statemachine.Effects) {
 	m.collectors = slices.DeleteFunc(m.collectors, func(s *session) bool { return m.sessions[s.conn] != s })
 	newest := map[string]*session{}
 	for _, s := range m.collectors {
@@ -422,7 +413,7 @@
 		m.figures.IdledOut++
 		m.often(out, "replaced", 2, "a collector was silent while a later one of its zone spoke, its connection ends", "zone", s.zone, "silent", now-s.heard)
 		delete(m.sessions, s.conn)
-		out.Kill(s.conn)
+		out.Abort(s.conn)
 	}
 }
 
@@ -431,37 +422,37 @@
 
 // tellHealth logs which servers the module began, or ceased, to keep out of arcs, and the figures that it goes by: on call
 // that is held against what the servers say of themselves. A module that fails here costs the lines, never the process.
-func (m *Machine) tellHealth(out *machine.Out) {
+func (m *Machine) tellHealth(out *statemachine.Effects) {
 	defer func() {
 		if r := recover(); r != nil {
 			m.often(out, "health", 3, "what the module believes can't be told", "cause", fmt.Sprint(r))
 		}
 	}()
 	was, lines := m.ill, 0
-	m.ill = map[choice.EP]string{}
-	for _, b := range m.planner.Beliefs() {
+	m.ill = map[choice.BackendID]string{}
+	for _, b := range m.planner.Estimates() {
 		why := ""
 		switch {
-		case b.Away:
+		case b.Unreachable:
 			why = "it answers no probes"
-		case b.Benched:
+		case b.Ejected:
 			why = "its tries fail"
 		}
-		if why != was[b.EP] && lines < mostTold {
+		if why != was[b.Backend] && lines < mostTold {
 			lines++
 			text := "server kept out of arcs"
 			if why == "" {
 				text = "server may be in arcs again"
 			}
 			name := ""
-			if s := m.roll.servers[b.EP]; s != nil {
+			if s := m.roll.servers[b.Backend]; s != nil {
 				name = s.name
 			}
-			out.Log(1, text, "backend", name, "why", why, "tries", short(b.Tries), "bad", short(b.Bad), "delay", short(b.Delay), "expected", short(b.Expected))
-			was[b.EP] = why
+			out.Log(1, text, "backend", name, "why", why, "tries", short(b.AttemptRate), "bad", short(b.FailureShare), "delay", short(b.MeanLatency), "expected", short(b.ExpectedRate))
+			was[b.Backend] = why
 		}
-		if w := was[b.EP]; w != "" {
-			m.ill[b.EP] = w
+		if w := was[b.Backend]; w != "" {
+			m.ill[b.Backend] = w
 		}
 	}
 }
@@ -471,7 +462,7 @@
 
 // read takes the messages that are whole. One that makes no sense is dropped alone; bytes that can't be read end the
 // connection.
-func (m *Machine) read(now machine.Seconds, s *session, out *machine.Out) {
+func (m *Machine) read(now statemachine.Seconds, s *session, out *statemachine.Effects) {
 	for m.sessions[s.conn] == s {
 		msg, err := s.reader.Next()
 		if err == nil && msg == nil {
@@ -483,7 +474,7 @@
 		if err == nil {
 			continue
 		}
-		if spoilt, ok := err.(*line.Spoilt); ok && s.role != stranger {
+		if spoilt, ok := err.(*wire.Spoilt); ok && s.role != stranger {
 			m.figures.Spoilt++
 			m.often(out, "spoilt "+spoilt.Kind, 2, "a message was dropped", "conn", uint64(s.conn), "why", err.Error())
 			continue
@@ -494,12 +485,12 @@
 }
 
 // refuse says why and ends the connection; a stream has left with that.
-func (m *Machine) refuse(s *session, why string, out *machine.Out) {
+func (m *Machine) refuse(s *session, why string, out *statemachine.Effects) {
 	delete(m.sessions, s.conn)
 	if s.role == stranger {
 		m.figures.Refused++
 		m.often(out, "refused", 1, "a connection was refused", "conn", uint64(s.conn), "why", why)
-		out.Write(s.conn, line.AppendReject(nil, why))
+		out.Write(s.conn, wire.AppendReject(nil, why))
 		out.Close(s.conn)
 		return
 	}
@@ -509,14 +500,14 @@
 		who = fmt.Sprintf("proxy %d's", s.stream.proxy)
 	}
 	m.often(out, "broken", 2, "a connection carried what can't be read and was ended", "conn", uint64(s.conn), "whose", who, "why", why)
-	out.Kill(s.conn)
+	out.Abort(s.conn)
 	if s.role == proxyRole {
 		m.leave(s.stream)
 	}
 }
 
 // often logs a kind of trouble each time that its number has doubled.
-func (m *Machine) often(out *machine.Out, kind string, level int, text string, pairs ...any) {
+func (m *Machine) often(out *statemachine.Effects, kind string, level int, text string, pairs ...any) {
 	m.lost[kind]++
 	if n := m.lost[kind]; n&(n-1) == 0 {
 		out.Log(level, text, append(pairs, "times", n)...)
@@ -524,18 +515,18 @@
 }
 
 func spoilt(kind, format string, args ...any) error {
-	return &line.Spoilt{Kind: kind, Why: fmt.Sprintf(format, args...)}
+	return &wire.Spoilt{Kind: kind, Why: fmt.Sprintf(format, args...)}
 }
 
 // message takes one message. A *line.Spoilt error costs that message, or the connection of one who has not joined.
-func (m *Machine) message(now machine.Seconds, s *session, msg line.Message, out *machine.Out) error {
-	if _, ok := msg.(line.Beat); ok {
-		out.Write(s.conn, line.AppendBeat(nil))
+func (m *Machine) message(now statemachine.Seconds, s *session, msg wire.Message, out *statemachine.Effects) error {
+	if _, ok := msg.(wire.Beat); ok {
+		out.Write(s.conn, wire.AppendBeat(nil))
 		return nil
 	}
 	if s.role == stranger {
 		switch x := msg.(type) {
-		case line.Collector:
+		case wire.Collector:
 			if !m.zones[x.Zone] {
 				return spoilt("collector", "zone %.32q is not one of ours", x.Zone)
 			}
@@ -543,19 +534,19 @@
 			m.collectors = append(m.collectors, s)
 			out.Log(1, "collector joined", "zone", x.Zone)
 			return nil
-		case line.Join:
+		case wire.Join:
 			return m.join(now, s, x, out)
 		}
 		return spoilt("report", "it came before a joining")
 	}
 	switch x := msg.(type) {
-	case line.Answer:
+	case wire.Answer:
 		if s.role != proxyRole || x.Proxy != int(s.stream.proxy) {
 			return spoilt("answer", "it is not from its proxy's stream")
 		}
 		m.answered(s.stream, x)
 		return nil
-	case line.Usage:
+	case wire.Usage:
 		if s.role == proxyRole && x.Proxy != int(s.stream.proxy) {
 			return spoilt("usage", "it is of another proxy")
 		}
@@ -565,10 +556,10 @@
 		}
 		// Of a proxy that left, or that is joined elsewhere, it is no business of ours.
 		if m.streams[x.Proxy] != nil && x.RPCs+x.Bad > 0 {
-			m.events = append(m.events, choice.UsageSum{Proxy: choice.Proxy(x.Proxy), Method: choice.Method(method), RPCs: x.RPCs, Bad: x.Bad, Over: x.Over})
+			m.events = append(m.events, choice.UsageReport{Proxy: choice.ProxyID(x.Proxy), Method: choice.MethodID(method), RPCs: x.RPCs, Failures: x.Bad, Span: x.Over})
 		}
 		return nil
-	case line.Tries:
+	case wire.Tries:
 		ep, ok := m.roll.numbers[x.Server]
 		switch {
 		case s.role != collectorRole:
@@ -577,8 +568,8 @@
 			return spoilt("tries", "zone %.32q or server %.32q does not exist", x.Zone, x.Server)
 		}
 		if x.Tries > 0 {
-			m.events = append(m.events, choice.TrySum{EP: ep, Zone: choice.Zone(x.Zone), Tries: x.Tries, Bad: x.Bad, Delay: x.Delay,
-				Over: x.Over, Load: m.columns(x.Load)})
+			m.events = append(m.events, choice.AttemptReport{Backend: ep, Zone: choice.Zone(x.Zone), Attempts: x.Tries, Failures: x.Bad, MeanLatency: x.Delay,
+				Span: x.Over, Load: m.columns(x.Load)})
 		}
 		return nil
 	}
@@ -590,13 +581,13 @@
 	if len(figures) == 0 {
 		return nil
 	}
-	for i := range int(m.boot.Module.Num("Feedback.Columns.n", 0)) {
-		all = append(all, figures[m.boot.Module.Word(fmt.Sprintf("Feedback.Columns.%d", i))])
+	for _, column := range m.boot.Module.Settings.FeedbackColumns {
+		all = append(all, figures[column])
 	}
 	return all
 }
 
-func (m *Machine) join(now machine.Seconds, s *session, x line.Join, out *machine.Out) error {
+func (m *Machine) join(now statemachine.Seconds, s *session, x wire.Join, out *statemachine.Effects) error {
 	if x.Proxy >= len(m.streams) || !m.zones[x.Zone] {
 		return spoilt("joining", "proxy %d or zone %.32q does not exist", x.Proxy, x.Zone)
 	}
@@ -608,15 +599,15 @@
 		// The older stream is a dead one whose end we have not seen; its late end must change nothing.
 		m.figures.TakenOver++
 		delete(m.sessions, old.session.conn)
-		out.Kill(old.session.conn)
+		out.Abort(old.session.conn)
 		m.leave(old)
 	}
-	st := &stream{session: s, proxy: choice.Proxy(x.Proxy), zone: choice.Zone(x.Zone), rate: x.Rate, heard: now, told: map[choice.EP]bool{}, pristine: x.Fresh}
+	st := &stream{session: s, proxy: choice.ProxyID(x.Proxy), zone: choice.Zone(x.Zone), rate: x.Rate, heard: now, told: map[choice.BackendID]bool{}, pristine: x.Fresh}
 	st.follower = m.book.Join(st.proxy)
 	s.role, s.stream, s.reader.Most = proxyRole, st, lineMost
 	m.streams[x.Proxy] = st
 	m.figures.Joins++
-	m.events = append(m.events, choice.Joined{Proxy: st.proxy, Zone: st.zone, Rate: x.Rate, Fresh: x.Fresh})
+	m.events = append(m.events, choice.ProxyJoined{Proxy: st.proxy, Zone: st.zone, Rate: x.Rate, Fresh: x.Fresh})
 	return nil
 }
 
@@ -627,22 +618,22 @@
 	m.streams[s.proxy] = nil
 	m.book.Leave(s.follower)
 	m.figures.Leaves++
-	m.events = append(m.events, choice.Left{Proxy: s.proxy})
+	m.events = append(m.events, choice.ProxyLeft{Proxy: s.proxy})
 }
 
 // answered checks that the mark is in flight on this very stream. An answer tells of all that was sent before, too.
-func (m *Machine) answered(s *stream, x line.Answer) {
-	at := slices.Index(s.marks, choice.Mark(x.Mark))
+func (m *Machine) answered(s *stream, x wire.Answer) {
+	at := slices.Index(s.marks, choice.Nonce(x.Mark))
 	if at < 0 {
 		m.figures.Stale++
 		return
 	}
 	s.marks = append(s.marks[:0], s.marks[at+1:]...)
-	m.events = append(m.events, choice.Answered{Proxy: s.proxy, Mark: choice.Mark(x.Mark), Delay: x.Delay})
+	m.events = append(m.events, choice.PushAcknowledged{Proxy: s.proxy, Nonce: choice.Nonce(x.Mark), Delay: x.Delay})
 }
 
 // decide has the module take a step, and carries out what it orders.
-func (m *Machine) decide(now machine.Seconds, out *machine.Out) {
+func (m *Machine) decide(now statemachine.Seconds, out *statemachine.Effects) {
 	events := m.events
 	m.events = nil
 	m.stepped = now
@@ -653,45 +644,45 @@
 		return
 	}
 	m.figures.Orders += len(orders)
-	var mark *choice.SetMark
+	var mark *choice.SetNonce
 	for _, o := range orders {
 		switch o := o.(type) {
-		case choice.SetMark:
+		case choice.SetNonce:
 			mark = &o
-		case choice.Watch:
+		case choice.WatchEndpoints:
 			m.list.watch(now, out)
-		case choice.Fetch:
+		case choice.FetchEndpoints:
 			m.list.fetchAll(now, out)
-		case choice.Probe:
-			m.probes.order(o.EP)
-		case choice.Alarm:
+		case choice.ProbeBackend:
+			m.probes.order(o.Backend)
+		case choice.SetTimer:
 			// The module asks for one at a time and looks at the clock itself; the soonest serves them all.
 			if o.At < m.alarm {
-				m.alarm, m.ring = o.At, o.Token
+				m.alarm, m.ring = o.At, o.Timer
 			}
-		case choice.Say:
+		case choice.LogMessage:
 			out.Log(1, o.Text)
-		case choice.Tell: // the platform's coordinators have no way to each other
+		case choice.SendToPeer: // the platform's coordinators have no way to each other
 		default:
-			if !m.book.Carry(o) {
+			if !m.book.Apply(o) {
 				m.often(out, "order", 3, "an order of unknown type", "type", fmt.Sprintf("%T", o))
 			}
 		}
 	}
 	if mark != nil && mark.All {
-		for f := range m.book.Joined() {
-			m.book.Touch(f)
+		for f := range m.book.Subscribers() {
+			m.book.MarkDirty(f)
 		}
 	}
-	messages, turns := m.book.Close(nil)
+	messages, turns := m.book.Flush(nil)
 	for _, x := range messages {
 		s := m.streams[x.To.Proxy]
 		if s == nil || s.follower != x.To {
 			continue
 		}
-		var with *choice.Mark
+		var with *choice.Nonce
 		if mark != nil {
-			with = &mark.Mark
+			with = &mark.Nonce
 			if len(s.marks) == 0 {
 				s.asked = now
 			}
@@ -699,18 +690,18 @@
 				s.marks = append(s.marks[:0], s.marks[1:]...)
 			}
 		}
-		b := line.Append(nil, m.parts(s, x.Ops, with))
+		b := wire.Append(nil, m.parts(s, x.Ops, with))
 		m.figures.Messages++
 		m.figures.Bytes += len(b)
 		out.Write(s.session.conn, b)
 	}
 	for _, t := range turns {
 		text := "server let in again"
-		if t.Out {
+		if t.Excluded {
 			text = "server withdrawn"
 		}
 		name := ""
-		if s := m.roll.servers[t.EP]; s != nil {
+		if s := m.roll.servers[t.Backend]; s != nil {
 			name = s.name
 		}
 		out.Log(1, text, "backend", name, "proxies", t.Proxies)
@@ -721,7 +712,7 @@
 }
 
 // ask has the module take a step. That it fails must not end the process, which would leave every proxy alone.
-func (m *Machine) ask(now machine.Seconds, events []choice.Event) (orders []choice.Order, err error) {
+func (m *Machine) ask(now statemachine.Seconds, events []choice.Event) (orders []choice.Command, err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("the decision module failed: %v\n%s", r, debug.Stack())
@@ -731,7 +722,7 @@
 }
 
 // restart puts a fresh instance in the failed one's place; proxies keep what they hold until it has given them theirs.
-func (m *Machine) restart(now machine.Seconds, cause error, out *machine.Out) {
+func (m *Machine) restart(now statemachine.Seconds, cause error, out *statemachine.Effects) {
 	m.figures.Failures++
 	m.often(out, "failure", 3, "a fresh instance of the module begins", "cause", cause.Error())
 	b := m.boot.Module
