--- a/internal/platform/rare_test.go
+++ b/internal/platform/rare_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"gingerfork/choice"
-	"gingerfork/internal/loop"
-	"gingerfork/internal/machine"
+	"gingerfork/internal/eventloop"
+	"gingerfork/internal/statemachine"
 )
 
 // The rare moments of this file are made to happen every time, on loopback connections between the real loop and machine and
@@ -21,54 +21,54 @@
 // scene is a coordinator with one scripted discovery.
 type scene struct {
 	t     *testing.T
-	l     *loop.Loop
+	l     *eventloop.Loop
 	m     *Machine
-	disco *door
+	disco *fakePeer
 }
 
 // door is a peer that is dialled.
-type door struct {
+type fakePeer struct {
 	t  *testing.T
 	in net.Listener
 }
 
 // wire is one connection.
-type wire struct {
+type rawConn struct {
 	t *testing.T
 	net.Conn
 	r *bufio.Reader
 }
 
-func newDoor(t *testing.T) *door {
+func newFakePeer(t *testing.T) *fakePeer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	return &door{t, l}
+	return &fakePeer{t, l}
 }
 
-func (d *door) addr() string { return d.in.Addr().String() }
+func (d *fakePeer) addr() string { return d.in.Addr().String() }
 
-func newWire(t *testing.T, c net.Conn) *wire {
+func newRawConn(t *testing.T, c net.Conn) *rawConn {
 	c.SetDeadline(time.Now().Add(30 * time.Second))
 	t.Cleanup(func() { c.Close() })
-	return &wire{t, c, bufio.NewReader(c)}
+	return &rawConn{t, c, bufio.NewReader(c)}
 }
 
-func (d *door) accept() *wire {
+func (d *fakePeer) accept() *rawConn {
 	d.t.Helper()
 	d.in.(*net.TCPListener).SetDeadline(time.Now().Add(30 * time.Second))
 	c, err := d.in.Accept()
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	return newWire(d.t, c)
+	return newRawConn(d.t, c)
 }
 
 // asked reads a request and gives its path.
-func (w *wire) asked() string {
+func (w *rawConn) asked() string {
 	w.t.Helper()
 	path := ""
 	for {
@@ -85,12 +85,12 @@
 	}
 }
 
-func (w *wire) answer(body string) {
+func (w *rawConn) answer(body string) {
 	fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
 // until reads lines until one has a text.
-func (w *wire) until(what string) string {
+func (w *rawConn) until(what string) string {
 	w.t.Helper()
 	for {
 		l, err := w.r.ReadString('\n')
@@ -115,19 +115,19 @@
 
 func newScene(t *testing.T, change func(map[string]any)) *scene {
 	t.Helper()
-	x := &scene{t: t, disco: newDoor(t)}
+	x := &scene{t: t, disco: newFakePeer(t)}
 	values := settings(8, 1)
 	if change != nil {
 		change(values)
 	}
-	clock := loop.NewClock()
-	m, err := New(Bootstrap{Name: "c0", Discovery: x.disco.addr(), Module: choice.Bootstrap{Seed: 1, Now: clock.Now(), Values: values},
+	clock := eventloop.NewClock()
+	m, err := New(Bootstrap{Name: "c0", Discovery: x.disco.addr(), Module: choice.Config{Seed: 1, Now: clock.Now(), Settings: choice.DecodeSettings(values)},
 		MostConns: 64, MostProbes: 4, MostAnswer: 1 << 20, Handshake: 30})
 	if err != nil {
 		t.Fatal(err)
 	}
 	x.m = m
-	x.l, err = loop.Start(context.Background(), loop.Bootstrap{Machine: m, Listen: []string{"127.0.0.1:0"}, Clock: clock})
+	x.l, err = eventloop.Start(context.Background(), eventloop.Bootstrap{Machine: m, Listen: []string{"127.0.0.1:0"}, Clock: clock})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,13 +135,13 @@
 	return x
 }
 
-func (x *scene) dial() *wire {
+func (x *scene) dial() *rawConn {
 	x.t.Helper()
 	c, err := net.Dial("tcp", x.l.Addrs()[0])
 	if err != nil {
 		x.t.Fatal(err)
 	}
-	return newWire(x.t, c)
+	return newRawConn(x.t, c)
 }
 
 // now has something looked at between two steps.
@@ -165,12 +165,12 @@
 // Discovery ends the connection that it kept, just as the next call is written on it: with its last answer, or by a reset once
 // the call has come. The very same call comes at once on a new connection: the watch goes on, and no failure is told.
 func TestCallThatCrossesTheConnectionsEnd(t *testing.T) {
-	for name, end := range map[string]func(w *wire){
-		"ended with the answer": func(w *wire) {
+	for name, end := range map[string]func(w *rawConn){
+		"ended with the answer": func(w *rawConn) {
 			w.answer(listed(42, false, 1, "127.0.0.1:1", 0))
 			w.Close()
 		},
-		"reset under the call": func(w *wire) {
+		"reset under the call": func(w *rawConn) {
 			w.answer(listed(42, false, 1, "127.0.0.1:1", 0))
 			w.asked()
 			w.Conn.(*net.TCPConn).SetLinger(0)
@@ -237,14 +237,14 @@
 // held against the new one.
 func TestProbeOfTheFormerProcess(t *testing.T) {
 	x := newScene(t, func(v map[string]any) { v["method.0.soft_deadline"], v["method.1.soft_deadline"] = 100.0, 100.0 })
-	old := newDoor(t)
+	old := newFakePeer(t)
 	w := x.disco.accept()
 	w.asked()
 	w.answer(listed(41, true, 5, old.addr(), 0))
 	w.asked()
-	var ep choice.EP
+	var ep choice.BackendID
 	x.eventually("the list is held", func() bool { ep = x.m.roll.numbers["s-0"]; return ep != 0 })
-	var probes []*wire
+	var probes []*rawConn
 	for range 2 {
 		x.now(func() { x.m.probes.order(ep) })
 		p := old.accept()
@@ -253,14 +253,14 @@
 	}
 	w.answer(listed(42, false, 1, old.addr(), float64(time.Now().UnixMilli())))
 	w.asked()
-	x.eventually("the restart is told", func() bool { return x.m.roll.servers[ep].entry.Start > 0 && len(x.m.events) == 0 })
+	x.eventually("the restart is told", func() bool { return x.m.roll.servers[ep].entry.StartedAt > 0 && len(x.m.events) == 0 })
 	for _, p := range probes {
 		p.Close()
 	}
 	x.eventually("the probes have ended", func() bool { return len(x.m.probes.active) == 0 && len(x.m.events) == 0 })
 	x.now(func() {
-		for _, b := range x.m.planner.Beliefs() {
-			if b.EP == ep && b.Away {
+		for _, b := range x.m.planner.Estimates() {
+			if b.Backend == ep && b.Unreachable {
 				t.Error("the new process is taken to be dead")
 			}
 		}
@@ -278,33 +278,33 @@
 	m *Machine
 }
 
-func (h *hand) step(now machine.Seconds, in ...machine.Input) (dials []string, did string) {
-	out := &machine.Out{}
+func (h *hand) step(now statemachine.Seconds, in ...statemachine.Input) (dials []string, did string) {
+	out := &statemachine.Effects{}
 	out.Reset()
 	h.m.Step(now, in, out)
-	for _, a := range out.Acts {
+	for _, a := range out.Actions {
 		switch a.Kind {
-		case machine.Dial:
+		case statemachine.ActionDial:
 			dials = append(dials, a.Addr)
 			did += fmt.Sprintf("dial %s;", a.Addr)
-		case machine.Write:
-			did += fmt.Sprintf("write %d %s;", a.Conn&^machine.Dialled, strings.SplitN(string(a.Data), "\r\n", 2)[0])
-		case machine.Reset:
-			did += fmt.Sprintf("kill %d;", a.Conn&^machine.Dialled)
+		case statemachine.ActionWrite:
+			did += fmt.Sprintf("write %d %s;", a.Conn&^statemachine.Dialed, strings.SplitN(string(a.Data), "\r\n", 2)[0])
+		case statemachine.ActionAbort:
+			did += fmt.Sprintf("kill %d;", a.Conn&^statemachine.Dialed)
 		}
 	}
 	return dials, did
 }
 
 // up has the connection last dialled stand.
-func (h *hand) up(now machine.Seconds) string {
-	_, did := h.step(now, machine.Input{Kind: machine.Opened, Conn: h.m.dialled})
+func (h *hand) up(now statemachine.Seconds) string {
+	_, did := h.step(now, statemachine.Input{Kind: statemachine.ConnOpened, Conn: h.m.dialled})
 	return did
 }
 
 // says has discovery answer on it.
-func (h *hand) says(now machine.Seconds, status int, body string) string {
-	_, did := h.step(now, machine.Input{Kind: machine.Data, Conn: h.m.dialled, Data: fmt.Appendf(nil, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)})
+func (h *hand) says(now statemachine.Seconds, status int, body string) string {
+	_, did := h.step(now, statemachine.Input{Kind: statemachine.ConnData, Conn: h.m.dialled, Data: fmt.Appendf(nil, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)})
 	return did
 }
 
@@ -314,7 +314,7 @@
 	if change != nil {
 		change(values)
 	}
-	m, err := New(Bootstrap{Name: "c0", Discovery: "here:1", Module: choice.Bootstrap{Seed: 1, Now: 100, Values: values},
+	m, err := New(Bootstrap{Name: "c0", Discovery: "here:1", Module: choice.Config{Seed: 1, Now: 100, Settings: choice.DecodeSettings(values)},
 		MostConns: 64, MostProbes: 4, MostAnswer: 1 << 20, Handshake: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -355,7 +355,7 @@
 		if len(dials) != 1 || dials[0] != addr {
 			t.Errorf("moved to %s, it does %q", addr, did)
 		}
-		h.step(now, machine.Input{Kind: machine.Data, Conn: former, Data: []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{]")})
+		h.step(now, statemachine.Input{Kind: statemachine.ConnData, Conn: former, Data: []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{]")})
 	}
 	if did := h.up(now + 0.01); !strings.Contains(did, "GET /api/targets?since=41&timeout_ms=0") {
 		t.Errorf("the new address is asked %q", did)
@@ -394,11 +394,11 @@
 // for its zone, or the other is no later, it stays.
 func TestCollectorsThatAreBack(t *testing.T) {
 	h := byHand(t, nil)
-	join := func(now machine.Seconds, c machine.Conn, zone string) {
-		h.step(now, machine.Input{Kind: machine.Opened, Conn: c}, machine.Input{Kind: machine.Data, Conn: c, Data: []byte("telemetry zone=" + zone + "\r\n")})
+	join := func(now statemachine.Seconds, c statemachine.Conn, zone string) {
+		h.step(now, statemachine.Input{Kind: statemachine.ConnOpened, Conn: c}, statemachine.Input{Kind: statemachine.ConnData, Conn: c, Data: []byte("telemetry zone=" + zone + "\r\n")})
 	}
-	sum := func(now machine.Seconds, c machine.Conn) string {
-		_, did := h.step(now, machine.Input{Kind: machine.Data, Conn: c, Data: []byte("upstream_stats zone=a server=s tries=1 failed=0 mean_ms=1 span_ms=1\r\n")})
+	sum := func(now statemachine.Seconds, c statemachine.Conn) string {
+		_, did := h.step(now, statemachine.Input{Kind: statemachine.ConnData, Conn: c, Data: []byte("upstream_stats zone=a server=s tries=1 failed=0 mean_ms=1 span_ms=1\r\n")})
 		return did
 	}
 	join(101, 11, "a")
@@ -447,11 +447,11 @@
 	for now := 101.0; now < 104; now += 0.5 {
 		h.m.probes.order(ep)
 		if dials, _ := h.step(now); len(dials) == 1 {
-			h.step(now+0.01, machine.Input{Kind: machine.Closed, Conn: h.m.dialled, Ours: true})
+			h.step(now+0.01, statemachine.Input{Kind: statemachine.ConnClosed, Conn: h.m.dialled, LocalFailure: true})
 		}
 	}
-	for _, b := range h.m.planner.Beliefs() {
-		if b.Away {
+	for _, b := range h.m.planner.Estimates() {
+		if b.Unreachable {
 			t.Error("a server is taken to be dead that was never asked")
 		}
 	}
@@ -602,7 +602,7 @@
 	w.asked()
 	w.answer(`{"seq":43,"whole":false,"hosts":[` + host("s-3", "b", "left") + `]}`)
 	w.asked()
-	x.eventually("they are withdrawn", func() bool { return x.m.book.Withdrawn() == 2 })
+	x.eventually("they are withdrawn", func() bool { return x.m.book.ExcludedCount() == 2 })
 	c := x.dial()
 	fmt.Fprint(c, "attach proxy=2 zone=b weight=5 fresh=0\r\n")
 	got := c.until("ticket=")
--- a/internal/platform/recording_accidents_test.go
+++ b/internal/platform/recording_accidents_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"strings"
 
-	"gingerfork/internal/machine"
+	"gingerfork/internal/statemachine"
 )
 
 var strangersLines = []string{
@@ -61,7 +61,7 @@
 	{"server changes", (*script).changeServer},
 	{"server has another address", (*script).moveServer},
 	{"settings are read again", (*script).reload},
-	{"operator's word", func(s *script) { s.input(machine.Input{Kind: machine.Told, Text: "reload"}) }},
+	{"operator's word", func(s *script) { s.input(statemachine.Input{Kind: statemachine.OperatorCommand, Text: "reload"}) }},
 	{"input of an unknown connection", (*script).unknownConnection},
 }
 
@@ -179,6 +179,6 @@
 }
 
 func (s *script) unknownConnection() {
-	kind := oneOf(s.dice, []machine.Kind{machine.Data, machine.Closed, machine.Opened})
-	s.input(machine.Input{Kind: kind, Conn: machine.Dialled | 1<<40, Data: []byte("hb\r\n"), Text: "unknown"})
+	kind := oneOf(s.dice, []statemachine.InputKind{statemachine.ConnData, statemachine.ConnClosed, statemachine.ConnOpened})
+	s.input(statemachine.Input{Kind: kind, Conn: statemachine.Dialed | 1<<40, Data: []byte("hb\r\n"), Text: "unknown"})
 }
--- a/internal/platform/recording_peers_test.go
+++ b/internal/platform/recording_peers_test.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"gingerfork/internal/machine"
+	"gingerfork/internal/statemachine"
 )
 
 type scriptRole int
@@ -21,7 +21,7 @@
 
 // scriptPeer is the other end of one of the machine's connections.
 type scriptPeer struct {
-	conn   machine.Conn
+	conn   statemachine.Conn
 	role   scriptRole
 	zone   string
 	proxy  *scriptProxy
@@ -43,7 +43,7 @@
 // scriptServer is a server as discovery lists it.
 type scriptServer struct {
 	name, address, health string
-	born                  machine.Seconds
+	born                  statemachine.Seconds
 	share                 float64
 	version               int
 }
@@ -69,7 +69,7 @@
 }
 
 // set changes a server and tells the call that waits.
-func (d *scriptDiscovery) set(s *script, number int, health string, born machine.Seconds) {
+func (d *scriptDiscovery) set(s *script, number int, health string, born statemachine.Seconds) {
 	d.version++
 	server := d.servers[number]
 	server.health, server.born, server.version = health, born, d.version
@@ -103,14 +103,14 @@
 	p.unsent = fmt.Appendf(p.unsent, format, args...)
 }
 
-func (s *script) input(input machine.Input) { s.inputs = append(s.inputs, input) }
+func (s *script) input(input statemachine.Input) { s.inputs = append(s.inputs, input) }
 
 // accept opens a connection to the machine.
 func (s *script) accept(role scriptRole, zone string) *scriptPeer {
 	s.accepted++
 	peer := &scriptPeer{conn: s.accepted, role: role, zone: zone}
 	s.peers = append(s.peers, peer)
-	s.input(machine.Input{Kind: machine.Opened, Conn: peer.conn})
+	s.input(statemachine.Input{Kind: statemachine.ConnOpened, Conn: peer.conn})
 	return peer
 }
 
@@ -162,7 +162,7 @@
 				size = 1 + s.dice.IntN(size)
 				s.saw("split bytes")
 			}
-			s.input(machine.Input{Kind: machine.Data, Conn: peer.conn, Data: slices.Clone(peer.unsent[:size])})
+			s.input(statemachine.Input{Kind: statemachine.ConnData, Conn: peer.conn, Data: slices.Clone(peer.unsent[:size])})
 			peer.unsent = peer.unsent[size:]
 			if s.dice.IntN(2) == 0 {
 				break
@@ -176,7 +176,7 @@
 
 // end has a connection end from the peer's side.
 func (s *script) end(peer *scriptPeer, why string) {
-	s.input(machine.Input{Kind: machine.Closed, Conn: peer.conn, Text: why})
+	s.input(statemachine.Input{Kind: statemachine.ConnClosed, Conn: peer.conn, Text: why})
 	s.remove(peer)
 	s.saw("peer ends a connection")
 }
@@ -193,7 +193,7 @@
 	}
 }
 
-func (s *script) find(conn machine.Conn) *scriptPeer {
+func (s *script) find(conn statemachine.Conn) *scriptPeer {
 	for _, peer := range s.peers {
 		if peer.conn == conn {
 			return peer
@@ -203,17 +203,17 @@
 }
 
 // react has the other side take one action of the machine.
-func (s *script) react(act machine.Act) {
+func (s *script) react(act statemachine.Action) {
 	switch act.Kind {
-	case machine.Dial:
+	case statemachine.ActionDial:
 		s.dialled(act)
-	case machine.Write:
+	case statemachine.ActionWrite:
 		if peer := s.find(act.Conn); peer != nil {
 			s.received(peer, string(act.Data))
 		} else {
 			s.saw("write on an ended connection")
 		}
-	case machine.Close, machine.Reset:
+	case statemachine.ActionClose, statemachine.ActionAbort:
 		s.saw("machine ends a connection")
 		if peer := s.find(act.Conn); peer != nil {
 			if peer.cutOff && peer.proxy.peer == peer {
@@ -225,7 +225,7 @@
 }
 
 // dialled decides what becomes of a connection that the machine opens.
-func (s *script) dialled(act machine.Act) {
+func (s *script) dialled(act statemachine.Action) {
 	peer := &scriptPeer{conn: act.Conn, role: scriptProbe}
 	if strings.HasPrefix(act.Addr, "discovery") {
 		peer.role = scriptDiscoveryRole
@@ -252,10 +252,10 @@
 		s.end(peer, "connection refused")
 	case 1:
 		s.saw("dial that fails for want of local resources")
-		s.input(machine.Input{Kind: machine.Closed, Conn: peer.conn, Text: "too many open files", Ours: true})
+		s.input(statemachine.Input{Kind: statemachine.ConnClosed, Conn: peer.conn, Text: "too many open files", LocalFailure: true})
 		s.remove(peer)
 	default:
-		s.input(machine.Input{Kind: machine.Opened, Conn: peer.conn})
+		s.input(statemachine.Input{Kind: statemachine.ConnOpened, Conn: peer.conn})
 	}
 }
 
--- a/internal/platform/recording_script_test.go
+++ b/internal/platform/recording_script_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"gingerfork/choice"
-	"gingerfork/internal/machine"
+	"gingerfork/internal/statemachine"
 )
 
 const (
@@ -25,10 +25,10 @@
 	recording *recording
 	machine   *Machine
 	boot      Bootstrap
-	now       machine.Seconds
+	now       statemachine.Seconds
 	peers     []*scriptPeer
-	accepted  machine.Conn // the last number given to a connection that the machine accepted
-	inputs    []machine.Input
+	accepted  statemachine.Conn // the last number given to a connection that the machine accepted
+	inputs    []statemachine.Input
 	timers    []scriptTimer
 	discovery *scriptDiscovery
 	proxies   []*scriptProxy
@@ -38,14 +38,14 @@
 }
 
 type scriptTimer struct {
-	due machine.Seconds
+	due statemachine.Seconds
 	do  func()
 }
 
 // scriptPhase is a part of the play.
 type scriptPhase struct {
 	name      string
-	length    machine.Seconds
+	length    statemachine.Seconds
 	before    func(*script)
 	accidents float64 // probability of an accident in a step
 	requests  int     // per second and proxy, at most
@@ -78,7 +78,7 @@
 		values[name] = value
 	}
 	s.boot = Bootstrap{
-		Name: "c0", Discovery: "discovery-1:80", Module: choice.Bootstrap{Seed: variant.seed, Now: s.now, Values: values},
+		Name: "c0", Discovery: "discovery-1:80", Module: choice.Config{Seed: variant.seed, Now: s.now, Settings: choice.DecodeSettings(values)},
 		MostConns: scriptMaxConns, MostProbes: 3, MostAnswer: 1 << 16, Handshake: 1,
 	}
 	s.discovery = newScriptDiscovery()
@@ -177,22 +177,22 @@
 		s.accident()
 	}
 	s.deliver()
-	out := &machine.Out{}
+	out := &statemachine.Effects{}
 	out.Reset()
 	s.machine.Step(s.now, s.inputs, out)
 	s.inputs = nil
 	s.recording.step(s.now, out)
-	for _, act := range out.Acts {
+	for _, act := range out.Actions {
 		s.react(act)
 	}
 	next := s.now + 0.002 + 0.25*s.dice.Float64()
 	for _, timer := range s.timers {
 		next = min(next, max(timer.due, s.now+0.0001))
 	}
-	s.now = min(next, out.Wake)
+	s.now = min(next, out.WakeAt)
 }
 
-func (s *script) after(delay machine.Seconds, do func()) {
+func (s *script) after(delay statemachine.Seconds, do func()) {
 	s.timers = append(s.timers, scriptTimer{s.now + delay, do})
 }
 
--- a/internal/platform/recording_test.go
+++ b/internal/platform/recording_test.go
@@ -14,7 +14,7 @@
 	"strconv"
 	"testing"
 
-	"gingerfork/internal/machine"
+	"gingerfork/internal/statemachine"
 )
 
 // A recording pins the outputs of the machine byte for byte: a script that is drawn from a seed plays everything that can be
@@ -57,37 +57,37 @@
 }
 
 // step adds what one step at a time put out.
-func (r *recording) step(now machine.Seconds, out *machine.Out) {
-	r.add("step %s wake %s", exact(now), exact(out.Wake))
-	for _, act := range out.Acts {
+func (r *recording) step(now statemachine.Seconds, out *statemachine.Effects) {
+	r.add("step %s wake %s", exact(now), exact(out.WakeAt))
+	for _, act := range out.Actions {
 		r.act(act)
 	}
-	for _, name := range slices.Sorted(maps.Keys(out.Saves)) {
-		r.add("save %q %q", name, out.Saves[name])
+	for _, name := range slices.Sorted(maps.Keys(out.Files)) {
+		r.add("save %q %q", name, out.Files[name])
 	}
-	for _, put := range out.Puts {
+	for _, put := range out.Mutations {
 		r.add("put %q %q", put.Key, put.Value)
 	}
 	if out.Batch != 0 {
 		r.add("batch %d", out.Batch)
 	}
-	if out.Fail != "" || len(out.Trace) > 0 {
-		r.t.Fatalf("an output that recordings do not cover: failure %q, %d trace records", out.Fail, len(out.Trace))
+	if out.Failure != "" || len(out.Trace) > 0 {
+		r.t.Fatalf("an output that recordings do not cover: failure %q, %d trace records", out.Failure, len(out.Trace))
 	}
 	if out.Stop {
 		r.add("stop")
 	}
 }
 
-func (r *recording) act(act machine.Act) {
+func (r *recording) act(act statemachine.Action) {
 	switch act.Kind {
-	case machine.Dial:
+	case statemachine.ActionDial:
 		r.add("dial %s %q", connName(act.Conn), act.Addr)
-	case machine.Write:
+	case statemachine.ActionWrite:
 		r.add("write %s %q", connName(act.Conn), act.Data)
-	case machine.Close:
+	case statemachine.ActionClose:
 		r.add("close %s", connName(act.Conn))
-	case machine.Reset:
+	case statemachine.ActionAbort:
 		r.add("reset %s", connName(act.Conn))
 	default:
 		r.t.Fatalf("an action of the unknown kind %d", act.Kind)
@@ -97,9 +97,9 @@
 // exact writes a number with all its bits.
 func exact(value float64) string { return strconv.FormatFloat(value, 'g', -1, 64) }
 
-func connName(conn machine.Conn) string {
-	if conn&machine.Dialled != 0 {
-		return fmt.Sprintf("out/%d", conn&^machine.Dialled)
+func connName(conn statemachine.Conn) string {
+	if conn&statemachine.Dialed != 0 {
+		return fmt.Sprintf("out/%d", conn&^statemachine.Dialed)
 	}
 	return fmt.Sprintf("in/%d", conn)
 }
--- a/internal/platform/roll.go
+++ b/internal/platform/roll.go
@@ -10,7 +10,7 @@
 	"strconv"
 
 	"gingerfork/choice"
-	"gingerfork/internal/machine"
+	"gingerfork/internal/statemachine"
 )
 
 // roll is the list as last held, and the two ways between a server's name and the number that the module knows it by.
@@ -18,23 +18,23 @@
 	version int64
 	held    bool // a list was held at all
 	older   int  // lists in a row that were older than what is held
-	numbers map[string]choice.EP
-	servers map[choice.EP]*server
-	tidied  machine.Seconds
+	numbers map[string]choice.BackendID
+	servers map[choice.BackendID]*server
+	tidied  statemachine.Seconds
 }
 
 type server struct {
 	name  string
 	addr  string
-	entry choice.Entry
-	gone  machine.Seconds // since when it is not listed; 0: it is
+	entry choice.Endpoint
+	gone  statemachine.Seconds // since when it is not listed; 0: it is
 }
 
 // keepName is how long the name of a server that is gone is kept: longer than the module may still speak of it.
-const keepName = choice.KeepPlace + 60
+const keepName = choice.BackendRetention + 60
 
 func newRoll() *roll {
-	return &roll{numbers: map[string]choice.EP{}, servers: map[choice.EP]*server{}}
+	return &roll{numbers: map[string]choice.BackendID{}, servers: map[choice.BackendID]*server{}}
 }
 
 // host and list are discovery's forms.
@@ -116,30 +116,30 @@
 
 // number gives a server's number: made from its name alone, so that it is the same at every coordinator and after every
 // restart, as the ring hashes it. Of two names that would share one, the later met takes the next that is free.
-func (r *roll) number(name string) choice.EP {
+func (r *roll) number(name string) choice.BackendID {
 	if ep, ok := r.numbers[name]; ok {
 		return ep
 	}
 	sum := crc32.ChecksumIEEE([]byte(name))
-	for k := 1; r.servers[choice.EP(sum)] != nil; k++ {
+	for k := 1; r.servers[choice.BackendID(sum)] != nil; k++ {
 		sum = crc32.ChecksumIEEE([]byte(name + "/" + strconv.Itoa(k)))
 	}
-	r.numbers[name] = choice.EP(sum)
-	return choice.EP(sum)
+	r.numbers[name] = choice.BackendID(sum)
+	return choice.BackendID(sum)
 }
 
 // news takes over a list that discovery sent and gives what the module is to hear of it.
-func (r *roll) news(now machine.Seconds, l *list) (choice.Listed, error) {
+func (r *roll) news(now statemachine.Seconds, l *list) (choice.EndpointUpdate, error) {
 	version := int64(*l.Seq)
 	if r.held && version < r.version {
 		// It comes from somewhere that is behind. The next call asks for all; if that stays so, discovery began anew.
 		if r.older++; !l.Whole || r.older < 3 {
-			return choice.Listed{}, fmt.Errorf("a list of version %d, but version %d is held", version, r.version)
+			return choice.EndpointUpdate{}, fmt.Errorf("a list of version %d, but version %d is held", version, r.version)
 		}
 	}
 	r.older = 0
-	out := choice.Listed{Kind: choice.ListDelta, Version: version}
-	listed := map[choice.EP]bool{}
+	out := choice.EndpointUpdate{Kind: choice.UpdateDelta, Version: version}
+	listed := map[choice.BackendID]bool{}
 	for _, h := range *l.Hosts {
 		ep := r.number(h.Host)
 		s := r.servers[ep]
@@ -155,26 +155,26 @@
 			s.addr = h.Dial
 		}
 		s.gone = 0
-		s.entry = choice.Entry{EP: ep, Kind: h.Class, Zone: choice.Zone(h.Site), Weight: 1, Cell: int(h.Block), Start: h.BornMs / 1000}
+		s.entry = choice.Endpoint{Backend: ep, Kind: h.Class, Zone: choice.Zone(h.Site), Weight: 1, Cell: int(h.Block), StartedAt: h.BornMs / 1000}
 		if h.Share != nil {
 			s.entry.Weight = *h.Share
 		}
 		switch h.Health {
 		case "active":
-			s.entry.State = choice.Open
+			s.entry.State = choice.BackendOpen
 		case "leaving":
-			s.entry.State = choice.Draining
+			s.entry.State = choice.BackendDraining
 		default:
-			s.entry.State, s.gone = choice.Gone, now
+			s.entry.State, s.gone = choice.BackendGone, now
 		}
 		listed[ep] = true
-		out.Entries = append(out.Entries, s.entry)
+		out.Endpoints = append(out.Endpoints, s.entry)
 	}
 	if l.Whole {
-		out.Kind = choice.ListFull
+		out.Kind = choice.UpdateFull
 		for ep, s := range r.servers {
 			if !listed[ep] && s.gone == 0 {
-				s.gone, s.entry.State = now, choice.Gone
+				s.gone, s.entry.State = now, choice.BackendGone
 			}
 		}
 	}
@@ -183,14 +183,14 @@
 }
 
 // kept is the list as a fresh instance of the module is to hear of it.
-func (r *roll) kept() choice.Listed {
-	l := choice.Listed{Kind: choice.ListKept, Version: r.version}
+func (r *roll) kept() choice.EndpointUpdate {
+	l := choice.EndpointUpdate{Kind: choice.UpdateCached, Version: r.version}
 	for _, s := range r.servers {
 		if s.gone == 0 {
-			l.Entries = append(l.Entries, s.entry)
+			l.Endpoints = append(l.Endpoints, s.entry)
 		}
 	}
-	slices.SortFunc(l.Entries, func(a, b choice.Entry) int { return cmp.Compare(a.EP, b.EP) })
+	slices.SortFunc(l.Endpoints, func(a, b choice.Endpoint) int { return cmp.Compare(a.Backend, b.Backend) })
 	return l
 }
 
@@ -198,7 +198,7 @@
 func (r *roll) partial() bool { return !r.held || r.older > 0 }
 
 // tidy forgets the names of servers that are gone for so long that nothing speaks of them any more.
-func (r *roll) tidy(now machine.Seconds) (forgotten []choice.EP) {
+func (r *roll) tidy(now statemachine.Seconds) (forgotten []choice.BackendID) {
 	if now < r.tidied+keepName/16 {
 		return nil
 	}
--- a/internal/platform/start.go
+++ b/internal/platform/start.go
@@ -9,7 +9,7 @@
 	"strings"
 
 	"gingerfork/choice"
-	"gingerfork/internal/machine"
+	"gingerfork/internal/statemachine"
 )
 
 // Start is what the platform tells a coordinator, from its configuration and its environment.
@@ -117,8 +117,8 @@
 }
 
 // Bootstrap is what the machine is started with.
-func (s *Start) Bootstrap(now machine.Seconds) Bootstrap {
-	b := Bootstrap{Name: s.Name, Discovery: s.Discovery, Module: choice.Bootstrap{Seed: s.Seed, Now: now, Values: s.Values}, Known: s.Known,
+func (s *Start) Bootstrap(now statemachine.Seconds) Bootstrap {
+	b := Bootstrap{Name: s.Name, Discovery: s.Discovery, Module: choice.Config{Seed: s.Seed, Now: now, Settings: choice.DecodeSettings(s.Values)}, Known: s.Known,
 		MostConns: math.MaxInt, MostProbes: 8, MostAnswer: 8 << 20, Handshake: 1}
 	if s.Sockets > 0 {
 		b.MostConns = s.Sockets - ownFiles - slack
--- a/internal/platform/line/line.go
+++ b/internal/platform/wire/line.go
@@ -1,6 +1,6 @@
-// Package line is the codec of the platform's messages: lines that end in CRLF, a kind and words of the form name=value.
+// Package wire is the codec of the platform's messages: lines that end in CRLF, a kind and words of the form name=value.
 // The platform's words live here alone; what comes out and goes in speaks ours, with times in seconds.
-package line
+package wire
 
 import (
 	"bytes"
--- a/internal/platform/line/line_test.go
+++ b/internal/platform/wire/line_test.go
@@ -1,4 +1,4 @@
-package line
+package wire
 
 import (
 	"errors"
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -15,7 +15,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgimg"
 
-	"gingerfork/internal/rules"
+	"gingerfork/internal/invariant"
 	"gingerfork/internal/trace"
 )
 
@@ -75,7 +75,7 @@
 // Maker reckons a report while records come, and keeps none of them.
 type Maker struct {
 	Report  *Report
-	methods []rules.Method
+	methods []invariant.Method
 	begun   bool
 	begin   float64
 	end     float64
@@ -85,7 +85,7 @@
 }
 
 // NewMaker makes one.
-func NewMaker(methods []rules.Method) *Maker {
+func NewMaker(methods []invariant.Method) *Maker {
 	k := &Maker{Report: &Report{}, methods: methods, asked: make([]float64, len(methods)), weighed: make([]float64, len(methods))}
 	for range methods {
 		k.took = append(k.took, hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3))
@@ -178,7 +178,7 @@
 }
 
 // Make reckons the figures of a trace whose records are in the order of time.
-func Make(records []trace.Record, methods []rules.Method) (*Report, error) {
+func Make(records []trace.Record, methods []invariant.Method) (*Report, error) {
 	k := NewMaker(methods)
 	for _, x := range records {
 		if err := k.Add(x); err != nil {
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -7,11 +7,11 @@
 	"strings"
 	"testing"
 
-	"gingerfork/internal/rules"
+	"gingerfork/internal/invariant"
 	"gingerfork/internal/trace"
 )
 
-var methods = []rules.Method{{Name: "read", Criticality: 1, SoftDeadline: 1}, {Name: "submit", Criticality: 2, SoftDeadline: 0.5}}
+var methods = []invariant.Method{{Name: "read", Criticality: 1, SoftDeadline: 1}, {Name: "submit", Criticality: 2, SoftDeadline: 0.5}}
 
 func day() (all []trace.Record) {
 	for i := range 400 {
--- a/internal/rehearse/day.go
+++ b/internal/scenario/day.go
@@ -1,6 +1,6 @@
-// Package rehearse plays days: a fleet, its traffic, and what happens when, from a script. The same script plays on
+// Package scenario plays days: a fleet, its traffic, and what happens when, from a script. The same script plays on
 // sockets, with every coordinator a process of its own, and in virtual time. docs/days.md tells how to write one.
-package rehearse
+package scenario
 
 import (
 	"embed"
@@ -14,8 +14,8 @@
 	"gingerfork/choice"
 	"gingerfork/internal/bootstrap"
 	"gingerfork/internal/emulator"
-	"gingerfork/internal/rules"
-	"gingerfork/internal/standin"
+	"gingerfork/internal/fake"
+	"gingerfork/internal/invariant"
 	"gingerfork/internal/traffic"
 )
 
@@ -334,12 +334,8 @@
 }
 
 // Zones are the zones of the settings.
-func (d *Day) Zones() (all []string) {
-	b := choice.Bootstrap{Values: d.Trade.Values}
-	for i := range int(b.Num("zones.n", 0)) {
-		all = append(all, b.Word(fmt.Sprintf("zones.%d", i)))
-	}
-	return all
+func (d *Day) Zones() []string {
+	return choice.DecodeSettings(d.Trade.Values).Zones
 }
 
 // pairs reads the rest of a line as pairs of name and value.
@@ -622,27 +618,27 @@
 }
 
 // Limits are the figures of the rules, from the settings.
-func (d *Day) Limits() rules.Limits {
-	b := choice.Bootstrap{Values: d.Trade.Values}
-	l := rules.Limits{
-		Bare: b.Num("bare_limit", 1), Grace: b.Num("drain_grace", 1), WarmAfter: b.Num("warm_after", 1),
-		FallWindow: b.Num("fall_window", 1), Room: int(b.Num("channel_room", 0)), Messages: int(b.Num("messages", 0)),
-		Span: b.Num("messages_span", 10), ListSilence: d.Trade.Num("list-silence"), AskWithin: b.Num("ask_within", 10), OnlyDraining: b.Flag("only_draining_binds"),
+func (d *Day) Limits() invariant.Limits {
+	b := choice.Config{Settings: choice.DecodeSettings(d.Trade.Values)}
+	l := invariant.Limits{
+		Bare: b.Settings.BareLimit.Or(1), Grace: b.Settings.DrainGrace.Or(1), WarmAfter: b.Settings.WarmAfter.Or(1),
+		FallWindow: b.Settings.FallWindow.Or(1), Room: int(b.Settings.ChannelRoom.Or(0)), Messages: int(b.Settings.Messages.Or(0)),
+		Span: b.Settings.MessagesSpan.Or(10), ListSilence: d.Trade.Num("list-silence"), AskWithin: b.Settings.AskWithin.Or(10), OnlyDraining: b.Settings.OnlyDrainingBinds,
 	}
 	for i, name := range d.Trade.Methods {
-		at := fmt.Sprintf("method.%d.", i)
-		l.Methods = append(l.Methods, rules.Method{
-			Name: name, NonIdempotent: b.Word(at+"effect") == "non-idempotent",
-			Tokened: b.Word(at+"effect") == "tokened", Window: b.Num(at+"window", 0), Criticality: b.Num(at+"criticality", 1),
-			SoftDeadline: b.Num(at+"soft_deadline", 1),
+		method := b.Settings.Methods[i]
+		l.Methods = append(l.Methods, invariant.Method{
+			Name: name, NonIdempotent: method.Effect == "non-idempotent",
+			Tokened: method.Effect == "tokened", Window: method.Window.Or(0), Criticality: method.Criticality.Or(1),
+			SoftDeadline: method.SoftDeadline.Or(1),
 		})
 	}
 	return l
 }
 
 // methods are the methods as the front ends know them.
-func (d *Day) methods() []standin.MethodTrade {
-	all := standin.Methods(d.Trade.Methods, choice.Bootstrap{Values: d.Trade.Values})
+func (d *Day) methods() []fake.MethodTrade {
+	all := fake.Methods(choice.DecodeSettings(d.Trade.Values).Methods)
 	for i := range all {
 		all[i].Share = d.Mix[i]
 	}
--- a/internal/rehearse/emulate.go
+++ b/internal/scenario/emulate.go
@@ -1,4 +1,4 @@
-package rehearse
+package scenario
 
 import (
 	"context"
@@ -11,11 +11,11 @@
 
 	"gingerfork/internal/bootstrap"
 	"gingerfork/internal/emulator"
-	"gingerfork/internal/loop"
-	"gingerfork/internal/machine"
-	"gingerfork/internal/standin"
+	"gingerfork/internal/eventloop"
+	"gingerfork/internal/fake"
+	"gingerfork/internal/simnet"
+	"gingerfork/internal/statemachine"
 	"gingerfork/internal/trace"
-	"gingerfork/internal/virtual"
 )
 
 // Emulation is a day's servers and list service on the loopback address, for coordinators and proxies of one's own. It
@@ -76,9 +76,9 @@
 type emulation struct {
 	Emulation
 	cast    *cast
-	clock   *loop.Clock
-	owner   map[string]*loop.Loop // by server
-	list    *loop.Loop
+	clock   *eventloop.Clock
+	owner   map[string]*eventloop.Loop // by server
+	list    *eventloop.Loop
 	due     []timed
 	mu      sync.Mutex
 	seconds map[int]emulator.Tally
@@ -91,7 +91,7 @@
 		return err
 	}
 	c := newCast(e.Day)
-	s := &emulation{Emulation: e, cast: c, clock: loop.NewClock(), owner: map[string]*loop.Loop{}, seconds: map[int]emulator.Tally{}, parts: map[int]int{}}
+	s := &emulation{Emulation: e, cast: c, clock: eventloop.NewClock(), owner: map[string]*eventloop.Loop{}, seconds: map[int]emulator.Tally{}, parts: map[int]int{}}
 	c.stage = s
 	c.record = func(r trace.Record) {
 		if e.Trace != nil {
@@ -102,7 +102,7 @@
 		}
 	}
 	inner, cancel := context.WithCancel(context.Background())
-	var loops []*loop.Loop
+	var loops []*eventloop.Loop
 	defer func() {
 		cancel()
 		for _, l := range loops {
@@ -121,7 +121,7 @@
 	store := c.store()
 	for k := range n {
 		fleet := emulator.NewFleet(func(t emulator.Tally) { s.tally(n, t) })
-		b := loop.Bootstrap{Machine: fleet, Clock: s.clock, Trace: e.Trace}
+		b := eventloop.Bootstrap{Machine: fleet, Clock: s.clock, Trace: e.Trace}
 		var names []string
 		for i, a := range mine {
 			if i%n != k {
@@ -139,7 +139,7 @@
 		if len(names) == 0 {
 			continue
 		}
-		l, err := loop.Start(inner, b)
+		l, err := eventloop.Start(inner, b)
 		if err != nil {
 			return fmt.Errorf("emulate servers: %w", err)
 		}
@@ -149,8 +149,8 @@
 		}
 	}
 	if e.Part <= 1 {
-		list := standin.NewList(c.listings(func(a *actor) string { return e.Addr(a.at) }))
-		if s.list, err = loop.Start(inner, loop.Bootstrap{Machine: list, Listen: []string{e.ListAddr()}, Clock: s.clock}); err != nil {
+		list := fake.NewList(c.listings(func(a *actor) string { return e.Addr(a.at) }))
+		if s.list, err = eventloop.Start(inner, eventloop.Bootstrap{Machine: list, Listen: []string{e.ListAddr()}, Clock: s.clock}); err != nil {
 			return fmt.Errorf("emulate the list service: %w", err)
 		}
 		loops = append(loops, s.list)
@@ -189,7 +189,7 @@
 	}
 }
 
-func (s *emulation) run(ctx context.Context, until machine.Seconds, loops []*loop.Loop) error {
+func (s *emulation) run(ctx context.Context, until statemachine.Seconds, loops []*eventloop.Loop) error {
 	failed := make(chan struct{})
 	var once sync.Once
 	var watch sync.WaitGroup
@@ -234,17 +234,17 @@
 	}
 }
 
-func (s *emulation) Now() machine.Seconds { return s.clock.Now() }
+func (s *emulation) Now() statemachine.Seconds { return s.clock.Now() }
 
-func (s *emulation) At(at machine.Seconds, do func()) { s.due = append(s.due, timed{at, do}) }
+func (s *emulation) At(at statemachine.Seconds, do func()) { s.due = append(s.due, timed{at, do}) }
 
 func (s *emulation) Start(name string) { s.Tell(name, "start") }
 
 func (s *emulation) Kill(name string) { s.Tell(name, "kill") }
 
-func (s *emulation) Stall(string, machine.Seconds) {}
+func (s *emulation) Stall(string, statemachine.Seconds) {}
 
-func (s *emulation) Hinder(string, virtual.Hindrance, func(a, b string) bool) {}
+func (s *emulation) Hinder(string, simnet.Hindrance, func(a, b string) bool) {}
 
 func (s *emulation) Clear(string) {}
 
--- a/internal/rehearse/kills_test.go
+++ b/internal/scenario/kills_test.go
@@ -1,4 +1,4 @@
-package rehearse
+package scenario
 
 import "testing"
 
--- a/internal/rehearse/play.go
+++ b/internal/scenario/play.go
@@ -1,4 +1,4 @@
-package rehearse
+package scenario
 
 import (
 	"fmt"
@@ -6,27 +6,27 @@
 	"strconv"
 
 	"gingerfork/choice"
+	"gingerfork/internal/checkpoint"
 	"gingerfork/internal/coordinator"
 	"gingerfork/internal/emulator"
-	"gingerfork/internal/keep"
-	"gingerfork/internal/machine"
+	"gingerfork/internal/fake"
+	"gingerfork/internal/invariant"
 	"gingerfork/internal/proto"
-	"gingerfork/internal/rules"
-	"gingerfork/internal/standin"
+	"gingerfork/internal/simnet"
+	"gingerfork/internal/statemachine"
 	"gingerfork/internal/trace"
 	"gingerfork/internal/traffic"
-	"gingerfork/internal/virtual"
 )
 
 // Stage is where a day plays: sockets, or virtual time.
 type Stage interface {
-	Now() machine.Seconds
-	At(at machine.Seconds, do func())
+	Now() statemachine.Seconds
+	At(at statemachine.Seconds, do func())
 	Start(name string)
 	Kill(name string)
-	Stall(name string, span machine.Seconds)
+	Stall(name string, span statemachine.Seconds)
 	Tell(name, text string)
-	Hinder(name string, h virtual.Hindrance, match func(a, b string) bool)
+	Hinder(name string, h simnet.Hindrance, match func(a, b string) bool)
 	Clear(name string)
 	Reset(match func(a, b string) bool)
 }
@@ -34,7 +34,7 @@
 // Result is what a day came to.
 type Result struct {
 	Day     *Day
-	Report  rules.Report
+	Report  invariant.Report
 	Records []trace.Record
 	Fails   []string // of machines that failed: a defect of the program, whatever the rules say
 	Steps   int
@@ -53,7 +53,7 @@
 	all     map[string]*actor
 	dice    emulator.Dice
 	count   int
-	begin   machine.Seconds
+	begin   statemachine.Seconds
 	spoil   map[string]any // values given to coordinators in place of the settings'
 	zoneCut map[string]int // how many cuts part a zone from the others
 	ledger  *emulator.Ledger
@@ -99,7 +99,7 @@
 		}
 	}
 	for n, g := range d.Fronts {
-		factors := traffic.Uneven(g.N, g.Uneven, standin.Seed(d.Seed, fmt.Sprint("uneven ", n)))
+		factors := traffic.Uneven(g.N, g.Uneven, fake.Seed(d.Seed, fmt.Sprint("uneven ", n)))
 		for k := range g.N {
 			i := len(c.fronts)
 			put(&c.fronts, &actor{name: fmt.Sprintf("f%d", i), zone: zone(g.Zone, i), at: i, rate: g.Rate * factors[k], pick: g.Pick})
@@ -112,9 +112,9 @@
 func (c *cast) draw() float64 { return c.dice.Draw() }
 
 // listings is what the list service knows at the beginning; addr tells where servers are reached.
-func (c *cast) listings(addr func(a *actor) string) (all []standin.Listing) {
+func (c *cast) listings(addr func(a *actor) string) (all []fake.Listing) {
 	for _, s := range c.servers {
-		all = append(all, standin.Listing{
+		all = append(all, fake.Listing{
 			EP: s.ep, State: proto.ServerOpen, Kind: s.kind, Zone: s.zone, Weight: s.group.Weight,
 			Addr: addr(s), Stamp: 1,
 		})
@@ -134,63 +134,63 @@
 
 // trade is what a server of its group is.
 func (c *cast) trade(a *actor, store *emulator.Store) emulator.Trade {
-	b := choice.Bootstrap{Values: c.day.Trade.Values}
+	b := choice.Config{Settings: choice.DecodeSettings(c.day.Trade.Values)}
 	g := a.group
 	work := g.Work
 	work.Mean = float64(g.Workers) / g.Capacity
 	return emulator.Trade{
 		EP: a.ep, Zone: a.zone, Cores: g.Workers, Speed: 1, Work: []emulator.Work{work}, QueueMost: g.Queue,
-		GiveUp: g.GiveUp, ColdShare: b.Num("cold_share", 0.3), WarmAfter: b.Num("warm_after", 10),
-		FallMultiple: b.Num("fall_multiple", 3), FallWindow: b.Num("fall_window", 1), ProbeWork: work.Mean / 10, ProbesMost: 10,
-		ConnWork: work.Mean / 10, Seed: standin.Seed(c.day.Seed, a.name), Store: store, Ledger: c.ledger,
+		GiveUp: g.GiveUp, ColdShare: b.Settings.ColdShare.Or(0.3), WarmAfter: b.Settings.WarmAfter.Or(10),
+		FallMultiple: b.Settings.FallMultiple.Or(3), FallWindow: b.Settings.FallWindow.Or(1), ProbeWork: work.Mean / 10, ProbesMost: 10,
+		ConnWork: work.Mean / 10, Seed: fake.Seed(c.day.Seed, a.name), Store: store, Ledger: c.ledger,
 		Cell: g.Cell, Connections: g.Conns, Reports: g.Reports, ReportLate: g.Late, ReportNoise: g.Noise, Keys: g.Memory, KeySaves: g.Saves,
 	}
 }
 
-func (c *cast) front(a *actor, coords []string) *standin.FrontEnd {
-	b := choice.Bootstrap{Values: c.day.Trade.Values}
+func (c *cast) front(a *actor, coords []string) *fake.FrontEnd {
+	b := choice.Config{Settings: choice.DecodeSettings(c.day.Trade.Values)}
 	order := make([]string, 0, len(coords))
 	for i := range coords {
 		order = append(order, coords[(a.at+i)%len(coords)])
 	}
 	a.lives++
-	pick := b.Word("pick")
+	pick := b.Settings.Pick
 	if a.pick != "" {
 		pick = a.pick
 	}
-	return standin.NewFrontEnd(standin.FrontTrade{
+	return fake.NewFrontEnd(fake.FrontTrade{
 		Name: a.name, Zone: a.zone, Coordinators: order, Methods: c.day.methods(),
-		Rate: a.rate, Pick: pick, Begin: c.begin, Shape: c.day.Shape, Keys: c.day.Keys, Strikes: int(b.Num("strikes", 0)), KeepAway: c.day.KeepAway, TryWait: b.Num("try_wait", 0.8),
-		LineStill: c.day.LineStill, LevelRate: b.Word("level_kind") == "rate", Period: b.Num("report_period", 1), Watch: c.glance > 0,
-		ConnectTimeout: c.day.Connect, ComeAgain: c.day.ComeAgain, AgainWait: c.day.AgainWait, AgainMost: c.day.AgainMost, Seed: standin.Seed(c.day.Seed, a.name) + uint64(a.lives),
+		Rate: a.rate, Pick: pick, Begin: c.begin, Shape: c.day.Shape, Keys: c.day.Keys, Strikes: int(b.Settings.Strikes.Or(0)), KeepAway: c.day.KeepAway, TryWait: b.Settings.TryWait.Or(0.8),
+		LineStill: c.day.LineStill, LevelRate: b.Settings.LevelKind == "rate", Period: b.Settings.ReportPeriod.Or(1), Watch: c.glance > 0,
+		ConnectTimeout: c.day.Connect, ComeAgain: c.day.ComeAgain, AgainWait: c.day.AgainWait, AgainMost: c.day.AgainMost, Seed: fake.Seed(c.day.Seed, a.name) + uint64(a.lives),
 	})
 }
 
 // store is what servers share for tokens, as the settings' groups allow.
 func (c *cast) store() *emulator.Store {
-	b := choice.Bootstrap{Values: c.day.Trade.Values}
+	b := choice.Config{Settings: choice.DecodeSettings(c.day.Trade.Values)}
 	s := &emulator.Store{Group: c.day.Tokens}
-	for i := range c.day.Trade.Methods {
-		s.Window = max(s.Window, b.Num(fmt.Sprintf("method.%d.window", i), 0))
+	for _, method := range b.Settings.Methods {
+		s.Window = max(s.Window, method.Window.Or(0))
 	}
 	return s
 }
 
 // coordinator is what a coordinator is started with.
-func (c *cast) coordinator(a *actor, now machine.Seconds, list string) coordinator.Bootstrap {
+func (c *cast) coordinator(a *actor, now statemachine.Seconds, list string) coordinator.Bootstrap {
 	t := c.day.Trade
 	b := t.Coordinator(now)
-	values := make(map[string]any, len(b.Values))
-	for k, v := range b.Values {
+	values := make(map[string]any, len(t.Values))
+	for k, v := range t.Values {
 		values[k] = v
 	}
 	for k, v := range c.spoil {
 		values[k] = v
 	}
 	values["zone"], values["self"], values["coordinators"] = a.zone, float64(a.at), float64(c.day.Coordinators)
-	b.Values = values
+	b.Settings = choice.DecodeSettings(values)
 	a.lives++
-	b.Seed = standin.Seed(c.day.Seed, a.name) + uint64(a.lives)
+	b.Seed = fake.Seed(c.day.Seed, a.name) + uint64(a.lives)
 	return coordinator.Bootstrap{
 		Name: a.name, Zone: a.zone, ListAddr: list, Module: b, Handshake: t.Num("handshake"),
 		Silence: t.Num("stream-silence"), ListSilence: t.Num("list-silence"), ProbeTimeout: t.Num("probe-timeout"),
@@ -250,7 +250,7 @@
 
 func (c *cast) list(format string, args ...any) { c.stage.Tell("list", fmt.Sprintf(format, args...)) }
 
-func (c *cast) after(span machine.Seconds, do func()) { c.stage.At(c.stage.Now()+span, do) }
+func (c *cast) after(span statemachine.Seconds, do func()) { c.stage.At(c.stage.Now()+span, do) }
 
 // then does something at the end of an act that has one.
 func (c *cast) then(a Act, do func()) {
@@ -356,15 +356,15 @@
 			c.afflict(a, hit)
 			break
 		}
-		usual := choice.Bootstrap{Values: c.day.Trade.Values}.Num("push_time", 0.1)
-		c.hinder(a, id, virtual.Hindrance{Delay: (by - 1) * usual}, c.streams(in))
+		usual := choice.Config{Settings: choice.DecodeSettings(c.day.Trade.Values)}.Settings.PushTime.Or(0.1)
+		c.hinder(a, id, simnet.Hindrance{Delay: (by - 1) * usual}, c.streams(in))
 	case "late":
 		if a.Of == "list" {
 			c.list("late %g", by)
 			c.then(a, func() { c.list("late 0") })
 			break
 		}
-		c.hinder(a, id, virtual.Hindrance{Delay: by}, c.streams(in))
+		c.hinder(a, id, simnet.Hindrance{Delay: by}, c.streams(in))
 	case "break":
 		c.stage.Reset(c.streams(in))
 	case "stale", "fail":
@@ -378,7 +378,7 @@
 		}
 		c.then(a, func() { c.list("show all") })
 	case "cut":
-		c.hinder(a, id, virtual.Hindrance{Cut: true}, c.across(a, in))
+		c.hinder(a, id, simnet.Hindrance{Cut: true}, c.across(a, in))
 		mark := func(n int) {
 			switch a.Of {
 			case "zone":
@@ -400,7 +400,7 @@
 }
 
 // lasts tells how long an act's trouble lasts, in seconds.
-func (c *cast) lasts(a Act, hit int) machine.Seconds {
+func (c *cast) lasts(a Act, hit int) statemachine.Seconds {
 	rest := c.day.Length - a.At
 	switch {
 	case a.For > 0:
@@ -415,7 +415,7 @@
 }
 
 // deploy is how a deploy goes: how long servers drain, how long each is down, and when the next one's turn is.
-func (a Act) deploy() (drain, down, every machine.Seconds) {
+func (a Act) deploy() (drain, down, every statemachine.Seconds) {
 	value := func(name string, def float64) float64 {
 		if v, ok := a.More[name]; ok {
 			return v
@@ -428,7 +428,7 @@
 // hush has a server's machine lose its power: its process ends, and nobody hears of it, not even by a reset. What it
 // gives brings it back.
 func (c *cast) hush(x *actor, id string) func() {
-	c.stage.Hinder(id, virtual.Hindrance{Cut: true}, func(a, b string) bool { return a == x.name || b == x.name })
+	c.stage.Hinder(id, simnet.Hindrance{Cut: true}, func(a, b string) bool { return a == x.name || b == x.name })
 	c.fall(x, true)
 	return func() {
 		c.stage.Clear(id)
@@ -466,7 +466,7 @@
 	}
 }
 
-func (c *cast) hinder(a Act, id string, h virtual.Hindrance, match func(x, y string) bool) {
+func (c *cast) hinder(a Act, id string, h simnet.Hindrance, match func(x, y string) bool) {
 	c.stage.Hinder(id, h, match)
 	mark := func(kind string) {
 		for _, f := range c.fronts {
@@ -538,15 +538,15 @@
 		}
 		return 0
 	})
-	report, err := rules.Check(records, d.Limits())
+	report, err := invariant.Check(records, d.Limits())
 	return Result{Day: d, Report: report, Records: records, Fails: fails}, err
 }
 
 // Options of a day in virtual time; the zero value is a plain day.
 type Options struct {
-	Log func(t machine.Seconds, node string, n machine.Note)
+	Log func(t statemachine.Seconds, node string, n statemachine.LogEntry)
 	// Wrap may put another machine in a coordinator's place: one that is spoiled on purpose, to see that it is caught.
-	Wrap func(name string, m machine.Machine) machine.Machine
+	Wrap func(name string, m statemachine.Machine) statemachine.Machine
 	// Values are given to coordinators in place of the settings' own, to the same end.
 	Values map[string]any
 	Way    Way  // how proxies get their tables
@@ -559,31 +559,31 @@
 	c := newCast(d)
 	c.spoil = o.Values
 	const epoch = 1e6 // any time will do; one that is not 0 shows what takes 0 for "never"
-	w := virtual.New(d.Seed, epoch, d.Same, d.Cross)
+	w := simnet.New(d.Seed, epoch, d.Same, d.Cross)
 	c.stage, c.record = w, func(r trace.Record) { records = append(records, r) }
 	w.Trace, w.Log = c.record, o.Log
 	self := func(a *actor) string { return a.name }
 	store := c.store()
-	frost := &standin.Frost{After: epoch + Settled}
-	w.Add("list", c.all["list"].zone, func(machine.Seconds, map[string][]byte) machine.Machine {
-		return standin.NewList(c.listings(self))
+	frost := &fake.Frost{After: epoch + Settled}
+	w.Add("list", c.all["list"].zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
+		return fake.NewList(c.listings(self))
 	}, "list")
 	for _, a := range c.servers {
-		w.Add(a.name, a.zone, func(machine.Seconds, map[string][]byte) machine.Machine { return c.server(a, store) }, a.name)
+		w.Add(a.name, a.zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return c.server(a, store) }, a.name)
 	}
 	coords := make([]string, 0, len(c.coords))
 	for _, a := range c.coords {
 		coords = append(coords, a.name)
-		w.Add(a.name, a.zone, func(now machine.Seconds, _ map[string][]byte) machine.Machine {
+		w.Add(a.name, a.zone, func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
 			b := c.coordinator(a, now, "list")
 			if o.Way == AllServers {
-				return standin.NewPlain(a.name, "list", d.Trade.Methods, b.Module.Num("report_period", 1))
+				return fake.NewPlain(a.name, "list", d.Trade.Methods, b.Module.Settings.ReportPeriod.Or(1))
 			}
 			kept, err := keptBy(w, a.name)
 			if err != nil {
 				w.Fails = append(w.Fails, fmt.Sprintf("%s: %v", a.name, err))
 			}
-			m := machine.Machine(coordinator.NewMachine(b, kept))
+			m := statemachine.Machine(coordinator.NewMachine(b, kept))
 			if o.Way == FrozenStart {
 				m = frost.Wrap(m)
 			}
@@ -594,7 +594,7 @@
 		}, a.name)
 	}
 	for _, a := range c.fronts {
-		w.Add(a.name, a.zone, func(machine.Seconds, map[string][]byte) machine.Machine { return c.front(a, coords) })
+		w.Add(a.name, a.zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return c.front(a, coords) })
 	}
 	c.start()
 	var truth *Truth
@@ -610,10 +610,10 @@
 }
 
 // keptBy opens a node's store and reads what its last life left.
-func keptBy(w *virtual.World, name string) (*keep.Kept, error) {
+func keptBy(w *simnet.World, name string) (*checkpoint.Kept, error) {
 	records, err := w.Records(name)
 	if err != nil {
 		return nil, err
 	}
-	return keep.Read(records)
+	return checkpoint.Read(records)
 }
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/scenario/rehearse_test.go
@@ -1,4 +1,4 @@
-package rehearse
+package scenario
 
 import (
 	"bytes"
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
-	"gingerfork/internal/machine"
 	"gingerfork/internal/proto"
+	"gingerfork/internal/statemachine"
 	"gingerfork/internal/trace"
 )
 
@@ -98,21 +98,21 @@
 
 // spoiled is a coordinator whose pushes are tampered with on their way out.
 type spoiled struct {
-	inner machine.Machine
+	inner statemachine.Machine
 	edit  func(p *proto.Push) (more int) // and so many empty ones behind it
-	seqs  map[machine.Conn]uint64
+	seqs  map[statemachine.Conn]uint64
 }
 
-func (s *spoiled) Step(now machine.Seconds, in []machine.Input, out *machine.Out) {
+func (s *spoiled) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	s.inner.Step(now, in, out)
-	var acts []machine.Act
-	for _, a := range out.Acts {
+	var acts []statemachine.Action
+	for _, a := range out.Actions {
 		var r proto.Reader
 		r.Open()
 		r.Feed(a.Data)
 		m, _ := r.Next()
 		p, ok := m.(proto.Push)
-		if a.Kind != machine.Write || !ok {
+		if a.Kind != statemachine.ActionWrite || !ok {
 			acts = append(acts, a)
 			continue
 		}
@@ -122,10 +122,10 @@
 			if p.Seq = s.seqs[a.Conn]; i > 0 {
 				p.Ops, p.Marked = nil, false
 			}
-			acts = append(acts, machine.Act{Kind: machine.Write, Conn: a.Conn, Data: proto.Append(nil, p)})
+			acts = append(acts, statemachine.Action{Kind: statemachine.ActionWrite, Conn: a.Conn, Data: proto.Append(nil, p)})
 		}
 	}
-	out.Acts = acts
+	out.Actions = acts
 }
 
 const spoilDay = `
@@ -174,8 +174,8 @@
 		}},
 		"a burst of messages": {5, func(*proto.Push) int { return 35 }},
 	} {
-		r, err := Virtual(script(t, spoilDay), Options{Wrap: func(_ string, m machine.Machine) machine.Machine {
-			return &spoiled{m, c.edit, map[machine.Conn]uint64{}}
+		r, err := Virtual(script(t, spoilDay), Options{Wrap: func(_ string, m statemachine.Machine) statemachine.Machine {
+			return &spoiled{m, c.edit, map[statemachine.Conn]uint64{}}
 		}})
 		if err != nil {
 			t.Fatal(name, err)
@@ -218,21 +218,21 @@
 
 // failing panics within the module's reach after a while.
 type failing struct {
-	inner machine.Machine
+	inner statemachine.Machine
 	steps int
 }
 
-func (f *failing) Step(now machine.Seconds, in []machine.Input, out *machine.Out) {
+func (f *failing) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	f.inner.Step(now, in, out)
 	if f.steps++; f.steps > 200 {
 		out.Reset()
-		out.Fail = "the module failed"
+		out.Failure = "the module failed"
 	}
 }
 
 // A machine that fails is reported, and shrinking keeps what it shrinks.
 func TestFailuresAndShrinking(t *testing.T) {
-	r, err := Virtual(script(t, spoilDay), Options{Wrap: func(_ string, m machine.Machine) machine.Machine { return &failing{inner: m} }})
+	r, err := Virtual(script(t, spoilDay), Options{Wrap: func(_ string, m statemachine.Machine) statemachine.Machine { return &failing{inner: m} }})
 	if err != nil || len(r.Fails) == 0 || !strings.Contains(r.Fails[0], "c0: the module failed") {
 		t.Fatal(err, r.Fails)
 	}
--- a/internal/rehearse/sockets.go
+++ b/internal/scenario/sockets.go
@@ -1,4 +1,4 @@
-package rehearse
+package scenario
 
 import (
 	"context"
@@ -15,11 +15,11 @@
 	"time"
 
 	"gingerfork/internal/bootstrap"
-	"gingerfork/internal/loop"
-	"gingerfork/internal/machine"
-	"gingerfork/internal/standin"
+	"gingerfork/internal/eventloop"
+	"gingerfork/internal/fake"
+	"gingerfork/internal/simnet"
+	"gingerfork/internal/statemachine"
 	"gingerfork/internal/trace"
-	"gingerfork/internal/virtual"
 )
 
 // Serving tells how a coordinator's process is started: a command to which the settings file is added.
@@ -34,7 +34,7 @@
 type sockets struct {
 	cast    *cast
 	serving Serving
-	clock   *loop.Clock
+	clock   *eventloop.Clock
 	ctx     context.Context
 	nodes   map[string]*node
 	relays  map[string]*relay // by the node whose dials it takes
@@ -49,28 +49,28 @@
 }
 
 type timed struct {
-	at machine.Seconds
+	at statemachine.Seconds
 	do func()
 }
 
 type hindering struct {
 	name  string
-	h     virtual.Hindrance
+	h     simnet.Hindrance
 	match func(a, b string) bool
 }
 
 type node struct {
 	actor *actor
 	addr  string
-	make  func() machine.Machine
-	loop  *loop.Loop
-	last  *loop.Loop // the one before, perhaps still closing
+	make  func() statemachine.Machine
+	loop  *eventloop.Loop
+	last  *eventloop.Loop // the one before, perhaps still closing
 	cmd   *exec.Cmd
 	via   func(string) string
 }
 
 type relay struct {
-	loop    *loop.Loop
+	loop    *eventloop.Loop
 	targets []string // names, by door
 	doors   []string // addresses
 	told    []string // the last word to each door
@@ -106,7 +106,7 @@
 func Sockets(ctx context.Context, d *Day, serving Serving) (Result, error) {
 	c := newCast(d)
 	c.glance, c.ledger = 1, nil // its servers are on loops of their own; the checker finds effects by the trace
-	s := &sockets{cast: c, serving: serving, clock: loop.NewClock(), nodes: map[string]*node{}, relays: map[string]*relay{}}
+	s := &sockets{cast: c, serving: serving, clock: eventloop.NewClock(), nodes: map[string]*node{}, relays: map[string]*relay{}}
 	var cancel context.CancelFunc
 	s.ctx, cancel = context.WithCancel(context.Background())
 	defer cancel()
@@ -131,7 +131,7 @@
 func (s *sockets) build(free []string) error {
 	c := s.cast
 	next := func() string { a := free[0]; free = free[1:]; return a }
-	add := func(a *actor, addr string, maker func() machine.Machine) *node {
+	add := func(a *actor, addr string, maker func() statemachine.Machine) *node {
 		n := &node{actor: a, addr: addr, make: maker}
 		s.nodes[a.name] = n
 		return n
@@ -140,7 +140,7 @@
 	servers, coords := make([]string, 0, len(c.servers)), make([]string, 0, len(c.coords))
 	names := map[string]string{} // any address that a server may be known by, to its name
 	for _, a := range c.servers {
-		n := add(a, next(), func() machine.Machine { return c.server(a, store) })
+		n := add(a, next(), func() statemachine.Machine { return c.server(a, store) })
 		servers = append(servers, a.name)
 		names[n.addr] = a.name
 	}
@@ -150,8 +150,8 @@
 		names[n.addr] = a.name
 	}
 	list := add(c.all["list"], next(), nil)
-	list.make = func() machine.Machine {
-		l := standin.NewList(c.listings(func(a *actor) string { return s.nodes[a.name].addr }))
+	list.make = func() statemachine.Machine {
+		l := fake.NewList(c.listings(func(a *actor) string { return s.nodes[a.name].addr }))
 		l.Via = func(watcher, addr string) string {
 			if r := s.relays[watcher]; r != nil {
 				return r.door(names[addr])
@@ -178,7 +178,7 @@
 		for _, name := range coords {
 			at = append(at, r.door(name))
 		}
-		n := add(a, "", func() machine.Machine { return c.front(a, at) })
+		n := add(a, "", func() statemachine.Machine { return c.front(a, at) })
 		n.via = func(addr string) string {
 			if name, known := names[addr]; known {
 				return r.door(name)
@@ -204,7 +204,7 @@
 		listen = append(listen, "127.0.0.1:0")
 	}
 	var err error
-	r.loop, err = loop.Start(s.ctx, loop.Bootstrap{Machine: standin.NewRelay(to...), Listen: listen, Clock: s.clock})
+	r.loop, err = eventloop.Start(s.ctx, eventloop.Bootstrap{Machine: fake.NewRelay(to...), Listen: listen, Clock: s.clock})
 	if err != nil {
 		return nil, fmt.Errorf("start the relay of %s: %w", of, err)
 	}
@@ -226,7 +226,7 @@
 }
 
 // run does what falls due, until a time.
-func (s *sockets) run(ctx context.Context, until machine.Seconds) {
+func (s *sockets) run(ctx context.Context, until statemachine.Seconds) {
 	for {
 		now := s.clock.Now()
 		next := until
@@ -265,7 +265,7 @@
 			_ = n.cmd.Process.Signal(syscall.SIGCONT)
 			_ = n.cmd.Process.Signal(syscall.SIGTERM)
 		}
-		for _, l := range []*loop.Loop{n.loop, n.last} {
+		for _, l := range []*eventloop.Loop{n.loop, n.last} {
 			if l != nil {
 				l.Stop()
 			}
@@ -275,7 +275,7 @@
 		r.loop.Stop()
 	}
 	for _, n := range s.nodes {
-		for _, l := range []*loop.Loop{n.loop, n.last} {
+		for _, l := range []*eventloop.Loop{n.loop, n.last} {
 			if l != nil {
 				_ = l.Wait()
 			}
@@ -291,9 +291,9 @@
 	s.work.Wait()
 }
 
-func (s *sockets) Now() machine.Seconds { return s.clock.Now() }
+func (s *sockets) Now() statemachine.Seconds { return s.clock.Now() }
 
-func (s *sockets) At(at machine.Seconds, do func()) { s.due = append(s.due, timed{at, do}) }
+func (s *sockets) At(at statemachine.Seconds, do func()) { s.due = append(s.due, timed{at, do}) }
 
 func (s *sockets) Start(name string) {
 	n := s.nodes[name]
@@ -305,7 +305,7 @@
 		_ = n.last.Wait() // it holds the port
 		n.last = nil
 	}
-	b := loop.Bootstrap{Machine: n.make(), Clock: s.clock, Via: n.via, Trace: func(all []trace.Record) {
+	b := eventloop.Bootstrap{Machine: n.make(), Clock: s.clock, Via: n.via, Trace: func(all []trace.Record) {
 		s.mu.Lock()
 		s.records = append(s.records, all...)
 		s.mu.Unlock()
@@ -313,7 +313,7 @@
 	if n.addr != "" {
 		b.Listen = []string{n.addr}
 	}
-	l, err := loop.Start(s.ctx, b)
+	l, err := eventloop.Start(s.ctx, b)
 	if err != nil {
 		s.failed(name, err)
 		return
@@ -372,7 +372,7 @@
 	}
 }
 
-func (s *sockets) Stall(name string, span machine.Seconds) {
+func (s *sockets) Stall(name string, span statemachine.Seconds) {
 	n := s.nodes[name]
 	if n.cmd == nil {
 		s.Tell(name, fmt.Sprintf("still %g", span))
@@ -389,7 +389,7 @@
 	}
 }
 
-func (s *sockets) Hinder(name string, h virtual.Hindrance, match func(a, b string) bool) {
+func (s *sockets) Hinder(name string, h simnet.Hindrance, match func(a, b string) bool) {
 	s.rules = append(s.rules, hindering{name, h, match})
 	s.spread()
 }
@@ -403,7 +403,7 @@
 func (s *sockets) spread() {
 	for of, r := range s.relays {
 		for i, to := range r.targets {
-			var h virtual.Hindrance
+			var h simnet.Hindrance
 			for _, x := range s.rules {
 				if x.match(of, to) || x.match(to, of) {
 					h.Cut, h.Drop, h.Delay = h.Cut || x.h.Cut, h.Drop || x.h.Drop, h.Delay+x.h.Delay
@@ -414,7 +414,7 @@
 			}
 			bit := map[bool]int{true: 1}
 			word := fmt.Sprintf("set %d %d %d %g %g", i, bit[h.Cut], bit[h.Drop], h.Delay, h.Pace)
-			if r.told[i] != word && (r.told[i] != "" || h != (virtual.Hindrance{})) {
+			if r.told[i] != word && (r.told[i] != "" || h != (simnet.Hindrance{})) {
 				r.told[i] = word
 				r.loop.Tell(word)
 			}
@@ -436,7 +436,7 @@
 func (d *Day) instance(a *actor, listen, list, state string, life int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "instance %s\n  zone %s\n  listen %s\n  list-service %s\n  state %s\n  seed %d\n  coordinators %d\n  self %d\n",
-		a.name, a.zone, listen, list, state, (standin.Seed(d.Seed, a.name)+uint64(life))%(1<<50), d.Coordinators, a.at)
+		a.name, a.zone, listen, list, state, (fake.Seed(d.Seed, a.name)+uint64(life))%(1<<50), d.Coordinators, a.at)
 	in := ""
 	own := []string{"zone", "listen", "list-service", "state", "seed", "coordinators", "self", "peer"}
 	for _, l := range d.lines {
--- a/internal/rehearse/truth.go
+++ b/internal/scenario/truth.go
@@ -1,14 +1,14 @@
-package rehearse
+package scenario
 
 import (
 	"math"
 	"slices"
 
-	"gingerfork/internal/bound"
 	"gingerfork/internal/emulator"
-	"gingerfork/internal/machine"
+	"gingerfork/internal/optimum"
+	"gingerfork/internal/simnet"
+	"gingerfork/internal/statemachine"
 	"gingerfork/internal/trace"
-	"gingerfork/internal/virtual"
 )
 
 // Glance is how often the emulated servers' true state is looked at, in seconds.
@@ -16,15 +16,15 @@
 
 // Truth is what the servers were really able to do, and did, by stretches of Glance seconds. Nobody who plays knows it.
 type Truth struct {
-	Begin  machine.Seconds
-	Supply []bound.Supply
+	Begin  statemachine.Seconds
+	Supply []optimum.Supply
 	Able   [][]float32 // by stretch and server: RPCs a second of the first method that it can do
 	Busy   [][]float32 // and the share of its cores that is busy
 	Waits  [][]float32 // and RPCs that wait there
 }
 
 // watch has the true state looked at until the day ends.
-func (c *cast) watch(w *virtual.World, truth *Truth) {
+func (c *cast) watch(w *simnet.World, truth *Truth) {
 	truth.Begin = w.Now()
 	methods := len(c.day.Trade.Methods)
 	zones := c.day.Zones()
@@ -62,7 +62,7 @@
 				if n <= 0 {
 					continue
 				}
-				s := bound.Supply{Slot: slot, Fails: fails, N: n}
+				s := optimum.Supply{Slot: slot, Fails: fails, N: n}
 				if c.apart() {
 					for _, z := range zones {
 						if z == zone || c.zoneCut[z] == 0 && c.zoneCut[zone] == 0 {
@@ -89,9 +89,9 @@
 }
 
 // Bound reckons the most service that the day allowed, from the servers' true state and from what was asked in a run.
-func (d *Day) Bound(truth *Truth, records []trace.Record) (bound.Bound, error) {
+func (d *Day) Bound(truth *Truth, records []trace.Record) (optimum.Bound, error) {
 	limits := d.Limits()
-	methods := make([]bound.Method, 0, len(limits.Methods))
+	methods := make([]optimum.Method, 0, len(limits.Methods))
 	for i := range limits.Methods {
 		soft := limits.Methods[i].SoftDeadline
 		fit := 0.0
@@ -100,7 +100,7 @@
 			work.Mean = float64(g.Workers) / g.Capacity
 			fit = max(fit, work.Within(soft))
 		}
-		methods = append(methods, bound.Method{
+		methods = append(methods, optimum.Method{
 			Criticality: limits.Methods[i].Criticality, Fit: fit,
 			Slots: int(math.Ceil(soft / Glance)),
 		})
@@ -124,10 +124,10 @@
 			keys = append(keys, k)
 		}
 	}
-	demand := make([]bound.Demand, 0, len(keys))
+	demand := make([]optimum.Demand, 0, len(keys))
 	for _, k := range keys {
-		demand = append(demand, bound.Demand{Slot: k.slot, Zone: k.zone, Method: k.method, N: count[k]})
+		demand = append(demand, optimum.Demand{Slot: k.slot, Zone: k.zone, Method: k.method, N: count[k]})
 	}
-	slices.SortStableFunc(demand, func(x, y bound.Demand) int { return x.Slot - y.Slot })
-	return bound.Most(demand, truth.Supply, methods)
+	slices.SortStableFunc(demand, func(x, y optimum.Demand) int { return x.Slot - y.Slot })
+	return optimum.Most(demand, truth.Supply, methods)
 }
--- a/internal/rehearse/versus.go
+++ b/internal/scenario/versus.go
@@ -1,4 +1,4 @@
-package rehearse
+package scenario
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"runtime"
 	"sync"
 
-	"gingerfork/internal/bound"
+	"gingerfork/internal/optimum"
 )
 
 // Way is how proxies get their tables in a run.
@@ -31,7 +31,7 @@
 type Versus struct {
 	Day   *Day
 	Ways  [3]Result
-	Bound bound.Bound
+	Bound optimum.Bound
 }
 
 // Compare plays days in virtual time in each way, on so many cores; done is called with each day in order.
--- a/internal/rehearse/versus_test.go
+++ b/internal/scenario/versus_test.go
@@ -1,10 +1,10 @@
-package rehearse
+package scenario
 
 import (
 	"context"
 	"testing"
 
-	"gingerfork/internal/rules"
+	"gingerfork/internal/invariant"
 )
 
 // The incidents, at a tenth of their size: the coordinator keeps all rules, no way of serving gets past the bound, and
@@ -52,7 +52,7 @@
 	}
 }
 
-func broke(r rules.Report, rule int) bool { return r.Rules[rule-1].Broken > 0 }
+func broke(r invariant.Report, rule int) bool { return r.Rules[rule-1].Broken > 0 }
 
 // The bound of a quiet day is all that can be answered in time; of one whose servers all hang half the time, about half;
 // of one cut in two, what each side can do.
--- a/internal/virtual/virtual.go
+++ b/internal/simnet/virtual.go
@@ -1,7 +1,7 @@
-// Package virtual drives machines in virtual time over a network in memory: same seed, same day, to the byte. What a
+// Package simnet drives machines in virtual time over a network in memory: same seed, same day, to the byte. What a
 // socket does to its user it does too: bytes come in pieces, links are late, cut or reset, a process dies in the middle
 // of a frame.
-package virtual
+package simnet
 
 import (
 	"fmt"
@@ -10,26 +10,26 @@
 	"slices"
 
 	"gingerfork/internal/disk"
-	"gingerfork/internal/machine"
 	"gingerfork/internal/queue"
+	"gingerfork/internal/statemachine"
 	"gingerfork/internal/store"
 	"gingerfork/internal/trace"
 )
 
 // Maker makes a node's machine at a start; files are what its earlier lives saved.
-type Maker func(now machine.Seconds, files map[string][]byte) machine.Machine
+type Maker func(now statemachine.Seconds, files map[string][]byte) statemachine.Machine
 
 // Hindrance is what a link does to what passes on it. The zero value lets all pass.
 type Hindrance struct {
-	Cut   bool            // nothing passes, in either way; what was sent waits for the cut to heal
-	Drop  bool            // connections can't be opened, and standing ones are reset
-	Delay machine.Seconds // beside the link's own
-	Pace  float64         // bytes a second of each connection and way; 0: unbounded
+	Cut   bool                 // nothing passes, in either way; what was sent waits for the cut to heal
+	Drop  bool                 // connections can't be opened, and standing ones are reset
+	Delay statemachine.Seconds // beside the link's own
+	Pace  float64              // bytes a second of each connection and way; 0: unbounded
 }
 
 // World is the network and all that is on it.
 type World struct {
-	now  machine.Seconds
+	now  statemachine.Seconds
 	dice *rand.Rand
 	// diskDice is for what disks do, so that a run with stores draws for its network what one without does.
 	diskDice *rand.Rand
@@ -38,12 +38,12 @@
 	order    []*node
 	doors    map[string]door
 	links    []rule
-	same     machine.Seconds // latency within a zone
-	cross    machine.Seconds // and between zones
+	same     statemachine.Seconds // latency within a zone
+	cross    statemachine.Seconds // and between zones
 	Trace    func(trace.Record)
-	Log      func(t machine.Seconds, node string, n machine.Note)
-	Fails    []string    // of machines that failed
-	out      machine.Out // of the step that is being taken
+	Log      func(t statemachine.Seconds, node string, n statemachine.LogEntry)
+	Fails    []string             // of machines that failed
+	out      statemachine.Effects // of the step that is being taken
 	Steps    int
 	Bytes    int
 }
@@ -70,29 +70,29 @@
 
 	life  int // counts starts; 0: never started
 	up    bool
-	m     machine.Machine
-	inbox []machine.Input
-	spare []machine.Input // for the next inbox
+	m     statemachine.Machine
+	inbox []statemachine.Input
+	spare []statemachine.Input // for the next inbox
 	// armed is the last time, and in which life, for which a waking stands in the queue: most steps ask for the same again.
-	armed     machine.Seconds
+	armed     statemachine.Seconds
 	armedLife int
 	due       bool // a step is under way
-	wake      machine.Seconds
-	stalled   machine.Seconds
-	last      machine.Seconds // step,
-	same      int             // and how many there were at that moment
-	conns     map[machine.Conn]*end
-	nextIn    machine.Conn
+	wake      statemachine.Seconds
+	stalled   statemachine.Seconds
+	last      statemachine.Seconds // step,
+	same      int                  // and how many there were at that moment
+	conns     map[statemachine.Conn]*end
+	nextIn    statemachine.Conn
 }
 
 // end is one node's end of a connection.
 type end struct {
 	node  *node
 	life  int
-	id    machine.Conn
+	id    statemachine.Conn
 	other *end
-	free  machine.Seconds // when what this end sends next may arrive: bytes keep their order
-	held  []piece         // sent while the link was cut, or under way then
+	free  statemachine.Seconds // when what this end sends next may arrive: bytes keep their order
+	held  []piece              // sent while the link was cut, or under way then
 	n     int
 	open  bool
 	gone  bool
@@ -107,17 +107,17 @@
 }
 
 // New makes an empty world at a time.
-func New(seed uint64, now, same, cross machine.Seconds) *World {
+func New(seed uint64, now, same, cross statemachine.Seconds) *World {
 	return &World{now: now, dice: rand.New(rand.NewPCG(seed, 1)), diskDice: rand.New(rand.NewPCG(seed, 2)), nodes: map[string]*node{}, doors: map[string]door{}, same: same, cross: cross}
 }
 
 // Now is the time.
-func (w *World) Now() machine.Seconds { return w.now }
+func (w *World) Now() statemachine.Seconds { return w.now }
 
 func (w *World) draw() float64 { return w.dice.Float64() }
 
 // At has something done at a time.
-func (w *World) At(at machine.Seconds, do func()) {
+func (w *World) At(at statemachine.Seconds, do func()) {
 	w.events.Put(max(at, w.now), do)
 }
 
@@ -151,7 +151,7 @@
 }
 
 // Machine is a running node's machine, nil if it does not run.
-func (w *World) Machine(name string) machine.Machine {
+func (w *World) Machine(name string) statemachine.Machine {
 	if n := w.nodes[name]; n != nil && n.up {
 		return n.m
 	}
@@ -165,8 +165,8 @@
 		return
 	}
 	n.life++
-	n.up, n.inbox, n.wake, n.stalled, n.nextIn = true, nil, machine.Never, 0, 0
-	n.conns = map[machine.Conn]*end{}
+	n.up, n.inbox, n.wake, n.stalled, n.nextIn = true, nil, statemachine.Never, 0, 0
+	n.conns = map[statemachine.Conn]*end{}
 	n.m = n.make(w.now, n.files)
 	w.step(n)
 }
@@ -190,7 +190,7 @@
 func (w *World) Disk(name string) *disk.Memory { return w.nodes[name].disk }
 
 // keep writes what a step wants kept. It is durable some milliseconds later.
-func (w *World) keep(n *node, puts []machine.Put, batch uint64) {
+func (w *World) keep(n *node, puts []statemachine.Mutation, batch uint64) {
 	if n.store == nil || batch == 0 {
 		return
 	}
@@ -212,13 +212,13 @@
 			err = n.store.SyncTo(seq)
 		}
 		if err != nil {
-			w.input(n, machine.Input{Kind: machine.NotKept, Text: err.Error()})
+			w.input(n, statemachine.Input{Kind: statemachine.PersistFailed, Text: err.Error()})
 			return
 		}
 		for more, err := true, error(nil); more && err == nil; {
 			more, err = n.store.Compact(false)
 		}
-		w.input(n, machine.Input{Kind: machine.Kept, N: batch})
+		w.input(n, statemachine.Input{Kind: statemachine.Persisted, Batch: batch})
 	})
 }
 
@@ -262,7 +262,7 @@
 }
 
 // Stall keeps a node from being stepped for a while, as a process that the machine does not run.
-func (w *World) Stall(name string, span machine.Seconds) {
+func (w *World) Stall(name string, span statemachine.Seconds) {
 	if n := w.nodes[name]; n != nil && n.up {
 		n.stalled = max(n.stalled, w.now+span)
 		w.At(n.stalled, func() { w.step(n) })
@@ -272,7 +272,7 @@
 // Tell hands a node's machine a script's word.
 func (w *World) Tell(name, text string) {
 	if n := w.nodes[name]; n != nil && n.up {
-		w.input(n, machine.Input{Kind: machine.Told, Text: text})
+		w.input(n, statemachine.Input{Kind: statemachine.OperatorCommand, Text: text})
 	}
 }
 
@@ -308,8 +308,8 @@
 				e.gone, o.gone = true, true
 				delete(n.conns, e.id)
 				delete(o.node.conns, o.id)
-				w.input(n, machine.Input{Kind: machine.Closed, Conn: e.id, Text: "reset by the other side"})
-				w.input(o.node, machine.Input{Kind: machine.Closed, Conn: o.id, Text: "reset by the other side"})
+				w.input(n, statemachine.Input{Kind: statemachine.ConnClosed, Conn: e.id, Text: "reset by the other side"})
+				w.input(o.node, statemachine.Input{Kind: statemachine.ConnClosed, Conn: o.id, Text: "reset by the other side"})
 			}
 		}
 	}
@@ -328,7 +328,7 @@
 	return h
 }
 
-func (w *World) latency(a, b *node) machine.Seconds {
+func (w *World) latency(a, b *node) statemachine.Seconds {
 	base := w.same
 	if a.zone != b.zone {
 		base = w.cross
@@ -337,7 +337,7 @@
 }
 
 // Run goes on until a time.
-func (w *World) Run(until machine.Seconds) {
+func (w *World) Run(until statemachine.Seconds) {
 	for {
 		at, ok := w.events.Next()
 		if !ok || at > until {
@@ -350,7 +350,7 @@
 }
 
 // input gives a node something; all that comes at one moment is one step's.
-func (w *World) input(n *node, i machine.Input) {
+func (w *World) input(n *node, i statemachine.Input) {
 	n.inbox = append(n.inbox, i)
 	if !n.due {
 		n.due = true
@@ -385,7 +385,7 @@
 	n.m.Step(w.now, in, out)
 	clear(in)
 	n.spare = in
-	for _, x := range out.Notes {
+	for _, x := range out.LogEntries {
 		if w.Log != nil {
 			w.Log(w.now, n.name, x)
 		}
@@ -395,28 +395,28 @@
 			w.Trace(r)
 		}
 	}
-	if out.Fail != "" {
-		w.Fails = append(w.Fails, fmt.Sprintf("%.3f %s: %s", w.now, n.name, out.Fail))
+	if out.Failure != "" {
+		w.Fails = append(w.Fails, fmt.Sprintf("%.3f %s: %s", w.now, n.name, out.Failure))
 		w.Kill(n.name)
 		return
 	}
-	for name, data := range out.Saves {
+	for name, data := range out.Files {
 		n.files[name] = data
 	}
-	w.keep(n, out.Puts, out.Batch)
-	for _, a := range out.Acts {
+	w.keep(n, out.Mutations, out.Batch)
+	for _, a := range out.Actions {
 		w.act(n, a)
 	}
 	if out.Stop {
 		w.Kill(n.name)
 		return
 	}
-	if n.wake = out.Wake; n.wake < machine.Never && (n.armed != n.wake || n.armedLife != n.life) {
+	if n.wake = out.WakeAt; n.wake < statemachine.Never && (n.armed != n.wake || n.armedLife != n.life) {
 		life, wake := n.life, n.wake
 		n.armed, n.armedLife = wake, life
 		w.At(wake, func() {
 			if n.armed == wake && n.armedLife == life {
-				n.armed = machine.Never
+				n.armed = statemachine.Never
 			}
 			if n.life == life && n.wake == wake {
 				w.step(n)
@@ -425,8 +425,8 @@
 	}
 }
 
-func (w *World) act(n *node, a machine.Act) {
-	if a.Kind == machine.Dial {
+func (w *World) act(n *node, a statemachine.Action) {
+	if a.Kind == statemachine.ActionDial {
 		w.dial(n, a.Conn, a.Addr, w.now+5)
 		return
 	}
@@ -435,14 +435,14 @@
 		return
 	}
 	switch a.Kind {
-	case machine.Write:
+	case statemachine.ActionWrite:
 		if e.open {
 			w.Bytes += len(a.Data)
 			w.send(e, piece{data: a.Data})
 		}
 	default:
 		why := "closed by the other side"
-		if a.Kind == machine.Reset {
+		if a.Kind == statemachine.ActionAbort {
 			why = "reset by the other side"
 		}
 		e.gone = true
@@ -453,7 +453,7 @@
 	}
 }
 
-func (w *World) dial(n *node, id machine.Conn, addr string, last machine.Seconds) {
+func (w *World) dial(n *node, id statemachine.Conn, addr string, last statemachine.Seconds) {
 	e := n.conns[id]
 	if e == nil {
 		e = &end{node: n, life: n.life, id: id}
@@ -464,7 +464,7 @@
 		if !e.gone && n.life == e.life && n.up {
 			e.gone = true
 			delete(n.conns, id)
-			w.input(n, machine.Input{Kind: machine.Closed, Conn: id, Text: why})
+			w.input(n, statemachine.Input{Kind: statemachine.ConnClosed, Conn: id, Text: why})
 		}
 	}
 	if !known {
@@ -499,17 +499,17 @@
 			o := &end{node: d.node, life: d.node.life, id: d.node.nextIn, other: e, open: true}
 			e.other = o
 			d.node.conns[o.id] = o
-			w.input(d.node, machine.Input{Kind: machine.Opened, Conn: o.id, Door: d.at})
+			w.input(d.node, statemachine.Input{Kind: statemachine.ConnOpened, Conn: o.id, Listener: d.at})
 			// Nothing that the other side sends at once may arrive before this end stands.
 			o.free = w.now + trip
 			w.At(w.now+trip, func() {
 				if alive() {
 					e.open = true
-					w.input(n, machine.Input{Kind: machine.Opened, Conn: id})
+					w.input(n, statemachine.Input{Kind: statemachine.ConnOpened, Conn: id})
 				} else if !o.gone && o.node.conns[o.id] == o {
 					o.gone = true
 					delete(o.node.conns, o.id)
-					w.input(o.node, machine.Input{Kind: machine.Closed, Conn: o.id, Text: "reset by the other side"})
+					w.input(o.node, statemachine.Input{Kind: statemachine.ConnClosed, Conn: o.id, Text: "reset by the other side"})
 				}
 			})
 		})
@@ -527,7 +527,7 @@
 		// Who writes to a process that is no more hears of it.
 		e.gone = true
 		delete(e.node.conns, e.id)
-		w.input(e.node, machine.Input{Kind: machine.Closed, Conn: e.id, Text: "reset by the other side"})
+		w.input(e.node, statemachine.Input{Kind: statemachine.ConnClosed, Conn: e.id, Text: "reset by the other side"})
 	}
 	if o.gone || !o.node.up || o.life != o.node.life {
 		return
@@ -569,7 +569,7 @@
 	if p.close {
 		o.gone = true
 		delete(o.node.conns, o.id)
-		w.input(o.node, machine.Input{Kind: machine.Closed, Conn: o.id, Text: p.why})
+		w.input(o.node, statemachine.Input{Kind: statemachine.ConnClosed, Conn: o.id, Text: p.why})
 		return
 	}
 	data := p.data
@@ -580,10 +580,10 @@
 	// A stream has no seams: now and then a piece arrives in two.
 	if len(data) > 1 && w.draw() < 0.05 {
 		at := 1 + int(w.draw()*float64(len(data)-1))
-		w.input(o.node, machine.Input{Kind: machine.Data, Conn: o.id, Data: data[:at]})
+		w.input(o.node, statemachine.Input{Kind: statemachine.ConnData, Conn: o.id, Data: data[:at]})
 		data = data[at:]
 	}
 	if len(data) > 0 {
-		w.input(o.node, machine.Input{Kind: machine.Data, Conn: o.id, Data: data})
+		w.input(o.node, statemachine.Input{Kind: statemachine.ConnData, Conn: o.id, Data: data})
 	}
 }
--- a/internal/virtual/virtual_test.go
+++ b/internal/simnet/virtual_test.go
@@ -1,28 +1,28 @@
-package virtual
+package simnet
 
 import (
 	"strings"
 	"testing"
 
-	"gingerfork/internal/machine"
+	"gingerfork/internal/statemachine"
 )
 
 // party dials whom it is told to, writes what it is told, and keeps what it hears.
 type party struct {
-	conn   machine.Conn
+	conn   statemachine.Conn
 	heard  strings.Builder
 	events []string
 	spins  bool
 }
 
-func (p *party) Step(now machine.Seconds, in []machine.Input, out *machine.Out) {
+func (p *party) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	for _, i := range in {
 		switch i.Kind {
-		case machine.Told:
+		case statemachine.OperatorCommand:
 			word, rest, _ := strings.Cut(i.Text, " ")
 			switch word {
 			case "dial":
-				p.conn = machine.Dialled + 1
+				p.conn = statemachine.Dialed + 1
 				out.Dial(p.conn, rest)
 			case "say":
 				out.Write(p.conn, []byte(rest))
@@ -31,17 +31,17 @@
 			case "spin":
 				p.spins = true
 			}
-		case machine.Opened:
+		case statemachine.ConnOpened:
 			p.conn = i.Conn
 			p.events = append(p.events, "opened")
-		case machine.Closed:
+		case statemachine.ConnClosed:
 			p.events = append(p.events, i.Text)
-		case machine.Data:
+		case statemachine.ConnData:
 			p.heard.Write(i.Data)
 		}
 	}
 	if p.spins {
-		out.At(now)
+		out.WakeBy(now)
 	}
 }
 
@@ -49,8 +49,8 @@
 	t.Helper()
 	w = New(1, 100, 0.001, 0.01)
 	a, b = &party{}, &party{}
-	w.Add("a", "x", func(machine.Seconds, map[string][]byte) machine.Machine { return a })
-	w.Add("b", "y", func(machine.Seconds, map[string][]byte) machine.Machine { *b = party{}; return b }, "door")
+	w.Add("a", "x", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return a })
+	w.Add("b", "y", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { *b = party{}; return b }, "door")
 	w.Start("a")
 	w.Start("b")
 	w.Tell("a", "dial door")
