--- a/cmd/gingerfork/node.go
+++ b/cmd/gingerfork/node.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		log.Warn("the list as last held was refused, we begin without", "cause", err.Error())
 	}
-	boot := eventloop.Bootstrap{Machine: m, Listen: []string{s.Listen}, MostConns: s.LoopConns(), DialTimeout: 2 * time.Second, Log: log, Clock: clock}
+	boot := eventloop.Bootstrap{Machine: m, Listen: []string{s.Listen}, MostConns: s.MaxLoopConnections(), DialTimeout: 2 * time.Second, Log: log, Clock: clock}
 	if s.Memory > 0 {
 		boot.MostOut, boot.MostIn = int(min(4<<20, s.Memory/32)), int(min(64<<20, s.Memory/16))
 	}
@@ -71,11 +71,11 @@
 			if fresh.Listen != s.Listen || fresh.Name != s.Name || !reflect.DeepEqual(fresh.Values, s.Values) {
 				log.Warn("name, address and settings take a restart; the old stay in force")
 			}
-			l.Between(func() { m.Renew(fresh.Bootstrap(clock.Now())) })
+			l.Between(func() { m.Reload(fresh.Bootstrap(clock.Now())) })
 			log.Info("the configuration was read again", "discovery", fresh.Discovery)
 		case <-l.Done():
 			err := l.Wait()
-			f, lf := m.Figures(), l.Figures()
+			f, lf := m.Stats(), l.Figures()
 			log.Info("coordinator ended", "joins", f.Joins, "messages", f.Messages, "bytes", f.Bytes, "steps", f.Steps, "refused", f.Refused,
 				"spoilt", f.Spoilt, "longest", lf.Longest.Seconds(), "busy", lf.Busy.Seconds())
 			if err != nil {
@@ -107,16 +107,16 @@
 	logEnd   = 200 * time.Millisecond
 )
 
-func readStart() (*platform.Start, error) {
-	name := os.Getenv(platform.EnvFile)
+func readStart() (*platform.NodeConfig, error) {
+	name := os.Getenv(platform.EnvConfigFile)
 	if name == "" {
-		return nil, errors.New(platform.EnvFile + " does not name the configuration's file")
+		return nil, errors.New(platform.EnvConfigFile + " does not name the configuration's file")
 	}
 	raw, err := os.ReadFile(name)
 	if err != nil {
 		return nil, fmt.Errorf("read the configuration: %w", err)
 	}
-	s, err := platform.ReadStart(raw, os.Getenv, wire.Values)
+	s, err := platform.ParseNodeConfig(raw, os.Getenv, wire.Values)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
@@ -124,7 +124,7 @@
 }
 
 // limit keeps the runtime inside what the configuration allows.
-func limit(s *platform.Start) {
+func limit(s *platform.NodeConfig) {
 	if s.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(s.Cores)))
 	}
--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -413,7 +413,7 @@
 		wire, needs = c.keep.Mark(), c.keep.Needs()
 	}
 	for _, x := range messages {
-		m := &message{to: c.numbered[x.To.Proxy], step: c.step, at: c.stepped, lines: x.Lines, urgent: x.Urgent, ops: c.ops(x.Ops)}
+		m := &message{to: c.numbered[x.To.Proxy], step: c.step, at: c.stepped, lines: x.EntryCount, urgent: x.Urgent, ops: c.ops(x.Ops)}
 		if mark != nil {
 			m.marked, m.mark, m.wire, m.needs = true, mark.Nonce, wire, needs
 			m.lines++
--- a/internal/fanout/fanout.go
+++ b/internal/fanout/fanout.go
@@ -48,7 +48,7 @@
 	Message struct {
 		To     *Subscriber
 		Ops    []TableOp
-		Lines  int  // without its head and mark
+		EntryCount  int  // without its head and mark
 		Urgent bool // it takes a server out of use
 	}
 	// Follower is a joined proxy.
@@ -82,7 +82,7 @@
 type Distributor struct {
 	// Methods are the bits of all of them, for fronts where what a proxy brought along stays in force for a method that no table
 	// of ours is bound for; 0: nothing stays beside our first table.
-	Methods     uint64
+	AllMethods     uint64
 	tables      map[choice.TableID]*table
 	excluded    map[choice.BackendID]bool
 	subscribers []*Subscriber // by number, nil where none is joined
@@ -141,7 +141,7 @@
 
 func (b *Distributor) add(f *Subscriber, op TableOp, lines int) {
 	m := b.MarkDirty(f)
-	m.Ops, m.Lines = append(m.Ops, op), m.Lines+lines
+	m.Ops, m.EntryCount = append(m.Ops, op), m.EntryCount+lines
 	m.Urgent = m.Urgent || op.Kind == OpExclude
 }
 
@@ -242,7 +242,7 @@
 	m := b.MarkDirty(f)
 	before := len(m.Ops)
 	m.Ops = slices.DeleteFunc(m.Ops, func(o TableOp) bool { return o.Kind == OpExclude })
-	m.Lines -= before - len(m.Ops)
+	m.EntryCount -= before - len(m.Ops)
 	b.add(f, op, 1+len(op.Entries)+len(op.Admissions))
 }
 
@@ -255,7 +255,7 @@
 		}
 		bound |= x.methods
 	}
-	return bound&b.Methods != b.Methods || len(f.subscriptions) == 0
+	return bound&b.AllMethods != b.AllMethods || len(f.subscriptions) == 0
 }
 
 // whole is a table as it is at this moment.
--- a/internal/platform/day_test.go
+++ b/internal/platform/day_test.go
@@ -620,7 +620,7 @@
 	boot := x.nodes[0].boot
 	for k := range 3 {
 		boot.Discovery = fmt.Sprint("disco:", 2-k%2)
-		x.nodes[0].Renew(boot)
+		x.nodes[0].Reload(boot)
 		x.run(0.3)
 	}
 	if got := x.nodes[0].list.addr; got != "disco:2" {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -80,11 +80,11 @@
 	moved   *Bootstrap                  // what is to be in force from the next step on
 	lost    map[string]int              // troubles by kind, so that a storm of them makes few lines in the log
 	ill     map[choice.BackendID]string // servers that the module keeps out of arcs, and why, as last logged
-	figures Figures
+	figures Stats
 }
 
 // Figures are counts since the start.
-type Figures struct {
+type Stats struct {
 	Joins, Leaves, TakenOver         int
 	Messages, Bytes                  int
 	Steps, Orders                    int
@@ -98,7 +98,7 @@
 }
 
 // Figures gives the counts.
-func (m *Machine) Figures() Figures {
+func (m *Machine) Stats() Stats {
 	f := m.figures
 	for _, s := range m.streams {
 		if s != nil {
@@ -144,7 +144,7 @@
 // instance begins with a fresh instance of the module: from the list as held, and the streams that stand.
 func (m *Machine) instance(b choice.Config) {
 	m.planner, m.book = choice.New(b), fanout.New()
-	m.book.Methods = m.all(0)
+	m.book.AllMethods = m.all(0)
 	m.events, m.alarm, m.stepped = nil, b.Now, b.Now-m.round
 	if m.roll.held {
 		m.events = append(m.events, m.roll.kept())
@@ -158,7 +158,7 @@
 }
 
 // Renew puts what was read anew in force with the next step. It must be called between steps.
-func (m *Machine) Renew(boot Bootstrap) { m.moved = &boot }
+func (m *Machine) Reload(boot Bootstrap) { m.moved = &boot }
 
 // Step implements machine.Machine.
 func (m *Machine) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
--- a/internal/platform/rare_test.go
+++ b/internal/platform/rare_test.go
@@ -349,7 +349,7 @@
 	boot := h.m.boot
 	for k, addr := range []string{"there:1", "here:1", "there:1"} {
 		boot.Discovery = addr
-		h.m.Renew(boot)
+		h.m.Reload(boot)
 		former := h.m.dialled
 		dials, did := h.step(now + 0.001*float64(k))
 		if len(dials) != 1 || dials[0] != addr {
--- a/internal/platform/recording_accidents_test.go
+++ b/internal/platform/recording_accidents_test.go
@@ -175,7 +175,7 @@
 // reload puts settings in force that were read again: discovery may be elsewhere.
 func (s *script) reload() {
 	s.boot.Discovery = oneOf(s.dice, []string{"discovery-1:80", "discovery-2:80"})
-	s.machine.Renew(s.boot)
+	s.machine.Reload(s.boot)
 }
 
 func (s *script) unknownConnection() {
--- a/internal/platform/recording_script_test.go
+++ b/internal/platform/recording_script_test.go
@@ -155,7 +155,7 @@
 
 // countFigures adds what the machine counted to what was seen.
 func (s *script) countFigures() {
-	figures := s.machine.Figures()
+	figures := s.machine.Stats()
 	if figures.Panics+figures.Failures > 0 {
 		s.t.Errorf("%d inputs panicked, the module failed %d times", figures.Panics, figures.Failures)
 	}
--- a/internal/platform/start.go
+++ b/internal/platform/start.go
@@ -13,7 +13,7 @@
 )
 
 // Start is what the platform tells a coordinator, from its configuration and its environment.
-type Start struct {
+type NodeConfig struct {
 	Name, Listen, Discovery string
 	Seed                    uint64
 	Cores                   float64
@@ -31,12 +31,12 @@
 	envListen    = "NODE_LISTEN"
 	envDiscovery = "NODE_DISCOVERY"
 	// EnvFile names the configuration's file.
-	EnvFile = "NODE_CONFIG"
+	EnvConfigFile = "NODE_CONFIG"
 )
 
 // ReadStart reads the configuration. What it does not tell comes from the environment; what both tell, the file tells
 // later: it alone can be replaced while we run. flatten is the simulator's, so that the module meets the same names.
-func ReadStart(file []byte, env Env, flatten func(map[string]any) map[string]any) (*Start, error) {
+func ParseNodeConfig(file []byte, env Env, flatten func(map[string]any) map[string]any) (*NodeConfig, error) {
 	var doc struct {
 		Name, Listen, Discovery string
 		Seed                    json.RawMessage
@@ -57,7 +57,7 @@
 		}
 		return env(variable)
 	}
-	s := &Start{Name: either(doc.Name, envName), Listen: either(doc.Listen, envListen), Discovery: either(doc.Discovery, envDiscovery),
+	s := &NodeConfig{Name: either(doc.Name, envName), Listen: either(doc.Listen, envListen), Discovery: either(doc.Discovery, envDiscovery),
 		Cores: doc.Limits.Cores, Memory: int64(doc.Limits.Memory * (1 << 20)), Sockets: int(doc.Limits.Sockets), Known: doc.Known}
 	switch {
 	case s.Listen == "":
@@ -109,7 +109,7 @@
 )
 
 // LoopConns is the bound on connections for the loop; 0: none.
-func (s *Start) LoopConns() int {
+func (s *NodeConfig) MaxLoopConnections() int {
 	if s.Sockets == 0 {
 		return 0
 	}
@@ -117,7 +117,7 @@
 }
 
 // Bootstrap is what the machine is started with.
-func (s *Start) Bootstrap(now statemachine.Seconds) Bootstrap {
+func (s *NodeConfig) Bootstrap(now statemachine.Seconds) Bootstrap {
 	b := Bootstrap{Name: s.Name, Discovery: s.Discovery, Module: choice.Config{Seed: s.Seed, Now: now, Settings: choice.DecodeSettings(s.Values)}, Known: s.Known,
 		MostConns: math.MaxInt, MostProbes: 8, MostAnswer: 8 << 20, Handshake: 1}
 	if s.Sockets > 0 {
