--- a/internal/platform/day_test.go
+++ b/internal/platform/day_test.go
@@ -669,7 +669,7 @@
 	}
 	mark := choice.Nonce(9)
 	messages, _ := m.book.Flush(nil)
-	got := string(wire.Append(nil, m.parts(s, messages[0].Ops, &mark)))
+	got := string(wire.AppendPush(nil, m.parts(s, messages[0].Ops, &mark)))
 	first, second := "s-1:1.5", "s-2:1"
 	if two < one {
 		first, second = second, first
@@ -681,7 +681,7 @@
 	m.book.Apply(choice.ClearTable{Table: 3})
 	m.book.Apply(choice.SetExclusion{Backend: two})
 	messages, _ = m.book.Flush(nil)
-	if got := string(wire.Append(nil, m.parts(s, messages[0].Ops, nil))); got != "assign classes=submit whole=1 back=s-2\r\n" {
+	if got := string(wire.AppendPush(nil, m.parts(s, messages[0].Ops, nil))); got != "assign classes=submit whole=1 back=s-2\r\n" {
 		t.Errorf("then %q", got)
 	}
 }
--- a/internal/platform/orders.go
+++ b/internal/platform/orders.go
@@ -108,25 +108,25 @@
 	}
 	var parts []wire.Part
 	for _, x := range sheets {
-		p := wire.Part{Methods: m.named(x.methods), Whole: x.whole}
+		p := wire.Part{Methods: m.named(x.methods), Complete: x.whole}
 		for _, e := range x.lines {
 			if e.Weight > 0 {
 				turn(e.Backend, e.Excluded)
 			}
 			if srv := m.roll.servers[e.Backend]; srv != nil && !(x.whole && e.Weight <= 0) {
-				p.Lines = append(p.Lines, wire.Weight{Server: srv.name, Weight: e.Weight})
+				p.Entries = append(p.Entries, wire.TableEntry{Backend: srv.name, Weight: e.Weight})
 			}
 		}
 		gates := m.gather(x.levels)
 		if len(gates) > 0 && m.all(gates[0].Methods) == m.all(x.methods) {
-			p.Gated, p.Level, p.Tries = true, gates[0].Level, int(gates[0].Retry)
+			p.Admission = &wire.Admission{Level: gates[0].Level, RetryPolicy: int(gates[0].Retry)}
 			gates = gates[1:]
 		}
-		if p.Whole || len(p.Lines) > 0 || p.Gated {
+		if p.Complete || len(p.Entries) > 0 || p.Admission != nil {
 			parts = append(parts, p)
 		}
 		for _, g := range gates {
-			parts = append(parts, wire.Part{Methods: m.named(g.Methods), Gated: true, Level: g.Level, Tries: int(g.Retry)})
+			parts = append(parts, wire.Part{Methods: m.named(g.Methods), Admission: &wire.Admission{Level: g.Level, RetryPolicy: int(g.Retry)}})
 		}
 	}
 	if len(turned) > 0 || len(parts) == 0 {
@@ -139,15 +139,16 @@
 			switch {
 			case srv == nil:
 			case s.told[ep]:
-				last.Out = append(last.Out, srv.name)
+				last.Exclude = append(last.Exclude, srv.name)
 			default:
-				last.Back = append(last.Back, srv.name)
+				last.Restore = append(last.Restore, srv.name)
 			}
 		}
 	}
 	if mark != nil {
 		last := &parts[len(parts)-1]
-		last.Marked, last.Mark = true, int(*mark)
+		nonce := int(*mark)
+		last.Nonce = &nonce
 	}
 	return parts
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -5,6 +5,7 @@
 package platform
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"runtime/debug"
@@ -44,7 +45,7 @@
 	conn   statemachine.Conn
 	role   role
 	opened statemachine.Seconds
-	reader wire.Reader
+	reader wire.Decoder
 	stream *stream
 	probe  *probe
 	zone   string               // a collector's
@@ -318,7 +319,7 @@
 )
 
 func (m *Machine) accept(now statemachine.Seconds, c statemachine.Conn, out *statemachine.Effects) {
-	s := &session{conn: c, opened: now, reader: wire.Reader{Most: firstLine}}
+	s := &session{conn: c, opened: now, reader: wire.Decoder{MaxBytes: firstLine}}
 	m.sessions[c] = s
 	m.strange = append(m.strange, s)
 	if len(m.sessions) <= m.boot.MostConns {
@@ -474,7 +475,8 @@
 		if err == nil {
 			continue
 		}
-		if spoilt, ok := err.(*wire.Spoilt); ok && s.role != stranger {
+		var spoilt *wire.MessageError
+		if errors.As(err, &spoilt) && s.role != stranger {
 			m.figures.Spoilt++
 			m.often(out, "spoilt "+spoilt.Kind, 2, "a message was dropped", "conn", uint64(s.conn), "why", err.Error())
 			continue
@@ -515,38 +517,38 @@
 }
 
 func spoilt(kind, format string, args ...any) error {
-	return &wire.Spoilt{Kind: kind, Why: fmt.Sprintf(format, args...)}
+	return &wire.MessageError{Kind: kind, Reason: fmt.Sprintf(format, args...)}
 }
 
 // message takes one message. A *line.Spoilt error costs that message, or the connection of one who has not joined.
 func (m *Machine) message(now statemachine.Seconds, s *session, msg wire.Message, out *statemachine.Effects) error {
-	if _, ok := msg.(wire.Beat); ok {
-		out.Write(s.conn, wire.AppendBeat(nil))
+	if _, ok := msg.(wire.Heartbeat); ok {
+		out.Write(s.conn, wire.AppendHeartbeatReply(nil))
 		return nil
 	}
 	if s.role == stranger {
 		switch x := msg.(type) {
-		case wire.Collector:
+		case wire.CollectorJoin:
 			if !m.zones[x.Zone] {
 				return spoilt("collector", "zone %.32q is not one of ours", x.Zone)
 			}
-			s.role, s.reader.Most, s.zone = collectorRole, lineMost, x.Zone
+			s.role, s.reader.MaxBytes, s.zone = collectorRole, lineMost, x.Zone
 			m.collectors = append(m.collectors, s)
 			out.Log(1, "collector joined", "zone", x.Zone)
 			return nil
-		case wire.Join:
+		case wire.ProxyJoin:
 			return m.join(now, s, x, out)
 		}
 		return spoilt("report", "it came before a joining")
 	}
 	switch x := msg.(type) {
-	case wire.Answer:
+	case wire.Acknowledgement:
 		if s.role != proxyRole || x.Proxy != int(s.stream.proxy) {
 			return spoilt("answer", "it is not from its proxy's stream")
 		}
 		m.answered(s.stream, x)
 		return nil
-	case wire.Usage:
+	case wire.UsageReport:
 		if s.role == proxyRole && x.Proxy != int(s.stream.proxy) {
 			return spoilt("usage", "it is of another proxy")
 		}
@@ -555,21 +557,21 @@
 			return spoilt("usage", "proxy %d or method %.32q does not exist", x.Proxy, x.Method)
 		}
 		// Of a proxy that left, or that is joined elsewhere, it is no business of ours.
-		if m.streams[x.Proxy] != nil && x.RPCs+x.Bad > 0 {
-			m.events = append(m.events, choice.UsageReport{Proxy: choice.ProxyID(x.Proxy), Method: choice.MethodID(method), RPCs: x.RPCs, Failures: x.Bad, Span: x.Over})
+		if m.streams[x.Proxy] != nil && x.RPCs+x.Failures > 0 {
+			m.events = append(m.events, choice.UsageReport{Proxy: choice.ProxyID(x.Proxy), Method: choice.MethodID(method), RPCs: x.RPCs, Failures: x.Failures, Span: x.Span})
 		}
 		return nil
-	case wire.Tries:
-		ep, ok := m.roll.numbers[x.Server]
+	case wire.AttemptReport:
+		ep, ok := m.roll.numbers[x.Backend]
 		switch {
 		case s.role != collectorRole:
 			return spoilt("tries", "they are not from a collector")
 		case !m.zones[x.Zone] || !ok:
-			return spoilt("tries", "zone %.32q or server %.32q does not exist", x.Zone, x.Server)
+			return spoilt("tries", "zone %.32q or server %.32q does not exist", x.Zone, x.Backend)
 		}
-		if x.Tries > 0 {
-			m.events = append(m.events, choice.AttemptReport{Backend: ep, Zone: choice.Zone(x.Zone), Attempts: x.Tries, Failures: x.Bad, MeanLatency: x.Delay,
-				Span: x.Over, Load: m.columns(x.Load)})
+		if x.Attempts > 0 {
+			m.events = append(m.events, choice.AttemptReport{Backend: ep, Zone: choice.Zone(x.Zone), Attempts: x.Attempts, Failures: x.Failures, MeanLatency: x.MeanLatency,
+				Span: x.Span, Load: m.columns(x.Load)})
 		}
 		return nil
 	}
@@ -587,7 +589,7 @@
 	return all
 }
 
-func (m *Machine) join(now statemachine.Seconds, s *session, x wire.Join, out *statemachine.Effects) error {
+func (m *Machine) join(now statemachine.Seconds, s *session, x wire.ProxyJoin, out *statemachine.Effects) error {
 	if x.Proxy >= len(m.streams) || !m.zones[x.Zone] {
 		return spoilt("joining", "proxy %d or zone %.32q does not exist", x.Proxy, x.Zone)
 	}
@@ -604,7 +606,7 @@
 	}
 	st := &stream{session: s, proxy: choice.ProxyID(x.Proxy), zone: choice.Zone(x.Zone), rate: x.Rate, heard: now, told: map[choice.BackendID]bool{}, pristine: x.Fresh}
 	st.follower = m.book.Join(st.proxy)
-	s.role, s.stream, s.reader.Most = proxyRole, st, lineMost
+	s.role, s.stream, s.reader.MaxBytes = proxyRole, st, lineMost
 	m.streams[x.Proxy] = st
 	m.figures.Joins++
 	m.events = append(m.events, choice.ProxyJoined{Proxy: st.proxy, Zone: st.zone, Rate: x.Rate, Fresh: x.Fresh})
@@ -622,14 +624,14 @@
 }
 
 // answered checks that the mark is in flight on this very stream. An answer tells of all that was sent before, too.
-func (m *Machine) answered(s *stream, x wire.Answer) {
-	at := slices.Index(s.marks, choice.Nonce(x.Mark))
+func (m *Machine) answered(s *stream, x wire.Acknowledgement) {
+	at := slices.Index(s.marks, choice.Nonce(x.Nonce))
 	if at < 0 {
 		m.figures.Stale++
 		return
 	}
 	s.marks = append(s.marks[:0], s.marks[at+1:]...)
-	m.events = append(m.events, choice.PushAcknowledged{Proxy: s.proxy, Nonce: choice.Nonce(x.Mark), Delay: x.Delay})
+	m.events = append(m.events, choice.PushAcknowledged{Proxy: s.proxy, Nonce: choice.Nonce(x.Nonce), Delay: x.Delay})
 }
 
 // decide has the module take a step, and carries out what it orders.
@@ -690,7 +692,7 @@
 				s.marks = append(s.marks[:0], s.marks[1:]...)
 			}
 		}
-		b := wire.Append(nil, m.parts(s, x.Ops, with))
+		b := wire.AppendPush(nil, m.parts(s, x.Ops, with))
 		m.figures.Messages++
 		m.figures.Bytes += len(b)
 		out.Write(s.session.conn, b)
--- /dev/null
+++ b/internal/platform/wire/decoder.go
@@ -0,0 +1,119 @@
+package wire
+
+import (
+	"bytes"
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// maxKindBytes is longer than the name of any kind.
+const maxKindBytes = 32
+
+// Decoder splits the bytes of a connection, which may come in pieces of any size, into messages.
+type Decoder struct {
+	// MaxBytes is the limit on the size of a message; 0 stands for MaxMessageBytes, which is also the highest limit.
+	MaxBytes int
+
+	buffer []byte
+	start  int // of the bytes in buffer that are not decoded yet
+}
+
+// Feed appends received bytes.
+func (d *Decoder) Feed(data []byte) {
+	if d.start > 0 {
+		d.buffer = append(d.buffer[:0], d.buffer[d.start:]...)
+		d.start = 0
+	}
+	d.buffer = append(d.buffer, data...)
+}
+
+// Next returns the next message, or nil if more bytes are needed. After a *MessageError decoding can go on with the
+// following message. Any other error wraps ErrTooLong or ErrMalformed and is final.
+func (d *Decoder) Next() (Message, error) {
+	unread := d.buffer[d.start:]
+	lineEnd := bytes.IndexByte(unread, '\n')
+	if lineEnd < 0 {
+		return nil, d.checkIncomplete(unread)
+	}
+	if lineEnd+1 > d.limit() {
+		return nil, ErrTooLong
+	}
+	if lineEnd == 0 || unread[lineEnd-1] != '\r' {
+		return nil, fmt.Errorf("%w: a line that does not end in CRLF", ErrMalformed)
+	}
+	d.start += lineEnd + 1
+	return decodeMessage(unread[:lineEnd-1])
+}
+
+func (d *Decoder) limit() int {
+	if d.MaxBytes <= 0 {
+		return MaxMessageBytes
+	}
+	return min(d.MaxBytes, MaxMessageBytes)
+}
+
+// checkIncomplete checks the bytes after the last complete message.
+func (d *Decoder) checkIncomplete(unread []byte) error {
+	if len(unread) == 0 {
+		d.buffer, d.start = nil, 0 // an idle connection needs no memory
+		return nil
+	}
+	if len(unread) > d.limit() {
+		return ErrTooLong
+	}
+	return checkPrefix(unread)
+}
+
+// checkPrefix returns an error unless the bytes can be the beginning of a message. Without it a connection that sends
+// other data without a line end would stay open until the data exceeded the size limit.
+func checkPrefix(unread []byte) error {
+	if err := checkPrintable(bytes.TrimSuffix(unread, []byte{'\r'})); err != nil {
+		return err
+	}
+	kind, _, complete := strings.Cut(string(unread[:min(len(unread), maxKindBytes)]), " ")
+	kind = strings.TrimSuffix(kind, "\r")
+	for _, known := range receivedKinds {
+		if kind == known || !complete && strings.HasPrefix(known, kind) {
+			return nil
+		}
+	}
+	return fmt.Errorf("%w: it begins with %.32q", ErrMalformed, kind)
+}
+
+func checkPrintable(data []byte) error {
+	for _, c := range data {
+		if c < ' ' || c > '~' {
+			return fmt.Errorf("%w: a byte %#02x", ErrMalformed, c)
+		}
+	}
+	return nil
+}
+
+// decodeMessage decodes a message without its line end.
+func decodeMessage(data []byte) (Message, error) {
+	if err := checkPrintable(data); err != nil {
+		return nil, err
+	}
+	words := strings.Fields(string(data))
+	if len(words) == 0 {
+		return nil, fmt.Errorf("%w: an empty line", ErrMalformed)
+	}
+	kind := words[0]
+	if !slices.Contains(receivedKinds[:], kind) {
+		return nil, fmt.Errorf("%w: the kind %.32q", ErrMalformed, kind)
+	}
+	parsed := &fields{kind: kind, values: make([]field, 0, len(words)-1)}
+	for _, word := range words[1:] {
+		name, value, ok := strings.Cut(word, "=")
+		if !ok || name == "" {
+			return nil, &MessageError{Kind: kind, Reason: fmt.Sprintf("the word %.32q has no value", word)}
+		}
+		parsed.values = append(parsed.values, field{name: name, value: value})
+	}
+	message := parsed.message()
+	if parsed.err != nil {
+		return nil, parsed.err
+	}
+	return message, nil
+}
