--- a/cmd/gingerfork/node.go
+++ b/cmd/gingerfork/node.go
@@ -76,8 +76,8 @@
 		case <-l.Done():
 			err := l.Wait()
 			f, lf := m.Stats(), l.Figures()
-			log.Info("coordinator ended", "joins", f.Joins, "messages", f.Messages, "bytes", f.Bytes, "steps", f.Steps, "refused", f.Refused,
-				"spoilt", f.Spoilt, "longest", lf.Longest.Seconds(), "busy", lf.Busy.Seconds())
+			log.Info("coordinator ended", "joins", f.Joins, "messages", f.Messages, "bytes", f.Bytes, "steps", f.Steps, "refused", f.Rejected,
+				"spoilt", f.InvalidMessages, "longest", lf.Longest.Seconds(), "busy", lf.Busy.Seconds())
 			if err != nil {
 				return badError{err}
 			}
--- a/internal/platform/belief_test.go
+++ b/internal/platform/belief_test.go
@@ -13,16 +13,16 @@
 // A sequence taken down by hand, and what is believed of load and health after it. Each period the two collectors and the
 // two proxies tell what the stand-ins met, between messages that are spoilt, cut in pieces, of others, or of the past;
 // s-4 falls silent halfway and s-3 begins to abort. What is believed must be what sound messages said, and no more.
-func TestBeliefsAreWhatCrossedTheSockets(t *testing.T) {
+func TestEstimatesMatchReports(t *testing.T) {
 	const period, life = 2.0, 120.0
 	known := `{"seq":3,"whole":true,"hosts":[`
 	for i := range 5 {
 		known += fmt.Sprintf(`{"host":"s-%d","dial":"server:%d","site":"%c","class":"m","block":1,"health":"active","share":1,"born_ms":0},`, i, i, 'a'+i%2)
 	}
-	values := settings(3, 1)
+	values := testSettings(3, 1)
 	values["report_period"] = period
-	m, err := New(Bootstrap{Discovery: "d", Known: []byte(strings.TrimSuffix(known, ",") + "]}"), Module: choice.Config{Now: 1000, Settings: choice.DecodeSettings(values)},
-		MostConns: 50, MostProbes: 4, MostAnswer: 1 << 16, Handshake: 1})
+	m, err := New(Bootstrap{Discovery: "d", CachedList: []byte(strings.TrimSuffix(known, ",") + "]}"), Module: choice.Config{Now: 1000, Settings: choice.DecodeSettings(values)},
+		MaxConnections: 50, MaxProbes: 4, MaxResponseBytes: 1 << 16, HandshakeTimeout: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,7 +95,7 @@
 			if now > end-3*period {
 				samples++
 				for _, b := range m.planner.Estimates() {
-					name := m.roll.servers[b.Backend].name
+					name := m.endpoints.backends[b.Backend].name
 					sampled[name] += b.AttemptRate
 					rates[name] = []float64{b.FailureShare, b.MeanLatency}
 				}
@@ -109,7 +109,7 @@
 		}
 	}
 	for _, b := range m.planner.Estimates() {
-		name := m.roll.servers[b.Backend].name
+		name := m.endpoints.backends[b.Backend].name
 		var tries, bad, slow float64
 		for _, x := range truth(now, int(name[2]-'0')) {
 			tries, bad, slow = tries+float64(x.tries), bad+float64(x.bad), slow+float64(x.tries-x.bad)*x.delay
@@ -134,7 +134,7 @@
 	if u := m.planner.Usage(1)[0]; u > 0.3 {
 		t.Errorf("proxy 1 is believed to have %.2f RPCs a second of a method of which nothing came", u)
 	}
-	if len(m.ill) == 0 || m.figures.Spoilt == 0 || m.figures.Stale == 0 {
-		t.Errorf("%d servers were logged as ill, %d messages as spoilt, %d answers as stale", len(m.ill), m.figures.Spoilt, m.figures.Stale)
+	if len(m.loggedUnhealthy) == 0 || m.stats.InvalidMessages == 0 || m.stats.StaleAcknowledgements == 0 {
+		t.Errorf("%d servers were logged as ill, %d messages as spoilt, %d answers as stale", len(m.loggedUnhealthy), m.stats.InvalidMessages, m.stats.StaleAcknowledgements)
 	}
 }
--- a/internal/platform/noise_test.go
+++ b/internal/platform/noise_test.go
@@ -13,7 +13,7 @@
 )
 
 // noise draws an input's bytes: sound messages, spoilt ones, and rubbish, whole or cut.
-func noise(dice *rand.Rand, kind int) string {
+func randomInput(dice *rand.Rand, kind int) string {
 	bits := []string{"", "-1", "1e300", "NaN", "a", "zz", "0", "1", "3", "17", "s-0001", "s-9", "read", "submit", "=", ",", "\x00", "\xff", strings.Repeat("9", 40)}
 	bit := func() string { return bits[dice.IntN(len(bits))] }
 	var s string
@@ -44,14 +44,14 @@
 
 // Whatever comes in, at whatever connection, in whatever order: no step panics, nothing is asked for without end, and
 // what is written to a proxy is an order or an answer.
-func FuzzNoise(f *testing.F) {
+func FuzzMachineInputs(f *testing.F) {
 	for seed := range uint64(60) {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		dice := rand.New(rand.NewPCG(seed, 3))
 		known := `{"seq":41,"whole":true,"hosts":[{"host":"s-0001","dial":"x","site":"a","class":"m","block":1,"health":"active","share":1,"born_ms":0}]}`
-		m, err := New(Bootstrap{Discovery: "d", Known: []byte(known), Module: choice.Config{Now: 100, Settings: choice.DecodeSettings(settings(5, 1))}, MostConns: 12, MostProbes: 2, MostAnswer: 1 << 16, Handshake: 1})
+		m, err := New(Bootstrap{Discovery: "d", CachedList: []byte(known), Module: choice.Config{Now: 100, Settings: choice.DecodeSettings(testSettings(5, 1))}, MaxConnections: 12, MaxProbes: 2, MaxResponseBytes: 1 << 16, HandshakeTimeout: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -75,9 +75,9 @@
 						delete(open, c)
 						in = append(in, statemachine.Input{Kind: statemachine.ConnClosed, Conn: c, Text: "noise"})
 					case role == "in":
-						in = append(in, statemachine.Input{Kind: statemachine.ConnData, Conn: c, Data: []byte(noise(dice, 0))})
+						in = append(in, statemachine.Input{Kind: statemachine.ConnData, Conn: c, Data: []byte(randomInput(dice, 0))})
 					default:
-						in = append(in, statemachine.Input{Kind: statemachine.ConnData, Conn: c, Data: []byte(noise(dice, 1))})
+						in = append(in, statemachine.Input{Kind: statemachine.ConnData, Conn: c, Data: []byte(randomInput(dice, 1))})
 					}
 				}
 			}
@@ -96,8 +96,8 @@
 					delete(open, a.Conn)
 				}
 			}
-			if out.Failure != "" || m.figures.Panics+m.figures.Failures > 0 {
-				t.Fatalf("seed %d: %s %+v %v", seed, out.Failure, m.figures, out.LogEntries)
+			if out.Failure != "" || m.stats.InputPanics+m.stats.PlannerRestarts > 0 {
+				t.Fatalf("seed %d: %s %+v %v", seed, out.Failure, m.stats, out.LogEntries)
 			}
 			if out.WakeAt <= now {
 				t.Fatal("it asks for this very moment again")
--- a/internal/platform/orders.go
+++ b/internal/platform/orders.go
@@ -11,23 +11,23 @@
 
 // stream is a joined proxy's.
 type stream struct {
-	session  *session
-	follower *fanout.Subscriber
-	proxy    choice.ProxyID
-	zone     choice.Zone
-	rate     float64              // RPCs a second that it usually gets, as it said
-	marks    []choice.Nonce       // sent on this stream and not answered, oldest first
-	asked    statemachine.Seconds // since when marks have been unanswered; its time while there are none is of no use
-	heard    statemachine.Seconds // when bytes last came
+	session             *session
+	subscriber          *fanout.Subscriber
+	proxy               choice.ProxyID
+	zone                choice.Zone
+	rate                float64              // RPCs a second that it usually gets, as it said
+	inFlight            []choice.Nonce       // sent on this stream and not answered, oldest first
+	unacknowledgedSince statemachine.Seconds // since when marks have been unanswered; its time while there are none is of no use
+	lastReceived        statemachine.Seconds // when bytes last came
 	// told has what the proxy was told on this stream of servers shut out (true) and let in (false). Withdrawals stay with
 	// a proxy across streams, and other coordinators order them too: of what is not here nothing is known, unless it came
 	// with nothing (pristine).
-	told     map[choice.BackendID]bool
-	pristine bool
+	sentExclusions map[choice.BackendID]bool
+	joinedEmpty    bool
 }
 
 // mostMarks bounds what is kept of marks that a proxy does not answer.
-const mostMarks = 256
+const maxNoncesInFlight = 256
 
 // sheet is what a message does to one table.
 type sheet struct {
@@ -53,15 +53,15 @@
 
 // parts makes the platform's message of what a step orders of a proxy: of each line, level and server the last word
 // only, as all of it takes effect at once.
-func (m *Machine) parts(s *stream, ops []fanout.TableOp, mark *choice.Nonce) []wire.Part {
+func (m *Machine) pushParts(s *stream, ops []fanout.TableOp, mark *choice.Nonce) []wire.Part {
 	var sheets []*sheet
 	var turned []choice.BackendID // in the order of their last word
 	turn := func(ep choice.BackendID, out bool) {
-		was, known := s.told[ep]
-		if known && was == out || !known && !out && s.pristine {
+		was, known := s.sentExclusions[ep]
+		if known && was == out || !known && !out && s.joinedEmpty {
 			return
 		}
-		s.told[ep] = out
+		s.sentExclusions[ep] = out
 		turned = append(slices.DeleteFunc(turned, func(x choice.BackendID) bool { return x == ep }), ep)
 	}
 	at := func(op fanout.TableOp) *sheet {
@@ -108,17 +108,17 @@
 	}
 	var parts []wire.Part
 	for _, x := range sheets {
-		p := wire.Part{Methods: m.named(x.methods), Complete: x.whole}
+		p := wire.Part{Methods: m.methodNames(x.methods), Complete: x.whole}
 		for _, e := range x.lines {
 			if e.Weight > 0 {
 				turn(e.Backend, e.Excluded)
 			}
-			if srv := m.roll.servers[e.Backend]; srv != nil && !(x.whole && e.Weight <= 0) {
+			if srv := m.endpoints.backends[e.Backend]; srv != nil && !(x.whole && e.Weight <= 0) {
 				p.Entries = append(p.Entries, wire.TableEntry{Backend: srv.name, Weight: e.Weight})
 			}
 		}
-		gates := m.gather(x.levels)
-		if len(gates) > 0 && m.all(gates[0].Methods) == m.all(x.methods) {
+		gates := m.groupAdmissions(x.levels)
+		if len(gates) > 0 && m.methodSet(gates[0].Methods) == m.methodSet(x.methods) {
 			p.Admission = &wire.Admission{Level: gates[0].Level, RetryPolicy: int(gates[0].Retry)}
 			gates = gates[1:]
 		}
@@ -126,7 +126,7 @@
 			parts = append(parts, p)
 		}
 		for _, g := range gates {
-			parts = append(parts, wire.Part{Methods: m.named(g.Methods), Admission: &wire.Admission{Level: g.Level, RetryPolicy: int(g.Retry)}})
+			parts = append(parts, wire.Part{Methods: m.methodNames(g.Methods), Admission: &wire.Admission{Level: g.Level, RetryPolicy: int(g.Retry)}})
 		}
 	}
 	if len(turned) > 0 || len(parts) == 0 {
@@ -135,10 +135,10 @@
 		}
 		last := &parts[len(parts)-1]
 		for _, ep := range turned {
-			srv := m.roll.servers[ep]
+			srv := m.endpoints.backends[ep]
 			switch {
 			case srv == nil:
-			case s.told[ep]:
+			case s.sentExclusions[ep]:
 				last.Exclude = append(last.Exclude, srv.name)
 			default:
 				last.Restore = append(last.Restore, srv.name)
@@ -154,20 +154,20 @@
 }
 
 // gather joins levels that say the same of different methods.
-func (m *Machine) gather(levels []fanout.Admission) (all []fanout.Admission) {
+func (m *Machine) groupAdmissions(levels []fanout.Admission) (all []fanout.Admission) {
 	for _, g := range levels {
 		at := slices.IndexFunc(all, func(x fanout.Admission) bool { return x.Level == g.Level && x.Retry == g.Retry })
 		if at < 0 {
-			all = append(all, fanout.Admission{Methods: m.all(g.Methods), Level: g.Level, Retry: g.Retry})
+			all = append(all, fanout.Admission{Methods: m.methodSet(g.Methods), Level: g.Level, Retry: g.Retry})
 		} else {
-			all[at].Methods |= m.all(g.Methods)
+			all[at].Methods |= m.methodSet(g.Methods)
 		}
 	}
 	return all
 }
 
 // all gives the bits of every method for 0, which means that.
-func (m *Machine) all(methods uint64) uint64 {
+func (m *Machine) methodSet(methods uint64) uint64 {
 	every := uint64(1)<<len(m.methods) - 1
 	if methods == 0 {
 		return every
@@ -176,8 +176,8 @@
 }
 
 // named gives the methods' names, none if all are meant.
-func (m *Machine) named(methods uint64) (names []string) {
-	if every := uint64(1)<<len(m.methods) - 1; m.all(methods) == every {
+func (m *Machine) methodNames(methods uint64) (names []string) {
+	if every := uint64(1)<<len(m.methods) - 1; m.methodSet(methods) == every {
 		return nil
 	}
 	for i, name := range m.methods {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -19,88 +19,88 @@
 
 // Bootstrap is what a coordinator on the platform is started with.
 type Bootstrap struct {
-	Name      string
-	Discovery string // address
-	Module    choice.Config
-	Known     []byte // the list as last held, in discovery's form; none: nothing was
+	Name       string
+	Discovery  string // address
+	Module     choice.Config
+	CachedList []byte // the list as last held, in discovery's form; none: nothing was
 	// MostConns is how many connections may stand at once; past it strangers make room for who comes.
-	MostConns  int
-	MostProbes int                  // at once
-	MostAnswer int                  // bytes of an HTTP answer
-	Handshake  statemachine.Seconds // within which a connection must have joined
+	MaxConnections   int
+	MaxProbes        int                  // at once
+	MaxResponseBytes int                  // bytes of an HTTP answer
+	HandshakeTimeout statemachine.Seconds // within which a connection must have joined
 }
 
 type role uint8
 
 const (
-	stranger role = iota // it has not joined
-	proxyRole
-	collectorRole
-	listRole
-	probeRole
+	roleHandshake role = iota // it has not joined
+	roleProxy
+	roleCollector
+	roleDiscovery
+	roleProbe
 )
 
 // session is one connection.
 type session struct {
-	conn   statemachine.Conn
-	role   role
-	opened statemachine.Seconds
-	reader wire.Decoder
-	stream *stream
-	probe  *probe
-	zone   string               // a collector's
-	heard  statemachine.Seconds // a collector's: when bytes last came
+	conn         statemachine.Conn
+	role         role
+	openedAt     statemachine.Seconds
+	decoder      wire.Decoder
+	stream       *stream
+	probe        *probe
+	zone         string               // a collector's
+	lastReceived statemachine.Seconds // a collector's: when bytes last came
 }
 
 // Machine is the coordinator.
 type Machine struct {
-	boot       Bootstrap
-	planner    *choice.Planner
-	book       *fanout.Distributor
-	roll       *roll
-	list       caller
-	probes     prober
-	sessions   map[statemachine.Conn]*session
-	strange    []*session // that have not joined, oldest first; others among them are passed over
-	streams    []*stream  // by proxy, nil where none is joined
-	collectors []*session // collectors, also some that are gone
-	methods    []string
-	zones      map[string]bool
-	soft       statemachine.Seconds // the shortest soft deadline
-	round      statemachine.Seconds
-	dialled    statemachine.Conn
-
-	events  []choice.Event
-	alarm   statemachine.Seconds
-	ring    choice.TimerID
-	stepped statemachine.Seconds
-	failed  statemachine.Seconds        // when the module last failed
-	heard   statemachine.Seconds        // when bytes last came from anybody who was accepted
-	looked  statemachine.Seconds        // when dead streams were last looked for
-	stopped statemachine.Seconds        // until when we last stood still
-	moved   *Bootstrap                  // what is to be in force from the next step on
-	lost    map[string]int              // troubles by kind, so that a storm of them makes few lines in the log
-	ill     map[choice.BackendID]string // servers that the module keeps out of arcs, and why, as last logged
-	figures Stats
+	boot            Bootstrap
+	planner         *choice.Planner
+	distributor     *fanout.Distributor
+	endpoints       *endpointRegistry
+	discovery       discoveryClient
+	probes          prober
+	sessions        map[statemachine.Conn]*session
+	handshaking     []*session // that have not joined, oldest first; others among them are passed over
+	streams         []*stream  // by proxy, nil where none is joined
+	collectors      []*session // collectors, also some that are gone
+	methods         []string
+	zones           map[string]bool
+	minSoftDeadline statemachine.Seconds // the shortest soft deadline
+	stepInterval    statemachine.Seconds
+	lastDialed      statemachine.Conn
+
+	events          []choice.Event
+	timerDue        statemachine.Seconds
+	timerID         choice.TimerID
+	lastDecision    statemachine.Seconds
+	lastRestart     statemachine.Seconds        // when the module last failed
+	lastReceived    statemachine.Seconds        // when bytes last came from anybody who was accepted
+	lastIdleCheck   statemachine.Seconds        // when dead streams were last looked for
+	lastPause       statemachine.Seconds        // until when we last stood still
+	pendingReload   *Bootstrap                  // what is to be in force from the next step on
+	problemCounts   map[string]int              // troubles by kind, so that a storm of them makes few lines in the log
+	loggedUnhealthy map[choice.BackendID]string // servers that the module keeps out of arcs, and why, as last logged
+	stats           Stats
 }
 
 // Figures are counts since the start.
 type Stats struct {
-	Joins, Leaves, TakenOver         int
-	Messages, Bytes                  int
-	Steps, Orders                    int
-	Refused, Evicted, Spoilt, Broken int
-	Stale                            int // answers to marks not in flight
-	IdledOut                         int // streams and collectors silent for too long
-	Outdated                         int // results of probes whose server is another by now
-	Failures                         int // of the module
-	Panics                           int // at inputs
-	Streams                          int // joined now
+	Joins, Leaves, TakenOver                              int
+	Messages, Bytes                                       int
+	Steps, Commands                                       int
+	Rejected, Evicted, InvalidMessages, BrokenConnections int
+	StaleAcknowledgements                                 int // answers to marks not in flight
+	IdleClosed                                            int // streams and collectors silent for too long
+	OutdatedProbes                                        int // results of probes whose server is another by now
+	PlannerRestarts                                       int // of the module
+	InputPanics                                           int // at inputs
+	Streams                                               int // joined now
 }
 
 // Figures gives the counts.
 func (m *Machine) Stats() Stats {
-	f := m.figures
+	f := m.stats
 	for _, s := range m.streams {
 		if s != nil {
 			f.Streams++
@@ -111,134 +111,134 @@
 
 // New makes a coordinator. A list that was held and can't be read is an error; the coordinator is usable without it.
 func New(boot Bootstrap) (*Machine, error) {
-	m := &Machine{boot: boot, roll: newRoll(), sessions: map[statemachine.Conn]*session{}, dialled: statemachine.Dialed, lost: map[string]int{},
-		ill: map[choice.BackendID]string{}}
-	m.list = caller{m: m, addr: boot.Discovery, answer: answer{most: boot.MostAnswer}}
-	m.probes = prober{m: m}
-	m.settle()
+	m := &Machine{boot: boot, endpoints: newEndpointRegistry(), sessions: map[statemachine.Conn]*session{}, lastDialed: statemachine.Dialed, problemCounts: map[string]int{},
+		loggedUnhealthy: map[choice.BackendID]string{}}
+	m.discovery = discoveryClient{machine: m, addr: boot.Discovery, response: responseParser{maxBytes: boot.MaxResponseBytes}}
+	m.probes = prober{machine: m}
+	m.applySettings()
 	var err error
-	if len(boot.Known) > 0 {
-		var l *list
-		if l, err = parseList(boot.Known); err == nil {
-			_, err = m.roll.news(boot.Module.Now, l)
+	if len(boot.CachedList) > 0 {
+		var l *listDocument
+		if l, err = parseEndpointList(boot.CachedList); err == nil {
+			_, err = m.endpoints.update(boot.Module.Now, l)
 		}
 	}
-	m.instance(boot.Module)
+	m.startPlanner(boot.Module)
 	return m, err
 }
 
 // settle takes over what the settings say of methods, zones and proxies.
-func (m *Machine) settle() {
+func (m *Machine) applySettings() {
 	b := m.boot.Module
-	m.methods, m.zones, m.soft = nil, map[string]bool{}, math.Inf(1)
+	m.methods, m.zones, m.minSoftDeadline = nil, map[string]bool{}, math.Inf(1)
 	for _, method := range b.Settings.Methods {
 		m.methods = append(m.methods, method.Name)
-		m.soft = min(m.soft, method.SoftDeadline.Or(1))
+		m.minSoftDeadline = min(m.minSoftDeadline, method.SoftDeadline.Or(1))
 	}
 	for _, zone := range b.Settings.Zones {
 		m.zones[zone] = true
 	}
-	m.round = b.Settings.Tick.Or(0)
+	m.stepInterval = b.Settings.Tick.Or(0)
 	m.streams = make([]*stream, min(max(int(b.Settings.Proxies.Or(0)), 0), 1<<16))
 }
 
 // instance begins with a fresh instance of the module: from the list as held, and the streams that stand.
-func (m *Machine) instance(b choice.Config) {
-	m.planner, m.book = choice.New(b), fanout.New()
-	m.book.AllMethods = m.all(0)
-	m.events, m.alarm, m.stepped = nil, b.Now, b.Now-m.round
-	if m.roll.held {
-		m.events = append(m.events, m.roll.kept())
+func (m *Machine) startPlanner(b choice.Config) {
+	m.planner, m.distributor = choice.New(b), fanout.New()
+	m.distributor.AllMethods = m.methodSet(0)
+	m.events, m.timerDue, m.lastDecision = nil, b.Now, b.Now-m.stepInterval
+	if m.endpoints.loaded {
+		m.events = append(m.events, m.endpoints.cachedUpdate())
 	}
 	for _, s := range m.streams {
 		if s != nil {
-			s.follower, s.marks = m.book.Join(s.proxy), nil
+			s.subscriber, s.inFlight = m.distributor.Join(s.proxy), nil
 			m.events = append(m.events, choice.ProxyJoined{Proxy: s.proxy, Zone: s.zone, Rate: s.rate})
 		}
 	}
 }
 
 // Renew puts what was read anew in force with the next step. It must be called between steps.
-func (m *Machine) Reload(boot Bootstrap) { m.moved = &boot }
+func (m *Machine) Reload(boot Bootstrap) { m.pendingReload = &boot }
 
 // Step implements machine.Machine.
 func (m *Machine) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
-	m.renew(now, out)
+	m.applyReload(now, out)
 	for _, i := range in {
-		m.guarded(now, i, out)
+		m.handleInputSafely(now, i, out)
 	}
-	m.survive(now, out, m.sweep)
-	if due := now >= m.alarm; due || len(m.events) > 0 && now >= m.stepped+m.round {
+	m.recoverStep(now, out, m.expire)
+	if due := now >= m.timerDue; due || len(m.events) > 0 && now >= m.lastDecision+m.stepInterval {
 		if due {
-			m.events = append(m.events, choice.TimerFired{Timer: m.ring})
-			m.alarm = now + 3600
+			m.events = append(m.events, choice.TimerFired{Timer: m.timerID})
+			m.timerDue = now + 3600
 		}
-		m.survive(now, out, m.decide)
+		m.recoverStep(now, out, m.decide)
 	}
 	if len(m.events) > 0 {
-		out.WakeBy(m.stepped + m.round)
+		out.WakeBy(m.lastDecision + m.stepInterval)
 	}
-	out.WakeBy(m.alarm)
-	m.forget(m.roll.tidy(now))
+	out.WakeBy(m.timerDue)
+	m.forgetBackends(m.endpoints.prune(now))
 	// Whatever asks, the next step is not at this very moment: it would be asked for again and again.
-	out.WakeAt = max(out.WakeAt, now+shortest)
+	out.WakeAt = max(out.WakeAt, now+minWakeDelay)
 }
 
 // forget drops what streams were told of servers whose names are forgotten. A proxy goes on holding one as shut out, so should
 // the name ever come back, it must be let back in.
-func (m *Machine) forget(gone []choice.BackendID) {
+func (m *Machine) forgetBackends(gone []choice.BackendID) {
 	for _, s := range m.streams {
 		for _, ep := range gone {
 			if s != nil {
-				s.pristine = s.pristine && !s.told[ep]
-				delete(s.told, ep)
+				s.joinedEmpty = s.joinedEmpty && !s.sentExclusions[ep]
+				delete(s.sentExclusions, ep)
 			}
 		}
 	}
 }
 
-const shortest statemachine.Seconds = 1e-4
+const minWakeDelay statemachine.Seconds = 1e-4
 
 // survive has something done that concerns all connections. Should it panic, a fresh instance of the module begins: the end of
 // the process would leave every proxy alone.
-func (m *Machine) survive(now statemachine.Seconds, out *statemachine.Effects, what func(statemachine.Seconds, *statemachine.Effects)) {
+func (m *Machine) recoverStep(now statemachine.Seconds, out *statemachine.Effects, what func(statemachine.Seconds, *statemachine.Effects)) {
 	defer func() {
 		if r := recover(); r != nil {
-			m.restart(now, fmt.Errorf("a step failed: %v\n%s", r, debug.Stack()), out)
+			m.restartPlanner(now, fmt.Errorf("a step failed: %v\n%s", r, debug.Stack()), out)
 		}
 	}()
 	what(now, out)
 }
 
-func (m *Machine) renew(now statemachine.Seconds, out *statemachine.Effects) {
-	if m.moved == nil {
+func (m *Machine) applyReload(now statemachine.Seconds, out *statemachine.Effects) {
+	if m.pendingReload == nil {
 		return
 	}
-	boot := *m.moved
-	m.moved = nil
+	boot := *m.pendingReload
+	m.pendingReload = nil
 	if boot.Discovery != m.boot.Discovery {
 		out.Log(1, "discovery is elsewhere", "addr", boot.Discovery)
 		m.boot.Discovery = boot.Discovery
-		m.list.move(now, boot.Discovery, out)
+		m.discovery.changeAddress(now, boot.Discovery, out)
 	}
 }
 
 func (m *Machine) dial(addr string, out *statemachine.Effects) statemachine.Conn {
-	m.dialled++
-	out.Dial(m.dialled, addr)
-	return m.dialled
+	m.lastDialed++
+	out.Dial(m.lastDialed, addr)
+	return m.lastDialed
 }
 
 // guarded takes an input. Should one ever make us panic, it costs its own connection and not all the others theirs, which
 // the end of the process would.
-func (m *Machine) guarded(now statemachine.Seconds, i statemachine.Input, out *statemachine.Effects) {
+func (m *Machine) handleInputSafely(now statemachine.Seconds, i statemachine.Input, out *statemachine.Effects) {
 	defer func() {
 		r := recover()
 		if r == nil {
 			return
 		}
-		m.figures.Panics++
-		m.often(out, "panic", 3, "an input could not be taken, its connection ends", "conn", uint64(i.Conn), "cause", fmt.Sprint(r), "stack", string(debug.Stack()))
+		m.stats.InputPanics++
+		m.logThrottled(out, "panic", 3, "an input could not be taken, its connection ends", "conn", uint64(i.Conn), "cause", fmt.Sprint(r), "stack", string(debug.Stack()))
 		s := m.sessions[i.Conn]
 		if s == nil {
 			return
@@ -246,33 +246,33 @@
 		delete(m.sessions, i.Conn)
 		out.Abort(i.Conn)
 		switch s.role {
-		case proxyRole:
+		case roleProxy:
 			for _, st := range m.streams { // not by the session, which may be what is broken
 				if st != nil && st.session == s {
 					m.leave(st)
 				}
 			}
-		case listRole:
-			m.list.conn, m.list.up = 0, false
-			m.list.failed(now, "its answer could not be taken", out)
-		case probeRole:
+		case roleDiscovery:
+			m.discovery.conn, m.discovery.connected = 0, false
+			m.discovery.requestFailed(now, "its answer could not be taken", out)
+		case roleProbe:
 			m.probes.active = slices.DeleteFunc(m.probes.active, func(x *session) bool { return x == s })
 		}
 	}()
-	m.input(now, i, out)
+	m.handleInput(now, i, out)
 }
 
-func (m *Machine) input(now statemachine.Seconds, i statemachine.Input, out *statemachine.Effects) {
+func (m *Machine) handleInput(now statemachine.Seconds, i statemachine.Input, out *statemachine.Effects) {
 	s := m.sessions[i.Conn]
 	switch i.Kind {
 	case statemachine.ConnOpened:
 		switch {
 		case s == nil && i.Conn&statemachine.Dialed == 0:
 			m.accept(now, i.Conn, out)
-		case s != nil && s.role == listRole:
-			m.list.opened(now, out)
-		case s != nil && s.role == probeRole:
-			m.probes.opened(s, out)
+		case s != nil && s.role == roleDiscovery:
+			m.discovery.connectionOpened(now, out)
+		case s != nil && s.role == roleProbe:
+			m.probes.connected(s, out)
 		}
 	case statemachine.ConnClosed:
 		if s == nil {
@@ -280,15 +280,15 @@
 		}
 		delete(m.sessions, s.conn)
 		switch s.role {
-		case listRole:
-			m.list.data(now, nil, true, i.Text, out)
-		case probeRole:
+		case roleDiscovery:
+			m.discovery.received(now, nil, true, i.Text, out)
+		case roleProbe:
 			if i.LocalFailure {
-				m.probes.unasked(now, s, out)
+				m.probes.failedLocally(now, s, out)
 			} else {
-				m.probes.data(now, s, nil, true, out)
+				m.probes.received(now, s, nil, true, out)
 			}
-		case proxyRole:
+		case roleProxy:
 			m.leave(s.stream)
 		}
 	case statemachine.ConnData:
@@ -296,39 +296,39 @@
 			return
 		}
 		switch s.role {
-		case listRole:
-			m.list.data(now, i.Data, false, "", out)
-		case probeRole:
-			m.probes.data(now, s, i.Data, false, out)
+		case roleDiscovery:
+			m.discovery.received(now, i.Data, false, "", out)
+		case roleProbe:
+			m.probes.received(now, s, i.Data, false, out)
 		default:
-			if s.role == proxyRole {
-				s.stream.heard = now
+			if s.role == roleProxy {
+				s.stream.lastReceived = now
 			}
-			s.heard = now
-			m.heard = now
-			s.reader.Feed(i.Data)
-			m.read(now, s, out)
+			s.lastReceived = now
+			m.lastReceived = now
+			s.decoder.Feed(i.Data)
+			m.readMessages(now, s, out)
 		}
 	}
 }
 
 // firstLine is longer than any message of one who has not joined; a line of one who has may be longer by far.
 const (
-	firstLine = 512
-	lineMost  = 16 << 10
+	maxHandshakeBytes = 512
+	maxMessageBytes   = 16 << 10
 )
 
 func (m *Machine) accept(now statemachine.Seconds, c statemachine.Conn, out *statemachine.Effects) {
-	s := &session{conn: c, opened: now, reader: wire.Decoder{MaxBytes: firstLine}}
+	s := &session{conn: c, openedAt: now, decoder: wire.Decoder{MaxBytes: maxHandshakeBytes}}
 	m.sessions[c] = s
-	m.strange = append(m.strange, s)
-	if len(m.sessions) <= m.boot.MostConns {
+	m.handshaking = append(m.handshaking, s)
+	if len(m.sessions) <= m.boot.MaxConnections {
 		return
 	}
 	// Whoever has joined stays; the stranger that had the longest time to do so makes room.
-	if x := m.oldest(); x != nil {
-		m.figures.Evicted++
-		m.often(out, "evicted", 2, "connections are at their limit, a stranger made room", "limit", m.boot.MostConns)
+	if x := m.oldestHandshaking(); x != nil {
+		m.stats.Evicted++
+		m.logThrottled(out, "evicted", 2, "connections are at their limit, a stranger made room", "limit", m.boot.MaxConnections)
 		delete(m.sessions, x.conn)
 		out.Abort(x.conn)
 	}
@@ -336,37 +336,37 @@
 
 // oldest is the stranger that came first, nil if there is none. Those before it, that joined or went, are forgotten: in a
 // storm each newcomer would look through them all again.
-func (m *Machine) oldest() *session {
-	for i, s := range m.strange {
-		if m.sessions[s.conn] == s && s.role == stranger {
-			m.strange = m.strange[i:]
+func (m *Machine) oldestHandshaking() *session {
+	for i, s := range m.handshaking {
+		if m.sessions[s.conn] == s && s.role == roleHandshake {
+			m.handshaking = m.handshaking[i:]
 			return s
 		}
 	}
-	m.strange = nil
+	m.handshaking = nil
 	return nil
 }
 
 // sweep ends what takes too long.
-func (m *Machine) sweep(now statemachine.Seconds, out *statemachine.Effects) {
-	for s := m.oldest(); s != nil; s = m.oldest() {
-		if now < s.opened+m.boot.Handshake {
-			out.WakeBy(s.opened + m.boot.Handshake)
+func (m *Machine) expire(now statemachine.Seconds, out *statemachine.Effects) {
+	for s := m.oldestHandshaking(); s != nil; s = m.oldestHandshaking() {
+		if now < s.openedAt+m.boot.HandshakeTimeout {
+			out.WakeBy(s.openedAt + m.boot.HandshakeTimeout)
 			break
 		}
-		m.refuse(s, "it did not join in time", out)
+		m.endSession(s, "it did not join in time", out)
 	}
-	if now >= m.looked+1 {
-		if now > m.looked+3 {
-			m.stopped = now // we were: what came meanwhile is yet to be read
+	if now >= m.lastIdleCheck+1 {
+		if now > m.lastIdleCheck+3 {
+			m.lastPause = now // we were: what came meanwhile is yet to be read
 		}
-		m.looked = now
-		m.endIdle(now, out)
-		m.endReplaced(now, out)
-		m.tellHealth(out)
+		m.lastIdleCheck = now
+		m.closeIdleStreams(now, out)
+		m.closeReplacedCollectors(now, out)
+		m.logHealthChanges(out)
 	}
-	m.list.sweep(now, out)
-	m.probes.sweep(now, out)
+	m.discovery.expire(now, out)
+	m.probes.expire(now, out)
 }
 
 // idleTimeout is how long a stream may owe answers and say nothing at all: three periods of its usage reports, and far
@@ -379,17 +379,17 @@
 // elsewhere, and would be dealt tables, and sent the same ones again and again, for as long as TCP keeps the connection.
 // Not when nobody is heard: then it is we who are cut off, or were stopped for a while. A proxy that lives all the same dials
 // again and gets a whole table.
-func (m *Machine) endIdle(now statemachine.Seconds, out *statemachine.Effects) {
+func (m *Machine) closeIdleStreams(now statemachine.Seconds, out *statemachine.Effects) {
 	limit := m.idleTimeout()
-	if now > m.heard+limit/4 {
+	if now > m.lastReceived+limit/4 {
 		return
 	}
 	for _, s := range m.streams {
-		if s == nil || len(s.marks) == 0 || now < max(s.asked, s.heard, m.stopped)+limit {
+		if s == nil || len(s.inFlight) == 0 || now < max(s.unacknowledgedSince, s.lastReceived, m.lastPause)+limit {
 			continue
 		}
-		m.figures.IdledOut++
-		m.often(out, "buried", 2, "a stream was silent and owed answers, it counts as left", "proxy", int(s.proxy), "silent", now-s.heard)
+		m.stats.IdleClosed++
+		m.logThrottled(out, "buried", 2, "a stream was silent and owed answers, it counts as left", "proxy", int(s.proxy), "silent", now-s.lastReceived)
 		delete(m.sessions, s.session.conn)
 		out.Abort(s.session.conn)
 		m.leave(s)
@@ -398,7 +398,7 @@
 
 // endReplaced ends collectors' connections that are silent while a later one of the same zone speaks: the collector was cut off
 // without a word and is back, and nothing else would ever give the old descriptor back.
-func (m *Machine) endReplaced(now statemachine.Seconds, out *statemachine.Effects) {
+func (m *Machine) closeReplacedCollectors(now statemachine.Seconds, out *statemachine.Effects) {
 	m.collectors = slices.DeleteFunc(m.collectors, func(s *session) bool { return m.sessions[s.conn] != s })
 	newest := map[string]*session{}
 	for _, s := range m.collectors {
@@ -408,29 +408,29 @@
 	}
 	for _, s := range m.collectors {
 		x := newest[s.zone]
-		if x == s || x.heard <= s.heard || now < max(s.heard, m.stopped)+m.idleTimeout() {
+		if x == s || x.lastReceived <= s.lastReceived || now < max(s.lastReceived, m.lastPause)+m.idleTimeout() {
 			continue
 		}
-		m.figures.IdledOut++
-		m.often(out, "replaced", 2, "a collector was silent while a later one of its zone spoke, its connection ends", "zone", s.zone, "silent", now-s.heard)
+		m.stats.IdleClosed++
+		m.logThrottled(out, "replaced", 2, "a collector was silent while a later one of its zone spoke, its connection ends", "zone", s.zone, "silent", now-s.lastReceived)
 		delete(m.sessions, s.conn)
 		out.Abort(s.conn)
 	}
 }
 
 // mostTold bounds the lines about servers' health in a second; what is left out is told a second later if it still holds.
-const mostTold = 8
+const maxHealthLogs = 8
 
 // tellHealth logs which servers the module began, or ceased, to keep out of arcs, and the figures that it goes by: on call
 // that is held against what the servers say of themselves. A module that fails here costs the lines, never the process.
-func (m *Machine) tellHealth(out *statemachine.Effects) {
+func (m *Machine) logHealthChanges(out *statemachine.Effects) {
 	defer func() {
 		if r := recover(); r != nil {
-			m.often(out, "health", 3, "what the module believes can't be told", "cause", fmt.Sprint(r))
+			m.logThrottled(out, "health", 3, "what the module believes can't be told", "cause", fmt.Sprint(r))
 		}
 	}()
-	was, lines := m.ill, 0
-	m.ill = map[choice.BackendID]string{}
+	was, lines := m.loggedUnhealthy, 0
+	m.loggedUnhealthy = map[choice.BackendID]string{}
 	for _, b := range m.planner.Estimates() {
 		why := ""
 		switch {
@@ -439,122 +439,122 @@
 		case b.Ejected:
 			why = "its tries fail"
 		}
-		if why != was[b.Backend] && lines < mostTold {
+		if why != was[b.Backend] && lines < maxHealthLogs {
 			lines++
 			text := "server kept out of arcs"
 			if why == "" {
 				text = "server may be in arcs again"
 			}
 			name := ""
-			if s := m.roll.servers[b.Backend]; s != nil {
+			if s := m.endpoints.backends[b.Backend]; s != nil {
 				name = s.name
 			}
-			out.Log(1, text, "backend", name, "why", why, "tries", short(b.AttemptRate), "bad", short(b.FailureShare), "delay", short(b.MeanLatency), "expected", short(b.ExpectedRate))
+			out.Log(1, text, "backend", name, "why", why, "tries", rounded(b.AttemptRate), "bad", rounded(b.FailureShare), "delay", rounded(b.MeanLatency), "expected", rounded(b.ExpectedRate))
 			was[b.Backend] = why
 		}
 		if w := was[b.Backend]; w != "" {
-			m.ill[b.Backend] = w
+			m.loggedUnhealthy[b.Backend] = w
 		}
 	}
 }
 
 // short keeps a figure fit for a log's line.
-func short(v float64) float64 { return math.Round(v*1000) / 1000 }
+func rounded(v float64) float64 { return math.Round(v*1000) / 1000 }
 
 // read takes the messages that are whole. One that makes no sense is dropped alone; bytes that can't be read end the
 // connection.
-func (m *Machine) read(now statemachine.Seconds, s *session, out *statemachine.Effects) {
+func (m *Machine) readMessages(now statemachine.Seconds, s *session, out *statemachine.Effects) {
 	for m.sessions[s.conn] == s {
-		msg, err := s.reader.Next()
+		msg, err := s.decoder.Next()
 		if err == nil && msg == nil {
 			return
 		}
 		if err == nil {
-			err = m.message(now, s, msg, out)
+			err = m.handleMessage(now, s, msg, out)
 		}
 		if err == nil {
 			continue
 		}
 		var spoilt *wire.MessageError
-		if errors.As(err, &spoilt) && s.role != stranger {
-			m.figures.Spoilt++
-			m.often(out, "spoilt "+spoilt.Kind, 2, "a message was dropped", "conn", uint64(s.conn), "why", err.Error())
+		if errors.As(err, &spoilt) && s.role != roleHandshake {
+			m.stats.InvalidMessages++
+			m.logThrottled(out, "spoilt "+spoilt.Kind, 2, "a message was dropped", "conn", uint64(s.conn), "why", err.Error())
 			continue
 		}
-		m.refuse(s, err.Error(), out)
+		m.endSession(s, err.Error(), out)
 		return
 	}
 }
 
 // refuse says why and ends the connection; a stream has left with that.
-func (m *Machine) refuse(s *session, why string, out *statemachine.Effects) {
+func (m *Machine) endSession(s *session, why string, out *statemachine.Effects) {
 	delete(m.sessions, s.conn)
-	if s.role == stranger {
-		m.figures.Refused++
-		m.often(out, "refused", 1, "a connection was refused", "conn", uint64(s.conn), "why", why)
+	if s.role == roleHandshake {
+		m.stats.Rejected++
+		m.logThrottled(out, "refused", 1, "a connection was refused", "conn", uint64(s.conn), "why", why)
 		out.Write(s.conn, wire.AppendReject(nil, why))
 		out.Close(s.conn)
 		return
 	}
-	m.figures.Broken++
+	m.stats.BrokenConnections++
 	who := "a collector's"
-	if s.role == proxyRole {
+	if s.role == roleProxy {
 		who = fmt.Sprintf("proxy %d's", s.stream.proxy)
 	}
-	m.often(out, "broken", 2, "a connection carried what can't be read and was ended", "conn", uint64(s.conn), "whose", who, "why", why)
+	m.logThrottled(out, "broken", 2, "a connection carried what can't be read and was ended", "conn", uint64(s.conn), "whose", who, "why", why)
 	out.Abort(s.conn)
-	if s.role == proxyRole {
+	if s.role == roleProxy {
 		m.leave(s.stream)
 	}
 }
 
 // often logs a kind of trouble each time that its number has doubled.
-func (m *Machine) often(out *statemachine.Effects, kind string, level int, text string, pairs ...any) {
-	m.lost[kind]++
-	if n := m.lost[kind]; n&(n-1) == 0 {
+func (m *Machine) logThrottled(out *statemachine.Effects, kind string, level int, text string, pairs ...any) {
+	m.problemCounts[kind]++
+	if n := m.problemCounts[kind]; n&(n-1) == 0 {
 		out.Log(level, text, append(pairs, "times", n)...)
 	}
 }
 
-func spoilt(kind, format string, args ...any) error {
+func invalidMessage(kind, format string, args ...any) error {
 	return &wire.MessageError{Kind: kind, Reason: fmt.Sprintf(format, args...)}
 }
 
 // message takes one message. A *line.Spoilt error costs that message, or the connection of one who has not joined.
-func (m *Machine) message(now statemachine.Seconds, s *session, msg wire.Message, out *statemachine.Effects) error {
+func (m *Machine) handleMessage(now statemachine.Seconds, s *session, msg wire.Message, out *statemachine.Effects) error {
 	if _, ok := msg.(wire.Heartbeat); ok {
 		out.Write(s.conn, wire.AppendHeartbeatReply(nil))
 		return nil
 	}
-	if s.role == stranger {
+	if s.role == roleHandshake {
 		switch x := msg.(type) {
 		case wire.CollectorJoin:
 			if !m.zones[x.Zone] {
-				return spoilt("collector", "zone %.32q is not one of ours", x.Zone)
+				return invalidMessage("collector", "zone %.32q is not one of ours", x.Zone)
 			}
-			s.role, s.reader.MaxBytes, s.zone = collectorRole, lineMost, x.Zone
+			s.role, s.decoder.MaxBytes, s.zone = roleCollector, maxMessageBytes, x.Zone
 			m.collectors = append(m.collectors, s)
 			out.Log(1, "collector joined", "zone", x.Zone)
 			return nil
 		case wire.ProxyJoin:
 			return m.join(now, s, x, out)
 		}
-		return spoilt("report", "it came before a joining")
+		return invalidMessage("report", "it came before a joining")
 	}
 	switch x := msg.(type) {
 	case wire.Acknowledgement:
-		if s.role != proxyRole || x.Proxy != int(s.stream.proxy) {
-			return spoilt("answer", "it is not from its proxy's stream")
+		if s.role != roleProxy || x.Proxy != int(s.stream.proxy) {
+			return invalidMessage("answer", "it is not from its proxy's stream")
 		}
-		m.answered(s.stream, x)
+		m.acknowledge(s.stream, x)
 		return nil
 	case wire.UsageReport:
-		if s.role == proxyRole && x.Proxy != int(s.stream.proxy) {
-			return spoilt("usage", "it is of another proxy")
+		if s.role == roleProxy && x.Proxy != int(s.stream.proxy) {
+			return invalidMessage("usage", "it is of another proxy")
 		}
 		method := slices.Index(m.methods, x.Method)
 		if x.Proxy >= len(m.streams) || method < 0 {
-			return spoilt("usage", "proxy %d or method %.32q does not exist", x.Proxy, x.Method)
+			return invalidMessage("usage", "proxy %d or method %.32q does not exist", x.Proxy, x.Method)
 		}
 		// Of a proxy that left, or that is joined elsewhere, it is no business of ours.
 		if m.streams[x.Proxy] != nil && x.RPCs+x.Failures > 0 {
@@ -562,24 +562,24 @@
 		}
 		return nil
 	case wire.AttemptReport:
-		ep, ok := m.roll.numbers[x.Backend]
+		ep, ok := m.endpoints.ids[x.Backend]
 		switch {
-		case s.role != collectorRole:
-			return spoilt("tries", "they are not from a collector")
+		case s.role != roleCollector:
+			return invalidMessage("tries", "they are not from a collector")
 		case !m.zones[x.Zone] || !ok:
-			return spoilt("tries", "zone %.32q or server %.32q does not exist", x.Zone, x.Backend)
+			return invalidMessage("tries", "zone %.32q or server %.32q does not exist", x.Zone, x.Backend)
 		}
 		if x.Attempts > 0 {
 			m.events = append(m.events, choice.AttemptReport{Backend: ep, Zone: choice.Zone(x.Zone), Attempts: x.Attempts, Failures: x.Failures, MeanLatency: x.MeanLatency,
-				Span: x.Span, Load: m.columns(x.Load)})
+				Span: x.Span, Load: m.loadColumns(x.Load)})
 		}
 		return nil
 	}
-	return spoilt("joining", "it is joined already")
+	return invalidMessage("joining", "it is joined already")
 }
 
 // columns puts a load report's figures into the order of the settings' columns; one that is not told is 0.
-func (m *Machine) columns(figures map[string]float64) (all []float64) {
+func (m *Machine) loadColumns(figures map[string]float64) (all []float64) {
 	if len(figures) == 0 {
 		return nil
 	}
@@ -591,24 +591,24 @@
 
 func (m *Machine) join(now statemachine.Seconds, s *session, x wire.ProxyJoin, out *statemachine.Effects) error {
 	if x.Proxy >= len(m.streams) || !m.zones[x.Zone] {
-		return spoilt("joining", "proxy %d or zone %.32q does not exist", x.Proxy, x.Zone)
+		return invalidMessage("joining", "proxy %d or zone %.32q does not exist", x.Proxy, x.Zone)
 	}
 	if old := m.streams[x.Proxy]; old != nil {
 		if s.conn < old.session.conn {
 			// It was opened before the stream that stands, and its joining was late: the proxy gave it up for the other.
-			return spoilt("joining", "proxy %d is joined by a later stream", x.Proxy)
+			return invalidMessage("joining", "proxy %d is joined by a later stream", x.Proxy)
 		}
 		// The older stream is a dead one whose end we have not seen; its late end must change nothing.
-		m.figures.TakenOver++
+		m.stats.TakenOver++
 		delete(m.sessions, old.session.conn)
 		out.Abort(old.session.conn)
 		m.leave(old)
 	}
-	st := &stream{session: s, proxy: choice.ProxyID(x.Proxy), zone: choice.Zone(x.Zone), rate: x.Rate, heard: now, told: map[choice.BackendID]bool{}, pristine: x.Fresh}
-	st.follower = m.book.Join(st.proxy)
-	s.role, s.stream, s.reader.MaxBytes = proxyRole, st, lineMost
+	st := &stream{session: s, proxy: choice.ProxyID(x.Proxy), zone: choice.Zone(x.Zone), rate: x.Rate, lastReceived: now, sentExclusions: map[choice.BackendID]bool{}, joinedEmpty: x.Fresh}
+	st.subscriber = m.distributor.Join(st.proxy)
+	s.role, s.stream, s.decoder.MaxBytes = roleProxy, st, maxMessageBytes
 	m.streams[x.Proxy] = st
-	m.figures.Joins++
+	m.stats.Joins++
 	m.events = append(m.events, choice.ProxyJoined{Proxy: st.proxy, Zone: st.zone, Rate: x.Rate, Fresh: x.Fresh})
 	return nil
 }
@@ -618,19 +618,19 @@
 		return
 	}
 	m.streams[s.proxy] = nil
-	m.book.Leave(s.follower)
-	m.figures.Leaves++
+	m.distributor.Leave(s.subscriber)
+	m.stats.Leaves++
 	m.events = append(m.events, choice.ProxyLeft{Proxy: s.proxy})
 }
 
 // answered checks that the mark is in flight on this very stream. An answer tells of all that was sent before, too.
-func (m *Machine) answered(s *stream, x wire.Acknowledgement) {
-	at := slices.Index(s.marks, choice.Nonce(x.Nonce))
+func (m *Machine) acknowledge(s *stream, x wire.Acknowledgement) {
+	at := slices.Index(s.inFlight, choice.Nonce(x.Nonce))
 	if at < 0 {
-		m.figures.Stale++
+		m.stats.StaleAcknowledgements++
 		return
 	}
-	s.marks = append(s.marks[:0], s.marks[at+1:]...)
+	s.inFlight = append(s.inFlight[:0], s.inFlight[at+1:]...)
 	m.events = append(m.events, choice.PushAcknowledged{Proxy: s.proxy, Nonce: choice.Nonce(x.Nonce), Delay: x.Delay})
 }
 
@@ -638,63 +638,63 @@
 func (m *Machine) decide(now statemachine.Seconds, out *statemachine.Effects) {
 	events := m.events
 	m.events = nil
-	m.stepped = now
-	m.figures.Steps++
-	orders, err := m.ask(now, events)
+	m.lastDecision = now
+	m.stats.Steps++
+	orders, err := m.stepPlanner(now, events)
 	if err != nil {
-		m.restart(now, err, out)
+		m.restartPlanner(now, err, out)
 		return
 	}
-	m.figures.Orders += len(orders)
+	m.stats.Commands += len(orders)
 	var mark *choice.SetNonce
 	for _, o := range orders {
 		switch o := o.(type) {
 		case choice.SetNonce:
 			mark = &o
 		case choice.WatchEndpoints:
-			m.list.watch(now, out)
+			m.discovery.watch(now, out)
 		case choice.FetchEndpoints:
-			m.list.fetchAll(now, out)
+			m.discovery.fetchAll(now, out)
 		case choice.ProbeBackend:
-			m.probes.order(o.Backend)
+			m.probes.enqueue(o.Backend)
 		case choice.SetTimer:
 			// The module asks for one at a time and looks at the clock itself; the soonest serves them all.
-			if o.At < m.alarm {
-				m.alarm, m.ring = o.At, o.Timer
+			if o.At < m.timerDue {
+				m.timerDue, m.timerID = o.At, o.Timer
 			}
 		case choice.LogMessage:
 			out.Log(1, o.Text)
 		case choice.SendToPeer: // the platform's coordinators have no way to each other
 		default:
-			if !m.book.Apply(o) {
-				m.often(out, "order", 3, "an order of unknown type", "type", fmt.Sprintf("%T", o))
+			if !m.distributor.Apply(o) {
+				m.logThrottled(out, "order", 3, "an order of unknown type", "type", fmt.Sprintf("%T", o))
 			}
 		}
 	}
 	if mark != nil && mark.All {
-		for f := range m.book.Subscribers() {
-			m.book.MarkDirty(f)
+		for f := range m.distributor.Subscribers() {
+			m.distributor.MarkDirty(f)
 		}
 	}
-	messages, turns := m.book.Flush(nil)
+	messages, turns := m.distributor.Flush(nil)
 	for _, x := range messages {
 		s := m.streams[x.To.Proxy]
-		if s == nil || s.follower != x.To {
+		if s == nil || s.subscriber != x.To {
 			continue
 		}
 		var with *choice.Nonce
 		if mark != nil {
 			with = &mark.Nonce
-			if len(s.marks) == 0 {
-				s.asked = now
+			if len(s.inFlight) == 0 {
+				s.unacknowledgedSince = now
 			}
-			if s.marks = append(s.marks, *with); len(s.marks) > mostMarks {
-				s.marks = append(s.marks[:0], s.marks[1:]...)
+			if s.inFlight = append(s.inFlight, *with); len(s.inFlight) > maxNoncesInFlight {
+				s.inFlight = append(s.inFlight[:0], s.inFlight[1:]...)
 			}
 		}
-		b := wire.AppendPush(nil, m.parts(s, x.Ops, with))
-		m.figures.Messages++
-		m.figures.Bytes += len(b)
+		b := wire.AppendPush(nil, m.pushParts(s, x.Ops, with))
+		m.stats.Messages++
+		m.stats.Bytes += len(b)
 		out.Write(s.session.conn, b)
 	}
 	for _, t := range turns {
@@ -703,18 +703,18 @@
 			text = "server withdrawn"
 		}
 		name := ""
-		if s := m.roll.servers[t.Backend]; s != nil {
+		if s := m.endpoints.backends[t.Backend]; s != nil {
 			name = s.name
 		}
 		out.Log(1, text, "backend", name, "proxies", t.Proxies)
 	}
-	m.probes.next(now, out)
-	m.probes.sweep(now, out)
-	m.list.sweep(now, out)
+	m.probes.startQueued(now, out)
+	m.probes.expire(now, out)
+	m.discovery.expire(now, out)
 }
 
 // ask has the module take a step. That it fails must not end the process, which would leave every proxy alone.
-func (m *Machine) ask(now statemachine.Seconds, events []choice.Event) (orders []choice.Command, err error) {
+func (m *Machine) stepPlanner(now statemachine.Seconds, events []choice.Event) (orders []choice.Command, err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("the decision module failed: %v\n%s", r, debug.Stack())
@@ -724,14 +724,14 @@
 }
 
 // restart puts a fresh instance in the failed one's place; proxies keep what they hold until it has given them theirs.
-func (m *Machine) restart(now statemachine.Seconds, cause error, out *statemachine.Effects) {
-	m.figures.Failures++
-	m.often(out, "failure", 3, "a fresh instance of the module begins", "cause", cause.Error())
+func (m *Machine) restartPlanner(now statemachine.Seconds, cause error, out *statemachine.Effects) {
+	m.stats.PlannerRestarts++
+	m.logThrottled(out, "failure", 3, "a fresh instance of the module begins", "cause", cause.Error())
 	b := m.boot.Module
-	b.Seed, b.Now = b.Seed+uint64(m.figures.Failures), now
-	m.instance(b)
-	if now < m.failed+1 { // it fails at once again: not in a tight loop
-		m.alarm, m.stepped = now+1, now+1
+	b.Seed, b.Now = b.Seed+uint64(m.stats.PlannerRestarts), now
+	m.startPlanner(b)
+	if now < m.lastRestart+1 { // it fails at once again: not in a tight loop
+		m.timerDue, m.lastDecision = now+1, now+1
 	}
-	m.failed = now
+	m.lastRestart = now
 }
--- a/internal/platform/recording_accidents_test.go
+++ b/internal/platform/recording_accidents_test.go
@@ -7,7 +7,7 @@
 	"gingerfork/internal/statemachine"
 )
 
-var strangersLines = []string{
+var strangerMessages = []string{
 	"GET / HTTP/1.1\r\n\r\n", "hb\r\n", "hb\r\nhb\r\natta", "attach proxy=9999 zone=a weight=1 fresh=1\r\n", "attach proxy=1 zone=elsewhere weight=1 fresh=0\r\n",
 	"attach proxy=1 zone=a weight=1 fresh=2\r\n", "attach proxy=1 zone=a fresh=1\r\n", "done proxy=1 mark=1 took_ms=1\r\n", "assign whole=1\r\n", "\x00\xff",
 	"telemetry zone=nowhere\r\n", "telemetry\r\n", "hb\n", "\r\n", "client_stats proxy=1 class=read tries=1 failed=0 span_ms=1000\r\n", "",
@@ -15,7 +15,7 @@
 }
 
 // spoiltLines are dropped alone on a connection that has joined.
-var spoiltLines = []string{
+var invalidMessages = []string{
 	"client_stats proxy=-3 class=read tries=1 failed=0 span_ms=1\r\n", "client_stats proxy=400 class=read tries=1 failed=0 span_ms=1\r\n",
 	"client_stats proxy=1 class=other tries=1 failed=0 span_ms=1\r\n", "client_stats proxy=1 class=read tries=1.5 failed=0 span_ms=1\r\n",
 	"client_stats proxy=1 class=read tries=NaN failed=0 span_ms=0\r\n", "client_stats proxy=1 proxy=2 class=read tries=1 failed=0 span_ms=1\r\n",
@@ -27,7 +27,7 @@
 }
 
 // brokenLines end the connection that carries them.
-var brokenLines = []string{
+var malformedMessages = []string{
 	"hb\n", "\r\n", "nonsense x=1\r\n", "\x00\r\n", "assign whole=1\r\n", "client_stats " + strings.Repeat("x", 20<<10) + "\r\n",
 	"hb " + strings.Repeat("y=1 ", 5<<10),
 }
@@ -35,19 +35,19 @@
 var discoveryModes = []string{"unavailable", "unavailable and closed", "hang", "reset", "cut off", "cut chunk", "malformed list", "malformed HTTP", "too long", "old list"}
 
 // accidents are what may happen in a step, each as likely as any other; some stand twice to come more often.
-var accidents = []struct {
+var scriptFaults = []struct {
 	name string
 	do   func(*script)
 }{
 	{"proxy's connection ends", (*script).dropProxy},
 	{"later connection takes a proxy over", (*script).takeOver},
 	{"earlier connection joins late", (*script).joinLate},
-	{"stranger", func(s *script) { s.accept(scriptStranger, "").send("%s", oneOf(s.dice, strangersLines)) }},
+	{"stranger", func(s *script) { s.accept(scriptStranger, "").send("%s", oneOf(s.dice, strangerMessages)) }},
 	{"storm of strangers", (*script).storm},
-	{"spoilt line", func(s *script) { s.sayTo(scriptProxyRole, scriptCollector, oneOf(s.dice, spoiltLines)) }},
-	{"broken line", func(s *script) { s.sayTo(scriptProxyRole, scriptCollector, oneOf(s.dice, brokenLines)) }},
+	{"spoilt line", func(s *script) { s.sayTo(scriptProxyRole, scriptCollector, oneOf(s.dice, invalidMessages)) }},
+	{"broken line", func(s *script) { s.sayTo(scriptProxyRole, scriptCollector, oneOf(s.dice, malformedMessages)) }},
 	{"heartbeat", func(s *script) { s.sayTo(scriptProxyRole, scriptCollector, "hb\r\n") }},
-	{"stale or unknown mark", (*script).answerWrongMark},
+	{"stale or unknown mark", (*script).acknowledgeWrongNonce},
 	{"proxy begins or ceases to be mute", (*script).toggleMute},
 	{"proxy is cut off", (*script).cutOffProxy},
 	{"collector's connection ends", (*script).dropCollector},
@@ -65,8 +65,8 @@
 	{"input of an unknown connection", (*script).unknownConnection},
 }
 
-func (s *script) accident() {
-	accident := oneOf(s.dice, accidents)
+func (s *script) injectFault() {
+	accident := oneOf(s.dice, scriptFaults)
 	s.saw("accident: " + accident.name)
 	accident.do(s)
 }
@@ -143,7 +143,7 @@
 	}
 }
 
-func (s *script) answerWrongMark() {
+func (s *script) acknowledgeWrongNonce() {
 	if peer := s.some(scriptProxyRole, scriptProxyRole); peer != nil {
 		peer.send("done proxy=%d mark=%d took_ms=3\r\n", peer.proxy.number, s.dice.IntN(1<<16))
 	}
--- a/internal/platform/recording_answers_test.go
+++ b/internal/platform/recording_answers_test.go
@@ -105,7 +105,7 @@
 	}
 	outcomes, asked := []string{"OK", "OK", "OK with load", "unavailable", "reset", "hang", "cut off", "malformed"}, &s.probes
 	if peer.server != nil && s.isSilent(peer.server) {
-		outcomes, asked = []string{"OK", "hang", "reset", "hang", "unavailable", "reset", "cut off", "hang"}, &s.unheard
+		outcomes, asked = []string{"OK", "hang", "reset", "hang", "unavailable", "reset", "cut off", "hang"}, &s.silentProbes
 	}
 	outcome := outcomes[*asked%len(outcomes)]
 	*asked++
--- a/internal/platform/recording_peers_test.go
+++ b/internal/platform/recording_peers_test.go
@@ -278,13 +278,13 @@
 		case scriptProbe:
 			s.probeCall(peer, message)
 		default:
-			s.order(peer, message)
+			s.pushReceived(peer, message)
 		}
 	}
 }
 
 // order takes a line that the machine wrote to a proxy, a collector or a stranger.
-func (s *script) order(peer *scriptPeer, message string) {
+func (s *script) pushReceived(peer *scriptPeer, message string) {
 	words := strings.Fields(message)
 	s.saw("line of the kind " + words[0])
 	partial := !strings.Contains(message, " whole=1")
--- a/internal/platform/recording_script_test.go
+++ b/internal/platform/recording_script_test.go
@@ -20,21 +20,21 @@
 // script plays discovery, servers, proxies, collectors and strangers against one machine. Everything is drawn from one
 // generator and kept in slices, so that a seed always gives the same play.
 type script struct {
-	t         *testing.T
-	dice      *rand.Rand
-	recording *recording
-	machine   *Machine
-	boot      Bootstrap
-	now       statemachine.Seconds
-	peers     []*scriptPeer
-	accepted  statemachine.Conn // the last number given to a connection that the machine accepted
-	inputs    []statemachine.Input
-	timers    []scriptTimer
-	discovery *scriptDiscovery
-	proxies   []*scriptProxy
-	phase     scriptPhase
-	probes    int // that asked a server which is not silent
-	unheard   int // that asked a silent one
+	t            *testing.T
+	dice         *rand.Rand
+	recording    *recording
+	machine      *Machine
+	boot         Bootstrap
+	now          statemachine.Seconds
+	peers        []*scriptPeer
+	accepted     statemachine.Conn // the last number given to a connection that the machine accepted
+	inputs       []statemachine.Input
+	timers       []scriptTimer
+	discovery    *scriptDiscovery
+	proxies      []*scriptProxy
+	phase        scriptPhase
+	probes       int // that asked a server which is not silent
+	silentProbes int // that asked a silent one
 }
 
 type scriptTimer struct {
@@ -44,15 +44,15 @@
 
 // scriptPhase is a part of the play.
 type scriptPhase struct {
-	name      string
-	length    statemachine.Seconds
-	before    func(*script)
-	accidents float64 // probability of an accident in a step
-	requests  int     // per second and proxy, at most
-	failing   float64 // share of tries that fail at any server
-	delay     float64 // mean time of good answers, in milliseconds
-	sick      []int   // servers at which every try fails
-	silent    []int   // servers of which collectors report nothing and that answer few probes
+	name     string
+	length   statemachine.Seconds
+	before   func(*script)
+	faults   float64 // probability of an accident in a step
+	requests int     // per second and proxy, at most
+	failing  float64 // share of tries that fail at any server
+	delay    float64 // mean time of good answers, in milliseconds
+	sick     []int   // servers at which every try fails
+	silent   []int   // servers of which collectors report nothing and that answer few probes
 }
 
 var scriptPhases = []scriptPhase{
@@ -64,22 +64,22 @@
 	{name: "overload", length: 20, requests: 60, delay: 900, failing: 0.4},
 	{name: "relief", length: 20, requests: 10, delay: 80},
 	{name: "discovery failures", length: 122, requests: 12, delay: 90, before: (*script).failDiscovery},
-	{name: "accidents", length: 90, requests: 15, delay: 120, failing: 0.02, accidents: 0.4, sick: []int{1}, silent: []int{7}},
+	{name: "accidents", length: 90, requests: 15, delay: 120, failing: 0.02, faults: 0.4, sick: []int{1}, silent: []int{7}},
 	{name: "pause", length: 10, requests: 10, delay: 80, before: func(s *script) { s.now += 5 }},
 	{name: "restart", length: 15, requests: 10, delay: 80, before: (*script).restart},
-	{name: "accidents after the restart", length: 40, requests: 15, delay: 100, failing: 0.05, accidents: 0.3, silent: []int{3}},
+	{name: "accidents after the restart", length: 40, requests: 15, delay: 100, failing: 0.05, faults: 0.3, silent: []int{3}},
 	{name: "names are forgotten", length: 20, requests: 10, delay: 80, before: (*script).forgetServers},
 }
 
 func newScript(t *testing.T, variant recordingVariant) *script {
 	s := &script{t: t, dice: rand.New(rand.NewPCG(variant.seed, 1)), recording: newRecording(t), now: scriptStart}
-	values := settings(scriptProxies, 2)
+	values := testSettings(scriptProxies, 2)
 	for name, value := range variant.changes {
 		values[name] = value
 	}
 	s.boot = Bootstrap{
 		Name: "c0", Discovery: "discovery-1:80", Module: choice.Config{Seed: variant.seed, Now: s.now, Settings: choice.DecodeSettings(values)},
-		MostConns: scriptMaxConns, MostProbes: 3, MostAnswer: 1 << 16, Handshake: 1,
+		MaxConnections: scriptMaxConns, MaxProbes: 3, MaxResponseBytes: 1 << 16, HandshakeTimeout: 1,
 	}
 	s.discovery = newScriptDiscovery()
 	for number := range scriptProxies {
@@ -103,19 +103,19 @@
 // restart puts a new machine, which knows the list as last held, in the place of the former. All connections are gone.
 func (s *script) restart() {
 	s.countFigures()
-	s.settle()
+	s.endLastingFaults()
 	s.peers, s.inputs, s.timers, s.discovery.waiting = nil, nil, nil, nil
 	for _, proxy := range s.proxies {
 		proxy.peer = nil
 		s.reconnect(proxy)
 	}
-	s.boot.Known = s.discovery.body(true, 0)
+	s.boot.CachedList = s.discovery.body(true, 0)
 	s.startMachine()
 	s.startReports()
 }
 
 // settle ends the accidents that last.
-func (s *script) settle() {
+func (s *script) endLastingFaults() {
 	s.discovery.mode = ""
 	for _, proxy := range s.proxies {
 		proxy.mute = false
@@ -124,8 +124,8 @@
 
 // forgetServers lets pass the time after which the names of servers that are gone are forgotten, then has them come back.
 func (s *script) forgetServers() {
-	s.settle()
-	s.now += keepName + 10
+	s.endLastingFaults()
+	s.now += nameRetention + 10
 	s.after(5, func() {
 		for number, server := range s.discovery.servers {
 			if server.health != "active" {
@@ -156,25 +156,25 @@
 // countFigures adds what the machine counted to what was seen.
 func (s *script) countFigures() {
 	figures := s.machine.Stats()
-	if figures.Panics+figures.Failures > 0 {
-		s.t.Errorf("%d inputs panicked, the module failed %d times", figures.Panics, figures.Failures)
+	if figures.InputPanics+figures.PlannerRestarts > 0 {
+		s.t.Errorf("%d inputs panicked, the module failed %d times", figures.InputPanics, figures.PlannerRestarts)
 	}
 	seen := s.recording.seen
 	seen["stream taken over"] += figures.TakenOver
-	seen["connection refused"] += figures.Refused
+	seen["connection refused"] += figures.Rejected
 	seen["stranger evicted"] += figures.Evicted
-	seen["message dropped"] += figures.Spoilt
-	seen["connection ended for what it carried"] += figures.Broken
-	seen["answer to a mark not in flight"] += figures.Stale
-	seen["silent connection ended"] += figures.IdledOut
-	seen["outdated probe"] += figures.Outdated
+	seen["message dropped"] += figures.InvalidMessages
+	seen["connection ended for what it carried"] += figures.BrokenConnections
+	seen["answer to a mark not in flight"] += figures.StaleAcknowledgements
+	seen["silent connection ended"] += figures.IdleClosed
+	seen["outdated probe"] += figures.OutdatedProbes
 }
 
 // step has the machine take one step and lets time pass, at most until it wants to be stepped again.
 func (s *script) step() {
 	s.runTimers()
-	if s.dice.Float64() < s.phase.accidents {
-		s.accident()
+	if s.dice.Float64() < s.phase.faults {
+		s.injectFault()
 	}
 	s.deliver()
 	out := &statemachine.Effects{}
--- a/internal/platform/roll.go
+++ b/internal/platform/roll.go
@@ -14,70 +14,70 @@
 )
 
 // roll is the list as last held, and the two ways between a server's name and the number that the module knows it by.
-type roll struct {
-	version int64
-	held    bool // a list was held at all
-	older   int  // lists in a row that were older than what is held
-	numbers map[string]choice.BackendID
-	servers map[choice.BackendID]*server
-	tidied  statemachine.Seconds
+type endpointRegistry struct {
+	version    int64
+	loaded     bool // a list was held at all
+	olderInRow int  // lists in a row that were older than what is held
+	ids        map[string]choice.BackendID
+	backends   map[choice.BackendID]*backend
+	lastPruned statemachine.Seconds
 }
 
-type server struct {
-	name  string
-	addr  string
-	entry choice.Endpoint
-	gone  statemachine.Seconds // since when it is not listed; 0: it is
+type backend struct {
+	name      string
+	addr      string
+	endpoint  choice.Endpoint
+	goneSince statemachine.Seconds // since when it is not listed; 0: it is
 }
 
 // keepName is how long the name of a server that is gone is kept: longer than the module may still speak of it.
-const keepName = choice.BackendRetention + 60
+const nameRetention = choice.BackendRetention + 60
 
-func newRoll() *roll {
-	return &roll{numbers: map[string]choice.BackendID{}, servers: map[choice.BackendID]*server{}}
+func newEndpointRegistry() *endpointRegistry {
+	return &endpointRegistry{ids: map[string]choice.BackendID{}, backends: map[choice.BackendID]*backend{}}
 }
 
 // host and list are discovery's forms.
-type host struct {
+type hostDocument struct {
 	Host   string
 	Dial   string
 	Site   string
 	Class  string
-	Block  whole
+	Block  wholeNumber
 	Health string
 	Share  *float64
 	BornMs float64 `json:"born_ms"`
 }
 
-type list struct {
-	Seq   *whole
+type listDocument struct {
+	Seq   *wholeNumber
 	Whole bool
-	Hosts *[]host
+	Hosts *[]hostDocument
 }
 
 // whole is a number without fractions, however it is written: to JSON 41 and 41.0 are one number, to encoding/json's integers
 // they are not, and one such in a list would cost the list.
-type whole int64
+type wholeNumber int64
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (w *whole) UnmarshalJSON(b []byte) error {
+func (w *wholeNumber) UnmarshalJSON(b []byte) error {
 	if string(b) == "null" {
 		return nil
 	}
 	if n, err := strconv.ParseInt(string(b), 10, 64); err == nil {
-		*w = whole(n)
+		*w = wholeNumber(n)
 		return nil
 	}
 	f, err := strconv.ParseFloat(string(b), 64)
 	if err != nil || f != math.Trunc(f) || math.Abs(f) > 1<<53 {
 		return fmt.Errorf("%.32s is not a whole number", b)
 	}
-	*w = whole(f)
+	*w = wholeNumber(f)
 	return nil
 }
 
-func parseList(b []byte) (*list, error) {
-	l := &list{}
+func parseEndpointList(b []byte) (*listDocument, error) {
+	l := &listDocument{}
 	if err := json.Unmarshal(b, l); err != nil {
 		return nil, fmt.Errorf("a list that can't be read: %w", err)
 	}
@@ -87,7 +87,7 @@
 	seen := make(map[string]bool, len(*l.Hosts))
 	for _, h := range *l.Hosts {
 		switch {
-		case !goodName(h.Host):
+		case !validName(h.Host):
 			return nil, fmt.Errorf("a list with a server of the name %.64q", h.Host)
 		case seen[h.Host]:
 			return nil, fmt.Errorf("a list that names %s twice", h.Host)
@@ -102,7 +102,7 @@
 }
 
 // goodName keeps names fit for orders, in which they stand between commas and colons.
-func goodName(s string) bool {
+func validName(s string) bool {
 	if s == "" || len(s) > 128 {
 		return false
 	}
@@ -116,78 +116,78 @@
 
 // number gives a server's number: made from its name alone, so that it is the same at every coordinator and after every
 // restart, as the ring hashes it. Of two names that would share one, the later met takes the next that is free.
-func (r *roll) number(name string) choice.BackendID {
-	if ep, ok := r.numbers[name]; ok {
+func (r *endpointRegistry) backendID(name string) choice.BackendID {
+	if ep, ok := r.ids[name]; ok {
 		return ep
 	}
 	sum := crc32.ChecksumIEEE([]byte(name))
-	for k := 1; r.servers[choice.BackendID(sum)] != nil; k++ {
+	for k := 1; r.backends[choice.BackendID(sum)] != nil; k++ {
 		sum = crc32.ChecksumIEEE([]byte(name + "/" + strconv.Itoa(k)))
 	}
-	r.numbers[name] = choice.BackendID(sum)
+	r.ids[name] = choice.BackendID(sum)
 	return choice.BackendID(sum)
 }
 
 // news takes over a list that discovery sent and gives what the module is to hear of it.
-func (r *roll) news(now statemachine.Seconds, l *list) (choice.EndpointUpdate, error) {
+func (r *endpointRegistry) update(now statemachine.Seconds, l *listDocument) (choice.EndpointUpdate, error) {
 	version := int64(*l.Seq)
-	if r.held && version < r.version {
+	if r.loaded && version < r.version {
 		// It comes from somewhere that is behind. The next call asks for all; if that stays so, discovery began anew.
-		if r.older++; !l.Whole || r.older < 3 {
+		if r.olderInRow++; !l.Whole || r.olderInRow < 3 {
 			return choice.EndpointUpdate{}, fmt.Errorf("a list of version %d, but version %d is held", version, r.version)
 		}
 	}
-	r.older = 0
+	r.olderInRow = 0
 	out := choice.EndpointUpdate{Kind: choice.UpdateDelta, Version: version}
 	listed := map[choice.BackendID]bool{}
 	for _, h := range *l.Hosts {
-		ep := r.number(h.Host)
-		s := r.servers[ep]
+		ep := r.backendID(h.Host)
+		s := r.backends[ep]
 		if s == nil {
 			if h.Health == "left" {
-				delete(r.numbers, h.Host) // never heard of, and nothing to say of it
+				delete(r.ids, h.Host) // never heard of, and nothing to say of it
 				continue
 			}
-			s = &server{name: h.Host}
-			r.servers[ep] = s
+			s = &backend{name: h.Host}
+			r.backends[ep] = s
 		}
 		if h.Dial != "" {
 			s.addr = h.Dial
 		}
-		s.gone = 0
-		s.entry = choice.Endpoint{Backend: ep, Kind: h.Class, Zone: choice.Zone(h.Site), Weight: 1, Cell: int(h.Block), StartedAt: h.BornMs / 1000}
+		s.goneSince = 0
+		s.endpoint = choice.Endpoint{Backend: ep, Kind: h.Class, Zone: choice.Zone(h.Site), Weight: 1, Cell: int(h.Block), StartedAt: h.BornMs / 1000}
 		if h.Share != nil {
-			s.entry.Weight = *h.Share
+			s.endpoint.Weight = *h.Share
 		}
 		switch h.Health {
 		case "active":
-			s.entry.State = choice.BackendOpen
+			s.endpoint.State = choice.BackendOpen
 		case "leaving":
-			s.entry.State = choice.BackendDraining
+			s.endpoint.State = choice.BackendDraining
 		default:
-			s.entry.State, s.gone = choice.BackendGone, now
+			s.endpoint.State, s.goneSince = choice.BackendGone, now
 		}
 		listed[ep] = true
-		out.Endpoints = append(out.Endpoints, s.entry)
+		out.Endpoints = append(out.Endpoints, s.endpoint)
 	}
 	if l.Whole {
 		out.Kind = choice.UpdateFull
-		for ep, s := range r.servers {
-			if !listed[ep] && s.gone == 0 {
-				s.gone, s.entry.State = now, choice.BackendGone
+		for ep, s := range r.backends {
+			if !listed[ep] && s.goneSince == 0 {
+				s.goneSince, s.endpoint.State = now, choice.BackendGone
 			}
 		}
 	}
-	r.version, r.held = version, true
+	r.version, r.loaded = version, true
 	return out, nil
 }
 
 // kept is the list as a fresh instance of the module is to hear of it.
-func (r *roll) kept() choice.EndpointUpdate {
+func (r *endpointRegistry) cachedUpdate() choice.EndpointUpdate {
 	l := choice.EndpointUpdate{Kind: choice.UpdateCached, Version: r.version}
-	for _, s := range r.servers {
-		if s.gone == 0 {
-			l.Endpoints = append(l.Endpoints, s.entry)
+	for _, s := range r.backends {
+		if s.goneSince == 0 {
+			l.Endpoints = append(l.Endpoints, s.endpoint)
 		}
 	}
 	slices.SortFunc(l.Endpoints, func(a, b choice.Endpoint) int { return cmp.Compare(a.Backend, b.Backend) })
@@ -195,18 +195,18 @@
 }
 
 // partial tells whether changes alone would not do.
-func (r *roll) partial() bool { return !r.held || r.older > 0 }
+func (r *endpointRegistry) needsFullList() bool { return !r.loaded || r.olderInRow > 0 }
 
 // tidy forgets the names of servers that are gone for so long that nothing speaks of them any more.
-func (r *roll) tidy(now statemachine.Seconds) (forgotten []choice.BackendID) {
-	if now < r.tidied+keepName/16 {
+func (r *endpointRegistry) prune(now statemachine.Seconds) (forgotten []choice.BackendID) {
+	if now < r.lastPruned+nameRetention/16 {
 		return nil
 	}
-	r.tidied = now
-	for ep, s := range r.servers {
-		if s.gone > 0 && now > s.gone+keepName {
-			delete(r.servers, ep)
-			delete(r.numbers, s.name)
+	r.lastPruned = now
+	for ep, s := range r.backends {
+		if s.goneSince > 0 && now > s.goneSince+nameRetention {
+			delete(r.backends, ep)
+			delete(r.ids, s.name)
 			forgotten = append(forgotten, ep)
 		}
 	}
--- a/internal/platform/start.go
+++ b/internal/platform/start.go
@@ -19,7 +19,7 @@
 	Cores                   float64
 	Memory                  int64 // bytes
 	Sockets                 int
-	Known                   json.RawMessage
+	CachedList              json.RawMessage
 	Values                  map[string]any // for the module
 }
 
@@ -43,7 +43,7 @@
 		Limits                  struct {
 			Cores   float64
 			Memory  float64 `json:"memory_mb"`
-			Sockets whole
+			Sockets wholeNumber
 		}
 		Known    json.RawMessage
 		Settings map[string]any
@@ -58,7 +58,7 @@
 		return env(variable)
 	}
 	s := &NodeConfig{Name: either(doc.Name, envName), Listen: either(doc.Listen, envListen), Discovery: either(doc.Discovery, envDiscovery),
-		Cores: doc.Limits.Cores, Memory: int64(doc.Limits.Memory * (1 << 20)), Sockets: int(doc.Limits.Sockets), Known: doc.Known}
+		Cores: doc.Limits.Cores, Memory: int64(doc.Limits.Memory * (1 << 20)), Sockets: int(doc.Limits.Sockets), CachedList: doc.Known}
 	switch {
 	case s.Listen == "":
 		return nil, errors.New("no address to listen on: neither the configuration nor " + envListen + " has one")
@@ -69,8 +69,8 @@
 	case !(s.Cores >= 0) || s.Memory < 0 || s.Sockets < 0 || s.Sockets > 0 && s.Sockets < leastSockets:
 		return nil, fmt.Errorf("limits out of range: %v cores, %v bytes, %d sockets (%d is the least)", s.Cores, s.Memory, s.Sockets, leastSockets)
 	}
-	if string(s.Known) == "null" {
-		s.Known = nil
+	if string(s.CachedList) == "null" {
+		s.CachedList = nil
 	}
 	// Hex digits, as the page has it; a bare number's digits serve as well, since any will do that are new with each start.
 	if digits := strings.Trim(string(doc.Seed), `"`); digits != "" && digits != "null" {
@@ -118,14 +118,14 @@
 
 // Bootstrap is what the machine is started with.
 func (s *NodeConfig) Bootstrap(now statemachine.Seconds) Bootstrap {
-	b := Bootstrap{Name: s.Name, Discovery: s.Discovery, Module: choice.Config{Seed: s.Seed, Now: now, Settings: choice.DecodeSettings(s.Values)}, Known: s.Known,
-		MostConns: math.MaxInt, MostProbes: 8, MostAnswer: 8 << 20, Handshake: 1}
+	b := Bootstrap{Name: s.Name, Discovery: s.Discovery, Module: choice.Config{Seed: s.Seed, Now: now, Settings: choice.DecodeSettings(s.Values)}, CachedList: s.CachedList,
+		MaxConnections: math.MaxInt, MaxProbes: 8, MaxResponseBytes: 8 << 20, HandshakeTimeout: 1}
 	if s.Sockets > 0 {
-		b.MostConns = s.Sockets - ownFiles - slack
-		b.MostProbes = max(1, min(b.MostProbes, b.MostConns/16))
+		b.MaxConnections = s.Sockets - ownFiles - slack
+		b.MaxProbes = max(1, min(b.MaxProbes, b.MaxConnections/16))
 	}
 	if s.Memory > 0 {
-		b.MostAnswer = int(max(1<<18, min(int64(b.MostAnswer), s.Memory/16)))
+		b.MaxResponseBytes = int(max(1<<18, min(int64(b.MaxResponseBytes), s.Memory/16)))
 	}
 	return b
 }
