--- a/internal/platform/day_test.go
+++ b/internal/platform/day_test.go
@@ -667,9 +667,9 @@
 			t.Fatalf("%T is not carried out", o)
 		}
 	}
-	mark := choice.Nonce(9)
+	nonce := choice.Nonce(9)
 	messages, _ := m.distributor.Flush(nil)
-	got := string(wire.AppendPush(nil, m.pushParts(s, messages[0].Ops, &mark)))
+	got := string(wire.AppendPush(nil, m.pushParts(s, messages[0].Ops, &nonce)))
 	first, second := "s-1:1.5", "s-2:1"
 	if two < one {
 		first, second = second, first
--- /dev/null
+++ b/internal/platform/decision.go
@@ -0,0 +1,94 @@
+package platform
+
+import (
+	"fmt"
+
+	"gingerfork/choice"
+	"gingerfork/internal/fanout"
+	"gingerfork/internal/platform/wire"
+	"gingerfork/internal/statemachine"
+)
+
+// decide runs a step of the decision module with the events since the last one and executes its commands.
+func (m *Machine) decide(now statemachine.Seconds, out *statemachine.Effects) {
+	events := m.events
+	m.events = nil
+	m.lastDecision = now
+	m.stats.Steps++
+	commands, err := m.stepPlanner(now, events)
+	if err != nil {
+		m.restartPlanner(now, err, out)
+		return
+	}
+	m.stats.Commands += len(commands)
+	nonce := m.execute(now, commands, out)
+	if nonce != nil && nonce.All {
+		for subscriber := range m.distributor.Subscribers() {
+			m.distributor.MarkDirty(subscriber)
+		}
+	}
+	messages, changes := m.distributor.Flush(nil)
+	for _, message := range messages {
+		m.push(now, message, nonce, out)
+	}
+	for _, change := range changes {
+		m.logExclusionChange(change, out)
+	}
+	m.probes.startQueued(now, out)
+	m.probes.expire(now, out)
+	m.discovery.expire(now, out)
+}
+
+// execute executes the commands of a step and returns the nonce for its messages, nil if the module sets none.
+func (m *Machine) execute(now statemachine.Seconds, commands []choice.Command, out *statemachine.Effects) (nonce *choice.SetNonce) {
+	for _, command := range commands {
+		switch command := command.(type) {
+		case choice.SetNonce:
+			nonce = &command
+		case choice.WatchEndpoints:
+			m.discovery.watch(now, out)
+		case choice.FetchEndpoints:
+			m.discovery.fetchAll(now, out)
+		case choice.ProbeBackend:
+			m.probes.enqueue(command.Backend)
+		case choice.SetTimer:
+			// The module has one timer at a time and reads the clock itself, so the earliest one serves for all.
+			if command.At < m.timerDue {
+				m.timerDue, m.timerID = command.At, command.Timer
+			}
+		case choice.LogMessage:
+			out.Log(levelInfo, command.Text)
+		case choice.SendToPeer: // the platform has no connections between coordinators
+		default:
+			if !m.distributor.Apply(command) {
+				m.logThrottled(out, problemUnknownCommand, levelError, "command of unknown type ignored", "type", fmt.Sprintf("%T", command))
+			}
+		}
+	}
+	return nonce
+}
+
+// push sends the message of a step to a proxy.
+func (m *Machine) push(now statemachine.Seconds, message *fanout.Message, nonce *choice.SetNonce, out *statemachine.Effects) {
+	receiver := m.streams[message.To.Proxy]
+	if receiver == nil || receiver.subscriber != message.To {
+		return
+	}
+	var number *choice.Nonce
+	if nonce != nil {
+		number = &nonce.Nonce
+		receiver.addInFlight(now, nonce.Nonce)
+	}
+	data := wire.AppendPush(nil, m.pushParts(receiver, message.Ops, number))
+	m.stats.Messages++
+	m.stats.Bytes += len(data)
+	out.Write(receiver.session.conn, data)
+}
+
+func (m *Machine) logExclusionChange(change fanout.ExclusionChange, out *statemachine.Effects) {
+	text := "backend restored"
+	if change.Excluded {
+		text = "backend excluded"
+	}
+	out.Log(levelInfo, text, "backend", m.endpoints.name(change.Backend), "proxies", change.Proxies)
+}
--- a/internal/platform/rare_test.go
+++ b/internal/platform/rare_test.go
@@ -189,7 +189,7 @@
 				t.Errorf("then it asks %s", path)
 			}
 			x.betweenSteps(func() {
-				if n := x.machine.problemCounts["discovery"]; n > 0 {
+				if n := x.machine.problemCounts[problemDiscovery]; n > 0 {
 					t.Errorf("%d failures were told", n)
 				}
 			})
@@ -337,7 +337,7 @@
 	now := 100.02
 	for range 4 { // the pauses grow
 		h.respond(now, 503, "")
-		for dialled := h.machine.lastDialed; !h.machine.discovery.calling; now += 0.05 {
+		for dialled := h.machine.lastDialed; !h.machine.discovery.active; now += 0.05 {
 			h.step(now)
 			if h.machine.lastDialed != dialled {
 				h.connect(now)
@@ -345,7 +345,7 @@
 		}
 	}
 	h.respond(now, 503, "")
-	if h.machine.discovery.calling {
+	if h.machine.discovery.active {
 		t.Fatal("it does not pause")
 	}
 	boot := h.machine.boot
@@ -382,7 +382,7 @@
 			t.Fatalf("%v: then it does %q", within, did)
 		}
 		began, now := 100.01, 100.01
-		for h.machine.problemCounts["discovery"] == 0 && now < 1000 {
+		for h.machine.problemCounts[problemDiscovery] == 0 && now < 1000 {
 			now += 0.01
 			h.step(now)
 		}
@@ -457,8 +457,8 @@
 			t.Error("a server is taken to be dead that was never asked")
 		}
 	}
-	if h.machine.problemCounts["unasked"] < 2 || len(h.machine.probes.active) > 0 {
-		t.Errorf("%d probes were not sent, %d are taken to be under way", h.machine.problemCounts["unasked"], len(h.machine.probes.active))
+	if h.machine.problemCounts[problemProbeNotSent] < 2 || len(h.machine.probes.active) > 0 {
+		t.Errorf("%d probes were not sent, %d are taken to be under way", h.machine.problemCounts[problemProbeNotSent], len(h.machine.probes.active))
 	}
 }
 
@@ -481,17 +481,22 @@
 		body        string
 		whole, good bool
 	}
+	newResult := func(parsed *response, err error) result {
+		if parsed == nil {
+			return result{good: err == nil}
+		}
+		return result{parsed.status, string(parsed.body), true, err == nil}
+	}
 	read := func(b []byte, size func(left int) int) result {
 		a := responseParser{maxBytes: 1 << 16}
 		for len(b) > 0 {
 			n := size(len(b))
-			status, body, _, whole, err := a.feed(b[:n], false)
-			if b = b[n:]; whole || err != nil {
-				return result{status, string(body), whole, err == nil}
+			parsed, err := a.feed(b[:n], false)
+			if b = b[n:]; parsed != nil || err != nil {
+				return newResult(parsed, err)
 			}
 		}
-		status, body, _, whole, err := a.feed(nil, true)
-		return result{status, string(body), whole, err == nil}
+		return newResult(a.feed(nil, true))
 	}
 	f.Fuzz(func(t *testing.T, b []byte, seed uint64) {
 		if len(b) > 1<<14 {
@@ -517,10 +522,10 @@
 	tries := 0
 	for i := range text {
 		before := a.parses
-		_, got, _, whole, err := a.feed([]byte{text[i]}, false)
+		parsed, err := a.feed([]byte{text[i]}, false)
 		tries += a.parses - before
-		if err != nil || whole != (i == len(text)-1) || whole && string(got) != body {
-			t.Fatalf("after %d of %d bytes: whole %v, %v", i+1, len(text), whole, err)
+		if err != nil || (parsed != nil) != (i == len(text)-1) || parsed != nil && string(parsed.body) != body {
+			t.Fatalf("after %d of %d bytes: response %v, %v", i+1, len(text), parsed, err)
 		}
 	}
 	if tries > 3 {
--- /dev/null
+++ b/internal/platform/recovery.go
@@ -0,0 +1,112 @@
+package platform
+
+import (
+	"errors"
+	"fmt"
+	"runtime/debug"
+	"slices"
+
+	"gingerfork/choice"
+	"gingerfork/internal/fanout"
+	"gingerfork/internal/statemachine"
+)
+
+var (
+	errStepPanic          = errors.New("a step panicked")
+	errPlannerPanic       = errors.New("the decision module panicked")
+	errResponseNotHandled = errors.New("handling the response panicked")
+)
+
+// restartDelay is the pause before the next step of a decision module that failed twice within this time.
+const restartDelay statemachine.Seconds = 1
+
+// startPlanner starts a new instance of the decision module from the endpoint list and the streams as they are.
+func (m *Machine) startPlanner(config choice.Config) {
+	m.planner, m.distributor = choice.New(config), fanout.New()
+	m.distributor.AllMethods = m.methodSet(0)
+	m.events, m.timerDue, m.lastDecision = nil, config.Now, config.Now-m.stepInterval
+	if m.endpoints.loaded {
+		m.events = append(m.events, m.endpoints.cachedUpdate())
+	}
+	for _, s := range m.streams {
+		if s != nil {
+			s.subscriber, s.inFlight = m.distributor.Join(s.proxy), nil
+			m.events = append(m.events, choice.ProxyJoined{Proxy: s.proxy, Zone: s.zone, Rate: s.rate})
+		}
+	}
+}
+
+// restartPlanner replaces a failed decision module. Proxies keep their tables until the new instance has sent its own.
+func (m *Machine) restartPlanner(now statemachine.Seconds, cause error, out *statemachine.Effects) {
+	m.stats.PlannerRestarts++
+	m.logThrottled(out, problemPlannerRestart, levelError, "decision module restarted", "cause", cause.Error())
+	config := m.boot.Module
+	config.Seed, config.Now = config.Seed+uint64(m.stats.PlannerRestarts), now
+	m.startPlanner(config)
+	if now < m.lastRestart+restartDelay { // a module that keeps failing must not be restarted in a tight loop
+		m.timerDue, m.lastDecision = now+restartDelay, now+restartDelay
+	}
+	m.lastRestart = now
+}
+
+// stepPlanner runs a step of the decision module and turns a panic into an error. The end of the process would leave all
+// proxies without a coordinator.
+func (m *Machine) stepPlanner(now statemachine.Seconds, events []choice.Event) (commands []choice.Command, err error) {
+	defer func() {
+		if cause := recover(); cause != nil {
+			err = fmt.Errorf("%w: %v\n%s", errPlannerPanic, cause, debug.Stack())
+		}
+	}()
+	return m.planner.Step(now, events), nil
+}
+
+// recoverStep runs a part of a step that concerns all connections. After a panic the decision module is restarted, since
+// the end of the process would leave all proxies without a coordinator.
+func (m *Machine) recoverStep(now statemachine.Seconds, out *statemachine.Effects, part func(statemachine.Seconds, *statemachine.Effects)) {
+	defer func() {
+		if cause := recover(); cause != nil {
+			m.restartPlanner(now, fmt.Errorf("%w: %v\n%s", errStepPanic, cause, debug.Stack()), out)
+		}
+	}()
+	part(now, out)
+}
+
+// handleInputSafely handles an input. A panic closes the connection of the input and leaves all others open.
+func (m *Machine) handleInputSafely(now statemachine.Seconds, input statemachine.Input, out *statemachine.Effects) {
+	defer func() {
+		if cause := recover(); cause != nil {
+			m.closeAfterPanic(input.Conn, cause, out)
+		}
+	}()
+	m.handleInput(now, input, out)
+}
+
+func (m *Machine) closeAfterPanic(conn statemachine.Conn, cause any, out *statemachine.Effects) {
+	m.stats.InputPanics++
+	m.logThrottled(out, problemInputPanic, levelError, "connection closed: handling its input panicked",
+		"conn", uint64(conn), "cause", fmt.Sprint(cause), "stack", string(debug.Stack()))
+	peer := m.sessions[conn]
+	if peer == nil {
+		return
+	}
+	delete(m.sessions, conn)
+	out.Abort(conn)
+	switch peer.role {
+	case roleProxy:
+		m.leaveBySession(peer)
+	case roleDiscovery:
+		m.discovery.conn, m.discovery.connected = 0, false
+		m.discovery.requestFailed(errResponseNotHandled, out)
+	case roleProbe:
+		m.probes.active = slices.DeleteFunc(m.probes.active, func(active *session) bool { return active == peer })
+	}
+}
+
+// leaveBySession removes the stream of a session without reading the session, which may be inconsistent after a panic.
+func (m *Machine) leaveBySession(s *session) {
+	for _, candidate := range m.streams {
+		if candidate != nil && candidate.session == s {
+			m.leave(candidate)
+		}
+	}
+}
--- /dev/null
+++ b/internal/platform/streams.go
@@ -0,0 +1,107 @@
+package platform
+
+import (
+	"slices"
+
+	"gingerfork/choice"
+	"gingerfork/internal/fanout"
+	"gingerfork/internal/platform/wire"
+	"gingerfork/internal/statemachine"
+)
+
+// stream is the stream of a joined proxy.
+type stream struct {
+	session    *session
+	subscriber *fanout.Subscriber
+	proxy      choice.ProxyID
+	zone       choice.Zone
+	rate       float64 // RPCs per second that the proxy usually gets, as it said
+
+	inFlight            []choice.Nonce       // sent on this stream and not acknowledged, oldest first
+	unacknowledgedSince statemachine.Seconds // meaningless while inFlight is empty
+	lastReceived        statemachine.Seconds // when data last came
+
+	// sentExclusions has what was sent on this stream: true for an excluded backend, false for a restored one. A proxy keeps
+	// exclusions across streams, and other coordinators send them too. The state of a backend that is not in the map is
+	// unknown, unless the proxy held nothing when it joined.
+	sentExclusions map[choice.BackendID]bool
+	joinedEmpty    bool
+}
+
+// maxNoncesInFlight limits the nonces that are stored of a proxy that does not acknowledge.
+const maxNoncesInFlight = 256
+
+func (m *Machine) join(now statemachine.Seconds, peer *session, message wire.ProxyJoin, out *statemachine.Effects) error {
+	if message.Proxy >= len(m.streams) || !m.zones[message.Zone] {
+		return invalidMessage("joining", "proxy %d or zone %.32q does not exist", message.Proxy, message.Zone)
+	}
+	if former := m.streams[message.Proxy]; former != nil {
+		if peer.conn < former.session.conn {
+			// This connection was opened before that of the joined stream, and its message was late: the proxy has given it up.
+			return invalidMessage("joining", "proxy %d is joined by a later stream", message.Proxy)
+		}
+		// The former connection is dead, and its end has not been seen yet. Its late end must have no effect.
+		m.stats.TakenOver++
+		delete(m.sessions, former.session.conn)
+		out.Abort(former.session.conn)
+		m.leave(former)
+	}
+	joined := &stream{
+		session: peer, proxy: choice.ProxyID(message.Proxy), zone: choice.Zone(message.Zone), rate: message.Rate, lastReceived: now,
+		sentExclusions: map[choice.BackendID]bool{}, joinedEmpty: message.Fresh,
+	}
+	joined.subscriber = m.distributor.Join(joined.proxy)
+	peer.role, peer.stream, peer.decoder.MaxBytes = roleProxy, joined, maxMessageBytes
+	m.streams[message.Proxy] = joined
+	m.stats.Joins++
+	m.events = append(m.events, choice.ProxyJoined{Proxy: joined.proxy, Zone: joined.zone, Rate: message.Rate, Fresh: message.Fresh})
+	return nil
+}
+
+func (m *Machine) leave(s *stream) {
+	if m.streams[s.proxy] != s {
+		return
+	}
+	m.streams[s.proxy] = nil
+	m.distributor.Leave(s.subscriber)
+	m.stats.Leaves++
+	m.events = append(m.events, choice.ProxyLeft{Proxy: s.proxy})
+}
+
+// acknowledge handles an acknowledgement, which covers all earlier nonces of the stream as well. A nonce that is not in
+// flight on this very stream is ignored.
+func (m *Machine) acknowledge(s *stream, message wire.Acknowledgement) {
+	nonce := choice.Nonce(message.Nonce)
+	at := slices.Index(s.inFlight, nonce)
+	if at < 0 {
+		m.stats.StaleAcknowledgements++
+		return
+	}
+	s.inFlight = append(s.inFlight[:0], s.inFlight[at+1:]...)
+	m.events = append(m.events, choice.PushAcknowledged{Proxy: s.proxy, Nonce: nonce, Delay: message.Delay})
+}
+
+// addInFlight stores a nonce that is sent, dropping the oldest ones if there are too many.
+func (s *stream) addInFlight(now statemachine.Seconds, nonce choice.Nonce) {
+	if len(s.inFlight) == 0 {
+		s.unacknowledgedSince = now
+	}
+	s.inFlight = append(s.inFlight, nonce)
+	if len(s.inFlight) > maxNoncesInFlight {
+		s.inFlight = append(s.inFlight[:0], s.inFlight[1:]...)
+	}
+}
+
+// forgetBackends removes backends whose names are forgotten from what was sent on streams. A proxy may go on holding such
+// a backend as excluded. So the stream no longer counts as joined empty, and if the name comes back it is restored.
+func (m *Machine) forgetBackends(backends []choice.BackendID) {
+	for _, s := range m.streams {
+		if s == nil {
+			continue
+		}
+		for _, id := range backends {
+			s.joinedEmpty = s.joinedEmpty && !s.sentExclusions[id]
+			delete(s.sentExclusions, id)
+		}
+	}
+}
