--- /dev/null
+++ b/internal/platform/harness_loop_test.go
@@ -0,0 +1,182 @@
+package platform
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"gingerfork/choice"
+	"gingerfork/internal/eventloop"
+)
+
+// loopTest is a coordinator on the real event loop with a scripted discovery, connected over loopback, for tests that need
+// a certain order of events on real connections.
+type loopTest struct {
+	t         *testing.T
+	loop      *eventloop.Loop
+	machine   *Machine
+	discovery *fakePeer
+}
+
+// fakePeer is a server whose connections a test scripts.
+type fakePeer struct {
+	t        *testing.T
+	listener *net.TCPListener
+}
+
+// rawConn is one connection of a test.
+type rawConn struct {
+	t *testing.T
+	*net.TCPConn
+	reader *bufio.Reader
+}
+
+// ioTimeout is far longer than any step of a test takes.
+const ioTimeout = 30 * time.Second
+
+func newFakePeer(t *testing.T) *fakePeer {
+	t.Helper()
+	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	return &fakePeer{t, listener}
+}
+
+func (p *fakePeer) addr() string { return p.listener.Addr().String() }
+
+func newRawConn(t *testing.T, conn *net.TCPConn) *rawConn {
+	t.Helper()
+	conn.SetDeadline(time.Now().Add(ioTimeout))
+	t.Cleanup(func() { conn.Close() })
+	return &rawConn{t, conn, bufio.NewReader(conn)}
+}
+
+func (p *fakePeer) accept() *rawConn {
+	p.t.Helper()
+	p.listener.SetDeadline(time.Now().Add(ioTimeout))
+	conn, err := p.listener.AcceptTCP()
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	return newRawConn(p.t, conn)
+}
+
+// readRequest reads an HTTP request and returns its path.
+func (c *rawConn) readRequest() string {
+	c.t.Helper()
+	path := ""
+	for {
+		line, err := c.reader.ReadString('\n')
+		if err != nil {
+			c.t.Fatalf("waiting for a request: %v", err)
+		}
+		if words := strings.Fields(line); path == "" && len(words) == 3 {
+			path = words[1]
+		}
+		if line == "\r\n" {
+			return path
+		}
+	}
+}
+
+func (c *rawConn) respond(body string) {
+	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+}
+
+// readUntil reads up to a message that contains a text.
+func (c *rawConn) readUntil(text string) string {
+	c.t.Helper()
+	for {
+		message, err := c.reader.ReadString('\n')
+		if err != nil {
+			c.t.Fatalf("waiting for %q: %v", text, err)
+		}
+		if strings.Contains(message, text) {
+			return message
+		}
+	}
+}
+
+// reset closes the connection with a TCP reset.
+func (c *rawConn) reset() {
+	c.SetLinger(0)
+	c.Close()
+}
+
+// listBody is a list of n backends at an address, the first of which was started at a time in milliseconds.
+func listBody(version int, whole bool, n int, addr string, bornMs float64) string {
+	hosts := make([]string, 0, n)
+	for i := range n {
+		hosts = append(hosts, fmt.Sprintf(
+			`{"host":"s-%d","dial":%q,"site":"a","class":"m","block":1,"health":"active","share":1,"born_ms":%f}`, i, addr, bornMs))
+		bornMs = 0
+	}
+	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, version, whole, strings.Join(hosts, ","))
+}
+
+func newLoopTest(t *testing.T, change func(map[string]any)) *loopTest {
+	t.Helper()
+	test := &loopTest{t: t, discovery: newFakePeer(t)}
+	values := testSettings(8, 1)
+	if change != nil {
+		change(values)
+	}
+	clock := eventloop.NewClock()
+	var err error
+	test.machine, err = New(Bootstrap{
+		Name: "c0", Discovery: test.discovery.addr(), MaxConnections: 64, MaxProbes: 4, MaxResponseBytes: 1 << 20, HandshakeTimeout: 30,
+		Module: choice.Config{Seed: 1, Now: clock.Now(), Settings: choice.DecodeSettings(values)},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	test.loop, err = eventloop.Start(context.Background(), eventloop.Bootstrap{Machine: test.machine, Listen: []string{"127.0.0.1:0"}, Clock: clock})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { test.loop.Stop(); _ = test.loop.Wait() })
+	return test
+}
+
+// acceptDiscovery accepts discovery's connection and responds to the first request with a full list of backends that
+// refuse connections.
+func (l *loopTest) acceptDiscovery(backends int) *rawConn {
+	l.t.Helper()
+	conn := l.discovery.accept()
+	conn.readRequest()
+	conn.respond(listBody(41, true, backends, "127.0.0.1:1", 0))
+	return conn
+}
+
+func (l *loopTest) dial() *rawConn {
+	l.t.Helper()
+	conn, err := net.Dial("tcp", l.loop.Addrs()[0])
+	if err != nil {
+		l.t.Fatal(err)
+	}
+	return newRawConn(l.t, conn.(*net.TCPConn))
+}
+
+// betweenSteps runs a function between two steps of the machine.
+func (l *loopTest) betweenSteps(run func()) {
+	done := make(chan struct{})
+	l.loop.Between(func() { run(); close(done) })
+	<-done
+}
+
+// eventually waits until a condition holds between two steps.
+func (l *loopTest) eventually(what string, condition func() bool) {
+	l.t.Helper()
+	for end, ok := time.Now().Add(ioTimeout), false; !ok; {
+		l.betweenSteps(func() { ok = condition() })
+		if time.Now().After(end) {
+			l.t.Fatal("never: " + what)
+		}
+	}
+}
--- a/internal/platform/recording_peers_test.go
+++ b/internal/platform/recording_peers_test.go
@@ -14,53 +14,53 @@
 const (
 	scriptProxyRole scriptRole = iota
 	scriptCollector
-	scriptStranger
+	scriptUnjoined
 	scriptDiscoveryRole
 	scriptProbe
 )
 
 // scriptPeer is the other end of one of the machine's connections.
 type scriptPeer struct {
-	conn   statemachine.Conn
-	role   scriptRole
-	zone   string
-	proxy  *scriptProxy
-	server *scriptServer // that is probed, nil if none is at the address
-	unsent []byte        // what it has yet to send
-	ends   bool          // it ends the connection once all is sent
-	cutOff bool          // nothing comes from it any more, not even the connection's end
-	unread string        // what came and was not whole yet
+	conn    statemachine.Conn
+	role    scriptRole
+	zone    string
+	proxy   *scriptProxy
+	backend *scriptBackend // the probed backend, nil if none has the address
+	unsent  []byte         // data that was not delivered yet
+	ends    bool           // it closes the connection once everything is sent
+	cutOff  bool           // the network between it and the machine is lost
+	unread  string         // the beginning of an incomplete message
 }
 
 // scriptProxy is a proxy across its connections.
 type scriptProxy struct {
 	number int
 	zone   string
-	peer   *scriptPeer // nil: it is not connected
-	mute   bool        // it answers no marks
+	peer   *scriptPeer // nil if it is not connected
+	mute   bool        // it acknowledges nothing
 }
 
-// scriptServer is a server as discovery lists it.
-type scriptServer struct {
+// scriptBackend is a backend as discovery lists it.
+type scriptBackend struct {
 	name, address, health string
 	born                  statemachine.Seconds
 	share                 float64
 	version               int
 }
 
-// scriptDiscovery is the list service.
+// scriptDiscovery is discovery.
 type scriptDiscovery struct {
-	version int
-	servers []*scriptServer
-	mode    string // how it fails; "": it does not
-	poll    int    // the version that the call that waits knows
-	waiting *scriptPeer
+	version  int
+	backends []*scriptBackend
+	mode     string // how it fails, "" if it does not
+	poll     int    // the version in the waiting long poll
+	waiting  *scriptPeer
 }
 
 func newScriptDiscovery() *scriptDiscovery {
-	d := &scriptDiscovery{version: scriptServers}
-	for number := range scriptServers {
-		d.servers = append(d.servers, &scriptServer{
+	d := &scriptDiscovery{version: scriptBackendCount}
+	for number := range scriptBackendCount {
+		d.backends = append(d.backends, &scriptBackend{
 			name: fmt.Sprintf("s-%04d", number), address: fmt.Sprintf("server-%d:80", number), health: "active",
 			share: float64(1 + number%3), version: number + 1,
 		})
@@ -68,28 +68,28 @@
 	return d
 }
 
-// set changes a server and tells the call that waits.
+// set changes a backend and responds to the waiting long poll.
 func (d *scriptDiscovery) set(s *script, number int, health string, born statemachine.Seconds) {
 	d.version++
-	server := d.servers[number]
-	server.health, server.born, server.version = health, born, d.version
-	s.saw("server is " + health)
+	backend := d.backends[number]
+	backend.health, backend.born, backend.version = health, born, d.version
+	s.saw("backend is " + health)
 	if peer := d.waiting; peer != nil {
 		d.waiting = nil
-		s.answerList(peer, false, d.poll)
+		s.respondWithList(peer, false, d.poll)
 	}
 }
 
-// body is the list, or what changed of it since a version.
+// body is the full list, or its changes since a version.
 func (d *scriptDiscovery) body(whole bool, since int) []byte {
 	hosts := []map[string]any{}
-	for number, server := range d.servers {
-		if whole && server.health == "left" || !whole && server.version <= since {
+	for number, backend := range d.backends {
+		if whole && backend.health == "left" || !whole && backend.version <= since {
 			continue
 		}
 		hosts = append(hosts, map[string]any{
-			"host": server.name, "dial": server.address, "site": scriptZone(number), "class": "m2", "block": number % 4,
-			"health": server.health, "share": server.share, "born_ms": server.born * 1000,
+			"host": backend.name, "dial": backend.address, "site": scriptZone(number), "class": "m2", "block": number % 4,
+			"health": backend.health, "share": backend.share, "born_ms": backend.born * 1000,
 		})
 	}
 	body, err := json.Marshal(map[string]any{"seq": d.version, "whole": whole, "hosts": hosts})
@@ -121,7 +121,7 @@
 	return peer
 }
 
-// attach joins a proxy on a new connection; a former one of its stands until it is ended.
+// attach joins a proxy on a new connection; a former one stays open until the machine closes it.
 func (s *script) attach(proxy *scriptProxy, fresh bool) {
 	proxy.peer = s.accept(scriptProxyRole, proxy.zone)
 	proxy.peer.proxy = proxy
@@ -145,12 +145,12 @@
 	})
 }
 
-// alive tells whether a peer's connection stands.
+// alive returns whether a peer's connection is open.
 func (s *script) alive(peer *scriptPeer) bool {
 	return slices.Contains(s.peers, peer)
 }
 
-// deliver hands over bytes that peers have sent, in pieces of any size, and the ends of their connections.
+// deliver passes the data that peers have sent, in pieces of any size, and the ends of their connections to the machine.
 func (s *script) deliver() {
 	for _, peer := range slices.Clone(s.peers) {
 		if peer.cutOff {
@@ -174,14 +174,14 @@
 	}
 }
 
-// end has a connection end from the peer's side.
+// end closes a connection from the peer's side.
 func (s *script) end(peer *scriptPeer, why string) {
 	s.input(statemachine.Input{Kind: statemachine.ConnClosed, Conn: peer.conn, Text: why})
 	s.remove(peer)
-	s.saw("peer ends a connection")
+	s.saw("peer closes a connection")
 }
 
-// remove forgets a connection. Its proxy, if it has no other, comes back.
+// remove removes a connection. Its proxy connects again unless it has another one.
 func (s *script) remove(peer *scriptPeer) {
 	s.peers = slices.DeleteFunc(s.peers, func(p *scriptPeer) bool { return p == peer })
 	if s.discovery.waiting == peer {
@@ -202,11 +202,11 @@
 	return nil
 }
 
-// react has the other side take one action of the machine.
+// react executes one action of the machine at its peer.
 func (s *script) react(act statemachine.Action) {
 	switch act.Kind {
 	case statemachine.ActionDial:
-		s.dialled(act)
+		s.dialed(act)
 	case statemachine.ActionWrite:
 		if peer := s.find(act.Conn); peer != nil {
 			s.received(peer, string(act.Data))
@@ -214,28 +214,28 @@
 			s.saw("write on an ended connection")
 		}
 	case statemachine.ActionClose, statemachine.ActionAbort:
-		s.saw("machine ends a connection")
+		s.saw("machine closes a connection")
 		if peer := s.find(act.Conn); peer != nil {
 			if peer.cutOff && peer.proxy.peer == peer {
-				s.saw("machine ends a stream that was cut off")
+				s.saw("machine closes an idle stream")
 			}
 			s.remove(peer)
 		}
 	}
 }
 
-// dialled decides what becomes of a connection that the machine opens.
-func (s *script) dialled(act statemachine.Action) {
+// dialed decides the outcome of a connection that the machine dials.
+func (s *script) dialed(act statemachine.Action) {
 	peer := &scriptPeer{conn: act.Conn, role: scriptProbe}
 	if strings.HasPrefix(act.Addr, "discovery") {
 		peer.role = scriptDiscoveryRole
 		s.saw("dial to discovery")
 	} else {
-		s.saw("dial to a server")
+		s.saw("dial to a backend")
 	}
-	for _, server := range s.discovery.servers {
-		if server.address == act.Addr {
-			peer.server = server
+	for _, backend := range s.discovery.backends {
+		if backend.address == act.Addr {
+			peer.backend = backend
 		}
 	}
 	s.peers = append(s.peers, peer)
@@ -259,7 +259,7 @@
 	}
 }
 
-// received takes bytes that the machine wrote.
+// received handles data that the machine wrote.
 func (s *script) received(peer *scriptPeer, data string) {
 	end := "\r\n"
 	if peer.role == scriptDiscoveryRole || peer.role == scriptProbe {
@@ -274,49 +274,49 @@
 		peer.unread = rest
 		switch peer.role {
 		case scriptDiscoveryRole:
-			s.listCall(peer, message)
+			s.listRequest(peer, message)
 		case scriptProbe:
-			s.probeCall(peer, message)
+			s.probeRequest(peer, message)
 		default:
 			s.pushReceived(peer, message)
 		}
 	}
 }
 
-// order takes a line that the machine wrote to a proxy, a collector or a stranger.
+// pushReceived handles a message that the machine wrote to a proxy, a collector or an unjoined connection.
 func (s *script) pushReceived(peer *scriptPeer, message string) {
 	words := strings.Fields(message)
-	s.saw("line of the kind " + words[0])
+	s.saw("message of the kind " + words[0])
 	partial := !strings.Contains(message, " whole=1")
 	for _, word := range words[1:] {
 		name, value, _ := strings.Cut(word, "=")
-		s.saw("order with " + name)
+		s.saw("push with " + name)
 		switch {
 		case name == "lines" && partial:
-			s.saw("order with changed lines")
+			s.saw("push with changed entries")
 		case name == "classes":
-			s.saw("order for some methods")
+			s.saw("push for some methods")
 		case name == "level" && value != "1":
-			s.saw("order with an admission level below 1")
+			s.saw("push with an admission level below 1")
 		case name == "retry" && value == "0":
-			s.saw("order that forbids second tries")
+			s.saw("push that forbids retries")
 		case name == "ticket":
 			s.acknowledge(peer, value)
 		}
 	}
 }
 
-// acknowledge answers a mark after a while.
+// acknowledge acknowledges a nonce after a while.
 func (s *script) acknowledge(peer *scriptPeer, mark string) {
 	if peer.proxy == nil || peer.proxy.mute {
-		s.saw("mark without an answer")
+		s.saw("nonce not acknowledged")
 		return
 	}
 	took := 5 + s.dice.IntN(200)
 	s.after(float64(took)/1000, func() {
 		if s.alive(peer) {
 			peer.send("done proxy=%d mark=%s took_ms=%d\r\n", peer.proxy.number, mark, took)
-			s.saw("mark answered")
+			s.saw("nonce acknowledged")
 		}
 	})
 }
--- a/internal/platform/recording_answers_test.go
+++ b/internal/platform/recording_responses_test.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// listCall takes a request to discovery: "GET path HTTP/1.1" and header lines.
-func (s *script) listCall(peer *scriptPeer, request string) {
+// listRequest handles a request to discovery.
+func (s *script) listRequest(peer *scriptPeer, request string) {
 	path := strings.Fields(request)[1]
 	_, query, partial := strings.Cut(path, "?")
 	if !partial {
 		s.saw("discovery is asked for all")
-		s.answerList(peer, true, 0)
+		s.respondWithList(peer, true, 0)
 		return
 	}
 	var since, timeout int
@@ -23,7 +23,7 @@
 		s.saw("discovery is asked for changes at once")
 	}
 	if timeout == 0 || since != s.discovery.version {
-		s.answerList(peer, false, since)
+		s.respondWithList(peer, false, since)
 		return
 	}
 	s.saw("discovery is asked to wait for changes")
@@ -31,15 +31,15 @@
 	s.after(float64(timeout)/1000, func() {
 		if s.discovery.waiting == peer && s.alive(peer) {
 			s.discovery.waiting = nil
-			s.answerList(peer, false, since)
+			s.respondWithList(peer, false, since)
 		}
 	})
 }
 
 const emptyOK = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
-// answerList answers a call to discovery, or fails to in discovery's present way.
-func (s *script) answerList(peer *scriptPeer, whole bool, since int) {
+// respondWithList responds to a request to discovery, or fails in the present mode.
+func (s *script) respondWithList(peer *scriptPeer, whole bool, since int) {
 	body := s.discovery.body(whole, since)
 	s.saw("discovery answers: " + s.discovery.mode)
 	switch s.discovery.mode {
@@ -67,12 +67,12 @@
 		old := fmt.Sprintf(`{"seq":1,"whole":%t,"hosts":[]}`, whole)
 		peer.send("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(old), old)
 	default:
-		s.answerWell(peer, body)
+		s.respondOK(peer, body)
 	}
 }
 
-// answerWell answers in one of the forms that HTTP has.
-func (s *script) answerWell(peer *scriptPeer, body []byte) {
+// respondOK responds in one of the forms of HTTP.
+func (s *script) respondOK(peer *scriptPeer, body []byte) {
 	switch s.dice.IntN(5) {
 	case 0:
 		s.saw("list in chunks")
@@ -84,7 +84,7 @@
 		}
 		peer.send("0\r\n\r\n")
 	case 1:
-		s.saw("list up to the connection's end")
+		s.saw("list without its length")
 		peer.send("HTTP/1.1 200 OK\r\n\r\n%s", body)
 		peer.ends = true
 	default:
@@ -93,18 +93,18 @@
 	}
 }
 
-// probeCall takes a request to a server. A silent server answers few, others most.
-func (s *script) probeCall(peer *scriptPeer, request string) {
+// probeRequest handles a probe. A silent backend responds to few of them, others to most.
+func (s *script) probeRequest(peer *scriptPeer, request string) {
 	switch path := strings.Fields(request)[1]; path {
 	case "/-/healthy":
 		s.saw("probe asks health")
 	case "/-/load":
 		s.saw("probe asks load")
 	default:
-		s.t.Fatalf("a server is asked %q", path)
+		s.t.Fatalf("a backend is asked %q", path)
 	}
 	outcomes, asked := []string{"OK", "OK", "OK with load", "unavailable", "reset", "hang", "cut off", "malformed"}, &s.probes
-	if peer.server != nil && s.isSilent(peer.server) {
+	if peer.backend != nil && s.isSilent(peer.backend) {
 		outcomes, asked = []string{"OK", "hang", "reset", "hang", "unavailable", "reset", "cut off", "hang"}, &s.silentProbes
 	}
 	outcome := outcomes[*asked%len(outcomes)]
@@ -112,16 +112,16 @@
 	s.saw("probe answer: " + outcome)
 	s.after(0.3*s.dice.Float64(), func() {
 		if s.alive(peer) {
-			s.answerProbe(peer, outcome)
+			s.respondToProbe(peer, outcome)
 		}
 	})
 }
 
-func (s *script) isSilent(server *scriptServer) bool {
-	return slices.ContainsFunc(s.phase.silent, func(number int) bool { return s.discovery.servers[number] == server })
+func (s *script) isSilent(backend *scriptBackend) bool {
+	return slices.ContainsFunc(s.phase.silent, func(number int) bool { return s.discovery.backends[number] == backend })
 }
 
-func (s *script) answerProbe(peer *scriptPeer, outcome string) {
+func (s *script) respondToProbe(peer *scriptPeer, outcome string) {
 	switch outcome {
 	case "OK":
 		peer.send(emptyOK)
--- a/internal/platform/recording_script_test.go
+++ b/internal/platform/recording_script_test.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	scriptProxies  = 12
-	scriptServers  = 10
-	scriptMaxConns = 26
-	scriptStart    = 1000.0
+	scriptProxies      = 12
+	scriptBackendCount = 10
+	scriptMaxConns     = 26
+	scriptStart        = 1000.0
 )
 
-// script plays discovery, servers, proxies, collectors and strangers against one machine. Everything is drawn from one
-// generator and kept in slices, so that a seed always gives the same play.
+// script plays the peers of one machine: discovery, backends, proxies, collectors and connections that never join.
+// Everything is drawn from one generator and kept in slices, so that a seed always gives the same inputs.
 type script struct {
 	t            *testing.T
 	dice         *rand.Rand
@@ -33,8 +33,8 @@
 	discovery    *scriptDiscovery
 	proxies      []*scriptProxy
 	phase        scriptPhase
-	probes       int // that asked a server which is not silent
-	silentProbes int // that asked a silent one
+	probes       int // of backends that are not silent
+	silentProbes int // of silent backends
 }
 
 type scriptTimer struct {
@@ -42,23 +42,23 @@
 	do  func()
 }
 
-// scriptPhase is a part of the play.
+// scriptPhase is a part of the script.
 type scriptPhase struct {
 	name     string
 	length   statemachine.Seconds
 	before   func(*script)
-	faults   float64 // probability of an accident in a step
+	faults   float64 // probability of a fault in a step
 	requests int     // per second and proxy, at most
-	failing  float64 // share of tries that fail at any server
-	delay    float64 // mean time of good answers, in milliseconds
-	sick     []int   // servers at which every try fails
-	silent   []int   // servers of which collectors report nothing and that answer few probes
+	failing  float64 // share of attempts that fail at any backend
+	delay    float64 // mean latency of successful attempts, in milliseconds
+	sick     []int   // backends at which every attempt fails
+	silent   []int   // backends without attempt reports that respond to few probes
 }
 
 var scriptPhases = []scriptPhase{
 	{name: "start", length: 6, requests: 8, delay: 80},
 	{name: "steady", length: 15, requests: 12, delay: 90},
-	{name: "list changes", length: 12, requests: 12, delay: 90, before: (*script).changeServers},
+	{name: "list changes", length: 12, requests: 12, delay: 90, before: (*script).changeBackends},
 	{name: "sick servers", length: 25, requests: 20, delay: 90, failing: 0.01, sick: []int{2}, silent: []int{5, 6}},
 	{name: "recovery", length: 20, requests: 12, delay: 90},
 	{name: "overload", length: 20, requests: 60, delay: 900, failing: 0.4},
@@ -68,25 +68,25 @@
 	{name: "pause", length: 10, requests: 10, delay: 80, before: func(s *script) { s.now += 5 }},
 	{name: "restart", length: 15, requests: 10, delay: 80, before: (*script).restart},
 	{name: "accidents after the restart", length: 40, requests: 15, delay: 100, failing: 0.05, faults: 0.3, silent: []int{3}},
-	{name: "names are forgotten", length: 20, requests: 10, delay: 80, before: (*script).forgetServers},
+	{name: "names are forgotten", length: 20, requests: 10, delay: 80, before: (*script).forgetBackends},
 }
 
 func newScript(t *testing.T, variant recordingVariant) *script {
-	s := &script{t: t, dice: rand.New(rand.NewPCG(variant.seed, 1)), recording: newRecording(t), now: scriptStart}
+	played := &script{t: t, dice: rand.New(rand.NewPCG(variant.seed, 1)), recording: newRecording(t), now: scriptStart}
 	values := testSettings(scriptProxies, 2)
 	for name, value := range variant.changes {
 		values[name] = value
 	}
-	s.boot = Bootstrap{
-		Name: "c0", Discovery: "discovery-1:80", Module: choice.Config{Seed: variant.seed, Now: s.now, Settings: choice.DecodeSettings(values)},
+	played.boot = Bootstrap{
+		Name: "c0", Discovery: "discovery-1:80", Module: choice.Config{Seed: variant.seed, Now: played.now, Settings: choice.DecodeSettings(values)},
 		MaxConnections: scriptMaxConns, MaxProbes: 3, MaxResponseBytes: 1 << 16, HandshakeTimeout: 1,
 	}
-	s.discovery = newScriptDiscovery()
+	played.discovery = newScriptDiscovery()
 	for number := range scriptProxies {
-		s.proxies = append(s.proxies, &scriptProxy{number: number, zone: scriptZone(number)})
+		played.proxies = append(played.proxies, &scriptProxy{number: number, zone: scriptZone(number)})
 	}
-	s.startMachine()
-	return s
+	played.startMachine()
+	return played
 }
 
 func scriptZone(number int) string { return string(rune('a' + number%2)) }
@@ -100,9 +100,9 @@
 	s.machine = m
 }
 
-// restart puts a new machine, which knows the list as last held, in the place of the former. All connections are gone.
+// restart replaces the machine by a new one, which gets the list as a cached list. All connections are closed.
 func (s *script) restart() {
-	s.countFigures()
+	s.countStats()
 	s.endLastingFaults()
 	s.peers, s.inputs, s.timers, s.discovery.waiting = nil, nil, nil, nil
 	for _, proxy := range s.proxies {
@@ -114,7 +114,7 @@
 	s.startReports()
 }
 
-// settle ends the accidents that last.
+// settle ends the faults that last longer than a step.
 func (s *script) endLastingFaults() {
 	s.discovery.mode = ""
 	for _, proxy := range s.proxies {
@@ -122,13 +122,13 @@
 	}
 }
 
-// forgetServers lets pass the time after which the names of servers that are gone are forgotten, then has them come back.
-func (s *script) forgetServers() {
+// forgetBackends lets the retention time of removed backends' names pass and lists them again after it.
+func (s *script) forgetBackends() {
 	s.endLastingFaults()
 	s.now += nameRetention + 10
 	s.after(5, func() {
-		for number, server := range s.discovery.servers {
-			if server.health != "active" {
+		for number, backend := range s.discovery.backends {
+			if backend.health != "active" {
 				s.discovery.set(s, number, "active", s.now)
 			}
 		}
@@ -150,27 +150,27 @@
 			s.step()
 		}
 	}
-	s.countFigures()
+	s.countStats()
 }
 
-// countFigures adds what the machine counted to what was seen.
-func (s *script) countFigures() {
+// countStats adds the machine's stats to what was seen.
+func (s *script) countStats() {
 	figures := s.machine.Stats()
 	if figures.InputPanics+figures.PlannerRestarts > 0 {
-		s.t.Errorf("%d inputs panicked, the module failed %d times", figures.InputPanics, figures.PlannerRestarts)
+		s.t.Errorf("%d inputs panicked, the decision module failed %d times", figures.InputPanics, figures.PlannerRestarts)
 	}
 	seen := s.recording.seen
-	seen["stream taken over"] += figures.TakenOver
-	seen["connection refused"] += figures.Rejected
-	seen["stranger evicted"] += figures.Evicted
-	seen["message dropped"] += figures.InvalidMessages
-	seen["connection ended for what it carried"] += figures.BrokenConnections
-	seen["answer to a mark not in flight"] += figures.StaleAcknowledgements
-	seen["silent connection ended"] += figures.IdleClosed
+	seen["stream replaced"] += figures.TakenOver
+	seen["connection rejected"] += figures.Rejected
+	seen["unjoined connection evicted"] += figures.Evicted
+	seen["invalid message dropped"] += figures.InvalidMessages
+	seen["connection closed for malformed data"] += figures.BrokenConnections
+	seen["stale acknowledgement"] += figures.StaleAcknowledgements
+	seen["idle connection closed"] += figures.IdleClosed
 	seen["outdated probe"] += figures.OutdatedProbes
 }
 
-// step has the machine take one step and lets time pass, at most until it wants to be stepped again.
+// step makes one step of the machine and advances the time, at most to the time that the machine asks for.
 func (s *script) step() {
 	s.runTimers()
 	if s.dice.Float64() < s.phase.faults {
@@ -214,18 +214,18 @@
 // oneOf draws an element.
 func oneOf[T any](dice *rand.Rand, all []T) T { return all[dice.IntN(len(all))] }
 
-// changeServers has servers drain, leave, restart and come back, one after the other.
-func (s *script) changeServers() {
+// changeBackends drains, removes, restarts and adds backends, one after the other.
+func (s *script) changeBackends() {
 	s.after(0.5, func() { s.discovery.set(s, 3, "leaving", 0) })
 	s.after(2, func() { s.discovery.set(s, 4, "left", 0) })
 	s.after(4, func() { s.discovery.set(s, 4, "active", s.now) })
 	s.after(5, func() { s.discovery.set(s, 3, "left", 0) })
 	s.after(6, func() { s.discovery.set(s, 0, "active", s.now) })
 	s.after(8, func() { s.discovery.set(s, 3, "active", s.now) })
-	s.after(9, func() { s.discovery.set(s, scriptServers-1, "active", s.now) })
+	s.after(9, func() { s.discovery.set(s, scriptBackendCount-1, "active", s.now) })
 }
 
-// failDiscovery has discovery fail in each of its ways, while a server changes.
+// failDiscovery makes discovery fail in each of its modes, while a backend changes.
 func (s *script) failDiscovery() {
 	for number, mode := range discoveryModes {
 		begin := 12 * float64(number)
@@ -237,7 +237,7 @@
 	}
 }
 
-// startReports has proxies and collectors report each second.
+// startReports sends the reports of proxies and collectors each second.
 func (s *script) startReports() {
 	s.after(1, s.startReports)
 	for _, zone := range []string{"a", "b"} {
@@ -246,7 +246,7 @@
 			s.connectCollector(zone)
 			continue
 		}
-		s.reportTries(collectors[len(collectors)-1])
+		s.reportAttempts(collectors[len(collectors)-1])
 	}
 	for _, proxy := range s.proxies {
 		if proxy.peer != nil {
@@ -264,9 +264,9 @@
 	}
 }
 
-func (s *script) reportTries(collector *scriptPeer) {
-	for number, server := range s.discovery.servers {
-		if server.health == "left" || slices.Contains(s.phase.silent, number) {
+func (s *script) reportAttempts(collector *scriptPeer) {
+	for number, backend := range s.discovery.backends {
+		if backend.health == "left" || slices.Contains(s.phase.silent, number) {
 			continue
 		}
 		tries := s.dice.IntN(2*s.phase.requests + 1)
@@ -279,7 +279,7 @@
 			load = fmt.Sprintf(" load=cpu:%.2f,queue:%d", s.dice.Float64(), s.dice.IntN(9))
 		}
 		collector.send("upstream_stats zone=%s server=%s tries=%d failed=%d mean_ms=%.1f span_ms=1000%s\r\n",
-			collector.zone, server.name, tries, failed, s.phase.delay*(0.8+0.4*s.dice.Float64()), load)
-		s.saw("report of tries")
+			collector.zone, backend.name, tries, failed, s.phase.delay*(0.8+0.4*s.dice.Float64()), load)
+		s.saw("attempt report")
 	}
 }
--- a/internal/platform/recording_test.go
+++ b/internal/platform/recording_test.go
@@ -17,16 +17,16 @@
 	"gingerfork/internal/statemachine"
 )
 
-// A recording pins the outputs of the machine byte for byte: a script that is drawn from a seed plays everything that can be
-// sent to it, and the SHA-256 sum of all that it does in return is compared with the stored one. Log lines are left out.
-// After an intended change of behaviour the sums are stored anew with
+// A recording pins the outputs of the machine byte for byte: a script that is drawn from a seed sends it all kinds of input,
+// and the SHA-256 sum of the resulting actions is compared with the stored one. Log messages are left out. After an
+// intended change of behaviour the sums are stored again with
 //
 //	go test ./internal/platform -run TestRecording -record
 //
-// To see where two versions part, have both write their recordings as text with -transcripts and compare the files.
+// To see where two versions differ, have both write their recordings as text with -transcripts and compare the files.
 // The sums hold for amd64: on other processors the last bits of floating-point results may differ.
 var (
-	recordSums     = flag.Bool("record", false, "store the sums of the recordings as they are now")
+	recordSums     = flag.Bool("record", false, "store the present sums of the recordings")
 	transcriptsDir = flag.String("transcripts", "", "an absolute directory to which the recordings are written as text")
 )
 
@@ -36,7 +36,7 @@
 type recording struct {
 	t    *testing.T
 	sum  hash.Hash
-	text *bytes.Buffer  // nil if nobody wants it
+	text *bytes.Buffer  // nil without -transcripts
 	seen map[string]int // what occurred, for the checks of coverage
 }
 
@@ -56,11 +56,11 @@
 	}
 }
 
-// step adds what one step at a time put out.
+// step adds the output of one step.
 func (r *recording) step(now statemachine.Seconds, out *statemachine.Effects) {
 	r.add("step %s wake %s", exact(now), exact(out.WakeAt))
 	for _, act := range out.Actions {
-		r.act(act)
+		r.action(act)
 	}
 	for _, name := range slices.Sorted(maps.Keys(out.Files)) {
 		r.add("save %q %q", name, out.Files[name])
@@ -79,7 +79,7 @@
 	}
 }
 
-func (r *recording) act(act statemachine.Action) {
+func (r *recording) action(act statemachine.Action) {
 	switch act.Kind {
 	case statemachine.ActionDial:
 		r.add("dial %s %q", connName(act.Conn), act.Addr)
@@ -123,7 +123,7 @@
 	}
 }
 
-// readSums reads lines of a name and a sum.
+// readSums reads a file with a name and a sum in each line.
 func readSums(t *testing.T) map[string]string {
 	t.Helper()
 	file, err := os.ReadFile(recordingSums)
@@ -134,7 +134,7 @@
 	for entry := range bytes.Lines(file) {
 		words := bytes.Fields(entry)
 		if len(words) != 2 {
-			t.Fatalf("%s: a line that is not a name and a sum: %q", recordingSums, entry)
+			t.Fatalf("%s: not a name and a sum: %q", recordingSums, entry)
 		}
 		sums[string(words[0])] = string(words[1])
 	}
@@ -155,8 +155,8 @@
 	}
 }
 
-// covers checks that the recording has at least so many of each thing, so that a script can't become empty unnoticed.
-func (r *recording) covers(least map[string]int) {
+// covers checks that the recording has at least so many of each thing, so that a script can't lose its content unnoticed.
+func (r *recording) checkCoverage(least map[string]int) {
 	r.t.Helper()
 	for _, what := range slices.Sorted(maps.Keys(least)) {
 		if r.seen[what] < least[what] {
@@ -170,7 +170,7 @@
 	name    string
 	seed    uint64
 	changes map[string]any
-	least   map[string]int // of what this variant has beyond the others
+	least   map[string]int // occurrences beyond recordingCoverage
 }
 
 var recordingVariants = []recordingVariant{
@@ -180,14 +180,14 @@
 			"level_kind": "share", "Feedback.Source": "servers",
 			"Feedback.Columns.n": 2.0, "Feedback.Columns.0": "cpu", "Feedback.Columns.1": "queue", "price.crossing": 0.1,
 		},
-		least: map[string]int{"probe asks load": 20, "order with an admission level below 1": 20},
+		least: map[string]int{"probe asks load": 20, "push with an admission level below 1": 20},
 	},
 	{
 		name: "rates-and-zone-bound-methods", seed: 13, changes: map[string]any{
 			"level_kind": "rate", "method.0.own_zone": true, "pick": "random",
 			"method.1.effect": "tokened", "method.1.group": "all", "method.1.window": 10.0, "message_lines": 3.0, "ask_within": 3.0,
 		},
-		least: map[string]int{"order for some methods": 20},
+		least: map[string]int{"push for some methods": 20},
 	},
 }
 
@@ -196,28 +196,28 @@
 		t.Run(variant.name, func(t *testing.T) {
 			s := newScript(t, variant)
 			s.play()
-			s.recording.covers(recordingCoverage)
-			s.recording.covers(variant.least)
+			s.recording.checkCoverage(recordingCoverage)
+			s.recording.checkCoverage(variant.least)
 			s.recording.finish(variant.name)
 		})
 	}
 }
 
-// recordingCoverage has what every recording must have.
+// recordingCoverage has the occurrences that every recording must have at least.
 var recordingCoverage = map[string]int{
 	"proxy joins with fresh=0": 80, "proxy joins with fresh=1": 25, "proxy joins late": 15, "collector joins": 30,
-	"stream taken over": 40, "connection refused": 100, "stranger evicted": 200, "peer ends a connection": 100,
-	"machine ends a connection": 500, "machine ends a stream that was cut off": 4, "silent connection ended": 10,
-	"message dropped": 20, "connection ended for what it carried": 15, "split bytes": 1000,
-	"usage report": 3000, "report of tries": 2000, "accident: heartbeat": 15, "line of the kind hb_ok": 15,
-	"mark answered": 800, "mark without an answer": 400, "answer to a mark not in flight": 20,
-	"line of the kind assign": 1500, "line of the kind reject": 100, "order with whole": 500, "order with changed lines": 700,
-	"order with ticket": 1500, "order with out": 80, "order with back": 150, "order with level": 600, "order that forbids second tries": 5,
-	"dial to discovery": 50, "dial to a server": 60, "dial that is refused": 8, "dial that fails for want of local resources": 8,
+	"stream replaced": 40, "connection rejected": 100, "unjoined connection evicted": 200, "peer closes a connection": 100,
+	"machine closes a connection": 500, "machine closes an idle stream": 4, "idle connection closed": 10,
+	"invalid message dropped": 20, "connection closed for malformed data": 15, "split bytes": 1000,
+	"usage report": 3000, "attempt report": 2000, "fault: heartbeat": 15, "message of the kind hb_ok": 15,
+	"nonce acknowledged": 800, "nonce not acknowledged": 400, "stale acknowledgement": 20,
+	"message of the kind assign": 1500, "message of the kind reject": 100, "push with whole": 500, "push with changed entries": 700,
+	"push with ticket": 1500, "push with out": 80, "push with back": 150, "push with level": 600, "push that forbids retries": 5,
+	"dial to discovery": 50, "dial to a backend": 60, "dial that is refused": 8, "dial that fails for want of local resources": 8,
 	"discovery is asked for all": 2, "discovery is asked for changes at once": 30, "discovery is asked to wait for changes": 40,
-	"list in chunks": 8, "list up to the connection's end": 8, "list with its length": 25, "server is active": 30, "server is leaving": 10,
-	"server is left": 10, "probe answer: OK": 8, "probe answer: hang": 15, "probe answer: reset": 10, "probe answer: unavailable": 8,
-	"probe answer: cut off": 5, "probe answer: malformed": 1, "probe answer: OK with load": 1, "accident: settings are read again": 15,
+	"list in chunks": 8, "list without its length": 8, "list with its length": 25, "backend is active": 30, "backend is leaving": 10,
+	"backend is left": 10, "probe answer: OK": 8, "probe answer: hang": 15, "probe answer: reset": 10, "probe answer: unavailable": 8,
+	"probe answer: cut off": 5, "probe answer: malformed": 1, "probe answer: OK with load": 1, "fault: settings are read again": 15,
 	"discovery answers: unavailable": 1, "discovery answers: unavailable and closed": 1, "discovery answers: hang": 1,
 	"discovery answers: reset": 1, "discovery answers: cut off": 1, "discovery answers: cut chunk": 1,
 	"discovery answers: malformed list": 1, "discovery answers: malformed HTTP": 1, "discovery answers: too long": 1,
--- a/internal/platform/wire/encoder_test.go
+++ b/internal/platform/wire/encoder_test.go
@@ -105,8 +105,8 @@
 }
 
 func TestPartsPerMessage(t *testing.T) {
-	const max = MaxPartsPerMessage
-	for n, want := range map[int]int{1: 1, max: 1, max + 1: 2, 2 * max: 2, 2*max + 1: 3} {
+	const limit = MaxPartsPerMessage
+	for n, want := range map[int]int{1: 1, limit: 1, limit + 1: 2, 2 * limit: 2, 2*limit + 1: 3} {
 		parts := make([]Part, n)
 		for i := range parts {
 			parts[i] = Part{Methods: []string{fmt.Sprint("m", i)}, Admission: &Admission{Level: 0.5}}
