--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -73,7 +73,7 @@
 func ParseNodeConfig(file []byte, env Env, flatten func(map[string]any) map[string]any) (*NodeConfig, error) {
 	var doc configDocument
 	if err := json.Unmarshal(file, &doc); err != nil {
-		return nil, fmt.Errorf("decode the configuration: %w", err)
+		return nil, fmt.Errorf("the configuration is not JSON of the expected form: %w", err)
 	}
 	config := &NodeConfig{
 		Name: firstNonEmpty(doc.Name, env(envName)), Listen: firstNonEmpty(doc.Listen, env(envListen)),
