--- a/cmd/gingerfork/serve.go
+++ b/cmd/gingerfork/serve.go
@@ -179,7 +179,7 @@
 
 // open opens the store in the state folder, and reads what the last run kept. A store that is damaged ends the start: to
 // go on without it is the operator's word.
-func (s *served) open(dir string) (*checkpoint.Kept, error) {
+func (s *served) open(dir string) (*checkpoint.State, error) {
 	if dir == "" {
 		return nil, nil
 	}
@@ -187,20 +187,20 @@
 	if err != nil {
 		return nil, err
 	}
-	st, r, err := store.Open(store.Bootstrap{Folder: folder, Background: true})
+	st, r, err := store.Open(store.Options{Folder: folder, Background: true})
 	if err != nil {
 		return nil, badError{fmt.Errorf("%s: %w (gingerfork store check %s)", filepath.Join(dir, "store"), err, filepath.Join(dir, "store"))}
 	}
-	if r.Cut > 0 {
-		s.log.Warn("the store had a torn tail, never acknowledged, and it was cut", "file", r.CutFile, "bytes", r.Cut)
+	if r.TornBytes > 0 {
+		s.log.Warn("the store had a torn tail, never acknowledged, and it was cut", "file", r.TornFile, "bytes", r.TornBytes)
 	}
-	kept, err := checkpoint.Read(st.Scan(""))
+	kept, err := checkpoint.Decode(st.Scan(""))
 	if err != nil {
 		_ = st.Close() // nothing was written; what it fails at would only hide why
 		return nil, badError{fmt.Errorf("the store is whole, but makes no sense: %w", err)}
 	}
 	s.store = st
-	s.log.Info("the store was opened", "keys", r.Keys, "batches", r.Frames, "servers", len(kept.Servers), "drains", len(kept.Drains), "marks-from", kept.Marks)
+	s.log.Info("the store was opened", "keys", r.Keys, "batches", r.LogFrames, "servers", len(kept.Endpoints), "drains", len(kept.Drains), "marks-from", kept.NonceLimit)
 	return kept, nil
 }
 
--- a/cmd/gingerfork/store.go
+++ b/cmd/gingerfork/store.go
@@ -16,13 +16,13 @@
 }
 
 // look reads the store in a folder without changing anything.
-func look(dir string) (*disk.Real, *store.Salvage, error) {
+func look(dir string) (*disk.Real, *store.CheckReport, error) {
 	d, err := disk.OpenReal(dir)
 	if err != nil {
 		return nil, nil, err
 	}
 	got, err := store.Check(d)
-	if err == nil && got.Fresh {
+	if err == nil && got.Absent {
 		err = fmt.Errorf("there is no store in %s", dir)
 	}
 	return d, got, err
@@ -41,11 +41,11 @@
 	for _, f := range got.Files {
 		fmt.Fprintf(p.out, "%-16s %10d bytes %6d frames  %s\n", f.Name, f.Bytes, f.Frames, f.State)
 	}
-	if got.Whole {
+	if got.Intact {
 		r := got.Recovery
-		fmt.Fprintf(p.out, "whole: %d keys, %d batches behind the snapshot, the last is %d\n", r.Keys, r.Frames, r.Seq)
-		if r.Cut > 0 {
-			fmt.Fprintf(p.out, "a torn tail of %d bytes in %s: never acknowledged, cut at the next start\n", r.Cut, r.CutFile)
+		fmt.Fprintf(p.out, "whole: %d keys, %d batches behind the snapshot, the last is %d\n", r.Keys, r.LogFrames, r.LastSequence)
+		if r.TornBytes > 0 {
+			fmt.Fprintf(p.out, "a torn tail of %d bytes in %s: never acknowledged, cut at the next start\n", r.TornBytes, r.TornFile)
 		}
 		return nil
 	}
@@ -75,7 +75,7 @@
 			fmt.Fprintf(p.out, "%s %s\n", strconv.Quote(key), strconv.Quote(string(value)))
 		}
 	})
-	if !got.Whole {
+	if !got.Intact {
 		return badError{errors.New(got.Damage)}
 	}
 	return nil
@@ -90,17 +90,17 @@
 	if err != nil {
 		return badError{err}
 	}
-	s, _, err := store.Open(store.Bootstrap{Folder: d})
+	s, _, err := store.Open(store.Options{Folder: d})
 	if err != nil {
 		return badError{err}
 	}
 	for more := true; more && err == nil; {
 		more, err = s.Compact(true)
 	}
-	f := s.Figures()
+	f := s.Stats()
 	if err = errors.Join(err, s.Close()); err != nil {
 		return badError{err}
 	}
-	fmt.Fprintf(p.out, "%d keys in %d bytes\n", f.Live, f.Snapshot+f.Log)
+	fmt.Fprintf(p.out, "%d keys in %d bytes\n", f.Keys, f.SnapshotBytes+f.LogBytes)
 	return nil
 }
--- a/cmd/gingerfork/store_test.go
+++ b/cmd/gingerfork/store_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, _, err := store.Open(store.Bootstrap{Folder: folder})
+	s, _, err := store.Open(store.Options{Folder: folder})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/compare/store_test.go
+++ b/compare/store_test.go
@@ -106,7 +106,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, _, err := store.Open(store.Bootstrap{Folder: d, Background: true})
+		s, _, err := store.Open(store.Options{Folder: d, Background: true})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/checkpoint/keep.go
+++ b/internal/checkpoint/checkpoint.go
@@ -28,36 +28,36 @@
 )
 
 // Put is a record to be written.
-type Put = statemachine.Mutation
+type Mutation = statemachine.Mutation
 
 // Server is a server of the list as held.
-type Server struct {
-	Entry choice.Endpoint
-	Stamp uint64 // of its process
-	Addr  string
+type Endpoint struct {
+	Entry       choice.Endpoint
+	Incarnation uint64 // of its process
+	Addr        string
 }
 
 // Drain is an order that takes a server out of use by the list's word.
 type Drain struct {
-	Told  choice.Seconds // when the coordinator was told
-	Stamp uint64         // of the process that it is meant for
-	Gone  bool           // it left the list
+	RecordedAt  choice.Seconds // when the coordinator was told
+	Incarnation uint64         // of the process that it is meant for
+	Removed     bool           // it left the list
 }
 
 // Proxy is what a proxy may hold: all up to Confirmed, and perhaps what is in flight.
 type Proxy struct {
-	Confirmed, Flight uint64
+	Acknowledged, InFlight uint64
 }
 
 // Kept is what the last run left.
-type Kept struct {
-	Held     bool // a list was held at all
-	Version  uint64
-	Servers  map[choice.BackendID]Server
-	Drains   map[choice.BackendID]Drain
-	Proxies  map[string]Proxy
-	Marks    uint64 // all below may have been given out
-	Settings string
+type State struct {
+	HasEndpointList bool // a list was held at all
+	ListVersion     uint64
+	Endpoints       map[choice.BackendID]Endpoint
+	Drains          map[choice.BackendID]Drain
+	Proxies         map[string]Proxy
+	NonceLimit      uint64 // all below may have been given out
+	Settings        string
 }
 
 const (
@@ -68,14 +68,14 @@
 
 func num(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 
-func (s Server) encode() []byte {
+func (s Endpoint) encode() []byte {
 	e := s.Entry
-	return fmt.Appendf(nil, "%d %q %q %d %s %s %d %q", e.State, e.Kind, e.Zone, e.Cell, num(e.Weight), num(e.StartedAt), s.Stamp, s.Addr)
+	return fmt.Appendf(nil, "%d %q %q %d %s %s %d %q", e.State, e.Kind, e.Zone, e.Cell, num(e.Weight), num(e.StartedAt), s.Incarnation, s.Addr)
 }
 
 // Read makes sense of a store's records. One that makes none spoils the whole: what is known in part is not known.
-func Read(records iter.Seq2[string, []byte]) (*Kept, error) {
-	k := &Kept{Servers: map[choice.BackendID]Server{}, Drains: map[choice.BackendID]Drain{}, Proxies: map[string]Proxy{}}
+func Decode(records iter.Seq2[string, []byte]) (*State, error) {
+	k := &State{Endpoints: map[choice.BackendID]Endpoint{}, Drains: map[choice.BackendID]Drain{}, Proxies: map[string]Proxy{}}
 	for key, value := range records {
 		text := string(value)
 		scan := func(format string, into ...any) error { _, err := fmt.Sscanf(text, format, into...); return err }
@@ -86,29 +86,29 @@
 		var err error
 		switch {
 		case key == listKey:
-			k.Held, err = true, scan("%d", &k.Version)
+			k.HasEndpointList, err = true, scan("%d", &k.ListVersion)
 		case key == marksKey:
-			err = scan("%d", &k.Marks)
+			err = scan("%d", &k.NonceLimit)
 		case key == settingsKey:
 			k.Settings = text
 		case strings.HasPrefix(key, serverKey):
-			var s Server
+			var s Endpoint
 			var zone string
 			if s.Entry.Backend, err = of(serverKey); err == nil {
-				err = scan("%d %q %q %d %g %g %d %q", &s.Entry.State, &s.Entry.Kind, &zone, &s.Entry.Cell, &s.Entry.Weight, &s.Entry.StartedAt, &s.Stamp, &s.Addr)
+				err = scan("%d %q %q %d %g %g %d %q", &s.Entry.State, &s.Entry.Kind, &zone, &s.Entry.Cell, &s.Entry.Weight, &s.Entry.StartedAt, &s.Incarnation, &s.Addr)
 			}
 			s.Entry.Zone = choice.Zone(zone)
-			k.Servers[s.Entry.Backend] = s
+			k.Endpoints[s.Entry.Backend] = s
 		case strings.HasPrefix(key, drainKey):
 			var d Drain
 			var ep choice.BackendID
 			if ep, err = of(drainKey); err == nil {
-				err = scan("%g %d %t", &d.Told, &d.Stamp, &d.Gone)
+				err = scan("%g %d %t", &d.RecordedAt, &d.Incarnation, &d.Removed)
 			}
 			k.Drains[ep] = d
 		case strings.HasPrefix(key, proxyKey):
 			var p Proxy
-			err = scan("%d %d", &p.Confirmed, &p.Flight)
+			err = scan("%d %d", &p.Acknowledged, &p.InFlight)
 			k.Proxies[key[len(proxyKey):]] = p
 		default:
 			err = fmt.Errorf("it is none of ours")
@@ -117,8 +117,8 @@
 			return nil, fmt.Errorf("record %q, %q: %w", key, text, err)
 		}
 	}
-	if !k.Held && len(k.Servers) > 0 {
-		return nil, fmt.Errorf("%d servers without the list's version", len(k.Servers))
+	if !k.HasEndpointList && len(k.Endpoints) > 0 {
+		return nil, fmt.Errorf("%d servers without the list's version", len(k.Endpoints))
 	}
 	return k, nil
 }
@@ -130,9 +130,9 @@
 }
 
 // Keeper is the module.
-type Keeper struct {
+type Checkpointer struct {
 	off     bool
-	puts    []Put
+	puts    []Mutation
 	at      map[string]int // where in puts a key stands, so that a step writes it once
 	batch   uint64         // handed out
 	durable uint64
@@ -154,8 +154,8 @@
 }
 
 // New makes one that goes on from what was kept; nil: nothing is to be kept.
-func New(now choice.Seconds, k *Kept) *Keeper {
-	x := &Keeper{at: map[string]int{}, drains: map[choice.BackendID]Drain{}, proxies: map[string]Proxy{}, absent: map[string]bool{}, changed: map[string]bool{}, began: now, flushed: now}
+func New(now choice.Seconds, k *State) *Checkpointer {
+	x := &Checkpointer{at: map[string]int{}, drains: map[choice.BackendID]Drain{}, proxies: map[string]Proxy{}, absent: map[string]bool{}, changed: map[string]bool{}, began: now, flushed: now}
 	if k == nil {
 		x.off, x.opened, x.next = true, true, 1
 		return x
@@ -166,17 +166,17 @@
 		x.absent[name] = true
 	}
 	x.settings = k.Settings
-	x.next = max(k.Marks, 1)
+	x.next = max(k.NonceLimit, 1)
 	x.setAside()
 	return x
 }
 
-func (k *Keeper) setAside() {
+func (k *Checkpointer) setAside() {
 	k.set = k.next + marksAtOnce
 	k.put(marksKey, strconv.AppendUint(nil, k.set, 10))
 }
 
-func (k *Keeper) put(key string, value []byte) {
+func (k *Checkpointer) put(key string, value []byte) {
 	if k.off {
 		return
 	}
@@ -185,12 +185,12 @@
 		return
 	}
 	k.at[key] = len(k.puts)
-	k.puts = append(k.puts, Put{Key: key, Value: value})
+	k.puts = append(k.puts, Mutation{Key: key, Value: value})
 }
 
 // Mark gives the next mark. None is given that may have been given before a crash, unless the store was out of order for
 // longer than a lot of marks lasts.
-func (k *Keeper) Mark() uint64 {
+func (k *Checkpointer) NextNonce() uint64 {
 	m := k.next
 	if k.next++; k.next+marksAtOnce/2 > k.set && !k.off {
 		k.set += marksAtOnce
@@ -200,7 +200,7 @@
 }
 
 // Listed takes over what news changed on the list: servers as they are now, and those that left it.
-func (k *Keeper) Listed(now choice.Seconds, version uint64, changed []Server, gone []choice.BackendID) {
+func (k *Checkpointer) UpdateEndpoints(now choice.Seconds, version uint64, changed []Endpoint, gone []choice.BackendID) {
 	if k.off {
 		return
 	}
@@ -213,56 +213,58 @@
 		case s.Entry.State == choice.BackendOpen && was:
 			delete(k.drains, ep)
 			k.put(epKey(drainKey, ep), nil)
-		case s.Entry.State != choice.BackendOpen && (!was || d.Stamp != s.Stamp):
-			k.drain(ep, Drain{Told: now, Stamp: s.Stamp})
+		case s.Entry.State != choice.BackendOpen && (!was || d.Incarnation != s.Incarnation):
+			k.drain(ep, Drain{RecordedAt: now, Incarnation: s.Incarnation})
 		}
 	}
 	for _, ep := range gone {
 		k.put(epKey(serverKey, ep), nil)
 		d, was := k.drains[ep]
 		if !was {
-			d = Drain{Told: now}
+			d = Drain{RecordedAt: now}
 		}
-		d.Gone = true
+		d.Removed = true
 		k.drain(ep, d)
 	}
 	for _, ep := range slices.Sorted(maps.Keys(k.drains)) {
 		// Nobody holds a line of it by now.
-		if d := k.drains[ep]; d.Gone && now > d.Told+2*choice.BackendRetention {
+		if d := k.drains[ep]; d.Removed && now > d.RecordedAt+2*choice.BackendRetention {
 			delete(k.drains, ep)
 			k.put(epKey(drainKey, ep), nil)
 		}
 	}
 }
 
-func (k *Keeper) drain(ep choice.BackendID, d Drain) {
+func (k *Checkpointer) drain(ep choice.BackendID, d Drain) {
 	k.drains[ep] = d
-	k.put(epKey(drainKey, ep), fmt.Appendf(nil, "%s %d %t", num(d.Told), d.Stamp, d.Gone))
+	k.put(epKey(drainKey, ep), fmt.Appendf(nil, "%s %d %t", num(d.RecordedAt), d.Incarnation, d.Removed))
 	k.heavy = true
 }
 
 // Drained are the servers that are out of use by the list's word, in order.
-func (k *Keeper) Drained() []choice.BackendID { return slices.Sorted(maps.Keys(k.drains)) }
+func (k *Checkpointer) DrainedBackends() []choice.BackendID {
+	return slices.Sorted(maps.Keys(k.drains))
+}
 
 // Sent: a push with this mark left for a proxy.
-func (k *Keeper) Sent(name string, mark uint64) {
+func (k *Checkpointer) PushSent(name string, mark uint64) {
 	delete(k.absent, name)
-	if p := k.proxies[name]; !k.off && mark > p.Flight {
-		p.Flight = mark
+	if p := k.proxies[name]; !k.off && mark > p.InFlight {
+		p.InFlight = mark
 		k.proxies[name], k.changed[name] = p, true
 	}
 }
 
 // Confirmed: a proxy answered a mark.
-func (k *Keeper) Confirmed(name string, mark uint64) {
-	if p := k.proxies[name]; !k.off && mark > p.Confirmed {
-		p.Confirmed = mark
+func (k *Checkpointer) PushAcknowledged(name string, mark uint64) {
+	if p := k.proxies[name]; !k.off && mark > p.Acknowledged {
+		p.Acknowledged = mark
 		k.proxies[name], k.changed[name] = p, true
 	}
 }
 
 // Forget drops a proxy that left long ago.
-func (k *Keeper) Forget(name string) {
+func (k *Checkpointer) RemoveProxy(name string) {
 	if _, known := k.proxies[name]; known {
 		delete(k.proxies, name)
 		delete(k.changed, name)
@@ -272,7 +274,7 @@
 }
 
 // Settings puts others in force, and tells whether they differ from those kept.
-func (k *Keeper) Settings(text string) (other bool) {
+func (k *Checkpointer) UpdateSettings(text string) (other bool) {
 	if k.off || text == k.settings {
 		return false
 	}
@@ -282,21 +284,21 @@
 }
 
 // Take gives what a step adds, under a number; nothing: 0. What proxies confirmed goes along, and by itself now and then.
-func (k *Keeper) Take(now choice.Seconds) (puts []Put, batch uint64) {
+func (k *Checkpointer) TakeBatch(now choice.Seconds) (puts []Mutation, batch uint64) {
 	if k.off {
 		return nil, 0
 	}
 	if len(k.absent) > 0 && now > k.began+2*choice.BackendRetention {
 		// They went while nobody looked, and nobody else will tell of it: their records would stay for good.
 		for _, name := range slices.Sorted(maps.Keys(k.absent)) {
-			k.Forget(name)
+			k.RemoveProxy(name)
 		}
 	}
 	if len(k.changed) > 0 && now >= k.flushed+flushEvery {
 		k.flushed = now
 		for _, name := range slices.Sorted(maps.Keys(k.changed)) {
 			p := k.proxies[name]
-			k.put(proxyKey+name, fmt.Appendf(nil, "%d %d", p.Confirmed, p.Flight))
+			k.put(proxyKey+name, fmt.Appendf(nil, "%d %d", p.Acknowledged, p.InFlight))
 		}
 		clear(k.changed)
 	}
@@ -316,7 +318,7 @@
 }
 
 // Durable: all batches up to this one are; the store is in order.
-func (k *Keeper) Durable(batch uint64) {
+func (k *Checkpointer) Persisted(batch uint64) {
 	k.durable, k.lost = max(k.durable, batch), false
 	k.opened = k.opened || k.firstBatch > 0 && k.durable >= k.firstBatch
 	at := slices.IndexFunc(k.graves, func(g grave) bool { return g.batch > k.durable })
@@ -327,18 +329,18 @@
 }
 
 // Lost: the store is out of order.
-func (k *Keeper) Lost() { k.lost = true }
+func (k *Checkpointer) PersistFailed() { k.lost = true }
 
 // Open tells whether marks may leave. Until the first lot is durable none may: a crash now, and the next run would give
 // the same ones.
-func (k *Keeper) Open(now choice.Seconds) bool {
+func (k *Checkpointer) NoncesReady(now choice.Seconds) bool {
 	k.opened = k.opened || k.lost || now >= k.began+patience
 	return k.opened
 }
 
 // Needs is what must be durable before an answer to a push that leaves now may be counted: the last order to take a
 // server out of use. A number for Counts.
-func (k *Keeper) Needs() uint64 {
+func (k *Checkpointer) DurabilityBarrier() uint64 {
 	if k.heavy {
 		return k.batch + 1
 	}
@@ -349,7 +351,7 @@
 }
 
 // Counts tells whether what Needs gave is durable, or waited for too long.
-func (k *Keeper) Counts(now choice.Seconds, batch uint64) bool {
+func (k *Checkpointer) BarrierReached(now choice.Seconds, batch uint64) bool {
 	if k.off || k.lost || batch <= k.durable {
 		return true
 	}
@@ -358,7 +360,7 @@
 }
 
 // Wake is when something that waits will have waited for long enough, or is to be written; false: nothing is.
-func (k *Keeper) Wake(now choice.Seconds) (at choice.Seconds, any bool) {
+func (k *Checkpointer) NextDeadline(now choice.Seconds) (at choice.Seconds, any bool) {
 	if k.off {
 		return 0, false
 	}
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -44,7 +44,7 @@
 	logs    []string
 }
 
-func newRig(t *testing.T, more map[string]any, kept *checkpoint.Kept) *rig {
+func newRig(t *testing.T, more map[string]any, kept *checkpoint.State) *rig {
 	r := &rig{t: t, now: 1000, probes: map[statemachine.Conn]string{}, readers: map[statemachine.Conn]*proto.Reader{}, got: map[statemachine.Conn][]proto.Message{},
 		closed: map[statemachine.Conn]bool{}, records: map[string][]byte{}}
 	r.m = NewMachine(Bootstrap{Name: "c0", Zone: "a", ListAddr: "list", Module: choice.Config{Seed: 1, Now: r.now, Settings: choice.DecodeSettings(values(more))}, Handshake: 5,
@@ -116,9 +116,9 @@
 }
 
 // kept is what a restart finds.
-func (r *rig) kept() *checkpoint.Kept {
+func (r *rig) kept() *checkpoint.State {
 	r.t.Helper()
-	k, err := checkpoint.Read(maps.All(r.records))
+	k, err := checkpoint.Decode(maps.All(r.records))
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -382,7 +382,7 @@
 
 // The list fails during a restart: the kept list serves at once, and the list service is asked again until it answers.
 func TestRestartWhileTheListFails(t *testing.T) {
-	r := newRig(t, nil, &checkpoint.Kept{})
+	r := newRig(t, nil, &checkpoint.State{})
 	r.listed(5)
 	r = newRig(t, nil, r.kept())
 	r.join(1, "f0")
--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -70,9 +70,9 @@
 	Fetch  bool
 	Tells  []choice.SendToPeer
 	Says   []string
-	Turns  []Turn           // servers withdrawn or let in again, for the log
-	Puts   []checkpoint.Put // records to keep,
-	Batch  uint64           // under this number
+	Turns  []Turn                // servers withdrawn or let in again, for the log
+	Puts   []checkpoint.Mutation // records to keep,
+	Batch  uint64                // under this number
 	Wake   choice.Seconds
 	// ListBad says why the last list frame was refused; the stream that it came on is to be closed.
 	ListBad error
@@ -150,7 +150,7 @@
 	round   choice.Seconds
 
 	roll    *roll
-	keep    *checkpoint.Keeper
+	keep    *checkpoint.Checkpointer
 	channel channel
 	intake  *intake
 	streams map[StreamID]*stream
@@ -190,16 +190,16 @@
 }
 
 // New makes a coordinator that goes on from what its last run kept; nil: nothing is kept.
-func New(boot choice.Config, kept *checkpoint.Kept) *Core {
+func New(boot choice.Config, kept *checkpoint.State) *Core {
 	c := &Core{boot: boot, planner: choice.New(boot), methods: len(boot.Settings.Methods), round: boot.Settings.Tick.Or(0),
 		roll: &roll{entries: map[choice.BackendID]*server{}}, keep: checkpoint.New(boot.Now, kept), intake: newIntake(boot), streams: map[StreamID]*stream{},
 		members: map[string]*member{}, book: fanout.New(), alarm: boot.Now}
 	c.channel = channel{pace: boot.Settings.ChannelPace.Or(1e4), head: int(boot.Settings.MessageLines.Or(0)), burst: c.round,
 		free: boot.Now}
 	c.stepped = boot.Now - c.round
-	if kept != nil && kept.Held {
-		c.roll = &roll{version: kept.Version, held: true, entries: map[choice.BackendID]*server{}}
-		for ep, s := range kept.Servers {
+	if kept != nil && kept.HasEndpointList {
+		c.roll = &roll{version: kept.ListVersion, held: true, entries: map[choice.BackendID]*server{}}
+		for ep, s := range kept.Endpoints {
 			c.roll.entries[ep] = &s
 		}
 		c.events = append(c.events, c.roll.kept())
@@ -244,11 +244,11 @@
 	if at, any := c.intake.wake(); any {
 		c.wake(at)
 	}
-	if at, any := c.keep.Wake(now); any {
+	if at, any := c.keep.NextDeadline(now); any {
 		c.wake(at)
 	}
 	c.forget(now)
-	c.out.Puts, c.out.Batch = c.keep.Take(now)
+	c.out.Puts, c.out.Batch = c.keep.TakeBatch(now)
 	// Whatever asks, the next step is not at this very moment: it would be asked for again and again.
 	c.out.Wake = max(c.out.Wake, now+shortest)
 	return c.out
@@ -281,15 +281,15 @@
 			c.out.ListBad = err
 			l = &choice.EndpointUpdate{Kind: choice.UpdateFailed}
 		} else if len(l.Endpoints) > 0 || l.Kind == choice.UpdateFull {
-			c.keep.Listed(now, c.roll.version, changed, gone)
+			c.keep.UpdateEndpoints(now, c.roll.version, changed, gone)
 		}
 		c.events = append(c.events, *l)
 	case ListLost:
 		c.events = append(c.events, choice.EndpointUpdate{Kind: choice.UpdateFailed})
 	case Durable:
-		c.keep.Durable(e.Batch)
+		c.keep.Persisted(e.Batch)
 	case NotKept:
-		c.keep.Lost()
+		c.keep.PersistFailed()
 	case Probed:
 		c.events = append(c.events, choice.ProbeResult{Backend: e.EP, OK: e.OK, Busy: e.Busy, Latency: e.Delay})
 	case PeerNote:
@@ -347,7 +347,7 @@
 		// One that came back in between, and perhaps left again, stands in the row once more.
 		if m.stream == nil && now >= m.left+choice.BackendRetention*2 && c.members[m.name] == m {
 			delete(c.members, m.name)
-			c.keep.Forget(m.name)
+			c.keep.RemoveProxy(m.name)
 			c.intake.forget(m.number)
 			c.spare = append(c.spare, m.number)
 		}
@@ -363,7 +363,7 @@
 	}
 	p := s.marks[at]
 	s.marks = append(s.marks[:0], s.marks[at+1:]...)
-	c.keep.Confirmed(s.name, mark)
+	c.keep.PushAcknowledged(s.name, mark)
 	c.answers = append(c.answers, held{p.step, p.needs, choice.PushAcknowledged{Proxy: s.proxy, Nonce: p.mark, Delay: now - p.at}, s})
 }
 
@@ -374,7 +374,7 @@
 	oldest, any := c.channel.oldest()
 	kept := c.answers[:0]
 	for _, h := range c.answers {
-		if any && h.step > oldest || !c.keep.Counts(now, h.needs) {
+		if any && h.step > oldest || !c.keep.BarrierReached(now, h.needs) {
 			kept = append(kept, h)
 			continue
 		}
@@ -407,10 +407,10 @@
 	}
 	// What the list took out of use before a restart is withdrawn, too: the module, which was not there, orders nothing
 	// for it.
-	messages, turns := c.book.Flush(c.keep.Drained)
+	messages, turns := c.book.Flush(c.keep.DrainedBackends)
 	var wire, needs uint64
 	if mark != nil && len(messages) > 0 {
-		wire, needs = c.keep.Mark(), c.keep.Needs()
+		wire, needs = c.keep.NextNonce(), c.keep.DurabilityBarrier()
 	}
 	for _, x := range messages {
 		m := &message{to: c.numbered[x.To.Proxy], step: c.step, at: c.stepped, lines: x.Lines, urgent: x.Urgent, ops: c.ops(x.Ops)}
@@ -503,7 +503,7 @@
 
 // pump sends what may leave by now.
 func (c *Core) pump(now choice.Seconds) {
-	for c.keep.Open(now) {
+	for c.keep.NoncesReady(now) {
 		m := c.channel.next(now)
 		if m == nil {
 			return
@@ -512,7 +512,7 @@
 		s.sent++
 		if m.marked {
 			s.marks = append(s.marks, pending{m.wire, m.mark, m.step, m.needs, m.at})
-			c.keep.Sent(s.name, m.wire)
+			c.keep.PushSent(s.name, m.wire)
 		}
 		c.figures.Messages++
 		c.figures.Lines += m.lines
--- a/internal/coordinator/kept_test.go
+++ b/internal/coordinator/kept_test.go
@@ -33,11 +33,11 @@
 
 func newStoreRun(t *testing.T, folder *disk.Memory, more map[string]any) *storeRun {
 	t.Helper()
-	s, _, err := store.Open(store.Bootstrap{Folder: folder, ID: 1, LeastLog: 1 << 30})
+	s, _, err := store.Open(store.Options{Folder: folder, ID: 1, MinCompactionBytes: 1 << 30})
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept, err := checkpoint.Read(s.Scan(""))
+	kept, err := checkpoint.Decode(s.Scan(""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -225,7 +225,7 @@
 // A withdrawal leaves at once, whatever the disk does; its answer counts when it is durable, or when that has taken too
 // long; with a store out of order nothing waits.
 func TestWithdrawalWaitsForNoDisk(t *testing.T) {
-	r := newRig(t, nil, &checkpoint.Kept{})
+	r := newRig(t, nil, &checkpoint.State{})
 	r.listed(6)
 	r.join(1, "f0")
 	r.run(0.1)
@@ -276,11 +276,11 @@
 // Nothing that has a mark leaves before the first lot of marks is durable; a disk that hangs delays that by half a second.
 func TestMarksAreSetAsideFirst(t *testing.T) {
 	for _, hangs := range []bool{false, true} {
-		r := newRig(t, nil, &checkpoint.Kept{Marks: 500})
+		r := newRig(t, nil, &checkpoint.State{NonceLimit: 500})
 		r.stuck = true
 		r.listed(5)
 		began := r.now
-		r.m.core.keep = checkpoint.New(began, &checkpoint.Kept{Marks: 500})
+		r.m.core.keep = checkpoint.New(began, &checkpoint.State{NonceLimit: 500})
 		r.join(1, "f0")
 		r.run(0.1)
 		if p := r.pushes(1); len(p) != 0 {
@@ -300,7 +300,7 @@
 // All servers left the list, and the coordinator died: a proxy that comes back with the tables of before is told what is
 // out of use, though there is no table to give it.
 func TestDrainsAreKnownWithoutATable(t *testing.T) {
-	r := newRig(t, nil, &checkpoint.Kept{})
+	r := newRig(t, nil, &checkpoint.State{})
 	r.listed(2)
 	r.join(1, "f0")
 	r.run(0.1)
--- a/internal/coordinator/machine.go
+++ b/internal/coordinator/machine.go
@@ -75,7 +75,7 @@
 
 // NewMachine makes a coordinator that goes on from what its last run kept; nil: nothing is kept. Whoever drives it with
 // something kept must write out.Puts, and tell what became of them.
-func NewMachine(boot Bootstrap, kept *checkpoint.Kept) *Machine {
+func NewMachine(boot Bootstrap, kept *checkpoint.State) *Machine {
 	return &Machine{boot: boot, core: New(boot.Module, kept), sessions: map[statemachine.Conn]*session{}, peers: map[choice.PeerID]*session{},
 		dialled: statemachine.Dialed, swept: boot.Module.Now, faulted: map[string]int{}}
 }
@@ -109,12 +109,12 @@
 	}()
 	if !m.started {
 		m.started = true
-		if m.core.keep.Settings(m.boot.Text) {
+		if m.core.keep.UpdateSettings(m.boot.Text) {
 			out.Log(1, "the settings are other than in the run before")
 		}
 	}
 	if m.renewed {
-		m.core.keep.Settings(m.boot.Text)
+		m.core.keep.UpdateSettings(m.boot.Text)
 		m.renewed = false
 		for _, s := range m.order {
 			if m.sessions[s.conn] == s && s.role == proxyRole {
--- a/internal/coordinator/roll.go
+++ b/internal/coordinator/roll.go
@@ -17,7 +17,7 @@
 	entries map[choice.BackendID]*server
 }
 
-type server = checkpoint.Server
+type server = checkpoint.Endpoint
 
 // news checks a list frame, takes it over and gives what the module is to hear of it. Nothing of a frame that is
 // refused is taken over.
@@ -68,14 +68,14 @@
 			}
 			continue
 		}
-		s := &server{Stamp: e.Stamp, Addr: e.Addr, Entry: choice.Endpoint{Backend: id, Kind: e.Kind, Zone: choice.Zone(e.Zone),
+		s := &server{Incarnation: e.Stamp, Addr: e.Addr, Entry: choice.Endpoint{Backend: id, Kind: e.Kind, Zone: choice.Zone(e.Zone),
 			Weight: e.Weight, Cell: int(e.Cell), State: choice.BackendOpen}}
 		if e.State == proto.ServerDraining {
 			s.Entry.State = choice.BackendDraining
 		}
 		// The list's clock and ours need not agree: a start is told as an age, and reckoned once for each process,
 		// as what looks like a later start is a restart to the module.
-		if was := old[id]; was != nil && was.Stamp == e.Stamp {
+		if was := old[id]; was != nil && was.Incarnation == e.Stamp {
 			s.Entry.StartedAt = was.Entry.StartedAt
 		} else if !e.Old {
 			s.Entry.StartedAt = max(now-e.Age, 1e-6)
--- a/internal/disk/memory.go
+++ b/internal/disk/memory.go
@@ -11,7 +11,7 @@
 )
 
 // Sector is what a disk writes whole or not at all, in bytes.
-const Sector = 512
+const SectorSize = 512
 
 // ErrCrashed is what every operation gives after a crash.
 var ErrCrashed = errors.New("the machine crashed")
@@ -41,7 +41,7 @@
 }
 
 // ErrPartial makes, wrapped or not, an append write half of its bytes and fail.
-var ErrPartial = errors.New("only a part was written")
+var ErrPartialWrite = errors.New("only a part was written")
 
 type change struct {
 	name string
@@ -223,7 +223,7 @@
 	f.m.mu.Lock()
 	defer f.m.mu.Unlock()
 	if err := f.m.begin(Op{"append", f.name, len(b)}); err != nil {
-		if errors.Is(err, ErrPartial) {
+		if errors.Is(err, ErrPartialWrite) {
 			f.n.data = append(f.n.data, b[:len(b)/2]...)
 			return len(b) / 2, err
 		}
@@ -264,8 +264,8 @@
 func sectors(a, b []byte) (all []int) {
 	size := max(len(a), len(b))
 	x, y := grown(a, size), grown(b, size)
-	for at := 0; at < size; at += Sector {
-		if end := min(at+Sector, size); string(x[at:end]) != string(y[at:end]) {
+	for at := 0; at < size; at += SectorSize {
+		if end := min(at+SectorSize, size); string(x[at:end]) != string(y[at:end]) {
 			all = append(all, at)
 		}
 	}
@@ -285,7 +285,7 @@
 		was := n.disk
 		n.disk = grown(n.disk, len(n.data))
 		for _, at := range sectors(n.clean, n.data) {
-			copy(n.disk[min(at, len(n.disk)):], n.data[min(at, len(n.data)):min(at+Sector, len(n.data))])
+			copy(n.disk[min(at, len(n.disk)):], n.data[min(at, len(n.data)):min(at+SectorSize, len(n.data))])
 		}
 		if len(n.data) == len(was) && string(was) == string(n.data) {
 			n.disk = was
@@ -298,7 +298,7 @@
 func (f *memFile) Close() error { return nil }
 
 // Unsure counts what a crash now may or may not leave behind: names changed and sectors written since they were synced.
-func (m *Memory) Unsure() (n int) {
+func (m *Memory) UnsyncedCount() (n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n = len(m.pending)
@@ -350,7 +350,7 @@
 		now := grown(x.disk, size)
 		for _, at := range sectors(x.disk, x.data) {
 			if kept() && at < size {
-				copy(now[at:], grown(x.data, max(len(x.data), size))[at:min(at+Sector, size)])
+				copy(now[at:], grown(x.data, max(len(x.data), size))[at:min(at+SectorSize, size)])
 			}
 		}
 		left[x] = &inode{data: now, disk: slices.Clone(now), clean: slices.Clone(now)}
--- a/internal/eventloop/keeper.go
+++ b/internal/eventloop/keeper.go
@@ -11,7 +11,7 @@
 
 const (
 	// mostQueued bounds the bytes that wait for the disk; past it what comes is not kept, and the machine is told so.
-	mostQueued = store.MostFrame / 2
+	mostQueued = store.MaxPayloadBytes / 2
 	retryAfter = time.Second // when a write was refused, as on a full disk
 )
 
@@ -78,7 +78,7 @@
 			k.mu.Lock()
 			full := k.full
 			if k.queue.Len() > 0 && !full && now.Size() < mostQueued {
-				now.Add(&k.queue)
+				now.Append(&k.queue)
 				k.queue.Reset()
 				batch = k.batch
 			}
@@ -97,7 +97,7 @@
 				continue
 			}
 			k.tell(statemachine.Input{Kind: statemachine.PersistFailed, Text: err.Error()})
-			if !errors.Is(err, store.ErrRefused) || over {
+			if !errors.Is(err, store.ErrWriteRejected) || over {
 				return
 			}
 			select {
--- a/internal/eventloop/keeper_test.go
+++ b/internal/eventloop/keeper_test.go
@@ -71,7 +71,7 @@
 		defer mu.Unlock()
 		fail = kind
 	}
-	s, _, err := store.Open(store.Bootstrap{Folder: folder})
+	s, _, err := store.Open(store.Options{Folder: folder})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,7 +120,7 @@
 		t.Errorf("closed: %v", err)
 	}
 	again, err := store.Check(folder.Crash(func() bool { return false }))
-	if err != nil || !again.Whole {
+	if err != nil || !again.Intact {
 		t.Fatal(again, err)
 	}
 	var all []string
--- a/internal/listing/day_test.go
+++ b/internal/listing/day_test.go
@@ -136,7 +136,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			kept, err := checkpoint.Read(records)
+			kept, err := checkpoint.Decode(records)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -610,10 +610,10 @@
 }
 
 // keptBy opens a node's store and reads what its last life left.
-func keptBy(w *simnet.World, name string) (*checkpoint.Kept, error) {
+func keptBy(w *simnet.World, name string) (*checkpoint.State, error) {
 	records, err := w.Records(name)
 	if err != nil {
 		return nil, err
 	}
-	return checkpoint.Read(records)
+	return checkpoint.Decode(records)
 }
--- a/internal/simnet/virtual.go
+++ b/internal/simnet/virtual.go
@@ -177,7 +177,7 @@
 	if n.disk == nil {
 		n.disk = disk.NewMemory()
 	}
-	s, _, err := store.Open(store.Bootstrap{Folder: n.disk, ID: 1})
+	s, _, err := store.Open(store.Options{Folder: n.disk, ID: 1})
 	if err != nil {
 		w.Fails = append(w.Fails, fmt.Sprintf("%.6f %s: %v", w.now, name, err))
 		return nil, err
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -13,7 +13,7 @@
 	for _, batches := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprint(batches), func(b *testing.B) {
 			folder := disk.NewMemory()
-			s, _, err := Open(Bootstrap{Folder: folder, LeastLog: 1 << 40})
+			s, _, err := Open(Options{Folder: folder, MinCompactionBytes: 1 << 40})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -26,11 +26,11 @@
 				b.StopTimer()
 				left := folder.Copy()
 				b.StartTimer()
-				if _, _, err := Open(Bootstrap{Folder: left}); err != nil {
+				if _, _, err := Open(Options{Folder: left}); err != nil {
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64(s.Figures().Log)/1e6, "MB")
+			b.ReportMetric(float64(s.Stats().LogBytes)/1e6, "MB")
 		})
 	}
 }
--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -32,7 +32,7 @@
 
 // due tells whether the log is long enough to be compacted; mu is held.
 func (s *Store) due() bool {
-	return s.logSize > max(s.boot.LeastLog, 2*s.snap, s.after)
+	return s.logSize > max(s.boot.MinCompactionBytes, 2*s.snap, s.after)
 }
 
 // start fixes what the snapshot holds: all that is written now. That takes no time that grows with the store; mu is held.
@@ -73,7 +73,7 @@
 	c.size += int64(len(frames))
 	c.unsynced += int64(len(frames))
 	c.s.mu.Lock()
-	c.s.figures.Bytes += int64(len(frames))
+	c.s.figures.BytesWritten += int64(len(frames))
 	c.s.mu.Unlock()
 	if !full || c.unsynced >= syncEvery {
 		c.unsynced = 0
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -23,7 +23,7 @@
 	headSize  = 40
 	frameSize = 32
 	// MostFrame bounds a batch, in bytes of its payload.
-	MostFrame = 64 << 20
+	MaxPayloadBytes = 64 << 20
 )
 
 var (
@@ -92,7 +92,7 @@
 // the disk.
 func hole(data []byte, from, to int) bool {
 	for at := from; at < to; {
-		end := min((at/disk.Sector+1)*disk.Sector, to)
+		end := min((at/disk.SectorSize+1)*disk.SectorSize, to)
 		if !slices.ContainsFunc(data[at:end], func(b byte) bool { return b != 0 }) {
 			return true
 		}
@@ -149,8 +149,8 @@
 		return f, errors.New("the checksum of a frame's head does not match")
 	}
 	length := int(le.Uint32(head[8:]))
-	if length > MostFrame {
-		return f, fmt.Errorf("a frame of %d bytes, %d at most", length, MostFrame)
+	if length > MaxPayloadBytes {
+		return f, fmt.Errorf("a frame of %d bytes, %d at most", length, MaxPayloadBytes)
 	}
 	f = frame{at: at, size: frameSize + padded(length), seq: le.Uint64(head[16:]), durable: le.Uint64(head[24:]) - 1}
 	if len(data)-at < f.size {
@@ -212,7 +212,7 @@
 }
 
 // Add adds another's changes behind its own.
-func (b *Batch) Add(o *Batch) {
+func (b *Batch) Append(o *Batch) {
 	b.payload = append(b.payload, o.payload...)
 	b.n += o.n
 }
--- a/internal/store/open.go
+++ b/internal/store/open.go
@@ -21,21 +21,21 @@
 )
 
 // Damage is what Open refuses: records that were acknowledged, or may have been, and can't be read.
-type Damage struct {
-	File  string
-	At    int64 // offset
-	Cause error
-	Keeps string // what a repair would keep
+type CorruptionError struct {
+	File        string
+	Offset      int64 // offset
+	Cause       error
+	Recoverable string // what a repair would keep
 }
 
-func (d *Damage) Error() string {
-	return fmt.Sprintf("%s is damaged at offset %d: %v; a repair would keep %s", d.File, d.At, d.Cause, d.Keeps)
+func (d *CorruptionError) Error() string {
+	return fmt.Sprintf("%s is damaged at offset %d: %v; a repair would keep %s", d.File, d.Offset, d.Cause, d.Recoverable)
 }
 
-func (d *Damage) Unwrap() error { return d.Cause }
+func (d *CorruptionError) Unwrap() error { return d.Cause }
 
 // ErrNewer: the store was written by a later program.
-var ErrNewer = errNewer
+var ErrNewerFormat = errNewer
 
 // manifest names what is in force: a snapshot (0: none) and the first segment behind it.
 type manifest struct {
@@ -78,13 +78,13 @@
 
 // Recovery tells what was found at an open.
 type Recovery struct {
-	Snapshot, Frames int    // frames read from the snapshot, and from the log behind it
-	Keys             int    //
-	Seq              uint64 // the last batch
-	Bytes            int64  // of the log
-	Cut              int64  // bytes of a torn tail
-	CutFile          string // where
-	Left             []string
+	SnapshotFrames, LogFrames int    // frames read from the snapshot, and from the log behind it
+	Keys                      int    //
+	LastSequence              uint64 // the last batch
+	LogBytes                  int64  // of the log
+	TornBytes                 int64  // bytes of a torn tail
+	TornFile                  string // where
+	RemovedFiles              []string
 }
 
 // found is what the files of a folder say.
@@ -177,7 +177,7 @@
 			return f.damage(d, name, at, err)
 		}
 		at += x.size
-		f.recovery.Snapshot++
+		f.recovery.SnapshotFrames++
 	}
 	if end != f.index.Len() || at != len(data) {
 		return f.damage(d, name, at, fmt.Errorf("it ends with %d of %d keys", f.index.Len(), end))
@@ -217,7 +217,7 @@
 		if err != nil {
 			return fmt.Errorf("read %s: %w", name, err)
 		}
-		f.recovery.Bytes += int64(len(data))
+		f.recovery.LogBytes += int64(len(data))
 		h, err := f.head(data, false, number)
 		if errors.Is(err, errTorn) && number > f.manifest.first && len(data) <= headSize {
 			f.closed = false // a crash while it was made: nothing was ever written behind its head, nor can be
@@ -246,7 +246,7 @@
 			}
 			f.seq, off = x.seq, off+x.size
 			f.closed = len(x.payload) == 1 && x.payload[0] == opClosed && x.durable+1 == x.seq
-			f.recovery.Frames++
+			f.recovery.LogFrames++
 		}
 		if at.name != "" {
 			at.cut += int64(len(data) - off)
@@ -258,8 +258,8 @@
 		}
 	}
 	f.closed = f.closed && at.name == ""
-	f.recovery.Cut, f.recovery.CutFile = at.cut, at.name
-	f.recovery.Keys, f.recovery.Seq = f.index.Len(), f.seq
+	f.recovery.TornBytes, f.recovery.TornFile = at.cut, at.name
+	f.recovery.Keys, f.recovery.LastSequence = f.index.Len(), f.seq
 	return nil
 }
 
@@ -278,5 +278,5 @@
 	if got, err := salvage(d); err == nil {
 		keeps = got.String()
 	}
-	return &Damage{name, int64(at), cause, keeps}
+	return &CorruptionError{name, int64(at), cause, keeps}
 }
--- a/internal/store/salvage.go
+++ b/internal/store/salvage.go
@@ -12,19 +12,19 @@
 )
 
 // Salvage is what can be read of a store, damaged or not: every frame that stands whole, in order.
-type Salvage struct {
-	Fresh    bool // there is no store yet
-	Whole    bool // nothing is damaged; a torn tail is none
-	Damage   string
-	Files    []FileReport
-	Keys     int
-	Batches  int      // of the log
-	Lost     []string // numbers of batches that can't be read though later ones can
-	Recovery Recovery // where it is whole
-	id       uint64
-	index    *btree.Map[string, []byte]
-	seq      uint64
-	last     uint64
+type CheckReport struct {
+	Absent     bool // there is no store yet
+	Intact     bool // nothing is damaged; a torn tail is none
+	Damage     string
+	Files      []FileReport
+	Keys       int
+	Batches    int      // of the log
+	Unreadable []string // numbers of batches that can't be read though later ones can
+	Recovery   Recovery // where it is whole
+	id         uint64
+	index      *btree.Map[string, []byte]
+	seq        uint64
+	last       uint64
 }
 
 // FileReport tells of a file.
@@ -35,26 +35,26 @@
 	State  string
 }
 
-func (s *Salvage) String() string {
+func (s *CheckReport) String() string {
 	text := fmt.Sprintf("%d keys, of %d batches up to %d", s.Keys, s.Batches, s.seq)
-	if len(s.Lost) > 0 {
-		text += ", without " + strings.Join(s.Lost, ", ")
+	if len(s.Unreadable) > 0 {
+		text += ", without " + strings.Join(s.Unreadable, ", ")
 	}
 	return text
 }
 
 // Check reads a store without changing anything; its error is that of the folder, damage stands in the Salvage.
-func Check(d disk.Folder) (*Salvage, error) {
+func Check(d disk.Folder) (*CheckReport, error) {
 	s, err := salvage(d)
 	if err != nil {
 		return nil, err
 	}
 	f, err := read(d)
-	var damage *Damage
+	var damage *CorruptionError
 	switch {
 	case err == nil:
-		s.Whole, s.Fresh, s.Recovery = true, f.fresh, f.recovery
-		s.index, s.seq, s.Keys, s.Batches, s.Lost = f.index, f.seq, f.index.Len(), f.recovery.Frames, nil
+		s.Intact, s.Absent, s.Recovery = true, f.fresh, f.recovery
+		s.index, s.seq, s.Keys, s.Batches, s.Unreadable = f.index, f.seq, f.index.Len(), f.recovery.LogFrames, nil
 	case errors.As(err, &damage):
 		s.Damage = err.Error()
 	default:
@@ -65,12 +65,12 @@
 
 // salvage reads what stands whole. Where the manifest can't be read, the newest snapshot that is whole is taken, and the
 // log behind it.
-func salvage(d disk.Folder) (*Salvage, error) {
+func salvage(d disk.Folder) (*CheckReport, error) {
 	names, err := d.Names()
 	if err != nil {
 		return nil, fmt.Errorf("read the store's folder: %w", err)
 	}
-	s := &Salvage{index: new(btree.Map[string, []byte])}
+	s := &CheckReport{index: new(btree.Map[string, []byte])}
 	files := map[string][]byte{}
 	for _, n := range names {
 		if n != manifestName && numberOf(n, ".seg") == 0 && numberOf(n, ".snap") == 0 {
@@ -116,7 +116,7 @@
 			}
 			if r.State = "whole"; !whole {
 				r.State = "damaged"
-				s.Lost = append(s.Lost, "a part of the snapshot")
+				s.Unreadable = append(s.Unreadable, "a part of the snapshot")
 			}
 		}
 		s.Files = append(s.Files, r)
@@ -139,7 +139,7 @@
 				continue
 			}
 			if x.seq > s.seq+1 && (begun || x.seq > 1) {
-				s.Lost = append(s.Lost, fmt.Sprintf("batches %d to %d", s.seq+1, x.seq-1))
+				s.Unreadable = append(s.Unreadable, fmt.Sprintf("batches %d to %d", s.seq+1, x.seq-1))
 			}
 			if _, err := eachOp(x.payload, func(key string, value []byte) {
 				if value == nil {
@@ -163,20 +163,20 @@
 }
 
 // Each goes through what was read, in the keys' order.
-func (s *Salvage) Each(do func(key string, value []byte)) {
+func (s *CheckReport) Each(do func(key string, value []byte)) {
 	s.index.Scan(func(key string, value []byte) bool { do(key, value); return true })
 }
 
 // Repair writes what can be read as a new snapshot, and puts the files as they were aside, under names that end in
 // .damaged. A store that is whole is left alone.
-func Repair(d disk.Folder) (*Salvage, error) {
+func Repair(d disk.Folder) (*CheckReport, error) {
 	lock, err := d.Lock()
 	if err != nil {
 		return nil, fmt.Errorf("repair the store: %w", err)
 	}
 	defer lock.Close()
 	got, err := Check(d)
-	if err != nil || got.Whole {
+	if err != nil || got.Intact {
 		return got, err
 	}
 	s := &Store{dir: d, index: got.index, seq: got.seq, manifest: manifest{id: max(got.id, 1)}}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -27,16 +27,16 @@
 	// writes all anew.
 	ErrBroken = errors.New("the store takes no more writes")
 	// ErrRefused: this write failed and left nothing behind, as on a full disk. The next may do.
-	ErrRefused = errors.New("not written")
-	ErrClosed  = errors.New("the store is closed")
+	ErrWriteRejected = errors.New("not written")
+	ErrClosed        = errors.New("the store is closed")
 )
 
 // Bootstrap is what a store is opened with.
-type Bootstrap struct {
+type Options struct {
 	Folder disk.Folder
 	// LeastLog is how many bytes the log has at least when it is compacted. 0: 1 MiB. From there on it is compacted at
 	// twice what a snapshot takes, so that all files together stay within LeastLog and four times what is alive.
-	LeastLog int64
+	MinCompactionBytes int64
 	// Background has compaction done by a goroutine of the store's; without it, whoever owns the store calls Compact.
 	Background bool
 	ID         uint64 // of a store that is made; 0: by chance
@@ -44,7 +44,7 @@
 
 // Store is an open store. All of its methods may be called by many goroutines.
 type Store struct {
-	boot Bootstrap
+	boot Options
 	dir  disk.Folder
 	lock io.Closer
 
@@ -58,7 +58,7 @@
 	closed  bool
 	logSize int64 // since the snapshot in force
 	snap    int64 // its size
-	figures Figures
+	figures Stats
 	buf     []byte
 
 	syncing sync.Mutex // one sync at a time
@@ -84,18 +84,18 @@
 }
 
 // Figures count since the open.
-type Figures struct {
-	Batches, Syncs, Compactions, Refused int
-	Bytes                                int64 // written, snapshots included
-	Live                                 int   // keys
-	Log, Snapshot                        int64 // bytes of the files in force
+type Stats struct {
+	Batches, Syncs, Compactions, RejectedWrites int
+	BytesWritten                                int64 // written, snapshots included
+	Keys                                        int   // keys
+	LogBytes, SnapshotBytes                     int64 // bytes of the files in force
 }
 
 // Open opens a store, or makes one in an empty folder. Unless it was closed in order it writes all anew, as a snapshot: what
 // an earlier process wrote without being told that it is durable may be seen now and lost by the next crash.
-func Open(b Bootstrap) (*Store, Recovery, error) {
-	if b.LeastLog == 0 {
-		b.LeastLog = 1 << 20
+func Open(b Options) (*Store, Recovery, error) {
+	if b.MinCompactionBytes == 0 {
+		b.MinCompactionBytes = 1 << 20
 	}
 	lock, err := b.Folder.Lock()
 	if err != nil {
@@ -136,12 +136,12 @@
 		if err := s.settle(segName(f.last)); err != nil {
 			return f.recovery, err
 		}
-		s.logSize += f.recovery.Bytes
-		f.recovery.Left = s.sweep()
+		s.logSize += f.recovery.LogBytes
+		f.recovery.RemovedFiles = s.sweep()
 		return f.recovery, nil
 	}
 	m.first = s.cur.head.number
-	if f.recovery.Frames > 0 || f.recovery.Cut > 0 {
+	if f.recovery.LogFrames > 0 || f.recovery.TornBytes > 0 {
 		if m.snap = m.first - 1; m.snap == 0 {
 			return f.recovery, errors.New("batches before the first segment")
 		}
@@ -156,7 +156,7 @@
 	if err := s.replace(m); err != nil {
 		return f.recovery, fmt.Errorf("replace the manifest: %w", err)
 	}
-	f.recovery.Left = s.sweep()
+	f.recovery.RemovedFiles = s.sweep()
 	return f.recovery, nil
 }
 
@@ -204,7 +204,7 @@
 	}
 	s.cur = &segment{h, file, headSize}
 	s.logSize += headSize
-	s.figures.Bytes += headSize
+	s.figures.BytesWritten += headSize
 	then()
 	return nil
 }
@@ -294,8 +294,8 @@
 	s.buf = s.buf[:0]
 	n := 0
 	for _, w := range all {
-		if w.b.n == 0 || len(w.b.payload) > MostFrame {
-			w.err = fmt.Errorf("%w: a batch of %d changes and %d bytes", ErrRefused, w.b.n, len(w.b.payload))
+		if w.b.n == 0 || len(w.b.payload) > MaxPayloadBytes {
+			w.err = fmt.Errorf("%w: a batch of %d changes and %d bytes", ErrWriteRejected, w.b.n, len(w.b.payload))
 			continue
 		}
 		n++
@@ -336,17 +336,17 @@
 		if err == nil {
 			err = io.ErrShortWrite
 		}
-		s.figures.Refused++
+		s.figures.RejectedWrites++
 		// What stands there in part must go, or the next batch would stand behind it.
 		if cut := s.cur.file.Truncate(s.cur.size); cut != nil {
 			s.broken = fmt.Errorf("%w: %w, and its part can't be cut off: %w", ErrBroken, err, cut)
 			return s.broken
 		}
-		return fmt.Errorf("%w: %w", ErrRefused, err)
+		return fmt.Errorf("%w: %w", ErrWriteRejected, err)
 	}
 	s.cur.size += int64(len(data))
 	s.logSize += int64(len(data))
-	s.figures.Bytes += int64(len(data))
+	s.figures.BytesWritten += int64(len(data))
 	return nil
 }
 
@@ -477,11 +477,11 @@
 }
 
 // Figures gives the counts.
-func (s *Store) Figures() Figures {
+func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := s.figures
-	f.Live, f.Log, f.Snapshot = s.index.Len(), s.logSize, s.snap
+	f.Keys, f.LogBytes, f.SnapshotBytes = s.index.Len(), s.logSize, s.snap
 	return f
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -71,7 +71,7 @@
 
 func open(t testing.TB, d disk.Folder) *Store {
 	t.Helper()
-	s, _, err := Open(Bootstrap{Folder: d, LeastLog: 2000, ID: 7})
+	s, _, err := Open(Options{Folder: d, MinCompactionBytes: 2000, ID: 7})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 		var s *Store
 		reopen := func() {
 			var err error
-			if s, _, err = Open(Bootstrap{Folder: folder, LeastLog: 600, ID: 7}); err != nil {
+			if s, _, err = Open(Options{Folder: folder, MinCompactionBytes: 600, ID: 7}); err != nil {
 				t.Fatalf("open: %v", err)
 			}
 			if err := m.holds(s); err != nil {
@@ -115,7 +115,7 @@
 				}
 				if _, err := s.Write(b); err == nil {
 					m.write(b)
-				} else if !errors.Is(err, ErrBroken) && !errors.Is(err, ErrRefused) {
+				} else if !errors.Is(err, ErrBroken) && !errors.Is(err, ErrWriteRejected) {
 					t.Fatal(err)
 				}
 			case "sync":
@@ -150,7 +150,7 @@
 				reopen()
 			case "fail":
 				kind := rapid.SampledFrom([]string{"append", "sync", "syncdir", "create", "rename", "remove"}).Draw(t, "kind")
-				after, cause := rapid.IntRange(0, 2).Draw(t, "after"), rapid.SampledFrom([]error{errors.New("no space"), disk.ErrPartial}).Draw(t, "cause")
+				after, cause := rapid.IntRange(0, 2).Draw(t, "after"), rapid.SampledFrom([]error{errors.New("no space"), disk.ErrPartialWrite}).Draw(t, "cause")
 				folder.Before = func(o disk.Op) error {
 					if o.Kind == kind {
 						if after--; after == -1 {
@@ -197,7 +197,7 @@
 
 // history is a short life of a store: batches, a sync, a compaction, more batches. It ends where the folder fails.
 func history(folder *disk.Memory, m *model) {
-	s, _, err := Open(Bootstrap{Folder: folder, LeastLog: 600, ID: 7})
+	s, _, err := Open(Options{Folder: folder, MinCompactionBytes: 600, ID: 7})
 	if err != nil {
 		return
 	}
@@ -244,7 +244,7 @@
 			history(folder, m)
 			after := folder.Crash(ask)
 			check := func(d *disk.Memory, m model) {
-				s, _, err := Open(Bootstrap{Folder: d, LeastLog: 600, ID: 7})
+				s, _, err := Open(Options{Folder: d, MinCompactionBytes: 600, ID: 7})
 				if err != nil {
 					t.Fatalf("crash after operation %d: %v", at, err)
 				}
@@ -266,7 +266,7 @@
 					}
 					return nil
 				}
-				s, _, err := Open(Bootstrap{Folder: again, LeastLog: 600, ID: 7})
+				s, _, err := Open(Options{Folder: again, MinCompactionBytes: 600, ID: 7})
 				if err == nil && s.Commit(batch("recovered=1")) == nil {
 					break
 				}
@@ -314,7 +314,7 @@
 				}
 				return nil
 			}
-			s, _, err := Open(Bootstrap{Folder: folder, LeastLog: 1500, ID: 7})
+			s, _, err := Open(Options{Folder: folder, MinCompactionBytes: 1500, ID: 7})
 			if err == nil {
 				if err := m.holds(s); err != nil {
 					t.Fatal(err)
@@ -333,7 +333,7 @@
 			}
 			folder = folder.Crash(func() bool { return rapid.Bool().Draw(t, "kept") })
 		}
-		s, _, err := Open(Bootstrap{Folder: folder, LeastLog: 1500, ID: 7})
+		s, _, err := Open(Options{Folder: folder, MinCompactionBytes: 1500, ID: 7})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -374,7 +374,7 @@
 			for bit := range 8 {
 				spoilt := folder.Copy()
 				spoilt.Bytes(name)[at] ^= 1 << bit
-				s, _, err := Open(Bootstrap{Folder: spoilt, ID: 7})
+				s, _, err := Open(Options{Folder: spoilt, ID: 7})
 				switch {
 				case err != nil:
 					found++
@@ -409,7 +409,7 @@
 	for cut := headSize; cut <= len(log); cut++ {
 		left := folder.Copy()
 		left.Put(segName(1), slices.Clone(log[:cut]))
-		s, r, err := Open(Bootstrap{Folder: left, ID: 7})
+		s, r, err := Open(Options{Folder: left, ID: 7})
 		if err != nil {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
@@ -418,8 +418,8 @@
 		if n > 0 {
 			begin = ends[n-1]
 		}
-		if diff := cmp.Diff(m.states[n], contents(s)); diff != "" || r.Cut != int64(cut-begin) {
-			t.Fatalf("cut at %d: %d bytes cut; %s", cut, r.Cut, diff)
+		if diff := cmp.Diff(m.states[n], contents(s)); diff != "" || r.TornBytes != int64(cut-begin) {
+			t.Fatalf("cut at %d: %d bytes cut; %s", cut, r.TornBytes, diff)
 		}
 	}
 	// A snapshot that is cut anywhere is damage: it was durable as a whole before the manifest named it.
@@ -427,7 +427,7 @@
 	for cut := range whole.Bytes(snapName(1)) {
 		left := whole.Copy()
 		left.Put(snapName(1), slices.Clone(whole.Bytes(snapName(1))[:cut]))
-		if _, _, err := Open(Bootstrap{Folder: left, ID: 7}); err == nil || !strings.Contains(err.Error(), snapName(1)) {
+		if _, _, err := Open(Options{Folder: left, ID: 7}); err == nil || !strings.Contains(err.Error(), snapName(1)) {
 			t.Fatalf("a snapshot cut at %d was taken: %v", cut, err)
 		}
 	}
@@ -435,7 +435,7 @@
 	for cut := range headSize {
 		left := folder.Copy()
 		left.Put(segName(1), slices.Clone(log[:cut]))
-		if _, _, err := Open(Bootstrap{Folder: left, ID: 7}); err == nil {
+		if _, _, err := Open(Options{Folder: left, ID: 7}); err == nil {
 			t.Fatalf("a head cut at %d was taken", cut)
 		}
 	}
@@ -447,13 +447,13 @@
 	name := segName(2)
 	second := headSize + frameSize + padded(int(le.Uint32(folder.Bytes(name)[headSize+8:])))
 	folder.Bytes(name)[second+frameSize+3] ^= 4
-	_, _, err := Open(Bootstrap{Folder: folder, ID: 7})
-	var d *Damage
-	if !errors.As(err, &d) || d.File != name || d.At != int64(second) || !strings.Contains(err.Error(), "without batches 7 to 7") {
+	_, _, err := Open(Options{Folder: folder, ID: 7})
+	var d *CorruptionError
+	if !errors.As(err, &d) || d.File != name || d.Offset != int64(second) || !strings.Contains(err.Error(), "without batches 7 to 7") {
 		t.Fatalf("%v", err)
 	}
 	got, err := Repair(folder)
-	if err != nil || got.Whole || got.Keys != len(want) {
+	if err != nil || got.Intact || got.Keys != len(want) {
 		t.Fatalf("%v %v", got, err)
 	}
 	s := open(t, folder)
@@ -464,7 +464,7 @@
 	if folder.Bytes(name+damagedEnd) == nil || folder.Bytes(manifestName+damagedEnd) == nil {
 		t.Error("what was damaged was not put aside")
 	}
-	if again, err := Check(folder); err != nil || !again.Whole {
+	if again, err := Check(folder); err != nil || !again.Intact {
 		t.Error(again, err)
 	}
 }
@@ -485,9 +485,9 @@
 			}
 		}
 		left := folder.Copy()
-		clear(left.Bytes(segName(1))[2*disk.Sector : 3*disk.Sector])
-		_, r, err := Open(Bootstrap{Folder: left, ID: 7})
-		if durable && err == nil || !durable && (err != nil || r.Seq != 0 || r.Cut != int64(len(left.Bytes(segName(1))))-headSize && r.Cut == 0) {
+		clear(left.Bytes(segName(1))[2*disk.SectorSize : 3*disk.SectorSize])
+		_, r, err := Open(Options{Folder: left, ID: 7})
+		if durable && err == nil || !durable && (err != nil || r.LastSequence != 0 || r.TornBytes != int64(len(left.Bytes(segName(1))))-headSize && r.TornBytes == 0) {
 			t.Errorf("durable %v: %v %+v", durable, err, r)
 		}
 	}
@@ -543,7 +543,7 @@
 	if err := s.Commit(batch("a=1")); err != nil {
 		t.Fatal(err)
 	}
-	for _, cause := range []error{errors.New("no space left on device"), fmt.Errorf("no space left on device: %w", disk.ErrPartial)} {
+	for _, cause := range []error{errors.New("no space left on device"), fmt.Errorf("no space left on device: %w", disk.ErrPartialWrite)} {
 		folder.Before = func(o disk.Op) error {
 			if o.Kind == "append" || o.Kind == "create" {
 				return cause
@@ -551,7 +551,7 @@
 			return nil
 		}
 		for range 3 {
-			if err := s.Commit(batch("a=2")); !errors.Is(err, ErrRefused) || !strings.Contains(err.Error(), "no space left") {
+			if err := s.Commit(batch("a=2")); !errors.Is(err, ErrWriteRejected) || !strings.Contains(err.Error(), "no space left") {
 				t.Fatal(err)
 			}
 			if _, err := s.Compact(true); err == nil {
@@ -581,7 +581,7 @@
 	// What was written in part can't be cut off: nothing may be written behind it.
 	folder.Before = func(o disk.Op) error {
 		if o.Kind == "append" || o.Kind == "truncate" {
-			return disk.ErrPartial
+			return disk.ErrPartialWrite
 		}
 		return nil
 	}
@@ -592,11 +592,11 @@
 
 func TestRefusedAtTheDoor(t *testing.T) {
 	folder, _ := small(t)
-	s, _, err := Open(Bootstrap{Folder: folder})
+	s, _, err := Open(Options{Folder: folder})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Open(Bootstrap{Folder: folder}); !errors.Is(err, disk.ErrLocked) {
+	if _, _, err := Open(Options{Folder: folder}); !errors.Is(err, disk.ErrLocked) {
 		t.Errorf("a second owner: %v", err)
 	}
 	if err := s.Close(); err != nil {
@@ -609,7 +609,7 @@
 	text := strings.Replace(string(later.Bytes(manifestName)), "gingerfork-store 1", "gingerfork-store 2", 1)
 	text = text[:strings.LastIndex(text, "check ")]
 	later.Put(manifestName, fmt.Appendf(nil, "%scheck %08x\n", text, crc([]byte(text))))
-	if _, _, err := Open(Bootstrap{Folder: later}); !errors.Is(err, ErrNewer) {
+	if _, _, err := Open(Options{Folder: later}); !errors.Is(err, ErrNewerFormat) {
 		t.Errorf("a newer format: %v", err)
 	}
 	for _, gone := range []string{manifestName, snapName(1), segName(3)} {
@@ -618,7 +618,7 @@
 			continue
 		}
 		_ = lost.Remove(gone)
-		if _, _, err := Open(Bootstrap{Folder: lost}); err == nil || !strings.Contains(err.Error(), gone) {
+		if _, _, err := Open(Options{Folder: lost}); err == nil || !strings.Contains(err.Error(), gone) {
 			t.Errorf("without %s: %v", gone, err)
 		}
 	}
@@ -635,7 +635,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, _, err := Open(Bootstrap{Folder: folder, LeastLog: 4000, Background: true})
+	s, _, err := Open(Options{Folder: folder, MinCompactionBytes: 4000, Background: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -656,14 +656,14 @@
 		}()
 	}
 	all.Wait()
-	f := s.Figures()
+	f := s.Stats()
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if f.Compactions == 0 || f.Syncs > f.Batches || f.Live != 8*8 {
+	if f.Compactions == 0 || f.Syncs > f.Batches || f.Keys != 8*8 {
 		t.Errorf("%+v", f)
 	}
-	s, r, err := Open(Bootstrap{Folder: folder})
+	s, r, err := Open(Options{Folder: folder})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -673,7 +673,7 @@
 			t.Errorf("writer %d: %q", w, v)
 		}
 	}
-	if r.Keys != 64 || r.Seq != 481 || r.Cut != 0 {
+	if r.Keys != 64 || r.LastSequence != 481 || r.TornBytes != 0 {
 		t.Errorf("%+v", r)
 	}
 	names, _ := folder.Names()
@@ -685,7 +685,7 @@
 
 func FuzzOpen(f *testing.F) {
 	folder := disk.NewMemory()
-	s, _, err := Open(Bootstrap{Folder: folder, ID: 7})
+	s, _, err := Open(Options{Folder: folder, ID: 7})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -698,12 +698,12 @@
 		d := folder.Copy()
 		d.Put(segName(1), log)
 		// Whatever stands there: no panic, and what is opened can be opened again and is the same.
-		s, _, err := Open(Bootstrap{Folder: d, ID: 7})
+		s, _, err := Open(Options{Folder: d, ID: 7})
 		if err != nil {
 			if _, err := Repair(d); err != nil {
 				t.Fatalf("repair: %v", err)
 			}
-			if s, _, err = Open(Bootstrap{Folder: d, ID: 7}); err != nil {
+			if s, _, err = Open(Options{Folder: d, ID: 7}); err != nil {
 				t.Fatalf("after a repair: %v", err)
 			}
 		}
