--- a/internal/disk/memory.go
+++ b/internal/disk/memory.go
@@ -10,69 +10,89 @@
 	"sync"
 )
 
-// Sector is what a disk writes whole or not at all, in bytes.
-const SectorSize = 512
+var (
+	// ErrCrashed is what every operation returns after a crash.
+	ErrCrashed = errors.New("the machine crashed")
+	// ErrPartialWrite is an error for Memory.Before: an append that fails with it, wrapped or not, writes half of its bytes.
+	ErrPartialWrite = errors.New("only a part was written")
+)
 
-// ErrCrashed is what every operation gives after a crash.
-var ErrCrashed = errors.New("the machine crashed")
+// OpKind is the kind of an operation.
+type OpKind string
+
+// The operations that Memory.Before can fail.
+const (
+	OpCreate   OpKind = "create"
+	OpOpen     OpKind = "open"
+	OpAppend   OpKind = "append"
+	OpTruncate OpKind = "truncate"
+	OpSync     OpKind = "sync"
+	OpRename   OpKind = "rename"
+	OpRemove   OpKind = "remove"
+	OpSyncDir  OpKind = "syncdir"
+	OpLock     OpKind = "lock"
+)
 
-// Op is one operation that is about to be done.
+// Op is one operation on a folder or file.
 type Op struct {
-	Kind string // create, open, append, truncate, sync, rename, remove, syncdir, lock
+	Kind OpKind
 	Name string
-	Size int // of what is appended
+	Size int // bytes that are appended
 }
 
-// Memory is a folder in memory. It keeps beside what programs see what would be on the disk: what was synced, and, of
-// what was not, sectors and names that may or may not have got there.
+// Memory is a folder in memory. Beside what programs see it has what would be on the disk: what was synced and, of what
+// was not, the sectors and names that a crash may leave or lose. It is safe for concurrent use.
 type Memory struct {
-	// Before is asked before each operation; nil: none fails. Of an append that fails with ErrPartial half is written.
-	// A sync that fails leaves its bytes in the cache as if they were written, as kernels do: no later sync brings them
-	// to the disk.
+	// Before is called before each operation, which fails with the error that it returns; nil: none fails. A sync that
+	// fails leaves its bytes in the cache as if they were written, as kernels do: no later sync brings them to the disk.
 	Before func(Op) error
 
-	mu      sync.Mutex
-	names   map[string]*inode // as seen
-	durable map[string]*inode // as on the disk
-	pending []change          // of names since the last SyncDir
-	locked  bool
-	crashed bool
-	ops     int
+	mu             sync.Mutex
+	files          map[string]*inode // as programs see them
+	durableFiles   map[string]*inode // as they are on the disk
+	pendingChanges []nameChange      // since the last SyncDir
+	locked         bool
+	crashed        bool
+	ops            int
 }
 
-// ErrPartial makes, wrapped or not, an append write half of its bytes and fail.
-var ErrPartialWrite = errors.New("only a part was written")
-
-type change struct {
-	name string
-	node *inode // nil: removed
-	from string // of a rename
+// nameChange is a change of names that is not durable yet.
+type nameChange struct {
+	name        string
+	node        *inode // nil: the name was removed
+	renamedFrom string // the earlier name, if the file was renamed
 }
 
-type inode struct {
-	data  []byte // as seen
-	disk  []byte // as surely on the disk
-	clean []byte // as the cache believes that the disk has it
+func (c nameChange) apply(files map[string]*inode) {
+	if c.renamedFrom != "" {
+		delete(files, c.renamedFrom)
+	}
+	if c.node == nil {
+		delete(files, c.name)
+		return
+	}
+	files[c.name] = c.node
 }
 
-// NewMemory makes an empty one.
+// NewMemory returns an empty folder.
 func NewMemory() *Memory {
-	return &Memory{names: map[string]*inode{}, durable: map[string]*inode{}}
+	return &Memory{files: map[string]*inode{}, durableFiles: map[string]*inode{}}
 }
 
-// Ops is how many operations were done.
+// Ops returns how many operations were done.
 func (m *Memory) Ops() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.ops
 }
 
-func (m *Memory) begin(o Op) error {
+// begin counts an operation, or returns why it fails; mu is held.
+func (m *Memory) begin(op Op) error {
 	if m.crashed {
 		return ErrCrashed
 	}
 	if m.Before != nil {
-		if err := m.Before(o); err != nil {
+		if err := m.Before(op); err != nil {
 			return err
 		}
 	}
@@ -80,39 +100,38 @@
 	return nil
 }
 
-type memFile struct {
-	m    *Memory
-	name string
-	n    *inode
+// change applies a change of names that programs see at once and the disk gets at the next SyncDir; mu is held.
+func (m *Memory) change(change nameChange) {
+	change.apply(m.files)
+	m.pendingChanges = append(m.pendingChanges, change)
 }
 
 // Create implements Folder.
 func (m *Memory) Create(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.begin(Op{Kind: "create", Name: name}); err != nil {
+	if err := m.begin(Op{Kind: OpCreate, Name: name}); err != nil {
 		return nil, err
 	}
-	if m.names[name] != nil {
+	if m.files[name] != nil {
 		return nil, fmt.Errorf("%s: %w", name, fs.ErrExist)
 	}
-	n := &inode{}
-	m.names[name] = n
-	m.pending = append(m.pending, change{name: name, node: n})
-	return &memFile{m, name, n}, nil
+	node := &inode{}
+	m.change(nameChange{name: name, node: node})
+	return &memoryFile{m, name, node}, nil
 }
 
 // Open implements Folder.
 func (m *Memory) Open(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.begin(Op{Kind: "open", Name: name}); err != nil {
+	if err := m.begin(Op{Kind: OpOpen, Name: name}); err != nil {
 		return nil, err
 	}
-	if m.names[name] == nil {
+	if m.files[name] == nil {
 		return nil, fmt.Errorf("%s: %w", name, fs.ErrNotExist)
 	}
-	return &memFile{m, name, m.names[name]}, nil
+	return &memoryFile{m, name, m.files[name]}, nil
 }
 
 // Names implements Folder.
@@ -122,23 +141,21 @@
 	if m.crashed {
 		return nil, ErrCrashed
 	}
-	return slices.Sorted(maps.Keys(m.names)), nil
+	return slices.Sorted(maps.Keys(m.files)), nil
 }
 
 // Rename implements Folder.
 func (m *Memory) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.begin(Op{Kind: "rename", Name: to}); err != nil {
+	if err := m.begin(Op{Kind: OpRename, Name: to}); err != nil {
 		return err
 	}
-	n := m.names[from]
-	if n == nil {
+	node := m.files[from]
+	if node == nil {
 		return fmt.Errorf("%s: %w", from, fs.ErrNotExist)
 	}
-	m.names[to] = n
-	delete(m.names, from)
-	m.pending = append(m.pending, change{name: to, node: n, from: from})
+	m.change(nameChange{name: to, node: node, renamedFrom: from})
 	return nil
 }
 
@@ -146,46 +163,27 @@
 func (m *Memory) Remove(name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.begin(Op{Kind: "remove", Name: name}); err != nil {
+	if err := m.begin(Op{Kind: OpRemove, Name: name}); err != nil {
 		return err
 	}
-	if m.names[name] == nil {
+	if m.files[name] == nil {
 		return fmt.Errorf("%s: %w", name, fs.ErrNotExist)
 	}
-	delete(m.names, name)
-	m.pending = append(m.pending, change{name: name})
+	m.change(nameChange{name: name})
 	return nil
 }
 
-func (c change) do(names map[string]*inode) {
-	if c.from != "" {
-		delete(names, c.from)
-	}
-	if names[c.name] = c.node; c.node == nil {
-		delete(names, c.name)
-	}
-}
-
 // SyncDir implements Folder.
 func (m *Memory) SyncDir() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.begin(Op{Kind: "syncdir"}); err != nil {
+	if err := m.begin(Op{Kind: OpSyncDir}); err != nil {
 		return err
 	}
-	for _, c := range m.pending {
-		c.do(m.durable)
+	for _, change := range m.pendingChanges {
+		change.apply(m.durableFiles)
 	}
-	m.pending = nil
-	return nil
-}
-
-type memLock struct{ m *Memory }
-
-func (l memLock) Close() error {
-	l.m.mu.Lock()
-	defer l.m.mu.Unlock()
-	l.m.locked = false
+	m.pendingChanges = nil
 	return nil
 }
 
@@ -193,200 +191,57 @@
 func (m *Memory) Lock() (io.Closer, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.begin(Op{Kind: "lock"}); err != nil {
+	if err := m.begin(Op{Kind: OpLock}); err != nil {
 		return nil, err
 	}
 	if m.locked {
 		return nil, ErrLocked
 	}
 	m.locked = true
-	return memLock{m}, nil
-}
-
-func (f *memFile) ReadAt(b []byte, at int64) (int, error) {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	if f.m.crashed {
-		return 0, ErrCrashed
-	}
-	if at >= int64(len(f.n.data)) {
-		return 0, io.EOF
-	}
-	n := copy(b, f.n.data[at:])
-	if n < len(b) {
-		return n, io.EOF
-	}
-	return n, nil
+	return memoryLock{m}, nil
 }
 
-func (f *memFile) Append(b []byte) (int, error) {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	if err := f.m.begin(Op{"append", f.name, len(b)}); err != nil {
-		if errors.Is(err, ErrPartialWrite) {
-			f.n.data = append(f.n.data, b[:len(b)/2]...)
-			return len(b) / 2, err
-		}
-		return 0, err
-	}
-	f.n.data = append(f.n.data, b...)
-	return len(b), nil
-}
+type memoryLock struct{ m *Memory }
 
-func (f *memFile) Truncate(size int64) error {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	if err := f.m.begin(Op{Kind: "truncate", Name: f.name}); err != nil {
-		return err
-	}
-	f.n.data = slices.Clone(f.n.data[:min(int(size), len(f.n.data))])
+// Close implements io.Closer.
+func (l memoryLock) Close() error {
+	l.m.mu.Lock()
+	defer l.m.mu.Unlock()
+	l.m.locked = false
 	return nil
 }
 
-func (f *memFile) Size() (int64, error) {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	if f.m.crashed {
-		return 0, ErrCrashed
-	}
-	return int64(len(f.n.data)), nil
-}
-
-// grown is b with a size, zeros behind its end.
-func grown(b []byte, size int) []byte {
-	if size <= len(b) {
-		return slices.Clone(b[:size])
-	}
-	return append(slices.Clone(b), make([]byte, size-len(b))...)
-}
-
-// sectors are the places where a and b differ, by sector; beyond its end a file counts as zeros.
-func sectors(a, b []byte) (all []int) {
-	size := max(len(a), len(b))
-	x, y := grown(a, size), grown(b, size)
-	for at := 0; at < size; at += SectorSize {
-		if end := min(at+SectorSize, size); string(x[at:end]) != string(y[at:end]) {
-			all = append(all, at)
-		}
-	}
-	return all
-}
-
-func (f *memFile) Sync() error {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	err := f.m.begin(Op{Kind: "sync", Name: f.name})
-	if errors.Is(err, ErrCrashed) {
-		return err
-	}
-	n := f.n
-	if err == nil {
-		// What the cache believes to be there already is not written once more.
-		was := n.disk
-		n.disk = grown(n.disk, len(n.data))
-		for _, at := range sectors(n.clean, n.data) {
-			copy(n.disk[min(at, len(n.disk)):], n.data[min(at, len(n.data)):min(at+SectorSize, len(n.data))])
-		}
-		if len(n.data) == len(was) && string(was) == string(n.data) {
-			n.disk = was
-		}
-	}
-	n.clean = slices.Clone(n.data)
-	return err
-}
-
-func (f *memFile) Close() error { return nil }
-
-// Unsure counts what a crash now may or may not leave behind: names changed and sectors written since they were synced.
-func (m *Memory) UnsyncedCount() (n int) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	n = len(m.pending)
-	for _, x := range m.reached() {
-		n += len(sectors(x.disk, x.data))
-		if len(x.disk) != len(x.data) {
-			n++
-		}
-	}
-	return n
-}
-
-// reached are the files that may be on the disk after a crash, in an order that is always the same.
-func (m *Memory) reached() (all []*inode) {
-	seen := map[*inode]bool{}
-	add := func(n *inode) {
-		if n != nil && !seen[n] {
-			seen[n], all = true, append(all, n)
-		}
-	}
-	for _, name := range slices.Sorted(maps.Keys(m.durable)) {
-		add(m.durable[name])
-	}
-	for _, c := range m.pending {
-		add(c.node)
-	}
-	return all
-}
-
-// Crash ends this folder, and gives the one that is found afterwards. What was not synced is there if kept says so:
-// asked for each name changed, for each file whose size did (is it the new one?), and for each sector written.
-func (m *Memory) Crash(kept func() bool) *Memory {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.crashed = true
-	after := NewMemory()
-	names := maps.Clone(m.durable)
-	for _, c := range m.pending {
-		if kept() {
-			c.do(names)
-		}
-	}
-	left := map[*inode]*inode{}
-	for _, x := range m.reached() {
-		size := len(x.disk)
-		if len(x.data) != size && kept() {
-			size = len(x.data)
-		}
-		now := grown(x.disk, size)
-		for _, at := range sectors(x.disk, x.data) {
-			if kept() && at < size {
-				copy(now[at:], grown(x.data, max(len(x.data), size))[at:min(at+SectorSize, size)])
-			}
-		}
-		left[x] = &inode{data: now, disk: slices.Clone(now), clean: slices.Clone(now)}
-	}
-	for name, x := range names {
-		after.names[name], after.durable[name] = left[x], left[x]
-	}
-	return after
-}
-
-// Copy is a folder with the same files, all of them durable.
+// Copy returns a folder with the same files, all of them durable.
 func (m *Memory) Copy() *Memory {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c := NewMemory()
-	for name, x := range m.names {
-		n := &inode{slices.Clone(x.data), slices.Clone(x.data), slices.Clone(x.data)}
-		c.names[name], c.durable[name] = n, n
+	folder := NewMemory()
+	for name, node := range m.files {
+		folder.putDurable(name, slices.Clone(node.data))
 	}
-	return c
+	return folder
 }
 
-// Bytes gives a file's bytes to look at or to spoil; nil if there is none.
+// Bytes returns a file's content, which the caller may change to damage it; nil if there is no such file.
 func (m *Memory) Bytes(name string) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.names[name] == nil {
+	if m.files[name] == nil {
 		return nil
 	}
-	return m.names[name].data
+	return m.files[name].data
 }
 
-// Put makes or replaces a file, durably.
+// Put makes or replaces a file, durably. The folder owns data from then on.
 func (m *Memory) Put(name string, data []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	n := &inode{data, slices.Clone(data), slices.Clone(data)}
-	m.names[name], m.durable[name] = n, n
+	m.putDurable(name, data)
+}
+
+// putDurable makes or replaces a file whose content and name are on the disk; mu is held.
+func (m *Memory) putDurable(name string, data []byte) {
+	node := durableInode(data)
+	m.files[name] = node
+	m.durableFiles[name] = node
 }
--- a/internal/eventloop/keeper_test.go
+++ b/internal/eventloop/keeper_test.go
@@ -57,7 +57,7 @@
 func TestKeeping(t *testing.T) {
 	folder := disk.NewMemory()
 	var mu sync.Mutex
-	fail := ""
+	var fail disk.OpKind
 	folder.Before = func(o disk.Op) error {
 		mu.Lock()
 		defer mu.Unlock()
@@ -66,7 +66,7 @@
 		}
 		return nil
 	}
-	disturb := func(kind string) {
+	disturb := func(kind disk.OpKind) {
 		mu.Lock()
 		defer mu.Unlock()
 		fail = kind
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -149,7 +149,7 @@
 				folder = folder.Crash(kept)
 				reopen()
 			case "fail":
-				kind := rapid.SampledFrom([]string{"append", "sync", "syncdir", "create", "rename", "remove"}).Draw(t, "kind")
+				kind := rapid.SampledFrom([]disk.OpKind{disk.OpAppend, disk.OpSync, disk.OpSyncDir, disk.OpCreate, disk.OpRename, disk.OpRemove}).Draw(t, "kind")
 				after, cause := rapid.IntRange(0, 2).Draw(t, "after"), rapid.SampledFrom([]error{errors.New("no space"), disk.ErrPartialWrite}).Draw(t, "cause")
 				folder.Before = func(o disk.Op) error {
 					if o.Kind == kind {
