--- a/cmd/gingerfork/store.go
+++ b/cmd/gingerfork/store.go
@@ -76,7 +76,7 @@
 		}
 	})
 	if !got.Intact {
-		return badError{errors.New(got.Damage)}
+		return badError{got.Damage}
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/store/compaction.go
@@ -0,0 +1,138 @@
+package store
+
+import (
+	"errors"
+	"fmt"
+)
+
+// compactionRatio is how many times the size of the snapshot the log may have before it is compacted.
+const compactionRatio = 2
+
+// needsCompaction reports whether the log is long enough to be compacted; mu is held.
+func (s *Store) needsCompaction() bool {
+	return s.logBytes > max(s.options.MinCompactionBytes, compactionRatio*s.snapshotBytes, s.retryCompactAt)
+}
+
+// requestCompaction wakes the background goroutine.
+func (s *Store) requestCompaction() {
+	select {
+	case s.compactionDue <- struct{}{}:
+	default: // it was requested already
+	}
+}
+
+// Compact does one step of a compaction if one is needed, in progress or, with force, asked for. more reports whether to
+// call it again. If it fails, as on a full disk, the log stays as it is, and the next attempt is made when it has grown by
+// half.
+func (s *Store) Compact(force bool) (more bool, err error) {
+	s.compactionMu.Lock()
+	defer s.compactionMu.Unlock()
+	s.mu.Lock()
+	unwritable, needed := s.checkWritable(), s.needsCompaction()
+	s.mu.Unlock()
+	if unwritable != nil {
+		return false, unwritable
+	}
+	if s.compaction != nil {
+		return s.continueCompaction()
+	}
+	if !needed && !force {
+		return false, nil
+	}
+	if err := s.startCompaction(); err != nil {
+		return false, s.deferCompaction(fmt.Errorf("begin a compaction: %w", err))
+	}
+	return true, nil
+}
+
+// startCompaction starts a new segment; the snapshot will have everything that was written to the segments before it.
+func (s *Store) startCompaction() error {
+	number := s.active.header.number + 1
+	created, err := createSegment(s.folder, fileHeader{storeID: s.manifest.storeID, number: number})
+	if err != nil {
+		return err
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.activate(created)
+	s.compaction = s.newSnapshotWriter(number - 1)
+	return nil
+}
+
+func (s *Store) continueCompaction() (more bool, err error) {
+	writer := s.compaction
+	more, err = writer.step()
+	if err != nil {
+		s.compaction = nil
+		writer.abort()
+		return false, s.deferCompaction(fmt.Errorf("write a snapshot: %w", err))
+	}
+	if more {
+		return true, nil
+	}
+	s.compaction = nil
+	return false, s.finishCompaction(writer)
+}
+
+// finishCompaction puts the snapshot in force and removes the files that it replaces.
+func (s *Store) finishCompaction(writer *snapshotWriter) error {
+	next := s.manifest
+	next.snapshot = writer.header.number
+	next.firstSegment = next.snapshot + 1
+	if err := s.replaceManifest(next); err != nil {
+		if s.Broken() != nil {
+			return err // the snapshot may be in force after a restart
+		}
+		writer.abort()
+		return s.deferCompaction(fmt.Errorf("put a snapshot in force: %w", err))
+	}
+	s.mu.Lock()
+	s.snapshotBytes = writer.bytes
+	s.logBytes = s.active.size
+	s.retryCompactAt = 0
+	s.durable = max(s.durable, writer.header.lastSequence)
+	s.stats.Compactions++
+	s.mu.Unlock()
+	s.removeObsoleteFiles()
+	return nil
+}
+
+// deferCompaction makes the next attempt wait until the log has grown by half. It returns the error.
+func (s *Store) deferCompaction(err error) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.retryCompactAt = s.logBytes + s.logBytes/2
+	return err
+}
+
+// compactInBackground compacts when needed, until the store is closed or broken.
+func (s *Store) compactInBackground() {
+	defer s.background.Done()
+	for {
+		select {
+		case <-s.stop:
+			return
+		case <-s.compactionDue:
+		}
+		if !s.compactUntilDone() {
+			return
+		}
+	}
+}
+
+// compactUntilDone does all steps of a compaction. It returns false if the store is being closed or is broken.
+func (s *Store) compactUntilDone() bool {
+	for more := true; more; {
+		select {
+		case <-s.stop:
+			return false
+		default:
+		}
+		var err error
+		more, err = s.Compact(false) // an error other than ErrBroken is followed by another attempt
+		if errors.Is(err, ErrBroken) {
+			return false
+		}
+	}
+	return true
+}
