--- a/cmd/gingerfork/store.go
+++ b/cmd/gingerfork/store.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"strconv"
+	"strings"
 
 	"gingerfork/internal/disk"
 	"gingerfork/internal/store"
@@ -15,17 +16,25 @@
 	Compact storeCompactCmd `cmd:"" help:"Write a store anew, as small as it can be; no coordinator may own it. Example: gingerfork store compact /var/lib/gingerfork/store"`
 }
 
-// look reads the store in a folder without changing anything.
-func look(dir string) (*disk.Real, *store.CheckReport, error) {
-	d, err := disk.OpenReal(dir)
+var (
+	errNoStore      = errors.New("there is no store")
+	errStoreDamaged = errors.New("the store is damaged; --repair keeps what can be read")
+)
+
+// checkStore reads the store in a folder without changing anything.
+func checkStore(dir string) (*disk.Real, *store.CheckReport, error) {
+	folder, err := disk.OpenReal(dir)
+	if err != nil {
+		return nil, nil, err
+	}
+	report, err := store.Check(folder)
 	if err != nil {
 		return nil, nil, err
 	}
-	got, err := store.Check(d)
-	if err == nil && got.Absent {
-		err = fmt.Errorf("there is no store in %s", dir)
+	if report.Absent {
+		return nil, nil, fmt.Errorf("%w in %s", errNoStore, dir)
 	}
-	return d, got, err
+	return folder, report, nil
 }
 
 type storeCheckCmd struct {
@@ -33,50 +42,58 @@
 	Repair bool   `help:"Keep what can be read, and put the damaged files aside."`
 }
 
-func (c storeCheckCmd) Run(p *program) error {
-	d, got, err := look(c.Dir)
+// Run prints what was found in each file, and whether the store is intact.
+func (c storeCheckCmd) Run(cli *program) error {
+	folder, report, err := checkStore(c.Dir)
 	if err != nil {
 		return badError{err}
 	}
-	for _, f := range got.Files {
-		fmt.Fprintf(p.out, "%-16s %10d bytes %6d frames  %s\n", f.Name, f.Bytes, f.Frames, f.State)
+	for _, file := range report.Files {
+		fmt.Fprintf(cli.out, "%-16s %10d bytes %6d frames  %s\n", file.Name, file.Bytes, file.Frames, file.State)
 	}
-	if got.Intact {
-		r := got.Recovery
-		fmt.Fprintf(p.out, "whole: %d keys, %d batches behind the snapshot, the last is %d\n", r.Keys, r.LogFrames, r.LastSequence)
-		if r.TornBytes > 0 {
-			fmt.Fprintf(p.out, "a torn tail of %d bytes in %s: never acknowledged, cut at the next start\n", r.TornBytes, r.TornFile)
-		}
+	if report.Intact {
+		printRecovery(cli, report.Recovery)
 		return nil
 	}
-	fmt.Fprintln(p.err, got.Damage)
+	fmt.Fprintln(cli.err, report.Damage)
 	if !c.Repair {
-		return badError{errors.New("the store is damaged; --repair keeps what can be read")}
+		return badError{errStoreDamaged}
 	}
-	if got, err = store.Repair(d); err != nil {
+	repaired, err := store.Repair(folder)
+	if err != nil {
 		return badError{err}
 	}
-	fmt.Fprintf(p.out, "repaired: kept %s; the files as they were end in .damaged\n", got)
+	fmt.Fprintf(cli.out, "repaired: kept %s; the files as they were end in .damaged\n", repaired)
 	return nil
 }
 
+func printRecovery(cli *program, recovery store.Recovery) {
+	fmt.Fprintf(cli.out, "whole: %d keys, %d batches behind the snapshot, the last is %d\n",
+		recovery.Keys, recovery.LogFrames, recovery.LastSequence)
+	if recovery.TornBytes > 0 {
+		fmt.Fprintf(cli.out, "a torn tail of %d bytes in %s: never acknowledged, cut at the next start\n",
+			recovery.TornBytes, recovery.TornFile)
+	}
+}
+
 type storeDumpCmd struct {
 	Dir  string `arg:"" help:"The store's folder."`
 	From string `help:"Only keys that begin with this." placeholder:"PREFIX"`
 }
 
-func (c storeDumpCmd) Run(p *program) error {
-	_, got, err := look(c.Dir)
+// Run prints the keys that can be read. It fails behind them if the store is damaged.
+func (c storeDumpCmd) Run(cli *program) error {
+	_, report, err := checkStore(c.Dir)
 	if err != nil {
 		return badError{err}
 	}
-	got.Each(func(key string, value []byte) {
-		if len(key) >= len(c.From) && key[:len(c.From)] == c.From {
-			fmt.Fprintf(p.out, "%s %s\n", strconv.Quote(key), strconv.Quote(string(value)))
+	report.Each(func(key string, value []byte) {
+		if strings.HasPrefix(key, c.From) {
+			fmt.Fprintf(cli.out, "%s %s\n", strconv.Quote(key), strconv.Quote(string(value)))
 		}
 	})
-	if !got.Intact {
-		return badError{got.Damage}
+	if !report.Intact {
+		return badError{report.Damage}
 	}
 	return nil
 }
@@ -85,22 +102,23 @@
 	Dir string `arg:"" help:"The store's folder."`
 }
 
-func (c storeCompactCmd) Run(p *program) error {
-	d, _, err := look(c.Dir)
+// Run compacts the store and prints its size.
+func (c storeCompactCmd) Run(cli *program) error {
+	folder, _, err := checkStore(c.Dir)
 	if err != nil {
 		return badError{err}
 	}
-	s, _, err := store.Open(store.Options{Folder: d})
+	opened, _, err := store.Open(store.Options{Folder: folder})
 	if err != nil {
 		return badError{err}
 	}
 	for more := true; more && err == nil; {
-		more, err = s.Compact(true)
+		more, err = opened.Compact(true)
 	}
-	f := s.Stats()
-	if err = errors.Join(err, s.Close()); err != nil {
+	stats := opened.Stats()
+	if err := errors.Join(err, opened.Close()); err != nil {
 		return badError{err}
 	}
-	fmt.Fprintf(p.out, "%d keys in %d bytes\n", f.Keys, f.SnapshotBytes+f.LogBytes)
+	fmt.Fprintf(cli.out, "%d keys in %d bytes\n", stats.Keys, stats.SnapshotBytes+stats.LogBytes)
 	return nil
 }
--- a/cmd/gingerfork/store_test.go
+++ b/cmd/gingerfork/store_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"bytes"
 	"os"
 	"path/filepath"
 	"strings"
@@ -10,65 +11,94 @@
 	"gingerfork/internal/store"
 )
 
-// A store is looked at, damaged, refused with file and offset, repaired and compacted; a folder that is none is left alone.
+// TestStore checks, damages, repairs and compacts a store with the commands.
 func TestStore(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "store")
+	owned := newStore(t, dir)
+	checkFailure(t, "another process owns it", "store", "compact", dir)
+	if err := owned.Close(); err != nil {
+		t.Fatal(err)
+	}
+	checkOutput(t, "whole: 3 keys, 4 batches", "store", "check", dir)
+	if dump := checkOutput(t, "", "store", "dump", dir, "--from", "b"); dump != "\"b\" \"value of b\"\n" {
+		t.Errorf("dump: %s", dump)
+	}
+
+	corruptFile(t, filepath.Join(dir, "00000001.seg"), "value of b")
+	failure := checkFailure(t, "00000001.seg is damaged at offset", "store", "check", dir)
+	if !strings.Contains(failure, "without batches 2 to 2") {
+		t.Errorf("check: %s", failure)
+	}
+	checkFailure(t, "00000001.seg is damaged at offset", "store", "dump", dir)
+	checkOutput(t, "repaired: kept 2 keys", "store", "check", "--repair", dir)
+	checkOutput(t, "2 keys in", "store", "compact", dir)
+	if dump := checkOutput(t, "", "store", "dump", dir); strings.Count(dump, "\n") != 2 {
+		t.Errorf("dump after the repair: %s", dump)
+	}
+}
+
+// TestNoStore checks that the commands make no store in a folder that has none.
+func TestNoStore(t *testing.T) {
+	empty := t.TempDir()
+	for _, command := range []string{"check", "dump", "compact"} {
+		checkFailure(t, "there is no store", "store", command, empty)
+	}
+	left, err := os.ReadDir(empty)
+	if err != nil || len(left) > 0 {
+		t.Errorf("files %v, error %v", left, err)
+	}
+}
+
+// newStore returns an open store with three keys.
+func newStore(t *testing.T, dir string) *store.Store {
+	t.Helper()
 	folder, err := disk.NewReal(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, _, err := store.Open(store.Options{Folder: folder})
+	opened, _, err := store.Open(store.Options{Folder: folder})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, key := range []string{"a", "b", "c"} {
-		var b store.Batch
-		b.Put(key, []byte("value of "+key))
-		if err := s.Commit(&b); err != nil {
+		var batch store.Batch
+		batch.Put(key, []byte("value of "+key))
+		if err := opened.Commit(&batch); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if code, _, err := call("store", "compact", dir); code != bad || !strings.Contains(err, "another process owns it") {
-		t.Errorf("compacted what is owned: %s", err)
-	}
-	if err := s.Close(); err != nil {
-		t.Fatal(err)
-	}
-	if code, out, err := call("store", "check", dir); code != good || !strings.Contains(out, "whole: 3 keys, 4 batches") {
-		t.Errorf("%s%s", out, err)
-	}
-	if code, out, _ := call("store", "dump", dir, "--from", "b"); code != good || out != "\"b\" \"value of b\"\n" {
-		t.Errorf("%s", out)
-	}
-	log := filepath.Join(dir, "00000001.seg")
-	data, err := os.ReadFile(log)
+	return opened
+}
+
+// corruptFile flips a bit of a text in a file.
+func corruptFile(t *testing.T, path, text string) {
+	t.Helper()
+	data, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := strings.Index(string(data), "value of b")
-	data[at] ^= 1
-	if err := os.WriteFile(log, data, 0o644); err != nil {
+	data[bytes.Index(data, []byte(text))] ^= 1
+	if err := os.WriteFile(path, data, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if code, _, err := call("store", "check", dir); code != bad || !strings.Contains(err, "00000001.seg is damaged at offset") || !strings.Contains(err, "without batches 2 to 2") {
-		t.Errorf("%d %s", code, err)
-	}
-	if code, out, err := call("store", "check", "--repair", dir); code != good || !strings.Contains(out, "repaired: kept 2 keys") {
-		t.Errorf("%d %s%s", code, out, err)
-	}
-	if code, out, err := call("store", "compact", dir); code != good || !strings.Contains(out, "2 keys in") {
-		t.Errorf("%d %s%s", code, out, err)
-	}
-	if code, out, _ := call("store", "dump", dir); code != good || strings.Count(out, "\n") != 2 {
-		t.Errorf("%s", out)
-	}
-	empty := t.TempDir()
-	for _, do := range []string{"check", "compact"} {
-		if code, _, err := call("store", do, empty); code != bad || !strings.Contains(err, "there is no store") {
-			t.Errorf("%s: %s", do, err)
-		}
+}
+
+// checkOutput runs a command that must succeed and print a text, and returns its output.
+func checkOutput(t *testing.T, want string, args ...string) string {
+	t.Helper()
+	code, out, failure := call(args...)
+	if code != good || !strings.Contains(out, want) {
+		t.Errorf("%v: exit code %d, output %q, error %q", args, code, out, failure)
 	}
-	if left, _ := os.ReadDir(empty); len(left) > 0 {
-		t.Errorf("it left %v", left)
+	return out
+}
+
+// checkFailure runs a command that must fail and say why, and returns what it says.
+func checkFailure(t *testing.T, want string, args ...string) string {
+	t.Helper()
+	code, out, failure := call(args...)
+	if code != bad || !strings.Contains(failure, want) {
+		t.Errorf("%v: exit code %d, output %q, error %q", args, code, out, failure)
 	}
+	return failure
 }
