--- a/internal/checkpoint/crash_test.go
+++ b/internal/checkpoint/crash_test.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// crash ends the run: the durable batches are left, and perhaps some of those behind them.
+// crash ends the run: the durable batches are left, and perhaps some of those after them.
 func (c *crashTest) crash() {
 	c.Helper()
 	left := rapid.IntRange(c.durable, len(c.batches)).Draw(c.T, "left")
--- a/internal/disk/folder.go
+++ b/internal/disk/folder.go
@@ -36,7 +36,7 @@
 type File interface {
 	io.ReaderAt
 	io.Closer
-	// Append writes behind the file's end. If it fails it may have written a part.
+	// Append writes at the end of the file. If it fails it may have written a part.
 	Append(data []byte) (int, error)
 	// Truncate cuts the file to a size in bytes.
 	Truncate(size int64) error
--- a/internal/store/batch.go
+++ b/internal/store/batch.go
@@ -45,7 +45,7 @@
 	b.changes++
 }
 
-// Append adds the changes of another batch behind its own.
+// Append adds the changes of another batch after those of this one.
 func (b *Batch) Append(other *Batch) {
 	b.payload = append(b.payload, other.payload...)
 	b.changes += other.changes
--- a/internal/store/check.go
+++ b/internal/store/check.go
@@ -93,11 +93,11 @@
 	manifest manifest
 	// manifestDamage is why the manifest can't be read; nil if it can.
 	manifestDamage error
-	started        bool // a batch or snapshot was found, so that a gap behind it shows
+	started        bool // a batch or snapshot was found, so that a gap after it shows
 }
 
 // salvage reads what is intact in a folder. If the manifest can't be read, the newest snapshot that is intact is used, and
-// the log behind it. The error is ErrNewerFormat or one of the folder.
+// the log after it. The error is ErrNewerFormat or one of the folder.
 func salvage(folder disk.Folder) (*CheckReport, error) {
 	names, err := folder.Names()
 	if err != nil {
--- a/internal/store/corruption_test.go
+++ b/internal/store/corruption_test.go
@@ -72,14 +72,14 @@
 		if err != nil {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
-		behind, _ := slices.BinarySearch(ends, cut+1)
-		batches := behind - 1
+		nextEnd, _ := slices.BinarySearch(ends, cut+1)
+		batches := nextEnd - 1
 		diff := cmp.Diff(expected.states[batches], contents(recovered))
 		if diff != "" || report.TornBytes != int64(cut-ends[batches]) {
 			t.Fatalf("cut at %d: %d bytes torn; %s", cut, report.TornBytes, diff)
 		}
 	}
-	// A header that is not complete is damage: it was durable before anything was written behind it.
+	// A header that is not complete is damage: it was durable before anything was written after it.
 	checkCutsAreRefused(t, folder, name, fileHeaderSize)
 	// A snapshot that is cut anywhere is damage: it was durable before the manifest named it.
 	compacted, _ := smallStore(t)
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// checkCrashesOfRecovery crashes after each operation of a recovery and the commit behind it, with what was not synced
+// checkCrashesOfRecovery crashes after each operation of a recovery and the commit after it, with what was not synced
 // there or not by a pattern that differs each time.
 func checkCrashesOfRecovery(t *testing.T, operation int, crashed *disk.Memory, expected *model) {
 	t.Helper()
@@ -143,7 +143,7 @@
 }
 
 // expectedAfterRecovery returns what may be found after a crash of a recovery. If the store was opened, the batch that was
-// written to it may be there, behind whatever was recovered.
+// written to it may be there, after whatever was recovered.
 func expectedAfterRecovery(store *Store, expected *model) model {
 	if store == nil {
 		return *expected
--- a/internal/store/failure_test.go
+++ b/internal/store/failure_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// TestPartThatCannotBeRemoved checks that nothing is written behind a part of a batch.
+// TestPartThatCannotBeRemoved checks that nothing is written after a part of a batch.
 func TestPartThatCannotBeRemoved(t *testing.T) {
 	folder := disk.NewMemory()
 	s := open(t, folder)
@@ -113,6 +113,6 @@
 	}
 	folder.Before = nil
 	if _, err := s.Write(batch("a=3")); !errors.Is(err, ErrBroken) {
-		t.Errorf("write behind a part of a batch: %v", err)
+		t.Errorf("write after a part of a batch: %v", err)
 	}
 }
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -222,7 +222,7 @@
 	return cause
 }
 
-// intactFrames returns the frames behind an offset that can be read, whatever is between them.
+// intactFrames returns the frames after an offset that can be read, whatever is between them.
 func intactFrames(header fileHeader, data []byte, offset int) (frames []frame) {
 	offset = aligned(offset)
 	for offset+frameHeaderSize <= len(data) {
--- a/internal/store/helpers_test.go
+++ b/internal/store/helpers_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// smallStore returns the files of a store with a snapshot and a log behind it, which was not closed, and its contents.
+// smallStore returns the files of a store with a snapshot and a log after it, which was not closed, and its contents.
 func smallStore(t *testing.T) (*disk.Memory, map[string]string) {
 	t.Helper()
 	folder := disk.NewMemory()
--- a/internal/store/manifest.go
+++ b/internal/store/manifest.go
@@ -37,7 +37,7 @@
 type manifest struct {
 	storeID      uint64
 	snapshot     uint64 // number of the snapshot; 0: none
-	firstSegment uint64 // number of the first segment behind the snapshot
+	firstSegment uint64 // number of the first segment after the snapshot
 }
 
 func (m manifest) encode() []byte {
--- a/internal/store/open.go
+++ b/internal/store/open.go
@@ -57,7 +57,7 @@
 		return report, fmt.Errorf("create a segment: %w", err)
 	}
 	if recovered.closedCleanly {
-		// The close marker may not be durable, and the batches behind it rely on that.
+		// The close marker may not be durable, and the batches after it rely on that.
 		if err := s.syncFile(segmentName(recovered.highestNumber)); err != nil {
 			return report, err
 		}
@@ -79,7 +79,7 @@
 	return rand.Uint64() | 1 // not 0
 }
 
-// rewrite puts the active segment in force, behind a snapshot of what was recovered if the log had anything.
+// rewrite puts the active segment in force, after a snapshot of what was recovered if the log had anything.
 func (s *Store) rewrite(report Recovery) error {
 	next := s.manifest
 	next.firstSegment = s.active.header.number
--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -42,7 +42,7 @@
 // Recovery reports what was found when a store was opened.
 type Recovery struct {
 	SnapshotFrames int // frames read from the snapshot
-	LogFrames      int // frames read from the log behind it
+	LogFrames      int // frames read from the log after it
 	Keys           int
 	LastSequence   uint64 // the last batch
 	LogBytes       int64
@@ -187,7 +187,7 @@
 	return header, nil
 }
 
-// readLog reads the segments. The log ends at the first torn frame. What is behind it is left out, unless a part of that
+// readLog reads the segments. The log ends at the first torn frame. What is after it is left out, unless a part of that
 // proves that the torn frame was durable: then it is corruption.
 func (r *recovery) readLog() error {
 	for number := r.manifest.firstSegment; ; number++ {
@@ -202,7 +202,7 @@
 		r.report.LogBytes += int64(len(data))
 		header, err := r.readHeader(data, false, number)
 		if errors.Is(err, errTorn) && number > r.manifest.firstSegment && len(data) <= fileHeaderSize {
-			// A crash during the creation of the segment. Nothing was written behind its header.
+			// A crash during the creation of the segment. Nothing was written after its header.
 			r.closedCleanly = false
 			return nil
 		}
@@ -253,7 +253,7 @@
 	return nil
 }
 
-// readFrames applies the frames of a segment up to the first that can't be read, and returns the offset behind them.
+// readFrames applies the frames of a segment up to the first that can't be read, and returns the offset after them.
 func (r *recovery) readFrames(header fileHeader, data []byte) (offset int, err error) {
 	offset = fileHeaderSize
 	for offset < len(data) {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -2,7 +2,7 @@
 // that bound the log. docs/store.md describes the format and the reasons for it.
 //
 // A batch is found as a whole or not at all. It is durable once Sync has returned. Until then reads see it, and a crash may
-// lose it and all that was written behind it.
+// lose it and all that was written after it.
 package store
 
 import (
@@ -59,7 +59,7 @@
 	sealed         []*segment // earlier segments that may hold batches that are not durable
 	broken         error      // wraps ErrBroken; nil if the store takes writes
 	closed         bool
-	logBytes       int64 // behind the snapshot in force
+	logBytes       int64 // after the snapshot in force
 	snapshotBytes  int64
 	retryCompactAt int64 // the size of the log, in bytes, for the next attempt after a compaction that failed
 	stats          Stats
@@ -121,7 +121,7 @@
 	return s.broken
 }
 
-// setBroken makes the store take no more writes. The first cause is the one that is reported.
+// setBroken makes the store take no more writes. Only the first cause is reported.
 func (s *Store) setBroken(cause error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
