--- a/cmd/gingerfork/follow.go
+++ b/cmd/gingerfork/follow.go
@@ -80,7 +80,7 @@
 		s.status("bad", err.Error())
 		return
 	}
-	s.loop.Between(func() { s.service.Offer(servers) })
+	s.loop.RunBetweenSteps(func() { s.service.Offer(servers) })
 }
 
 // status says in the state folder what became of the file when it was read last, for whoever has no log at hand. It is
--- a/cmd/gingerfork/node.go
+++ b/cmd/gingerfork/node.go
@@ -47,9 +47,9 @@
 	if err != nil {
 		log.Warn("the list as last held was refused, we begin without", "cause", err.Error())
 	}
-	boot := eventloop.Bootstrap{Machine: m, Listen: []string{s.Listen}, MostConns: s.LoopConns(), DialTimeout: 2 * time.Second, Log: log, Clock: clock}
+	boot := eventloop.Bootstrap{Machine: m, Listen: []string{s.Listen}, MaxConnections: s.LoopConns(), DialTimeout: 2 * time.Second, Log: log, Clock: clock}
 	if s.Memory > 0 {
-		boot.MostOut, boot.MostIn = int(min(4<<20, s.Memory/32)), int(min(64<<20, s.Memory/16))
+		boot.MaxWriteBuffer, boot.MaxPendingInput = int(min(4<<20, s.Memory/32)), int(min(64<<20, s.Memory/16))
 	}
 	l, err := listen(ctx, func() (*eventloop.Loop, error) { return eventloop.Start(ctx, boot) })
 	if err != nil {
@@ -71,13 +71,13 @@
 			if fresh.Listen != s.Listen || fresh.Name != s.Name || !reflect.DeepEqual(fresh.Values, s.Values) {
 				log.Warn("name, address and settings take a restart; the old stay in force")
 			}
-			l.Between(func() { m.Renew(fresh.Bootstrap(clock.Now())) })
+			l.RunBetweenSteps(func() { m.Renew(fresh.Bootstrap(clock.Now())) })
 			log.Info("the configuration was read again", "discovery", fresh.Discovery)
 		case <-l.Done():
 			err := l.Wait()
 			f, lf := m.Figures(), l.Figures()
 			log.Info("coordinator ended", "joins", f.Joins, "messages", f.Messages, "bytes", f.Bytes, "steps", f.Steps, "refused", f.Refused,
-				"spoilt", f.Spoilt, "longest", lf.Longest.Seconds(), "busy", lf.Busy.Seconds())
+				"spoilt", f.Spoilt, "longest", lf.LongestStep.Seconds(), "busy", lf.BusyTime.Seconds())
 			if err != nil {
 				return badError{err}
 			}
--- a/cmd/gingerfork/serve.go
+++ b/cmd/gingerfork/serve.go
@@ -127,7 +127,7 @@
 	}
 	s.m = coordinator.NewMachine(coordinatorOf(t, t.Coordinator(s.clock.Now())), kept)
 	if s.loop, err = eventloop.Start(ctx, eventloop.Bootstrap{
-		Machine: s.m, Listen: []string{t.Text("listen")}, Dir: dir, MostOut: int(t.Num("reader-buffer")),
+		Machine: s.m, Listen: []string{t.Text("listen")}, Dir: dir, MaxWriteBuffer: int(t.Num("reader-buffer")),
 		Log: log, Clock: s.clock, Store: s.store,
 	}); err != nil {
 		s.source.end()
@@ -155,15 +155,15 @@
 			s.log.Warn("this keyword takes a restart; the old value stays in force", "keyword", k)
 		}
 	}
-	s.loop.Between(func() { s.m.Renew(coordinatorOf(fresh, fresh.Coordinator(s.clock.Now()))) })
+	s.loop.RunBetweenSteps(func() { s.m.Renew(coordinatorOf(fresh, fresh.Coordinator(s.clock.Now()))) })
 	s.log.Info("the settings were read again and are in force")
 }
 
 func (s *served) wait() error {
 	err := s.loop.Wait()
 	f, lf := s.m.Figures(), s.loop.Figures()
-	s.log.Info("coordinator ended", "joins", f.Joins, "messages", f.Messages, "lines", f.Lines, "steps", lf.Steps, "longest", lf.Longest)
-	if errors.Is(err, eventloop.ErrFailed) {
+	s.log.Info("coordinator ended", "joins", f.Joins, "messages", f.Messages, "lines", f.Lines, "steps", lf.Steps, "longest", lf.LongestStep)
+	if errors.Is(err, eventloop.ErrMachineFailed) {
 		return badError{err}
 	}
 	return err
--- a/cmd/gingerfork/standin.go
+++ b/cmd/gingerfork/standin.go
@@ -57,7 +57,7 @@
 	log.Info("stand-in started", "listen", strings.Join(l.Addrs(), " "))
 	go func() { // it ends with the process: nothing interrupts a read of standard input
 		for in := bufio.NewScanner(os.Stdin); in.Scan(); {
-			l.Tell(in.Text())
+			l.SendCommand(in.Text())
 		}
 	}()
 	return l.Wait()
--- a/compare/compare_test.go
+++ b/compare/compare_test.go
@@ -137,7 +137,7 @@
 	time.Sleep(500 * time.Millisecond)
 	bytes := func() int {
 		got := make(chan int)
-		c.Between(func() { got <- m.Figures().Bytes })
+		c.RunBetweenSteps(func() { got <- m.Figures().Bytes })
 		return <-got
 	}
 	before := bytes()
@@ -151,14 +151,14 @@
 		total += want
 		mu.Unlock()
 		begin := time.Now()
-		list.Tell(fmt.Sprintf("state %d draining", changing))
+		list.SendCommand(fmt.Sprintf("state %d draining", changing))
 		select {
 		case <-reached:
 		case <-time.After(20 * time.Second):
 			b.Fatal("a change did not reach all")
 		}
 		spent += time.Since(begin)
-		list.Tell(fmt.Sprintf("state %d open", changing))
+		list.SendCommand(fmt.Sprintf("state %d open", changing))
 		time.Sleep(60 * time.Millisecond)
 	}
 	b.StopTimer()
--- a/internal/eventloop/keeper_test.go
+++ b/internal/eventloop/keeper_test.go
@@ -88,13 +88,13 @@
 			}
 		}
 	}
-	l.Tell("a=1")
+	l.SendCommand("a=1")
 	until("kept 1")
 	disturb("append")
-	l.Tell("a=2")
+	l.SendCommand("a=2")
 	until("not kept: not written: the disk fails")
-	l.Tell("b=1")
-	l.Tell("c=1")
+	l.SendCommand("b=1")
+	l.SendCommand("c=1")
 	disturb("")
 	until("kept ")
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(2 * time.Millisecond) {
@@ -108,10 +108,10 @@
 		}
 	}
 	disturb("sync")
-	l.Tell("a")
+	l.SendCommand("a")
 	until("not kept: the store takes no more writes")
 	disturb("")
-	l.Tell("d=1")
+	l.SendCommand("d=1")
 	l.Stop()
 	if err := l.Wait(); err != nil {
 		t.Fatal(err)
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -25,23 +25,23 @@
 
 // Bootstrap is what a loop is started with. Zero values are usable where it says so.
 type Bootstrap struct {
-	Machine statemachine.Machine
-	Listen  []string     // TCP addresses; the machine knows them as doors, by their place here
-	Store   *store.Store // where records are kept; nil: nowhere. Close it after Wait
-	Dir     string       // where files are saved; "": nowhere
-	Loops   int          // event loops; 0: one
-	// MostOut bounds the bytes that wait for a reader that does not read; one past it is cut off. 0: 4 MiB
-	MostOut int
-	// MostIn bounds the bytes that wait for the machine; past it nothing is read from anybody. 0: 64 MiB
-	MostIn int
-	// MostConns bounds the connections that stand at once, dialled ones too; past it none is accepted before one ends. The
+	Machine    statemachine.Machine
+	Listen     []string     // TCP addresses; the machine knows them as doors, by their place here
+	Store      *store.Store // where records are kept; nil: nowhere. Close it after Wait
+	Dir        string       // where files are saved; "": nowhere
+	EventLoops int          // event loops; 0: one
+	// MaxWriteBuffer bounds the bytes that wait for a peer that does not read; a connection past it is reset. 0: 4 MiB
+	MaxWriteBuffer int
+	// MaxPendingInput bounds the bytes that wait for the machine; past it nothing is read from any connection. 0: 64 MiB
+	MaxPendingInput int
+	// MaxConnections bounds the connections that stand at once, dialled ones too; past it none is accepted before one ends. The
 	// machine ends those that it likes least: it must begin with that before. 0: unbounded
-	MostConns   int
-	DialTimeout time.Duration // 0: 5 s
-	Log         *slog.Logger  // nil: none
-	Trace       func([]trace.Record)
-	Via         func(addr string) string // where to dial instead; nil: there
-	Clock       *Clock                   // nil: one of its own
+	MaxConnections     int
+	DialTimeout        time.Duration // 0: 5 s
+	Log                *slog.Logger  // nil: none
+	Trace              func([]trace.Record)
+	RewriteDialAddress func(addr string) string // where to dial instead; nil: there
+	Clock              *Clock                   // nil: one of its own
 }
 
 // Clock tells the seconds since 1970 as of its making, and from then on runs with the monotonic clock: it never jumps.
@@ -59,16 +59,16 @@
 // Now is the time in seconds.
 func (c *Clock) Now() statemachine.Seconds { return c.base + time.Since(c.start).Seconds() }
 
-// ErrFailed is what Wait returns when the machine failed.
-var ErrFailed = errors.New("the machine failed")
+// ErrMachineFailed is what Wait returns when the machine failed.
+var ErrMachineFailed = errors.New("the machine failed")
 
 // Figures tell how the owner of the machine fares.
 type Figures struct {
-	Steps, Inputs int
-	Longest       time.Duration // that a step took
-	Busy          time.Duration // all steps together
-	Slow          int           // readers cut off for not reading
-	Refused       int           // connections that could not be taken in
+	Steps, Inputs      int
+	LongestStep        time.Duration // that a step took
+	BusyTime           time.Duration // all steps together
+	SlowReadersClosed  int           // readers cut off for not reading
+	ConnectionFailures int           // connections that could not be taken in
 }
 
 // Loop is a machine being driven.
@@ -119,8 +119,8 @@
 
 // Start listens and begins to step the machine. Stop it with Stop or by ending ctx; then Wait.
 func Start(ctx context.Context, boot Bootstrap) (*Loop, error) {
-	boot.MostOut, boot.MostIn = orElse(boot.MostOut, 4<<20), orElse(boot.MostIn, 64<<20)
-	boot.DialTimeout, boot.Loops = orElse(boot.DialTimeout, 5*time.Second), orElse(boot.Loops, 1)
+	boot.MaxWriteBuffer, boot.MaxPendingInput = orElse(boot.MaxWriteBuffer, 4<<20), orElse(boot.MaxPendingInput, 64<<20)
+	boot.DialTimeout, boot.EventLoops = orElse(boot.DialTimeout, 5*time.Second), orElse(boot.EventLoops, 1)
 	if boot.Log == nil {
 		boot.Log = slog.New(slog.DiscardHandler)
 	}
@@ -138,7 +138,7 @@
 		l.doors = append(l.doors, door)
 	}
 	var err error
-	l.client, err = gnet.NewClient(&handler{l: l}, gnet.WithNumEventLoop(boot.Loops), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
+	l.client, err = gnet.NewClient(&handler{l: l}, gnet.WithNumEventLoop(boot.EventLoops), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
 		gnet.WithLogLevel(logging.FatalLevel), gnet.WithLogger(quiet{}))
 	if err == nil {
 		err = l.client.Start()
@@ -182,14 +182,14 @@
 	return all
 }
 
-// Tell hands the machine an operator's or a script's word.
-func (l *Loop) Tell(text string) {
+// SendCommand hands the machine an operator's or a script's word.
+func (l *Loop) SendCommand(text string) {
 	l.post(mail{input: statemachine.Input{Kind: statemachine.OperatorCommand, Text: text}})
 }
 
-// Between has something done by the machine's owner, between two steps: what the machine is told that way must not
+// RunBetweenSteps has something done by the machine's owner, between two steps: what the machine is told that way must not
 // reach it from another goroutine.
-func (l *Loop) Between(do func()) { l.post(mail{do: do}) }
+func (l *Loop) RunBetweenSteps(do func()) { l.post(mail{do: do}) }
 
 // Figures gives the counts since the start.
 func (l *Loop) Figures() Figures {
@@ -235,7 +235,7 @@
 		}
 		wait = time.Millisecond
 		l.mu.Lock()
-		for l.boot.MostConns > 0 && l.conns >= l.boot.MostConns && !l.over {
+		for l.boot.MaxConnections > 0 && l.conns >= l.boot.MaxConnections && !l.over {
 			l.room.Wait()
 		}
 		l.conns++
@@ -259,8 +259,8 @@
 
 func (l *Loop) refuse(what string, err error) {
 	l.mu.Lock()
-	l.figures.Refused++
-	n := l.figures.Refused
+	l.figures.ConnectionFailures++
+	n := l.figures.ConnectionFailures
 	l.mu.Unlock()
 	if n&(n-1) == 0 {
 		l.boot.Log.Warn("a connection could not be taken in", "at", what, "cause", err, "times", n)
@@ -270,8 +270,8 @@
 func (l *Loop) dial(ctx context.Context, p *peer, addr string) {
 	defer l.work.Done()
 	defer p.giveUp()
-	if l.boot.Via != nil {
-		addr = l.boot.Via(addr)
+	if l.boot.RewriteDialAddress != nil {
+		addr = l.boot.RewriteDialAddress(addr)
 	}
 	d := net.Dialer{Timeout: l.boot.DialTimeout}
 	c, err := d.DialContext(ctx, "tcp", addr)
@@ -304,7 +304,7 @@
 // then the kernel's buffers fill and the senders feel it.
 func (l *Loop) post(m mail) {
 	l.mu.Lock()
-	for l.held > l.boot.MostIn && len(m.input.Data) > 0 && !l.over {
+	for l.held > l.boot.MaxPendingInput && len(m.input.Data) > 0 && !l.over {
 		l.room.Wait()
 	}
 	l.box = append(l.box, m)
@@ -340,12 +340,12 @@
 			l.mu.Lock()
 			l.figures.Steps++
 			l.figures.Inputs += len(inputs)
-			l.figures.Busy += took
-			l.figures.Longest = max(l.figures.Longest, took)
+			l.figures.BusyTime += took
+			l.figures.LongestStep = max(l.figures.LongestStep, took)
 			l.mu.Unlock()
 			if out.Failure != "" {
 				l.boot.Log.Error("the machine failed", "cause", out.Failure)
-				l.err = fmt.Errorf("%w: %s", ErrFailed, out.Failure)
+				l.err = fmt.Errorf("%w: %s", ErrMachineFailed, out.Failure)
 				break
 			}
 			if err := l.carry(out); err != nil {
@@ -495,7 +495,7 @@
 	}
 	for name, data := range out.Files {
 		if l.boot.Dir != "" {
-			if err := Replace(filepath.Join(l.boot.Dir, name), data); err != nil {
+			if err := replaceFile(filepath.Join(l.boot.Dir, name), data); err != nil {
 				return err
 			}
 		}
@@ -516,11 +516,11 @@
 			if d.peer.refused {
 				continue
 			}
-			if c.OutboundBuffered()+len(d.bytes) > l.boot.MostOut {
+			if c.OutboundBuffered()+len(d.bytes) > l.boot.MaxWriteBuffer {
 				// It holds up only itself, and not for ever.
 				d.peer.refused = true
 				l.mu.Lock()
-				l.figures.Slow++
+				l.figures.SlowReadersClosed++
 				l.mu.Unlock()
 				_ = c.SetLinger(0)
 				_ = c.Close()
@@ -536,8 +536,8 @@
 	}
 }
 
-// Replace writes a file whole or not at all: to one beside it, synced, then renamed over it.
-func Replace(path string, data []byte) error {
+// replaceFile writes a file whole or not at all: to one beside it, synced, then renamed over it.
+func replaceFile(path string, data []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new-*")
 	if err != nil {
 		return fmt.Errorf("replace %s: %w", path, err)
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -145,23 +145,23 @@
 	if e.count(func(i statemachine.Input) bool { return i.Kind == statemachine.ConnOpened && i.Listener == 1 }) != 1 {
 		t.Fatal("no connection at the second door")
 	}
-	l.Tell("wake")
+	l.SendCommand("wake")
 	eventually(t, "the wake-up", func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.wakes == 1 })
-	l.Tell("save kept")
+	l.SendCommand("save kept")
 	eventually(t, "the file", func() bool { data, _ := os.ReadFile(filepath.Join(dir, "x")); return string(data) == "kept" })
 	a.Close()
 	eventually(t, "the end of a connection", func() bool {
 		return e.count(func(i statemachine.Input) bool { return i.Kind == statemachine.ConnClosed }) == 1
 	})
-	l.Tell("close")
+	l.SendCommand("close")
 	if _, err := b.Read(make([]byte, 1)); err != io.EOF {
 		t.Fatal(err)
 	}
-	l.Tell("trace mark")
+	l.SendCommand("trace mark")
 	done := make(chan bool)
-	l.Between(func() { close(done) })
+	l.RunBetweenSteps(func() { close(done) })
 	<-done
-	l.Tell("stop")
+	l.SendCommand("stop")
 	if err := l.Wait(); err != nil {
 		t.Fatal(err)
 	}
@@ -175,8 +175,8 @@
 
 func TestDials(t *testing.T) {
 	other, _ := start(t, Bootstrap{})
-	l, e := start(t, Bootstrap{Via: func(a string) string { return strings.Replace(a, "other", other.Addrs()[0], 1) }})
-	l.Tell("dial other")
+	l, e := start(t, Bootstrap{RewriteDialAddress: func(a string) string { return strings.Replace(a, "other", other.Addrs()[0], 1) }})
+	l.SendCommand("dial other")
 	eventually(t, "the dialled connection", func() bool {
 		return e.count(func(i statemachine.Input) bool {
 			return i.Kind == statemachine.ConnOpened && i.Conn == statemachine.Dialed+1
@@ -187,7 +187,7 @@
 		return e.count(func(i statemachine.Input) bool { return i.Kind == statemachine.ConnClosed }) == 1
 	})
 	_ = other.Wait()
-	l.Tell("dial other")
+	l.SendCommand("dial other")
 	eventually(t, "the refusal", func() bool {
 		return e.count(func(i statemachine.Input) bool { return i.Kind == statemachine.ConnClosed && i.Text == "refused" }) == 1
 	})
@@ -196,8 +196,8 @@
 // A machine that fails ends its loop with its text.
 func TestFailureEndsTheLoop(t *testing.T) {
 	l, _ := start(t, Bootstrap{})
-	l.Tell("fail badly")
-	if err := l.Wait(); !errors.Is(err, ErrFailed) || !strings.Contains(err.Error(), "badly") {
+	l.SendCommand("fail badly")
+	if err := l.Wait(); !errors.Is(err, ErrMachineFailed) || !strings.Contains(err.Error(), "badly") {
 		t.Fatal(err)
 	}
 	if _, err := Start(context.Background(), Bootstrap{Machine: &echo{}, Listen: []string{"127.0.0.1:0", "nowhere:x"}}); err == nil {
@@ -207,7 +207,7 @@
 
 // One who does not read holds up only itself, and is cut off at a bound.
 func TestSlowReaderIsCutOff(t *testing.T) {
-	l, e := start(t, Bootstrap{Machine: &echo{big: 64 << 20}, MostOut: 1 << 20})
+	l, e := start(t, Bootstrap{Machine: &echo{big: 64 << 20}, MaxWriteBuffer: 1 << 20})
 	dial(t, l.Addrs()[0])
 	eventually(t, "the cut", func() bool {
 		return e.count(func(i statemachine.Input) bool {
@@ -219,7 +219,7 @@
 	e.mu.Unlock()
 	c := dial(t, l.Addrs()[0])
 	fmt.Fprint(c, "x")
-	if _, err := io.ReadFull(c, make([]byte, 1)); err != nil || l.Figures().Slow != 1 {
+	if _, err := io.ReadFull(c, make([]byte, 1)); err != nil || l.Figures().SlowReadersClosed != 1 {
 		t.Fatal(err, l.Figures())
 	}
 }
@@ -270,9 +270,9 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	eventually(t, "the shortage", func() bool { return l.Figures().Refused > 0 })
+	eventually(t, "the shortage", func() bool { return l.Figures().ConnectionFailures > 0 })
 	// Who is dialled meanwhile is not to blame: the end of that says that the want was ours.
-	l.Tell("dial " + l.Addrs()[0])
+	l.SendCommand("dial " + l.Addrs()[0])
 	eventually(t, "the dial that had no descriptor", func() bool {
 		return e.count(func(i statemachine.Input) bool {
 			return i.Kind == statemachine.ConnClosed && i.Conn == statemachine.Dialed+1 && i.LocalFailure
@@ -303,7 +303,7 @@
 	dir := t.TempDir()
 	path := filepath.Join(dir, "f")
 	for _, text := range []string{"one", "two"} {
-		if err := Replace(path, []byte(text)); err != nil {
+		if err := replaceFile(path, []byte(text)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -312,14 +312,14 @@
 	if string(data) != "two" || err != nil || len(files) != 1 {
 		t.Fatal(string(data), err, files)
 	}
-	if err := Replace(filepath.Join(dir, "no", "f"), nil); err == nil || !strings.Contains(err.Error(), "replace") {
+	if err := replaceFile(filepath.Join(dir, "no", "f"), nil); err == nil || !strings.Contains(err.Error(), "replace") {
 		t.Fatal(err)
 	}
 }
 
 // Past the bound nobody is accepted, and the next one is as soon as one has ended; dialled ones count.
 func TestConnectionsAreBounded(t *testing.T) {
-	l, e := start(t, Bootstrap{MostConns: 3})
+	l, e := start(t, Bootstrap{MaxConnections: 3})
 	opened := func() int {
 		return e.count(func(i statemachine.Input) bool { return i.Kind == statemachine.ConnOpened })
 	}
@@ -328,7 +328,7 @@
 		t.Fatal(err)
 	}
 	defer far.Close()
-	l.Tell("dial " + far.Addr().String())
+	l.SendCommand("dial " + far.Addr().String())
 	eventually(t, "the dialled one stands", func() bool { return opened() == 1 })
 	var all []net.Conn
 	for range 5 {
@@ -340,7 +340,7 @@
 		all = append(all, c)
 	}
 	eventually(t, "two are accepted beside it", func() bool { return opened() == 3 })
-	l.Tell("wake") // what is past the bound has had every chance by the time that this has come round
+	l.SendCommand("wake") // what is past the bound has had every chance by the time that this has come round
 	eventually(t, "it woke", func() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.wakes == 1 })
 	if n := opened(); n != 3 {
 		t.Fatalf("%d stand, 3 may", n)
--- a/internal/eventloop/race_test.go
+++ b/internal/eventloop/race_test.go
@@ -87,7 +87,7 @@
 			step := make(chan struct{})
 			eventually(t, "all are taken in", func() bool {
 				n := 0
-				l.Between(func() {
+				l.RunBetweenSteps(func() {
 					n = len(l.peers)
 					clear(fds)
 					for _, p := range l.peers {
@@ -98,7 +98,7 @@
 				<-step
 				return n == len(old)
 			})
-			l.Tell("hold")
+			l.SendCommand("hold")
 			<-h.in
 			for _, c := range old {
 				c.Close()
@@ -131,7 +131,7 @@
 			opened := l.boxed(statemachine.ConnOpened)
 			h.goOn <- struct{}{}
 			// What was decided is carried out before a step that comes after it, and that before this is done on the event loop.
-			l.Between(func() {
+			l.RunBetweenSteps(func() {
 				for _, p := range opened {
 					l.shut(p, false)
 				}
@@ -175,7 +175,7 @@
 	var on gnet.EventLoop
 	now := func(do func()) {
 		step := make(chan struct{})
-		l.Between(func() { do(); close(step) })
+		l.RunBetweenSteps(func() { do(); close(step) })
 		<-step
 	}
 	eventually(t, "it is taken in", func() bool {
@@ -199,12 +199,12 @@
 		do(gnet.RunnableFunc(func(context.Context) error { return nil }))
 	}
 	do(hold)
-	l.Tell("first ")
+	l.SendCommand("first ")
 	now(func() {}) // the step with what was told is over, and what it wrote is put off
 	now(func() {})
 	goOn <- struct{}{}
 	<-at // the idle thousand are done: what comes now is taken before what was put off
-	l.Tell("second")
+	l.SendCommand("second")
 	now(func() {})
 	now(func() {})
 	goOn <- struct{}{}
@@ -257,8 +257,8 @@
 		defer l.mu.Unlock()
 		return l.conns
 	}
-	l.Tell(silent)
+	l.SendCommand(silent)
 	eventually(t, "it is being dialled", func() bool { return standing() == 1 })
-	l.Tell("")
+	l.SendCommand("")
 	eventually(t, "it is given up", func() bool { return standing() == 0 })
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -50,8 +50,8 @@
 // The asking goes on at its rate while all servers stand still, and what waited counts from when it was due.
 func TestAskingDoesNotWait(t *testing.T) {
 	addrs, l := start(t, 3, nil)
-	told := time.AfterFunc(time.Second, func() { l.Tell("* hang") })
-	healed := time.AfterFunc(1700*time.Millisecond, func() { l.Tell("* heal hang") })
+	told := time.AfterFunc(time.Second, func() { l.SendCommand("* hang") })
+	healed := time.AfterFunc(1700*time.Millisecond, func() { l.SendCommand("* heal hang") })
 	defer told.Stop()
 	defer healed.Stop()
 	r, err := Run(context.Background(), boot(addrs))
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -215,7 +215,7 @@
 func (f *Fleet) Drains(n int) (all []float64, sent int) {
 	for ep := 1; ep <= n; ep++ {
 		f.take()
-		f.list.Tell(fmt.Sprintf("state %d draining", ep))
+		f.list.SendCommand(fmt.Sprintf("state %d draining", ep))
 		time.Sleep(700 * time.Millisecond)
 		told, last := 0.0, 0.0
 		for _, r := range f.take() {
@@ -231,7 +231,7 @@
 		if told > 0 {
 			all = append(all, max(0, last-told))
 		}
-		f.list.Tell(fmt.Sprintf("state %d open", ep))
+		f.list.SendCommand(fmt.Sprintf("state %d open", ep))
 		time.Sleep(100 * time.Millisecond)
 	}
 	slices.Sort(all)
--- a/internal/platform/rare_test.go
+++ b/internal/platform/rare_test.go
@@ -147,7 +147,7 @@
 // now has something looked at between two steps.
 func (x *scene) now(do func()) {
 	done := make(chan struct{})
-	x.l.Between(func() { do(); close(done) })
+	x.l.RunBetweenSteps(func() { do(); close(done) })
 	<-done
 }
 
--- a/internal/scenario/emulate.go
+++ b/internal/scenario/emulate.go
@@ -253,8 +253,8 @@
 func (s *emulation) Tell(name, text string) {
 	switch l := s.owner[name]; {
 	case name == "list" && s.list != nil:
-		s.list.Tell(text)
+		s.list.SendCommand(text)
 	case l != nil:
-		l.Tell(name + " " + strings.TrimSpace(text))
+		l.SendCommand(name + " " + strings.TrimSpace(text))
 	}
 }
--- a/internal/scenario/sockets.go
+++ b/internal/scenario/sockets.go
@@ -305,7 +305,7 @@
 		_ = n.last.Wait() // it holds the port
 		n.last = nil
 	}
-	b := eventloop.Bootstrap{Machine: n.make(), Clock: s.clock, Via: n.via, Trace: func(all []trace.Record) {
+	b := eventloop.Bootstrap{Machine: n.make(), Clock: s.clock, RewriteDialAddress: n.via, Trace: func(all []trace.Record) {
 		s.mu.Lock()
 		s.records = append(s.records, all...)
 		s.mu.Unlock()
@@ -385,7 +385,7 @@
 
 func (s *sockets) Tell(name, text string) {
 	if n := s.nodes[name]; n != nil && n.loop != nil {
-		n.loop.Tell(text)
+		n.loop.SendCommand(text)
 	}
 }
 
@@ -416,7 +416,7 @@
 			word := fmt.Sprintf("set %d %d %d %g %g", i, bit[h.Cut], bit[h.Drop], h.Delay, h.Pace)
 			if r.told[i] != word && (r.told[i] != "" || h != (simnet.Hindrance{})) {
 				r.told[i] = word
-				r.loop.Tell(word)
+				r.loop.SendCommand(word)
 			}
 		}
 	}
@@ -426,7 +426,7 @@
 	for of, r := range s.relays {
 		for i, to := range r.targets {
 			if match(of, to) || match(to, of) {
-				r.loop.Tell(fmt.Sprintf("reset %d", i))
+				r.loop.SendCommand(fmt.Sprintf("reset %d", i))
 			}
 		}
 	}
