--- /dev/null
+++ b/internal/eventloop/step.go
@@ -0,0 +1,107 @@
+package eventloop
+
+import (
+	"fmt"
+	"log/slog"
+	"path/filepath"
+	"time"
+
+	"gingerfork/internal/statemachine"
+)
+
+// maxTimerWait bounds one wait for the machine's timer; a later wake-up time is waited for in several.
+const maxTimerWait statemachine.Seconds = 3600
+
+// runMachine steps the machine until the loop is stopped, the machine stops it, or the machine fails. It is the goroutine
+// that owns the machine.
+func (l *Loop) runMachine() {
+	defer l.shutDown()
+	effects := &statemachine.Effects{}
+	effects.Reset()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	var inputs []statemachine.Input
+	var messages []message
+	for l.ctx.Err() == nil {
+		messages = l.takeQueue(messages)
+		now := l.config.Clock.Now()
+		inputs = l.receive(messages, inputs[:0])
+		received := len(messages) > 0
+		clear(messages) // the data must not be kept alive until the slots are used again
+		// Before the first step WakeAt is Never, and that step comes at once, without inputs.
+		if received || now >= effects.WakeAt || effects.WakeAt == statemachine.Never {
+			if ended := l.step(now, inputs, effects); ended {
+				return
+			}
+		}
+		l.waitForWork(timer, effects.WakeAt)
+	}
+}
+
+// step steps the machine once and carries out what it wants done. It tells whether that was the last step.
+func (l *Loop) step(now statemachine.Seconds, inputs []statemachine.Input, effects *statemachine.Effects) (ended bool) {
+	effects.Reset()
+	begin := time.Now()
+	l.config.Machine.Step(now, inputs, effects)
+	l.recordStep(len(inputs), time.Since(begin))
+	if effects.Failure != "" {
+		l.config.Log.Error("state machine failed", "cause", effects.Failure)
+		l.err = fmt.Errorf("%w: %s", ErrMachineFailed, effects.Failure)
+		return true
+	}
+	if err := l.applyEffects(effects); err != nil {
+		l.config.Log.Error("effects of a step could not be applied", "cause", err)
+	}
+	return effects.Stop
+}
+
+// waitForWork waits for a message, for the time that the machine asked to be woken at, or for the end of the loop.
+func (l *Loop) waitForWork(timer *time.Timer, wakeAt statemachine.Seconds) {
+	wait := min(max(wakeAt-l.config.Clock.Now(), 0), maxTimerWait)
+	timer.Reset(time.Duration(wait * float64(time.Second)))
+	select {
+	case <-l.wake:
+	case <-timer.C:
+	case <-l.ctx.Done():
+	}
+}
+
+// applyEffects carries out what a step wants done. Actions of each connection are done in their order.
+func (l *Loop) applyEffects(effects *statemachine.Effects) error {
+	for _, action := range effects.Actions {
+		if err := l.applyAction(action); err != nil {
+			return err
+		}
+	}
+	for _, entry := range effects.LogEntries {
+		l.config.Log.Log(l.ctx, slogLevel(entry.Level), entry.Message, entry.Attributes...)
+	}
+	if effects.Batch > 0 && l.persister != nil {
+		l.persister.enqueue(effects.Mutations, effects.Batch)
+	}
+	if l.config.Trace != nil && len(effects.Trace) > 0 {
+		l.config.Trace(effects.Trace)
+	}
+	if l.config.Dir == "" {
+		return nil
+	}
+	for name, data := range effects.Files {
+		if err := replaceFile(filepath.Join(l.config.Dir, name), data); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func slogLevel(level statemachine.LogLevel) slog.Level {
+	switch level {
+	case statemachine.LogDebug:
+		return slog.LevelDebug
+	case statemachine.LogInfo:
+		return slog.LevelInfo
+	case statemachine.LogWarning:
+		return slog.LevelWarn
+	default:
+		return slog.LevelError
+	}
+}
