--- a/cmd/gingerfork/log.go
+++ b/cmd/gingerfork/log.go
@@ -9,21 +9,28 @@
 	"github.com/rs/zerolog"
 )
 
-// logger writes through zerolog, which costs no allocation a line; slog is what the packages see of it.
+// logLevels are the levels that --log-level takes.
+var logLevels = map[string]zerolog.Level{
+	"debug": zerolog.DebugLevel,
+	"info":  zerolog.InfoLevel,
+	"warn":  zerolog.WarnLevel,
+	"error": zerolog.ErrorLevel,
+}
+
+// logger returns a logger to standard error in the format and at the level of the flags. zerolog writes, without an
+// allocation a line; the packages see only log/slog.
 func (p *program) logger() *slog.Logger {
-	level := map[string]zerolog.Level{
-		"debug": zerolog.DebugLevel, "info": zerolog.InfoLevel, "warn": zerolog.WarnLevel,
-		"error": zerolog.ErrorLevel,
-	}[p.LogLevel]
-	w := p.err
+	target := p.err
 	if p.LogFormat == "text" {
-		w = zerolog.ConsoleWriter{Out: p.err, NoColor: p.err != io.Writer(os.Stderr) || !terminal(), TimeFormat: "15:04:05.000"}
+		colored := p.err == io.Writer(os.Stderr) && stderrIsTerminal()
+		target = zerolog.ConsoleWriter{Out: p.err, NoColor: !colored, TimeFormat: "15:04:05.000"}
 	}
-	z := zerolog.New(w).Level(level).With().Timestamp().Logger()
-	return slog.New(zerolog.NewSlogHandler(z))
+	logger := zerolog.New(target).Level(logLevels[p.LogLevel]).With().Timestamp().Logger()
+	return slog.New(zerolog.NewSlogHandler(logger))
 }
 
-func terminal() bool {
+// stderrIsTerminal tells whether standard error is a terminal that can show colors.
+func stderrIsTerminal() bool {
 	info, err := os.Stderr.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0 && !strings.EqualFold(os.Getenv("TERM"), "dumb")
 }
--- a/cmd/gingerfork/node.go
+++ b/cmd/gingerfork/node.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"log/slog"
 	"os"
 	"os/signal"
@@ -20,116 +21,185 @@
 	"gingerfork/internal/platform"
 )
 
+const (
+	// addressWait bounds the wait for the listen address of a predecessor that was just killed. It gives the address back
+	// far sooner, and a restarted coordinator must be ready within 6 s.
+	addressWait     = 4 * time.Second
+	addressRetry    = addressWait / 40
+	nodeDialTimeout = 2 * time.Second
+
+	maxQueuedLogLines = 4096
+	// logFlushTimeout bounds the wait for the log's reader at the end: a planned restart goes on to SIGKILL.
+	logFlushTimeout = 200 * time.Millisecond
+
+	// The buffers of the event loop take at most these shares of the memory limit, and at most these sizes.
+	writeBufferMemoryShare  = 32
+	pendingInputMemoryShare = 16
+	largestWriteBuffer      = 4 << 20  // bytes a connection
+	largestPendingInput     = 64 << 20 // bytes
+)
+
+// errNoConfigurationFile is returned when the environment does not name the configuration file.
+var errNoConfigurationFile = errors.New(platform.EnvFile + " does not name the configuration's file")
+
 type nodeCmd struct{}
 
-// Run serves until SIGTERM. Of what the product has besides, only the network code and the module run: the platform's
-// machine has no disk that outlives it, and little memory.
-func (nodeCmd) Run(p *program, ctx context.Context) error {
-	again := make(chan os.Signal, 1) // before anything else: a SIGHUP that comes while we start must not end the process
-	signal.Notify(again, syscall.SIGHUP)
-	defer signal.Stop(again)
-	signal.Ignore(syscall.SIGPIPE) // who ends the reading of our log must not end us
-	s, err := readStart()
+// Run serves until SIGTERM. Only the network code and the decision module run: on the platform a coordinator has no disk
+// that outlives it, and little memory.
+func (nodeCmd) Run(ctx context.Context, command *program) error {
+	// Before anything else: a SIGHUP that arrives during the start must not end the process.
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
+	defer signal.Stop(reload)
+	signal.Ignore(syscall.SIGPIPE) // the end of the log's reader must not end the process
+	start, err := readNodeStart()
 	if err != nil {
 		return badError{err}
 	}
-	limit(s)
-	lines := newSpill(p.err, logRoom)
-	defer func() {
-		// The log's last lines are worth a moment, not more: a planned restart goes on to SIGKILL.
-		late := make(chan struct{})
-		defer time.AfterFunc(logEnd, func() { close(late) }).Stop()
-		lines.end(late)
-	}()
-	log := slog.New(zerolog.NewSlogHandler(zerolog.New(lines).With().Timestamp().Logger())).With("instance", s.Name)
-	clock := eventloop.NewClock()
-	m, err := platform.New(s.Bootstrap(clock.Now()))
+	limitRuntime(start)
+	logLines := newAsyncWriter(command.err, maxQueuedLogLines)
+	defer flushLog(logLines)
+	node, err := startNode(ctx, start, newNodeLogger(logLines, start.Name))
+	if errors.Is(err, context.Canceled) {
+		return nil // SIGTERM arrived before the coordinator listened
+	}
 	if err != nil {
-		log.Warn("the list as last held was refused, we begin without", "cause", err.Error())
+		return badError{err}
 	}
-	boot := eventloop.Bootstrap{Machine: m, Listen: []string{s.Listen}, MaxConnections: s.LoopConns(), DialTimeout: 2 * time.Second, Log: log, Clock: clock}
-	if s.Memory > 0 {
-		boot.MaxWriteBuffer, boot.MaxPendingInput = int(min(4<<20, s.Memory/32)), int(min(64<<20, s.Memory/16))
+	if err := node.serve(reload); err != nil {
+		return badError{err}
 	}
-	l, err := listen(ctx, func() (*eventloop.Loop, error) { return eventloop.Start(ctx, boot) })
+	return nil
+}
+
+func newNodeLogger(w io.Writer, instance string) *slog.Logger {
+	return slog.New(zerolog.NewSlogHandler(zerolog.New(w).With().Timestamp().Logger())).With("instance", instance)
+}
+
+// flushLog waits for the last lines of the log, for logFlushTimeout at most.
+func flushLog(lines *asyncWriter) {
+	expired := make(chan struct{})
+	defer time.AfterFunc(logFlushTimeout, func() { close(expired) }).Stop()
+	lines.closeAndFlush(expired)
+}
+
+// runningNode is a coordinator on the operators' platform.
+type runningNode struct {
+	start   *platform.Start // as read at the start of the process
+	machine *platform.Machine
+	loop    *eventloop.Loop
+	clock   *eventloop.Clock
+	log     *slog.Logger
+}
+
+// startNode starts a coordinator. The error is context.Canceled when ctx ended before it listened.
+func startNode(ctx context.Context, start *platform.Start, log *slog.Logger) (*runningNode, error) {
+	clock := eventloop.NewClock()
+	machine, err := platform.New(start.Bootstrap(clock.Now()))
 	if err != nil {
-		return badError{err}
+		log.Warn("cached endpoint list rejected, starting without it", "cause", err.Error())
 	}
-	if l == nil {
-		return nil // told to end before there was anything to end
+	config := loopConfig(start)
+	config.Machine, config.Log, config.Clock = machine, log, clock
+	loop, err := listenWhenFree(ctx, func() (*eventloop.Loop, error) { return eventloop.Start(ctx, config) })
+	if err != nil {
+		return nil, err
 	}
-	log.Info("coordinator started", "listen", s.Listen, "discovery", s.Discovery, "cores", s.Cores, "memory", s.Memory, "sockets", s.Sockets,
-		"proxies", s.Values["proxies"], "listing", s.Values["listing"])
-	for {
-		select {
-		case <-again:
-			fresh, err := readStart()
-			if err != nil {
-				log.Error("the configuration was read again and is bad; the old stays in force", "cause", err.Error())
-				continue
-			}
-			if fresh.Listen != s.Listen || fresh.Name != s.Name || !reflect.DeepEqual(fresh.Values, s.Values) {
-				log.Warn("name, address and settings take a restart; the old stay in force")
-			}
-			l.RunBetweenSteps(func() { m.Renew(fresh.Bootstrap(clock.Now())) })
-			log.Info("the configuration was read again", "discovery", fresh.Discovery)
-		case <-l.Done():
-			err := l.Wait()
-			f, lf := m.Figures(), l.Figures()
-			log.Info("coordinator ended", "joins", f.Joins, "messages", f.Messages, "bytes", f.Bytes, "steps", f.Steps, "refused", f.Refused,
-				"spoilt", f.Spoilt, "longest", lf.LongestStep.Seconds(), "busy", lf.BusyTime.Seconds())
-			if err != nil {
-				return badError{err}
-			}
-			return nil
-		}
+	log.Info("coordinator started", "listen", start.Listen, "discovery", start.Discovery, "cores", start.Cores,
+		"memory_bytes", start.Memory, "sockets", start.Sockets, "proxies", start.Values["proxies"], "listing", start.Values["listing"])
+	return &runningNode{start: start, machine: machine, loop: loop, clock: clock, log: log}, nil
+}
+
+// loopConfig returns the event loop's address and limits.
+func loopConfig(start *platform.Start) eventloop.Bootstrap {
+	config := eventloop.Bootstrap{
+		Listen:         []string{start.Listen},
+		MaxConnections: start.LoopConns(),
+		DialTimeout:    nodeDialTimeout,
 	}
+	if start.Memory > 0 {
+		config.MaxWriteBuffer = int(min(largestWriteBuffer, start.Memory/writeBufferMemoryShare))
+		config.MaxPendingInput = int(min(largestPendingInput, start.Memory/pendingInputMemoryShare))
+	}
+	return config
 }
 
-// listen starts the loop. Its address may still be the former process's, which was killed a moment ago: that is waited for.
-func listen(ctx context.Context, start func() (*eventloop.Loop, error)) (*eventloop.Loop, error) {
-	for end := time.Now().Add(portWait); ; {
-		l, err := start()
-		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(end) {
-			return l, err
+// listenWhenFree calls start until it finds the listen address free, for addressWait at most: a predecessor that was just
+// killed may still hold it. The error is that of ctx when ctx ends first.
+func listenWhenFree(ctx context.Context, start func() (*eventloop.Loop, error)) (*eventloop.Loop, error) {
+	for deadline := time.Now().Add(addressWait); ; {
+		loop, err := start()
+		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
+			return loop, err
 		}
 		select {
 		case <-ctx.Done():
-			return nil, nil
-		case <-time.After(portWait / 40):
+			return nil, ctx.Err()
+		case <-time.After(addressRetry):
 		}
 	}
 }
 
-const (
-	portWait = 4 * time.Second // a killed process gives its address back far sooner, and a restart must be ready in 6 s
-	logRoom  = 4096            // lines
-	logEnd   = 200 * time.Millisecond
-)
+// serve reloads the configuration at each signal until the event loop ends, and returns the event loop's error.
+func (n *runningNode) serve(reload <-chan os.Signal) error {
+	for {
+		select {
+		case <-reload:
+			n.reloadConfiguration()
+		case <-n.loop.Done():
+			err := n.loop.Wait()
+			n.logEnd()
+			return err
+		}
+	}
+}
+
+// reloadConfiguration reads the configuration again. Only the address of discovery is applied; a configuration that cannot
+// be read or that is invalid changes nothing.
+func (n *runningNode) reloadConfiguration() {
+	fresh, err := readNodeStart()
+	if err != nil {
+		n.log.Error("configuration reload failed, the old configuration stays in force", "cause", err.Error())
+		return
+	}
+	if fresh.Listen != n.start.Listen || fresh.Name != n.start.Name || !reflect.DeepEqual(fresh.Values, n.start.Values) {
+		n.log.Warn("changes of name, listen address and settings need a restart")
+	}
+	n.loop.RunBetweenSteps(func() { n.machine.Renew(fresh.Bootstrap(n.clock.Now())) })
+	n.log.Info("configuration reloaded", "discovery", fresh.Discovery)
+}
+
+func (n *runningNode) logEnd() {
+	machine, loop := n.machine.Figures(), n.loop.Figures()
+	n.log.Info("coordinator ended", "joins", machine.Joins, "messages", machine.Messages, "bytes", machine.Bytes,
+		"steps", machine.Steps, "refused_connections", machine.Refused, "malformed_messages", machine.Spoilt,
+		"longest_step_s", loop.LongestStep.Seconds(), "busy_s", loop.BusyTime.Seconds())
+}
 
-func readStart() (*platform.Start, error) {
+// readNodeStart reads the configuration file that the environment names.
+func readNodeStart() (*platform.Start, error) {
 	name := os.Getenv(platform.EnvFile)
 	if name == "" {
-		return nil, errors.New(platform.EnvFile + " does not name the configuration's file")
+		return nil, errNoConfigurationFile
 	}
 	raw, err := os.ReadFile(name)
 	if err != nil {
 		return nil, fmt.Errorf("read the configuration: %w", err)
 	}
-	s, err := platform.ReadStart(raw, os.Getenv, wire.Values)
+	start, err := platform.ReadStart(raw, os.Getenv, wire.Values)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	return s, nil
+	return start, nil
 }
 
-// limit keeps the runtime inside what the configuration allows.
-func limit(s *platform.Start) {
-	if s.Cores > 0 {
-		runtime.GOMAXPROCS(max(1, int(s.Cores)))
+// limitRuntime keeps the Go runtime inside the limits of the configuration.
+func limitRuntime(start *platform.Start) {
+	if start.Cores > 0 {
+		runtime.GOMAXPROCS(max(1, int(start.Cores)))
 	}
-	if s.Memory > 0 {
-		// The limit is on all the runtime holds; the binary's own pages and the kernel's buffers come on top.
-		debug.SetMemoryLimit(s.Memory / 2)
+	if start.Memory > 0 {
+		// The limit covers what the runtime holds; the program's own pages and the kernel's buffers come on top.
+		debug.SetMemoryLimit(start.Memory / 2)
 	}
 }
--- /dev/null
+++ b/cmd/gingerfork/node_listen_test.go
@@ -0,0 +1,46 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"net"
+	"syscall"
+	"testing"
+
+	"gingerfork/internal/eventloop"
+	"gingerfork/internal/statemachine"
+)
+
+// idleMachine does nothing.
+type idleMachine struct{}
+
+func (idleMachine) Step(statemachine.Seconds, []statemachine.Input, *statemachine.Effects) {}
+
+// The predecessor still holds the address when the new process begins to listen on it.
+func TestListenWaitsForPredecessorsAddress(t *testing.T) {
+	predecessor, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer predecessor.Close()
+	ctx, stop := context.WithCancel(context.Background())
+	defer stop()
+	attempts := 0
+	start := func() (*eventloop.Loop, error) {
+		loop, err := eventloop.Start(ctx, eventloop.Bootstrap{Machine: idleMachine{}, Listen: []string{predecessor.Addr().String()}})
+		if attempts++; attempts == 2 {
+			predecessor.Close()
+		}
+		return loop, err
+	}
+	loop, err := listenWhenFree(ctx, start)
+	if err != nil || attempts != 3 {
+		t.Fatalf("%d attempts, %v", attempts, err)
+	}
+	defer func(started *eventloop.Loop) { started.Stop(); _ = started.Wait() }(loop)
+	// SIGTERM during the wait ends it.
+	loop, err = listenWhenFree(ctx, func() (*eventloop.Loop, error) { stop(); return nil, syscall.EADDRINUSE })
+	if loop != nil || !errors.Is(err, context.Canceled) {
+		t.Errorf("after SIGTERM: %v and %v", loop, err)
+	}
+}
