--- a/internal/eventloop/inputqueue.go
+++ b/internal/eventloop/inputqueue.go
@@ -34,12 +34,12 @@
 	}
 }
 
-// takeQueue returns all waiting messages and leaves an empty queue in the memory of spare.
-func (l *Loop) takeQueue(spare []message) []message {
+// takeQueue returns all waiting messages and leaves an empty queue in the memory of reuse.
+func (l *Loop) takeQueue(reuse []message) []message {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	taken := l.queue
-	l.queue = spare[:0]
+	l.queue = reuse[:0]
 	l.queuedBytes = 0
 	l.spaceFreed.Broadcast()
 	return taken
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -32,8 +32,8 @@
 	}
 	loop.SendCommand("wake")
 	machine.awaitWakeUp(t)
-	loop.SendCommand("save kept")
-	eventually(t, "the file", func() bool { data, _ := os.ReadFile(filepath.Join(dir, "x")); return string(data) == "kept" })
+	loop.SendCommand("save saved")
+	eventually(t, "the file", func() bool { data, _ := os.ReadFile(filepath.Join(dir, "x")); return string(data) == "saved" })
 	conns[0].Close()
 	machine.awaitCount(t, "the end of a connection", 1, isClosed)
 	loop.SendCommand("close")
--- a/internal/eventloop/persister_test.go
+++ b/internal/eventloop/persister_test.go
@@ -15,7 +15,7 @@
 	"gingerfork/internal/store"
 )
 
-// persistingMachine persists the record of each command "key=value", removes that of a command without a value, and notes
+// persistingMachine persists the record of each command "key=value", removes that of a command without a value, and records
 // what the driver reports.
 type persistingMachine struct {
 	observable
@@ -119,8 +119,8 @@
 	return strings.Join(records, " ")
 }
 
-// The disk is full, has room again, and then fails a sync: the machine is told of each, is never held up, and finds at the
-// next start all that it was told is persisted.
+// The disk is full, has room again, and then fails a sync: the machine is notified of each, is never blocked, and finds at the
+// next start all that was reported as persisted.
 func TestPersistenceSurvivesFullDiskAndEndsAtFailedSync(t *testing.T) {
 	folder := newFaultyFolder()
 	opened := openStore(t, folder)
