--- a/cmd/gingerfork/main_test.go
+++ b/cmd/gingerfork/main_test.go
@@ -256,7 +256,7 @@
 		_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
 		fmt.Fprintf(conn, "%s", proto.Append(nil, proto.Hello{Version: 1, Name: "probe", Zone: "dc-kewdale"}))
 		var r proto.Reader
-		r.Open()
+		r.HandshakeDone()
 		b := make([]byte, 4096)
 		for {
 			n, err := conn.Read(b)
@@ -266,7 +266,7 @@
 			r.Feed(b[:n])
 			if m, _ := r.Next(); m != nil {
 				w, ok := m.(proto.Welcome)
-				return ok && w.Period == 1
+				return ok && w.ReportPeriod == 1
 			}
 		}
 	})
--- a/cmd/gingerfork/standin.go
+++ b/cmd/gingerfork/standin.go
@@ -117,7 +117,7 @@
 		if err != nil {
 			return fmt.Errorf("server %q: weight %w", s, err)
 		}
-		all = append(all, fake.Listing{EP: proto.EP(ep), State: proto.ServerOpen, Zone: f[1], Weight: w, Addr: f[3], Stamp: 1})
+		all = append(all, fake.Listing{EP: proto.BackendID(ep), State: proto.BackendOpen, Zone: f[1], Weight: w, Addr: f[3], Stamp: 1})
 	}
 	return c.run(ctx, p, "list", fake.NewList(all), c.Listen)
 }
--- a/compare/compare_test.go
+++ b/compare/compare_test.go
@@ -62,10 +62,12 @@
 func ours(b *testing.B, n int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	values := map[string]any{"listing": "asked", "ask_within": 10.0, "cold_share": 0.3, "warm_after": 10.0, "drain_grace": 2.0, "fall_multiple": 2.5,
+	values := map[string]any{
+		"listing": "asked", "ask_within": 10.0, "cold_share": 0.3, "warm_after": 10.0, "drain_grace": 2.0, "fall_multiple": 2.5,
 		"channel_room": 1e9, "channel_pace": 1e9, "message_lines": 10.0, "messages": 0.0, "push_time": 0.01, "push_time_worst": 0.3, "proxies": float64(n),
 		"level_kind": "none", "report_period": 2.0, "zone": "a", "zones.n": 1.0, "zones.0": "a", "method.n": 1.0, "method.0.name": "read",
-		"method.0.effect": "idempotent", "method.0.soft_deadline": 1.0, "method.0.criticality": 1.0}
+		"method.0.effect": "idempotent", "method.0.soft_deadline": 1.0, "method.0.criticality": 1.0,
+	}
 	clock := eventloop.NewClock()
 	var all []fake.Listing
 	for i := range servers {
@@ -79,13 +81,17 @@
 		return l
 	}
 	list := must(eventloop.Start(ctx, eventloop.Bootstrap{Machine: fake.NewList(all), Listen: []string{"127.0.0.1:0"}, Clock: clock}))
-	m := coordinator.NewMachine(coordinator.Bootstrap{Name: "c0", Zone: "a", ListAddr: list.Addrs()[0], Module: choice.Config{Seed: 1, Now: clock.Now(), Settings: choice.DecodeSettings(values)},
-		Handshake: 30, Silence: 60, ListSilence: 30, ProbeTimeout: 5, MostStreams: 20000, MostProbes: 4}, nil)
+	m := coordinator.NewMachine(coordinator.Bootstrap{
+		Name: "c0", Zone: "a", ListAddr: list.Addrs()[0], Module: choice.Config{Seed: 1, Now: clock.Now(), Settings: choice.DecodeSettings(values)},
+		Handshake: 30, Silence: 60, ListSilence: 30, ProbeTimeout: 5, MostStreams: 20000, MostProbes: 4,
+	}, nil)
 	c := must(eventloop.Start(ctx, eventloop.Bootstrap{Machine: m, Listen: []string{"127.0.0.1:0"}, Clock: clock}))
 	crowd := fake.NewCrowd()
 	for i := range n {
-		crowd.Add(fmt.Sprint("f", i), fake.NewFrontEnd(fake.FrontTrade{Name: fmt.Sprint("f", i), Zone: "a", Coordinators: c.Addrs(),
-			Methods: []fake.MethodTrade{{Name: "read", Share: 1, SoftDeadline: 1, Deadline: 2}}, Pick: "even", Period: 2, ConnectTimeout: 1, Seed: uint64(i)}), 0)
+		crowd.Add(fmt.Sprint("f", i), fake.NewFrontEnd(fake.FrontTrade{
+			Name: fmt.Sprint("f", i), Zone: "a", Coordinators: c.Addrs(),
+			Methods: []fake.MethodTrade{{Name: "read", Share: 1, SoftDeadline: 1, Deadline: 2}}, Pick: "even", Period: 2, ConnectTimeout: 1, Seed: uint64(i),
+		}), 0)
 	}
 	var mu sync.Mutex
 	held := map[uint32]map[string]bool{} // who has a line, by server
@@ -190,9 +196,12 @@
 		lb := &endpoint.LocalityLbEndpoints{}
 		for s := range servers {
 			if holds(sub, s) && s != without {
-				lb.LbEndpoints = append(lb.LbEndpoints, &endpoint.LbEndpoint{LoadBalancingWeight: wrapperspb.UInt32(100),
+				lb.LbEndpoints = append(lb.LbEndpoints, &endpoint.LbEndpoint{
+					LoadBalancingWeight: wrapperspb.UInt32(100),
 					HostIdentifier: &endpoint.LbEndpoint_Endpoint{Endpoint: &endpoint.Endpoint{Address: &core.Address{Address: &core.Address_SocketAddress{
-						SocketAddress: &core.SocketAddress{Address: "127.0.0.1", PortSpecifier: &core.SocketAddress_PortValue{PortValue: uint32(s + 1)}}}}}}})
+						SocketAddress: &core.SocketAddress{Address: "127.0.0.1", PortSpecifier: &core.SocketAddress_PortValue{PortValue: uint32(s + 1)}},
+					}}}},
+				})
 			}
 		}
 		cla.Endpoints = []*endpoint.LocalityLbEndpoints{lb}
--- a/internal/coordinator/bench_test.go
+++ b/internal/coordinator/bench_test.go
@@ -12,11 +12,13 @@
 // fleet is a core with so many servers and joined proxies, all of whose pushes were answered.
 func fleet(b testing.TB, servers, proxies int) (c *Core, now float64, version uint64) {
 	now = 1000
-	c = New(choice.Config{Now: now, Settings: choice.DecodeSettings(values(map[string]any{"proxies": float64(proxies), "channel_room": 1e9, "channel_pace": 1e9,
-		"messages": 0.0, "tick": 0.0, "probes": false}))}, nil)
-	l := proto.List{Kind: proto.ListFull, Version: 1}
+	c = New(choice.Config{Now: now, Settings: choice.DecodeSettings(values(map[string]any{
+		"proxies": float64(proxies), "channel_room": 1e9, "channel_pace": 1e9,
+		"messages": 0.0, "tick": 0.0, "probes": false,
+	}))}, nil)
+	l := proto.EndpointUpdate{Kind: proto.UpdateFull, Version: 1}
 	for i := range servers {
-		l.Entries = append(l.Entries, entry(i+1, proto.ServerOpen))
+		l.Endpoints = append(l.Endpoints, entry(i+1, proto.BackendOpen))
 	}
 	events := []Event{News{l}}
 	for i := range proxies {
@@ -32,9 +34,9 @@
 		bytes += len(proto.Append(nil, s.Push))
 		lines += len(s.Push.Ops)
 		for _, op := range s.Push.Ops {
-			lines += len(op.Lines) + len(op.Levels)
+			lines += len(op.Entries) + len(op.Admissions)
 		}
-		events = append(events, Answer{s.Stream, s.Push.Mark})
+		events = append(events, Answer{s.Stream, s.Push.Nonce})
 	}
 	c.Step(now+0.001, events)
 	return lines, bytes
@@ -57,15 +59,15 @@
 			b.ResetTimer()
 			for i := range b.N {
 				now += 3
-				e := entry(1+i%size[0], proto.ServerDraining)
+				e := entry(1+i%size[0], proto.BackendDraining)
 				for range 2 {
 					version++
-					o := c.Step(now, []Event{News{proto.List{Kind: proto.ListChanges, Base: version - 1, Version: version, Entries: []proto.Entry{e}}}})
+					o := c.Step(now, []Event{News{proto.EndpointUpdate{Kind: proto.UpdateDelta, BaseVersion: version - 1, Version: version, Endpoints: []proto.Endpoint{e}}}})
 					begin := time.Now()
 					n, m := answerAll(c, now, o)
 					within += time.Since(begin)
 					lines, bytes = lines+n, bytes+m
-					e.State = proto.ServerOpen
+					e.State = proto.BackendOpen
 					now += 0.5
 				}
 			}
--- a/internal/coordinator/channel.go
+++ b/internal/coordinator/channel.go
@@ -11,7 +11,7 @@
 	step   uint64
 	at     choice.Seconds // when it was ordered
 	lines  int            // as the settings count them, with its head
-	ops    []proto.Op
+	ops    []proto.TableOp
 	marked bool
 	mark   choice.Nonce
 	wire   uint64 // the mark as proxies see it
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -14,12 +14,14 @@
 )
 
 func values(more map[string]any) map[string]any {
-	v := map[string]any{"listing": "asked", "ask_within": 10.0, "cold_share": 0.3, "warm_after": 10.0, "drain_grace": 2.0, "fall_multiple": 2.5,
+	v := map[string]any{
+		"listing": "asked", "ask_within": 10.0, "cold_share": 0.3, "warm_after": 10.0, "drain_grace": 2.0, "fall_multiple": 2.5,
 		"channel_room": 20000.0, "channel_pace": 10000.0, "message_lines": 10.0, "messages": 30.0, "messages_span": 10.0, "push_time": 0.1,
 		"push_time_worst": 0.3, "proxies": 4.0, "level_kind": "share", "report_period": 1.0, "probes": true, "try_wait": 0.8, "tick": 0.004,
 		"zone": "a", "zones.n": 2.0, "zones.0": "a", "zones.1": "b", "method.n": 2.0, "method.0.name": "read", "method.0.effect": "idempotent",
 		"method.0.soft_deadline": 1.0, "method.0.criticality": 1.0, "method.1.name": "submit", "method.1.effect": "non-idempotent",
-		"method.1.soft_deadline": 1.0, "method.1.criticality": 2.0}
+		"method.1.soft_deadline": 1.0, "method.1.criticality": 2.0,
+	}
 	for k, x := range more {
 		v[k] = x
 	}
@@ -45,10 +47,14 @@
 }
 
 func newRig(t *testing.T, more map[string]any, kept *checkpoint.Kept) *rig {
-	r := &rig{t: t, now: 1000, probes: map[statemachine.Conn]string{}, readers: map[statemachine.Conn]*proto.Reader{}, got: map[statemachine.Conn][]proto.Message{},
-		closed: map[statemachine.Conn]bool{}, records: map[string][]byte{}}
-	r.m = NewMachine(Bootstrap{Name: "c0", Zone: "a", ListAddr: "list", Module: choice.Config{Seed: 1, Now: r.now, Settings: choice.DecodeSettings(values(more))}, Handshake: 5,
-		Silence: 10, ListSilence: 5, ProbeTimeout: 1, MostStreams: 1000, MostProbes: 4}, kept)
+	r := &rig{
+		t: t, now: 1000, probes: map[statemachine.Conn]string{}, readers: map[statemachine.Conn]*proto.Reader{}, got: map[statemachine.Conn][]proto.Message{},
+		closed: map[statemachine.Conn]bool{}, records: map[string][]byte{},
+	}
+	r.m = NewMachine(Bootstrap{
+		Name: "c0", Zone: "a", ListAddr: "list", Module: choice.Config{Seed: 1, Now: r.now, Settings: choice.DecodeSettings(values(more))}, Handshake: 5,
+		Silence: 10, ListSilence: 5, ProbeTimeout: 1, MostStreams: 1000, MostProbes: 4,
+	}, kept)
 	return r
 }
 
@@ -88,7 +94,7 @@
 		case statemachine.ActionWrite:
 			if r.readers[a.Conn] == nil {
 				r.readers[a.Conn] = &proto.Reader{}
-				r.readers[a.Conn].Open()
+				r.readers[a.Conn].HandshakeDone()
 			}
 			r.readers[a.Conn].Feed(a.Data)
 			for {
@@ -136,6 +142,7 @@
 func opened(c statemachine.Conn) statemachine.Input {
 	return statemachine.Input{Kind: statemachine.ConnOpened, Conn: c}
 }
+
 func gone(c statemachine.Conn) statemachine.Input {
 	return statemachine.Input{Kind: statemachine.ConnClosed, Conn: c}
 }
@@ -144,8 +151,8 @@
 	return proto.Hello{Version: proto.Version, Role: proto.RoleProxy, Name: name, Zone: "a", Rate: 10, Fresh: true}
 }
 
-func entry(ep int, state proto.ServerState) proto.Entry {
-	return proto.Entry{EP: proto.EP(ep), State: state, Zone: "a", Weight: 1, Old: true, Stamp: 1, Addr: fmt.Sprintf("s%d", ep)}
+func entry(ep int, state proto.BackendState) proto.Endpoint {
+	return proto.Endpoint{Backend: proto.BackendID(ep), State: state, Zone: "a", Weight: 1, StartedLongAgo: true, Incarnation: 1, Addr: fmt.Sprintf("s%d", ep)}
 }
 
 // listed answers the list's dial and shows the servers.
@@ -156,17 +163,17 @@
 		r.t.Fatal("the list service was not dialled")
 	}
 	r.version++
-	l := proto.List{Kind: proto.ListFull, Version: r.version}
+	l := proto.EndpointUpdate{Kind: proto.UpdateFull, Version: r.version}
 	for i := range n {
-		l.Entries = append(l.Entries, entry(i+1, proto.ServerOpen))
+		l.Endpoints = append(l.Endpoints, entry(i+1, proto.BackendOpen))
 	}
 	r.step(0.01, opened(r.list), data(r.list, proto.Welcome{Version: 1, Name: "list"}, l))
 	r.run(0.1)
 }
 
-func (r *rig) change(entries ...proto.Entry) {
+func (r *rig) change(entries ...proto.Endpoint) {
 	r.version++
-	r.step(0.01, data(r.list, proto.List{Kind: proto.ListChanges, Base: r.version - 1, Version: r.version, Entries: entries}))
+	r.step(0.01, data(r.list, proto.EndpointUpdate{Kind: proto.UpdateDelta, BaseVersion: r.version - 1, Version: r.version, Endpoints: entries}))
 }
 
 func (r *rig) join(c statemachine.Conn, name string) {
@@ -186,17 +193,17 @@
 
 func (r *rig) refused(c statemachine.Conn) string {
 	for _, m := range r.got[c] {
-		if x, ok := m.(proto.Refuse); ok && r.closed[c] {
+		if x, ok := m.(proto.Reject); ok && r.closed[c] {
 			return x.Reason
 		}
 	}
 	return ""
 }
 
-func has(all []proto.Push, kind proto.OpKind, ep proto.EP) bool {
+func has(all []proto.Push, kind proto.OpKind, ep proto.BackendID) bool {
 	return slices.ContainsFunc(all, func(p proto.Push) bool {
-		return slices.ContainsFunc(p.Ops, func(o proto.Op) bool {
-			return o.Kind == kind && (ep == 0 || slices.Contains(o.Withdrawn, ep) || len(o.Lines) == 1 && o.Lines[0].EP == ep)
+		return slices.ContainsFunc(p.Ops, func(o proto.TableOp) bool {
+			return o.Kind == kind && (ep == 0 || slices.Contains(o.Backends, ep) || len(o.Entries) == 1 && o.Entries[0].Backend == ep)
 		})
 	})
 }
@@ -208,14 +215,14 @@
 	r.join(1, "f0")
 	r.run(0.1)
 	p := r.pushes(1)
-	if len(p) != 1 || !p[0].Marked || p[0].Seq != 1 || p[0].Ops[len(p[0].Ops)-1].Kind != proto.OpBind || len(p[0].Ops[len(p[0].Ops)-1].Lines) < 3 {
+	if len(p) != 1 || !p[0].HasNonce || p[0].Sequence != 1 || p[0].Ops[len(p[0].Ops)-1].Kind != proto.OpBind || len(p[0].Ops[len(p[0].Ops)-1].Entries) < 3 {
 		t.Fatalf("%+v", p)
 	}
-	r.step(0.01, data(1, proto.Answer{Mark: p[0].Mark}))
-	ep := p[0].Ops[len(p[0].Ops)-1].Lines[0].EP
-	r.change(entry(int(ep), proto.ServerDraining))
+	r.step(0.01, data(1, proto.Acknowledgement{Nonce: p[0].Nonce}))
+	ep := p[0].Ops[len(p[0].Ops)-1].Entries[0].Backend
+	r.change(entry(int(ep), proto.BackendDraining))
 	r.run(0.1)
-	if all := r.pushes(1); !has(all, proto.OpWithdraw, ep) {
+	if all := r.pushes(1); !has(all, proto.OpExclude, ep) {
 		t.Fatalf("server %d was not withdrawn: %+v", ep, all)
 	}
 	if !slices.ContainsFunc(r.logs, func(l string) bool { return strings.HasPrefix(l, "server withdrawn[backend "+fmt.Sprint(ep)+" mark 2") }) {
@@ -232,16 +239,16 @@
 	r.listed(4)
 	r.join(1, "f0")
 	r.run(0.1)
-	old := r.pushes(1)[0].Mark
+	old := r.pushes(1)[0].Nonce
 	r.step(0.01, gone(1))
 	r.join(2, "f0")
 	r.run(0.1)
-	mark := r.pushes(2)[0].Mark
-	r.step(0.01, data(2, proto.Answer{Mark: old}, proto.Answer{Mark: 4711}))
+	mark := r.pushes(2)[0].Nonce
+	r.step(0.01, data(2, proto.Acknowledgement{Nonce: old}, proto.Acknowledgement{Nonce: 4711}))
 	if f := r.m.Figures(); f.Stale != 2 || r.closed[2] {
 		t.Fatalf("%+v", f)
 	}
-	r.step(0.01, data(2, proto.Answer{Mark: mark}, proto.Answer{Mark: mark}))
+	r.step(0.01, data(2, proto.Acknowledgement{Nonce: mark}, proto.Acknowledgement{Nonce: mark}))
 	if f := r.m.Figures(); f.Stale != 3 || r.closed[2] {
 		t.Fatalf("an answer counted twice: %+v", f)
 	}
@@ -260,9 +267,9 @@
 		t.Fatalf("the newer stream: %+v", p)
 	}
 	r.step(0.1, gone(1)) // its end comes late, and must not end the newer
-	r.change(entry(1, proto.ServerDraining), entry(2, proto.ServerDraining))
+	r.change(entry(1, proto.BackendDraining), entry(2, proto.BackendDraining))
 	r.run(0.2)
-	if !has(r.pushes(2), proto.OpWithdraw, 0) {
+	if !has(r.pushes(2), proto.OpExclude, 0) {
 		t.Fatal("the newer stream is not followed")
 	}
 }
@@ -274,14 +281,14 @@
 	r.join(1, "f0")
 	r.run(0.1)
 	first := len(r.pushes(1))
-	r.change(proto.Entry{EP: 9, State: proto.ServerOpen, Zone: "a", Weight: 1, Old: true, Stamp: 1, Addr: "s9"})
+	r.change(proto.Endpoint{Backend: 9, State: proto.BackendOpen, Zone: "a", Weight: 1, StartedLongAgo: true, Incarnation: 1, Addr: "s9"})
 	r.step(0.05)
 	if first != 1 || len(r.pushes(1)) != 0 {
 		t.Fatal("a push went out beside the one in flight")
 	}
 	for i := range 12 {
 		r.run(0.5)
-		r.step(0, data(1, proto.Sums{Over: 1}))
+		r.step(0, data(1, proto.Reports{Span: 1}))
 		if p := r.pushes(1); has(p, proto.OpBind, 0) {
 			return
 		} else if len(p) > 0 {
@@ -301,7 +308,7 @@
 	}
 	r.step(0.01, in...)
 	r.run(0.02)
-	r.change(entry(1, proto.ServerDraining))
+	r.change(entry(1, proto.BackendDraining))
 	r.step(0.005)
 	waiting := 0
 	for c := range statemachine.Conn(20) {
@@ -316,8 +323,8 @@
 	for c := range statemachine.Conn(20) {
 		all := r.pushes(c + 1)
 		for i, p := range all {
-			if p.Seq != uint64(i+1) {
-				t.Fatalf("proxy %d: push %d comes as number %d", c, p.Seq, i+1)
+			if p.Sequence != uint64(i+1) {
+				t.Fatalf("proxy %d: push %d comes as number %d", c, p.Sequence, i+1)
 			}
 		}
 		if holds(all)[1] {
@@ -327,18 +334,18 @@
 }
 
 // holds is what a proxy may send to after its pushes.
-func holds(all []proto.Push) map[proto.EP]bool {
-	open, shut := map[proto.EP]bool{}, map[proto.EP]bool{}
+func holds(all []proto.Push) map[proto.BackendID]bool {
+	open, shut := map[proto.BackendID]bool{}, map[proto.BackendID]bool{}
 	for _, p := range all {
 		for _, o := range p.Ops {
 			if o.Kind == proto.OpBind {
-				open, shut = map[proto.EP]bool{}, map[proto.EP]bool{}
+				open, shut = map[proto.BackendID]bool{}, map[proto.BackendID]bool{}
 			}
-			for _, l := range o.Lines {
-				open[l.EP], shut[l.EP] = l.Weight > 0, l.Shut
+			for _, l := range o.Entries {
+				open[l.Backend], shut[l.Backend] = l.Weight > 0, l.Excluded
 			}
-			for _, ep := range o.Withdrawn {
-				shut[ep] = o.Kind != proto.OpReadmit
+			for _, ep := range o.Backends {
+				shut[ep] = o.Kind != proto.OpRestore
 			}
 		}
 	}
@@ -398,7 +405,7 @@
 			r.step(0.01, statemachine.Input{Kind: statemachine.ConnClosed, Conn: was, Text: "refused"})
 		}
 		r.run(3)
-		r.step(0, data(1, proto.Sums{Over: 1}))
+		r.step(0, data(1, proto.Reports{Span: 1}))
 	}
 	if asked < 3 {
 		t.Fatalf("asked %d times in 18 s", asked)
@@ -417,7 +424,7 @@
 		want string
 	}{
 		{[]byte{0xff, 0, 0, 0, 1}, "a frame of"},
-		{proto.Append(nil, proto.Answer{Mark: 1}), "out of order"},
+		{proto.Append(nil, proto.Acknowledgement{Nonce: 1}), "out of order"},
 		{proto.Append(nil, proto.Hello{Version: 9, Name: "x", Zone: "a"}), "version 9"},
 		{proto.Append(nil, proto.Hello{Version: 1, Name: "x y", Zone: "a"}), "name"},
 		{proto.Append(nil, proto.Hello{Version: 1, Name: "x", Zone: "mars"}), "zone \"mars\""},
@@ -438,17 +445,17 @@
 			t.Fatalf("%d: %d sessions, the list's and the good proxy's expected", i, n)
 		}
 	}
-	r.change(entry(1, proto.ServerDraining))
+	r.change(entry(1, proto.BackendDraining))
 	r.run(1)
-	if r.closed[1] || !has(r.pushes(1), proto.OpWithdraw, 1) {
+	if r.closed[1] || !has(r.pushes(1), proto.OpExclude, 1) {
 		t.Fatal("the good proxy suffered")
 	}
 	// A stranger that says nothing, and a proxy whose link died without a word.
 	r.step(0, opened(50))
 	for range 24 {
 		r.run(0.5)
-		r.step(0, data(1, proto.Sums{Over: 0.5}))
-		r.step(0, data(r.list, proto.List{Kind: proto.ListChanges, Base: r.version, Version: r.version}))
+		r.step(0, data(1, proto.Reports{Span: 0.5}))
+		r.step(0, data(r.list, proto.EndpointUpdate{Kind: proto.UpdateDelta, BaseVersion: r.version, Version: r.version}))
 	}
 	if got := r.refused(50); !strings.Contains(got, "no hello") || r.closed[1] {
 		t.Fatalf("a silent stranger: %q", got)
@@ -461,12 +468,12 @@
 
 // A list frame that is not right is refused whole; the list stays as it was, and is asked for again.
 func TestBadListsAreRefusedWhole(t *testing.T) {
-	for name, l := range map[string]proto.List{
-		"twice":    {Kind: proto.ListFull, Version: 9, Entries: []proto.Entry{entry(7, proto.ServerOpen), entry(7, proto.ServerOpen)}},
-		"gap":      {Kind: proto.ListChanges, Base: 7, Version: 8, Entries: []proto.Entry{entry(7, proto.ServerOpen)}},
-		"gone":     {Kind: proto.ListFull, Version: 9, Entries: []proto.Entry{entry(7, proto.ServerGone)}},
-		"nowhere":  {Kind: proto.ListFull, Version: 9, Entries: []proto.Entry{{EP: 7, State: proto.ServerOpen}}},
-		"half bad": {Kind: proto.ListChanges, Base: 1, Version: 2, Entries: []proto.Entry{entry(1, proto.ServerGone), {EP: 8, State: proto.ServerOpen}}},
+	for name, l := range map[string]proto.EndpointUpdate{
+		"twice":    {Kind: proto.UpdateFull, Version: 9, Endpoints: []proto.Endpoint{entry(7, proto.BackendOpen), entry(7, proto.BackendOpen)}},
+		"gap":      {Kind: proto.UpdateDelta, BaseVersion: 7, Version: 8, Endpoints: []proto.Endpoint{entry(7, proto.BackendOpen)}},
+		"gone":     {Kind: proto.UpdateFull, Version: 9, Endpoints: []proto.Endpoint{entry(7, proto.BackendGone)}},
+		"nowhere":  {Kind: proto.UpdateFull, Version: 9, Endpoints: []proto.Endpoint{{Backend: 7, State: proto.BackendOpen}}},
+		"half bad": {Kind: proto.UpdateDelta, BaseVersion: 1, Version: 2, Endpoints: []proto.Endpoint{entry(1, proto.BackendGone), {Backend: 8, State: proto.BackendOpen}}},
 	} {
 		r := newRig(t, nil, nil)
 		r.listed(3)
@@ -483,7 +490,7 @@
 	r := newRig(t, nil, nil)
 	r.listed(3)
 	for range 3 { // the same version again changes nothing
-		r.step(0.01, data(r.list, proto.List{Kind: proto.ListChanges, Base: 0, Version: 1, Entries: []proto.Entry{entry(1, proto.ServerDraining)}}))
+		r.step(0.01, data(r.list, proto.EndpointUpdate{Kind: proto.UpdateDelta, BaseVersion: 0, Version: 1, Endpoints: []proto.Endpoint{entry(1, proto.BackendDraining)}}))
 	}
 	if r.closed[r.list] || r.m.core.roll.entries[1].Entry.State != choice.BackendOpen {
 		t.Error("a version that came twice applied twice")
@@ -497,19 +504,19 @@
 	r.join(1, "f0")
 	r.join(2, "f1")
 	r.run(0.1)
-	r.step(0, data(1, proto.Answer{Mark: r.pushes(1)[0].Mark}), data(2, proto.Answer{Mark: r.pushes(2)[0].Mark}))
+	r.step(0, data(1, proto.Acknowledgement{Nonce: r.pushes(1)[0].Nonce}), data(2, proto.Acknowledgement{Nonce: r.pushes(2)[0].Nonce}))
 	var late []statemachine.Input
 	for range 5 {
-		late = append(late, data(1, proto.Sums{Over: 1}), data(2, proto.Sums{Over: 1}))
+		late = append(late, data(1, proto.Reports{Span: 1}), data(2, proto.Reports{Span: 1}))
 	}
 	r.version++
-	late = append(late, data(r.list, proto.List{Kind: proto.ListChanges, Base: r.version - 1, Version: r.version, Entries: []proto.Entry{entry(1, proto.ServerDraining)}}))
+	late = append(late, data(r.list, proto.EndpointUpdate{Kind: proto.UpdateDelta, BaseVersion: r.version - 1, Version: r.version, Endpoints: []proto.Endpoint{entry(1, proto.BackendDraining)}}))
 	r.step(5, late...)
 	if r.closed[1] || r.closed[2] {
 		t.Fatal("a proxy that was heard of in time was dropped")
 	}
 	r.run(0.05)
-	if a, b := r.pushes(1), r.pushes(2); len(a) > 2 || len(b) > 2 || holds(a)[1] || !has(append(a, b...), proto.OpWithdraw, 1) {
+	if a, b := r.pushes(1), r.pushes(2); len(a) > 2 || len(b) > 2 || holds(a)[1] || !has(append(a, b...), proto.OpExclude, 1) {
 		t.Fatalf("%+v %+v", a, b)
 	}
 }
@@ -534,7 +541,7 @@
 		if len(p) == 0 || len(holds(p)) < 3 {
 			t.Fatalf("proxy %d has no table: %+v", c, p)
 		}
-		last = max(last, float64(p[0].Waiting))
+		last = max(last, float64(p[0].QueuedEntries))
 	}
 	if f := r.m.Figures(); f.MostWaiting > 20000 {
 		t.Fatalf("%d lines waited", f.MostWaiting)
@@ -549,8 +556,10 @@
 	k.due(now)
 	for p := range 20 {
 		s := &stream{proxy: choice.ProxyID(p), zone: "a"}
-		k.heard(now, s, proto.Sums{Over: 2, Usage: []proto.Usage{{Method: 0, RPCs: 3, Bad: 1}, {Method: 9, RPCs: 3}},
-			Tries: []proto.Tries{{EP: 1, Tries: 4, Bad: 2, Delay: 0.1}, {EP: 2, Tries: 1, Delay: 0.2}}}, all, 2)
+		k.heard(now, s, proto.Reports{
+			Span: 2, Usage: []proto.UsageReport{{Method: 0, RPCs: 3, Failures: 1}, {Method: 9, RPCs: 3}},
+			Attempts: []proto.AttemptReport{{Backend: 1, Attempts: 4, Failures: 2, MeanLatency: 0.1}, {Backend: 2, Attempts: 1, MeanLatency: 0.2}},
+		}, all, 2)
 	}
 	tries, usage, at := 0, 0, []float64{}
 	for range 80 {
@@ -579,7 +588,7 @@
 	}
 	// However late the module is, what waits is bounded by pairs.
 	for range 1000 {
-		k.heard(now, &stream{zone: "a"}, proto.Sums{Over: 1, Usage: []proto.Usage{{Method: 0, RPCs: 1}}, Tries: []proto.Tries{{EP: 1, Tries: 1}}}, all, 2)
+		k.heard(now, &stream{zone: "a"}, proto.Reports{Span: 1, Usage: []proto.UsageReport{{Method: 0, RPCs: 1}}, Attempts: []proto.AttemptReport{{Backend: 1, Attempts: 1}}}, all, 2)
 	}
 	if n := len(k.queue); n > 2 {
 		t.Fatalf("%d lines wait for one server and one proxy", n)
@@ -591,7 +600,7 @@
 	for _, rate := range []float64{3, 7, 500, 1e4 / 3} {
 		k := newIntake(choice.Config{Now: 1e6, Settings: choice.DecodeSettings(map[string]any{"intake": rate, "report_period": 2.0})})
 		for p := range 50 {
-			k.heard(1e6, &stream{proxy: choice.ProxyID(p)}, proto.Sums{Usage: []proto.Usage{{RPCs: 1}}}, nil, 1)
+			k.heard(1e6, &stream{proxy: choice.ProxyID(p)}, proto.Reports{Usage: []proto.UsageReport{{RPCs: 1}}}, nil, 1)
 		}
 		now, steps, handed := 1e6, 0, 0
 		for at, any := now, true; any && steps < 200; at, any = k.wake() {
@@ -614,7 +623,7 @@
 		c := statemachine.Conn(i + 1)
 		r.join(c, fmt.Sprint("f", i))
 		r.run(0.02)
-		r.step(100, gone(c), data(r.list, proto.List{Kind: proto.ListChanges, Base: r.version, Version: r.version}))
+		r.step(100, gone(c), data(r.list, proto.EndpointUpdate{Kind: proto.UpdateDelta, BaseVersion: r.version, Version: r.version}))
 	}
 	if len(core.numbered) > 20 || core.book.TableCount() > 20 || len(core.members) > 20 {
 		t.Fatalf("%d numbers, %d tables and %d names for proxies that came one by one", len(core.numbered), core.book.TableCount(), len(core.members))
@@ -652,7 +661,7 @@
 	r.join(2, "f0")
 	r.run(0.1)
 	w, ok := r.got[2][0].(proto.Welcome)
-	if p := r.pushes(2); !ok || w.Period != 3 || len(p) != 1 || len(holds(p)) < 3 {
+	if p := r.pushes(2); !ok || w.ReportPeriod != 3 || len(p) != 1 || len(holds(p)) < 3 {
 		t.Fatalf("%+v %+v", w, p)
 	}
 }
@@ -663,10 +672,10 @@
 	r.listed(8)
 	r.join(1, "f0")
 	r.run(0.1)
-	r.step(0, data(1, proto.Answer{Mark: r.pushes(1)[0].Mark}))
+	r.step(0, data(1, proto.Acknowledgement{Nonce: r.pushes(1)[0].Nonce}))
 	most := 0
 	for range 60 { // only server 1 answers
-		r.step(0.1, data(1, proto.Sums{Over: 0.1, Usage: []proto.Usage{{RPCs: 20}}, Tries: []proto.Tries{{EP: 1, Tries: 20, Delay: 0.01}}}))
+		r.step(0.1, data(1, proto.Reports{Span: 0.1, Usage: []proto.UsageReport{{RPCs: 20}}, Attempts: []proto.AttemptReport{{Backend: 1, Attempts: 20, MeanLatency: 0.01}}}))
 		r.run(0.05)
 		most = max(most, r.m.probing)
 	}
@@ -703,7 +712,7 @@
 	if tell("\xff\x00!"); len(r.out.Actions) != 1 {
 		t.Fatalf("%+v", r.out.Actions)
 	}
-	r.step(0.01, opened(7), data(7, proto.Hello{Version: 1, Role: proto.RolePeer, Name: "c1", Zone: "b"}, proto.PeerNote{From: 1, Data: "\xff\x00!"}))
+	r.step(0.01, opened(7), data(7, proto.Hello{Version: 1, Role: proto.RolePeer, Name: "c1", Zone: "b"}, proto.PeerMessage{From: 1, Data: "\xff\x00!"}))
 	if r.closed[7] || r.m.sessions[7].role != peerRole {
 		t.Fatal("a peer was not taken")
 	}
--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -38,10 +38,10 @@
 	// Sums of a proxy.
 	Sums struct {
 		Stream StreamID
-		Sums   proto.Sums
+		Sums   proto.Reports
 	}
 	// News of the list.
-	News struct{ List proto.List }
+	News struct{ List proto.EndpointUpdate }
 	// ListLost: the list service can't be reached, or the stream to it ended.
 	ListLost struct{}
 	// Durable: all records up to this batch are.
@@ -66,7 +66,7 @@
 	Sends  []Send
 	Drops  []Drop
 	Probes []Target
-	Watch  *proto.Watch
+	Watch  *proto.WatchEndpoints
 	Fetch  bool
 	Tells  []choice.SendToPeer
 	Says   []string
@@ -191,11 +191,15 @@
 
 // New makes a coordinator that goes on from what its last run kept; nil: nothing is kept.
 func New(boot choice.Config, kept *checkpoint.Kept) *Core {
-	c := &Core{boot: boot, planner: choice.New(boot), methods: len(boot.Settings.Methods), round: boot.Settings.Tick.Or(0),
+	c := &Core{
+		boot: boot, planner: choice.New(boot), methods: len(boot.Settings.Methods), round: boot.Settings.Tick.Or(0),
 		roll: &roll{entries: map[choice.BackendID]*server{}}, keep: checkpoint.New(boot.Now, kept), intake: newIntake(boot), streams: map[StreamID]*stream{},
-		members: map[string]*member{}, book: fanout.New(), alarm: boot.Now}
-	c.channel = channel{pace: boot.Settings.ChannelPace.Or(1e4), head: int(boot.Settings.MessageLines.Or(0)), burst: c.round,
-		free: boot.Now}
+		members: map[string]*member{}, book: fanout.New(), alarm: boot.Now,
+	}
+	c.channel = channel{
+		pace: boot.Settings.ChannelPace.Or(1e4), head: int(boot.Settings.MessageLines.Or(0)), burst: c.round,
+		free: boot.Now,
+	}
 	c.stepped = boot.Now - c.round
 	if kept != nil && kept.Held {
 		c.roll = &roll{version: kept.Version, held: true, entries: map[choice.BackendID]*server{}}
@@ -426,14 +430,16 @@
 }
 
 // opKinds are the protocol's words for what proxies are told.
-var opKinds = map[fanout.OpKind]proto.OpKind{fanout.OpSetEntry: proto.OpLine, fanout.OpClear: proto.OpClear, fanout.OpBind: proto.OpBind,
-	fanout.OpAdmission: proto.OpLevel, fanout.OpExclude: proto.OpWithdraw, fanout.OpRestore: proto.OpReadmit}
+var opKinds = map[fanout.OpKind]proto.OpKind{
+	fanout.OpSetEntry: proto.OpSetEntry, fanout.OpClear: proto.OpClear, fanout.OpBind: proto.OpBind,
+	fanout.OpAdmission: proto.OpAdmission, fanout.OpExclude: proto.OpExclude, fanout.OpRestore: proto.OpRestore,
+}
 
 // ops puts what a proxy is told into the protocol's form.
-func (c *Core) ops(all []fanout.TableOp) []proto.Op {
-	out := make([]proto.Op, 0, len(all))
+func (c *Core) ops(all []fanout.TableOp) []proto.TableOp {
+	out := make([]proto.TableOp, 0, len(all))
 	for _, x := range all {
-		op := proto.Op{Kind: opKinds[x.Kind]}
+		op := proto.TableOp{Kind: opKinds[x.Kind]}
 		if x.Kind != fanout.OpExclude && x.Kind != fanout.OpRestore {
 			op.Table = uint64(x.Table)
 		}
@@ -441,13 +447,13 @@
 			op.Methods = x.Methods
 		}
 		for _, l := range x.Entries {
-			op.Lines = append(op.Lines, c.line(l))
+			op.Entries = append(op.Entries, c.line(l))
 		}
 		for _, g := range x.Admissions {
-			op.Levels = append(op.Levels, proto.Level{Methods: g.Methods, Level: g.Level, Tries: uint64(g.Retry)})
+			op.Admissions = append(op.Admissions, proto.Admission{Methods: g.Methods, Level: g.Level, Retry: uint64(g.Retry)})
 		}
 		for _, ep := range x.Backends {
-			op.Withdrawn = append(op.Withdrawn, proto.EP(ep))
+			op.Backends = append(op.Backends, proto.BackendID(ep))
 		}
 		out = append(out, op)
 	}
@@ -463,8 +469,8 @@
 	return c.planner.Step(now, events)
 }
 
-func (c *Core) line(e fanout.TableEntry) proto.Line {
-	l := proto.Line{EP: proto.EP(e.Backend), Weight: e.Weight, Shut: e.Excluded}
+func (c *Core) line(e fanout.TableEntry) proto.TableEntry {
+	l := proto.TableEntry{Backend: proto.BackendID(e.Backend), Weight: e.Weight, Excluded: e.Excluded}
 	if s := c.roll.entries[e.Backend]; s != nil && e.Weight > 0 {
 		l.Addr = s.Addr
 	}
@@ -475,9 +481,9 @@
 func (c *Core) carry(now choice.Seconds, o choice.Command) {
 	switch o := o.(type) {
 	case choice.WatchEndpoints:
-		c.out.Watch = &proto.Watch{On: o.On, Since: c.roll.version}
+		c.out.Watch = &proto.WatchEndpoints{On: o.On, SinceVersion: c.roll.version}
 		if !c.roll.held {
-			c.out.Watch.Since = 0
+			c.out.Watch.SinceVersion = 0
 		}
 	case choice.FetchEndpoints:
 		c.out.Fetch = true
@@ -516,7 +522,9 @@
 		}
 		c.figures.Messages++
 		c.figures.Lines += m.lines
-		c.out.Sends = append(c.out.Sends, Send{s.id, proto.Push{Seq: s.sent, Waiting: uint64(max(c.channel.waiting, 0)),
-			Marked: m.marked, Mark: m.wire, Ops: m.ops}})
+		c.out.Sends = append(c.out.Sends, Send{s.id, proto.Push{
+			Sequence: s.sent, QueuedEntries: uint64(max(c.channel.waiting, 0)),
+			HasNonce: m.marked, Nonce: m.wire, Ops: m.ops,
+		}})
 	}
 }
--- a/internal/coordinator/intake.go
+++ b/internal/coordinator/intake.go
@@ -49,15 +49,17 @@
 )
 
 func newIntake(boot choice.Config) *intake {
-	return &intake{rate: boot.Settings.Intake.Or(0), period: boot.Settings.ReportPeriod.Or(1), last: boot.Now,
-		tries: map[tryPair]*sum{}, usage: map[usagePair]*sum{}}
+	return &intake{
+		rate: boot.Settings.Intake.Or(0), period: boot.Settings.ReportPeriod.Or(1), last: boot.Now,
+		tries: map[tryPair]*sum{}, usage: map[usagePair]*sum{},
+	}
 }
 
-func (k *intake) heard(now choice.Seconds, s *stream, m proto.Sums, known func(choice.BackendID) bool, methods int) {
-	from := now - m.Over
-	for _, t := range m.Tries {
-		pair := tryPair{choice.BackendID(t.EP), s.zone}
-		if t.Tries == 0 || !known(pair.ep) {
+func (k *intake) heard(now choice.Seconds, s *stream, m proto.Reports, known func(choice.BackendID) bool, methods int) {
+	from := now - m.Span
+	for _, t := range m.Attempts {
+		pair := tryPair{choice.BackendID(t.Backend), s.zone}
+		if t.Attempts == 0 || !known(pair.ep) {
 			continue
 		}
 		x := k.tries[pair]
@@ -67,11 +69,11 @@
 			k.tries[pair] = x
 			k.add(x)
 		}
-		good, more := float64(x.n-x.bad), float64(t.Tries-t.Bad)
+		good, more := float64(x.n-x.bad), float64(t.Attempts-t.Failures)
 		if more > 0 {
-			x.delay = (x.delay*good + t.Delay*more) / (good + more)
+			x.delay = (x.delay*good + t.MeanLatency*more) / (good + more)
 		}
-		x.n, x.bad = x.n+int(t.Tries), x.bad+int(t.Bad)
+		x.n, x.bad = x.n+int(t.Attempts), x.bad+int(t.Failures)
 		x.from, x.to = min(x.from, from), now
 	}
 	for _, u := range m.Usage {
@@ -85,7 +87,7 @@
 			k.usage[pair] = x
 			k.add(x)
 		}
-		x.n, x.bad = x.n+int(u.RPCs), x.bad+int(u.Bad)
+		x.n, x.bad = x.n+int(u.RPCs), x.bad+int(u.Failures)
 		x.from, x.to = min(x.from, from), now
 	}
 }
@@ -102,12 +104,16 @@
 		k.credit--
 		if x.usage {
 			delete(k.usage, x.use)
-			events = append(events, choice.UsageReport{Proxy: x.use.proxy, Method: x.use.method, RPCs: x.n,
-				Failures: min(x.bad, x.n), Span: x.to - x.from})
+			events = append(events, choice.UsageReport{
+				Proxy: x.use.proxy, Method: x.use.method, RPCs: x.n,
+				Failures: min(x.bad, x.n), Span: x.to - x.from,
+			})
 		} else {
 			delete(k.tries, x.pair)
-			events = append(events, choice.AttemptReport{Backend: x.pair.ep, Zone: x.pair.zone, Attempts: x.n, Failures: x.bad,
-				MeanLatency: x.delay, Span: x.to - x.from})
+			events = append(events, choice.AttemptReport{
+				Backend: x.pair.ep, Zone: x.pair.zone, Attempts: x.n, Failures: x.bad,
+				MeanLatency: x.delay, Span: x.to - x.from,
+			})
 		}
 	}
 	return events
--- a/internal/coordinator/intake_test.go
+++ b/internal/coordinator/intake_test.go
@@ -12,7 +12,7 @@
 func TestUsageDoesNotWaitBehindTries(t *testing.T) {
 	k := newIntake(choice.Config{Now: 100, Settings: choice.DecodeSettings(map[string]any{"intake": 0.0, "report_period": 2.0})})
 	known := func(choice.BackendID) bool { return true }
-	sums := proto.Sums{Over: 1, Tries: []proto.Tries{{EP: 1, Tries: 4}}, Usage: []proto.Usage{{Method: 0, RPCs: 5}}}
+	sums := proto.Reports{Span: 1, Attempts: []proto.AttemptReport{{Backend: 1, Attempts: 4}}, Usage: []proto.UsageReport{{Method: 0, RPCs: 5}}}
 	k.heard(100, &stream{zone: "a"}, sums, known, 1)
 	first := k.due(100)
 	if len(first) != 1 {
--- a/internal/coordinator/kept_test.go
+++ b/internal/coordinator/kept_test.go
@@ -18,7 +18,7 @@
 type fact struct {
 	at    int // bytes of the segment
 	proxy int
-	ep    proto.EP
+	ep    proto.BackendID
 	mark  uint64
 	back  bool
 }
@@ -87,12 +87,12 @@
 		for c := 1; c <= proxies; c++ {
 			for _, p := range r.pushes(statemachine.Conn(c)) {
 				_, at := r.segment()
-				r.facts = append(r.facts, fact{at: at, mark: p.Mark})
-				r.pass(0.01, data(statemachine.Conn(c), proto.Answer{Mark: p.Mark}))
+				r.facts = append(r.facts, fact{at: at, mark: p.Nonce})
+				r.pass(0.01, data(statemachine.Conn(c), proto.Acknowledgement{Nonce: p.Nonce}))
 				for _, o := range p.Ops {
-					if o.Kind == proto.OpWithdraw {
+					if o.Kind == proto.OpExclude {
 						_, at := r.segment()
-						r.facts = append(r.facts, fact{at: at, proxy: c, ep: o.Withdrawn[0]})
+						r.facts = append(r.facts, fact{at: at, proxy: c, ep: o.Backends[0]})
 					}
 				}
 			}
@@ -101,16 +101,16 @@
 	}
 }
 
-func (r *storeRun) news(entries ...proto.Entry) {
+func (r *storeRun) news(entries ...proto.Endpoint) {
 	r.t.Helper()
 	r.version++
 	_, at := r.segment()
 	for _, e := range entries {
-		if e.State == proto.ServerOpen {
-			r.facts = append(r.facts, fact{at: at, ep: e.EP, back: true})
+		if e.State == proto.BackendOpen {
+			r.facts = append(r.facts, fact{at: at, ep: e.Backend, back: true})
 		}
 	}
-	r.pass(0.05, data(r.list, proto.List{Kind: proto.ListChanges, Base: r.version - 1, Version: r.version, Entries: entries}))
+	r.pass(0.05, data(r.list, proto.EndpointUpdate{Kind: proto.UpdateDelta, BaseVersion: r.version - 1, Version: r.version, Endpoints: entries}))
 }
 
 const proofProxies = 3
@@ -120,9 +120,9 @@
 	r := newStoreRun(t, folder, map[string]any{"messages": 0.0})
 	r.pass(0.5)
 	r.version++
-	l := proto.List{Kind: proto.ListFull, Version: r.version}
+	l := proto.EndpointUpdate{Kind: proto.UpdateFull, Version: r.version}
 	for i := range 8 {
-		l.Entries = append(l.Entries, entry(i+1, proto.ServerOpen))
+		l.Endpoints = append(l.Endpoints, entry(i+1, proto.BackendOpen))
 	}
 	r.pass(0.1, opened(r.list), data(r.list, proto.Welcome{Version: 1, Name: "list"}, l))
 	for c := 1; c <= proofProxies; c++ {
@@ -130,9 +130,9 @@
 	}
 	r.pass(0.2)
 	r.obey(proofProxies)
-	r.news(entry(1, proto.ServerDraining))
+	r.news(entry(1, proto.BackendDraining))
 	r.obey(proofProxies)
-	r.news(entry(2, proto.ServerDraining), entry(3, proto.ServerGone))
+	r.news(entry(2, proto.BackendDraining), entry(3, proto.BackendGone))
 	r.obey(proofProxies)
 	if compact {
 		for more := true; more; {
@@ -146,11 +146,11 @@
 			r.facts[i].at = 0
 		}
 	}
-	back := entry(1, proto.ServerOpen)
-	back.Stamp = 2
+	back := entry(1, proto.BackendOpen)
+	back.Incarnation = 2
 	r.news(back)
 	r.obey(proofProxies)
-	r.news(entry(4, proto.ServerGone), entry(5, proto.ServerDraining))
+	r.news(entry(4, proto.BackendGone), entry(5, proto.BackendDraining))
 	r.obey(proofProxies)
 	r.pass(1.5)
 	return r
@@ -172,7 +172,7 @@
 		for cut := 40; cut <= size; cut++ {
 			left := folder.Copy()
 			left.Put(name, slices.Clone(log[:cut]))
-			out, given := map[proto.EP]map[int]bool{}, uint64(0)
+			out, given := map[proto.BackendID]map[int]bool{}, uint64(0)
 			for _, f := range r.facts {
 				switch {
 				case f.at > cut:
@@ -190,7 +190,7 @@
 			next := newStoreRun(t, left, map[string]any{"messages": 0.0})
 			for c := 1; c <= proofProxies; c++ {
 				h := hello(fmt.Sprint("f", c))
-				h.Fresh, h.Holds, h.Mark = false, "c0", given
+				h.Fresh, h.TablesOf, h.Nonce = false, "c0", given
 				next.pass(0.01, opened(statemachine.Conn(c)), data(statemachine.Conn(c), h))
 			}
 			next.pass(0.3)
@@ -203,14 +203,14 @@
 					}
 					if by[c] {
 						kept++
-						if has(pushes, proto.OpWithdraw, ep) {
+						if has(pushes, proto.OpExclude, ep) {
 							t.Fatalf("cut at %d: proxy %d is told again to withdraw %d", cut, c, ep)
 						}
 					}
 				}
 				for _, p := range pushes {
-					if p.Marked && p.Mark <= given {
-						t.Fatalf("cut at %d: mark %d, though %d was given before", cut, p.Mark, given)
+					if p.HasNonce && p.Nonce <= given {
+						t.Fatalf("cut at %d: mark %d, though %d was given before", cut, p.Nonce, given)
 					}
 				}
 			}
@@ -229,22 +229,22 @@
 	r.listed(6)
 	r.join(1, "f0")
 	r.run(0.1)
-	r.step(0.01, data(1, proto.Answer{Mark: r.pushes(1)[0].Mark}))
+	r.step(0.01, data(1, proto.Acknowledgement{Nonce: r.pushes(1)[0].Nonce}))
 	r.run(0.1)
 	counted := func() bool { return len(r.m.core.answers) == 0 }
 	for i, want := range []string{"durable", "slow", "out of order"} {
 		r.stuck = true
-		r.change(entry(i+1, proto.ServerDraining))
+		r.change(entry(i+1, proto.BackendDraining))
 		if want == "out of order" {
 			r.step(0, statemachine.Input{Kind: statemachine.PersistFailed, Text: "no space"})
 		}
 		r.run(0.02)
 		p := r.pushes(1)
-		if !has(p, proto.OpWithdraw, proto.EP(i+1)) {
+		if !has(p, proto.OpExclude, proto.BackendID(i+1)) {
 			t.Fatalf("%s: the withdrawal waited: %+v", want, p)
 		}
 		for _, x := range p {
-			r.step(0.001, data(1, proto.Answer{Mark: x.Mark}))
+			r.step(0.001, data(1, proto.Acknowledgement{Nonce: x.Nonce}))
 		}
 		r.run(0.1)
 		if counted() != (want == "out of order") {
@@ -291,7 +291,7 @@
 		} else {
 			r.run(0.01)
 		}
-		if p := r.pushes(1); len(p) != 1 || p[0].Mark < 500 {
+		if p := r.pushes(1); len(p) != 1 || p[0].Nonce < 500 {
 			t.Errorf("hangs %v: %+v", hangs, p)
 		}
 	}
@@ -304,18 +304,18 @@
 	r.listed(2)
 	r.join(1, "f0")
 	r.run(0.1)
-	r.change(entry(1, proto.ServerGone), entry(2, proto.ServerGone))
+	r.change(entry(1, proto.BackendGone), entry(2, proto.BackendGone))
 	r.run(0.1)
 	next := newRig(t, nil, r.kept())
 	h := hello("f0")
-	h.Fresh, h.Holds = false, "c0"
+	h.Fresh, h.TablesOf = false, "c0"
 	next.step(0.01, opened(1), data(1, h))
 	next.run(0.1)
 	all := next.pushes(1)
 	bound := slices.ContainsFunc(all, func(p proto.Push) bool {
-		return slices.ContainsFunc(p.Ops, func(o proto.Op) bool { return o.Kind == proto.OpBind })
+		return slices.ContainsFunc(p.Ops, func(o proto.TableOp) bool { return o.Kind == proto.OpBind })
 	})
-	if !bound && (!has(all, proto.OpWithdraw, 1) || !has(all, proto.OpWithdraw, 2)) {
+	if !bound && (!has(all, proto.OpExclude, 1) || !has(all, proto.OpExclude, 2)) {
 		t.Fatalf("bound %v: %+v", bound, all)
 	}
 }
--- a/internal/coordinator/machine.go
+++ b/internal/coordinator/machine.go
@@ -76,8 +76,10 @@
 // NewMachine makes a coordinator that goes on from what its last run kept; nil: nothing is kept. Whoever drives it with
 // something kept must write out.Puts, and tell what became of them.
 func NewMachine(boot Bootstrap, kept *checkpoint.Kept) *Machine {
-	return &Machine{boot: boot, core: New(boot.Module, kept), sessions: map[statemachine.Conn]*session{}, peers: map[choice.PeerID]*session{},
-		dialled: statemachine.Dialed, swept: boot.Module.Now, faulted: map[string]int{}}
+	return &Machine{
+		boot: boot, core: New(boot.Module, kept), sessions: map[statemachine.Conn]*session{}, peers: map[choice.PeerID]*session{},
+		dialled: statemachine.Dialed, swept: boot.Module.Now, faulted: map[string]int{},
+	}
 }
 
 // Renew puts other settings in force. The module reads its settings once, so a fresh instance takes over, as after a
@@ -215,7 +217,7 @@
 		hello.Role = proto.RoleWatcher
 		out.Write(s.conn, proto.Append(nil, hello))
 	case probeRole:
-		hello.Role = proto.RoleCaller
+		hello.Role = proto.RoleClient
 		out.Write(s.conn, proto.Append(proto.Append(nil, hello), proto.Probe{ID: 1}))
 	case peerRole:
 		hello.Role = proto.RolePeer
@@ -225,7 +227,7 @@
 
 // refuse says why and closes; the session's events are the caller's to raise.
 func (m *Machine) refuse(s *session, reason string, out *statemachine.Effects) {
-	out.Write(s.conn, proto.Append(nil, proto.Refuse{Reason: reason}))
+	out.Write(s.conn, proto.Append(nil, proto.Reject{Reason: reason}))
 	out.Close(s.conn)
 	m.complain(s, reason, out)
 }
@@ -271,35 +273,35 @@
 
 // message takes one message of a stream; an error closes that stream, and no other.
 func (m *Machine) message(now statemachine.Seconds, s *session, msg proto.Message, out *statemachine.Effects, events []Event) ([]Event, error) {
-	if r, ok := msg.(proto.Refuse); ok {
+	if r, ok := msg.(proto.Reject); ok {
 		return events, fmt.Errorf("the other side refused: %s", r.Reason)
 	}
 	switch s.role {
 	case stranger:
 		h, ok := msg.(proto.Hello)
 		if !ok {
-			return events, fmt.Errorf("%w: %T before the hello", errOrder, msg)
+			return events, fmt.Errorf("%w: %s before the hello", errOrder, proto.WireName(msg))
 		}
 		return m.hello(now, s, h, out, events)
 	case proxyRole:
 		switch x := msg.(type) {
-		case proto.Answer:
-			return append(events, Answer{StreamID(s.conn), x.Mark}), nil
-		case proto.Sums:
-			out.Write(s.conn, proto.Append(nil, proto.Heard{}))
+		case proto.Acknowledgement:
+			return append(events, Answer{StreamID(s.conn), x.Nonce}), nil
+		case proto.Reports:
+			out.Write(s.conn, proto.Append(nil, proto.ReportsReceived{}))
 			return append(events, Sums{StreamID(s.conn), x}), nil
 		}
 	case listRole:
 		switch x := msg.(type) {
 		case proto.Welcome:
-			s.reader.Open()
+			s.reader.HandshakeDone()
 			s.ready = true
 			for _, a := range m.asks {
 				out.Write(s.conn, proto.Append(nil, a))
 			}
 			m.asks = nil
 			return events, nil
-		case proto.List:
+		case proto.EndpointUpdate:
 			if !s.ready {
 				return events, fmt.Errorf("%w: a list before the welcome", errOrder)
 			}
@@ -313,8 +315,10 @@
 			delete(m.sessions, s.conn)
 			m.probing--
 			out.Close(s.conn)
-			events = append(events, Probed{EP: s.probe.EP, OK: x.Status == proto.OK, Busy: x.Status == proto.PushedBack,
-				Delay: now - s.opened})
+			events = append(events, Probed{
+				EP: s.probe.EP, OK: x.Status == proto.StatusOK, Busy: x.Status == proto.StatusRejected,
+				Delay: now - s.opened,
+			})
 			m.probeNext(now, out)
 			return events, nil
 		}
@@ -323,11 +327,11 @@
 		case proto.Welcome:
 			s.ready = true
 			return events, nil
-		case proto.PeerNote:
+		case proto.PeerMessage:
 			return append(events, PeerNote{choice.PeerID(x.From), x.Data}), nil
 		}
 	}
-	return events, fmt.Errorf("%w: %T", errOrder, msg)
+	return events, fmt.Errorf("%w: %s", errOrder, proto.WireName(msg))
 }
 
 // goodName keeps names fit for logs, traces and terminals.
@@ -343,8 +347,8 @@
 		return events, errors.New("a name or zone that is empty, over 64 bytes or not printable")
 	}
 	s.name = h.Name
-	s.reader.Open()
-	welcome := proto.Welcome{Version: proto.Version, Name: m.boot.Name, Period: m.boot.Module.Settings.ReportPeriod.Or(1)}
+	s.reader.HandshakeDone()
+	welcome := proto.Welcome{Version: proto.Version, Name: m.boot.Name, ReportPeriod: m.boot.Module.Settings.ReportPeriod.Or(1)}
 	for _, method := range m.boot.Module.Settings.Methods {
 		welcome.Methods = append(welcome.Methods, method.Name)
 	}
@@ -355,7 +359,7 @@
 		}
 		s.role = proxyRole
 		out.Write(s.conn, proto.Append(nil, welcome))
-		out.Log(1, "proxy joined", "proxy", h.Name, "zone", h.Zone, "rate", h.Rate, "holds", h.Holds)
+		out.Log(1, "proxy joined", "proxy", h.Name, "zone", h.Zone, "rate", h.Rate, "holds", h.TablesOf)
 		return append(events, Join{StreamID(s.conn), h}), nil
 	case proto.RolePeer:
 		s.role = peerRole
@@ -439,7 +443,7 @@
 		m.askList(now, *o.Watch, out)
 	}
 	if o.Fetch {
-		m.askList(now, proto.Fetch{}, out)
+		m.askList(now, proto.FetchEndpoints{}, out)
 	}
 	for _, t := range o.Probes {
 		if len(m.queued) < 4*m.boot.MostProbes { // the module asks again for one that got lost here
@@ -485,14 +489,14 @@
 func (m *Machine) tell(now statemachine.Seconds, t choice.SendToPeer, out *statemachine.Effects) {
 	for p := range choice.PeerID(int(m.boot.Module.Settings.Coordinators.Or(1))) {
 		addr := m.boot.Peers[p]
-		if addr == "" || t.To >= 0 && t.To != p || len(t.Data) > proto.MostWord {
+		if addr == "" || t.To >= 0 && t.To != p || len(t.Data) > proto.MaxString {
 			continue
 		}
 		s := m.peers[p]
 		if s == nil {
 			m.peers[p] = m.dial(now, addr, &session{role: peerRole, peer: p, name: addr}, out)
 		} else if s.ready {
-			out.Write(s.conn, proto.Append(nil, proto.PeerNote{From: uint64(m.boot.Module.Settings.Self.Or(0)), Data: string(t.Data)}))
+			out.Write(s.conn, proto.Append(nil, proto.PeerMessage{From: uint64(m.boot.Module.Settings.Self.Or(0)), Data: string(t.Data)}))
 		}
 	}
 }
--- a/internal/coordinator/roll.go
+++ b/internal/coordinator/roll.go
@@ -21,45 +21,45 @@
 
 // news checks a list frame, takes it over and gives what the module is to hear of it. Nothing of a frame that is
 // refused is taken over.
-func (r *roll) news(now choice.Seconds, m proto.List) (l *choice.EndpointUpdate, changed []server, gone []choice.BackendID, err error) {
-	if m.Kind == proto.ListError {
+func (r *roll) news(now choice.Seconds, m proto.EndpointUpdate) (l *choice.EndpointUpdate, changed []server, gone []choice.BackendID, err error) {
+	if m.Kind == proto.UpdateFailed {
 		return &choice.EndpointUpdate{Kind: choice.UpdateFailed}, nil, nil, nil
 	}
-	seen := make(map[proto.EP]bool, len(m.Entries))
-	for _, e := range m.Entries {
+	seen := make(map[proto.BackendID]bool, len(m.Endpoints))
+	for _, e := range m.Endpoints {
 		switch {
-		case seen[e.EP]:
-			return nil, nil, nil, fmt.Errorf("list version %d names server %d twice", m.Version, e.EP)
-		case e.State != proto.ServerGone && e.Addr == "":
-			return nil, nil, nil, fmt.Errorf("list version %d gives no address for server %d", m.Version, e.EP)
-		case e.State == proto.ServerGone && m.Kind == proto.ListFull:
-			return nil, nil, nil, fmt.Errorf("list version %d is whole, and names server %d as gone", m.Version, e.EP)
+		case seen[e.Backend]:
+			return nil, nil, nil, fmt.Errorf("list version %d names server %d twice", m.Version, e.Backend)
+		case e.State != proto.BackendGone && e.Addr == "":
+			return nil, nil, nil, fmt.Errorf("list version %d gives no address for server %d", m.Version, e.Backend)
+		case e.State == proto.BackendGone && m.Kind == proto.UpdateFull:
+			return nil, nil, nil, fmt.Errorf("list version %d is whole, and names server %d as gone", m.Version, e.Backend)
 		}
-		seen[e.EP] = true
+		seen[e.Backend] = true
 	}
-	if m.Kind == proto.ListChanges {
+	if m.Kind == proto.UpdateDelta {
 		if r.held && m.Version <= r.version {
 			return &choice.EndpointUpdate{Kind: choice.UpdateDelta, Version: int64(r.version)}, nil, nil, nil // it came twice, or nothing is new
 		}
-		if !r.held || m.Base != r.version {
-			return nil, nil, nil, fmt.Errorf("list changes from version %d, but version %d is held", m.Base, r.version)
+		if !r.held || m.BaseVersion != r.version {
+			return nil, nil, nil, fmt.Errorf("list changes from version %d, but version %d is held", m.BaseVersion, r.version)
 		}
 	}
 	l = &choice.EndpointUpdate{Kind: choice.UpdateDelta, Version: int64(m.Version)}
 	old := r.entries
-	if m.Kind == proto.ListFull {
-		l.Kind, r.entries = choice.UpdateFull, make(map[choice.BackendID]*server, len(m.Entries))
+	if m.Kind == proto.UpdateFull {
+		l.Kind, r.entries = choice.UpdateFull, make(map[choice.BackendID]*server, len(m.Endpoints))
 	} else { // what it had of the servers that the news names
-		old = make(map[choice.BackendID]*server, len(m.Entries))
-		for _, e := range m.Entries {
-			if was := r.entries[choice.BackendID(e.EP)]; was != nil {
-				old[choice.BackendID(e.EP)] = was
+		old = make(map[choice.BackendID]*server, len(m.Endpoints))
+		for _, e := range m.Endpoints {
+			if was := r.entries[choice.BackendID(e.Backend)]; was != nil {
+				old[choice.BackendID(e.Backend)] = was
 			}
 		}
 	}
-	for _, e := range m.Entries {
-		id := choice.BackendID(e.EP)
-		if e.State == proto.ServerGone {
+	for _, e := range m.Endpoints {
+		id := choice.BackendID(e.Backend)
+		if e.State == proto.BackendGone {
 			if was := r.entries[id]; was != nil {
 				delete(r.entries, id)
 				gone := was.Entry
@@ -68,16 +68,18 @@
 			}
 			continue
 		}
-		s := &server{Stamp: e.Stamp, Addr: e.Addr, Entry: choice.Endpoint{Backend: id, Kind: e.Kind, Zone: choice.Zone(e.Zone),
-			Weight: e.Weight, Cell: int(e.Cell), State: choice.BackendOpen}}
-		if e.State == proto.ServerDraining {
+		s := &server{Stamp: e.Incarnation, Addr: e.Addr, Entry: choice.Endpoint{
+			Backend: id, Kind: e.Kind, Zone: choice.Zone(e.Zone),
+			Weight: e.Weight, Cell: int(e.Cell), State: choice.BackendOpen,
+		}}
+		if e.State == proto.BackendDraining {
 			s.Entry.State = choice.BackendDraining
 		}
 		// The list's clock and ours need not agree: a start is told as an age, and reckoned once for each process,
 		// as what looks like a later start is a restart to the module.
-		if was := old[id]; was != nil && was.Stamp == e.Stamp {
+		if was := old[id]; was != nil && was.Stamp == e.Incarnation {
 			s.Entry.StartedAt = was.Entry.StartedAt
-		} else if !e.Old {
+		} else if !e.StartedLongAgo {
 			s.Entry.StartedAt = max(now-e.Age, 1e-6)
 		}
 		r.entries[id] = s
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -80,10 +80,10 @@
 			continue
 		}
 		var r proto.Reader
-		r.Open()
+		r.HandshakeDone()
 		r.Feed(a.Data)
 		for m, _ := r.Next(); m != nil; m, _ = r.Next() {
-			if x, is := m.(proto.Reply); is && x.Status == proto.OK {
+			if x, is := m.(proto.Reply); is && x.Status == proto.StatusOK {
 				w.ok++
 			}
 		}
@@ -113,12 +113,12 @@
 		f.Add(fmt.Sprint("s", i), trade)
 	}
 	w := &wire{f: f, now: 100, killed: map[statemachine.Conn]bool{}}
-	hello := proto.Append(nil, proto.Hello{Version: proto.Version, Role: proto.RoleCaller, Name: "x"})
+	hello := proto.Append(nil, proto.Hello{Version: proto.Version, Role: proto.RoleClient, Name: "x"})
 	open := func(c statemachine.Conn, door int) {
 		w.step(statemachine.Input{Kind: statemachine.ConnOpened, Conn: c, Listener: door}, statemachine.Input{Kind: statemachine.ConnData, Conn: c, Data: hello})
 	}
 	ask := func(c statemachine.Conn, id uint64) {
-		w.step(statemachine.Input{Kind: statemachine.ConnData, Conn: c, Data: proto.Append(nil, proto.RPC{ID: id, Left: 5})})
+		w.step(statemachine.Input{Kind: statemachine.ConnData, Conn: c, Data: proto.Append(nil, proto.RPC{ID: id, TimeLeft: 5})})
 	}
 	told := func(text string) { w.step(statemachine.Input{Kind: statemachine.OperatorCommand, Text: text}) }
 	for c := range statemachine.Conn(3) {
@@ -182,7 +182,7 @@
 	f.Add("s0", plain(1, Work{Mean: 0.01, Shape: Fixed}))
 	w := &wire{f: f, now: 10, killed: map[statemachine.Conn]bool{}}
 	w.step(statemachine.Input{Kind: statemachine.ConnOpened, Conn: 1}, statemachine.Input{Kind: statemachine.ConnData, Conn: 1, Data: proto.Append(
-		proto.Append(nil, proto.Hello{Version: proto.Version, Role: proto.RoleCaller, Name: "x"}), proto.RPC{ID: 1, Left: 5})})
+		proto.Append(nil, proto.Hello{Version: proto.Version, Role: proto.RoleClient, Name: "x"}), proto.RPC{ID: 1, TimeLeft: 5})})
 	w.now = 10.31 // due at 10.01
 	w.step()
 	w.now = 11.5
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -82,7 +82,7 @@
 	for s.readers[c] == r {
 		msg, err := r.Next()
 		if err != nil {
-			s.out.Write(c, proto.Append(nil, proto.Refuse{Reason: err.Error()}))
+			s.out.Write(c, proto.Append(nil, proto.Reject{Reason: err.Error()}))
 			s.out.Close(c)
 			delete(s.readers, c)
 			s.model.Disconnect(Caller(c))
@@ -92,13 +92,13 @@
 		case nil:
 			return
 		case proto.Hello:
-			r.Open()
-			s.model.Follow(Caller(c), m.Holds)
+			r.HandshakeDone()
+			s.model.Follow(Caller(c), m.TablesOf)
 			s.out.Write(c, proto.Append(nil, proto.Welcome{Version: proto.Version, Name: fmt.Sprint("server-", s.trade.EP)}))
 		case proto.Probe:
 			s.model.Probe(Caller(c), m.ID)
 		case proto.RPC:
-			s.model.Ask(Caller(c), RPC{ID: m.ID, Method: int(m.Method), Token: m.Token, Key: m.Key, Left: m.Left})
+			s.model.Ask(Caller(c), RPC{ID: m.ID, Method: int(m.Method), Token: m.IdempotencyKey, Key: m.CacheKey, Left: m.TimeLeft})
 		}
 	}
 }
@@ -125,7 +125,7 @@
 	for _, e := range effects {
 		switch e := e.(type) {
 		case Reply:
-			s.write(statemachine.Conn(e.To), proto.Reply{ID: e.ID, Status: proto.Status(e.Status), Reports: e.Load >= 0, Load: max(0, e.Load)})
+			s.write(statemachine.Conn(e.To), proto.Reply{ID: e.ID, Status: proto.Status(e.Status), HasLoad: e.Load >= 0, Load: max(0, e.Load)})
 		case Probed:
 			s.write(statemachine.Conn(e.To), proto.ProbeReply{ID: e.ID, Status: proto.Status(e.Status)})
 		case Ran:
--- a/internal/fake/baseline.go
+++ b/internal/fake/baseline.go
@@ -21,7 +21,7 @@
 	reader  proto.Reader
 	retry   statemachine.Seconds
 	version uint64
-	open    map[proto.EP]proto.Line
+	open    map[proto.BackendID]proto.TableEntry
 	proxies map[statemachine.Conn]*plainProxy
 	out     *statemachine.Effects
 }
@@ -35,7 +35,7 @@
 // NewPlain makes one.
 func NewPlain(name, list string, methods []string, period float64) *Plain {
 	return &Plain{
-		name: name, list: list, methods: methods, period: period, conns: statemachine.Dialed, open: map[proto.EP]proto.Line{},
+		name: name, list: list, methods: methods, period: period, conns: statemachine.Dialed, open: map[proto.BackendID]proto.TableEntry{},
 		proxies: map[statemachine.Conn]*plainProxy{},
 	}
 }
@@ -75,7 +75,7 @@
 	switch i.Kind {
 	case statemachine.ConnOpened:
 		hello := proto.Append(nil, proto.Hello{Version: proto.Version, Role: proto.RoleWatcher, Name: p.name})
-		p.out.Write(p.watch, proto.Append(hello, proto.Watch{On: true, Since: p.version}))
+		p.out.Write(p.watch, proto.Append(hello, proto.WatchEndpoints{On: true, SinceVersion: p.version}))
 	case statemachine.ConnClosed:
 		lost()
 	case statemachine.ConnData:
@@ -91,9 +91,9 @@
 			case nil:
 				return
 			case proto.Welcome:
-				p.reader.Open()
-			case proto.List:
-				if m.Kind == proto.ListError {
+				p.reader.HandshakeDone()
+			case proto.EndpointUpdate:
+				if m.Kind == proto.UpdateFailed {
 					p.out.Close(p.watch)
 					lost()
 					return
@@ -104,32 +104,32 @@
 	}
 }
 
-func (p *Plain) news(m proto.List) {
-	var ops []proto.Op
-	set := func(l proto.Line) {
-		if was, held := p.open[l.EP]; was == l || !held && l.Weight == 0 {
+func (p *Plain) news(m proto.EndpointUpdate) {
+	var ops []proto.TableOp
+	set := func(l proto.TableEntry) {
+		if was, held := p.open[l.Backend]; was == l || !held && l.Weight == 0 {
 			return
 		}
 		if l.Weight > 0 {
-			p.open[l.EP] = l
+			p.open[l.Backend] = l
 		} else {
-			delete(p.open, l.EP)
+			delete(p.open, l.Backend)
 		}
-		ops = append(ops, proto.Op{Kind: proto.OpLine, Table: 1, Lines: []proto.Line{l}})
+		ops = append(ops, proto.TableOp{Kind: proto.OpSetEntry, Table: 1, Entries: []proto.TableEntry{l}})
 	}
-	shown := map[proto.EP]bool{}
-	for _, e := range m.Entries {
-		l := proto.Line{EP: e.EP, Addr: e.Addr}
-		if e.State == proto.ServerOpen {
+	shown := map[proto.BackendID]bool{}
+	for _, e := range m.Endpoints {
+		l := proto.TableEntry{Backend: e.Backend, Addr: e.Addr}
+		if e.State == proto.BackendOpen {
 			l.Weight = e.Weight
 		}
-		shown[e.EP] = true
+		shown[e.Backend] = true
 		set(l)
 	}
-	if m.Kind == proto.ListFull {
+	if m.Kind == proto.UpdateFull {
 		for _, ep := range p.sorted() {
 			if !shown[ep] {
-				set(proto.Line{EP: ep})
+				set(proto.TableEntry{Backend: ep})
 			}
 		}
 	}
@@ -144,7 +144,7 @@
 	}
 }
 
-func (p *Plain) sorted() (all []proto.EP) {
+func (p *Plain) sorted() (all []proto.BackendID) {
 	for ep := range p.open {
 		all = append(all, ep)
 	}
@@ -152,9 +152,9 @@
 	return all
 }
 
-func (p *Plain) push(c statemachine.Conn, x *plainProxy, ops []proto.Op) {
+func (p *Plain) push(c statemachine.Conn, x *plainProxy, ops []proto.TableOp) {
 	x.seq++
-	p.out.Write(c, proto.Append(nil, proto.Push{Seq: x.seq, Ops: ops}))
+	p.out.Write(c, proto.Append(nil, proto.Push{Sequence: x.seq, Ops: ops}))
 }
 
 func (p *Plain) fromProxy(c statemachine.Conn, x *plainProxy) {
@@ -169,16 +169,16 @@
 		case nil:
 			return
 		case proto.Hello:
-			x.reader.Open()
+			x.reader.HandshakeDone()
 			x.joined = true
-			p.out.Write(c, proto.Append(nil, proto.Welcome{Version: proto.Version, Name: p.name, Period: p.period, Methods: p.methods}))
-			bind := proto.Op{Kind: proto.OpBind, Table: 1}
+			p.out.Write(c, proto.Append(nil, proto.Welcome{Version: proto.Version, Name: p.name, ReportPeriod: p.period, Methods: p.methods}))
+			bind := proto.TableOp{Kind: proto.OpBind, Table: 1}
 			for _, ep := range p.sorted() {
-				bind.Lines = append(bind.Lines, p.open[ep])
+				bind.Entries = append(bind.Entries, p.open[ep])
 			}
-			p.push(c, x, []proto.Op{bind})
-		case proto.Sums:
-			p.out.Write(c, proto.Append(nil, proto.Heard{}))
+			p.push(c, x, []proto.TableOp{bind})
+		case proto.Reports:
+			p.out.Write(c, proto.Append(nil, proto.ReportsReceived{}))
 		}
 	}
 }
@@ -193,7 +193,7 @@
 
 type frozen struct {
 	methods uint64
-	lines   map[proto.EP]proto.Line
+	lines   map[proto.BackendID]proto.TableEntry
 }
 
 // Wrap puts a coordinator under the frost.
@@ -222,8 +222,8 @@
 		switch {
 		case i.Kind == statemachine.ConnOpened && i.Conn&statemachine.Dialed == 0:
 			e := &frostedEnd{}
-			e.in.Open()
-			e.out.Open()
+			e.in.HandshakeDone()
+			e.out.HandshakeDone()
 			x.ends[i.Conn] = e
 		case i.Kind == statemachine.ConnClosed:
 			delete(x.ends, i.Conn)
@@ -260,10 +260,10 @@
 				break
 			}
 			out.Write(c, slices.Clone(x.f.hello))
-			out.Write(c, proto.Append(nil, proto.Push{Seq: 1, Ops: x.f.tables(m.Name)}))
-		case proto.Sums:
+			out.Write(c, proto.Append(nil, proto.Push{Sequence: 1, Ops: x.f.tables(m.Name)}))
+		case proto.Reports:
 			if frozen {
-				out.Write(c, proto.Append(nil, proto.Heard{}))
+				out.Write(c, proto.Append(nil, proto.ReportsReceived{}))
 			}
 		}
 	}
@@ -288,30 +288,30 @@
 	}
 }
 
-func (f *Frost) apply(proxy string, o proto.Op) {
+func (f *Frost) apply(proxy string, o proto.TableOp) {
 	tables := f.held[proxy]
 	if tables == nil {
 		tables = map[uint64]*frozen{}
 		f.held[proxy] = tables
 	}
 	t := tables[o.Table]
-	line := func(l proto.Line) {
+	line := func(l proto.TableEntry) {
 		if l.Weight == 0 {
-			delete(t.lines, l.EP)
+			delete(t.lines, l.Backend)
 			return
 		}
-		t.lines[l.EP] = l
+		t.lines[l.Backend] = l
 	}
 	switch o.Kind {
 	case proto.OpBind:
-		t = &frozen{methods: o.Methods, lines: map[proto.EP]proto.Line{}}
+		t = &frozen{methods: o.Methods, lines: map[proto.BackendID]proto.TableEntry{}}
 		tables[o.Table] = t
-		for _, l := range o.Lines {
+		for _, l := range o.Entries {
 			line(l)
 		}
-	case proto.OpLine:
+	case proto.OpSetEntry:
 		if t != nil {
-			line(o.Lines[0])
+			line(o.Entries[0])
 		}
 	case proto.OpClear:
 		if t != nil {
@@ -321,14 +321,14 @@
 }
 
 // tables are the orders that give a proxy what it had, all that was shut or shed then let in again.
-func (f *Frost) tables(proxy string) (ops []proto.Op) {
+func (f *Frost) tables(proxy string) (ops []proto.TableOp) {
 	for _, n := range slices.Sorted(maps.Keys(f.held[proxy])) {
 		t := f.held[proxy][n]
-		o := proto.Op{Kind: proto.OpBind, Table: n, Methods: t.methods}
+		o := proto.TableOp{Kind: proto.OpBind, Table: n, Methods: t.methods}
 		for _, ep := range slices.Sorted(maps.Keys(t.lines)) {
 			l := t.lines[ep]
-			l.Shut = false
-			o.Lines = append(o.Lines, l)
+			l.Excluded = false
+			o.Entries = append(o.Entries, l)
 		}
 		ops = append(ops, o)
 	}
--- a/internal/fake/frontend.go
+++ b/internal/fake/frontend.go
@@ -64,8 +64,8 @@
 	LineStill      statemachine.Seconds
 	LevelRate      bool // levels are rates, not shares
 	Period         statemachine.Seconds
-	Watch          bool         // it tells how late it did what was due
-	Fixed          []proto.Line // its one table, in place of a coordinator's
+	Watch          bool               // it tells how late it did what was due
+	Fixed          []proto.TableEntry // its one table, in place of a coordinator's
 	ConnectTimeout statemachine.Seconds
 	Seed           uint64
 	// Clients whose RPC failed come again, with this chance, after about so long, at most so many times: idempotent and
@@ -106,16 +106,16 @@
 
 	tables    map[uint64]*sheet
 	methods   []*sheet // by method
-	withdrawn map[proto.EP]bool
+	withdrawn map[proto.BackendID]bool
 
-	health map[proto.EP]health
-	links  map[proto.EP]*link
+	health map[proto.BackendID]health
+	links  map[proto.BackendID]*link
 	byID   map[statemachine.Conn]*link
 	rpcs   map[uint64]*rpc
 	count  uint64
 
-	usage []proto.Usage
-	sums  map[proto.EP]*met
+	usage []proto.UsageReport
+	sums  map[proto.BackendID]*met
 	since statemachine.Seconds
 }
 
@@ -126,7 +126,7 @@
 }
 
 type row struct {
-	ep     proto.EP
+	ep     proto.BackendID
 	weight float64
 	addr   string
 	owed   float64 // for even picks
@@ -141,7 +141,7 @@
 
 // link is the connection to a server, and what it met there.
 type link struct {
-	ep     proto.EP
+	ep     proto.BackendID
 	addr   string
 	conn   statemachine.Conn
 	up     bool
@@ -174,7 +174,7 @@
 	sent   statemachine.Seconds
 	n      int
 	key    uint64
-	tried  []proto.EP
+	tried  []proto.BackendID
 	done   bool
 	came   int // times that its client came before
 }
@@ -183,9 +183,9 @@
 func NewFrontEnd(t FrontTrade) *FrontEnd {
 	return &FrontEnd{
 		trade: t, dice: emulator.NewDice(t.Seed), conns: statemachine.Dialed, rate: t.Rate, tables: map[uint64]*sheet{},
-		methods: make([]*sheet, len(t.Methods)), withdrawn: map[proto.EP]bool{}, links: map[proto.EP]*link{},
-		health: map[proto.EP]health{}, byID: map[statemachine.Conn]*link{}, rpcs: map[uint64]*rpc{}, usage: make([]proto.Usage, len(t.Methods)),
-		sums: map[proto.EP]*met{},
+		methods: make([]*sheet, len(t.Methods)), withdrawn: map[proto.BackendID]bool{}, links: map[proto.BackendID]*link{},
+		health: map[proto.BackendID]health{}, byID: map[statemachine.Conn]*link{}, rpcs: map[uint64]*rpc{}, usage: make([]proto.UsageReport, len(t.Methods)),
+		sums: map[proto.BackendID]*met{},
 	}
 }
 
@@ -200,7 +200,7 @@
 		if f.trade.Fixed == nil {
 			f.dial(now)
 		} else {
-			f.do(proto.Op{Kind: proto.OpBind, Lines: f.trade.Fixed}, &strings.Builder{})
+			f.do(proto.TableOp{Kind: proto.OpBind, Entries: f.trade.Fixed}, &strings.Builder{})
 		}
 		f.timers.at(now+f.trade.Period*(0.5+f.dice.Draw()), f.report)
 		f.self = Seed(0, fmt.Sprint(f.trade.Name, f.trade.Seed)) << 32
@@ -258,7 +258,7 @@
 		f.heard = now
 		f.out.Write(f.stream, proto.Append(nil, proto.Hello{
 			Version: proto.Version, Role: proto.RoleProxy, Name: f.trade.Name,
-			Zone: f.trade.Zone, Rate: f.rate, Fresh: f.holds == "", Holds: f.holds, Mark: f.mark,
+			Zone: f.trade.Zone, Rate: f.rate, Fresh: f.holds == "", TablesOf: f.holds, Nonce: f.mark,
 		}))
 	case statemachine.ConnClosed:
 		f.leave(now, i.Text)
@@ -274,7 +274,7 @@
 				err = f.message(now, msg)
 			}
 			if err != nil {
-				f.out.Write(f.stream, proto.Append(nil, proto.Refuse{Reason: err.Error()}))
+				f.out.Write(f.stream, proto.Append(nil, proto.Reject{Reason: err.Error()}))
 				f.out.Close(f.stream)
 				f.leave(now, err.Error())
 			}
@@ -309,19 +309,19 @@
 func (f *FrontEnd) message(now statemachine.Seconds, msg proto.Message) error {
 	switch m := msg.(type) {
 	case proto.Welcome:
-		f.reader.Open()
+		f.reader.HandshakeDone()
 		f.joined, f.of, f.failed = true, m.Name, 0
 		f.out.Record(trace.Record{T: now, Kind: trace.Join, Who: f.trade.Name, Of: m.Name, Zone: f.trade.Zone})
 	case proto.Push:
-		if f.seq++; !f.joined || m.Seq != f.seq {
-			return fmt.Errorf("push %d, %d wanted", m.Seq, f.seq)
+		if f.seq++; !f.joined || m.Sequence != f.seq {
+			return fmt.Errorf("push %d, %d wanted", m.Sequence, f.seq)
 		}
 		lines := 0
 		for _, o := range m.Ops {
-			lines += 1 + len(o.Lines) + len(o.Levels)
+			lines += 1 + len(o.Entries) + len(o.Admissions)
 		}
 		f.out.Record(trace.Record{
-			T: now, Kind: trace.Push, Who: f.trade.Name, Of: f.of, Mark: int(m.Mark), N: int64(m.Waiting),
+			T: now, Kind: trace.Push, Who: f.trade.Name, Of: f.of, Mark: int(m.Nonce), N: int64(m.QueuedEntries),
 			X: float64(lines),
 		})
 		f.still = max(f.still, now) + float64(lines)*f.trade.LineStill
@@ -330,12 +330,12 @@
 			f.applied = f.applied[:len(f.applied)-1]
 			f.apply(now, m)
 		}
-	case proto.Heard:
-	case proto.Refuse:
+	case proto.ReportsReceived:
+	case proto.Reject:
 		f.out.Close(f.stream)
 		f.leave(now, m.Reason)
 	default:
-		return fmt.Errorf("a %T on a proxy's stream", msg)
+		return fmt.Errorf("a %s on a proxy's stream", proto.WireName(msg))
 	}
 	return nil
 }
@@ -345,9 +345,9 @@
 	if f.stream == 0 {
 		return
 	}
-	if m.Marked {
-		f.out.Write(f.stream, proto.Append(nil, proto.Answer{Mark: m.Mark}))
-		f.mark = m.Mark
+	if m.HasNonce {
+		f.out.Write(f.stream, proto.Append(nil, proto.Acknowledgement{Nonce: m.Nonce}))
+		f.mark = m.Nonce
 	}
 	var text strings.Builder
 	for _, o := range m.Ops {
@@ -356,11 +356,11 @@
 		}
 		f.do(o, &text)
 	}
-	f.out.Record(trace.Record{T: now, Kind: trace.Apply, Who: f.trade.Name, Of: f.of, Mark: int(m.Mark), Text: text.String()})
+	f.out.Record(trace.Record{T: now, Kind: trace.Apply, Who: f.trade.Name, Of: f.of, Mark: int(m.Nonce), Text: text.String()})
 	f.trim()
 }
 
-func (f *FrontEnd) do(o proto.Op, text *strings.Builder) {
+func (f *FrontEnd) do(o proto.TableOp, text *strings.Builder) {
 	t := f.tables[o.Table]
 	switch o.Kind {
 	case proto.OpBind:
@@ -374,13 +374,13 @@
 		f.tables[o.Table] = t
 		clear(f.withdrawn)
 		fmt.Fprintf(text, "bind %d %d", o.Table, o.Methods)
-		for _, l := range o.Lines {
+		for _, l := range o.Entries {
 			f.line(t, l, text)
 		}
-		for _, l := range o.Levels {
+		for _, l := range o.Admissions {
 			f.level(t, l)
 		}
-		for _, ep := range o.Withdrawn {
+		for _, ep := range o.Backends {
 			f.withdrawn[ep] = true
 			fmt.Fprintf(text, " -%d", ep)
 		}
@@ -389,33 +389,33 @@
 				f.methods[m] = t
 			}
 		}
-	case proto.OpLine:
+	case proto.OpSetEntry:
 		fmt.Fprintf(text, "line %d", o.Table)
 		if t != nil {
-			f.line(t, o.Lines[0], text)
+			f.line(t, o.Entries[0], text)
 		}
 	case proto.OpClear:
 		fmt.Fprintf(text, "clear %d", o.Table)
 		if t != nil {
 			t.lines, t.levels = nil, map[int]level{}
 		}
-	case proto.OpLevel:
-		fmt.Fprintf(text, "level %d %d %g %d", o.Table, o.Levels[0].Methods, o.Levels[0].Level, o.Levels[0].Tries)
+	case proto.OpAdmission:
+		fmt.Fprintf(text, "level %d %d %g %d", o.Table, o.Admissions[0].Methods, o.Admissions[0].Level, o.Admissions[0].Retry)
 		if t != nil {
-			f.level(t, o.Levels[0])
+			f.level(t, o.Admissions[0])
 		}
-	case proto.OpWithdraw:
-		f.withdrawn[o.Withdrawn[0]] = true
-		fmt.Fprintf(text, "withdraw %d", o.Withdrawn[0])
-	case proto.OpReadmit:
-		delete(f.withdrawn, o.Withdrawn[0])
-		fmt.Fprintf(text, "readmit %d", o.Withdrawn[0])
+	case proto.OpExclude:
+		f.withdrawn[o.Backends[0]] = true
+		fmt.Fprintf(text, "withdraw %d", o.Backends[0])
+	case proto.OpRestore:
+		delete(f.withdrawn, o.Backends[0])
+		fmt.Fprintf(text, "readmit %d", o.Backends[0])
 	}
 }
 
-func (f *FrontEnd) line(t *sheet, l proto.Line, text *strings.Builder) {
-	fmt.Fprintf(text, " %d:%.6g", l.EP, l.Weight)
-	at, ok := slices.BinarySearchFunc(t.lines, l.EP, func(r row, ep proto.EP) int { return int(int64(r.ep) - int64(ep)) })
+func (f *FrontEnd) line(t *sheet, l proto.TableEntry, text *strings.Builder) {
+	fmt.Fprintf(text, " %d:%.6g", l.Backend, l.Weight)
+	at, ok := slices.BinarySearchFunc(t.lines, l.Backend, func(r row, ep proto.BackendID) int { return int(int64(r.ep) - int64(ep)) })
 	switch {
 	case l.Weight == 0 && ok:
 		t.lines = slices.Delete(t.lines, at, at+1)
@@ -423,28 +423,28 @@
 	case ok:
 		t.lines[at].weight, t.lines[at].addr = l.Weight, l.Addr
 	default:
-		t.lines = slices.Insert(t.lines, at, row{ep: l.EP, weight: l.Weight, addr: l.Addr})
+		t.lines = slices.Insert(t.lines, at, row{ep: l.Backend, weight: l.Weight, addr: l.Addr})
 	}
-	if l.Shut {
-		f.withdrawn[l.EP] = true
+	if l.Excluded {
+		f.withdrawn[l.Backend] = true
 		fmt.Fprintf(text, "!")
 	} else {
-		delete(f.withdrawn, l.EP)
+		delete(f.withdrawn, l.Backend)
 	}
 }
 
-func (f *FrontEnd) level(t *sheet, l proto.Level) {
+func (f *FrontEnd) level(t *sheet, l proto.Admission) {
 	for m := range f.trade.Methods {
 		if l.Methods == 0 || l.Methods>>m&1 == 1 {
 			was := t.levels[m]
-			t.levels[m] = level{l.Level, l.Tries, was.room, was.last}
+			t.levels[m] = level{l.Level, l.Retry, was.room, was.last}
 		}
 	}
 }
 
 // trim closes idle connections to servers that no table holds any more.
 func (f *FrontEnd) trim() {
-	used := map[proto.EP]string{}
+	used := map[proto.BackendID]string{}
 	for _, t := range f.methods {
 		if t != nil {
 			for _, r := range t.lines {
@@ -485,21 +485,21 @@
 		f.leave(now, "silent for too long")
 		return
 	}
-	s := proto.Sums{Over: now - f.since}
+	s := proto.Reports{Span: now - f.since}
 	for m, u := range f.usage {
 		if u.RPCs > 0 {
 			s.Usage = append(s.Usage, u)
 		}
-		f.usage[m] = proto.Usage{Method: uint64(m)}
+		f.usage[m] = proto.UsageReport{Method: uint64(m)}
 	}
 	for ep, x := range f.sums {
-		t := proto.Tries{EP: ep, Tries: x.tries, Bad: x.bad}
+		t := proto.AttemptReport{Backend: ep, Attempts: x.tries, Failures: x.bad}
 		if x.tries > x.bad {
-			t.Delay = x.delay / float64(x.tries-x.bad)
+			t.MeanLatency = x.delay / float64(x.tries-x.bad)
 		}
-		s.Tries = append(s.Tries, t)
+		s.Attempts = append(s.Attempts, t)
 	}
-	slices.SortFunc(s.Tries, func(a, b proto.Tries) int { return int(int64(a.EP) - int64(b.EP)) })
+	slices.SortFunc(s.Attempts, func(a, b proto.AttemptReport) int { return int(int64(a.Backend) - int64(b.Backend)) })
 	clear(f.sums)
 	f.since = now
 	f.out.Write(f.stream, proto.Append(nil, s))
@@ -523,7 +523,7 @@
 // clearSums forgets what was met, where nobody is told.
 func (f *FrontEnd) clearSums(now statemachine.Seconds) {
 	for m := range f.usage {
-		f.usage[m] = proto.Usage{Method: uint64(m)}
+		f.usage[m] = proto.UsageReport{Method: uint64(m)}
 	}
 	clear(f.sums)
 	f.since = now
@@ -544,13 +544,13 @@
 	f.rpcs[r.id] = r
 	f.usage[r.method].RPCs++
 	if !f.admit(now, r.method) {
-		f.end(now, r, proto.PushedBack)
+		f.end(now, r, proto.StatusRejected)
 		return
 	}
 	f.timers.at(r.asked+f.trade.Methods[r.method].Deadline, func(now statemachine.Seconds) {
 		if !r.done {
 			f.tried(now, r, false)
-			f.end(now, r, proto.Aborted)
+			f.end(now, r, proto.StatusAborted)
 		}
 	})
 	f.send(now, r, "")
@@ -643,7 +643,7 @@
 	return draw()
 }
 
-func (f *FrontEnd) busy(ep proto.EP) int {
+func (f *FrontEnd) busy(ep proto.BackendID) int {
 	if l := f.links[ep]; l != nil {
 		return len(l.out) + len(l.wait)
 	}
@@ -651,7 +651,7 @@
 }
 
 // reported is the load that a server reported last, if that is not long ago, else what is known here.
-func (f *FrontEnd) reported(now statemachine.Seconds, ep proto.EP) float64 {
+func (f *FrontEnd) reported(now statemachine.Seconds, ep proto.BackendID) float64 {
 	if l := f.links[ep]; l != nil && l.told > 0 && now < l.told+f.trade.Period {
 		return l.load
 	}
@@ -662,7 +662,7 @@
 	x := f.pick(now, r)
 	if x == nil {
 		if r.n == 0 {
-			f.end(now, r, proto.PushedBack)
+			f.end(now, r, proto.StatusRejected)
 		}
 		return false
 	}
@@ -711,8 +711,8 @@
 func (f *FrontEnd) write(now statemachine.Seconds, l *link, r *rpc) {
 	m := f.trade.Methods[r.method]
 	f.out.Write(l.conn, proto.Append(nil, proto.RPC{
-		ID: r.id, Method: uint64(r.method), Token: r.token, Key: r.key,
-		Left: max(0, r.asked+m.Deadline-now),
+		ID: r.id, Method: uint64(r.method), IdempotencyKey: r.token, CacheKey: r.key,
+		TimeLeft: max(0, r.asked+m.Deadline-now),
 	}))
 }
 
@@ -781,9 +781,9 @@
 			return
 		}
 	}
-	status := proto.Aborted
+	status := proto.StatusAborted
 	if !may {
-		status = proto.PushedBack
+		status = proto.StatusRejected
 	}
 	f.end(now, r, status)
 }
@@ -794,8 +794,8 @@
 	}
 	r.done = true
 	delete(f.rpcs, r.id)
-	if status != proto.OK && r.n > 0 {
-		f.usage[r.method].Bad = min(f.usage[r.method].Bad+1, f.usage[r.method].RPCs)
+	if status != proto.StatusOK && r.n > 0 {
+		f.usage[r.method].Failures = min(f.usage[r.method].Failures+1, f.usage[r.method].RPCs)
 	}
 	f.out.Record(trace.Record{
 		T: now, Kind: trace.End, Who: f.trade.Name, RPC: r.id, Method: r.method, Text: status.String(),
@@ -806,8 +806,8 @@
 
 // comeAgain has the client of an RPC that failed ask once more, as a new RPC with the token of the first.
 func (f *FrontEnd) comeAgain(now statemachine.Seconds, r *rpc, status proto.Status) {
-	safe := f.trade.Methods[r.method].Effect != NonIdempotent || status == proto.PushedBack
-	if status == proto.OK || !safe || r.came >= f.trade.AgainMost || f.dice.Draw() >= f.trade.ComeAgain {
+	safe := f.trade.Methods[r.method].Effect != NonIdempotent || status == proto.StatusRejected
+	if status == proto.StatusOK || !safe || r.came >= f.trade.AgainMost || f.dice.Draw() >= f.trade.ComeAgain {
 		return
 	}
 	wait := f.trade.AgainWait * float64(int(1)<<min(r.came, 10)) * (0.5 + f.dice.Draw())
@@ -822,10 +822,10 @@
 	switch i.Kind {
 	case statemachine.ConnOpened:
 		l.up = true
-		l.reader.Open()
+		l.reader.HandshakeDone()
 		f.out.Write(l.conn, proto.Append(nil, proto.Hello{
-			Version: proto.Version, Role: proto.RoleCaller, Name: f.trade.Name,
-			Zone: f.trade.Zone, Holds: f.holds,
+			Version: proto.Version, Role: proto.RoleClient, Name: f.trade.Name,
+			Zone: f.trade.Zone, TablesOf: f.holds,
 		}))
 		for _, try := range l.wait {
 			if r := l.out[try]; r != nil && !r.done {
@@ -855,7 +855,7 @@
 }
 
 func (f *FrontEnd) replied(now statemachine.Seconds, l *link, m proto.Reply) {
-	if m.Reports {
+	if m.HasLoad {
 		l.load, l.told = m.Load, now
 	}
 	r := f.rpcs[m.ID]
@@ -863,10 +863,10 @@
 		return // given up before
 	}
 	switch m.Status {
-	case proto.OK:
+	case proto.StatusOK:
 		f.tried(now, r, true)
-		f.end(now, r, proto.OK)
-	case proto.PushedBack:
+		f.end(now, r, proto.StatusOK)
+	case proto.StatusRejected:
 		f.failedTry(now, r, false)
 	default:
 		f.failedTry(now, r, true)
--- a/internal/fake/list.go
+++ b/internal/fake/list.go
@@ -14,8 +14,8 @@
 
 // Listing is a server as the list service knows it.
 type Listing struct {
-	EP     proto.EP
-	State  proto.ServerState
+	EP     proto.BackendID
+	State  proto.BackendState
 	Kind   string
 	Zone   string
 	Cell   uint64
@@ -28,8 +28,8 @@
 // List is a list service: numbered versions, whole lists and changes, watchers; and it can be late, stale, wrong, empty
 // or out of order on command.
 type List struct {
-	all      map[proto.EP]Listing
-	past     map[proto.EP]Listing // all that ever were, as last listed
+	all      map[proto.BackendID]Listing
+	past     map[proto.BackendID]Listing // all that ever were, as last listed
 	version  uint64
 	history  []change // oldest first
 	watchers map[statemachine.Conn]*watcher
@@ -37,7 +37,7 @@
 	late     statemachine.Seconds
 	fail     bool
 	stale    bool
-	wrong    map[proto.EP]bool // the only servers that it shows; nil: the truth
+	wrong    map[proto.BackendID]bool // the only servers that it shows; nil: the truth
 	beat     statemachine.Seconds
 	begun    bool
 	out      *statemachine.Effects
@@ -62,7 +62,7 @@
 
 // NewList makes a list service that shows these servers.
 func NewList(all []Listing) *List {
-	l := &List{all: map[proto.EP]Listing{}, past: map[proto.EP]Listing{}, version: 1, watchers: map[statemachine.Conn]*watcher{}}
+	l := &List{all: map[proto.BackendID]Listing{}, past: map[proto.BackendID]Listing{}, version: 1, watchers: map[statemachine.Conn]*watcher{}}
 	for _, e := range all {
 		l.all[e.EP], l.past[e.EP] = e, e
 	}
@@ -97,7 +97,7 @@
 		for _, c := range sortedConns(l.watchers) {
 			if w := l.watchers[c]; w.on {
 				// An empty change of the version held: a sign of life.
-				out.Write(w.conn, proto.Append(nil, proto.List{Kind: proto.ListChanges, Base: w.told, Version: w.told}))
+				out.Write(w.conn, proto.Append(nil, proto.EndpointUpdate{Kind: proto.UpdateDelta, BaseVersion: w.told, Version: w.told}))
 			}
 		}
 	}
@@ -118,7 +118,7 @@
 	for l.watchers[w.conn] == w {
 		msg, err := w.reader.Next()
 		if err != nil {
-			l.out.Write(w.conn, proto.Append(nil, proto.Refuse{Reason: err.Error()}))
+			l.out.Write(w.conn, proto.Append(nil, proto.Reject{Reason: err.Error()}))
 			l.out.Close(w.conn)
 			delete(l.watchers, w.conn)
 			return
@@ -128,15 +128,15 @@
 			return
 		case proto.Hello:
 			w.name = m.Name
-			w.reader.Open()
+			w.reader.HandshakeDone()
 			l.out.Write(w.conn, proto.Append(nil, proto.Welcome{Version: proto.Version, Name: "list"}))
-		case proto.Watch:
+		case proto.WatchEndpoints:
 			l.out.Record(trace.Record{T: now, Kind: trace.Ask, Of: w.name})
 			w.on = false
 			if m.On {
-				l.answer(now, w, m.Since)
+				l.answer(now, w, m.SinceVersion)
 			}
-		case proto.Fetch:
+		case proto.FetchEndpoints:
 			l.out.Record(trace.Record{T: now, Kind: trace.Ask, Of: w.name})
 			l.answer(now, w, 0)
 		}
@@ -146,7 +146,7 @@
 // answer to a call: what changed since a version, or all of it.
 func (l *List) answer(now statemachine.Seconds, w *watcher, since uint64) {
 	if l.fail {
-		l.out.Write(w.conn, proto.Append(nil, proto.List{Kind: proto.ListError, Reason: "the list service is out of order"}))
+		l.out.Write(w.conn, proto.Append(nil, proto.EndpointUpdate{Kind: proto.UpdateFailed, Reason: "the list service is out of order"}))
 		return
 	}
 	w.on, w.told = true, since
@@ -162,13 +162,13 @@
 	if l.stale && !called || l.watchers[w.conn] != w || w.told == l.version && !called {
 		return
 	}
-	m := proto.List{Kind: proto.ListFull, Base: w.told, Version: l.version}
+	m := proto.EndpointUpdate{Kind: proto.UpdateFull, BaseVersion: w.told, Version: l.version}
 	var entries []Listing
 	if w.told == 0 || l.wrong != nil {
 		entries = l.shown()
 	} else {
-		m.Kind = proto.ListChanges
-		last := map[proto.EP]int{}
+		m.Kind = proto.UpdateDelta
+		last := map[proto.BackendID]int{}
 		for _, c := range l.history {
 			if c.version > w.told {
 				if at, ok := last[c.entry.EP]; ok {
@@ -181,9 +181,9 @@
 		}
 	}
 	for _, e := range entries {
-		x := proto.Entry{
-			EP: e.EP, State: e.State, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, Old: e.Start == 0,
-			Stamp: e.Stamp, Addr: e.Addr,
+		x := proto.Endpoint{
+			Backend: e.EP, State: e.State, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, StartedLongAgo: e.Start == 0,
+			Incarnation: e.Stamp, Addr: e.Addr,
 		}
 		if l.Via != nil {
 			x.Addr = l.Via(w.name, e.Addr)
@@ -191,12 +191,12 @@
 		if e.Start > 0 {
 			x.Age = max(0, now-e.Start)
 		}
-		m.Entries = append(m.Entries, x)
+		m.Endpoints = append(m.Endpoints, x)
 	}
 	w.told = l.version
 	l.out.Write(w.conn, proto.Append(nil, m))
 	kind := "changes "
-	if m.Kind == proto.ListFull {
+	if m.Kind == proto.UpdateFull {
 		kind = "full "
 	}
 	l.out.Record(trace.Record{T: now, Kind: trace.List, Of: w.name, N: int64(l.version), Text: kind + show(entries)})
@@ -226,7 +226,7 @@
 	l.version++
 	for _, e := range entries {
 		l.past[e.EP] = e
-		if e.State == proto.ServerGone {
+		if e.State == proto.BackendGone {
 			delete(l.all, e.EP)
 		} else {
 			l.all[e.EP] = e
@@ -269,21 +269,21 @@
 		return ""
 	}
 	number := func(i int) float64 { v, _ := strconv.ParseFloat(arg(i), 64); return v }
-	e, known := l.all[proto.EP(number(0))]
+	e, known := l.all[proto.BackendID(number(0))]
 	switch word {
 	case "state":
 		if !known {
 			return
 		}
-		e.State = map[string]proto.ServerState{"open": proto.ServerOpen, "draining": proto.ServerDraining, "gone": proto.ServerGone}[arg(1)]
+		e.State = map[string]proto.BackendState{"open": proto.BackendOpen, "draining": proto.BackendDraining, "gone": proto.BackendGone}[arg(1)]
 		l.change(now, e)
 	case "weight":
 		if e.Weight = number(1); known {
 			l.change(now, e)
 		}
 	case "restart":
-		if e, known = l.past[proto.EP(number(0))]; known {
-			e.State, e.Start, e.Stamp = proto.ServerOpen, now, e.Stamp+1
+		if e, known = l.past[proto.BackendID(number(0))]; known {
+			e.State, e.Start, e.Stamp = proto.BackendOpen, now, e.Stamp+1
 			if arg(1) != "" {
 				e.Addr = arg(1)
 			}
@@ -292,7 +292,7 @@
 	case "add":
 		cell, _ := strconv.ParseUint(arg(3), 10, 64)
 		l.change(now, Listing{
-			EP: proto.EP(number(0)), State: proto.ServerOpen, Zone: arg(1), Kind: arg(2), Cell: cell,
+			EP: proto.BackendID(number(0)), State: proto.BackendOpen, Zone: arg(1), Kind: arg(2), Cell: cell,
 			Weight: number(4), Addr: arg(5), Start: now, Stamp: l.version + 1,
 		})
 	case "late":
@@ -308,9 +308,9 @@
 	case "show":
 		l.wrong = nil
 		if arg(0) != "all" {
-			l.wrong = map[proto.EP]bool{}
+			l.wrong = map[proto.BackendID]bool{}
 			for i := range args {
-				l.wrong[proto.EP(number(i))] = true
+				l.wrong[proto.BackendID(number(i))] = true
 			}
 		}
 		l.version++
--- a/internal/fake/standin_test.go
+++ b/internal/fake/standin_test.go
@@ -15,7 +15,7 @@
 
 // herald welcomes proxies and pushes them one table.
 type herald struct {
-	ops     []proto.Op
+	ops     []proto.TableOp
 	readers map[statemachine.Conn]*proto.Reader
 	answers int
 	hellos  int
@@ -36,14 +36,14 @@
 			switch m.(type) {
 			case proto.Hello:
 				h.hellos++
-				r.Open()
-				b := proto.Append(nil, proto.Welcome{Version: 1, Name: "c0", Period: 1})
-				out.Write(i.Conn, proto.Append(b, proto.Push{Seq: 1, Marked: true, Mark: 7, Ops: h.ops}))
-			case proto.Answer:
+				r.HandshakeDone()
+				b := proto.Append(nil, proto.Welcome{Version: 1, Name: "c0", ReportPeriod: 1})
+				out.Write(i.Conn, proto.Append(b, proto.Push{Sequence: 1, HasNonce: true, Nonce: 7, Ops: h.ops}))
+			case proto.Acknowledgement:
 				h.answers++
-			case proto.Sums:
+			case proto.Reports:
 				if !h.deaf {
-					out.Write(i.Conn, proto.Append(nil, proto.Heard{}))
+					out.Write(i.Conn, proto.Append(nil, proto.ReportsReceived{}))
 				}
 			}
 		}
@@ -82,26 +82,26 @@
 	return tries, ends, all
 }
 
-func bind(level *proto.Level, weights ...float64) *herald {
-	o := proto.Op{Kind: proto.OpBind}
+func bind(level *proto.Admission, weights ...float64) *herald {
+	o := proto.TableOp{Kind: proto.OpBind}
 	for i, w := range weights {
-		o.Lines = append(o.Lines, proto.Line{EP: proto.EP(i + 1), Weight: w, Addr: fmt.Sprint("s", i+1)})
+		o.Entries = append(o.Entries, proto.TableEntry{Backend: proto.BackendID(i + 1), Weight: w, Addr: fmt.Sprint("s", i+1)})
 	}
 	if level != nil {
-		o.Levels = []proto.Level{*level}
+		o.Admissions = []proto.Admission{*level}
 	}
-	return &herald{ops: []proto.Op{o}}
+	return &herald{ops: []proto.TableOp{o}}
 }
 
 // server is one that carries so many RPCs a second on so many cores.
-func server(ep proto.EP, capacity float64, cores, queue int) emulator.Trade {
+func server(ep proto.BackendID, capacity float64, cores, queue int) emulator.Trade {
 	return emulator.Trade{
 		EP: ep, Cores: cores, Speed: 1, Work: []emulator.Work{{Mean: float64(cores) / capacity}}, QueueMost: queue, Seed: uint64(ep),
 		GiveUp: emulator.SkipsWait,
 	}
 }
 
-func quick(ep proto.EP) emulator.Trade {
+func quick(ep proto.BackendID) emulator.Trade {
 	return server(ep, 5000, 50, 100)
 }
 
@@ -136,7 +136,7 @@
 	}{
 		"once, after proof": {full, 0, false}, "proven, after proof": {full, 1, true}, "proven, without": {hangs, 1, false}, "again, without": {hangs, 2, true},
 	} {
-		_, ends, all := play(t, 20, FrontTrade{Rate: 10, Pick: "lottery", TryWait: 0.8}, bind(&proto.Level{Level: 1, Tries: c.tries}, 1, 1), c.first, quick(2))
+		_, ends, all := play(t, 20, FrontTrade{Rate: 10, Pick: "lottery", TryWait: 0.8}, bind(&proto.Admission{Level: 1, Retry: c.tries}, 1, 1), c.first, quick(2))
 		again := 0
 		for _, r := range all {
 			if r.Kind == trace.Try && r.N == 2 {
@@ -153,11 +153,11 @@
 }
 
 func TestLevelsStrikesAndSilence(t *testing.T) {
-	_, ends, _ := play(t, 40, FrontTrade{Rate: 100, Pick: "even"}, bind(&proto.Level{Level: 0.25}, 1), quick(1))
+	_, ends, _ := play(t, 40, FrontTrade{Rate: 100, Pick: "even"}, bind(&proto.Admission{Level: 0.25}, 1), quick(1))
 	if part := float64(ends["ok"]) / float64(ends["ok"]+ends["pushed back"]); math.Abs(part-0.25) > 0.03 {
 		t.Errorf("a level of a quarter lets in %.3f", part)
 	}
-	_, ends, _ = play(t, 40, FrontTrade{Rate: 100, Pick: "even", LevelRate: true}, bind(&proto.Level{Level: 20}, 1), quick(1))
+	_, ends, _ = play(t, 40, FrontTrade{Rate: 100, Pick: "even", LevelRate: true}, bind(&proto.Admission{Level: 20}, 1), quick(1))
 	if n := ends["ok"]; n < 700 || n > 900 {
 		t.Errorf("a level of 20 a second let in %d in 40 s", n)
 	}
@@ -230,7 +230,7 @@
 	other := quick(2)
 	other.Store = store
 	methods := []MethodTrade{{Name: "save", Effect: Tokened, Criticality: 1, SoftDeadline: 0.3, Deadline: 2, Share: 1}}
-	_, _, all := play(t, 20, FrontTrade{Rate: 20, Pick: "lottery", TryWait: 0.8, Methods: methods}, bind(&proto.Level{Level: 1, Tries: 2}, 1, 1), hangs, other)
+	_, _, all := play(t, 20, FrontTrade{Rate: 20, Pick: "lottery", TryWait: 0.8, Methods: methods}, bind(&proto.Admission{Level: 1, Retry: 2}, 1, 1), hangs, other)
 	runs, again := map[uint64]int{}, 0
 	for _, r := range all {
 		if r.Kind == trace.Run {
@@ -252,12 +252,12 @@
 
 // The list service tells what changed since a version, all where it can't, and nothing twice.
 func TestListAnswers(t *testing.T) {
-	l := NewList([]Listing{{EP: 1, State: proto.ServerOpen, Addr: "s1", Stamp: 1}, {EP: 2, State: proto.ServerOpen, Addr: "s2", Stamp: 1}})
-	var got []proto.List
+	l := NewList([]Listing{{EP: 1, State: proto.BackendOpen, Addr: "s1", Stamp: 1}, {EP: 2, State: proto.BackendOpen, Addr: "s2", Stamp: 1}})
+	var got []proto.EndpointUpdate
 	var r proto.Reader
-	r.Open()
+	r.HandshakeDone()
 	now := 10.0
-	step := func(in ...statemachine.Input) []proto.List {
+	step := func(in ...statemachine.Input) []proto.EndpointUpdate {
 		now += 0.01
 		var out statemachine.Effects
 		out.Reset()
@@ -266,7 +266,7 @@
 		for _, a := range out.Actions {
 			r.Feed(a.Data)
 			for m, _ := r.Next(); m != nil; m, _ = r.Next() {
-				if x, ok := m.(proto.List); ok && (x.Kind != proto.ListChanges || len(x.Entries) > 0) {
+				if x, ok := m.(proto.EndpointUpdate); ok && (x.Kind != proto.UpdateDelta || len(x.Endpoints) > 0) {
 					got = append(got, x)
 				}
 			}
@@ -277,31 +277,31 @@
 		return statemachine.Input{Kind: statemachine.OperatorCommand, Text: text}
 	}
 	ask := func(since uint64) statemachine.Input {
-		return statemachine.Input{Kind: statemachine.ConnData, Conn: 1, Data: proto.Append(nil, proto.Watch{On: true, Since: since})}
+		return statemachine.Input{Kind: statemachine.ConnData, Conn: 1, Data: proto.Append(nil, proto.WatchEndpoints{On: true, SinceVersion: since})}
 	}
 	step(statemachine.Input{Kind: statemachine.ConnOpened, Conn: 1}, statemachine.Input{Kind: statemachine.ConnData, Conn: 1, Data: proto.Append(nil, proto.Hello{Version: 1, Role: proto.RoleWatcher, Name: "c0"})})
-	if all := step(ask(0)); len(all) != 1 || all[0].Kind != proto.ListFull || len(all[0].Entries) != 2 {
+	if all := step(ask(0)); len(all) != 1 || all[0].Kind != proto.UpdateFull || len(all[0].Endpoints) != 2 {
 		t.Fatal(all)
 	}
-	if all := step(say("state 1 draining")); len(all) != 1 || all[0].Kind != proto.ListChanges || all[0].Base != 1 || all[0].Version != 2 || all[0].Entries[0].State != proto.ServerDraining {
+	if all := step(say("state 1 draining")); len(all) != 1 || all[0].Kind != proto.UpdateDelta || all[0].BaseVersion != 1 || all[0].Version != 2 || all[0].Endpoints[0].State != proto.BackendDraining {
 		t.Fatal(all)
 	}
 	if all := step(say("stale on"), say("state 1 gone"), say("restart 1")); len(all) != 0 {
 		t.Fatal("told while stale:", all)
 	}
-	if all := step(say("stale off")); len(all) != 1 || len(all[0].Entries) != 1 || all[0].Entries[0].State != proto.ServerOpen || all[0].Entries[0].Old || all[0].Entries[0].Stamp != 2 {
+	if all := step(say("stale off")); len(all) != 1 || len(all[0].Endpoints) != 1 || all[0].Endpoints[0].State != proto.BackendOpen || all[0].Endpoints[0].StartedLongAgo || all[0].Endpoints[0].Incarnation != 2 {
 		t.Fatal("not the last state of each, once:", all)
 	}
-	if all := step(ask(2)); len(all) != 1 || all[0].Base != 2 || all[0].Version != 4 {
+	if all := step(ask(2)); len(all) != 1 || all[0].BaseVersion != 2 || all[0].Version != 4 {
 		t.Fatal(all)
 	}
-	if all := step(ask(9)); len(all) != 1 || all[0].Kind != proto.ListFull {
+	if all := step(ask(9)); len(all) != 1 || all[0].Kind != proto.UpdateFull {
 		t.Fatal("a version it never had:", all)
 	}
-	if all := step(say("show none")); len(all) != 1 || all[0].Kind != proto.ListFull || len(all[0].Entries) != 0 {
+	if all := step(say("show none")); len(all) != 1 || all[0].Kind != proto.UpdateFull || len(all[0].Endpoints) != 0 {
 		t.Fatal(all)
 	}
-	if all := step(say("show all")); len(all) != 1 || len(all[0].Entries) != 2 {
+	if all := step(say("show all")); len(all) != 1 || len(all[0].Endpoints) != 2 {
 		t.Fatal(all)
 	}
 	if all := step(say("fail on")); len(all) != 0 || len(l.watchers) != 0 {
@@ -356,22 +356,22 @@
 func TestCrowd(t *testing.T) {
 	c := NewCrowd()
 	for i := range 3 {
-		c.Add(fmt.Sprint("s", i), emulator.NewServer(quick(proto.EP(i+1))), 1)
+		c.Add(fmt.Sprint("s", i), emulator.NewServer(quick(proto.BackendID(i+1))), 1)
 	}
 	var out statemachine.Effects
 	out.Reset()
-	hello := proto.Append(nil, proto.Hello{Version: 1, Role: proto.RoleCaller, Name: "x"})
+	hello := proto.Append(nil, proto.Hello{Version: 1, Role: proto.RoleClient, Name: "x"})
 	c.Step(1, []statemachine.Input{
 		{Kind: statemachine.ConnOpened, Conn: 5, Listener: 2},
 		{Kind: statemachine.ConnOpened, Conn: 6, Listener: 0},
 		{Kind: statemachine.ConnData, Conn: 5, Data: hello},
 		{Kind: statemachine.OperatorCommand, Text: "s0 drain"},
-		{Kind: statemachine.ConnData, Conn: 6, Data: proto.Append(hello, proto.RPC{ID: 1, Left: 1})},
+		{Kind: statemachine.ConnData, Conn: 6, Data: proto.Append(hello, proto.RPC{ID: 1, TimeLeft: 1})},
 	}, &out)
 	var names []string
 	for _, a := range out.Actions {
 		var r proto.Reader
-		r.Open()
+		r.HandshakeDone()
 		r.Feed(a.Data)
 		for m, _ := r.Next(); m != nil; m, _ = r.Next() {
 			names = append(names, fmt.Sprint(a.Conn, m))
--- a/internal/haproxy/proof_test.go
+++ b/internal/haproxy/proof_test.go
@@ -45,9 +45,9 @@
 	for _, s := range p.Listed() {
 		ep := numbers[s.Name]
 		names[ep] = s.Name
-		state := proto.ServerOpen
+		state := proto.BackendOpen
 		if s.State == Draining {
-			state = proto.ServerDraining
+			state = proto.BackendDraining
 		}
 		list = append(list, fake.Listing{EP: ep, State: state, Zone: "imported", Weight: float64(max(1, s.Weight)), Addr: s.Name, Stamp: 1})
 		w.Add(s.Name, "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
--- a/internal/listing/day_test.go
+++ b/internal/listing/day_test.go
@@ -34,15 +34,15 @@
 		switch i.Kind {
 		case statemachine.ConnOpened:
 			w.in[i.Conn], w.out[i.Conn] = &proto.Reader{}, &proto.Reader{}
-			w.in[i.Conn].Open()
-			w.out[i.Conn].Open()
+			w.in[i.Conn].HandshakeDone()
+			w.out[i.Conn].HandshakeDone()
 		case statemachine.ConnData:
 			w.in[i.Conn].Feed(i.Data)
 			for m, _ := w.in[i.Conn].Next(); m != nil; m, _ = w.in[i.Conn].Next() {
 				switch m := m.(type) {
 				case proto.Hello:
 					w.name[i.Conn] = m.Name
-				case proto.Watch, proto.Fetch:
+				case proto.WatchEndpoints, proto.FetchEndpoints:
 					out.Record(trace.Record{T: now, Kind: trace.Ask, Of: w.name[i.Conn]})
 				}
 			}
@@ -64,17 +64,17 @@
 		}
 		r.Feed(a.Data)
 		for m, _ := r.Next(); m != nil; m, _ = r.Next() {
-			l, is := m.(proto.List)
-			if !is || l.Kind == proto.ListError || l.Kind == proto.ListChanges && len(l.Entries) == 0 {
+			l, is := m.(proto.EndpointUpdate)
+			if !is || l.Kind == proto.UpdateFailed || l.Kind == proto.UpdateDelta && len(l.Endpoints) == 0 {
 				continue
 			}
 			text := []string{"full", "changes"}[l.Kind]
-			for _, e := range l.Entries {
+			for _, e := range l.Endpoints {
 				start := now - e.Age
-				if e.Old {
+				if e.StartedLongAgo {
 					start = 0
 				}
-				text += fmt.Sprintf(" %d:%c:%.3f:%s", e.EP, "god"[e.State], start, e.Zone)
+				text += fmt.Sprintf(" %d:%c:%.3f:%s", e.Backend, "god"[e.State], start, e.Zone)
 			}
 			out.Record(trace.Record{T: now, Kind: trace.List, Of: w.name[a.Conn], N: int64(l.Version), Text: text})
 		}
--- a/internal/listing/listing.go
+++ b/internal/listing/listing.go
@@ -104,7 +104,7 @@
 		s.beat = now + beatEvery
 		for _, w := range s.ordered() {
 			if w.on {
-				out.Write(w.conn, proto.Append(nil, proto.List{Kind: proto.ListChanges, Base: w.held, Version: w.held}))
+				out.Write(w.conn, proto.Append(nil, proto.EndpointUpdate{Kind: proto.UpdateDelta, BaseVersion: w.held, Version: w.held}))
 			}
 		}
 	}
@@ -145,7 +145,7 @@
 	if version == 0 {
 		return // no file was taken yet: an empty list would be a lie
 	}
-	m := proto.List{Kind: proto.ListChanges, Base: w.held, Version: version}
+	m := proto.EndpointUpdate{Kind: proto.UpdateDelta, BaseVersion: w.held, Version: version}
 	known := w.held > 0 && (w.held == version || w.held < version && len(s.history) > 0 && s.history[0].version <= w.held+1)
 	var entries []follow.Entry
 	if known {
@@ -164,20 +164,20 @@
 			}
 		}
 	} else {
-		m.Kind, entries = proto.ListFull, s.f.Entries()
+		m.Kind, entries = proto.UpdateFull, s.f.Entries()
 	}
 	for _, e := range entries {
-		x := proto.Entry{EP: e.Number, State: proto.ServerOpen, Kind: "imported", Zone: s.zone, Weight: e.Weight, Old: e.Start == 0, Stamp: e.Stamp, Addr: e.Addr}
+		x := proto.Endpoint{Backend: e.Number, State: proto.BackendOpen, Kind: "imported", Zone: s.zone, Weight: e.Weight, StartedLongAgo: e.Start == 0, Incarnation: e.Stamp, Addr: e.Addr}
 		switch e.State {
 		case follow.Draining:
-			x.State = proto.ServerDraining
+			x.State = proto.BackendDraining
 		case follow.Gone:
-			x.State = proto.ServerGone
+			x.State = proto.BackendGone
 		}
 		if e.Start > 0 {
 			x.Age = max(0, now-e.Start)
 		}
-		m.Entries = append(m.Entries, x)
+		m.Endpoints = append(m.Endpoints, x)
 	}
 	w.held = version
 	s.out.Write(w.conn, proto.Append(nil, m))
@@ -191,22 +191,22 @@
 			case nil:
 				return
 			case proto.Hello:
-				w.reader.Open()
+				w.reader.HandshakeDone()
 				s.out.Write(w.conn, proto.Append(nil, proto.Welcome{Version: proto.Version, Name: s.name}))
-			case proto.Watch:
+			case proto.WatchEndpoints:
 				if w.on = m.On; m.On {
-					w.held = m.Since
+					w.held = m.SinceVersion
 					s.answer(now, w)
 				}
-			case proto.Fetch:
+			case proto.FetchEndpoints:
 				w.held = 0
 				s.answer(now, w)
 			default:
-				err = fmt.Errorf("a %T to a list service", msg)
+				err = fmt.Errorf("a %s to a list service", proto.WireName(msg))
 			}
 		}
 		if err != nil {
-			s.out.Write(w.conn, proto.Append(nil, proto.Refuse{Reason: err.Error()}))
+			s.out.Write(w.conn, proto.Append(nil, proto.Reject{Reason: err.Error()}))
 			s.out.Close(w.conn)
 			delete(s.watchers, w.conn)
 			return
@@ -217,7 +217,7 @@
 // answer to a call; before any file was taken there is nothing to tell.
 func (s *Service) answer(now statemachine.Seconds, w *watcher) {
 	if s.f.Version() == 0 {
-		s.out.Write(w.conn, proto.Append(nil, proto.List{Kind: proto.ListError, Reason: "no file was taken yet"}))
+		s.out.Write(w.conn, proto.Append(nil, proto.EndpointUpdate{Kind: proto.UpdateFailed, Reason: "no file was taken yet"}))
 		return
 	}
 	s.deliver(now, w)
--- a/internal/listing/listing_test.go
+++ b/internal/listing/listing_test.go
@@ -56,20 +56,20 @@
 			continue
 		}
 		var r proto.Reader
-		r.Open()
+		r.HandshakeDone()
 		r.Feed(a.Data)
 		for m, _ := r.Next(); m != nil; m, _ = r.Next() {
 			switch m := m.(type) {
-			case proto.List:
-				if m.Kind == proto.ListChanges && len(m.Entries) == 0 {
+			case proto.EndpointUpdate:
+				if m.Kind == proto.UpdateDelta && len(m.Endpoints) == 0 {
 					continue // a sign of life
 				}
-				text := fmt.Sprintf("%s %d-%d", []string{"full", "changes", "error"}[m.Kind], m.Base, m.Version)
-				for _, e := range m.Entries {
-					text += fmt.Sprintf(" %d%s%g", e.EP, []string{"gone", "open", "draining"}[e.State], e.Weight)
+				text := fmt.Sprintf("%s %d-%d", []string{"full", "changes", "error"}[m.Kind], m.BaseVersion, m.Version)
+				for _, e := range m.Endpoints {
+					text += fmt.Sprintf(" %d%s%g", e.Backend, []string{"gone", "open", "draining"}[e.State], e.Weight)
 				}
 				d.heard[a.Conn] = append(d.heard[a.Conn], text)
-			case proto.Refuse:
+			case proto.Reject:
 				d.heard[a.Conn] = append(d.heard[a.Conn], "refused")
 			}
 		}
@@ -81,7 +81,7 @@
 
 func (d *driven) watch(c statemachine.Conn, since uint64) {
 	d.step(0, statemachine.Input{Kind: statemachine.ConnOpened, Conn: c}, statemachine.Input{Kind: statemachine.ConnData, Conn: c, Data: proto.Append(
-		proto.Append(nil, proto.Hello{Version: proto.Version, Role: proto.RoleWatcher, Name: "c0"}), proto.Watch{On: true, Since: since})})
+		proto.Append(nil, proto.Hello{Version: proto.Version, Role: proto.RoleWatcher, Name: "c0"}), proto.WatchEndpoints{On: true, SinceVersion: since})})
 }
 
 func (d *driven) want(c statemachine.Conn, all ...string) {
@@ -117,7 +117,7 @@
 	d.want(1)
 	d.step(0.2)
 	d.want(1, "changes 3-4 3gone1")
-	d.step(0, statemachine.Input{Kind: statemachine.ConnData, Conn: 3, Data: proto.Append(nil, proto.Fetch{})}, statemachine.Input{Kind: statemachine.ConnData, Conn: 2, Data: proto.Append(nil, proto.Heard{})})
+	d.step(0, statemachine.Input{Kind: statemachine.ConnData, Conn: 3, Data: proto.Append(nil, proto.FetchEndpoints{})}, statemachine.Input{Kind: statemachine.ConnData, Conn: 2, Data: proto.Append(nil, proto.ReportsReceived{})})
 	d.want(3, "changes 3-4 3gone1", "full 0-4 1open1 2open5")
 	d.want(2, "changes 3-4 3gone1", "refused", "closed")
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -77,9 +77,9 @@
 		n = runtime.GOMAXPROCS(0)
 	}
 	n = min(n, b.Proxies)
-	var fixed []proto.Line
+	var fixed []proto.TableEntry
 	for i, addr := range b.Servers {
-		fixed = append(fixed, proto.Line{EP: proto.EP(i + 1), Weight: 1, Addr: addr})
+		fixed = append(fixed, proto.TableEntry{Backend: proto.BackendID(i + 1), Weight: 1, Addr: addr})
 	}
 	var loops []*eventloop.Loop
 	var err error
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -95,8 +95,8 @@
 	crowd := fake.NewCrowd()
 	var doors []string
 	for i := range servers {
-		ep := proto.EP(i + 1)
-		all = append(all, fake.Listing{EP: ep, State: proto.ServerOpen, Zone: "a", Weight: 1, Stamp: 1, Addr: "127.0.0.1:1"})
+		ep := proto.BackendID(i + 1)
+		all = append(all, fake.Listing{EP: ep, State: proto.BackendOpen, Zone: "a", Weight: 1, Stamp: 1, Addr: "127.0.0.1:1"})
 		if rate > 0 {
 			crowd.Add(fmt.Sprint("s", i), emulator.NewServer(emulator.Trade{EP: ep, Cores: 8, Speed: 1, Work: []emulator.Work{{Mean: 0.008}}, QueueMost: 100, Seed: uint64(ep)}), 1)
 			doors = append(doors, "127.0.0.1:0")
--- a/internal/proto/frame.go
+++ b/internal/proto/frame.go
@@ -18,21 +18,21 @@
 	// Version is the one version of the protocol so far.
 	Version = 1
 	// MostHello bounds a frame before the handshake is done, against strangers.
-	MostHello = 1 << 10
+	MaxHandshakeFrame = 1 << 10
 	// MostFrame bounds any frame: a full list of some 10,000 servers fits.
-	MostFrame = 1 << 20
+	MaxFrame = 1 << 20
 	// MostWord bounds a name, an address or a reason.
-	MostWord = 255
+	MaxString = 255
 
 	head = 4
 )
 
 // Type names a frame's message.
-type Type uint8
+type MessageType uint8
 
 // Message is any of the messages in messages.go.
 type Message interface {
-	kind() Type
+	kind() MessageType
 	put(b []byte) []byte
 }
 
@@ -54,7 +54,7 @@
 }
 
 // Open lets whole frames through once the handshake is done.
-func (r *Reader) Open() { r.most = MostFrame }
+func (r *Reader) HandshakeDone() { r.most = MaxFrame }
 
 // Feed adds bytes that came.
 func (r *Reader) Feed(b []byte) {
@@ -77,7 +77,7 @@
 		return nil, nil
 	}
 	n := int(binary.BigEndian.Uint32(have))
-	if most := max(r.most, MostHello); n < 1 || n > most {
+	if most := max(r.most, MaxHandshakeFrame); n < 1 || n > most {
 		r.err = fmt.Errorf("a frame of %d bytes, 1 to %d allowed", n, most)
 		return nil, r.err
 	}
@@ -85,7 +85,7 @@
 		return nil, nil
 	}
 	r.at += head + n
-	m, err := decode(Type(have[head]), have[head+1:head+n])
+	m, err := decode(MessageType(have[head]), have[head+1:head+n])
 	if err != nil {
 		r.err = err
 		return nil, err
@@ -94,9 +94,9 @@
 }
 
 // Waiting tells how many bytes of a frame not yet whole are held.
-func (r *Reader) Waiting() int { return len(r.buf) - r.at }
+func (r *Reader) Buffered() int { return len(r.buf) - r.at }
 
-func decode(t Type, b []byte) (Message, error) {
+func decode(t MessageType, b []byte) (Message, error) {
 	get, ok := decoders[t]
 	if !ok {
 		return nil, fmt.Errorf("a frame of unknown type %d", t)
@@ -107,7 +107,7 @@
 		d.err = fmt.Errorf("%d bytes too many", len(d.b))
 	}
 	if d.err != nil {
-		return nil, fmt.Errorf("%T: %w", m, d.err)
+		return nil, fmt.Errorf("%s: %w", WireName(m), d.err)
 	}
 	return m, nil
 }
@@ -166,7 +166,7 @@
 
 // bytes reads up to MostWord bytes of any kind.
 func (d *decoder) bytes() string {
-	n := int(d.upTo(MostWord, "word length"))
+	n := int(d.upTo(MaxString, "word length"))
 	if len(d.b) < n {
 		d.fail(errShort)
 		return ""
@@ -211,8 +211,8 @@
 
 // word cuts what is too long: only reasons can be, names are checked where they come in.
 func word(b []byte, s string) []byte {
-	if len(s) > MostWord {
-		s = s[:MostWord]
+	if len(s) > MaxString {
+		s = s[:MaxString]
 		for !utf8.ValidString(s) {
 			s = s[:len(s)-1]
 		}
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -64,7 +64,7 @@
 	name  string
 	zone  string
 	kind  string
-	ep    proto.EP
+	ep    proto.BackendID
 	at    int
 	rate  float64
 	group ServerGroup
@@ -95,7 +95,7 @@
 	for _, g := range d.Servers {
 		for range g.N {
 			i := len(c.servers)
-			put(&c.servers, &actor{name: fmt.Sprintf("s%d", i), zone: zone(g.Zone, i), kind: g.Kind, ep: proto.EP(i + 1), at: i, group: g})
+			put(&c.servers, &actor{name: fmt.Sprintf("s%d", i), zone: zone(g.Zone, i), kind: g.Kind, ep: proto.BackendID(i + 1), at: i, group: g})
 		}
 	}
 	for n, g := range d.Fronts {
@@ -115,7 +115,7 @@
 func (c *cast) listings(addr func(a *actor) string) (all []fake.Listing) {
 	for _, s := range c.servers {
 		all = append(all, fake.Listing{
-			EP: s.ep, State: proto.ServerOpen, Kind: s.kind, Zone: s.zone, Weight: s.group.Weight,
+			EP: s.ep, State: proto.BackendOpen, Kind: s.kind, Zone: s.zone, Weight: s.group.Weight,
 			Addr: addr(s), Stamp: 1,
 		})
 	}
--- a/internal/scenario/rehearse_test.go
+++ b/internal/scenario/rehearse_test.go
@@ -108,7 +108,7 @@
 	var acts []statemachine.Action
 	for _, a := range out.Actions {
 		var r proto.Reader
-		r.Open()
+		r.HandshakeDone()
 		r.Feed(a.Data)
 		m, _ := r.Next()
 		p, ok := m.(proto.Push)
@@ -119,8 +119,8 @@
 		more := s.edit(&p)
 		for i := range more + 1 {
 			s.seqs[a.Conn]++
-			if p.Seq = s.seqs[a.Conn]; i > 0 {
-				p.Ops, p.Marked = nil, false
+			if p.Sequence = s.seqs[a.Conn]; i > 0 {
+				p.Ops, p.HasNonce = nil, false
 			}
 			acts = append(acts, statemachine.Action{Kind: statemachine.ActionWrite, Conn: a.Conn, Data: proto.Append(nil, p)})
 		}
@@ -144,8 +144,8 @@
 
 // A coordinator that is spoiled on purpose is caught, by the rule that it breaks; the same one unspoiled is not.
 func TestSpoiledCoordinatorsAreCaught(t *testing.T) {
-	shuts := func(o proto.Op) bool {
-		return o.Kind == proto.OpWithdraw || o.Kind == proto.OpLine && (o.Lines[0].Weight == 0 || o.Lines[0].Shut)
+	shuts := func(o proto.TableOp) bool {
+		return o.Kind == proto.OpExclude || o.Kind == proto.OpSetEntry && (o.Entries[0].Weight == 0 || o.Entries[0].Excluded)
 	}
 	for name, c := range map[string]struct {
 		rule int
@@ -154,16 +154,16 @@
 		"as it is": {0, func(*proto.Push) int { return 0 }},
 		"a table emptied": {1, func(p *proto.Push) int {
 			for i, o := range p.Ops {
-				if o.Kind == proto.OpLine {
-					p.Ops[i] = proto.Op{Kind: proto.OpClear, Table: o.Table}
+				if o.Kind == proto.OpSetEntry {
+					p.Ops[i] = proto.TableOp{Kind: proto.OpClear, Table: o.Table}
 				}
 			}
 			return 0
 		}},
 		"a non-idempotent RPC repeated": {2, func(p *proto.Push) int {
 			for i, o := range p.Ops {
-				for k := range o.Levels {
-					p.Ops[i].Levels[k].Tries = 2
+				for k := range o.Admissions {
+					p.Ops[i].Admissions[k].Retry = 2
 				}
 			}
 			return 0
