--- a/cmd/gingerfork/emulate.go
+++ b/cmd/gingerfork/emulate.go
@@ -51,7 +51,7 @@
 		}
 	}
 	if c.For != "" {
-		if d.Length, err = bootstrap.Duration(c.For); err != nil {
+		if d.Length, err = bootstrap.ParseDuration(c.For); err != nil {
 			return fmt.Errorf("for %w", err)
 		}
 	}
@@ -159,7 +159,7 @@
 	if err != nil {
 		return badError{err}
 	}
-	m := s.Coordinator(0)
+	m := s.CoordinatorConfig(0)
 	b := load.Bootstrap{Proxies: c.Proxies, Rate: c.Rate, Uneven: c.Uneven, To: c.Coordinator, Servers: c.Server, Seed: c.Seed}
 	t := fake.FrontTrade{
 		Methods: fake.Methods(m.Settings.Methods), Pick: m.Settings.Pick, Strikes: int(m.Settings.Strikes.Or(0)), KeepAway: 5,
@@ -172,7 +172,7 @@
 			return fmt.Errorf("mix has %d shares, the settings have %d methods", len(c.Mix), len(t.Methods))
 		}
 		if len(c.Mix) > 0 {
-			if t.Methods[i].Share, err = bootstrap.Share(c.Mix[i]); err != nil {
+			if t.Methods[i].Share, err = bootstrap.ParseShare(c.Mix[i]); err != nil {
 				return fmt.Errorf("mix: %w", err)
 			}
 		}
@@ -180,7 +180,7 @@
 	b.Zones = append(b.Zones, m.Settings.Zones...)
 	span := func(name, text string, into *float64) {
 		if err == nil && text != "" {
-			if *into, err = bootstrap.Duration(text); err != nil {
+			if *into, err = bootstrap.ParseDuration(text); err != nil {
 				err = fmt.Errorf("%s: %w", name, err)
 			}
 		}
--- a/cmd/gingerfork/follow.go
+++ b/cmd/gingerfork/follow.go
@@ -28,7 +28,7 @@
 	writing    sync.Mutex // the status is written by whoever reads the file and by the service's owner
 }
 
-func follows(ctx context.Context, t *bootstrap.Trade, dir string, clock *eventloop.Clock, log *slog.Logger) (*source, error) {
+func follows(ctx context.Context, t *bootstrap.Settings, dir string, clock *eventloop.Clock, log *slog.Logger) (*source, error) {
 	if file := t.Text("list-from"); file == "" || file == "-" {
 		return nil, nil
 	}
@@ -41,7 +41,7 @@
 		}
 	}
 	var err error
-	s.service, err = listing.New(t.Name, t.Coordinator(0).Settings.Zone, follow.Terms{DrainFor: t.Num("list-drain"), MostLost: t.Num("list-most-lost")}, kept,
+	s.service, err = listing.New(t.Name, t.CoordinatorConfig(0).Settings.Zone, follow.Terms{DrainFor: t.Number("list-drain"), MostLost: t.Number("list-most-lost")}, kept,
 		func(changed int, err error) {
 			if err != nil {
 				log.Error("the file of servers is held back; the list stays as it was", "file", s.file, "cause", err.Error())
--- a/cmd/gingerfork/route.go
+++ b/cmd/gingerfork/route.go
@@ -43,7 +43,7 @@
 	r, ok := t.Pick(c.Front, q)
 	if !ok {
 		known := t.Fronts()
-		if near := bootstrap.Nearest(c.Front, known); near != "" && near != c.Front {
+		if near := bootstrap.ClosestWord(c.Front, known); near != "" && near != c.Front {
 			return badError{fmt.Errorf("no route for it (did you mean the front %s?)", near)}
 		}
 		return badError{fmt.Errorf("no route for it at %s", c.Front)}
--- a/cmd/gingerfork/serve.go
+++ b/cmd/gingerfork/serve.go
@@ -25,15 +25,15 @@
 }
 
 // coordinatorOf is what a coordinator is started with, from its settings.
-func coordinatorOf(t *bootstrap.Trade, module choice.Config) coordinator.Bootstrap {
+func coordinatorOf(t *bootstrap.Settings, module choice.Config) coordinator.Bootstrap {
 	peers := map[choice.PeerID]string{}
 	for n, addr := range t.Peers {
 		peers[choice.PeerID(n)] = addr
 	}
 	return coordinator.Bootstrap{
 		Name: t.Name, Zone: module.Settings.Zone, ListAddr: t.Text("list-service"), Peers: peers, Module: module,
-		Handshake: t.Num("handshake"), Silence: t.Num("stream-silence"), ListSilence: t.Num("list-silence"),
-		Text: t.Canonical(), ProbeTimeout: t.Num("probe-timeout"), MostStreams: int(t.Num("streams")), MostProbes: int(t.Num("probes-at-once")),
+		Handshake: t.Number("handshake"), Silence: t.Number("stream-silence"), ListSilence: t.Number("list-silence"),
+		Text: t.Canonical(), ProbeTimeout: t.Number("probe-timeout"), MostStreams: int(t.Number("streams")), MostProbes: int(t.Number("probes-at-once")),
 	}
 }
 
@@ -80,7 +80,7 @@
 }
 
 // read reads all files. Two instances must not share what each would write over.
-func (c serveCmd) read() (all []*bootstrap.Trade, err error) {
+func (c serveCmd) read() (all []*bootstrap.Settings, err error) {
 	by := map[string]string{}
 	for _, f := range c.Files {
 		t, bad := bootstrap.Read(f)
@@ -104,7 +104,7 @@
 // served is one coordinator of the process.
 type served struct {
 	file   string
-	trade  *bootstrap.Trade
+	trade  *bootstrap.Settings
 	clock  *eventloop.Clock
 	source *source
 	store  *store.Store // nil: nothing is kept
@@ -113,7 +113,7 @@
 	log    *slog.Logger
 }
 
-func start(ctx context.Context, p *program, file string, t *bootstrap.Trade) (*served, error) {
+func start(ctx context.Context, p *program, file string, t *bootstrap.Settings) (*served, error) {
 	log := p.logger().With("instance", t.Name)
 	dir := t.Text("state")
 	s := &served{file: file, trade: t, clock: eventloop.NewClock(), log: log}
@@ -125,9 +125,9 @@
 		s.shut()
 		return nil, err
 	}
-	s.m = coordinator.NewMachine(coordinatorOf(t, t.Coordinator(s.clock.Now())), kept)
+	s.m = coordinator.NewMachine(coordinatorOf(t, t.CoordinatorConfig(s.clock.Now())), kept)
 	if s.loop, err = eventloop.Start(ctx, eventloop.Bootstrap{
-		Machine: s.m, Listen: []string{t.Text("listen")}, Dir: dir, MostOut: int(t.Num("reader-buffer")),
+		Machine: s.m, Listen: []string{t.Text("listen")}, Dir: dir, MostOut: int(t.Number("reader-buffer")),
 		Log: log, Clock: s.clock, Store: s.store,
 	}); err != nil {
 		s.source.end()
@@ -155,7 +155,7 @@
 			s.log.Warn("this keyword takes a restart; the old value stays in force", "keyword", k)
 		}
 	}
-	s.loop.Between(func() { s.m.Renew(coordinatorOf(fresh, fresh.Coordinator(s.clock.Now()))) })
+	s.loop.Between(func() { s.m.Renew(coordinatorOf(fresh, fresh.CoordinatorConfig(s.clock.Now()))) })
 	s.log.Info("the settings were read again and are in force")
 }
 
--- a/cmd/gingerfork/standin.go
+++ b/cmd/gingerfork/standin.go
@@ -89,7 +89,7 @@
 		if err != nil {
 			return badError{err}
 		}
-		b := s.Coordinator(0)
+		b := s.CoordinatorConfig(0)
 		t.ColdShare, t.WarmAfter = b.Settings.ColdShare.Or(1), b.Settings.WarmAfter.Or(0)
 		t.FallMultiple, t.FallWindow = b.Settings.FallMultiple.Or(0), b.Settings.FallWindow.Or(0)
 	}
@@ -113,7 +113,7 @@
 		if err != nil {
 			return fmt.Errorf("server %q: %w", s, err)
 		}
-		w, err := bootstrap.Number(f[2])
+		w, err := bootstrap.ParseNumber(f[2])
 		if err != nil {
 			return fmt.Errorf("server %q: weight %w", s, err)
 		}
@@ -136,7 +136,7 @@
 	if err != nil {
 		return badError{err}
 	}
-	b := s.Coordinator(0)
+	b := s.CoordinatorConfig(0)
 	if c.Zone == "" {
 		if zones := b.Settings.Zones; len(zones) > 0 {
 			c.Zone = zones[0]
--- a/internal/bootstrap/bootstrap_test.go
+++ b/internal/bootstrap/bootstrap_test.go
@@ -48,7 +48,7 @@
   deadline 2s
 `
 
-func parse(t *testing.T, text string) (*Trade, Faults) {
+func parse(t *testing.T, text string) (*Settings, Faults) {
 	t.Helper()
 	lines, faults := Lex("x.conf", text)
 	trade, more := Parse("x.conf", lines)
@@ -80,7 +80,7 @@
 			t.Errorf("%s is %q, want %q", name, got, want)
 		}
 	}
-	if !b.Settings.Probes || trade.Peers[1] != "127.0.0.1:7401" || trade.Text("state") != "here" || trade.Num("handshake") != 5 || trade.Name != "west-1" {
+	if !b.Settings.Probes || trade.Peers[1] != "127.0.0.1:7401" || trade.Text("state") != "here" || trade.Number("handshake") != 5 || trade.Name != "west-1" {
 		t.Error(trade)
 	}
 }
@@ -163,7 +163,7 @@
 		if _, err := k.value(words[1:]); err != nil {
 			t.Errorf("%s: its example is bad: %v", k.Name, err)
 		}
-		if k.Default != need && k.Form != peer {
+		if k.Default != need && k.Syntax != peer {
 			if _, err := k.value([]string{k.Default}); err != nil {
 				t.Errorf("%s: its default is bad: %v", k.Name, err)
 			}
@@ -192,7 +192,7 @@
 		trade, more := Parse("x", lines)
 		if len(faults)+len(more) > 0 {
 			for _, x := range append(faults, more...) {
-				if x.Line < 1 || x.What == "" || strings.Contains(x.What, "\n") {
+				if x.Line < 1 || x.Message == "" || strings.Contains(x.Message, "\n") {
 					t.Fatalf("%q", x)
 				}
 			}
--- a/internal/bootstrap/document.go
+++ b/internal/bootstrap/document.go
@@ -32,18 +32,18 @@
 			if k.Section != s.Name {
 				continue
 			}
-			syntax := k.Form.String()
+			syntax := k.Syntax.String()
 			if k.Choices != nil {
 				syntax = strings.Join(k.Choices, `\|`)
 			}
 			span := ""
 			switch {
-			case k.Most > 0:
-				span = fmt.Sprintf("%v to %v", k.Least, k.Most)
-			case k.Least > 0:
-				span = fmt.Sprintf("%v and above", k.Least)
+			case k.Max > 0:
+				span = fmt.Sprintf("%v to %v", k.Min, k.Max)
+			case k.Min > 0:
+				span = fmt.Sprintf("%v and above", k.Min)
 			}
-			if span != "" && k.Form == duration {
+			if span != "" && k.Syntax == duration {
 				span += " seconds"
 			}
 			def := k.Default
--- a/internal/bootstrap/keywords.go
+++ b/internal/bootstrap/keywords.go
@@ -29,16 +29,16 @@
 
 // Keyword is one setting: what docs/settings.md says of it stands here, and the module's name for it.
 type Keyword struct {
-	Section string
-	Name    string
-	Form    form
-	Choices []string
-	Least   float64
-	Most    float64 // 0: no bound
-	Default string  // "": it must be given
-	Module  string  // the module's name of the value; "": it is the program's own
-	Doc     string
-	Example string
+	Section      string
+	Name         string
+	Syntax       form
+	Choices      []string
+	Min          float64
+	Max          float64 // 0: no bound
+	Default      string  // "": it must be given
+	DecisionName string  // the module's name of the value; "": it is the program's own
+	Doc          string
+	Example      string
 }
 
 const need = ""
@@ -119,6 +119,9 @@
 	{"method", "NAME", "One method; a section for each, in the order in which proxies number them."},
 }
 
+// IsSection tells whether a word opens a section of a settings file.
+func IsSection(word string) bool { return slices.Contains(sectionNames(), word) }
+
 func keywords(section string) (all []string) {
 	for _, k := range Keywords {
 		if k.Section == section {
@@ -139,7 +142,7 @@
 
 // value reads what stands behind a keyword, as the module wants it: a float64, a string or a bool.
 func (k *Keyword) value(args []string) (any, error) {
-	if k.Form == names {
+	if k.Syntax == names {
 		if len(args) == 0 {
 			return nil, fmt.Errorf("%s takes one or more names, has none", k.Name)
 		}
@@ -150,11 +153,11 @@
 		}
 		return args, nil
 	}
-	if k.Form == peer {
+	if k.Syntax == peer {
 		if len(args) != 2 {
 			return nil, fmt.Errorf("%s takes a number and an address, has %d words", k.Name, len(args))
 		}
-		if _, err := Whole(args[0], 0, int(k.Most)); err != nil {
+		if _, err := ParseInteger(args[0], 0, int(k.Max)); err != nil {
 			return nil, fmt.Errorf("%s: %w", k.Name, err)
 		}
 		return args, addressFault(k.Name, args[1])
@@ -165,7 +168,7 @@
 	a := args[0]
 	var v float64
 	var err error
-	switch k.Form {
+	switch k.Syntax {
 	case flag:
 		if a != "on" && a != "off" {
 			return nil, fmt.Errorf("%s: %q is neither on nor off", k.Name, a)
@@ -181,28 +184,28 @@
 	case address:
 		return a, addressFault(k.Name, a)
 	case duration:
-		v, err = Duration(a)
+		v, err = ParseDuration(a)
 	case share:
-		v, err = Share(a)
+		v, err = ParseShare(a)
 	case number:
-		v, err = Number(a)
+		v, err = ParseNumber(a)
 	case whole:
 		var n int
-		n, err = Whole(a, int(k.Least), int(k.Most))
+		n, err = ParseInteger(a, int(k.Min), int(k.Max))
 		v = float64(n)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", k.Name, err)
 	}
-	if v < k.Least || k.Most > 0 && v > k.Most {
+	if v < k.Min || k.Max > 0 && v > k.Max {
 		unit := ""
-		if k.Form == duration {
+		if k.Syntax == duration {
 			unit = "s"
 		}
-		if k.Most == 0 {
-			return nil, fmt.Errorf("%s: %s is below %v%s", k.Name, a, k.Least, unit)
+		if k.Max == 0 {
+			return nil, fmt.Errorf("%s: %s is below %v%s", k.Name, a, k.Min, unit)
 		}
-		return nil, fmt.Errorf("%s: %s is out of range, %v%s to %v%s expected", k.Name, a, k.Least, unit, k.Most, unit)
+		return nil, fmt.Errorf("%s: %s is out of range, %v%s to %v%s expected", k.Name, a, k.Min, unit, k.Max, unit)
 	}
 	return v, nil
 }
@@ -212,14 +215,14 @@
 	if err != nil || host == "" {
 		return fmt.Errorf("%s: %q is no address, HOST:PORT expected (such as 127.0.0.1:7400)", name, a)
 	}
-	if _, err := Whole(port, 0, 65535); err != nil {
+	if _, err := ParseInteger(port, 0, 65535); err != nil {
 		return fmt.Errorf("%s: port %w", name, err)
 	}
 	return nil
 }
 
 func meant(w string, known []string) string {
-	if n := Nearest(w, known); n != "" {
+	if n := ClosestWord(w, known); n != "" {
 		return fmt.Sprintf(" (did you mean %s?)", n)
 	}
 	return ""
--- a/internal/bootstrap/lex.go
+++ b/internal/bootstrap/lex.go
@@ -17,12 +17,12 @@
 
 // Fault is one thing wrong with a file.
 type Fault struct {
-	File string
-	Line int
-	What string
+	File    string
+	Line    int
+	Message string
 }
 
-func (f Fault) String() string { return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.What) }
+func (f Fault) String() string { return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Message) }
 
 // Faults are all that is wrong. As an error they read a line each.
 type Faults []Fault
@@ -45,18 +45,18 @@
 
 // Line is one line that says something.
 type Line struct {
-	File  string
-	No    int
-	Words []string
+	File   string
+	Number int
+	Words  []string
 }
 
 // Fault makes a fault of the line.
 func (l Line) Fault(format string, args ...any) Fault {
-	return Fault{l.File, l.No, fmt.Sprintf(format, args...)}
+	return Fault{l.File, l.Number, fmt.Sprintf(format, args...)}
 }
 
 // MostFile bounds a file's size in bytes: what is larger was not meant as settings.
-const MostFile = 4 << 20
+const MaxFileSize = 4 << 20
 
 // Lex cuts a text into lines of words. Blanks separate words; a # at a word's start begins a comment; "double quotes"
 // hold blanks and, with a backslash, quotes and backslashes; 'single quotes' hold anything but themselves.
@@ -133,7 +133,7 @@
 // Load reads a file and what it includes (`include FILE`, from the including file's folder), in the order of reading.
 // A file that includes itself, by whatever way, is a fault of the line that closes the circle.
 func Load(path string) (lines []Line, faults Faults) {
-	return load(path, path, nil, Line{File: path, No: 1})
+	return load(path, path, nil, Line{File: path, Number: 1})
 }
 
 func load(path, shown string, within []string, from Line) (lines []Line, faults Faults) {
@@ -150,8 +150,8 @@
 		return nil, Faults{from.Fault("includes are over 16 deep")}
 	}
 	info, err := os.Stat(path)
-	if err == nil && (info.IsDir() || info.Size() > MostFile) {
-		return nil, Faults{from.Fault("%s is no file of at most %d bytes", shown, MostFile)}
+	if err == nil && (info.IsDir() || info.Size() > MaxFileSize) {
+		return nil, Faults{from.Fault("%s is no file of at most %d bytes", shown, MaxFileSize)}
 	}
 	var data []byte
 	if err == nil {
@@ -193,7 +193,7 @@
 }
 
 // Duration reads a time in seconds: a number with the unit us, ms, s, m or h. "0" needs none.
-func Duration(w string) (float64, error) {
+func ParseDuration(w string) (float64, error) {
 	if w == "0" {
 		return 0, nil
 	}
@@ -215,7 +215,7 @@
 }
 
 // Share reads a part of a whole: a percentage such as 30%, or a number from 0 to 1.
-func Share(w string) (float64, error) {
+func ParseShare(w string) (float64, error) {
 	num, percent := strings.CutSuffix(w, "%")
 	v, err := decimal(num)
 	if percent {
@@ -228,7 +228,7 @@
 }
 
 // Number reads a number that is 0 or above.
-func Number(w string) (float64, error) {
+func ParseNumber(w string) (float64, error) {
 	v, err := decimal(w)
 	if err != nil {
 		return 0, fmt.Errorf("%q is no number of 0 or above", w)
@@ -237,7 +237,7 @@
 }
 
 // Whole reads a whole number with its bounds.
-func Whole(w string, least, most int) (int, error) {
+func ParseInteger(w string, least, most int) (int, error) {
 	v, err := strconv.Atoi(w)
 	if err != nil || v < least || v > most {
 		return 0, fmt.Errorf("%q is no whole number from %d to %d", w, least, most)
@@ -254,7 +254,7 @@
 }
 
 // Nearest gives the known word that is most like w, "" if none is like it.
-func Nearest(w string, known []string) string {
+func ClosestWord(w string, known []string) string {
 	best, least := "", len(w)/2+1
 	for _, k := range known {
 		if d := distance(w, k); d < least {
--- a/internal/bootstrap/read.go
+++ b/internal/bootstrap/read.go
@@ -11,7 +11,7 @@
 )
 
 // Trade is what a settings file says: what the module reads, under its words, and what the program itself reads.
-type Trade struct {
+type Settings struct {
 	Name    string
 	Values  map[string]any // the module's
 	Methods []string
@@ -21,13 +21,13 @@
 }
 
 // Text gives one of the program's own words.
-func (t *Trade) Text(keyword string) string { v, _ := t.own[keyword].(string); return v }
+func (t *Settings) Text(keyword string) string { v, _ := t.own[keyword].(string); return v }
 
 // Num gives one of the program's own numbers; times are in seconds.
-func (t *Trade) Num(keyword string) float64 { v, _ := t.own[keyword].(float64); return v }
+func (t *Settings) Number(keyword string) float64 { v, _ := t.own[keyword].(float64); return v }
 
 // Canonical is all that is set, a line for each value in the order of names: the same settings give the same text.
-func (t *Trade) Canonical() string {
+func (t *Settings) Canonical() string {
 	all := []string{"instance " + t.Name}
 	for _, m := range []map[string]any{t.Values, t.own} {
 		for k, v := range m {
@@ -42,7 +42,7 @@
 }
 
 // Read reads a settings file and what it includes. All faults are reported; the Trade is nil where there is any.
-func Read(path string) (*Trade, error) {
+func Read(path string) (*Settings, error) {
 	lines, faults := Load(path)
 	t, more := Parse(path, lines)
 	faults = append(faults, more...)
@@ -61,8 +61,8 @@
 }
 
 // Parse reads settings from lines; file names the whole in faults that no line is to blame for.
-func Parse(file string, lines []Line) (*Trade, Faults) {
-	t := &Trade{Values: map[string]any{}, own: map[string]any{}, at: map[string]Line{}, Peers: map[int]string{}}
+func Parse(file string, lines []Line) (*Settings, Faults) {
+	t := &Settings{Values: map[string]any{}, own: map[string]any{}, at: map[string]Line{}, Peers: map[int]string{}}
 	var faults Faults
 	var now *section
 	seen := map[string]*section{}
@@ -87,7 +87,7 @@
 				key += " " + now.arg
 			}
 			if was := seen[key]; was != nil {
-				faults = append(faults, l.Fault("%s stands here a second time, first at %s:%d", key, was.open.File, was.open.No))
+				faults = append(faults, l.Fault("%s stands here a second time, first at %s:%d", key, was.open.File, was.open.Number))
 			} else {
 				seen[key] = now
 			}
@@ -117,8 +117,8 @@
 			faults = append(faults, l.Fault("%s is no keyword of %s%s", l.Words[0], now.name, meant(l.Words[0], known)))
 			continue
 		}
-		if was, twice := now.given[k.Name]; twice && k.Form != peer {
-			faults = append(faults, l.Fault("%s stands here a second time, first at %s:%d", k.Name, was.File, was.No))
+		if was, twice := now.given[k.Name]; twice && k.Syntax != peer {
+			faults = append(faults, l.Fault("%s stands here a second time, first at %s:%d", k.Name, was.File, was.Number))
 			continue
 		}
 		now.given[k.Name] = l
@@ -165,7 +165,7 @@
 }
 
 // complete fills in defaults, and names what has none.
-func (t *Trade) complete(s *section) (faults Faults) {
+func (t *Settings) complete(s *section) (faults Faults) {
 	for i := range Keywords {
 		k := &Keywords[i]
 		if k.Section != s.name {
@@ -178,7 +178,7 @@
 			faults = append(faults, s.open.Fault("%s lacks %s (such as: %s)", strings.TrimSpace(s.name+" "+s.arg), k.Name, k.Example))
 			continue
 		}
-		if k.Form == peer {
+		if k.Syntax == peer {
 			continue
 		}
 		v, err := k.value([]string{k.Default})
@@ -190,9 +190,9 @@
 	return faults
 }
 
-func (t *Trade) put(s *section, k *Keyword, v any, l Line) {
+func (t *Settings) put(s *section, k *Keyword, v any, l Line) {
 	t.at[strings.Join(strings.Fields(s.name+" "+s.arg+" "+k.Name), " ")] = l
-	switch k.Form {
+	switch k.Syntax {
 	case peer:
 		args := v.([]string)
 		n, _ := strconv.Atoi(args[0])
@@ -200,9 +200,9 @@
 		return
 	case names:
 		all := v.([]string)
-		t.Values[k.Module+".n"] = float64(len(all))
+		t.Values[k.DecisionName+".n"] = float64(len(all))
 		for i, x := range all {
-			t.Values[fmt.Sprintf("%s.%d", k.Module, i)] = x
+			t.Values[fmt.Sprintf("%s.%d", k.DecisionName, i)] = x
 		}
 		return
 	case path:
@@ -212,21 +212,21 @@
 			v = ""
 		}
 	}
-	if k.Module == "" {
+	if k.DecisionName == "" {
 		t.own[k.Name] = v
 		return
 	}
-	name := k.Module
+	name := k.DecisionName
 	if s.name == "method" {
 		at := slices.Index(t.Methods, s.arg)
-		name = fmt.Sprintf("method.%d.%s", at, k.Module)
+		name = fmt.Sprintf("method.%d.%s", at, k.DecisionName)
 		t.Values[fmt.Sprintf("method.%d.name", at)] = s.arg
 	}
 	t.Values[name] = v
 }
 
 // together checks what only shows when values stand side by side.
-func (t *Trade) together() (faults Faults) {
+func (t *Settings) together() (faults Faults) {
 	b := choice.Config{Settings: choice.DecodeSettings(t.Values)}
 	blame := func(key, format string, args ...any) {
 		if l, ok := t.at[key]; ok {
@@ -256,6 +256,6 @@
 }
 
 // Coordinator gives what the module reads at a start.
-func (t *Trade) Coordinator(now choice.Seconds) choice.Config {
-	return choice.Config{Seed: uint64(t.Num("seed")), Now: now, Settings: choice.DecodeSettings(t.Values)}
+func (t *Settings) CoordinatorConfig(now choice.Seconds) choice.Config {
+	return choice.Config{Seed: uint64(t.Number("seed")), Now: now, Settings: choice.DecodeSettings(t.Values)}
 }
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -61,7 +61,7 @@
 		w := l.Words
 		fault := func(what string, args ...any) { faults = append(faults, l.Fault(what, args...)) }
 		if was, twice := seen[w[0]]; twice && !slices.Contains([]string{"factor", "set", "say"}, w[0]) {
-			fault("%s stands here a second time, first at line %d", w[0], was.No)
+			fault("%s stands here a second time, first at line %d", w[0], was.Number)
 			continue
 		}
 		seen[w[0]] = l
@@ -90,14 +90,14 @@
 				p.Factors = append(p.Factors, Factor{Name: w[1], Values: w[2:]})
 			}
 		case "seeds":
-			p.Seeds, err = bootstrap.Whole(w[1], 1, 1<<20)
+			p.Seeds, err = bootstrap.ParseInteger(w[1], 1, 1<<20)
 			if err == nil && len(w) == 4 && w[2] == "from" {
 				p.First, err = strconv.ParseUint(w[3], 10, 62)
 			} else if err == nil && len(w) != 2 {
 				err = fmt.Errorf("seeds takes a number, and perhaps: from N")
 			}
 		case "most":
-			p.Most, err = bootstrap.Whole(w[1], 1, 1<<30)
+			p.Most, err = bootstrap.ParseInteger(w[1], 1, 1<<30)
 		case "measure":
 			for _, m := range w[1:] {
 				if _, known := measures[m]; !known {
@@ -130,7 +130,7 @@
 			p.Factors[i].used = p.Factors[i].used || slices.ContainsFunc(w, func(x string) bool { return strings.Contains(x, "{"+p.Factors[i].Name+"}") })
 		}
 	}
-	whole := bootstrap.Line{File: file, No: 1}
+	whole := bootstrap.Line{File: file, Number: 1}
 	if p.Day == "" {
 		faults = append(faults, whole.Fault("it names no day (such as: day evening)"))
 	}
@@ -262,9 +262,9 @@
 			return def
 		}
 		text = p.fill(a, text)
-		v, e := bootstrap.Share(text)
+		v, e := bootstrap.ParseShare(text)
 		if !strings.HasSuffix(text, "%") {
-			v, e = bootstrap.Number(text)
+			v, e = bootstrap.ParseNumber(text)
 		} else if e != nil { // above 100%
 			v, e = strconv.ParseFloat(strings.TrimSuffix(text, "%"), 64)
 			v /= 100
@@ -277,7 +277,7 @@
 	scale, load := number(p.scale, 1), number(p.load, 1)
 	kills := 0
 	if err == nil && p.kills != "" {
-		kills, err = bootstrap.Whole(p.fill(a, p.kills), 0, 100000)
+		kills, err = bootstrap.ParseInteger(p.fill(a, p.kills), 0, 100000)
 	}
 	if err != nil {
 		return nil, err
@@ -307,7 +307,7 @@
 			if len(w) == 0 || strings.HasPrefix(w[0], "#") {
 				continue
 			}
-			if slices.ContainsFunc(bootstrap.Sections, func(s struct{ Name, Arg, Doc string }) bool { return s.Name == w[0] }) {
+			if bootstrap.IsSection(w[0]) {
 				// A method's section is named as method:NAME; method alone is each of them.
 				in = w[0] == section || len(w) > 1 && w[0]+":"+w[1] == section
 				if in && at < 0 {
--- a/internal/haproxy/proof_test.go
+++ b/internal/haproxy/proof_test.go
@@ -56,14 +56,14 @@
 	}
 	w.Add("list", "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return fake.NewList(list) }, "list")
 	w.Add("c0", "imported", func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
-		b := trade.Coordinator(now)
+		b := trade.CoordinatorConfig(now)
 		b.Seed = 3
 		return coordinator.NewMachine(coordinator.Bootstrap{
 			Name: "c0", Zone: "imported", ListAddr: "list", Module: b, Handshake: 1, Silence: 10, ListSilence: 5,
 			ProbeTimeout: 1, MostStreams: 100, MostProbes: 10,
 		}, nil)
 	}, "c0")
-	m := trade.Coordinator(0)
+	m := trade.CoordinatorConfig(0)
 	methods := fake.Methods(m.Settings.Methods)
 	order := append([]string{"list", "c0"}, func() (all []string) {
 		for _, s := range p.Listed() {
--- a/internal/haproxy/routes_test.go
+++ b/internal/haproxy/routes_test.go
@@ -193,7 +193,7 @@
 		if len(faults)+len(more) > 0 {
 			t.Fatal(faults, more)
 		}
-		b := trade.Coordinator(0)
+		b := trade.CoordinatorConfig(0)
 		var all []string
 		for m, name := range trade.Methods {
 			method := b.Settings.Methods[m]
--- a/internal/listing/day_test.go
+++ b/internal/listing/day_test.go
@@ -125,7 +125,7 @@
 	for i := range 2 {
 		name := fmt.Sprint("c", i)
 		w.Add(name, zone, func(at statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
-			b := trade.Coordinator(at)
+			b := trade.CoordinatorConfig(at)
 			values := map[string]any{}
 			for k, v := range trade.Values {
 				values[k] = v
@@ -148,7 +148,7 @@
 		records = append(records, trace.Record{T: epoch, Kind: trace.Boot, Who: name})
 		w.Start(name)
 	}
-	m := trade.Coordinator(0)
+	m := trade.CoordinatorConfig(0)
 	for i := range 8 {
 		name := fmt.Sprint("f", i)
 		w.Add(name, zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -131,7 +131,7 @@
 	for i := range fronts {
 		proxies.Add(fmt.Sprint("f", i), fake.NewFrontEnd(fake.FrontTrade{
 			Name: fmt.Sprint("f", i), Zone: "a", Coordinators: []string{at}, Rate: rate,
-			Methods: fake.Methods(trade.Coordinator(0).Settings.Methods), Pick: "pair", Period: 2, ConnectTimeout: 2, Seed: uint64(i + 1),
+			Methods: fake.Methods(trade.CoordinatorConfig(0).Settings.Methods), Pick: "pair", Period: 2, ConnectTimeout: 2, Seed: uint64(i + 1),
 		}), 0)
 	}
 	f.fronts, err = eventloop.Start(ctx, eventloop.Bootstrap{Machine: proxies, Clock: f.clock, Trace: f.note})
--- a/internal/route/file.go
+++ b/internal/route/file.go
@@ -60,7 +60,7 @@
 			continue
 		}
 		if end, ended := last[r.From]; ended {
-			faults = append(faults, l.Fault("it is never reached: the route of line %d takes all that comes to %s", end.No, r.From))
+			faults = append(faults, l.Fault("it is never reached: the route of line %d takes all that comes to %s", end.Number, r.From))
 			continue
 		}
 		if len(r.Any) == 0 {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -83,7 +83,7 @@
 		"route f to p as m when path str \"=a":            "quote",
 		"route f to p as m when path str =a or or path a": "or is none of",
 	} {
-		if _, faults := Read("r", "# a file\n\n"+text+"\nroute other to p as m\n"); len(faults) != 1 || !strings.Contains(strings.ReplaceAll(faults[0].What, "line 3", "line 1"), want) {
+		if _, faults := Read("r", "# a file\n\n"+text+"\nroute other to p as m\n"); len(faults) != 1 || !strings.Contains(strings.ReplaceAll(faults[0].Message, "line 3", "line 1"), want) {
 			t.Errorf("%s: %v, %s wanted", text, faults, want)
 		}
 	}
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -69,7 +69,7 @@
 type Day struct {
 	Name         string
 	Settings     string // the file, as the script names it
-	Trade        *bootstrap.Trade
+	Trade        *bootstrap.Settings
 	Length       float64
 	Seed         uint64
 	Coordinators int
@@ -203,7 +203,7 @@
 			continue
 		}
 		time := func(into *float64) {
-			*into, err = bootstrap.Duration(w[1])
+			*into, err = bootstrap.ParseDuration(w[1])
 		}
 		switch w[0] {
 		case "day":
@@ -222,7 +222,7 @@
 		case "seed":
 			d.Seed, err = strconv.ParseUint(w[1], 10, 63)
 		case "coordinators":
-			d.Coordinators, err = bootstrap.Whole(w[1], 1, 100)
+			d.Coordinators, err = bootstrap.ParseInteger(w[1], 1, 100)
 		case "line-still":
 			time(&d.LineStill)
 		case "connect-timeout":
@@ -236,8 +236,8 @@
 				err = fmt.Errorf("latency takes two times, within and between zones")
 				break
 			}
-			if d.Same, err = bootstrap.Duration(w[1]); err == nil {
-				d.Cross, err = bootstrap.Duration(w[2])
+			if d.Same, err = bootstrap.ParseDuration(w[1]); err == nil {
+				d.Cross, err = bootstrap.ParseDuration(w[2])
 			}
 		case "traffic":
 			err = d.readTraffic(w[1:])
@@ -251,7 +251,7 @@
 		case "mix":
 			for _, x := range w[1:] {
 				var v float64
-				if v, err = bootstrap.Share(x); err != nil {
+				if v, err = bootstrap.ParseShare(x); err != nil {
 					break
 				}
 				d.Mix = append(d.Mix, v)
@@ -283,7 +283,7 @@
 		}
 	}
 	whole := bootstrap.Fault{File: file, Line: 1}
-	lack := func(what string) { whole.What = what; faults = append(faults, whole) }
+	lack := func(what string) { whole.Message = what; faults = append(faults, whole) }
 	if d.Trade == nil {
 		lack("it names no settings (such as: settings perth.conf)")
 	}
@@ -304,7 +304,7 @@
 }
 
 func like(w string, known []string) string {
-	if n := bootstrap.Nearest(w, known); n != "" {
+	if n := bootstrap.ClosestWord(w, known); n != "" {
 		return " (did you mean " + n + "?)"
 	}
 	return ""
@@ -357,11 +357,11 @@
 	return pairs(w, func(name, v string) (err error) {
 		switch name {
 		case "again":
-			d.ComeAgain, err = bootstrap.Share(v)
+			d.ComeAgain, err = bootstrap.ParseShare(v)
 		case "after":
-			d.AgainWait, err = bootstrap.Duration(v)
+			d.AgainWait, err = bootstrap.ParseDuration(v)
 		case "at-most":
-			d.AgainMost, err = bootstrap.Whole(v, 1, 100)
+			d.AgainMost, err = bootstrap.ParseInteger(v, 1, 100)
 		default:
 			err = fmt.Errorf("unknown%s", like(name, []string{"again", "after", "at-most"}))
 		}
@@ -375,19 +375,19 @@
 	err := pairs(w, func(name, v string) (err error) {
 		switch name {
 		case "wave":
-			d.Shape.Swing, err = bootstrap.Share(v)
+			d.Shape.Swing, err = bootstrap.ParseShare(v)
 		case "over":
-			d.Shape.Day, err = bootstrap.Duration(v)
+			d.Shape.Day, err = bootstrap.ParseDuration(v)
 		case "bursts":
 			d.Shape.Height, err = Percent(v)
 		case "every":
-			d.Shape.Every, err = bootstrap.Duration(v)
+			d.Shape.Every, err = bootstrap.ParseDuration(v)
 		case "lasting":
-			d.Shape.Lasts, err = bootstrap.Duration(v)
+			d.Shape.Lasts, err = bootstrap.ParseDuration(v)
 		case "keys":
-			keys, err = bootstrap.Whole(v, 1, 1e6)
+			keys, err = bootstrap.ParseInteger(v, 1, 1e6)
 		case "zipf":
-			exponent, err = bootstrap.Number(v)
+			exponent, err = bootstrap.ParseNumber(v)
 		default:
 			err = fmt.Errorf("unknown%s", like(name, []string{"wave", "over", "bursts", "every", "lasting", "keys", "zipf"}))
 		}
@@ -410,7 +410,7 @@
 	if len(w) < 2 {
 		return g, fmt.Errorf("servers takes their number")
 	}
-	if g.N, err = bootstrap.Whole(w[1], 1, 100000); err != nil {
+	if g.N, err = bootstrap.ParseInteger(w[1], 1, 100000); err != nil {
 		return g, err
 	}
 	err = pairs(w[2:], func(name, v string) (err error) {
@@ -420,13 +420,13 @@
 		case "kind":
 			g.Kind = v
 		case "capacity":
-			g.Capacity, err = bootstrap.Number(v)
+			g.Capacity, err = bootstrap.ParseNumber(v)
 		case "workers":
-			g.Workers, err = bootstrap.Whole(v, 1, 10000)
+			g.Workers, err = bootstrap.ParseInteger(v, 1, 10000)
 		case "queue":
-			g.Queue, err = bootstrap.Whole(v, 0, 1e6)
+			g.Queue, err = bootstrap.ParseInteger(v, 0, 1e6)
 		case "weight":
-			g.Weight, err = bootstrap.Number(v)
+			g.Weight, err = bootstrap.ParseNumber(v)
 		case "work":
 			g.Work, err = emulator.ParseWork(v, 1)
 		case "give-up":
@@ -435,18 +435,18 @@
 				err = fmt.Errorf("%q is none of runs-on, skips-wait, stops", v)
 			}
 		case "cell":
-			g.Cell, err = bootstrap.Whole(v, 0, 1e6)
+			g.Cell, err = bootstrap.ParseInteger(v, 0, 1e6)
 		case "connections":
-			g.Conns, err = bootstrap.Whole(v, 0, 1e6)
+			g.Conns, err = bootstrap.ParseInteger(v, 0, 1e6)
 		case "reports":
 			g.Reports = true
-			g.Late, err = bootstrap.Duration(v)
+			g.Late, err = bootstrap.ParseDuration(v)
 		case "noise":
-			g.Noise, err = bootstrap.Share(v)
+			g.Noise, err = bootstrap.ParseShare(v)
 		case "memory":
-			g.Memory, err = bootstrap.Whole(v, 0, 1e6)
+			g.Memory, err = bootstrap.ParseInteger(v, 0, 1e6)
 		case "saves":
-			g.Saves, err = bootstrap.Share(v)
+			g.Saves, err = bootstrap.ParseShare(v)
 		default:
 			err = fmt.Errorf("unknown%s", like(name, []string{
 				"zone", "kind", "capacity", "workers", "queue", "weight", "work", "give-up", "cell",
@@ -463,7 +463,7 @@
 	if len(w) < 2 {
 		return g, fmt.Errorf("frontends takes their number")
 	}
-	if g.N, err = bootstrap.Whole(w[1], 1, 100000); err != nil {
+	if g.N, err = bootstrap.ParseInteger(w[1], 1, 100000); err != nil {
 		return g, err
 	}
 	err = pairs(w[2:], func(name, v string) (err error) {
@@ -471,9 +471,9 @@
 		case "zone":
 			g.Zone = v
 		case "rate":
-			g.Rate, err = bootstrap.Number(v)
+			g.Rate, err = bootstrap.ParseNumber(v)
 		case "uneven":
-			if g.Uneven, err = bootstrap.Number(v); err == nil && g.Uneven > 10 {
+			if g.Uneven, err = bootstrap.ParseNumber(v); err == nil && g.Uneven > 10 {
 				err = fmt.Errorf("%v is more than 10", g.Uneven)
 			}
 		case "pick":
@@ -495,7 +495,7 @@
 	if len(w) < 4 {
 		return a, fmt.Errorf("at takes a time, what happens and to whom (such as: at 10s kill servers 2 for 5s)")
 	}
-	if a.At, err = bootstrap.Duration(w[1]); err != nil {
+	if a.At, err = bootstrap.ParseDuration(w[1]); err != nil {
 		return a, err
 	}
 	a.Verb, a.Of = w[2], w[3]
@@ -524,13 +524,13 @@
 			}
 			rest = rest[2:]
 		case "for":
-			if a.For, err = bootstrap.Duration(rest[1]); err != nil {
+			if a.For, err = bootstrap.ParseDuration(rest[1]); err != nil {
 				return a, err
 			}
 			rest = rest[2:]
 		case "drain", "down", "every":
 			var t float64
-			if t, err = bootstrap.Duration(rest[1]); err != nil {
+			if t, err = bootstrap.ParseDuration(rest[1]); err != nil {
 				return a, err
 			}
 			a.More[word] = t
@@ -544,7 +544,7 @@
 		case "number":
 			for _, x := range strings.Split(rest[1], ",") {
 				var n int
-				if n, err = bootstrap.Whole(x, 0, 1e6); err != nil {
+				if n, err = bootstrap.ParseInteger(x, 0, 1e6); err != nil {
 					return a, err
 				}
 				a.Pick.Index = append(a.Pick.Index, n)
@@ -557,11 +557,11 @@
 		default:
 			switch {
 			case strings.HasSuffix(word, "%"):
-				a.Pick.Part, err = bootstrap.Share(word)
+				a.Pick.Part, err = bootstrap.ParseShare(word)
 			case a.Of == "zone":
 				a.Pick.Zone = word
 			default:
-				a.Pick.N, err = bootstrap.Whole(word, 1, 1e6)
+				a.Pick.N, err = bootstrap.ParseInteger(word, 1, 1e6)
 			}
 			if err != nil {
 				return a, err
@@ -586,20 +586,20 @@
 		if a.Verb == "load" {
 			x, err = Percent(a.By)
 		} else {
-			x, err = bootstrap.Share(a.By)
+			x, err = bootstrap.ParseShare(a.By)
 		}
 		a.By = strconv.FormatFloat(x, 'g', -1, 64)
 	case "time":
 		var x float64
-		x, err = bootstrap.Duration(a.By)
+		x, err = bootstrap.ParseDuration(a.By)
 		a.By = strconv.FormatFloat(x, 'g', -1, 64)
 	case "factor":
 		var x float64
-		if x, err = bootstrap.Number(a.By); err == nil && x <= 0 {
+		if x, err = bootstrap.ParseNumber(a.By); err == nil && x <= 0 {
 			err = fmt.Errorf("by %s is no factor above 0", a.By)
 		}
 	case "whole":
-		_, err = bootstrap.Whole(a.By, 0, 1e6)
+		_, err = bootstrap.ParseInteger(a.By, 0, 1e6)
 	}
 	if a.For == 0 && slices.Contains([]string{"stall", "flap", "pauses", "stale", "empty", "one"}, a.Verb) {
 		err = fmt.Errorf("%s needs for and a time", a.Verb)
@@ -610,7 +610,7 @@
 // Percent reads a percentage that may be above 100%.
 func Percent(w string) (float64, error) {
 	num, ok := strings.CutSuffix(w, "%")
-	v, err := bootstrap.Number(num)
+	v, err := bootstrap.ParseNumber(num)
 	if !ok || err != nil {
 		return 0, fmt.Errorf("%q is no percentage", w)
 	}
@@ -623,7 +623,7 @@
 	l := invariant.Limits{
 		Bare: b.Settings.BareLimit.Or(1), Grace: b.Settings.DrainGrace.Or(1), WarmAfter: b.Settings.WarmAfter.Or(1),
 		FallWindow: b.Settings.FallWindow.Or(1), Room: int(b.Settings.ChannelRoom.Or(0)), Messages: int(b.Settings.Messages.Or(0)),
-		Span: b.Settings.MessagesSpan.Or(10), ListSilence: d.Trade.Num("list-silence"), AskWithin: b.Settings.AskWithin.Or(10), OnlyDraining: b.Settings.OnlyDrainingBinds,
+		Span: b.Settings.MessagesSpan.Or(10), ListSilence: d.Trade.Number("list-silence"), AskWithin: b.Settings.AskWithin.Or(10), OnlyDraining: b.Settings.OnlyDrainingBinds,
 	}
 	for i, name := range d.Trade.Methods {
 		method := b.Settings.Methods[i]
--- a/internal/scenario/kills.go
+++ b/internal/scenario/kills.go
@@ -21,7 +21,7 @@
 		at, who, span := 3+dice.Float64()*max(0, d.Length-6), dice.IntN(d.Coordinators), 0.5+dice.Float64()
 		words := strings.Fields(fmt.Sprintf("at %.0fms kill coordinators number %d for %.0fms", 1e3*at, who, 1e3*span))
 		d.Acts = append(d.Acts, Act{
-			Line: bootstrap.Line{File: "kills", No: 1, Words: words}, At: at, Verb: "kill", Of: "coordinators",
+			Line: bootstrap.Line{File: "kills", Number: 1, Words: words}, At: at, Verb: "kill", Of: "coordinators",
 			Pick: Pick{Index: []int{who}}, For: span,
 		})
 	}
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -179,7 +179,7 @@
 // coordinator is what a coordinator is started with.
 func (c *cast) coordinator(a *actor, now statemachine.Seconds, list string) coordinator.Bootstrap {
 	t := c.day.Trade
-	b := t.Coordinator(now)
+	b := t.CoordinatorConfig(now)
 	values := make(map[string]any, len(t.Values))
 	for k, v := range t.Values {
 		values[k] = v
@@ -192,9 +192,9 @@
 	a.lives++
 	b.Seed = fake.Seed(c.day.Seed, a.name) + uint64(a.lives)
 	return coordinator.Bootstrap{
-		Name: a.name, Zone: a.zone, ListAddr: list, Module: b, Handshake: t.Num("handshake"),
-		Silence: t.Num("stream-silence"), ListSilence: t.Num("list-silence"), ProbeTimeout: t.Num("probe-timeout"),
-		MostStreams: int(t.Num("streams")), MostProbes: int(t.Num("probes-at-once")),
+		Name: a.name, Zone: a.zone, ListAddr: list, Module: b, Handshake: t.Number("handshake"),
+		Silence: t.Number("stream-silence"), ListSilence: t.Number("list-silence"), ProbeTimeout: t.Number("probe-timeout"),
+		MostStreams: int(t.Number("streams")), MostProbes: int(t.Number("probes-at-once")),
 	}
 }
 
--- a/internal/scenario/sockets.go
+++ b/internal/scenario/sockets.go
@@ -440,10 +440,8 @@
 	in := ""
 	own := []string{"zone", "listen", "list-service", "state", "seed", "coordinators", "self", "peer"}
 	for _, l := range d.lines {
-		for _, s := range bootstrap.Sections {
-			if s.Name == l.Words[0] {
-				in = s.Name
-			}
+		if bootstrap.IsSection(l.Words[0]) {
+			in = l.Words[0]
 		}
 		if l.Words[0] == "instance" || in == "instance" && slices.Contains(own, l.Words[0]) {
 			continue
