--- a/internal/fake/standin_test.go
+++ b/internal/fake/standin_test.go
@@ -65,20 +65,20 @@
 		}
 	}
 	h.readers = map[statemachine.Conn]*proto.Reader{}
-	w.Add("c0", "a", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return h }, "c0")
+	w.AddNode("c0", "a", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return h }, "c0")
 	w.Start("c0")
 	for _, s := range servers {
 		name := fmt.Sprint("s", s.EP)
-		w.Add(name, "a", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return emulator.NewServer(s) }, name)
+		w.AddNode(name, "a", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return emulator.NewServer(s) }, name)
 		w.Start(name)
 	}
 	trade.Name, trade.Zone, trade.Coordinators, trade.Period, trade.ConnectTimeout, trade.Seed = "f0", "a", []string{"c0"}, 1, 0.2, 3
 	if trade.Methods == nil {
 		trade.Methods = []MethodTrade{{Name: "m", Criticality: 1, SoftDeadline: 0.5, Deadline: 2, Share: 1}}
 	}
-	w.Add("f0", "a", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return NewFrontEnd(trade) })
+	w.AddNode("f0", "a", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return NewFrontEnd(trade) })
 	w.Start("f0")
-	w.Run(1e6 + span)
+	w.RunUntil(1e6 + span)
 	return tries, ends, all
 }
 
--- a/internal/haproxy/proof_test.go
+++ b/internal/haproxy/proof_test.go
@@ -50,12 +50,12 @@
 			state = proto.BackendDraining
 		}
 		list = append(list, fake.Listing{EP: ep, State: state, Zone: "imported", Weight: float64(max(1, s.Weight)), Addr: s.Name, Stamp: 1})
-		w.Add(s.Name, "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
+		w.AddNode(s.Name, "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
 			return emulator.NewServer(emulator.Trade{EP: ep, Zone: "imported", Cores: 64, Speed: 1, Work: []emulator.Work{{Mean: 0.002}}, QueueMost: 1000, Seed: uint64(ep)})
 		}, s.Name)
 	}
-	w.Add("list", "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return fake.NewList(list) }, "list")
-	w.Add("c0", "imported", func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
+	w.AddNode("list", "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return fake.NewList(list) }, "list")
+	w.AddNode("c0", "imported", func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
 		b := trade.CoordinatorConfig(now)
 		b.Seed = 3
 		return coordinator.NewMachine(coordinator.Bootstrap{
@@ -73,7 +73,7 @@
 	}()...)
 	for i := range 12 {
 		name := fmt.Sprint("f", i)
-		w.Add(name, "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
+		w.AddNode(name, "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
 			return fake.NewFrontEnd(fake.FrontTrade{
 				Name: name, Zone: "imported", Coordinators: []string{"c0"}, Methods: methods, Rate: 60,
 				Pick: m.Settings.Pick, KeepAway: 5, Period: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
@@ -84,13 +84,13 @@
 	for _, name := range order {
 		w.Start(name)
 	}
-	w.Run(epoch + 3 + (seconds-3)/2)
+	w.RunUntil(epoch + 3 + (seconds-3)/2)
 	for _, x := range words {
-		w.Tell("list", x)
+		w.SendCommand("list", x)
 	}
-	w.Run(epoch + seconds)
-	if len(w.Fails) > 0 {
-		t.Fatal(w.Fails)
+	w.RunUntil(epoch + seconds)
+	if len(w.Failures) > 0 {
+		t.Fatal(w.Failures)
 	}
 	return before, after
 }
--- a/internal/listing/day_test.go
+++ b/internal/listing/day_test.go
@@ -83,7 +83,7 @@
 
 // followed plays a fleet whose list follows files: what happens at which second. It gives the report, what was held back, and
 // the records.
-func followed(t *testing.T, seconds float64, happens map[float64]func(offer func([]follow.Server), w *simnet.World)) (invariant.Report, []string, []trace.Record) {
+func followed(t *testing.T, seconds float64, happens map[float64]func(offer func([]follow.Server), w *simnet.Network)) (invariant.Report, []string, []trace.Record) {
 	t.Helper()
 	conf, err := scenario.File("perth.conf")
 	if err != nil {
@@ -100,7 +100,7 @@
 	w.Trace = func(r trace.Record) { records = append(records, r) }
 	var held []string
 	var now *Service
-	w.Add("list", zone, func(_ statemachine.Seconds, files map[string][]byte) statemachine.Machine {
+	w.AddNode("list", zone, func(_ statemachine.Seconds, files map[string][]byte) statemachine.Machine {
 		s, err := New("list", zone, follow.Terms{DrainFor: 4, MostLost: 0.5}, files[Kept], func(_ int, err error) {
 			if err != nil {
 				held = append(held, err.Error())
@@ -113,18 +113,18 @@
 		return &watched{Service: s, out: map[statemachine.Conn]*proto.Reader{}, in: map[statemachine.Conn]*proto.Reader{}, name: map[statemachine.Conn]string{}}
 	}, "list")
 	// An offer is looked at in the next step, as on sockets.
-	offer := func(s []follow.Server) { now.Offer(s); w.Tell("list", "look") }
+	offer := func(s []follow.Server) { now.Offer(s); w.SendCommand("list", "look") }
 	w.Start("list")
 	offer(servers(6, 1))
 	for i, s := range servers(6, 1) {
-		w.Add(s.Addr, zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
+		w.AddNode(s.Addr, zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
 			return emulator.NewServer(emulator.Trade{EP: s.Number, Zone: zone, Cores: 4, Speed: 1, Work: []emulator.Work{{Mean: 0.02}}, QueueMost: 100, Seed: uint64(i)})
 		}, s.Addr)
 		w.Start(s.Addr)
 	}
 	for i := range 2 {
 		name := fmt.Sprint("c", i)
-		w.Add(name, zone, func(at statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
+		w.AddNode(name, zone, func(at statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
 			b := trade.CoordinatorConfig(at)
 			values := map[string]any{}
 			for k, v := range trade.Values {
@@ -132,7 +132,7 @@
 			}
 			values["self"], values["coordinators"] = float64(i), 2.0
 			b.Settings, b.Seed = choice.DecodeSettings(values), uint64(i)+1
-			records, err := w.Records(name)
+			records, err := w.OpenStore(name)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -151,7 +151,7 @@
 	m := trade.CoordinatorConfig(0)
 	for i := range 8 {
 		name := fmt.Sprint("f", i)
-		w.Add(name, zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
+		w.AddNode(name, zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
 			return fake.NewFrontEnd(fake.FrontTrade{
 				Name: name, Zone: zone, Coordinators: []string{fmt.Sprint("c", i%2), fmt.Sprint("c", 1-i%2)},
 				Methods: fake.Methods(m.Settings.Methods), Rate: 15, Pick: m.Settings.Pick, KeepAway: 5, TryWait: 0.8, Period: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
@@ -160,11 +160,11 @@
 		w.Start(name)
 	}
 	for at, do := range happens {
-		w.At(epoch+at, func() { do(offer, w) })
+		w.Schedule(epoch+at, func() { do(offer, w) })
 	}
-	w.Run(epoch + seconds)
-	if len(w.Fails) > 0 {
-		t.Fatal(w.Fails)
+	w.RunUntil(epoch + seconds)
+	if len(w.Failures) > 0 {
+		t.Fatal(w.Failures)
 	}
 	report, err := invariant.Check(records, (&scenario.Day{Trade: trade}).Limits())
 	if err != nil {
@@ -182,16 +182,16 @@
 // moves: all rules are kept, and hardly an RPC is lost.
 func TestFollowedListKeepsTheRules(t *testing.T) {
 	five := servers(5, 1)
-	report, held, records := followed(t, 40, map[float64]func(func([]follow.Server), *simnet.World){
-		5:  func(offer func([]follow.Server), _ *simnet.World) { offer(five) },
-		7:  func(_ func([]follow.Server), w *simnet.World) { w.Kill("list") },
-		10: func(offer func([]follow.Server), w *simnet.World) { w.Start("list"); offer(servers(4, 1)) }, // the last one's drain ended meanwhile
-		16: func(offer func([]follow.Server), _ *simnet.World) { offer(servers(1, 1)) },                  // cut short
-		18: func(offer func([]follow.Server), _ *simnet.World) { offer(five) },
-		19: func(offer func([]follow.Server), _ *simnet.World) { offer(servers(4, 1)) },
-		20: func(offer func([]follow.Server), _ *simnet.World) { offer(five) },
-		24: func(_ func([]follow.Server), w *simnet.World) { w.Kill("c0") },
-		25: func(offer func([]follow.Server), w *simnet.World) { w.Start("c0"); offer(servers(6, 1)) },
+	report, held, records := followed(t, 40, map[float64]func(func([]follow.Server), *simnet.Network){
+		5:  func(offer func([]follow.Server), _ *simnet.Network) { offer(five) },
+		7:  func(_ func([]follow.Server), w *simnet.Network) { w.Kill("list") },
+		10: func(offer func([]follow.Server), w *simnet.Network) { w.Start("list"); offer(servers(4, 1)) }, // the last one's drain ended meanwhile
+		16: func(offer func([]follow.Server), _ *simnet.Network) { offer(servers(1, 1)) },                  // cut short
+		18: func(offer func([]follow.Server), _ *simnet.Network) { offer(five) },
+		19: func(offer func([]follow.Server), _ *simnet.Network) { offer(servers(4, 1)) },
+		20: func(offer func([]follow.Server), _ *simnet.Network) { offer(five) },
+		24: func(_ func([]follow.Server), w *simnet.Network) { w.Kill("c0") },
+		25: func(offer func([]follow.Server), w *simnet.Network) { w.Start("c0"); offer(servers(6, 1)) },
 	})
 	if len(held) != 1 || !strings.Contains(held[0], "out of use") {
 		t.Errorf("held back: %q", held)
@@ -214,8 +214,8 @@
 func TestChangedWeightIsALine(t *testing.T) {
 	heavier := servers(6, 1)
 	heavier[2].Weight = 1.3
-	_, _, records := followed(t, 20, map[float64]func(func([]follow.Server), *simnet.World){
-		12: func(offer func([]follow.Server), _ *simnet.World) { offer(heavier) },
+	_, _, records := followed(t, 20, map[float64]func(func([]follow.Server), *simnet.Network){
+		12: func(offer func([]follow.Server), _ *simnet.Network) { offer(heavier) },
 	})
 	lines := map[string]int{}
 	for _, r := range records {
--- a/internal/platform/day_test.go
+++ b/internal/platform/day_test.go
@@ -414,7 +414,7 @@
 // town is a network with two coordinators, discovery and a crowd.
 type town struct {
 	t     *testing.T
-	w     *simnet.World
+	w     *simnet.Network
 	disco *registry
 	crowd *crowd
 	nodes []*Machine
@@ -428,10 +428,10 @@
 	for i := range servers {
 		x.list(fmt.Sprintf("s-%04d", i), "active", 0)
 	}
-	x.w.Add("disco", "a", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return x.disco }, "disco:1", "disco:2", "servers")
+	x.w.AddNode("disco", "a", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return x.disco }, "disco:1", "disco:2", "servers")
 	for i := range x.nodes {
 		name := fmt.Sprint("c", i)
-		x.w.Add(name, "a", func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
+		x.w.AddNode(name, "a", func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
 			m, err := New(Bootstrap{
 				Name: name, Discovery: "disco:1", Module: choice.Config{Seed: seed, Now: now, Settings: choice.DecodeSettings(settings(proxies, 2))},
 				MostConns: 4 * proxies, MostProbes: 4, MostAnswer: 1 << 20, Handshake: 1,
@@ -443,7 +443,7 @@
 			return m
 		}, name+":1")
 	}
-	x.w.Add("crowd", "b", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return x.crowd })
+	x.w.AddNode("crowd", "b", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return x.crowd })
 	for _, n := range []string{"disco", "c0", "c1", "crowd"} {
 		x.w.Start(n)
 	}
@@ -454,16 +454,16 @@
 	x.ever[name] = true
 	x.crowd.good[name] = true
 	x.disco.set(name, health, born)
-	if x.w.Up("disco") {
-		x.w.Tell("disco", "changed")
+	if x.w.Running("disco") {
+		x.w.SendCommand("disco", "changed")
 	}
 }
 
 func (x *town) run(span statemachine.Seconds) {
 	x.t.Helper()
-	x.w.Run(x.w.Now() + span)
-	if len(x.w.Fails) > 0 {
-		x.t.Fatal(x.w.Fails)
+	x.w.RunUntil(x.w.Now() + span)
+	if len(x.w.Failures) > 0 {
+		x.t.Fatal(x.w.Failures)
 	}
 }
 
@@ -472,7 +472,7 @@
 	x.t.Helper()
 	joined := 0
 	for i, m := range x.nodes {
-		if !x.w.Up(fmt.Sprint("c", i)) {
+		if !x.w.Running(fmt.Sprint("c", i)) {
 			continue
 		}
 		for _, s := range m.streams {
@@ -573,7 +573,7 @@
 			for range 120 {
 				switch dice.IntN(12) {
 				case 0, 1, 2:
-					x.w.Tell("crowd", fmt.Sprintf("break %d %s", dice.IntN(16), []string{"late", "plain"}[dice.IntN(2)]))
+					x.w.SendCommand("crowd", fmt.Sprintf("break %d %s", dice.IntN(16), []string{"late", "plain"}[dice.IntN(2)]))
 				case 3:
 					x.disco.mode = []string{"503", "hang", "reset", "cut", "bad"}[dice.IntN(5)]
 				case 4, 5:
@@ -593,9 +593,9 @@
 					x.run(dice.Float64())
 					x.w.Start(n)
 				case 10:
-					x.w.Tell("crowd", fmt.Sprintf("noise %d", dice.IntN(16)))
+					x.w.SendCommand("crowd", fmt.Sprintf("noise %d", dice.IntN(16)))
 				case 11:
-					x.w.Tell("crowd", "rude")
+					x.w.SendCommand("crowd", "rude")
 				}
 				x.run(dice.Float64())
 			}
@@ -647,7 +647,7 @@
 func TestIdleStreamsEnd(t *testing.T) {
 	x := newTown(t, 4, 8, 8)
 	x.run(5)
-	x.w.Tell("crowd", "dumb 0")
+	x.w.SendCommand("crowd", "dumb 0")
 	x.run(1)
 	x.list("s-0001", "leaving", 0) // what it is told of now, it never answers
 	x.run(20)
@@ -785,11 +785,11 @@
 			delete(x.disco.hosts, fmt.Sprintf("t-%d-%d", i-8, k))
 			born++
 		}
-		x.w.Tell("disco", "changed")
+		x.w.SendCommand("disco", "changed")
 		for range 9 {
-			x.w.Tell("crowd", "rude")
+			x.w.SendCommand("crowd", "rude")
 		}
-		x.w.Tell("crowd", fmt.Sprintf("break %d late", i%5))
+		x.w.SendCommand("crowd", fmt.Sprintf("break %d late", i%5))
 		x.run(1.5)
 		for _, m := range x.nodes {
 			for _, s := range m.streams[:len(m.streams)*(1-min(i%10, 1))] { // each tenth time: it is the dearest look
--- a/internal/scenario/emulate.go
+++ b/internal/scenario/emulate.go
@@ -160,7 +160,7 @@
 		a.up, a.lives = true, 1
 	}
 	for _, a := range e.Day.Acts {
-		s.At(c.begin+a.At, func() { c.act(a) })
+		s.Schedule(c.begin+a.At, func() { c.act(a) })
 	}
 	return s.run(ctx, c.begin+e.Day.Length, loops)
 }
@@ -236,21 +236,23 @@
 
 func (s *emulation) Now() statemachine.Seconds { return s.clock.Now() }
 
-func (s *emulation) At(at statemachine.Seconds, do func()) { s.due = append(s.due, timed{at, do}) }
+func (s *emulation) Schedule(at statemachine.Seconds, do func()) {
+	s.due = append(s.due, timed{at, do})
+}
 
-func (s *emulation) Start(name string) { s.Tell(name, "start") }
+func (s *emulation) Start(name string) { s.SendCommand(name, "start") }
 
-func (s *emulation) Kill(name string) { s.Tell(name, "kill") }
+func (s *emulation) Kill(name string) { s.SendCommand(name, "kill") }
 
-func (s *emulation) Stall(string, statemachine.Seconds) {}
+func (s *emulation) Pause(string, statemachine.Seconds) {}
 
-func (s *emulation) Hinder(string, simnet.Hindrance, func(a, b string) bool) {}
+func (s *emulation) AddLinkFault(string, simnet.LinkFault, func(a, b string) bool) {}
 
-func (s *emulation) Clear(string) {}
+func (s *emulation) RemoveLinkFault(string) {}
 
-func (s *emulation) Reset(func(a, b string) bool) {}
+func (s *emulation) ResetConnections(func(a, b string) bool) {}
 
-func (s *emulation) Tell(name, text string) {
+func (s *emulation) SendCommand(name, text string) {
 	switch l := s.owner[name]; {
 	case name == "list" && s.list != nil:
 		s.list.Tell(text)
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -21,14 +21,14 @@
 // Stage is where a day plays: sockets, or virtual time.
 type Stage interface {
 	Now() statemachine.Seconds
-	At(at statemachine.Seconds, do func())
+	Schedule(at statemachine.Seconds, do func())
 	Start(name string)
 	Kill(name string)
-	Stall(name string, span statemachine.Seconds)
-	Tell(name, text string)
-	Hinder(name string, h simnet.Hindrance, match func(a, b string) bool)
-	Clear(name string)
-	Reset(match func(a, b string) bool)
+	Pause(name string, span statemachine.Seconds)
+	SendCommand(name, text string)
+	AddLinkFault(name string, h simnet.LinkFault, match func(a, b string) bool)
+	RemoveLinkFault(name string)
+	ResetConnections(match func(a, b string) bool)
 }
 
 // Result is what a day came to.
@@ -212,7 +212,7 @@
 		c.up(f)
 	}
 	for _, a := range c.day.Acts {
-		c.stage.At(c.begin+a.At, func() { c.act(a) })
+		c.stage.Schedule(c.begin+a.At, func() { c.act(a) })
 	}
 }
 
@@ -248,9 +248,11 @@
 	}
 }
 
-func (c *cast) list(format string, args ...any) { c.stage.Tell("list", fmt.Sprintf(format, args...)) }
+func (c *cast) list(format string, args ...any) {
+	c.stage.SendCommand("list", fmt.Sprintf(format, args...))
+}
 
-func (c *cast) after(span statemachine.Seconds, do func()) { c.stage.At(c.stage.Now()+span, do) }
+func (c *cast) after(span statemachine.Seconds, do func()) { c.stage.Schedule(c.stage.Now()+span, do) }
 
 // then does something at the end of an act that has one.
 func (c *cast) then(a Act, do func()) {
@@ -314,7 +316,7 @@
 		}
 	case "stall":
 		for _, x := range hit {
-			c.stage.Stall(x.name, a.For)
+			c.stage.Pause(x.name, a.For)
 			c.record(trace.Record{T: c.stage.Now(), Kind: trace.Stall, Who: x.name, X: a.For})
 		}
 	case "hang", "fast", "part", "method", "from", "dear", "shake", "conns":
@@ -322,8 +324,8 @@
 	case "pauses":
 		for _, x := range hit {
 			for t := 0.0; t < a.For; t++ {
-				c.after(t+c.draw()*0.5, func() { c.stage.Tell(x.name, "hang") })
-				c.after(t+0.5+min(by, 0.5), func() { c.stage.Tell(x.name, "heal hang") })
+				c.after(t+c.draw()*0.5, func() { c.stage.SendCommand(x.name, "hang") })
+				c.after(t+0.5+min(by, 0.5), func() { c.stage.SendCommand(x.name, "heal hang") })
 			}
 		}
 	case "silence":
@@ -340,8 +342,8 @@
 					case "silence":
 						up = c.hush(x, id+"."+strconv.Itoa(i))
 					case "hang", "fast":
-						c.stage.Tell(x.name, a.With)
-						up = func() { c.stage.Tell(x.name, "heal "+a.With) }
+						c.stage.SendCommand(x.name, a.With)
+						up = func() { c.stage.SendCommand(x.name, "heal "+a.With) }
 					default:
 						c.fall(x, true)
 					}
@@ -357,16 +359,16 @@
 			break
 		}
 		usual := choice.Config{Settings: choice.DecodeSettings(c.day.Trade.Values)}.Settings.PushTime.Or(0.1)
-		c.hinder(a, id, simnet.Hindrance{Delay: (by - 1) * usual}, c.streams(in))
+		c.hinder(a, id, simnet.LinkFault{ExtraLatency: (by - 1) * usual}, c.streams(in))
 	case "late":
 		if a.Of == "list" {
 			c.list("late %g", by)
 			c.then(a, func() { c.list("late 0") })
 			break
 		}
-		c.hinder(a, id, simnet.Hindrance{Delay: by}, c.streams(in))
+		c.hinder(a, id, simnet.LinkFault{ExtraLatency: by}, c.streams(in))
 	case "break":
-		c.stage.Reset(c.streams(in))
+		c.stage.ResetConnections(c.streams(in))
 	case "stale", "fail":
 		c.list("%s on", a.Verb)
 		c.then(a, func() { c.list("%s off", a.Verb) })
@@ -378,7 +380,7 @@
 		}
 		c.then(a, func() { c.list("show all") })
 	case "cut":
-		c.hinder(a, id, simnet.Hindrance{Cut: true}, c.across(a, in))
+		c.hinder(a, id, simnet.LinkFault{Partitioned: true}, c.across(a, in))
 		mark := func(n int) {
 			switch a.Of {
 			case "zone":
@@ -393,8 +395,8 @@
 		c.then(a, func() { mark(-1) })
 	case "load":
 		for _, x := range hit {
-			c.stage.Tell(x.name, fmt.Sprintf("rate %g", x.rate*by))
-			c.then(a, func() { c.stage.Tell(x.name, fmt.Sprintf("rate %g", x.rate)) })
+			c.stage.SendCommand(x.name, fmt.Sprintf("rate %g", x.rate*by))
+			c.then(a, func() { c.stage.SendCommand(x.name, fmt.Sprintf("rate %g", x.rate)) })
 		}
 	}
 }
@@ -428,10 +430,10 @@
 // hush has a server's machine lose its power: its process ends, and nobody hears of it, not even by a reset. What it
 // gives brings it back.
 func (c *cast) hush(x *actor, id string) func() {
-	c.stage.Hinder(id, simnet.Hindrance{Cut: true}, func(a, b string) bool { return a == x.name || b == x.name })
+	c.stage.AddLinkFault(id, simnet.LinkFault{Partitioned: true}, func(a, b string) bool { return a == x.name || b == x.name })
 	c.fall(x, true)
 	return func() {
-		c.stage.Clear(id)
+		c.stage.RemoveLinkFault(id)
 		c.raise(x)
 	}
 }
@@ -461,30 +463,30 @@
 		word += " " + by
 	}
 	for _, x := range hit {
-		c.stage.Tell(x.name, word)
-		c.then(a, func() { c.stage.Tell(x.name, "heal "+a.Verb) })
+		c.stage.SendCommand(x.name, word)
+		c.then(a, func() { c.stage.SendCommand(x.name, "heal "+a.Verb) })
 	}
 }
 
-func (c *cast) hinder(a Act, id string, h simnet.Hindrance, match func(x, y string) bool) {
-	c.stage.Hinder(id, h, match)
+func (c *cast) hinder(a Act, id string, h simnet.LinkFault, match func(x, y string) bool) {
+	c.stage.AddLinkFault(id, h, match)
 	mark := func(kind string) {
 		for _, f := range c.fronts {
 			for _, x := range c.coords {
-				if h.Cut && (match(f.name, x.name) || match(x.name, f.name)) {
+				if h.Partitioned && (match(f.name, x.name) || match(x.name, f.name)) {
 					c.record(trace.Record{T: c.stage.Now(), Kind: kind, Who: f.name, Of: x.name})
 				}
 			}
 		}
 		for _, x := range c.coords {
-			if h.Cut && (match("list", x.name) || match(x.name, "list")) {
+			if h.Partitioned && (match("list", x.name) || match(x.name, "list")) {
 				c.record(trace.Record{T: c.stage.Now(), Kind: kind, Who: "list", Of: x.name})
 			}
 		}
 	}
 	mark(trace.Cut)
 	c.then(a, func() {
-		c.stage.Clear(id)
+		c.stage.RemoveLinkFault(id)
 		mark(trace.Heal)
 	})
 }
@@ -565,23 +567,23 @@
 	self := func(a *actor) string { return a.name }
 	store := c.store()
 	frost := &fake.Frost{After: epoch + Settled}
-	w.Add("list", c.all["list"].zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
+	w.AddNode("list", c.all["list"].zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
 		return fake.NewList(c.listings(self))
 	}, "list")
 	for _, a := range c.servers {
-		w.Add(a.name, a.zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return c.server(a, store) }, a.name)
+		w.AddNode(a.name, a.zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return c.server(a, store) }, a.name)
 	}
 	coords := make([]string, 0, len(c.coords))
 	for _, a := range c.coords {
 		coords = append(coords, a.name)
-		w.Add(a.name, a.zone, func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
+		w.AddNode(a.name, a.zone, func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
 			b := c.coordinator(a, now, "list")
 			if o.Way == AllServers {
 				return fake.NewPlain(a.name, "list", d.Trade.Methods, b.Module.Settings.ReportPeriod.Or(1))
 			}
 			kept, err := keptBy(w, a.name)
 			if err != nil {
-				w.Fails = append(w.Fails, fmt.Sprintf("%s: %v", a.name, err))
+				w.Failures = append(w.Failures, fmt.Sprintf("%s: %v", a.name, err))
 			}
 			m := statemachine.Machine(coordinator.NewMachine(b, kept))
 			if o.Way == FrozenStart {
@@ -594,7 +596,7 @@
 		}, a.name)
 	}
 	for _, a := range c.fronts {
-		w.Add(a.name, a.zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return c.front(a, coords) })
+		w.AddNode(a.name, a.zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return c.front(a, coords) })
 	}
 	c.start()
 	var truth *Truth
@@ -602,16 +604,16 @@
 		truth = &Truth{}
 		c.watch(w, truth)
 	}
-	w.Run(epoch + d.Length)
-	r, err := finish(d, records, w.Fails)
+	w.RunUntil(epoch + d.Length)
+	r, err := finish(d, records, w.Failures)
 	r.Truth, r.Twice = truth, c.ledger.Twice
 	r.Steps = w.Steps
 	return r, err
 }
 
 // keptBy opens a node's store and reads what its last life left.
-func keptBy(w *simnet.World, name string) (*checkpoint.Kept, error) {
-	records, err := w.Records(name)
+func keptBy(w *simnet.Network, name string) (*checkpoint.Kept, error) {
+	records, err := w.OpenStore(name)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/scenario/sockets.go
+++ b/internal/scenario/sockets.go
@@ -55,7 +55,7 @@
 
 type hindering struct {
 	name  string
-	h     simnet.Hindrance
+	h     simnet.LinkFault
 	match func(a, b string) bool
 }
 
@@ -293,7 +293,7 @@
 
 func (s *sockets) Now() statemachine.Seconds { return s.clock.Now() }
 
-func (s *sockets) At(at statemachine.Seconds, do func()) { s.due = append(s.due, timed{at, do}) }
+func (s *sockets) Schedule(at statemachine.Seconds, do func()) { s.due = append(s.due, timed{at, do}) }
 
 func (s *sockets) Start(name string) {
 	n := s.nodes[name]
@@ -372,29 +372,29 @@
 	}
 }
 
-func (s *sockets) Stall(name string, span statemachine.Seconds) {
+func (s *sockets) Pause(name string, span statemachine.Seconds) {
 	n := s.nodes[name]
 	if n.cmd == nil {
-		s.Tell(name, fmt.Sprintf("still %g", span))
+		s.SendCommand(name, fmt.Sprintf("still %g", span))
 		return
 	}
 	p := n.cmd.Process
 	_ = p.Signal(syscall.SIGSTOP)
-	s.At(s.Now()+span, func() { _ = p.Signal(syscall.SIGCONT) })
+	s.Schedule(s.Now()+span, func() { _ = p.Signal(syscall.SIGCONT) })
 }
 
-func (s *sockets) Tell(name, text string) {
+func (s *sockets) SendCommand(name, text string) {
 	if n := s.nodes[name]; n != nil && n.loop != nil {
 		n.loop.Tell(text)
 	}
 }
 
-func (s *sockets) Hinder(name string, h simnet.Hindrance, match func(a, b string) bool) {
+func (s *sockets) AddLinkFault(name string, h simnet.LinkFault, match func(a, b string) bool) {
 	s.rules = append(s.rules, hindering{name, h, match})
 	s.spread()
 }
 
-func (s *sockets) Clear(name string) {
+func (s *sockets) RemoveLinkFault(name string) {
 	s.rules = slices.DeleteFunc(s.rules, func(r hindering) bool { return r.name == name })
 	s.spread()
 }
@@ -403,18 +403,18 @@
 func (s *sockets) spread() {
 	for of, r := range s.relays {
 		for i, to := range r.targets {
-			var h simnet.Hindrance
+			var h simnet.LinkFault
 			for _, x := range s.rules {
 				if x.match(of, to) || x.match(to, of) {
-					h.Cut, h.Drop, h.Delay = h.Cut || x.h.Cut, h.Drop || x.h.Drop, h.Delay+x.h.Delay
-					if x.h.Pace > 0 && (h.Pace == 0 || x.h.Pace < h.Pace) {
-						h.Pace = x.h.Pace
+					h.Partitioned, h.Reset, h.ExtraLatency = h.Partitioned || x.h.Partitioned, h.Reset || x.h.Reset, h.ExtraLatency+x.h.ExtraLatency
+					if x.h.Bandwidth > 0 && (h.Bandwidth == 0 || x.h.Bandwidth < h.Bandwidth) {
+						h.Bandwidth = x.h.Bandwidth
 					}
 				}
 			}
 			bit := map[bool]int{true: 1}
-			word := fmt.Sprintf("set %d %d %d %g %g", i, bit[h.Cut], bit[h.Drop], h.Delay, h.Pace)
-			if r.told[i] != word && (r.told[i] != "" || h != (simnet.Hindrance{})) {
+			word := fmt.Sprintf("set %d %d %d %g %g", i, bit[h.Partitioned], bit[h.Reset], h.ExtraLatency, h.Bandwidth)
+			if r.told[i] != word && (r.told[i] != "" || h != (simnet.LinkFault{})) {
 				r.told[i] = word
 				r.loop.Tell(word)
 			}
@@ -422,7 +422,7 @@
 	}
 }
 
-func (s *sockets) Reset(match func(a, b string) bool) {
+func (s *sockets) ResetConnections(match func(a, b string) bool) {
 	for of, r := range s.relays {
 		for i, to := range r.targets {
 			if match(of, to) || match(to, of) {
--- a/internal/scenario/truth.go
+++ b/internal/scenario/truth.go
@@ -24,7 +24,7 @@
 }
 
 // watch has the true state looked at until the day ends.
-func (c *cast) watch(w *simnet.World, truth *Truth) {
+func (c *cast) watch(w *simnet.Network, truth *Truth) {
 	truth.Begin = w.Now()
 	methods := len(c.day.Trade.Methods)
 	zones := c.day.Zones()
@@ -76,7 +76,7 @@
 		slot++
 		c.after(Glance, look)
 	}
-	c.stage.At(truth.Begin+Glance/2, look)
+	c.stage.Schedule(truth.Begin+Glance/2, look)
 }
 
 func (c *cast) apart() bool {
--- a/internal/simnet/virtual.go
+++ b/internal/simnet/virtual.go
@@ -17,35 +17,35 @@
 )
 
 // Maker makes a node's machine at a start; files are what its earlier lives saved.
-type Maker func(now statemachine.Seconds, files map[string][]byte) statemachine.Machine
+type NodeFactory func(now statemachine.Seconds, files map[string][]byte) statemachine.Machine
 
 // Hindrance is what a link does to what passes on it. The zero value lets all pass.
-type Hindrance struct {
-	Cut   bool                 // nothing passes, in either way; what was sent waits for the cut to heal
-	Drop  bool                 // connections can't be opened, and standing ones are reset
-	Delay statemachine.Seconds // beside the link's own
-	Pace  float64              // bytes a second of each connection and way; 0: unbounded
+type LinkFault struct {
+	Partitioned  bool                 // nothing passes, in either way; what was sent waits for the cut to heal
+	Reset        bool                 // connections can't be opened, and standing ones are reset
+	ExtraLatency statemachine.Seconds // beside the link's own
+	Bandwidth    float64              // bytes a second of each connection and way; 0: unbounded
 }
 
 // World is the network and all that is on it.
-type World struct {
+type Network struct {
 	now  statemachine.Seconds
 	dice *rand.Rand
 	// diskDice is for what disks do, so that a run with stores draws for its network what one without does.
-	diskDice *rand.Rand
-	events   queue.Queue[func()]
-	nodes    map[string]*node
-	order    []*node
-	doors    map[string]door
-	links    []rule
-	same     statemachine.Seconds // latency within a zone
-	cross    statemachine.Seconds // and between zones
-	Trace    func(trace.Record)
-	Log      func(t statemachine.Seconds, node string, n statemachine.LogEntry)
-	Fails    []string             // of machines that failed
-	out      statemachine.Effects // of the step that is being taken
-	Steps    int
-	Bytes    int
+	diskDice  *rand.Rand
+	events    queue.Queue[func()]
+	nodes     map[string]*node
+	order     []*node
+	doors     map[string]door
+	links     []rule
+	same      statemachine.Seconds // latency within a zone
+	cross     statemachine.Seconds // and between zones
+	Trace     func(trace.Record)
+	Log       func(t statemachine.Seconds, node string, n statemachine.LogEntry)
+	Failures  []string             // of machines that failed
+	out       statemachine.Effects // of the step that is being taken
+	Steps     int
+	BytesSent int
 }
 
 type door struct {
@@ -56,13 +56,13 @@
 type rule struct {
 	name  string
 	match func(a, b string) bool
-	h     Hindrance
+	h     LinkFault
 }
 
 type node struct {
 	name  string
 	zone  string
-	make  Maker
+	make  NodeFactory
 	doors []string
 	files map[string][]byte
 	disk  *disk.Memory // what is kept; nil: nothing was yet
@@ -107,22 +107,22 @@
 }
 
 // New makes an empty world at a time.
-func New(seed uint64, now, same, cross statemachine.Seconds) *World {
-	return &World{now: now, dice: rand.New(rand.NewPCG(seed, 1)), diskDice: rand.New(rand.NewPCG(seed, 2)), nodes: map[string]*node{}, doors: map[string]door{}, same: same, cross: cross}
+func New(seed uint64, now, same, cross statemachine.Seconds) *Network {
+	return &Network{now: now, dice: rand.New(rand.NewPCG(seed, 1)), diskDice: rand.New(rand.NewPCG(seed, 2)), nodes: map[string]*node{}, doors: map[string]door{}, same: same, cross: cross}
 }
 
 // Now is the time.
-func (w *World) Now() statemachine.Seconds { return w.now }
+func (w *Network) Now() statemachine.Seconds { return w.now }
 
-func (w *World) draw() float64 { return w.dice.Float64() }
+func (w *Network) draw() float64 { return w.dice.Float64() }
 
 // At has something done at a time.
-func (w *World) At(at statemachine.Seconds, do func()) {
+func (w *Network) Schedule(at statemachine.Seconds, do func()) {
 	w.events.Put(max(at, w.now), do)
 }
 
 // Add puts a node on the network, reached at its doors' addresses; it does not run before Start.
-func (w *World) Add(name, zone string, maker Maker, doors ...string) {
+func (w *Network) AddNode(name, zone string, maker NodeFactory, doors ...string) {
 	n := &node{name: name, zone: zone, make: maker, doors: doors, files: map[string][]byte{}}
 	w.nodes[name] = n
 	w.order = append(w.order, n)
@@ -132,7 +132,7 @@
 }
 
 // Names gives the names of all nodes, in the order in which they were added.
-func (w *World) Names() (all []string) {
+func (w *Network) NodeNames() (all []string) {
 	for _, n := range w.order {
 		all = append(all, n.name)
 	}
@@ -140,10 +140,10 @@
 }
 
 // Up tells whether a node runs.
-func (w *World) Up(name string) bool { n := w.nodes[name]; return n != nil && n.up }
+func (w *Network) Running(name string) bool { n := w.nodes[name]; return n != nil && n.up }
 
 // Zone is a node's zone.
-func (w *World) Zone(name string) string {
+func (w *Network) ZoneOf(name string) string {
 	if n := w.nodes[name]; n != nil {
 		return n.zone
 	}
@@ -151,7 +151,7 @@
 }
 
 // Machine is a running node's machine, nil if it does not run.
-func (w *World) Machine(name string) statemachine.Machine {
+func (w *Network) Machine(name string) statemachine.Machine {
 	if n := w.nodes[name]; n != nil && n.up {
 		return n.m
 	}
@@ -159,7 +159,7 @@
 }
 
 // Start starts a node's process.
-func (w *World) Start(name string) {
+func (w *Network) Start(name string) {
 	n := w.nodes[name]
 	if n == nil || n.up {
 		return
@@ -172,14 +172,14 @@
 }
 
 // Records opens the store of a node that is being made, and gives what its earlier lives kept. Call it in its Maker.
-func (w *World) Records(name string) (iter.Seq2[string, []byte], error) {
+func (w *Network) OpenStore(name string) (iter.Seq2[string, []byte], error) {
 	n := w.nodes[name]
 	if n.disk == nil {
 		n.disk = disk.NewMemory()
 	}
 	s, _, err := store.Open(store.Bootstrap{Folder: n.disk, ID: 1})
 	if err != nil {
-		w.Fails = append(w.Fails, fmt.Sprintf("%.6f %s: %v", w.now, name, err))
+		w.Failures = append(w.Failures, fmt.Sprintf("%.6f %s: %v", w.now, name, err))
 		return nil, err
 	}
 	n.store = s
@@ -187,10 +187,10 @@
 }
 
 // Disk is what a node's store stands on; nil: it has none.
-func (w *World) Disk(name string) *disk.Memory { return w.nodes[name].disk }
+func (w *Network) Disk(name string) *disk.Memory { return w.nodes[name].disk }
 
 // keep writes what a step wants kept. It is durable some milliseconds later.
-func (w *World) keep(n *node, puts []statemachine.Mutation, batch uint64) {
+func (w *Network) keep(n *node, puts []statemachine.Mutation, batch uint64) {
 	if n.store == nil || batch == 0 {
 		return
 	}
@@ -204,7 +204,7 @@
 	}
 	seq, err := n.store.Write(&b)
 	life := n.life
-	w.At(w.now+syncTime*(0.5+w.diskDice.Float64()), func() {
+	w.Schedule(w.now+syncTime*(0.5+w.diskDice.Float64()), func() {
 		if n.life != life || !n.up {
 			return
 		}
@@ -226,7 +226,7 @@
 const syncTime = 0.005
 
 // Kill ends a node's process outright. Its peers see their connections reset, some in the middle of what was sent.
-func (w *World) Kill(name string) {
+func (w *Network) Kill(name string) {
 	n := w.nodes[name]
 	if n == nil || !n.up {
 		return
@@ -238,7 +238,7 @@
 	}
 	for _, e := range w.ends(n) {
 		e.gone = true
-		if e.other != nil && w.between(n, e.other.node).Cut {
+		if e.other != nil && w.between(n, e.other.node).Partitioned {
 			e.lost = true
 			continue
 		}
@@ -247,7 +247,7 @@
 	n.conns = nil
 }
 
-func (w *World) ends(n *node) []*end {
+func (w *Network) ends(n *node) []*end {
 	all := make([]*end, 0, len(n.conns))
 	for _, e := range n.conns {
 		all = append(all, e)
@@ -262,34 +262,34 @@
 }
 
 // Stall keeps a node from being stepped for a while, as a process that the machine does not run.
-func (w *World) Stall(name string, span statemachine.Seconds) {
+func (w *Network) Pause(name string, span statemachine.Seconds) {
 	if n := w.nodes[name]; n != nil && n.up {
 		n.stalled = max(n.stalled, w.now+span)
-		w.At(n.stalled, func() { w.step(n) })
+		w.Schedule(n.stalled, func() { w.step(n) })
 	}
 }
 
 // Tell hands a node's machine a script's word.
-func (w *World) Tell(name, text string) {
+func (w *Network) SendCommand(name, text string) {
 	if n := w.nodes[name]; n != nil && n.up {
 		w.input(n, statemachine.Input{Kind: statemachine.OperatorCommand, Text: text})
 	}
 }
 
 // Hinder puts a hindrance on all links between nodes that match, under a name; Clear takes it off again.
-func (w *World) Hinder(name string, h Hindrance, match func(a, b string) bool) {
+func (w *Network) AddLinkFault(name string, h LinkFault, match func(a, b string) bool) {
 	w.links = append(w.links, rule{name, match, h})
-	if h.Drop {
-		w.Reset(match)
+	if h.Reset {
+		w.ResetConnections(match)
 	}
 }
 
 // Clear takes a hindrance off, and lets through what waited for that.
-func (w *World) Clear(name string) {
+func (w *Network) RemoveLinkFault(name string) {
 	w.links = slices.DeleteFunc(w.links, func(r rule) bool { return r.name == name })
 	for _, n := range w.order {
 		for _, e := range w.ends(n) {
-			if len(e.held) > 0 && e.other != nil && !w.between(n, e.other.node).Cut {
+			if len(e.held) > 0 && e.other != nil && !w.between(n, e.other.node).Partitioned {
 				held := e.held
 				e.held = nil
 				for _, p := range held {
@@ -301,7 +301,7 @@
 }
 
 // Reset breaks all connections between nodes that match, once.
-func (w *World) Reset(match func(a, b string) bool) {
+func (w *Network) ResetConnections(match func(a, b string) bool) {
 	for _, n := range w.order {
 		for _, e := range w.ends(n) {
 			if o := e.other; o != nil && !e.gone && o.node.up && match(n.name, o.node.name) {
@@ -316,19 +316,19 @@
 }
 
 // between is what hinders two nodes' link at present; hindrances add up.
-func (w *World) between(a, b *node) (h Hindrance) {
+func (w *Network) between(a, b *node) (h LinkFault) {
 	for _, r := range w.links {
 		if r.match(a.name, b.name) || r.match(b.name, a.name) {
-			h.Cut, h.Drop, h.Delay = h.Cut || r.h.Cut, h.Drop || r.h.Drop, h.Delay+r.h.Delay
-			if r.h.Pace > 0 && (h.Pace == 0 || r.h.Pace < h.Pace) {
-				h.Pace = r.h.Pace
+			h.Partitioned, h.Reset, h.ExtraLatency = h.Partitioned || r.h.Partitioned, h.Reset || r.h.Reset, h.ExtraLatency+r.h.ExtraLatency
+			if r.h.Bandwidth > 0 && (h.Bandwidth == 0 || r.h.Bandwidth < h.Bandwidth) {
+				h.Bandwidth = r.h.Bandwidth
 			}
 		}
 	}
 	return h
 }
 
-func (w *World) latency(a, b *node) statemachine.Seconds {
+func (w *Network) latency(a, b *node) statemachine.Seconds {
 	base := w.same
 	if a.zone != b.zone {
 		base = w.cross
@@ -337,7 +337,7 @@
 }
 
 // Run goes on until a time.
-func (w *World) Run(until statemachine.Seconds) {
+func (w *Network) RunUntil(until statemachine.Seconds) {
 	for {
 		at, ok := w.events.Next()
 		if !ok || at > until {
@@ -350,12 +350,12 @@
 }
 
 // input gives a node something; all that comes at one moment is one step's.
-func (w *World) input(n *node, i statemachine.Input) {
+func (w *Network) input(n *node, i statemachine.Input) {
 	n.inbox = append(n.inbox, i)
 	if !n.due {
 		n.due = true
 		life := n.life
-		w.At(w.now, func() {
+		w.Schedule(w.now, func() {
 			if n.life == life {
 				n.due = false
 				w.step(n)
@@ -364,7 +364,7 @@
 	}
 }
 
-func (w *World) step(n *node) {
+func (w *Network) step(n *node) {
 	if !n.up || w.now < n.stalled {
 		return
 	}
@@ -373,7 +373,7 @@
 	}
 	if n.same++; n.same > 10000 {
 		// It asks for a step at the moment of each step: on sockets it would take a whole core.
-		w.Fails = append(w.Fails, fmt.Sprintf("%.6f %s: it spins", w.now, n.name))
+		w.Failures = append(w.Failures, fmt.Sprintf("%.6f %s: it spins", w.now, n.name))
 		w.Kill(n.name)
 		return
 	}
@@ -396,7 +396,7 @@
 		}
 	}
 	if out.Failure != "" {
-		w.Fails = append(w.Fails, fmt.Sprintf("%.3f %s: %s", w.now, n.name, out.Failure))
+		w.Failures = append(w.Failures, fmt.Sprintf("%.3f %s: %s", w.now, n.name, out.Failure))
 		w.Kill(n.name)
 		return
 	}
@@ -414,7 +414,7 @@
 	if n.wake = out.WakeAt; n.wake < statemachine.Never && (n.armed != n.wake || n.armedLife != n.life) {
 		life, wake := n.life, n.wake
 		n.armed, n.armedLife = wake, life
-		w.At(wake, func() {
+		w.Schedule(wake, func() {
 			if n.armed == wake && n.armedLife == life {
 				n.armed = statemachine.Never
 			}
@@ -425,7 +425,7 @@
 	}
 }
 
-func (w *World) act(n *node, a statemachine.Action) {
+func (w *Network) act(n *node, a statemachine.Action) {
 	if a.Kind == statemachine.ActionDial {
 		w.dial(n, a.Conn, a.Addr, w.now+5)
 		return
@@ -437,7 +437,7 @@
 	switch a.Kind {
 	case statemachine.ActionWrite:
 		if e.open {
-			w.Bytes += len(a.Data)
+			w.BytesSent += len(a.Data)
 			w.send(e, piece{data: a.Data})
 		}
 	default:
@@ -453,7 +453,7 @@
 	}
 }
 
-func (w *World) dial(n *node, id statemachine.Conn, addr string, last statemachine.Seconds) {
+func (w *Network) dial(n *node, id statemachine.Conn, addr string, last statemachine.Seconds) {
 	e := n.conns[id]
 	if e == nil {
 		e = &end{node: n, life: n.life, id: id}
@@ -475,24 +475,24 @@
 	life := n.life
 	alive := func() bool { return n.life == life && n.up && !e.gone }
 	switch {
-	case h.Cut:
+	case h.Partitioned:
 		if w.now >= last {
 			fail("no answer")
 			return
 		}
-		w.At(w.now+0.5, func() {
+		w.Schedule(w.now+0.5, func() {
 			if alive() {
 				w.dial(n, id, addr, last)
 			}
 		})
 	default:
-		trip := w.latency(n, d.node) + h.Delay
-		w.At(w.now+trip, func() {
+		trip := w.latency(n, d.node) + h.ExtraLatency
+		w.Schedule(w.now+trip, func() {
 			if !alive() {
 				return
 			}
-			if !d.node.up || h.Drop {
-				w.At(w.now+trip, func() { fail("refused") })
+			if !d.node.up || h.Reset {
+				w.Schedule(w.now+trip, func() { fail("refused") })
 				return
 			}
 			d.node.nextIn++
@@ -502,7 +502,7 @@
 			w.input(d.node, statemachine.Input{Kind: statemachine.ConnOpened, Conn: o.id, Listener: d.at})
 			// Nothing that the other side sends at once may arrive before this end stands.
 			o.free = w.now + trip
-			w.At(w.now+trip, func() {
+			w.Schedule(w.now+trip, func() {
 				if alive() {
 					e.open = true
 					w.input(n, statemachine.Input{Kind: statemachine.ConnOpened, Conn: id})
@@ -517,13 +517,13 @@
 }
 
 // send puts bytes, or the end, on the way to the other end.
-func (w *World) send(e *end, p piece) {
+func (w *Network) send(e *end, p piece) {
 	o := e.other
 	if o == nil {
 		return
 	}
 	h := w.between(e.node, o.node)
-	if o.lost && !h.Cut && !e.gone {
+	if o.lost && !h.Partitioned && !e.gone {
 		// Who writes to a process that is no more hears of it.
 		e.gone = true
 		delete(e.node.conns, e.id)
@@ -536,16 +536,16 @@
 		e.n++
 		p.n = e.n
 	}
-	if h.Cut || len(e.held) > 0 {
+	if h.Partitioned || len(e.held) > 0 {
 		e.hold(p)
 		return
 	}
-	at := w.now + w.latency(e.node, o.node) + h.Delay
-	if h.Pace > 0 {
-		at += float64(len(p.data)) / h.Pace
+	at := w.now + w.latency(e.node, o.node) + h.ExtraLatency
+	if h.Bandwidth > 0 {
+		at += float64(len(p.data)) / h.Bandwidth
 	}
 	e.free = max(e.free, at)
-	w.At(e.free, func() { w.arrive(e, p) })
+	w.Schedule(e.free, func() { w.arrive(e, p) })
 }
 
 // hold keeps a piece until a cut heals: what was under way when it began comes before what was sent during it.
@@ -557,12 +557,12 @@
 	e.held = slices.Insert(e.held, at, p)
 }
 
-func (w *World) arrive(e *end, p piece) {
+func (w *Network) arrive(e *end, p piece) {
 	o := e.other
 	if o.gone || !o.node.up || o.life != o.node.life {
 		return
 	}
-	if w.between(e.node, o.node).Cut || len(e.held) > 0 {
+	if w.between(e.node, o.node).Partitioned || len(e.held) > 0 {
 		e.hold(p)
 		return
 	}
--- a/internal/simnet/virtual_test.go
+++ b/internal/simnet/virtual_test.go
@@ -45,16 +45,16 @@
 	}
 }
 
-func pair(t *testing.T) (w *World, a, b *party) {
+func pair(t *testing.T) (w *Network, a, b *party) {
 	t.Helper()
 	w = New(1, 100, 0.001, 0.01)
 	a, b = &party{}, &party{}
-	w.Add("a", "x", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return a })
-	w.Add("b", "y", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { *b = party{}; return b }, "door")
+	w.AddNode("a", "x", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return a })
+	w.AddNode("b", "y", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { *b = party{}; return b }, "door")
 	w.Start("a")
 	w.Start("b")
-	w.Tell("a", "dial door")
-	w.Run(101)
+	w.SendCommand("a", "dial door")
+	w.RunUntil(101)
 	return w, a, b
 }
 
@@ -63,19 +63,19 @@
 // What was under way when a cut began comes before what was sent during it, and all comes when it heals.
 func TestCutsKeepTheOrder(t *testing.T) {
 	w, _, b := pair(t)
-	w.Hinder("late", Hindrance{Delay: 2}, both)
-	w.Tell("a", "say 1")
-	w.Run(102)
-	w.Hinder("cut", Hindrance{Cut: true}, both)
-	w.Tell("a", "say 2")
-	w.Run(110)
+	w.AddLinkFault("late", LinkFault{ExtraLatency: 2}, both)
+	w.SendCommand("a", "say 1")
+	w.RunUntil(102)
+	w.AddLinkFault("cut", LinkFault{Partitioned: true}, both)
+	w.SendCommand("a", "say 2")
+	w.RunUntil(110)
 	if b.heard.Len() != 0 {
 		t.Fatal(b.heard.String())
 	}
-	w.Clear("late")
-	w.Clear("cut")
-	w.Tell("a", "say 3")
-	w.Run(111)
+	w.RemoveLinkFault("late")
+	w.RemoveLinkFault("cut")
+	w.SendCommand("a", "say 3")
+	w.RunUntil(111)
 	if b.heard.String() != "123" {
 		t.Fatal(b.heard.String())
 	}
@@ -83,50 +83,50 @@
 
 func TestEnds(t *testing.T) {
 	w, _, b := pair(t)
-	w.Tell("a", "say "+strings.Repeat("x", 1000))
-	w.Run(101.0001)
+	w.SendCommand("a", "say "+strings.Repeat("x", 1000))
+	w.RunUntil(101.0001)
 	w.Kill("a") // in the middle of what it sent
-	w.Run(102)
+	w.RunUntil(102)
 	if n := b.heard.Len(); n == 0 && len(b.events) != 2 || n == 1000 || b.events[len(b.events)-1] != "reset by the other side" {
 		t.Fatal(n, b.events)
 	}
 	w, a, b := pair(t)
-	w.Tell("a", "say bye")
-	w.Tell("a", "close")
-	w.Run(102)
+	w.SendCommand("a", "say bye")
+	w.SendCommand("a", "close")
+	w.RunUntil(102)
 	if b.heard.String() != "bye" || b.events[len(b.events)-1] != "closed by the other side" || len(a.events) != 1 {
 		t.Fatal(b.heard.String(), b.events, a.events)
 	}
 	w, a, _ = pair(t)
-	w.Reset(both)
-	w.Run(102)
+	w.ResetConnections(both)
+	w.RunUntil(102)
 	if a.events[len(a.events)-1] != "reset by the other side" {
 		t.Fatal(a.events)
 	}
 	w.Kill("b")
-	w.Tell("a", "dial door")
-	w.Run(103)
+	w.SendCommand("a", "dial door")
+	w.RunUntil(103)
 	if a.events[len(a.events)-1] != "refused" {
 		t.Fatal(a.events)
 	}
 	w.Start("b")
-	w.Hinder("cut", Hindrance{Cut: true}, both)
-	w.Tell("a", "dial door")
-	w.Run(110)
+	w.AddLinkFault("cut", LinkFault{Partitioned: true}, both)
+	w.SendCommand("a", "dial door")
+	w.RunUntil(110)
 	if a.events[len(a.events)-1] != "no answer" {
 		t.Fatal(a.events)
 	}
 	// A process that dies behind a cut is not heard of; who writes to it after the cut is told.
 	w, a, _ = pair(t)
-	w.Hinder("cut", Hindrance{Cut: true}, both)
+	w.AddLinkFault("cut", LinkFault{Partitioned: true}, both)
 	w.Kill("b")
-	w.Run(105)
+	w.RunUntil(105)
 	if len(a.events) != 1 {
 		t.Fatal(a.events)
 	}
-	w.Clear("cut")
-	w.Tell("a", "say x")
-	w.Run(106)
+	w.RemoveLinkFault("cut")
+	w.SendCommand("a", "say x")
+	w.RunUntil(106)
 	if a.events[len(a.events)-1] != "reset by the other side" {
 		t.Fatal(a.events)
 	}
@@ -134,19 +134,19 @@
 
 func TestStallsAndSpins(t *testing.T) {
 	w, _, b := pair(t)
-	w.Stall("b", 3)
-	w.Tell("a", "say x")
-	w.Run(103.5)
+	w.Pause("b", 3)
+	w.SendCommand("a", "say x")
+	w.RunUntil(103.5)
 	if b.heard.Len() != 0 {
 		t.Fatal("a process that does not run heard something")
 	}
-	w.Run(105)
+	w.RunUntil(105)
 	if b.heard.String() != "x" {
 		t.Fatal(b.heard.String())
 	}
-	w.Tell("b", "spin")
-	w.Run(106)
-	if len(w.Fails) != 1 || !strings.Contains(w.Fails[0], "b: it spins") || w.Up("b") {
-		t.Fatal(w.Fails)
+	w.SendCommand("b", "spin")
+	w.RunUntil(106)
+	if len(w.Failures) != 1 || !strings.Contains(w.Failures[0], "b: it spins") || w.Running("b") {
+		t.Fatal(w.Failures)
 	}
 }
