--- a/cmd/gingerfork/main_test.go
+++ b/cmd/gingerfork/main_test.go
@@ -154,7 +154,7 @@
 	for _, r := range records {
 		count[r.Kind]++
 	}
-	if count[trace.Boot] != 3 || count[trace.Join] < 7 || count[trace.Run] < 100 || count[trace.Start] != 2 || count[trace.Apply] < 8 {
+	if count[trace.CoordinatorStarted] != 3 || count[trace.ProxyJoined] < 7 || count[trace.EffectExecuted] < 100 || count[trace.BackendStarted] != 2 || count[trace.PushApplied] < 8 {
 		t.Errorf("%v", count)
 	}
 }
@@ -289,7 +289,7 @@
 	records, err := trace.Read(in)
 	answered := 0
 	for _, r := range records {
-		if r.Kind == trace.End && r.Text == "ok" {
+		if r.Kind == trace.RPCFinished && r.Text == "ok" {
 			answered++
 		}
 	}
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -153,10 +153,10 @@
 	}
 	for _, r := range out.Trace[records:] {
 		switch r.Kind {
-		case trace.Run:
+		case trace.EffectExecuted:
 			f.tally.Ran++
-		case trace.Offer:
-			f.tally.Near = max(f.tally.Near, r.X)
+		case trace.LoadOffered:
+			f.tally.Near = max(f.tally.Near, r.Value)
 		}
 	}
 	m.wake = max(out.WakeAt, now+1e-6)
@@ -178,7 +178,7 @@
 		switch {
 		case word == "kill" && m.s != nil:
 			m.s, m.in = nil, nil
-			out.Record(trace.Record{T: now, Kind: trace.Gone, EP: m.trade.EP})
+			out.Record(trace.Record{Time: now, Kind: trace.BackendStopped, Backend: m.trade.EP})
 			var conns []statemachine.Conn
 			for c := range m.conns {
 				conns = append(conns, c)
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -166,7 +166,7 @@
 	}
 	gone := 0
 	for _, r := range w.trace {
-		if r.Kind == trace.Gone {
+		if r.Kind == trace.BackendStopped {
 			gone++
 		}
 	}
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -33,7 +33,7 @@
 	if s.model == nil {
 		s.model = New(s.trade, now)
 		if s.trade.Cold {
-			out.Record(trace.Record{T: now, Kind: trace.Start, EP: s.trade.EP, X: s.trade.Capacity([]float64{1})})
+			out.Record(trace.Record{Time: now, Kind: trace.BackendStarted, Backend: s.trade.EP, Value: s.trade.Capacity([]float64{1})})
 		}
 	}
 	s.late = max(s.late, now-s.model.Wake())
@@ -73,8 +73,8 @@
 // look tells how it is, and how late it did what was due.
 func (s *Server) look(now statemachine.Seconds) {
 	_, waiting, busy := s.model.Load()
-	s.out.Record(trace.Record{T: now, Kind: trace.Glance, EP: s.trade.EP, X: s.model.Able(now, 0), N: int64(waiting), Text: strconv.FormatFloat(busy, 'g', 3, 64)})
-	s.out.Record(trace.Record{T: now, Kind: trace.Late, EP: s.trade.EP, X: max(0, s.late)})
+	s.out.Record(trace.Record{Time: now, Kind: trace.BackendSampled, Backend: s.trade.EP, Value: s.model.Able(now, 0), Count: int64(waiting), Text: strconv.FormatFloat(busy, 'g', 3, 64)})
+	s.out.Record(trace.Record{Time: now, Kind: trace.ScheduleDelay, Backend: s.trade.EP, Value: max(0, s.late)})
 	s.late = 0
 }
 
@@ -129,15 +129,15 @@
 		case Probed:
 			s.write(statemachine.Conn(e.To), proto.ProbeReply{ID: e.ID, Status: proto.Status(e.Status)})
 		case Ran:
-			r := trace.Record{T: now, Kind: trace.Run, EP: s.trade.EP, RPC: e.RPC.ID, Method: e.RPC.Method}
+			r := trace.Record{Time: now, Kind: trace.EffectExecuted, Backend: s.trade.EP, RPCID: e.RPC.ID, Method: e.RPC.Method}
 			if e.RPC.Token != 0 {
 				r.Text = strconv.FormatUint(e.RPC.Token, 10)
 			}
 			s.out.Record(r)
 		case Near:
-			s.out.Record(trace.Record{T: now, Kind: trace.Offer, EP: s.trade.EP, X: e.Part, N: int64(e.RPCs)})
+			s.out.Record(trace.Record{Time: now, Kind: trace.LoadOffered, Backend: s.trade.EP, Value: e.Part, Count: int64(e.RPCs)})
 		case Fell:
-			s.out.Record(trace.Record{T: now, Kind: trace.Fall, EP: s.trade.EP})
+			s.out.Record(trace.Record{Time: now, Kind: trace.BackendCollapsed, Backend: s.trade.EP})
 			all := make([]statemachine.Conn, 0, len(s.readers))
 			for c := range s.readers {
 				all = append(all, c)
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -69,7 +69,7 @@
 			case "stop":
 				out.Stop = true
 			case "trace":
-				out.Record(trace.Record{T: now, Kind: arg})
+				out.Record(trace.Record{Time: now, Kind: arg})
 			}
 		}
 	}
--- a/internal/fake/frontend.go
+++ b/internal/fake/frontend.go
@@ -291,7 +291,7 @@
 // leave: the stream ended. What is held stays in force; another coordinator is tried when this one fails again.
 func (f *FrontEnd) leave(now statemachine.Seconds, why string) {
 	if f.joined {
-		f.out.Record(trace.Record{T: now, Kind: trace.Leave, Who: f.trade.Name, Of: f.of, Text: why})
+		f.out.Record(trace.Record{Time: now, Kind: trace.ProxyLeft, Party: f.trade.Name, Coordinator: f.of, Text: why})
 		f.failed = 0
 	}
 	f.stream, f.joined = 0, false
@@ -311,7 +311,7 @@
 	case proto.Welcome:
 		f.reader.HandshakeDone()
 		f.joined, f.of, f.failed = true, m.Name, 0
-		f.out.Record(trace.Record{T: now, Kind: trace.Join, Who: f.trade.Name, Of: m.Name, Zone: f.trade.Zone})
+		f.out.Record(trace.Record{Time: now, Kind: trace.ProxyJoined, Party: f.trade.Name, Coordinator: m.Name, Zone: f.trade.Zone})
 	case proto.Push:
 		if f.seq++; !f.joined || m.Sequence != f.seq {
 			return fmt.Errorf("push %d, %d wanted", m.Sequence, f.seq)
@@ -321,8 +321,8 @@
 			lines += 1 + len(o.Entries) + len(o.Admissions)
 		}
 		f.out.Record(trace.Record{
-			T: now, Kind: trace.Push, Who: f.trade.Name, Of: f.of, Mark: int(m.Nonce), N: int64(m.QueuedEntries),
-			X: float64(lines),
+			Time: now, Kind: trace.PushSent, Party: f.trade.Name, Coordinator: f.of, Nonce: int(m.Nonce), Count: int64(m.QueuedEntries),
+			Value: float64(lines),
 		})
 		f.still = max(f.still, now) + float64(lines)*f.trade.LineStill
 		f.applied = append(f.applied, m)
@@ -356,7 +356,7 @@
 		}
 		f.do(o, &text)
 	}
-	f.out.Record(trace.Record{T: now, Kind: trace.Apply, Who: f.trade.Name, Of: f.of, Mark: int(m.Nonce), Text: text.String()})
+	f.out.Record(trace.Record{Time: now, Kind: trace.PushApplied, Party: f.trade.Name, Coordinator: f.of, Nonce: int(m.Nonce), Text: text.String()})
 	f.trim()
 }
 
@@ -466,7 +466,7 @@
 func (f *FrontEnd) report(now statemachine.Seconds) {
 	f.timers.at(now+f.trade.Period, f.report)
 	if f.trade.Watch {
-		f.out.Record(trace.Record{T: now, Kind: trace.Late, Who: f.trade.Name, X: f.late})
+		f.out.Record(trace.Record{Time: now, Kind: trace.ScheduleDelay, Party: f.trade.Name, Value: f.late})
 		f.late = 0
 	}
 	if f.trade.Fixed != nil {
@@ -687,8 +687,8 @@
 	r.try, r.link, r.sent, r.n = f.count, l, now, r.n+1
 	r.tried = append(r.tried, x.ep)
 	f.out.Record(trace.Record{
-		T: now, Kind: trace.Try, Who: f.trade.Name, Of: f.of, EP: x.ep, RPC: r.id, Method: r.method,
-		N: int64(r.n), Text: why,
+		Time: now, Kind: trace.AttemptSent, Party: f.trade.Name, Coordinator: f.of, Backend: x.ep, RPCID: r.id, Method: r.method,
+		Count: int64(r.n), Text: why,
 	})
 	l.out[r.try] = r
 	if l.up {
@@ -798,8 +798,8 @@
 		f.usage[r.method].Failures = min(f.usage[r.method].Failures+1, f.usage[r.method].RPCs)
 	}
 	f.out.Record(trace.Record{
-		T: now, Kind: trace.End, Who: f.trade.Name, RPC: r.id, Method: r.method, Text: status.String(),
-		X: now - r.asked,
+		Time: now, Kind: trace.RPCFinished, Party: f.trade.Name, RPCID: r.id, Method: r.method, Text: status.String(),
+		Value: now - r.asked,
 	})
 	f.comeAgain(now, r, status)
 }
--- a/internal/fake/list.go
+++ b/internal/fake/list.go
@@ -74,7 +74,7 @@
 	l.out = out
 	if !l.begun {
 		l.begun = true
-		out.Record(trace.Record{T: now, Kind: trace.List, N: int64(l.version), Text: "full " + show(l.shown())})
+		out.Record(trace.Record{Time: now, Kind: trace.EndpointsDelivered, Count: int64(l.version), Text: "full " + show(l.shown())})
 	}
 	l.timers.ring(now)
 	for _, i := range in {
@@ -131,13 +131,13 @@
 			w.reader.HandshakeDone()
 			l.out.Write(w.conn, proto.Append(nil, proto.Welcome{Version: proto.Version, Name: "list"}))
 		case proto.WatchEndpoints:
-			l.out.Record(trace.Record{T: now, Kind: trace.Ask, Of: w.name})
+			l.out.Record(trace.Record{Time: now, Kind: trace.EndpointsRequested, Coordinator: w.name})
 			w.on = false
 			if m.On {
 				l.answer(now, w, m.SinceVersion)
 			}
 		case proto.FetchEndpoints:
-			l.out.Record(trace.Record{T: now, Kind: trace.Ask, Of: w.name})
+			l.out.Record(trace.Record{Time: now, Kind: trace.EndpointsRequested, Coordinator: w.name})
 			l.answer(now, w, 0)
 		}
 	}
@@ -199,7 +199,7 @@
 	if m.Kind == proto.UpdateFull {
 		kind = "full "
 	}
-	l.out.Record(trace.Record{T: now, Kind: trace.List, Of: w.name, N: int64(l.version), Text: kind + show(entries)})
+	l.out.Record(trace.Record{Time: now, Kind: trace.EndpointsDelivered, Coordinator: w.name, Count: int64(l.version), Text: kind + show(entries)})
 }
 
 func (l *List) shown() (all []Listing) {
@@ -236,7 +236,7 @@
 	if len(l.history) > historyMost {
 		l.history = slices.Clone(l.history[len(l.history)-historyMost/2:])
 	}
-	l.out.Record(trace.Record{T: now, Kind: trace.List, N: int64(l.version), Text: "changes " + show(entries)})
+	l.out.Record(trace.Record{Time: now, Kind: trace.EndpointsDelivered, Count: int64(l.version), Text: "changes " + show(entries)})
 	l.spread(now)
 }
 
@@ -317,7 +317,7 @@
 		for _, w := range l.watchers {
 			w.told = 0
 		}
-		l.out.Record(trace.Record{T: now, Kind: trace.List, N: int64(l.version), Text: "full " + show(l.shown())})
+		l.out.Record(trace.Record{Time: now, Kind: trace.EndpointsDelivered, Count: int64(l.version), Text: "full " + show(l.shown())})
 		l.spread(now)
 	case "break":
 		l.drop(now)
--- a/internal/fake/standin_test.go
+++ b/internal/fake/standin_test.go
@@ -58,9 +58,9 @@
 	w.Trace = func(r trace.Record) {
 		all = append(all, r)
 		switch r.Kind {
-		case trace.Try:
-			tries[r.EP]++
-		case trace.End:
+		case trace.AttemptSent:
+			tries[r.Backend]++
+		case trace.RPCFinished:
 			ends[r.Text]++
 		}
 	}
@@ -139,10 +139,10 @@
 		_, ends, all := play(t, 20, FrontTrade{Rate: 10, Pick: "lottery", TryWait: 0.8}, bind(&proto.Admission{Level: 1, Retry: c.tries}, 1, 1), c.first, quick(2))
 		again := 0
 		for _, r := range all {
-			if r.Kind == trace.Try && r.N == 2 {
+			if r.Kind == trace.AttemptSent && r.Count == 2 {
 				again++
 			}
-			if r.Kind == trace.Try && r.N > 2 {
+			if r.Kind == trace.AttemptSent && r.Count > 2 {
 				t.Fatalf("%s: a third try", name)
 			}
 		}
@@ -207,7 +207,7 @@
 		_, ends, all := play(t, 10, FrontTrade{Rate: c.rate, Pick: "even"}, bind(nil, 1), cold)
 		fell := 0
 		for _, r := range all {
-			if r.Kind == trace.Fall {
+			if r.Kind == trace.BackendCollapsed {
 				fell++
 			}
 		}
@@ -233,10 +233,10 @@
 	_, _, all := play(t, 20, FrontTrade{Rate: 20, Pick: "lottery", TryWait: 0.8, Methods: methods}, bind(&proto.Admission{Level: 1, Retry: 2}, 1, 1), hangs, other)
 	runs, again := map[uint64]int{}, 0
 	for _, r := range all {
-		if r.Kind == trace.Run {
-			runs[r.RPC]++
+		if r.Kind == trace.EffectExecuted {
+			runs[r.RPCID]++
 		}
-		if r.Kind == trace.Try && r.N == 2 {
+		if r.Kind == trace.AttemptSent && r.Count == 2 {
 			again++
 		}
 	}
--- a/internal/haproxy/proof_test.go
+++ b/internal/haproxy/proof_test.go
@@ -30,14 +30,14 @@
 	before, after = map[string]int{}, map[string]int{}
 	names := map[uint32]string{}
 	w.Trace = func(r trace.Record) {
-		if r.Kind != trace.Try || r.N != 1 || r.T < epoch+3 {
+		if r.Kind != trace.AttemptSent || r.Count != 1 || r.Time < epoch+3 {
 			return
 		}
 		switch half := epoch + 3 + (seconds-3)/2; {
-		case r.T < half:
-			before[names[r.EP]]++
-		case r.T > half+1: // what the drain's grace allows is neither
-			after[names[r.EP]]++
+		case r.Time < half:
+			before[names[r.Backend]]++
+		case r.Time > half+1: // what the drain's grace allows is neither
+			after[names[r.Backend]]++
 		}
 	}
 	var list []fake.Listing
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -178,14 +178,14 @@
 		c.report.Rules[i].Rule, c.report.Rules[i].Name = i+1, n
 	}
 	if len(records) > 0 {
-		c.begin = records[0].T
+		c.begin = records[0].Time
 	}
 	for i, r := range records {
-		if r.T < c.now {
-			return c.report, fmt.Errorf("record %d: time runs back from %.6f to %.6f", i+1, c.now, r.T)
+		if r.Time < c.now {
+			return c.report, fmt.Errorf("record %d: time runs back from %.6f to %.6f", i+1, c.now, r.Time)
 		}
-		c.pass(r.T)
-		c.now, c.at = r.T, i+1
+		c.pass(r.Time)
+		c.now, c.at = r.Time, i+1
 		if err := c.take(r); err != nil {
 			return c.report, fmt.Errorf("record %d (%s): %w", i+1, r.Kind, err)
 		}
@@ -193,7 +193,7 @@
 	if len(records) > 0 {
 		c.glanced = 0
 		c.pass(c.now)
-		c.report.Length = c.now - records[0].T
+		c.report.Length = c.now - records[0].Time
 	}
 	c.report.Service.Open = len(c.open)
 	return c.report, nil
@@ -294,81 +294,81 @@
 
 func (c *checker) take(r trace.Record) error {
 	switch r.Kind {
-	case trace.Boot:
+	case trace.CoordinatorStarted:
 		// What the killed instance was told is no longer its duty; the new one knows at most what was kept.
-		x := c.coordinator(r.Who)
+		x := c.coordinator(r.Party)
 		x.deaf, x.wait = 0, nil
 		for ep, e := range x.list {
-			e.at = max(e.at, r.T)
+			e.at = max(e.at, r.Time)
 			x.list[ep] = e
 		}
 		x.ready = math.Inf(1)
-		c.look(x, r.T)
-	case trace.Kill:
-		if p := c.who[r.Who]; p != nil {
+		c.look(x, r.Time)
+	case trace.ProcessKilled:
+		if p := c.who[r.Party]; p != nil {
 			cut := p.cut // a link's trouble is not its process's
-			delete(c.who, r.Who)
-			c.names = slices.DeleteFunc(c.names, func(n string) bool { return n == r.Who })
-			c.proxy(r.Who).cut = cut
+			delete(c.who, r.Party)
+			c.names = slices.DeleteFunc(c.names, func(n string) bool { return n == r.Party })
+			c.proxy(r.Party).cut = cut
 		}
-	case trace.Join:
-		p := c.proxy(r.Who)
-		p.of, p.joined, p.pushes = r.Of, r.T, nil
+	case trace.ProxyJoined:
+		p := c.proxy(r.Party)
+		p.of, p.joined, p.pushes = r.Coordinator, r.Time, nil
 		c.bare(p)
-	case trace.Leave:
-		if p := c.who[r.Who]; p != nil {
-			c.stays(r.Who, p, r.T)
+	case trace.ProxyLeft:
+		if p := c.who[r.Party]; p != nil {
+			c.stays(r.Party, p, r.Time)
 			p.of = ""
 		}
-	case trace.Stall:
-		if p := c.who[r.Who]; p != nil {
-			p.deaf = max(p.deaf, r.T+r.X)
+	case trace.ProcessPaused:
+		if p := c.who[r.Party]; p != nil {
+			p.deaf = max(p.deaf, r.Time+r.Value)
 			break
 		}
-		x := c.coordinator(r.Who)
-		x.deaf = max(x.deaf, r.T+r.X)
-	case trace.Ask:
-		x := c.coordinator(r.Of)
-		x.asked = r.T
+		x := c.coordinator(r.Party)
+		x.deaf = max(x.deaf, r.Time+r.Value)
+	case trace.EndpointsRequested:
+		x := c.coordinator(r.Coordinator)
+		x.asked = r.Time
 		if x.cut == 0 {
 			x.wait = nil // it dialled anew: the answer has it all
 		}
-	case trace.Cut, trace.Heal:
-		if r.Who == "list" {
+	case trace.LinkCut, trace.LinkRestored:
+		if r.Party == "list" {
 			return c.listLink(r)
 		}
-		p := c.proxy(r.Who)
-		c.stays(r.Who, p, r.T)
-		if r.Kind == trace.Cut {
-			p.cut[r.Of]++
-		} else if p.cut[r.Of]--; p.cut[r.Of] <= 0 {
-			delete(p.cut, r.Of)
-			if p.of == r.Of {
-				p.joined = r.T // what was held back arrives now
+		p := c.proxy(r.Party)
+		c.stays(r.Party, p, r.Time)
+		if r.Kind == trace.LinkCut {
+			p.cut[r.Coordinator]++
+		} else if p.cut[r.Coordinator]--; p.cut[r.Coordinator] <= 0 {
+			delete(p.cut, r.Coordinator)
+			if p.of == r.Coordinator {
+				p.joined = r.Time // what was held back arrives now
 			}
 		}
-	case trace.Push:
+	case trace.PushSent:
 		c.push(r)
-	case trace.Apply:
+	case trace.PushApplied:
 		return c.apply(r)
-	case trace.List:
+	case trace.EndpointsDelivered:
 		return c.list(r)
-	case trace.Try:
+	case trace.AttemptSent:
 		c.try(r)
-	case trace.Run:
+	case trace.EffectExecuted:
 		c.run(r)
-	case trace.Start:
-		c.starts[r.EP] = r.T
-		delete(c.tries, r.EP)
-	case trace.Offer:
-		c.near(4, r.X, "server %d, cold, was sent %d RPCs in the window", r.EP, r.N)
-	case trace.Fall:
+	case trace.BackendStarted:
+		c.starts[r.Backend] = r.Time
+		delete(c.tries, r.Backend)
+	case trace.LoadOffered:
+		c.near(4, r.Value, "server %d, cold, was sent %d RPCs in the window", r.Backend, r.Count)
+	case trace.BackendCollapsed:
 		c.fall(r)
-	case trace.End:
+	case trace.RPCFinished:
 		c.end(r)
-	case trace.Trouble:
+	case trace.FaultInjected:
 		c.report.Troubles++
-	case trace.Gone, trace.Glance, trace.Late:
+	case trace.BackendStopped, trace.BackendSampled, trace.ScheduleDelay:
 	default:
 		return fmt.Errorf("unknown kind")
 	}
@@ -398,20 +398,20 @@
 
 func (c *checker) push(r trace.Record) {
 	c.report.Pushes++
-	c.report.Lines += int(r.X)
-	c.near(5, float64(r.N)/float64(c.l.Room), "%d lines waited at %s", r.N, r.Of)
-	if r.N > int64(c.l.Room) {
-		c.broke(5, r.Of, "%d lines waited, %d allowed", r.N, c.l.Room)
-	}
-	p := c.proxy(r.Who)
-	p.pushes = append(p.pushes, r.T)
-	for p.pushes[0] < r.T-c.l.Span {
+	c.report.Lines += int(r.Value)
+	c.near(5, float64(r.Count)/float64(c.l.Room), "%d lines waited at %s", r.Count, r.Coordinator)
+	if r.Count > int64(c.l.Room) {
+		c.broke(5, r.Coordinator, "%d lines waited, %d allowed", r.Count, c.l.Room)
+	}
+	p := c.proxy(r.Party)
+	p.pushes = append(p.pushes, r.Time)
+	for p.pushes[0] < r.Time-c.l.Span {
 		p.pushes = p.pushes[1:]
 	}
 	if c.l.Messages > 0 {
-		c.near(5, float64(len(p.pushes))/float64(c.l.Messages), "%s had %d messages within %g s", r.Who, len(p.pushes), c.l.Span)
+		c.near(5, float64(len(p.pushes))/float64(c.l.Messages), "%s had %d messages within %g s", r.Party, len(p.pushes), c.l.Span)
 		if len(p.pushes) > c.l.Messages {
-			c.broke(5, r.Who, "%d messages within %g s, %d allowed", len(p.pushes), c.l.Span, c.l.Messages)
+			c.broke(5, r.Party, "%d messages within %g s, %d allowed", len(p.pushes), c.l.Span, c.l.Messages)
 		}
 	}
 }
@@ -419,12 +419,12 @@
 // apply follows what a proxy holds. The operations stand as: bind TABLE METHODS EP:W[!]... -EP..., line TABLE EP:W[!],
 // clear TABLE, level TABLE METHODS LEVEL TRIES, withdraw EP, readmit EP; ! says that the server is withdrawn.
 func (c *checker) apply(r trace.Record) error {
-	p := c.proxy(r.Who)
-	c.stays(r.Who, p, r.T)
-	p.applied = r.T
+	p := c.proxy(r.Party)
+	c.stays(r.Party, p, r.Time)
+	p.applied = r.Time
 	if r.Text != "" {
 		for _, op := range strings.Split(r.Text, ";") {
-			if err := p.do(r.Of, strings.Fields(op)); err != nil {
+			if err := p.do(r.Coordinator, strings.Fields(op)); err != nil {
 				return fmt.Errorf("operation %q: %w", op, err)
 			}
 		}
@@ -519,10 +519,10 @@
 // listLink follows the link between a coordinator and the list service. A stream that was cut for long is given up: what
 // it held is lost, and the coordinator has to ask again.
 func (c *checker) listLink(r trace.Record) error {
-	x := c.coordinator(r.Of)
-	if r.Kind == trace.Cut {
+	x := c.coordinator(r.Coordinator)
+	if r.Kind == trace.LinkCut {
 		if x.cut++; x.cut == 1 {
-			x.off = r.T
+			x.off = r.Time
 		}
 		return nil
 	}
@@ -531,9 +531,9 @@
 	}
 	wait := x.wait
 	x.wait = nil
-	if r.T-x.off > c.l.ListSilence-1.5 {
+	if r.Time-x.off > c.l.ListSilence-1.5 {
 		// Or it just lived on: then the next news comes without a call, and these came before it.
-		x.behind, x.asked, x.perhaps, x.wait = true, max(x.asked, r.T), map[uint32]bool{}, wait
+		x.behind, x.asked, x.perhaps, x.wait = true, max(x.asked, r.Time), map[uint32]bool{}, wait
 		if len(wait) > 0 {
 			x.ready, x.ripe = math.Inf(1), math.Inf(1) // what it lists is not known until then
 		}
@@ -548,7 +548,7 @@
 		return nil
 	}
 	for _, w := range wait {
-		w.T = r.T
+		w.Time = r.Time
 		if err := c.list(w); err != nil {
 			return err
 		}
@@ -558,18 +558,18 @@
 
 // list follows what a coordinator was told; without a coordinator it is the truth.
 func (c *checker) list(r trace.Record) error {
-	if r.Of != "" {
-		x := c.coordinator(r.Of)
+	if r.Coordinator != "" {
+		x := c.coordinator(r.Coordinator)
 		if x.cut > 0 {
 			x.wait = append(x.wait, r)
 			return nil
 		}
 		x.behind = false
-		r.T = max(r.T, x.deaf)
+		r.Time = max(r.Time, x.deaf)
 		wait := x.wait
 		x.wait = nil
 		for _, w := range wait {
-			w.T = r.T
+			w.Time = r.Time
 			if err := c.list(w); err != nil {
 				return err
 			}
@@ -577,8 +577,8 @@
 	}
 	kind, rest, _ := strings.Cut(r.Text, " ")
 	x := &coordinator{list: c.truth}
-	if r.Of != "" {
-		x = c.coordinator(r.Of)
+	if r.Coordinator != "" {
+		x = c.coordinator(r.Coordinator)
 	}
 	named := map[uint32]bool{}
 	for _, w := range strings.Fields(rest) {
@@ -597,7 +597,7 @@
 		id, state := uint32(ep), f[1][0]
 		named[id] = true
 		was, known := x.list[id]
-		e := told{state: state, at: r.T, start: start, known: r.T}
+		e := told{state: state, at: r.Time, start: start, known: r.Time}
 		if known && (was.state == state || was.state == 'd' && state == 'g') {
 			e.at = was.at
 			if c.l.OnlyDraining && was.state == 'd' {
@@ -613,7 +613,7 @@
 		for ep, e := range x.list {
 			if !named[ep] && e.state != 'g' {
 				if e.state == 'o' {
-					e.at = r.T
+					e.at = r.Time
 				}
 				if e.state == 'o' || !c.l.OnlyDraining {
 					e.state = 'g'
@@ -622,60 +622,60 @@
 			}
 		}
 	}
-	if r.Of != "" {
-		c.look(x, r.T)
+	if r.Coordinator != "" {
+		c.look(x, r.Time)
 	}
 	return nil
 }
 
 func (c *checker) try(r trace.Record) {
 	c.report.Tries++
-	c.open[r.RPC] = r.Method
-	p := c.proxy(r.Who)
+	c.open[r.RPCID] = r.Method
+	p := c.proxy(r.Party)
 	if p.follows() != "" {
-		e, known := c.coordinator(p.of).list[r.EP]
+		e, known := c.coordinator(p.of).list[r.Backend]
 		binds := known && (e.state == 'd' || e.state == 'g' && !c.l.OnlyDraining)
 		x := c.coordinator(p.of)
-		binds = binds && (!x.behind || !x.perhaps[r.EP])
-		if !binds && x.behind && r.T > x.asked+c.l.AskWithin {
+		binds = binds && (!x.behind || !x.perhaps[r.Backend])
+		if !binds && x.behind && r.Time > x.asked+c.l.AskWithin {
 			// It does not ask, and so counts as told of what was listed that long ago.
-			if e, known = c.truth[r.EP]; known && e.state != 'o' {
+			if e, known = c.truth[r.Backend]; known && e.state != 'o' {
 				binds = e.state == 'd' || !c.l.OnlyDraining
 				e.at += c.l.AskWithin
 			}
 		}
 		if from := max(e.at, p.joined); binds {
-			c.near(3, (r.T-from)/c.l.Grace, "%s sent to server %d %.2f s after %s was told", r.Who, r.EP, r.T-from, p.of)
-			if r.T-from > c.l.Grace {
-				c.broke(3, r.Who, "sent to server %d %.3f s after %s was told that it drains or is gone", r.EP, r.T-from, p.of)
+			c.near(3, (r.Time-from)/c.l.Grace, "%s sent to server %d %.2f s after %s was told", r.Party, r.Backend, r.Time-from, p.of)
+			if r.Time-from > c.l.Grace {
+				c.broke(3, r.Party, "sent to server %d %.3f s after %s was told that it drains or is gone", r.Backend, r.Time-from, p.of)
 			}
 		}
 	}
 	if r.Method < len(c.l.Methods) {
 		m := c.l.Methods[r.Method]
-		if at, again := c.first[r.RPC]; !again {
-			c.first[r.RPC] = r.T
+		if at, again := c.first[r.RPCID]; !again {
+			c.first[r.RPCID] = r.Time
 		} else if m.NonIdempotent && r.Text != "after proof" {
-			c.broke(2, r.Who, "%s sent again (%s): RPC %d", m.Name, r.Text, r.RPC)
+			c.broke(2, r.Party, "%s sent again (%s): RPC %d", m.Name, r.Text, r.RPCID)
 		} else if m.Tokened && r.Text != "after proof" {
-			c.near(2, (r.T-at)/m.Window, "%s was sent again after %.2f s, within its window", m.Name, r.T-at)
-			if r.T-at > m.Window {
-				c.broke(2, r.Who, "%s sent again %.2f s after the first, outside its window: RPC %d", m.Name, r.T-at, r.RPC)
+			c.near(2, (r.Time-at)/m.Window, "%s was sent again after %.2f s, within its window", m.Name, r.Time-at)
+			if r.Time-at > m.Window {
+				c.broke(2, r.Party, "%s sent again %.2f s after the first, outside its window: RPC %d", m.Name, r.Time-at, r.RPCID)
 			}
 		}
 	}
-	if start, cold := c.starts[r.EP]; cold && r.T < start+c.l.WarmAfter {
+	if start, cold := c.starts[r.Backend]; cold && r.Time < start+c.l.WarmAfter {
 		known := false
 		if p.of != "" {
-			e := c.coordinator(p.of).list[r.EP]
-			known = e.start >= start-1 && e.state == 'o' && (r.T > e.known+c.l.Grace || p.applied > e.known)
+			e := c.coordinator(p.of).list[r.Backend]
+			known = e.start >= start-1 && e.state == 'o' && (r.Time > e.known+c.l.Grace || p.applied > e.known)
 		}
-		all := c.tries[r.EP]
-		all = append(all, try{r.T, r.Who, known})
-		for len(all) > 0 && all[0].t < r.T-c.l.FallWindow-0.1 {
+		all := c.tries[r.Backend]
+		all = append(all, try{r.Time, r.Party, known})
+		for len(all) > 0 && all[0].t < r.Time-c.l.FallWindow-0.1 {
 			all = all[1:]
 		}
-		c.tries[r.EP] = all
+		c.tries[r.Backend] = all
 	}
 }
 
@@ -684,18 +684,18 @@
 		return
 	}
 	m := c.l.Methods[r.Method]
-	was, again := c.runs[r.RPC]
+	was, again := c.runs[r.RPCID]
 	if again && (m.NonIdempotent || m.Tokened) {
-		c.broke(2, fmt.Sprintf("server %d", r.EP), "%s ran twice: RPC %d, first at %.3f on server %d", m.Name, r.RPC, was.t, was.ep)
+		c.broke(2, fmt.Sprintf("server %d", r.Backend), "%s ran twice: RPC %d, first at %.3f on server %d", m.Name, r.RPCID, was.t, was.ep)
 	}
-	c.runs[r.RPC] = ran{r.T, r.EP}
+	c.runs[r.RPCID] = ran{r.Time, r.Backend}
 }
 
 // fall: a cold server fell over. It is the coordinators' doing where two thirds of what came was sent with knowledge of
 // the start.
 func (c *checker) fall(r trace.Record) {
 	c.report.Falls++
-	all, known := c.tries[r.EP], 0
+	all, known := c.tries[r.Backend], 0
 	by := map[string]int{}
 	for _, t := range all {
 		if t.known {
@@ -710,12 +710,12 @@
 				most = n
 			}
 		}
-		c.broke(4, most, "server %d fell over while cold; %d of %d RPCs in the window were sent with knowledge of its start", r.EP, known, len(all))
+		c.broke(4, most, "server %d fell over while cold; %d of %d RPCs in the window were sent with knowledge of its start", r.Backend, known, len(all))
 	}
 }
 
 func (c *checker) end(r trace.Record) {
-	delete(c.open, r.RPC)
+	delete(c.open, r.RPCID)
 	if r.Method >= len(c.l.Methods) {
 		return
 	}
@@ -724,7 +724,7 @@
 	s.Asked += m.Criticality
 	switch r.Text {
 	case "ok":
-		if s.OK++; r.X <= m.SoftDeadline {
+		if s.OK++; r.Value <= m.SoftDeadline {
 			s.InTime += m.Criticality
 		} else {
 			s.Late++
--- a/internal/listing/day_test.go
+++ b/internal/listing/day_test.go
@@ -43,7 +43,7 @@
 				case proto.Hello:
 					w.name[i.Conn] = m.Name
 				case proto.WatchEndpoints, proto.FetchEndpoints:
-					out.Record(trace.Record{T: now, Kind: trace.Ask, Of: w.name[i.Conn]})
+					out.Record(trace.Record{Time: now, Kind: trace.EndpointsRequested, Coordinator: w.name[i.Conn]})
 				}
 			}
 		}
@@ -55,7 +55,7 @@
 		for _, e := range w.f.Entries() {
 			text += fmt.Sprintf(" %d:%c:%.3f:%s", e.Number, "odg"[e.State], e.Start, w.zone)
 		}
-		out.Record(trace.Record{T: now, Kind: trace.List, N: int64(v), Text: text})
+		out.Record(trace.Record{Time: now, Kind: trace.EndpointsDelivered, Count: int64(v), Text: text})
 	}
 	for _, a := range out.Actions {
 		r := w.out[a.Conn]
@@ -76,7 +76,7 @@
 				}
 				text += fmt.Sprintf(" %d:%c:%.3f:%s", e.Backend, "god"[e.State], start, e.Zone)
 			}
-			out.Record(trace.Record{T: now, Kind: trace.List, Of: w.name[a.Conn], N: int64(l.Version), Text: text})
+			out.Record(trace.Record{Time: now, Kind: trace.EndpointsDelivered, Coordinator: w.name[a.Conn], Count: int64(l.Version), Text: text})
 		}
 	}
 }
@@ -145,7 +145,7 @@
 				ProbeTimeout: 1, MostStreams: 100, MostProbes: 10,
 			}, kept)
 		}, name)
-		records = append(records, trace.Record{T: epoch, Kind: trace.Boot, Who: name})
+		records = append(records, trace.Record{Time: epoch, Kind: trace.CoordinatorStarted, Party: name})
 		w.Start(name)
 	}
 	m := trade.CoordinatorConfig(0)
@@ -201,7 +201,7 @@
 	}
 	drained := 0
 	for _, r := range records {
-		if r.Kind == trace.List && r.Of != "" && strings.Contains(r.Text, "6:d:") {
+		if r.Kind == trace.EndpointsDelivered && r.Coordinator != "" && strings.Contains(r.Text, "6:d:") {
 			drained++
 		}
 	}
@@ -219,14 +219,14 @@
 	})
 	lines := map[string]int{}
 	for _, r := range records {
-		if r.Kind != trace.Apply || r.T < 1e6+12 || r.T > 1e6+14 {
+		if r.Kind != trace.PushApplied || r.Time < 1e6+12 || r.Time > 1e6+14 {
 			continue
 		}
 		if strings.Contains(r.Text, "bind") {
-			t.Errorf("%s was given a new table: %s", r.Who, r.Text)
+			t.Errorf("%s was given a new table: %s", r.Party, r.Text)
 		}
 		if strings.Contains(r.Text, " 3:1.3") {
-			lines[r.Who]++
+			lines[r.Party]++
 		}
 	}
 	if len(lines) == 0 {
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -155,7 +155,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range all {
-		if r.Kind != trace.End {
+		if r.Kind != trace.RPCFinished {
 			f.records = append(f.records, r)
 		}
 	}
@@ -192,12 +192,12 @@
 	first, last := 0.0, 0.0
 	for end := time.Now().Add(limit); ; time.Sleep(20 * time.Millisecond) {
 		for _, r := range f.take() {
-			if r.Kind == trace.Join && first == 0 {
-				first = r.T
+			if r.Kind == trace.ProxyJoined && first == 0 {
+				first = r.Time
 			}
-			if r.Kind == trace.Apply && !applied[r.Who] {
-				applied[r.Who] = true
-				last = max(last, r.T)
+			if r.Kind == trace.PushApplied && !applied[r.Party] {
+				applied[r.Party] = true
+				last = max(last, r.Time)
 			}
 		}
 		if len(applied) >= n {
@@ -220,11 +220,11 @@
 		told, last := 0.0, 0.0
 		for _, r := range f.take() {
 			switch {
-			case r.Kind == trace.List && r.Of == "c0" && told == 0:
-				told = r.T
-			case r.Kind == trace.Apply && slices.Contains(strings.Split(r.Text, ";"), fmt.Sprint("withdraw ", ep)):
-				last = max(last, r.T)
-			case r.Kind == trace.Try && r.EP == uint32(ep) && told > 0:
+			case r.Kind == trace.EndpointsDelivered && r.Coordinator == "c0" && told == 0:
+				told = r.Time
+			case r.Kind == trace.PushApplied && slices.Contains(strings.Split(r.Text, ";"), fmt.Sprint("withdraw ", ep)):
+				last = max(last, r.Time)
+			case r.Kind == trace.AttemptSent && r.Backend == uint32(ep) && told > 0:
 				sent++
 			}
 		}
--- a/internal/measure/store.go
+++ b/internal/measure/store.go
@@ -85,9 +85,9 @@
 	applied, last := map[string]bool{}, 0.0
 	for end := time.Now().Add(limit); len(applied) < n; time.Sleep(20 * time.Millisecond) {
 		for _, r := range f.take() {
-			if r.Kind == trace.Apply && !applied[r.Who] && r.T > began {
-				applied[r.Who] = true
-				last = max(last, r.T)
+			if r.Kind == trace.PushApplied && !applied[r.Party] && r.Time > began {
+				applied[r.Party] = true
+				last = max(last, r.Time)
 			}
 		}
 		if time.Now().After(end) {
--- a/internal/measure/storm.go
+++ b/internal/measure/storm.go
@@ -69,16 +69,16 @@
 	begin := math.Inf(1)
 	const settle = 5 // what the start costs is not the storm's
 	for _, x := range r.Records {
-		begin = min(begin, x.T)
-		if x.T-x.X < begin+settle {
+		begin = min(begin, x.Time)
+		if x.Time-x.Value < begin+settle {
 			continue
 		}
 		switch x.Kind {
-		case trace.Try:
+		case trace.AttemptSent:
 			s.Tries++
-		case trace.End:
+		case trace.RPCFinished:
 			s.Came++
-			if x.Text == "ok" && x.X <= limits.Methods[x.Method].SoftDeadline {
+			if x.Text == "ok" && x.Value <= limits.Methods[x.Method].SoftDeadline {
 				s.Good++
 			}
 		}
--- a/internal/report/fleet.go
+++ b/internal/report/fleet.go
@@ -113,7 +113,7 @@
 		f = &Fleet{Step: 1}
 		k.Report.Fleet = f
 	}
-	at := int(x.EP) - 1
+	at := int(x.Backend) - 1
 	if at < 0 || at >= 1<<16 {
 		return
 	}
@@ -132,9 +132,9 @@
 		(*row)[at] = float32(v)
 	}
 	f.servers = max(f.servers, at+1)
-	set(&f.Able, x.X)
+	set(&f.Able, x.Value)
 	set(&f.Busy, busy)
-	set(&f.Waits, float64(x.N))
+	set(&f.Waits, float64(x.Count))
 }
 
 // even makes all rows as long as the longest: servers tell of themselves one after another.
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -97,25 +97,25 @@
 func (k *Maker) Add(x trace.Record) error {
 	r := k.Report
 	if !k.begun {
-		k.begun, k.begin = true, x.T
+		k.begun, k.begin = true, x.Time
 	}
-	k.end = max(k.end, x.T-k.begin)
-	i := max(0, int(x.T-k.begin))
+	k.end = max(k.end, x.Time-k.begin)
+	i := max(0, int(x.Time-k.begin))
 	for len(r.Seconds) <= i {
 		r.Seconds = append(r.Seconds, Second{})
 	}
 	s := &r.Seconds[i]
 	switch x.Kind {
-	case trace.Push:
+	case trace.PushSent:
 		s.Messages++
-		s.Lines += int(x.X)
-	case trace.Trouble:
-		r.Troubles = append(r.Troubles, Trouble{From: x.T - k.begin, To: x.T - k.begin + x.X, Text: x.Text})
-	case trace.Glance:
+		s.Lines += int(x.Value)
+	case trace.FaultInjected:
+		r.Troubles = append(r.Troubles, Trouble{From: x.Time - k.begin, To: x.Time - k.begin + x.Value, Text: x.Text})
+	case trace.BackendSampled:
 		k.glance(i, x)
-	case trace.Late:
-		r.Behind.Look(x.X)
-	case trace.End:
+	case trace.ScheduleDelay:
+		r.Behind.Look(x.Value)
+	case trace.RPCFinished:
 		if x.Method >= len(k.methods) {
 			return fmt.Errorf("a record of method %d, of %d", x.Method, len(k.methods))
 		}
@@ -124,10 +124,10 @@
 		k.asked[x.Method] += m.Criticality
 		switch x.Text {
 		case "ok":
-			if err := k.took[x.Method].RecordValue(max(1, int64(x.X*1e6))); err != nil {
-				return fmt.Errorf("an answer after %v s: %w", x.X, err)
+			if err := k.took[x.Method].RecordValue(max(1, int64(x.Value*1e6))); err != nil {
+				return fmt.Errorf("an answer after %v s: %w", x.Value, err)
 			}
-			if x.X <= m.SoftDeadline {
+			if x.Value <= m.SoftDeadline {
 				s.InTime++
 				s.Weighed += m.Criticality
 				k.weighed[x.Method] += m.Criticality
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -16,13 +16,13 @@
 func day() (all []trace.Record) {
 	for i := range 400 {
 		t := 100 + float64(i)/20
-		x := trace.Record{T: t, Kind: trace.End, Method: i % 2, Text: "ok", X: 0.1}
+		x := trace.Record{Time: t, Kind: trace.RPCFinished, Method: i % 2, Text: "ok", Value: 0.1}
 		if t >= 105 && t < 110 && i%2 == 1 {
-			x.X = 0.7 // late for submit
+			x.Value = 0.7 // late for submit
 		}
 		all = append(all, x)
 		if i == 100 {
-			all = append(all, trace.Record{T: t, Kind: trace.Trouble, Text: "hang servers 1 for 5s", X: 5}, trace.Record{T: t, Kind: trace.Push, X: 7})
+			all = append(all, trace.Record{Time: t, Kind: trace.FaultInjected, Text: "hang servers 1 for 5s", Value: 5}, trace.Record{Time: t, Kind: trace.PushSent, Value: 7})
 		}
 	}
 	return all
@@ -49,7 +49,7 @@
 	if r.Text(&b); !strings.Contains(b.String(), "poorest method submit: 0.750") {
 		t.Error(b.String())
 	}
-	if _, err := Make([]trace.Record{{Kind: trace.End, Method: 2}}, methods); err == nil {
+	if _, err := Make([]trace.Record{{Kind: trace.RPCFinished, Method: 2}}, methods); err == nil {
 		t.Error("an unknown method was taken")
 	}
 }
--- a/internal/scenario/emulate.go
+++ b/internal/scenario/emulate.go
@@ -97,7 +97,7 @@
 		if e.Trace != nil {
 			e.Trace([]trace.Record{r})
 		}
-		if r.Kind == trace.Trouble && e.Event != nil {
+		if r.Kind == trace.FaultInjected && e.Event != nil {
 			e.Event(r.Text)
 		}
 	}
--- a/internal/scenario/hard_test.go
+++ b/internal/scenario/hard_test.go
@@ -54,9 +54,9 @@
 		"restart in place under the same id, connections held": {"at 8s kill servers number 3 for 50ms\n", 0.97, func(r Result) string {
 			starts, after := 0, 0
 			for _, x := range r.Records {
-				if x.Kind == trace.Start && x.EP == 4 {
+				if x.Kind == trace.BackendStarted && x.Backend == 4 {
 					starts++
-				} else if x.Kind == trace.Run && x.EP == 4 && starts > 0 {
+				} else if x.Kind == trace.EffectExecuted && x.Backend == 4 && starts > 0 {
 					after++
 				}
 			}
@@ -68,7 +68,7 @@
 		"drain during a hang": {"at 6s hang servers number 2,3 for 8s\nat 8s deploy servers number 2,3 drain 3s down 1s every 1s\n", 0.9, func(r Result) string {
 			gone := 0
 			for _, x := range r.Records {
-				if x.Kind == trace.Gone && (x.EP == 3 || x.EP == 4) {
+				if x.Kind == trace.BackendStopped && (x.Backend == 3 || x.Backend == 4) {
 					gone++
 				}
 			}
@@ -80,9 +80,9 @@
 		"a pause longer than the deadline": {"at 8s hang servers 30% for 6s\n", 0.8, func(r Result) string {
 			late, worst := 0, 0.0
 			for _, x := range r.Records {
-				if x.Kind == trace.End && x.Text == "aborted" {
+				if x.Kind == trace.RPCFinished && x.Text == "aborted" {
 					late++
-					worst = max(worst, x.X)
+					worst = max(worst, x.Value)
 				}
 			}
 			if late == 0 || worst > 2.5+0.01 {
@@ -93,7 +93,7 @@
 		"a coordinator's time leaps": {"at 8s stall coordinators number 0 for 15s\n", 0.95, func(r Result) string {
 			joins := 0
 			for _, x := range r.Records {
-				if x.Kind == trace.Join {
+				if x.Kind == trace.ProxyJoined {
 					joins++
 				}
 			}
@@ -104,7 +104,7 @@
 		}},
 		"silence is no reset": {"at 8s silence servers 3 for 8s\n", 0.85, func(r Result) string {
 			for _, x := range r.Records {
-				if x.Kind == trace.End && x.Text == "aborted" && x.X > 1.9 {
+				if x.Kind == trace.RPCFinished && x.Text == "aborted" && x.Value > 1.9 {
 					return ""
 				}
 			}
@@ -114,8 +114,8 @@
 			"at 6s flap servers number 2 by 1s for 8s with hang\nat 6s flap servers number 3 by 1s for 8s with fast\n", 0.8, func(r Result) string {
 			starts := map[uint32]int{}
 			for _, x := range r.Records {
-				if x.Kind == trace.Start {
-					starts[x.EP]++
+				if x.Kind == trace.BackendStarted {
+					starts[x.Backend]++
 				}
 			}
 			if starts[1] != 4 || starts[2] != 4 || starts[3]+starts[4] != 0 {
@@ -200,8 +200,8 @@
 			"frontends 6 zone dc-kewdale rate 20 pick "+pick+"\nmix 70% 30%\nat 0s slow servers number 0,1 by 3\n"), Options{})
 		slow, all := 0.0, 0.0
 		for _, x := range r.Records {
-			if x.Kind == trace.Try && x.T > r.Records[0].T+3 {
-				if all++; x.EP <= 2 {
+			if x.Kind == trace.AttemptSent && x.Time > r.Records[0].Time+3 {
+				if all++; x.Backend <= 2 {
 					slow++
 				}
 			}
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -219,7 +219,7 @@
 func (c *cast) up(a *actor) {
 	a.up = true
 	if a.name[0] == 'c' {
-		c.record(trace.Record{T: c.stage.Now(), Kind: trace.Boot, Who: a.name})
+		c.record(trace.Record{Time: c.stage.Now(), Kind: trace.CoordinatorStarted, Party: a.name})
 	}
 	c.stage.Start(a.name)
 }
@@ -231,9 +231,9 @@
 	}
 	a.up = false
 	c.stage.Kill(a.name)
-	r := trace.Record{T: c.stage.Now(), Kind: trace.Kill, Who: a.name}
+	r := trace.Record{Time: c.stage.Now(), Kind: trace.ProcessKilled, Party: a.name}
 	if a.ep > 0 {
-		r = trace.Record{T: c.stage.Now(), Kind: trace.Gone, EP: a.ep}
+		r = trace.Record{Time: c.stage.Now(), Kind: trace.BackendStopped, Backend: a.ep}
 	}
 	c.record(r)
 }
@@ -302,7 +302,7 @@
 	case "zone":
 		hit = c.pick(c.servers, a.Pick)
 	}
-	c.record(trace.Record{T: c.stage.Now(), Kind: trace.Trouble, Text: text, X: c.lasts(a, len(hit))})
+	c.record(trace.Record{Time: c.stage.Now(), Kind: trace.FaultInjected, Text: text, Value: c.lasts(a, len(hit))})
 	in := map[string]bool{}
 	for _, x := range hit {
 		in[x.name] = true
@@ -317,7 +317,7 @@
 	case "stall":
 		for _, x := range hit {
 			c.stage.Pause(x.name, a.For)
-			c.record(trace.Record{T: c.stage.Now(), Kind: trace.Stall, Who: x.name, X: a.For})
+			c.record(trace.Record{Time: c.stage.Now(), Kind: trace.ProcessPaused, Party: x.name, Value: a.For})
 		}
 	case "hang", "fast", "part", "method", "from", "dear", "shake", "conns":
 		c.afflict(a, hit)
@@ -474,20 +474,20 @@
 		for _, f := range c.fronts {
 			for _, x := range c.coords {
 				if h.Partitioned && (match(f.name, x.name) || match(x.name, f.name)) {
-					c.record(trace.Record{T: c.stage.Now(), Kind: kind, Who: f.name, Of: x.name})
+					c.record(trace.Record{Time: c.stage.Now(), Kind: kind, Party: f.name, Coordinator: x.name})
 				}
 			}
 		}
 		for _, x := range c.coords {
 			if h.Partitioned && (match("list", x.name) || match(x.name, "list")) {
-				c.record(trace.Record{T: c.stage.Now(), Kind: kind, Who: "list", Of: x.name})
+				c.record(trace.Record{Time: c.stage.Now(), Kind: kind, Party: "list", Coordinator: x.name})
 			}
 		}
 	}
-	mark(trace.Cut)
+	mark(trace.LinkCut)
 	c.then(a, func() {
 		c.stage.RemoveLinkFault(id)
-		mark(trace.Heal)
+		mark(trace.LinkRestored)
 	})
 }
 
@@ -533,9 +533,9 @@
 func finish(d *Day, records []trace.Record, fails []string) (Result, error) {
 	slices.SortStableFunc(records, func(a, b trace.Record) int {
 		switch {
-		case a.T < b.T:
+		case a.Time < b.Time:
 			return -1
-		case a.T > b.T:
+		case a.Time > b.Time:
 			return 1
 		}
 		return 0
--- a/internal/scenario/rehearse_test.go
+++ b/internal/scenario/rehearse_test.go
@@ -184,7 +184,7 @@
 			if (v.Broken > 0) != (v.Rule == c.rule) {
 				t.Errorf("%s: rule %d broke %d times: %s", name, v.Rule, v.Broken, v.Why)
 			}
-			if v.Rule == c.rule && (v.Record < 1 || v.Who == "" || r.Records[v.Record-1].T != v.T) {
+			if v.Rule == c.rule && (v.Record < 1 || v.Who == "" || r.Records[v.Record-1].Time != v.T) {
 				t.Errorf("%s: rule %d names no record: %+v", name, v.Rule, v)
 			}
 		}
@@ -296,7 +296,7 @@
 		t.Fatal(err, r.Report.Rules)
 	}
 	late := slices.ContainsFunc(r.Records, func(x trace.Record) bool {
-		return x.Kind == trace.Apply && strings.HasPrefix(x.Text, "withdraw 1;withdraw 2")
+		return x.Kind == trace.PushApplied && strings.HasPrefix(x.Text, "withdraw 1;withdraw 2")
 	})
 	if !late {
 		t.Fatal("nobody was told that all is withdrawn: the test lost its cause")
--- a/internal/scenario/truth.go
+++ b/internal/scenario/truth.go
@@ -116,10 +116,10 @@
 	count := map[key]float64{}
 	var keys []key
 	for _, r := range records {
-		if r.Kind != trace.End {
+		if r.Kind != trace.RPCFinished {
 			continue
 		}
-		k := key{max(0, int((r.T-r.X-truth.Begin)/Glance)), r.Method, zone[r.Who]}
+		k := key{max(0, int((r.Time-r.Value-truth.Begin)/Glance)), r.Method, zone[r.Party]}
 		if count[k]++; count[k] == 1 {
 			keys = append(keys, k)
 		}
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -14,48 +14,48 @@
 
 // Kinds of records, with the fields that each uses.
 const (
-	Boot    = "boot"    // Who: a coordinator's process was started
-	Kill    = "kill"    // Who: a process ended outright (coordinator, proxy or server)
-	Join    = "join"    // Who: proxy, Of: coordinator: the proxy had its welcome; Zone
-	Leave   = "leave"   // Who: proxy, Of: coordinator: the proxy saw its stream end
-	Push    = "push"    // Who: proxy, Of: coordinator, Mark, N: lines waiting behind it, Text: operations
-	Apply   = "apply"   // Who: proxy, Of: coordinator, Mark, Text: operations, as they took effect
-	List    = "list"    // Of: coordinator, N: version, Text: kind and entries, as delivered to it
-	Ask     = "ask"     // Of: coordinator: it asked the list service for news or for the whole list
-	Try     = "try"     // Who: proxy, Of: coordinator that it follows, EP, RPC, Method, N: which try, Text: why again
-	Run     = "run"     // EP, RPC, Method: a server began the RPC's effect; Text: token if it has one
-	End     = "end"     // Who: proxy, RPC, Method, Text: ok, pushed back or aborted, X: seconds since it was asked
-	Start   = "start"   // EP: a server's process started cold; X: its full capacity, RPCs a second
-	Fall    = "fall"    // EP: it fell over while cold, Text: who brought the load
-	Gone    = "gone"    // EP: its process ended
-	Cut     = "cut"     // Who: proxy or list service, Of: coordinator: nothing passes between them
-	Heal    = "heal"    // Who: proxy or list service, Of: coordinator: it does again
-	Stall   = "stall"   // Who: a coordinator or proxy that does not run, X: for so many seconds
-	Trouble = "trouble" // Text: what the script did, X: for how many seconds
-	Late    = "late"    // Who or EP: a party that emulates did something later than it was due, X: the most seconds in the last one
-	Glance  = "glance"  // EP: X: RPCs a second that it could do, N: waiting, Text: share of its cores that was busy
-	Offer   = "offer"   // EP, X: capacity at present, N: RPCs that came in the window (when near its bound)
+	CoordinatorStarted = "boot"    // Who: a coordinator's process was started
+	ProcessKilled      = "kill"    // Who: a process ended outright (coordinator, proxy or server)
+	ProxyJoined        = "join"    // Who: proxy, Of: coordinator: the proxy had its welcome; Zone
+	ProxyLeft          = "leave"   // Who: proxy, Of: coordinator: the proxy saw its stream end
+	PushSent           = "push"    // Who: proxy, Of: coordinator, Mark, N: lines waiting behind it, Text: operations
+	PushApplied        = "apply"   // Who: proxy, Of: coordinator, Mark, Text: operations, as they took effect
+	EndpointsDelivered = "list"    // Of: coordinator, N: version, Text: kind and entries, as delivered to it
+	EndpointsRequested = "ask"     // Of: coordinator: it asked the list service for news or for the whole list
+	AttemptSent        = "try"     // Who: proxy, Of: coordinator that it follows, EP, RPC, Method, N: which try, Text: why again
+	EffectExecuted     = "run"     // EP, RPC, Method: a server began the RPC's effect; Text: token if it has one
+	RPCFinished        = "end"     // Who: proxy, RPC, Method, Text: ok, pushed back or aborted, X: seconds since it was asked
+	BackendStarted     = "start"   // EP: a server's process started cold; X: its full capacity, RPCs a second
+	BackendCollapsed   = "fall"    // EP: it fell over while cold, Text: who brought the load
+	BackendStopped     = "gone"    // EP: its process ended
+	LinkCut            = "cut"     // Who: proxy or list service, Of: coordinator: nothing passes between them
+	LinkRestored       = "heal"    // Who: proxy or list service, Of: coordinator: it does again
+	ProcessPaused      = "stall"   // Who: a coordinator or proxy that does not run, X: for so many seconds
+	FaultInjected      = "trouble" // Text: what the script did, X: for how many seconds
+	ScheduleDelay      = "late"    // Who or EP: a party that emulates did something later than it was due, X: the most seconds in the last one
+	BackendSampled     = "glance"  // EP: X: RPCs a second that it could do, N: waiting, Text: share of its cores that was busy
+	LoadOffered        = "offer"   // EP, X: capacity at present, N: RPCs that came in the window (when near its bound)
 )
 
 // Record is one thing that passed.
 type Record struct {
-	T      float64
-	Kind   string
-	Who    string
-	Of     string
-	Zone   string
-	EP     uint32
-	RPC    uint64
-	Method int
-	Mark   int
-	N      int64
-	X      float64
-	Text   string
+	Time        float64
+	Kind        string
+	Party       string
+	Coordinator string
+	Zone        string
+	Backend     uint32
+	RPCID       uint64
+	Method      int
+	Nonce       int
+	Count       int64
+	Value       float64
+	Text        string
 }
 
 // Append writes the record's line, with its newline.
 func (r Record) Append(b []byte) []byte {
-	b = strconv.AppendFloat(b, r.T, 'f', 6, 64)
+	b = strconv.AppendFloat(b, r.Time, 'f', 6, 64)
 	b = append(append(b, ' '), r.Kind...)
 	word := func(key, v string) {
 		if v != "" {
@@ -68,20 +68,20 @@
 			b = strconv.AppendInt(b, v, 10)
 		}
 	}
-	word("who", r.Who)
-	word("of", r.Of)
+	word("who", r.Party)
+	word("of", r.Coordinator)
 	word("zone", r.Zone)
-	whole("ep", int64(r.EP))
-	if r.RPC != 0 {
+	whole("ep", int64(r.Backend))
+	if r.RPCID != 0 {
 		b = append(b, " rpc="...)
-		b = strconv.AppendUint(b, r.RPC, 10)
+		b = strconv.AppendUint(b, r.RPCID, 10)
 	}
 	whole("method", int64(r.Method))
-	whole("mark", int64(r.Mark))
-	whole("n", r.N)
-	if r.X != 0 {
+	whole("mark", int64(r.Nonce))
+	whole("n", r.Count)
+	if r.Value != 0 {
 		b = append(b, " x="...)
-		b = strconv.AppendFloat(b, r.X, 'g', -1, 64)
+		b = strconv.AppendFloat(b, r.Value, 'g', -1, 64)
 	}
 	if r.Text != "" {
 		b = append(b, " text="...)
@@ -93,7 +93,7 @@
 // Parse reads one line.
 func Parse(line string) (r Record, err error) {
 	at, rest, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
-	if r.T, err = strconv.ParseFloat(at, 64); err != nil {
+	if r.Time, err = strconv.ParseFloat(at, 64); err != nil {
 		return r, fmt.Errorf("time %q: %w", at, err)
 	}
 	r.Kind, rest, _ = strings.Cut(rest, " ")
@@ -109,24 +109,24 @@
 		var n int64
 		switch key {
 		case "who":
-			r.Who = v
+			r.Party = v
 		case "of":
-			r.Of = v
+			r.Coordinator = v
 		case "zone":
 			r.Zone = v
 		case "ep":
 			n, err = strconv.ParseInt(v, 10, 64)
-			r.EP = uint32(n)
+			r.Backend = uint32(n)
 		case "rpc":
-			r.RPC, err = strconv.ParseUint(v, 10, 64)
+			r.RPCID, err = strconv.ParseUint(v, 10, 64)
 		case "method":
 			r.Method, err = strconv.Atoi(v)
 		case "mark":
-			r.Mark, err = strconv.Atoi(v)
+			r.Nonce, err = strconv.Atoi(v)
 		case "n":
-			r.N, err = strconv.ParseInt(v, 10, 64)
+			r.Count, err = strconv.ParseInt(v, 10, 64)
 		case "x":
-			r.X, err = strconv.ParseFloat(v, 64)
+			r.Value, err = strconv.ParseFloat(v, 64)
 		default:
 			err = fmt.Errorf("unknown field %q", key)
 		}
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -7,10 +7,10 @@
 
 func TestLinesComeBack(t *testing.T) {
 	all := []Record{
-		{T: 1.5, Kind: Join, Who: "f0", Of: "c0", Zone: "a"},
-		{T: 2, Kind: Push, Who: "f0", Mark: 65535, N: 3, Text: `bind 0 3 1:1; "x"`},
-		{T: 1e6, Kind: Run, EP: 1<<32 - 1, RPC: 1<<64 - 1, Method: 2},
-		{T: 3, Kind: Offer, X: 0.25, EP: 4, N: -1},
+		{Time: 1.5, Kind: ProxyJoined, Party: "f0", Coordinator: "c0", Zone: "a"},
+		{Time: 2, Kind: PushSent, Party: "f0", Nonce: 65535, Count: 3, Text: `bind 0 3 1:1; "x"`},
+		{Time: 1e6, Kind: EffectExecuted, Backend: 1<<32 - 1, RPCID: 1<<64 - 1, Method: 2},
+		{Time: 3, Kind: LoadOffered, Value: 0.25, Backend: 4, Count: -1},
 	}
 	var b []byte
 	for _, r := range all {
