--- a/internal/queue/queue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,6 +1,6 @@
 // Package queue is what is due, earliest first: events of the virtual world, timers of a stand-in. What is due at one moment
 // comes in the order in which it was put in, so that a day is the same each time however many fall together.
-package queue
+package eventqueue
 
 // Queue is a heap of four children a node: half as deep as one of two, and with items side by side, which is what counts
 // with a hundred thousand timers. Its zero value is empty.
@@ -21,7 +21,7 @@
 func (q *Queue[T]) Len() int { return len(q.all) }
 
 // Put adds what is due at a time.
-func (q *Queue[T]) Put(at float64, x T) {
+func (q *Queue[T]) Push(at float64, x T) {
 	q.count++
 	q.all = append(q.all, item[T]{at, q.count, x})
 	i := len(q.all) - 1
@@ -38,7 +38,7 @@
 }
 
 // Next is when the first is due; false if there is none.
-func (q *Queue[T]) Next() (at float64, ok bool) {
+func (q *Queue[T]) NextTime() (at float64, ok bool) {
 	if len(q.all) == 0 {
 		return 0, false
 	}
@@ -46,7 +46,7 @@
 }
 
 // Take takes the first out; there must be one.
-func (q *Queue[T]) Take() T {
+func (q *Queue[T]) Pop() T {
 	first := q.all[0].x
 	end := len(q.all) - 1
 	last := q.all[end]
--- a/internal/queue/queue_test.go
+++ b/internal/eventqueue/eventqueue_test.go
@@ -1,4 +1,4 @@
-package queue
+package eventqueue
 
 import (
 	"cmp"
@@ -19,24 +19,24 @@
 		var model []due
 		for i := range rapid.IntRange(1, 200).Draw(t, "steps") {
 			if rapid.IntRange(0, 2).Draw(t, "take") == 0 && len(model) > 0 {
-				at, ok := q.Next()
-				if got := q.Take(); !ok || got != model[0].n || at != model[0].at {
+				at, ok := q.NextTime()
+				if got := q.Pop(); !ok || got != model[0].n || at != model[0].at {
 					t.Fatalf("%d at %g, %v wanted", got, at, model[0])
 				}
 				model = model[1:]
 				continue
 			}
 			at := float64(rapid.IntRange(0, 5).Draw(t, "at")) // many at one moment
-			q.Put(at, i)
+			q.Push(at, i)
 			model = append(model, due{at, i})
 			slices.SortStableFunc(model, func(a, b due) int { return cmp.Compare(a.at, b.at) })
 		}
 		for _, want := range model {
-			if got := q.Take(); got != want.n {
+			if got := q.Pop(); got != want.n {
 				t.Fatalf("%d, %v wanted", got, want)
 			}
 		}
-		if _, ok := q.Next(); ok || q.Len() != 0 {
+		if _, ok := q.NextTime(); ok || q.Len() != 0 {
 			t.Fatal("something is left")
 		}
 	})
@@ -46,10 +46,10 @@
 func TestOneInstant(t *testing.T) {
 	var q Queue[int]
 	for i := range 10000 {
-		q.Put(1, i)
+		q.Push(1, i)
 	}
 	for i := range 10000 {
-		if got := q.Take(); got != i {
+		if got := q.Pop(); got != i {
 			t.Fatalf("%d came as the %dth", got, i)
 		}
 	}
--- a/internal/fake/common.go
+++ b/internal/fake/common.go
@@ -6,7 +6,7 @@
 import (
 	"hash/crc32"
 
-	"gingerfork/internal/queue"
+	"gingerfork/internal/eventqueue"
 	"gingerfork/internal/statemachine"
 )
 
@@ -17,24 +17,24 @@
 
 // timers are what is due when; equal times go by the order in which they were set.
 type timers struct {
-	queue.Queue[func(now statemachine.Seconds)]
+	eventqueue.Queue[func(now statemachine.Seconds)]
 }
 
 func (t *timers) at(when statemachine.Seconds, what func(now statemachine.Seconds)) {
 	if when < statemachine.Never {
-		t.Put(when, what)
+		t.Push(when, what)
 	}
 }
 
 // ring does what is due.
 func (t *timers) ring(now statemachine.Seconds) {
-	for at, ok := t.Next(); ok && at <= now; at, ok = t.Next() {
-		t.Take()(now)
+	for at, ok := t.NextTime(); ok && at <= now; at, ok = t.NextTime() {
+		t.Pop()(now)
 	}
 }
 
 func (t *timers) wake(out *statemachine.Effects) {
-	if at, ok := t.Next(); ok {
+	if at, ok := t.NextTime(); ok {
 		out.WakeBy(at)
 	}
 }
--- a/internal/simnet/virtual.go
+++ b/internal/simnet/virtual.go
@@ -10,7 +10,7 @@
 	"slices"
 
 	"gingerfork/internal/disk"
-	"gingerfork/internal/queue"
+	"gingerfork/internal/eventqueue"
 	"gingerfork/internal/statemachine"
 	"gingerfork/internal/store"
 	"gingerfork/internal/trace"
@@ -33,7 +33,7 @@
 	dice *rand.Rand
 	// diskDice is for what disks do, so that a run with stores draws for its network what one without does.
 	diskDice  *rand.Rand
-	events    queue.Queue[func()]
+	events    eventqueue.Queue[func()]
 	nodes     map[string]*node
 	order     []*node
 	doors     map[string]door
@@ -118,7 +118,7 @@
 
 // At has something done at a time.
 func (w *Network) Schedule(at statemachine.Seconds, do func()) {
-	w.events.Put(max(at, w.now), do)
+	w.events.Push(max(at, w.now), do)
 }
 
 // Add puts a node on the network, reached at its doors' addresses; it does not run before Start.
@@ -339,12 +339,12 @@
 // Run goes on until a time.
 func (w *Network) RunUntil(until statemachine.Seconds) {
 	for {
-		at, ok := w.events.Next()
+		at, ok := w.events.NextTime()
 		if !ok || at > until {
 			break
 		}
 		w.now = at
-		w.events.Take()()
+		w.events.Pop()()
 	}
 	w.now = until
 }
