--- a/cmd/gingerfork/node.go
+++ b/cmd/gingerfork/node.go
@@ -116,7 +116,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("read the configuration: %w", err)
 	}
-	s, err := platform.ReadStart(raw, os.Getenv, wire.Values)
+	s, err := platform.ReadStart(raw, os.Getenv, wire.FlattenSettings)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
--- a/internal/bench/wire/wire.go
+++ b/internal/bench/wire/wire.go
@@ -200,7 +200,7 @@
 		if bad != nil && f.err == nil {
 			f.err = fmt.Errorf("%s: field Entropy is mistyped: %s", name, seed)
 		}
-		ev.Body = Enlist{n, Values(conf)}
+		ev.Body = Enlist{n, FlattenSettings(conf)}
 	case "Detach":
 		ev.Body = Detach{}
 	case "Catalog":
@@ -305,7 +305,7 @@
 
 // Values flattens the start-up settings into a plain map of names to values, times in seconds; what has no name of
 // ours passes under its own.
-func Values(conf map[string]any) map[string]any {
+func FlattenSettings(conf map[string]any) map[string]any {
 	out := map[string]any{}
 	flatten(out, "", "", conf)
 	return out
