--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,4 +1,5 @@
-// Command wirehost plays the decisions on the simulator's wire: batches on standard input, replies on standard output.
+// Command wirehost runs the decision module on the wire of the simulator: it reads batches of events from standard input and writes
+// their replies to standard output. It exits with 1 and a message on standard error when it can not go on.
 package main
 
 import (
--- a/internal/bench/host/host.go
+++ b/internal/bench/host/host.go
@@ -1,5 +1,5 @@
-// Package host keeps the instances of the module: it deals each batch out to them and gathers their orders. Instances
-// share nothing but the process.
+// Package host runs instances of the decision module for the simulator: it distributes the events of each batch to them and
+// gathers their commands. The instances share nothing but the process.
 package host
 
 import (
@@ -12,156 +12,167 @@
 	"gingerfork/internal/bench/wire"
 )
 
-const lists = 16
+const (
+	// maxLists is how many endpoint lists may be defined at once; the simulator reuses their numbers.
+	maxLists   = 16
+	bufferSize = 1 << 20
+)
+
+// What can be wrong with an event beside its encoding.
+var (
+	errOutOfRange      = errors.New("is out of range")
+	errUndefinedList   = errors.New("names an undefined list")
+	errUnknownInstance = errors.New("names an unknown instance")
+	errUnknownMethod   = errors.New("names an unknown method")
+)
 
-// Host holds the living instances and the numbered lists.
+// Host holds the running instances and the endpoint lists that were defined.
 type Host struct {
-	insts map[string]*inst
-	lists [lists][]choice.Endpoint
-	known [lists]bool
+	instances map[string]*instance
+	lists     [maxLists]endpointList
 }
 
-type inst struct {
-	planner *choice.Planner
-	methods map[string]choice.MethodID
-	events  []choice.Event
-	failed  string
-	queued  bool
+type endpointList struct {
+	endpoints []choice.Endpoint
+	defined   bool
 }
 
-// New makes an empty host.
-func New() *Host { return &Host{insts: map[string]*inst{}} }
+// New makes a host without instances.
+func New() *Host { return &Host{instances: map[string]*instance{}} }
 
 // Run answers each line of in with one line on out until in ends.
 func Run(in io.Reader, out io.Writer) error {
-	h, r, w := New(), bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
-	for n := 1; ; n++ {
-		line, err := r.ReadBytes('\n')
+	host := New()
+	reader := bufio.NewReaderSize(in, bufferSize)
+	writer := bufio.NewWriterSize(out, bufferSize)
+	for batch := 1; ; batch++ {
+		line, err := reader.ReadBytes('\n')
 		if errors.Is(err, io.EOF) && len(line) == 0 {
 			return nil
 		}
 		if err != nil && !errors.Is(err, io.EOF) {
-			return fmt.Errorf("batch %d: %w", n, err)
+			return fmt.Errorf("batch %d: %w", batch, err)
 		}
-		reply, err := h.Answer(line)
-		if err == nil {
-			_, err = w.Write(reply)
-		}
-		if err == nil {
-			err = w.Flush()
-		}
-		if err != nil {
-			return fmt.Errorf("batch %d: %w", n, err)
+		if err := host.respond(line, writer); err != nil {
+			return fmt.Errorf("batch %d: %w", batch, err)
 		}
 	}
 }
 
+func (h *Host) respond(line []byte, writer *bufio.Writer) error {
+	reply, err := h.Answer(line)
+	if err != nil {
+		return err
+	}
+	if _, err := writer.Write(reply); err != nil {
+		return err
+	}
+	return writer.Flush()
+}
+
 // Answer takes one batch and returns its reply.
 func (h *Host) Answer(line []byte) ([]byte, error) {
-	b, err := wire.Decode(line)
+	batch, err := wire.Decode(line)
 	if err != nil {
 		return nil, err
 	}
-	var order []string
-	for i, e := range b.Events {
-		if err := h.deal(b.Now, e, &order); err != nil {
+	var order []string // of the instances that have events, by the first of these
+	for i, event := range batch.Events {
+		queuedAt, err := h.distribute(batch.Now, event)
+		if err != nil {
 			return nil, fmt.Errorf("event %d: %w", i, err)
 		}
+		if queuedAt != "" {
+			order = append(order, queuedAt)
+		}
 	}
 	replies := make([]wire.Reply, 0, len(order))
-	for _, id := range order {
-		if in := h.insts[id]; in != nil && in.queued {
-			in.queued = false
-			replies = append(replies, wire.Reply{Inst: id, Orders: in.step(b.Now)})
+	for _, name := range order {
+		if instance := h.instances[name]; instance != nil && instance.queued {
+			instance.queued = false
+			replies = append(replies, wire.Reply{Coordinator: name, Commands: instance.step(batch.Now)})
 		}
 	}
 	return wire.Encode(replies)
 }
 
-// deal puts an event into its instance's queue. Lists are resolved here, in the order of events: their numbers are
-// used again, even within a batch.
-func (h *Host) deal(now choice.Seconds, e wire.Event, order *[]string) error {
-	if c, ok := e.Body.(wire.Catalog); ok {
-		if c.Number < 0 || c.Number >= lists {
-			return fmt.Errorf("Catalog: field Table is out of range: %d", c.Number) //nolint:staticcheck // it begins with a name of the wire
-		}
-		h.lists[c.Number], h.known[c.Number] = c.Entries, true
-		return nil
+// distribute applies an event to the host, or queues it for its instance, whose name is returned if it had no event in this batch
+// before.
+func (h *Host) distribute(now choice.Seconds, event wire.Event) (queuedAt string, err error) {
+	switch body := event.Body.(type) {
+	case wire.DefineList:
+		return "", h.defineList(body)
+	case wire.StartInstance:
+		h.instances[event.Coordinator] = startInstance(now, body)
 	}
-	if start, ok := e.Body.(wire.Enlist); ok {
-		in := &inst{methods: map[string]choice.MethodID{}}
-		boot := choice.Config{Seed: start.Seed, Now: now, Settings: choice.DecodeSettings(start.Values)}
-		for m, method := range boot.Settings.Methods {
-			in.methods[method.Name] = choice.MethodID(m)
-		}
-		in.guard(func() { in.planner = choice.New(boot) })
-		h.insts[e.Inst] = in
+	instance := h.instances[event.Coordinator]
+	if instance == nil {
+		return "", fieldError("event", "CoordinatorId", errUnknownInstance, event.Coordinator)
 	}
-	in := h.insts[e.Inst]
-	if in == nil {
-		return fmt.Errorf("field CoordinatorId names an unknown instance %q", e.Inst)
+	if !instance.queued {
+		instance.queued = true
+		queuedAt = event.Coordinator
 	}
-	if !in.queued {
-		in.queued = true
-		*order = append(*order, e.Inst)
+	if _, stop := event.Body.(wire.StopInstance); stop {
+		// The events that are queued for a stopped instance are dropped with it.
+		delete(h.instances, event.Coordinator)
+		return queuedAt, nil
 	}
-	switch body := e.Body.(type) {
-	case wire.Enlist:
-	case wire.Detach:
-		// What waited for a killed instance dies with it.
-		delete(h.insts, e.Inst)
-	case wire.Members:
-		l := choice.EndpointUpdate{Kind: body.Kind, Version: body.Version}
-		if body.Kind != choice.UpdateFailed {
-			if body.Number < 0 || body.Number >= lists || !h.known[body.Number] {
-				return fmt.Errorf("Members: field Table names an undefined list: %d", body.Number) //nolint:staticcheck // as above
-			}
-			l.Endpoints = h.lists[body.Number]
-		}
-		in.events = append(in.events, l)
-	case wire.Usage:
-		m, err := in.method("Traffic", body.Method)
-		body.Sum.Method = m
-		in.events = append(in.events, body.Sum)
-		return err
-	case wire.SliceUsage:
-		m, err := in.method("RangeLoad", body.Method)
-		body.Sum.Method = m
-		in.events = append(in.events, body.Sum)
-		return err
-	default:
-		in.events = append(in.events, body)
+	return queuedAt, h.queue(instance, event.Body)
+}
+
+func (h *Host) defineList(list wire.DefineList) error {
+	if list.Number < 0 || list.Number >= maxLists {
+		return fieldError("Catalog", "Table", errOutOfRange, list.Number)
 	}
+	h.lists[list.Number] = endpointList{endpoints: list.Endpoints, defined: true}
 	return nil
 }
 
-func (in *inst) method(event, name string) (choice.MethodID, error) {
-	m, ok := in.methods[name]
-	if !ok {
-		return 0, fmt.Errorf("%s: field Category names an unknown method: %q", event, name)
+// queue adds an event to those of the instance's next step. Endpoint lists are resolved here, in the order of the events, because
+// their numbers are reused, also within a batch.
+func (h *Host) queue(instance *instance, body any) error {
+	switch body := body.(type) {
+	case wire.StartInstance:
+		return nil
+	case wire.EndpointUpdate:
+		update, err := h.resolve(body)
+		if err != nil {
+			return err
+		}
+		instance.events = append(instance.events, update)
+	case wire.UsageReport:
+		method, err := instance.method("Traffic", body.Method)
+		if err != nil {
+			return err
+		}
+		body.Report.Method = method
+		instance.events = append(instance.events, body.Report)
+	case wire.SliceReport:
+		method, err := instance.method("RangeLoad", body.Method)
+		if err != nil {
+			return err
+		}
+		body.Report.Method = method
+		instance.events = append(instance.events, body.Report)
+	default:
+		instance.events = append(instance.events, body)
 	}
-	return m, nil
+	return nil
 }
 
-func (in *inst) step(now choice.Seconds) (orders []choice.Command) {
-	events := in.events
-	in.events = nil
-	in.guard(func() { orders = in.planner.Step(now, events) })
-	if in.failed != "" {
-		return []choice.Command{wire.Die{Text: in.failed}}
+func (h *Host) resolve(update wire.EndpointUpdate) (choice.EndpointUpdate, error) {
+	resolved := choice.EndpointUpdate{Kind: update.Kind, Version: update.Version}
+	if update.Kind == choice.UpdateFailed {
+		return resolved, nil
+	}
+	if update.List < 0 || update.List >= maxLists || !h.lists[update.List].defined {
+		return resolved, fieldError("Members", "Table", errUndefinedList, update.List)
 	}
-	return orders
+	resolved.Endpoints = h.lists[update.List].endpoints
+	return resolved, nil
 }
 
-// guard turns a panic of the module into a report in place of a dead process.
-func (in *inst) guard(f func()) {
-	if in.failed != "" {
-		return
-	}
-	defer func() {
-		if r := recover(); r != nil {
-			in.failed = fmt.Sprintf("the decision module failed: %v", r)
-		}
-	}()
-	f()
+func fieldError(event, field string, problem error, value any) error {
+	return &wire.FieldError{Event: event, Field: field, Problem: problem, Value: fmt.Sprint(value)}
 }
--- a/internal/bench/host/host_test.go
+++ b/internal/bench/host/host_test.go
@@ -36,18 +36,18 @@
 	}
 }
 
-func TestKilledInstanceOrdersNothing(t *testing.T) {
+func TestStoppedInstanceSendsNoCommands(t *testing.T) {
 	stop := `{"Detach":{"CoordinatorId":"coordinator/0"}}`
 	out, err := run(t, batch(enlist, disk), batch(join, stop), batch(enlist, disk, join, stop, enlist, disk))
 	if err != nil || out[1] != `{"orders":[]}` {
 		t.Fatalf("%q %v", out, err)
 	}
 	if strings.Contains(out[2], "HandTable") || !strings.Contains(out[2], "Follow") {
-		t.Fatalf("the restarted instance kept what the killed one had: %s", out[2])
+		t.Fatalf("the restarted instance has state of the stopped one: %s", out[2])
 	}
 }
 
-// A list number is used again within a batch: each Members event means the list of its moment.
+// List numbers are reused within a batch: an update refers to the list that was last defined before it.
 func TestListNumbersAreResolvedInOrder(t *testing.T) {
 	other := strings.Replace(disk, `"Backend":9`, `"Backend":10`, 1)
 	other = strings.ReplaceAll(other, "coordinator/0", "coordinator/1")
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestBadInputIsNamed(t *testing.T) {
+func TestMalformedBatches(t *testing.T) {
 	for line, want := range map[string]string{
 		"nonsense\n":                 "batch 2: not a batch",
 		`{"TMs":"x","happened":[]}`:  "TMs",
@@ -79,13 +79,13 @@
 	}
 }
 
-// A panic of the module becomes a Die with its text.
-func TestPanicBecomesDie(t *testing.T) {
+// A panic of the module is reported by a command with the panic's text.
+func TestPanicFailsInstance(t *testing.T) {
 	h := New()
 	if _, err := h.Answer([]byte(batch(enlist, disk))); err != nil {
 		t.Fatal(err)
 	}
-	h.insts["coordinator/0"].planner = nil
+	h.instances["coordinator/0"].planner = nil
 	out, err := h.Answer([]byte(batch(join)))
 	if err != nil || !strings.Contains(string(out), `"Die"`) || !strings.Contains(string(out), "decision module failed") {
 		t.Fatalf("%s %v", out, err)
--- a/internal/bench/host/recording_script_test.go
+++ b/internal/bench/host/recording_script_test.go
@@ -15,13 +15,13 @@
 	scriptProxies   = 8
 	scriptBackends  = 9
 	scriptZones     = 2
-	pauseEvery      = 350 // batches; then so much time passes that what is gone is forgotten
+	pauseEvery      = 350 // batches; then so much time passes that the module forgets backends that are gone
 )
 
-// script plays the simulator against one host, by what the host orders. Everything is drawn from one generator.
+// script plays the simulator against one host and reacts to its commands. Everything is drawn from one generator.
 type script struct {
 	t         *testing.T
-	dice      *rand.Rand
+	random    *rand.Rand
 	recording *recording
 	host      *Host
 	nowMs     float64
@@ -30,19 +30,19 @@
 	batches   int
 	epoch     int
 	next      []string // events of the next batch
-	alarms    []alarm  // that instances asked for
+	timers    []timer  // that the instances have set
 	readiness [scriptBackends]string
-	born      [scriptBackends]float64 // in milliseconds; 0: long ago
+	startedMs [scriptBackends]float64 // in milliseconds; 0: long ago
 }
 
-type alarm struct {
+type timer struct {
 	instance any
 	token    any
 	atMs     float64
 }
 
 func newScript(t *testing.T, seed uint64, levelKind string, slices int) *script {
-	s := &script{t: t, dice: rand.New(rand.NewPCG(seed, 1)), recording: newRecording(t), host: New(), nowMs: 1000, levelKind: levelKind, slices: slices}
+	s := &script{t: t, random: rand.New(rand.NewPCG(seed, 1)), recording: newRecording(t), host: New(), nowMs: 1000, levelKind: levelKind, slices: slices}
 	for backend := range s.readiness {
 		s.readiness[backend] = "U"
 	}
@@ -58,7 +58,7 @@
 
 type object = map[string]any
 
-// event adds one to the next batch.
+// event adds an event to the next batch.
 func (s *script) event(name string, fields object) {
 	line, err := json.Marshal(object{name: fields})
 	if err != nil {
@@ -68,7 +68,7 @@
 	s.recording.seen["event "+name]++
 }
 
-// enlist starts an instance anew: it hears the list as kept, and of the proxies.
+// enlist starts an instance with an empty state, a cached endpoint list and all proxies.
 func (s *script) enlist(instance string) {
 	profiles := []object{
 		{"Name": "read", "AimMs": 500, "Effect": "idempotent", "Worth": 2},
@@ -78,7 +78,7 @@
 		"LevelKind": s.levelKind, "MostWaiting": 9000, "LinesPerS": 9000, "ProxyCount": scriptProxies * scriptInstances, "PeriodMs": 1000,
 		"PushDelayMs": 100, "WorstTransitMs": 300, "PartitionsN": s.slices, "Strikes": 5, "SelectsBy": "pair", "ClassOwnZone": []bool{false, true},
 	}
-	s.event("Enlist", object{"CoordinatorId": instance, "Entropy": s.dice.Uint64(), "Conf": object{
+	s.event("Enlist", object{"CoordinatorId": instance, "Entropy": s.random.Uint64(), "Conf": object{
 		"Profiles": profiles, "Zones": []string{"a", "b"}, "Az": "a",
 		"FamilyInfo": family, "Discovery": "on_request", "RoundMs": 4, "Bounds": object{"Probes": true, "Peers": true}, "Penalties": object{"CrossZone": 0.1},
 		"Obligations": object{"DrainGraceMs": 2000, "AskWithinMs": 10000, "ColdShare": 0.3, "WarmAfterMs": 10000, "FallMultiple": 2.5},
@@ -89,19 +89,19 @@
 	}
 }
 
-// members tells an instance of the list under one of the numbers that are used again and again.
+// members sends an instance an endpoint update, with the list under one of the numbers that are reused.
 func (s *script) members(instance, kind string) {
 	if kind == "error" {
 		s.event("Members", object{"CoordinatorId": instance, "Kind": kind})
 		return
 	}
 	s.epoch++
-	number := s.epoch % lists
+	number := s.epoch % maxLists
 	hosts := []object{}
 	for backend, readiness := range s.readiness {
 		hosts = append(hosts, object{
 			"Backend": backend + 1, "GenerationHw": "k", "Readiness": readiness, "FailureDomain": zoneName(backend),
-			"Heft": 1 + backend%3, "UnitGroup": backend % 2, "UpSinceMs": s.born[backend],
+			"Heft": 1 + backend%3, "UnitGroup": backend % 2, "UpSinceMs": s.startedMs[backend],
 		})
 	}
 	s.event("Catalog", object{"Table": number, "Hosts": hosts})
@@ -109,15 +109,15 @@
 }
 
 func (s *script) subscribe(instance string, proxy int) {
-	s.event("Subscribed", object{"CoordinatorId": instance, "Sidecar": proxy, "FailureDomain": zoneName(proxy), "Heft": 5 * s.dice.Float64(), "Flag": s.dice.IntN(2) == 0})
+	s.event("Subscribed", object{"CoordinatorId": instance, "Sidecar": proxy, "FailureDomain": zoneName(proxy), "Heft": 5 * s.random.Float64(), "Flag": s.random.IntN(2) == 0})
 }
 
 // step sends a batch, records its reply and has the simulator's side act on it.
 func (s *script) step() {
 	for instance := range scriptInstances {
-		s.happen(instanceName(instance))
+		s.drawEvents(instanceName(instance))
 	}
-	s.ring()
+	s.fireTimers()
 	line := fmt.Sprintf(`{"TMs":%v,"happened":[%s]}`, s.nowMs, strings.Join(s.next, ","))
 	s.next = nil
 	reply, err := s.host.Answer([]byte(line + "\n"))
@@ -128,55 +128,55 @@
 	for _, order := range ordersOf(s.t, reply) {
 		for name, fields := range order {
 			s.recording.seen["order "+name]++
-			s.obey(name, fields)
+			s.apply(name, fields)
 		}
 	}
 	s.batches++
-	s.nowMs += 20 + float64(s.dice.IntN(100))
+	s.nowMs += 20 + float64(s.random.IntN(100))
 	if s.batches%pauseEvery == 0 {
 		s.nowMs += 1000 * (choice.BackendRetention + 10)
 	}
 }
 
-// ring sends the alarms that are due.
-func (s *script) ring() {
-	waiting := s.alarms
-	s.alarms = nil
-	for _, alarm := range waiting {
-		if alarm.atMs <= s.nowMs {
-			s.event("Due", object{"CoordinatorId": alarm.instance, "Token": alarm.token})
+// fireTimers sends the timers that are due.
+func (s *script) fireTimers() {
+	waiting := s.timers
+	s.timers = nil
+	for _, timer := range waiting {
+		if timer.atMs <= s.nowMs {
+			s.event("Due", object{"CoordinatorId": timer.instance, "Token": timer.token})
 		} else {
-			s.alarms = append(s.alarms, alarm)
+			s.timers = append(s.timers, timer)
 		}
 	}
 }
 
-// overloaded tells whether most tries fail at present.
-func (s *script) overloaded() bool { return s.batches%600 >= 300 && s.batches%600 < 500 }
+// overload tells whether most attempts fail at present.
+func (s *script) overload() bool { return s.batches%600 >= 300 && s.batches%600 < 500 }
 
 var probeResults = []string{"success", "success", "failure", "overloaded", "timed_out", "unreachable", "broken", "withdrawn", "void"}
 
 func (s *script) probeResult(instance string, backend any) {
 	s.event("ProbeResult", object{
-		"CoordinatorId": instance, "Backend": backend, "StateCode": probeResults[s.dice.IntN(len(probeResults))],
-		"DelaySeenMs": s.dice.IntN(400), "Gauge": []float64{s.dice.Float64(), 2},
+		"CoordinatorId": instance, "Backend": backend, "StateCode": probeResults[s.random.IntN(len(probeResults))],
+		"DelaySeenMs": s.random.IntN(400), "Gauge": []float64{s.random.Float64(), 2},
 	})
 }
 
-// obey carries out an order, or what of it matters to the module.
-func (s *script) obey(name string, fields object) {
+// apply carries out a command, as far as it matters to the module.
+func (s *script) apply(name string, fields object) {
 	instance := fields["CoordinatorId"].(string)
 	switch name {
 	case "After":
-		s.alarms = append(s.alarms, alarm{instance, fields["Token"], fields["AlarmTimeMs"].(float64)})
+		s.timers = append(s.timers, timer{instance, fields["Token"], fields["AlarmTimeMs"].(float64)})
 	case "Seal":
 		for proxy := range scriptProxies {
-			if s.dice.IntN(5) > 0 {
-				s.event("Applied", object{"CoordinatorId": instance, "Sidecar": proxy, "Epoch": fields["Epoch"], "DelaySeenMs": s.dice.IntN(200)})
+			if s.random.IntN(5) > 0 {
+				s.event("Applied", object{"CoordinatorId": instance, "Sidecar": proxy, "Epoch": fields["Epoch"], "DelaySeenMs": s.random.IntN(200)})
 			}
 		}
 	case "Follow", "ListAll":
-		s.members(instance, []string{"snapshot", "diff", "error"}[s.dice.IntN(3)])
+		s.members(instance, []string{"snapshot", "diff", "error"}[s.random.IntN(3)])
 	case "Sample":
 		s.probeResult(instance, fields["Backend"])
 	case "GateClass":
@@ -189,33 +189,33 @@
 	}
 }
 
-// happen draws what an instance hears beside answers.
-func (s *script) happen(instance string) {
+// drawEvents draws the events of an instance that answer no command.
+func (s *script) drawEvents(instance string) {
 	if s.batches%10 == 0 {
 		s.report(instance)
 	}
-	proxy, backend := s.dice.IntN(scriptProxies), s.dice.IntN(scriptBackends)
-	switch s.dice.IntN(40) {
+	proxy, backend := s.random.IntN(scriptProxies), s.random.IntN(scriptBackends)
+	switch s.random.IntN(40) {
 	case 0:
 		s.event("Disconnected", object{"CoordinatorId": instance, "Sidecar": proxy})
 	case 1, 2:
 		s.subscribe(instance, proxy)
 	case 3:
-		s.readiness[backend] = []string{"U", "L", "D"}[s.dice.IntN(3)]
+		s.readiness[backend] = []string{"U", "L", "D"}[s.random.IntN(3)]
 		s.members(instance, "diff")
 	case 4, 5:
-		s.readiness[backend], s.born[backend] = "U", s.nowMs
-		s.members(instance, []string{"diff", "snapshot"}[s.dice.IntN(2)])
+		s.readiness[backend], s.startedMs[backend] = "U", s.nowMs
+		s.members(instance, []string{"diff", "snapshot"}[s.random.IntN(2)])
 	case 6:
-		s.event("Message", object{"CoordinatorId": instance, "From": s.dice.IntN(3), "Octets": fmt.Sprintf("%08x", s.dice.Uint32())})
+		s.event("Message", object{"CoordinatorId": instance, "From": s.random.IntN(3), "Octets": fmt.Sprintf("%08x", s.random.Uint32())})
 	case 7:
-		s.event("Charge", object{"CoordinatorId": instance, "RouteTable": s.dice.IntN(8), "Flag": s.dice.IntN(3) > 0})
+		s.event("Charge", object{"CoordinatorId": instance, "RouteTable": s.random.IntN(8), "Flag": s.random.IntN(3) > 0})
 	case 8:
-		s.event("StoredLine", object{"CoordinatorId": instance, "RouteTable": s.dice.IntN(8), "Backend": backend + 1, "Heft": s.dice.Float64()})
+		s.event("StoredLine", object{"CoordinatorId": instance, "RouteTable": s.random.IntN(8), "Backend": backend + 1, "Heft": s.random.Float64()})
 	case 9:
-		s.event("Due", object{"CoordinatorId": instance, "Token": s.dice.IntN(5)})
+		s.event("Due", object{"CoordinatorId": instance, "Token": s.random.IntN(5)})
 	case 10:
-		s.event("Applied", object{"CoordinatorId": instance, "Sidecar": proxy, "Epoch": s.dice.IntN(1 << 16)})
+		s.event("Applied", object{"CoordinatorId": instance, "Sidecar": proxy, "Epoch": s.random.IntN(1 << 16)})
 	case 11:
 		s.restart(instance)
 	case 12:
@@ -223,35 +223,35 @@
 	}
 }
 
-// restart kills an instance, now and then, and starts it anew.
+// restart stops an instance, once in a while, and starts it again.
 func (s *script) restart(instance string) {
-	if s.dice.IntN(4) > 0 {
+	if s.random.IntN(4) > 0 {
 		return
 	}
 	s.event("Detach", object{"CoordinatorId": instance})
 	s.enlist(instance)
 }
 
-// report sends the sums of a second. One backend fails always, another is never heard of.
+// report sends the reports of a second. At one backend all attempts fail, another has no report.
 func (s *script) report(instance string) {
 	failing, most := 0.02, 10
-	if s.overloaded() {
+	if s.overload() {
 		failing, most = 0.5, 60
 	}
 	for backend := range scriptBackends - 1 {
-		tries := s.dice.IntN(most + 1)
+		tries := s.random.IntN(most + 1)
 		bad := int(float64(tries) * failing)
 		if backend == 1 {
 			bad = tries
 		}
 		s.event("TrafficReport", object{
-			"CoordinatorId": instance, "Backend": backend + 1, "FailureDomain": zoneName(s.dice.IntN(scriptZones)), "Count": tries, "Bad": bad,
-			"DelaySeenMs": 50 + 800*failing, "OverMs": 1000, "Gauge": []float64{s.dice.Float64()},
+			"CoordinatorId": instance, "Backend": backend + 1, "FailureDomain": zoneName(s.random.IntN(scriptZones)), "Count": tries, "Bad": bad,
+			"DelaySeenMs": 50 + 800*failing, "OverMs": 1000, "Gauge": []float64{s.random.Float64()},
 		})
 	}
 	for proxy := range scriptProxies {
-		class := []string{"read", "submit"}[s.dice.IntN(2)]
-		s.event("Traffic", object{"CoordinatorId": instance, "Sidecar": proxy, "Category": class, "Count": s.dice.IntN(most), "Bad": 0, "OverMs": 1000})
+		class := []string{"read", "submit"}[s.random.IntN(2)]
+		s.event("Traffic", object{"CoordinatorId": instance, "Sidecar": proxy, "Category": class, "Count": s.random.IntN(most), "Bad": 0, "OverMs": 1000})
 	}
-	s.event("RangeLoad", object{"CoordinatorId": instance, "RouteTable": s.dice.IntN(8), "Category": "read", "Count": s.dice.IntN(most), "Bad": 0, "OverMs": 1000})
+	s.event("RangeLoad", object{"CoordinatorId": instance, "RouteTable": s.random.IntN(8), "Category": "read", "Count": s.random.IntN(most), "Bad": 0, "OverMs": 1000})
 }
--- a/internal/bench/host/recording_test.go
+++ b/internal/bench/host/recording_test.go
@@ -31,19 +31,19 @@
 
 const recordingSums = "testdata/recording.sum"
 
-// recording is what the host wrote.
+// recording collects what the host writes.
 type recording struct {
 	t    *testing.T
 	sum  hash.Hash
 	text bytes.Buffer
-	seen map[string]int // orders and events, for the checks of coverage
+	seen map[string]int // commands and events, for the checks of coverage
 }
 
 func newRecording(t *testing.T) *recording {
 	return &recording{t: t, sum: sha256.New(), seen: map[string]int{}}
 }
 
-// Write adds bytes.
+// Write adds bytes to the recording; it implements io.Writer.
 func (r *recording) Write(data []byte) (int, error) {
 	r.text.Write(data)
 	return r.sum.Write(data)
--- /dev/null
+++ b/internal/bench/wire/settings.go
@@ -0,0 +1,105 @@
+package wire
+
+import (
+	"strconv"
+	"strings"
+)
+
+// listIndex stands for any index of a list in the patterns of settingNames.
+const listIndex = "#"
+
+// settingNames has the name of a setting in package choice for each path in the simulator's settings that has another name there.
+// A # stands for an index of a list.
+var settingNames = map[string]string{
+	"Az": "zone", "Zones.#": "zones.#", "Discovery": "listing", "SelfIndex": "self", "GroupSize": "coordinators",
+	"RoundMs": "tick", "WeightKind": "weight_kind", "Bounds.Probes": "probes", "Bounds.Peers": "peers",
+	"Obligations.DrainGraceMs": "drain_grace", "Obligations.AskWithinMs": "ask_within",
+	"Obligations.ColdShare": "cold_share", "Obligations.WarmAfterMs": "warm_after",
+	"Obligations.FallMultiple": "fall_multiple", "Obligations.OverloadForMs": "fall_window",
+	"Obligations.OnlyDrainingBinds": "only_draining_binds", "FamilyInfo.ClassOwnZone.#": "method.#.own_zone",
+	"FamilyInfo.Mutating.#": "method.#.writes", "FamilyInfo.MostWaiting": "channel_room",
+	"FamilyInfo.LinesPerS": "channel_pace", "FamilyInfo.PerMessage": "message_lines",
+	"FamilyInfo.ReloadsMax": "messages", "FamilyInfo.ReloadSpanMs": "messages_span",
+	"FamilyInfo.PushDelayMs": "push_time", "FamilyInfo.WorstTransitMs": "push_time_worst",
+	"FamilyInfo.PartitionsN": "slices", "FamilyInfo.ProxyCount": "proxies", "FamilyInfo.LevelKind": "level_kind",
+	"FamilyInfo.TryAims": "try_wait", "FamilyInfo.PeriodMs": "report_period",
+	"FamilyInfo.UnservedMaxMs": "bare_limit", "FamilyInfo.SoleOwner": "sole_owner",
+	"FamilyInfo.UsualHow": "usual_tries", "FamilyInfo.SelectsBy": "pick", "FamilyInfo.Strikes": "strikes",
+	"FamilyInfo.ConnsLeast": "connections", "FamilyInfo.OrderPrice": "price.orders",
+	"Penalties.CrossZone": "price.crossing", "Penalties.Probe": "price.probe", "Penalties.Waste": "price.waste",
+	"Penalties.Connection": "price.connection", "Penalties.Handshake": "price.handshake",
+	"Profiles.#.AimMs": "method.#.soft_deadline", "Profiles.#.DeadlineMs": "method.#.deadline",
+	"Profiles.#.Effect": "method.#.effect", "Profiles.#.Group": "method.#.group", "Profiles.#.Name": "method.#.name",
+	"Profiles.#.RepeatWindowMs": "method.#.window", "Profiles.#.Worth": "method.#.criticality",
+}
+
+// settingValues has, by the last part of a setting's name in package choice, the values that are spelled otherwise there.
+var settingValues = map[string]map[string]string{
+	"effect":     {"at_most_once": "non-idempotent", "deduplicated": "tokened"},
+	"level_kind": {"ratio": "share", "rps": "rate"},
+	"listing":    {"on_request": "asked"},
+}
+
+// FlattenSettings turns the start-up settings, as decoded from JSON, into the flat form that choice.DecodeSettings reads: names to
+// numbers, flags and words, with times in seconds. A setting that package choice does not know keeps its path as its name.
+func FlattenSettings(settings map[string]any) map[string]any {
+	flat := map[string]any{}
+	flatten(flat, settingPath{}, settings)
+	return flat
+}
+
+// settingPath is where a value stands in the settings: the keys and indexes that lead to it, and the same with listIndex for each
+// index.
+type settingPath struct{ parts, pattern []string }
+
+func (p settingPath) child(part, pattern string) settingPath {
+	return settingPath{
+		parts:   append(p.parts[:len(p.parts):len(p.parts)], part),
+		pattern: append(p.pattern[:len(p.pattern):len(p.pattern)], pattern),
+	}
+}
+
+// name returns the name of the setting in package choice, or its path.
+func (p settingPath) name() string {
+	pattern := strings.Join(p.pattern, ".")
+	if pattern == "Profiles" {
+		return "method"
+	}
+	name, ok := settingNames[pattern]
+	if !ok {
+		return strings.Join(p.parts, ".")
+	}
+	for i, part := range p.pattern {
+		if part == listIndex {
+			name = strings.Replace(name, listIndex, p.parts[i], 1)
+		}
+	}
+	return name
+}
+
+func flatten(flat map[string]any, path settingPath, value any) {
+	switch value := value.(type) {
+	case map[string]any:
+		for key, member := range value {
+			flatten(flat, path.child(key, key), member)
+		}
+	case []any:
+		flat[path.name()+".n"] = float64(len(value))
+		for i, item := range value {
+			flatten(flat, path.child(strconv.Itoa(i), listIndex), item)
+		}
+	case float64:
+		if strings.HasSuffix(path.parts[len(path.parts)-1], "Ms") {
+			value /= millisecondsPerSecond
+		}
+		flat[path.name()] = value
+	case string:
+		name := path.name()
+		if translated, ok := settingValues[name[strings.LastIndex(name, ".")+1:]][value]; ok {
+			value = translated
+		}
+		flat[name] = value
+	default:
+		flat[path.name()] = value
+	}
+}
