--- a/internal/bootstrap/document.go
+++ b/internal/bootstrap/document.go
@@ -5,10 +5,7 @@
 	"strings"
 )
 
-// Document is docs/settings.md: it is written from the keywords themselves, so that it can't say other than they do.
-func Document() string {
-	var b strings.Builder
-	b.WriteString(`# Settings
+const documentIntroduction = `# Settings
 
 Written by ` + "`gingerfork settings`" + ` from the keywords themselves; a test holds this page against them.
 
@@ -24,34 +21,53 @@
 | SHARE | a percentage such as ` + "`30%`" + `, or 0 to 1 |
 | NUMBER, WHOLE | a number of 0 or above; a whole one |
 | NAME, HOST:PORT, PATH | a word; an address; a path, relative to the file |
-`)
-	for _, s := range Sections {
-		fmt.Fprintf(&b, "\n## %s\n\n%s\n\n| keyword | syntax | range | default | meaning | example |\n| --- | --- | --- | --- | --- | --- |\n",
-			strings.TrimSpace(s.Name+" "+s.Arg), s.Doc)
-		for _, k := range Keywords {
-			if k.Section != s.Name {
-				continue
-			}
-			syntax := k.Syntax.String()
-			if k.Choices != nil {
-				syntax = strings.Join(k.Choices, `\|`)
-			}
-			span := ""
-			switch {
-			case k.Max > 0:
-				span = fmt.Sprintf("%v to %v", k.Min, k.Max)
-			case k.Min > 0:
-				span = fmt.Sprintf("%v and above", k.Min)
-			}
-			if span != "" && k.Syntax == duration {
-				span += " seconds"
-			}
-			def := k.Default
-			if def == need {
-				def = "must be given"
+`
+
+const tableHead = "| keyword | syntax | range | default | meaning | example |\n| --- | --- | --- | --- | --- | --- |\n"
+
+// Document returns docs/settings.md. It is written from the keywords themselves, so that the two can't differ.
+func Document() string {
+	var page strings.Builder
+	page.WriteString(documentIntroduction)
+	for _, section := range sections {
+		title := strings.TrimSpace(section.Name + " " + section.Arg)
+		fmt.Fprintf(&page, "\n## %s\n\n%s\n\n%s", title, section.Doc, tableHead)
+		for i := range keywords {
+			if keywords[i].Section == section.Name {
+				page.WriteString(keywords[i].tableRow())
 			}
-			fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | `%s` |\n", k.Name, strings.ReplaceAll(syntax, "on|off", `on\|off`), span, def, k.Doc, k.Example)
 		}
 	}
-	return b.String()
+	return page.String()
+}
+
+func (k *keyword) tableRow() string {
+	preset := k.Default
+	if preset == required {
+		preset = "must be given"
+	}
+	return fmt.Sprintf("| `%s` | %s | %s | %s | %s | `%s` |\n", k.Name, k.syntaxText(), k.rangeText(), preset, k.Doc, k.Example)
+}
+
+// syntaxText returns the keyword's syntax with the bars escaped that would end a cell of the table.
+func (k *keyword) syntaxText() string {
+	if k.Choices != nil {
+		return strings.Join(k.Choices, `\|`)
+	}
+	return strings.ReplaceAll(k.Syntax.String(), "|", `\|`)
+}
+
+// rangeText returns the allowed values of a number, or "".
+func (k *keyword) rangeText() string {
+	allowed := ""
+	switch {
+	case k.Max > 0:
+		allowed = fmt.Sprintf("%v to %v", k.Min, k.Max)
+	case k.Min > 0:
+		allowed = fmt.Sprintf("%v and above", k.Min)
+	}
+	if allowed != "" && k.Syntax == durationSyntax {
+		allowed += " seconds"
+	}
+	return allowed
 }
--- /dev/null
+++ b/internal/bootstrap/faults.go
@@ -0,0 +1,58 @@
+// Package bootstrap reads gingerfork's line-based files: the settings of a coordinator, and with its lexer other files in the
+// same form, such as scenarios. docs/settings.md describes the form for operators. All faults of a file are reported in one
+// run, each with file and line, what is wrong and what was expected.
+package bootstrap
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// Fault is one thing that is wrong with a file.
+type Fault struct {
+	File    string
+	Line    int // from 1
+	Message string
+}
+
+func (f Fault) String() string { return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Message) }
+
+// Error returns the same as String.
+func (f Fault) Error() string { return f.String() }
+
+// Faults are all things that are wrong. As an error they have a line of text each.
+type Faults []Fault
+
+func (f Faults) Error() string {
+	texts := make([]string, 0, len(f))
+	for _, fault := range f {
+		texts = append(texts, fault.String())
+	}
+	return strings.Join(texts, "\n")
+}
+
+// Unwrap returns each Fault, so that errors.As finds the first one.
+func (f Faults) Unwrap() []error {
+	faults := make([]error, 0, len(f))
+	for _, fault := range f {
+		faults = append(faults, fault)
+	}
+	return faults
+}
+
+// Err returns the faults as an error, which is nil where there is none.
+func (f Faults) Err() error {
+	if len(f) == 0 {
+		return nil
+	}
+	return f
+}
+
+// Sort sorts the faults by file and line, so that a report does not depend on the order of the checks.
+func (f Faults) Sort() {
+	slices.SortStableFunc(f, func(a, b Fault) int {
+		return cmp.Or(cmp.Compare(a.File, b.File), cmp.Compare(a.Line, b.Line))
+	})
+}
