--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -1,33 +1,34 @@
 package trace
 
 import (
+	"errors"
 	"strings"
 	"testing"
 )
 
-func TestLinesComeBack(t *testing.T) {
+func TestRecordsRoundTrip(t *testing.T) {
 	all := []Record{
 		{Time: 1.5, Kind: ProxyJoined, Party: "f0", Coordinator: "c0", Zone: "a"},
 		{Time: 2, Kind: PushSent, Party: "f0", Nonce: 65535, Count: 3, Text: `bind 0 3 1:1; "x"`},
 		{Time: 1e6, Kind: EffectExecuted, Backend: 1<<32 - 1, RPCID: 1<<64 - 1, Method: 2},
 		{Time: 3, Kind: LoadOffered, Value: 0.25, Backend: 4, Count: -1},
 	}
-	var b []byte
-	for _, r := range all {
-		b = r.Append(b)
+	var lines []byte
+	for _, record := range all {
+		lines = record.Append(lines)
 	}
-	got, err := Read(strings.NewReader(string(b)))
+	got, err := Read(strings.NewReader(string(lines)))
 	if err != nil || len(got) != len(all) {
 		t.Fatal(got, err)
 	}
 	for i := range all {
 		if got[i] != all[i] {
-			t.Errorf("%+v came back as %+v", all[i], got[i])
+			t.Errorf("%+v was read back as %+v", all[i], got[i])
 		}
 	}
 }
 
-func TestBadLinesAreNamed(t *testing.T) {
+func TestMalformedLines(t *testing.T) {
 	for line, want := range map[string]string{"x join": "time", "1 join wo=3": `unknown field "wo"`, "1 join ep=x": "field ep", `1 join text="x`: "field text"} {
 		_, err := Read(strings.NewReader("1.0 leave who=f0\n" + line + "\n"))
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "line 2") {
@@ -35,3 +36,21 @@
 		}
 	}
 }
+
+func TestUnknownField(t *testing.T) {
+	if _, err := Parse("1 join wo=3"); !errors.Is(err, ErrUnknownField) {
+		t.Errorf("got %v", err)
+	}
+}
+
+// A line holds each field under the key that stored traces have.
+func TestLineFormat(t *testing.T) {
+	record := Record{
+		Time: 1.5, Kind: AttemptSent, Party: "f0", Coordinator: "c0", Zone: "a", Backend: 3, RPCID: 4, Method: 5, Nonce: 6, Count: 7,
+		Value: .25, Text: `a "b"`,
+	}
+	const want = `1.500000 try who=f0 of=c0 zone=a ep=3 rpc=4 method=5 mark=6 n=7 x=0.25 text="a \"b\""` + "\n"
+	if got := string(record.Append(nil)); got != want {
+		t.Errorf("got  %swant %s", got, want)
+	}
+}
