--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,77 +1,93 @@
-// Package queue is what is due, earliest first: events of the virtual world, timers of a stand-in. What is due at one moment
-// comes in the order in which it was put in, so that a day is the same each time however many fall together.
+// Package eventqueue is a priority queue of what is due at a time: the events of a simulation, or the timers of a process. What is
+// due at the same time leaves the queue in the order in which it was added, so that runs are reproducible.
 package eventqueue
 
-// Queue is a heap of four children a node: half as deep as one of two, and with items side by side, which is what counts
-// with a hundred thousand timers. Its zero value is empty.
+// arity is the number of children of a heap's node. With four, the heap is half as deep as with two, and the children that are
+// compared lie side by side in memory, which counts with a hundred thousand timers.
+const arity = 4
+
+// Queue is a heap of values by the times at which they are due. Its zero value is empty.
 type Queue[T any] struct {
-	all   []item[T]
-	count uint64
+	heap  []item[T]
+	added uint64 // how many values were ever added
 }
 
 type item[T any] struct {
-	at float64
-	n  uint64
-	x  T
+	at     float64
+	number uint64 // orders items that are due at the same time
+	value  T
 }
 
-func (a *item[T]) before(b *item[T]) bool { return a.at < b.at || a.at == b.at && a.n < b.n }
+func (i *item[T]) before(other *item[T]) bool {
+	return i.at < other.at || i.at == other.at && i.number < other.number
+}
 
-// Len is how many are in it.
-func (q *Queue[T]) Len() int { return len(q.all) }
+// Len returns how many values are queued.
+func (q *Queue[T]) Len() int { return len(q.heap) }
 
-// Put adds what is due at a time.
-func (q *Queue[T]) Push(at float64, x T) {
-	q.count++
-	q.all = append(q.all, item[T]{at, q.count, x})
-	i := len(q.all) - 1
-	added := q.all[i]
-	for i > 0 {
-		up := (i - 1) / 4
-		if !added.before(&q.all[up]) {
+// Push adds a value that is due at a time.
+func (q *Queue[T]) Push(at float64, value T) {
+	q.added++
+	pushed := item[T]{at: at, number: q.added, value: value}
+	q.heap = append(q.heap, pushed)
+	position := len(q.heap) - 1
+	for position > 0 {
+		parent := (position - 1) / arity
+		if !pushed.before(&q.heap[parent]) {
 			break
 		}
-		q.all[i] = q.all[up]
-		i = up
+		q.heap[position] = q.heap[parent]
+		position = parent
 	}
-	q.all[i] = added
+	q.heap[position] = pushed
 }
 
-// Next is when the first is due; false if there is none.
+// NextTime returns when the first value is due; false if the queue is empty.
 func (q *Queue[T]) NextTime() (at float64, ok bool) {
-	if len(q.all) == 0 {
+	if len(q.heap) == 0 {
 		return 0, false
 	}
-	return q.all[0].at, true
+	return q.heap[0].at, true
 }
 
-// Take takes the first out; there must be one.
+// Pop removes the first value and returns it. The queue must not be empty.
 func (q *Queue[T]) Pop() T {
-	first := q.all[0].x
-	end := len(q.all) - 1
-	last := q.all[end]
-	q.all[end] = item[T]{} // holds on to nothing
-	q.all = q.all[:end]
-	i := 0
-	for end > 0 {
-		down := 4*i + 1
-		if down >= end {
-			break
-		}
-		least := down
-		for c := down + 1; c < min(down+4, end); c++ {
-			if q.all[c].before(&q.all[least]) {
-				least = c
-			}
-		}
-		if !q.all[least].before(&last) {
+	first := q.heap[0].value
+	end := len(q.heap) - 1
+	last := q.heap[end]
+	q.heap[end] = item[T]{} // so that the garbage collector can free what the value refers to
+	q.heap = q.heap[:end]
+	if end > 0 {
+		q.siftDown(last)
+	}
+	return first
+}
+
+// siftDown puts an item into the vacant root and moves it down to its place.
+func (q *Queue[T]) siftDown(moved item[T]) {
+	position := 0
+	for {
+		child, ok := q.firstChild(position)
+		if !ok || !q.heap[child].before(&moved) {
 			break
 		}
-		q.all[i] = q.all[least]
-		i = least
+		q.heap[position] = q.heap[child]
+		position = child
 	}
-	if end > 0 {
-		q.all[i] = last
+	q.heap[position] = moved
+}
+
+// firstChild returns the position of the child that is due first; false if there is no child.
+func (q *Queue[T]) firstChild(parent int) (position int, ok bool) {
+	start := arity*parent + 1
+	if start >= len(q.heap) {
+		return 0, false
 	}
-	return first
+	position = start
+	for sibling := start + 1; sibling < min(start+arity, len(q.heap)); sibling++ {
+		if q.heap[sibling].before(&q.heap[position]) {
+			position = sibling
+		}
+	}
+	return position, true
 }
--- a/internal/eventqueue/eventqueue_test.go
+++ b/internal/eventqueue/eventqueue_test.go
@@ -8,49 +8,50 @@
 	"pgregory.net/rapid"
 )
 
-// Puts and takes at random, against a list that is sorted stably.
+// Random pushes and pops give what a stably sorted list gives.
 func TestOrder(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		type due struct {
-			at float64
-			n  int
-		}
-		var q Queue[int]
-		var model []due
-		for i := range rapid.IntRange(1, 200).Draw(t, "steps") {
-			if rapid.IntRange(0, 2).Draw(t, "take") == 0 && len(model) > 0 {
-				at, ok := q.NextTime()
-				if got := q.Pop(); !ok || got != model[0].n || at != model[0].at {
-					t.Fatalf("%d at %g, %v wanted", got, at, model[0])
+	type entry struct {
+		at    float64
+		value int
+	}
+	rapid.Check(t, func(trial *rapid.T) {
+		var queue Queue[int]
+		var model []entry
+		for value := range rapid.IntRange(1, 200).Draw(trial, "steps") {
+			if rapid.IntRange(0, 2).Draw(trial, "pop") == 0 && len(model) > 0 {
+				at, ok := queue.NextTime()
+				if got := queue.Pop(); !ok || got != model[0].value || at != model[0].at {
+					trial.Fatalf("%d at %g, %v wanted", got, at, model[0])
 				}
 				model = model[1:]
 				continue
 			}
-			at := float64(rapid.IntRange(0, 5).Draw(t, "at")) // many at one moment
-			q.Push(at, i)
-			model = append(model, due{at, i})
-			slices.SortStableFunc(model, func(a, b due) int { return cmp.Compare(a.at, b.at) })
+			at := float64(rapid.IntRange(0, 5).Draw(trial, "at")) // few times, so that many values are due at the same one
+			queue.Push(at, value)
+			model = append(model, entry{at, value})
+			slices.SortStableFunc(model, func(a, b entry) int { return cmp.Compare(a.at, b.at) })
 		}
 		for _, want := range model {
-			if got := q.Pop(); got != want.n {
-				t.Fatalf("%d, %v wanted", got, want)
+			if got := queue.Pop(); got != want.value {
+				trial.Fatalf("%d, %v wanted", got, want)
 			}
 		}
-		if _, ok := q.NextTime(); ok || q.Len() != 0 {
-			t.Fatal("something is left")
+		if _, ok := queue.NextTime(); ok || queue.Len() != 0 {
+			trial.Fatal("something is left")
 		}
 	})
 }
 
-// Ten thousand at one instant come in the order in which they were put in.
-func TestOneInstant(t *testing.T) {
-	var q Queue[int]
-	for i := range 10000 {
-		q.Push(1, i)
+// Ten thousand values that are due at the same time leave the queue in the order in which they were added.
+func TestSameTime(t *testing.T) {
+	const count = 10000
+	var queue Queue[int]
+	for value := range count {
+		queue.Push(1, value)
 	}
-	for i := range 10000 {
-		if got := q.Pop(); got != i {
-			t.Fatalf("%d came as the %dth", got, i)
+	for want := range count {
+		if got := queue.Pop(); got != want {
+			t.Fatalf("got %d, want %d", got, want)
 		}
 	}
 }
