--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -29,15 +29,13 @@
 }
 
 func values(more map[string]any) map[string]any {
-	v := map[string]any{
-		"listing": "asked", "ask_within": 10.0, "cold_share": 0.2, "warm_after": 12.0, "drain_grace": 2.0,
+	v := map[string]any{"listing": "asked", "ask_within": 10.0, "cold_share": 0.2, "warm_after": 12.0, "drain_grace": 2.0,
 		"fall_multiple": 3.0, "channel_room": 6000.0, "channel_pace": 4000.0, "message_lines": 10.0, "messages": 20.0,
 		"messages_span": 10.0, "push_time": 0.2, "push_time_worst": 0.4, "proxies": 6.0, "level_kind": "share",
 		"report_period": 1.0, "probes": true, "try_wait": 0.8, "zones.n": 2.0, "zones.0": "a", "zones.1": "b",
 		"method.n": 3.0, "method.0.soft_deadline": 1.0, "method.0.criticality": 1.0, "method.0.effect": "idempotent",
 		"method.1.effect": "non-idempotent", "method.1.soft_deadline": 1.0, "method.1.criticality": 2.0,
-		"method.2.effect": "tokened", "method.2.group": "all", "method.2.window": 5.0, "method.2.soft_deadline": 1.0,
-	}
+		"method.2.effect": "tokened", "method.2.group": "all", "method.2.window": 5.0, "method.2.soft_deadline": 1.0}
 	for k, x := range more {
 		v[k] = x
 	}
@@ -45,12 +43,10 @@
 }
 
 func newWorld(t *testing.T, more map[string]any) *world {
-	return &world{
-		t: t, c: New(Config{Seed: 7, Now: 100, Settings: DecodeSettings(values(more))}), now: 100, shut: map[BackendID]bool{},
+	return &world{t: t, c: New(Config{Seed: 7, Now: 100, Settings: DecodeSettings(values(more))}), now: 100, shut: map[BackendID]bool{},
 		tables: map[TableID]map[BackendID]float64{}, bound: map[ProxyID][]TableID{}, open: map[BackendID]Endpoint{}, told: map[BackendID]BackendState{},
 		joined: map[ProxyID]bool{}, unacked: map[ProxyID][]Nonce{}, sent: map[ProxyID][]Seconds{}, waiting: map[Nonce]int{},
-		zone: map[ProxyID]Zone{}, informed: map[ProxyID]bool{}, since: map[ProxyID]Seconds{},
-	}
+		zone: map[ProxyID]Zone{}, informed: map[ProxyID]bool{}, since: map[ProxyID]Seconds{}}
 }
 
 func (w *world) step(after Seconds, events ...Event) []Command {
@@ -823,10 +819,8 @@
 			if r.Intn(3) == 0 {
 				start = w.now
 			}
-			all = append(all, EndpointUpdate{
-				Kind:      UpdateDelta,
-				Endpoints: []Endpoint{{Backend: id, State: states[r.Intn(5)], StartedAt: start, Zone: zone, Weight: 1 + r.Float64()}},
-			})
+			all = append(all, EndpointUpdate{Kind: UpdateDelta,
+				Endpoints: []Endpoint{{Backend: id, State: states[r.Intn(5)], StartedAt: start, Zone: zone, Weight: 1 + r.Float64()}}})
 		case 3:
 			if r.Intn(12) == 0 {
 				all = append(all, full(r.Intn(12), 0))
--- a/compare/compare_test.go
+++ b/compare/compare_test.go
@@ -71,7 +71,7 @@
 	clock := eventloop.NewClock()
 	var all []fake.Listing
 	for i := range servers {
-		all = append(all, fake.Listing{EP: proto.EP(i + 1), State: proto.ServerOpen, Zone: "a", Weight: 1, Stamp: 1, Addr: "127.0.0.1:1"})
+		all = append(all, fake.Listing{EP: proto.BackendID(i + 1), State: proto.BackendOpen, Zone: "a", Weight: 1, Stamp: 1, Addr: "127.0.0.1:1"})
 	}
 	must := func(l *eventloop.Loop, err error) *eventloop.Loop {
 		if err != nil {
@@ -103,7 +103,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		for _, r := range records {
-			if r.Kind != trace.Apply {
+			if r.Kind != trace.PushApplied {
 				continue
 			}
 			for _, op := range strings.Split(r.Text, ";") {
@@ -119,14 +119,14 @@
 						if held[uint32(ep)] == nil {
 							held[uint32(ep)] = map[string]bool{}
 						}
-						held[uint32(ep)][r.Who] = !strings.HasPrefix(weight, "0") || weight != "0"
+						held[uint32(ep)][r.Party] = !strings.HasPrefix(weight, "0") || weight != "0"
 						if weight == "0" || weight == "0!" {
-							delete(held[uint32(ep)], r.Who)
+							delete(held[uint32(ep)], r.Party)
 						}
 					}
 				}
 			}
-			joined[r.Who] = true
+			joined[r.Party] = true
 		}
 	}}))
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
--- a/internal/checkpoint/keep_test.go
+++ b/internal/checkpoint/keep_test.go
@@ -43,10 +43,8 @@
 					if rapid.IntRange(0, 3).Draw(t, "gone") == 0 {
 						k.Listed(now, version, nil, []choice.BackendID{ep})
 					} else {
-						k.Listed(now, version, []Server{{Entry: choice.Endpoint{
-							Backend: ep, Kind: "a b", Zone: "z\"", Weight: 1.5, StartedAt: now,
-							State: choice.BackendState(rapid.IntRange(0, 1).Draw(t, "state")),
-						}, Stamp: version, Addr: "h:1"}}, nil)
+						k.Listed(now, version, []Server{{Entry: choice.Endpoint{Backend: ep, Kind: "a b", Zone: "z\"", Weight: 1.5, StartedAt: now,
+							State: choice.BackendState(rapid.IntRange(0, 1).Draw(t, "state"))}, Stamp: version, Addr: "h:1"}}, nil)
 					}
 				case "mark":
 					if !k.Open(now) {
@@ -138,10 +136,8 @@
 		}
 	}
 	got, err := Read(maps.All(records))
-	want := &Kept{
-		Held: true, Version: 9, Servers: map[choice.BackendID]Server{3: s}, Drains: map[choice.BackendID]Drain{3: {51.25, 1 << 63, false}, 4: {51.25, 0, true}},
-		Proxies: map[string]Proxy{"f 0": {5, 7}}, Marks: 1 + marksAtOnce, Settings: "a\nb",
-	}
+	want := &Kept{Held: true, Version: 9, Servers: map[choice.BackendID]Server{3: s}, Drains: map[choice.BackendID]Drain{3: {51.25, 1 << 63, false}, 4: {51.25, 0, true}},
+		Proxies: map[string]Proxy{"f 0": {5, 7}}, Marks: 1 + marksAtOnce, Settings: "a\nb"}
 	if diff := cmp.Diff(want, got); err != nil || diff != "" {
 		t.Fatal(err, diff)
 	}
--- a/internal/platform/belief_test.go
+++ b/internal/platform/belief_test.go
@@ -21,10 +21,8 @@
 	}
 	values := settings(3, 1)
 	values["report_period"] = period
-	m, err := New(Bootstrap{
-		Discovery: "d", Known: []byte(strings.TrimSuffix(known, ",") + "]}"), Module: choice.Config{Now: 1000, Settings: choice.DecodeSettings(values)},
-		MostConns: 50, MostProbes: 4, MostAnswer: 1 << 16, Handshake: 1,
-	})
+	m, err := New(Bootstrap{Discovery: "d", Known: []byte(strings.TrimSuffix(known, ",") + "]}"), Module: choice.Config{Now: 1000, Settings: choice.DecodeSettings(values)},
+		MostConns: 50, MostProbes: 4, MostAnswer: 1 << 16, Handshake: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/noise_test.go
+++ b/internal/platform/noise_test.go
@@ -19,11 +19,9 @@
 	var s string
 	switch kind {
 	case 0:
-		s = []string{
-			"hb\r\n", "attach proxy=%s zone=%s weight=%s fresh=%s\r\n", "telemetry zone=%s\r\n", "done proxy=%s mark=%s took_ms=%s\r\n",
+		s = []string{"hb\r\n", "attach proxy=%s zone=%s weight=%s fresh=%s\r\n", "telemetry zone=%s\r\n", "done proxy=%s mark=%s took_ms=%s\r\n",
 			"client_stats proxy=%s class=%s tries=%s failed=%s span_ms=%s\r\n", "upstream_stats zone=%s server=%s tries=%s failed=%s mean_ms=%s span_ms=%s load=%s\r\n",
-			"attach proxy=3 zone=a weight=1 fresh=%s\r\n", "telemetry zone=a\r\n", "%s%s%s", "GET /%s HTTP/1.1\r\n\r\n",
-		}[dice.IntN(10)]
+			"attach proxy=3 zone=a weight=1 fresh=%s\r\n", "telemetry zone=a\r\n", "%s%s%s", "GET /%s HTTP/1.1\r\n\r\n"}[dice.IntN(10)]
 	case 1:
 		host := `{"host":"s-%s","dial":"x:%s","site":"%s","class":"m","block":1,"health":"` + []string{"active", "leaving", "left", "%s"}[dice.IntN(4)] + `","share":%s,"born_ms":%s}`
 		body := `{"seq":` + fmt.Sprint(dice.IntN(60)) + `,"whole":` + []string{"true", "false", "%s"}[dice.IntN(3)] + `,"hosts":[` + strings.Repeat(host+",", dice.IntN(4)) + host + `]}`
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -110,10 +110,8 @@
 
 // New makes a coordinator. A list that was held and can't be read is an error; the coordinator is usable without it.
 func New(boot Bootstrap) (*Machine, error) {
-	m := &Machine{
-		boot: boot, roll: newRoll(), sessions: map[statemachine.Conn]*session{}, dialled: statemachine.Dialed, lost: map[string]int{},
-		ill: map[choice.BackendID]string{},
-	}
+	m := &Machine{boot: boot, roll: newRoll(), sessions: map[statemachine.Conn]*session{}, dialled: statemachine.Dialed, lost: map[string]int{},
+		ill: map[choice.BackendID]string{}}
 	m.list = caller{m: m, addr: boot.Discovery, answer: answer{most: boot.MostAnswer}}
 	m.probes = prober{m: m}
 	m.settle()
@@ -570,10 +568,8 @@
 			return spoilt("tries", "zone %.32q or server %.32q does not exist", x.Zone, x.Server)
 		}
 		if x.Tries > 0 {
-			m.events = append(m.events, choice.AttemptReport{
-				Backend: ep, Zone: choice.Zone(x.Zone), Attempts: x.Tries, Failures: x.Bad, MeanLatency: x.Delay,
-				Span: x.Over, Load: m.columns(x.Load),
-			})
+			m.events = append(m.events, choice.AttemptReport{Backend: ep, Zone: choice.Zone(x.Zone), Attempts: x.Tries, Failures: x.Bad, MeanLatency: x.Delay,
+				Span: x.Over, Load: m.columns(x.Load)})
 		}
 		return nil
 	}
--- a/internal/platform/rare_test.go
+++ b/internal/platform/rare_test.go
@@ -121,10 +121,8 @@
 		change(values)
 	}
 	clock := eventloop.NewClock()
-	m, err := New(Bootstrap{
-		Name: "c0", Discovery: x.disco.addr(), Module: choice.Config{Seed: 1, Now: clock.Now(), Settings: choice.DecodeSettings(values)},
-		MostConns: 64, MostProbes: 4, MostAnswer: 1 << 20, Handshake: 30,
-	})
+	m, err := New(Bootstrap{Name: "c0", Discovery: x.disco.addr(), Module: choice.Config{Seed: 1, Now: clock.Now(), Settings: choice.DecodeSettings(values)},
+		MostConns: 64, MostProbes: 4, MostAnswer: 1 << 20, Handshake: 30})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -316,10 +314,8 @@
 	if change != nil {
 		change(values)
 	}
-	m, err := New(Bootstrap{
-		Name: "c0", Discovery: "here:1", Module: choice.Config{Seed: 1, Now: 100, Settings: choice.DecodeSettings(values)},
-		MostConns: 64, MostProbes: 4, MostAnswer: 1 << 20, Handshake: 1,
-	})
+	m, err := New(Bootstrap{Name: "c0", Discovery: "here:1", Module: choice.Config{Seed: 1, Now: 100, Settings: choice.DecodeSettings(values)},
+		MostConns: 64, MostProbes: 4, MostAnswer: 1 << 20, Handshake: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/start.go
+++ b/internal/platform/start.go
@@ -57,10 +57,8 @@
 		}
 		return env(variable)
 	}
-	s := &Start{
-		Name: either(doc.Name, envName), Listen: either(doc.Listen, envListen), Discovery: either(doc.Discovery, envDiscovery),
-		Cores: doc.Limits.Cores, Memory: int64(doc.Limits.Memory * (1 << 20)), Sockets: int(doc.Limits.Sockets), Known: doc.Known,
-	}
+	s := &Start{Name: either(doc.Name, envName), Listen: either(doc.Listen, envListen), Discovery: either(doc.Discovery, envDiscovery),
+		Cores: doc.Limits.Cores, Memory: int64(doc.Limits.Memory * (1 << 20)), Sockets: int(doc.Limits.Sockets), Known: doc.Known}
 	switch {
 	case s.Listen == "":
 		return nil, errors.New("no address to listen on: neither the configuration nor " + envListen + " has one")
@@ -120,10 +118,8 @@
 
 // Bootstrap is what the machine is started with.
 func (s *Start) Bootstrap(now statemachine.Seconds) Bootstrap {
-	b := Bootstrap{
-		Name: s.Name, Discovery: s.Discovery, Module: choice.Config{Seed: s.Seed, Now: now, Settings: choice.DecodeSettings(s.Values)}, Known: s.Known,
-		MostConns: math.MaxInt, MostProbes: 8, MostAnswer: 8 << 20, Handshake: 1,
-	}
+	b := Bootstrap{Name: s.Name, Discovery: s.Discovery, Module: choice.Config{Seed: s.Seed, Now: now, Settings: choice.DecodeSettings(s.Values)}, Known: s.Known,
+		MostConns: math.MaxInt, MostProbes: 8, MostAnswer: 8 << 20, Handshake: 1}
 	if s.Sockets > 0 {
 		b.MostConns = s.Sockets - ownFiles - slack
 		b.MostProbes = max(1, min(b.MostProbes, b.MostConns/16))
--- a/internal/platform/wire/line.go
+++ b/internal/platform/wire/line.go
@@ -192,10 +192,8 @@
 	case kindAnswer:
 		m = Answer{w.whole("proxy", mostProxy), w.whole("mark", mostProxy), w.num("took_ms", mostTime) / 1000}
 	case kindTries:
-		m = Tries{
-			w.zone(), w.text("server"), w.whole("tries", mostFigure), w.whole("failed", mostFigure),
-			w.num("mean_ms", mostTime) / 1000, w.span(), w.load(),
-		}
+		m = Tries{w.zone(), w.text("server"), w.whole("tries", mostFigure), w.whole("failed", mostFigure),
+			w.num("mean_ms", mostTime) / 1000, w.span(), w.load()}
 		if t := m.(Tries); t.Bad > t.Tries {
 			w.fail("failed is more than tries")
 		}
--- a/internal/platform/wire/line_test.go
+++ b/internal/platform/wire/line_test.go
@@ -16,15 +16,9 @@
 	"attach proxy=17 zone=a weight=21.5 fresh=1\r\ndone proxy=17 mark=905 took_ms=310.5\r\nclient_stats proxy=17 class=lookup tries=19 failed=0 span_ms=1000\r\n" +
 	"client_stats proxy=17 class=lookup tries=2 failed=5 span_ms=1000\r\n"
 
-var soundly = []Message{
-	Beat{},
-	Collector{"a"},
-	Tries{"a", "s-1", 212, 3, 0.0417, 1, map[string]float64{"inflight": 7, "util": 0.61}},
-	Join{17, "a", 21.5, true},
-	Answer{17, 905, 0.3105},
-	Usage{17, "lookup", 19, 0, 1},
-	Usage{17, "lookup", 2, 5, 1},
-}
+var soundly = []Message{Beat{}, Collector{"a"}, Tries{"a", "s-1", 212, 3, 0.0417, 1, map[string]float64{"inflight": 7, "util": 0.61}},
+	Join{17, "a", 21.5, true}, Answer{17, 905, 0.3105}, Usage{17, "lookup", 19, 0, 1},
+	Usage{17, "lookup", 2, 5, 1}}
 
 func all(r *Reader) (got []Message, spoilt int, err error) {
 	for {
@@ -62,14 +56,12 @@
 
 // A spoilt message is lost alone, what stands beside it counts.
 func TestSpoiltAlone(t *testing.T) {
-	for _, bad := range []string{
-		"attach proxy=17 zone=a weight=21.5", "attach proxy=-1 zone=a weight=1 fresh=1", "attach proxy=1.5 zone=a weight=1 fresh=1",
+	for _, bad := range []string{"attach proxy=17 zone=a weight=21.5", "attach proxy=-1 zone=a weight=1 fresh=1", "attach proxy=1.5 zone=a weight=1 fresh=1",
 		"attach proxy=1 zone=a weight=NaN fresh=1", "attach proxy=1 zone=a weight=1 fresh=yes", "attach proxy=1 weight=1 fresh=1", "attach proxy=1 zone weight=1 fresh=1", "done proxy=1 mark=70000 took_ms=1",
 		"done proxy=1 mark=x took_ms=1", "done proxy=1 mark=1 took_ms=-3", "done proxy=1 mark=1 took_ms=Inf", "done proxy=1 mark=1 mark=2 took_ms=1",
 		"upstream_stats zone=a server=s-1 tries=2 failed=3 mean_ms=1 span_ms=1", "upstream_stats zone=a server=s-1 tries=2 failed=1 mean_ms=1 span_ms=0",
 		"upstream_stats zone=a server=s-1 tries=2 failed=1 mean_ms=1 span_ms=1 load=x", "client_stats proxy=1 class=a tries=1e300 failed=0 span_ms=1",
-		"client_stats proxy=1 class=a tries failed=0 span_ms=1", "client_stats proxy=1 class=a failed=0 span_ms=1", "telemetry",
-	} {
+		"client_stats proxy=1 class=a tries failed=0 span_ms=1", "client_stats proxy=1 class=a failed=0 span_ms=1", "telemetry"} {
 		r := &Reader{}
 		r.Feed([]byte("hb\r\n" + bad + "\r\nhb\r\n"))
 		got, spoilt, err := all(r)
@@ -81,10 +73,8 @@
 
 // What can't be read ends the connection, with or without a line's end.
 func TestUnreadable(t *testing.T) {
-	for _, bad := range []string{
-		"GET / HTTP/1.1\r\n", "\x16\x03\x01", "zzz", "hb\n", "\r\n", "assign classes=a level=1 retry=1\r\n", "hb\x00\r\n", "telemetryx",
-		"hb" + strings.Repeat(" ", 300), "attach " + strings.Repeat("x", 300) + "\r\n",
-	} {
+	for _, bad := range []string{"GET / HTTP/1.1\r\n", "\x16\x03\x01", "zzz", "hb\n", "\r\n", "assign classes=a level=1 retry=1\r\n", "hb\x00\r\n", "telemetryx",
+		"hb" + strings.Repeat(" ", 300), "attach " + strings.Repeat("x", 300) + "\r\n"} {
 		r := &Reader{Most: 256}
 		r.Feed([]byte(bad))
 		if _, _, err := all(r); err == nil {
