--- a/internal/coordinator/bench_test.go
+++ b/internal/coordinator/bench_test.go
@@ -12,10 +12,8 @@
 // fleet is a core with so many servers and joined proxies, all of whose pushes were answered.
 func fleet(b testing.TB, servers, proxies int) (c *Core, now float64, version uint64) {
 	now = 1000
-	c = New(choice.Config{Now: now, Settings: choice.DecodeSettings(values(map[string]any{
-		"proxies": float64(proxies), "channel_room": 1e9, "channel_pace": 1e9,
-		"messages": 0.0, "tick": 0.0, "probes": false,
-	}))}, nil)
+	c = New(choice.Config{Now: now, Settings: choice.DecodeSettings(values(map[string]any{"proxies": float64(proxies), "channel_room": 1e9, "channel_pace": 1e9,
+		"messages": 0.0, "tick": 0.0, "probes": false}))}, nil)
 	l := proto.EndpointUpdate{Kind: proto.UpdateFull, Version: 1}
 	for i := range servers {
 		l.Endpoints = append(l.Endpoints, entry(i+1, proto.BackendOpen))
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -14,14 +14,12 @@
 )
 
 func values(more map[string]any) map[string]any {
-	v := map[string]any{
-		"listing": "asked", "ask_within": 10.0, "cold_share": 0.3, "warm_after": 10.0, "drain_grace": 2.0, "fall_multiple": 2.5,
+	v := map[string]any{"listing": "asked", "ask_within": 10.0, "cold_share": 0.3, "warm_after": 10.0, "drain_grace": 2.0, "fall_multiple": 2.5,
 		"channel_room": 20000.0, "channel_pace": 10000.0, "message_lines": 10.0, "messages": 30.0, "messages_span": 10.0, "push_time": 0.1,
 		"push_time_worst": 0.3, "proxies": 4.0, "level_kind": "share", "report_period": 1.0, "probes": true, "try_wait": 0.8, "tick": 0.004,
 		"zone": "a", "zones.n": 2.0, "zones.0": "a", "zones.1": "b", "method.n": 2.0, "method.0.name": "read", "method.0.effect": "idempotent",
 		"method.0.soft_deadline": 1.0, "method.0.criticality": 1.0, "method.1.name": "submit", "method.1.effect": "non-idempotent",
-		"method.1.soft_deadline": 1.0, "method.1.criticality": 2.0,
-	}
+		"method.1.soft_deadline": 1.0, "method.1.criticality": 2.0}
 	for k, x := range more {
 		v[k] = x
 	}
@@ -47,14 +45,10 @@
 }
 
 func newRig(t *testing.T, more map[string]any, kept *checkpoint.Kept) *rig {
-	r := &rig{
-		t: t, now: 1000, probes: map[statemachine.Conn]string{}, readers: map[statemachine.Conn]*proto.Reader{}, got: map[statemachine.Conn][]proto.Message{},
-		closed: map[statemachine.Conn]bool{}, records: map[string][]byte{},
-	}
-	r.m = NewMachine(Bootstrap{
-		Name: "c0", Zone: "a", ListAddr: "list", Module: choice.Config{Seed: 1, Now: r.now, Settings: choice.DecodeSettings(values(more))}, Handshake: 5,
-		Silence: 10, ListSilence: 5, ProbeTimeout: 1, MostStreams: 1000, MostProbes: 4,
-	}, kept)
+	r := &rig{t: t, now: 1000, probes: map[statemachine.Conn]string{}, readers: map[statemachine.Conn]*proto.Reader{}, got: map[statemachine.Conn][]proto.Message{},
+		closed: map[statemachine.Conn]bool{}, records: map[string][]byte{}}
+	r.m = NewMachine(Bootstrap{Name: "c0", Zone: "a", ListAddr: "list", Module: choice.Config{Seed: 1, Now: r.now, Settings: choice.DecodeSettings(values(more))}, Handshake: 5,
+		Silence: 10, ListSilence: 5, ProbeTimeout: 1, MostStreams: 1000, MostProbes: 4}, kept)
 	return r
 }
 
@@ -142,7 +136,6 @@
 func opened(c statemachine.Conn) statemachine.Input {
 	return statemachine.Input{Kind: statemachine.ConnOpened, Conn: c}
 }
-
 func gone(c statemachine.Conn) statemachine.Input {
 	return statemachine.Input{Kind: statemachine.ConnClosed, Conn: c}
 }
@@ -556,10 +549,8 @@
 	k.due(now)
 	for p := range 20 {
 		s := &stream{proxy: choice.ProxyID(p), zone: "a"}
-		k.heard(now, s, proto.Reports{
-			Span: 2, Usage: []proto.UsageReport{{Method: 0, RPCs: 3, Failures: 1}, {Method: 9, RPCs: 3}},
-			Attempts: []proto.AttemptReport{{Backend: 1, Attempts: 4, Failures: 2, MeanLatency: 0.1}, {Backend: 2, Attempts: 1, MeanLatency: 0.2}},
-		}, all, 2)
+		k.heard(now, s, proto.Reports{Span: 2, Usage: []proto.UsageReport{{Method: 0, RPCs: 3, Failures: 1}, {Method: 9, RPCs: 3}},
+			Attempts: []proto.AttemptReport{{Backend: 1, Attempts: 4, Failures: 2, MeanLatency: 0.1}, {Backend: 2, Attempts: 1, MeanLatency: 0.2}}}, all, 2)
 	}
 	tries, usage, at := 0, 0, []float64{}
 	for range 80 {
--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -191,15 +191,11 @@
 
 // New makes a coordinator that goes on from what its last run kept; nil: nothing is kept.
 func New(boot choice.Config, kept *checkpoint.Kept) *Core {
-	c := &Core{
-		boot: boot, planner: choice.New(boot), methods: len(boot.Settings.Methods), round: boot.Settings.Tick.Or(0),
+	c := &Core{boot: boot, planner: choice.New(boot), methods: len(boot.Settings.Methods), round: boot.Settings.Tick.Or(0),
 		roll: &roll{entries: map[choice.BackendID]*server{}}, keep: checkpoint.New(boot.Now, kept), intake: newIntake(boot), streams: map[StreamID]*stream{},
-		members: map[string]*member{}, book: fanout.New(), alarm: boot.Now,
-	}
-	c.channel = channel{
-		pace: boot.Settings.ChannelPace.Or(1e4), head: int(boot.Settings.MessageLines.Or(0)), burst: c.round,
-		free: boot.Now,
-	}
+		members: map[string]*member{}, book: fanout.New(), alarm: boot.Now}
+	c.channel = channel{pace: boot.Settings.ChannelPace.Or(1e4), head: int(boot.Settings.MessageLines.Or(0)), burst: c.round,
+		free: boot.Now}
 	c.stepped = boot.Now - c.round
 	if kept != nil && kept.Held {
 		c.roll = &roll{version: kept.Version, held: true, entries: map[choice.BackendID]*server{}}
@@ -430,10 +426,8 @@
 }
 
 // opKinds are the protocol's words for what proxies are told.
-var opKinds = map[fanout.OpKind]proto.OpKind{
-	fanout.OpSetEntry: proto.OpSetEntry, fanout.OpClear: proto.OpClear, fanout.OpBind: proto.OpBind,
-	fanout.OpAdmission: proto.OpAdmission, fanout.OpExclude: proto.OpExclude, fanout.OpRestore: proto.OpRestore,
-}
+var opKinds = map[fanout.OpKind]proto.OpKind{fanout.OpSetEntry: proto.OpSetEntry, fanout.OpClear: proto.OpClear, fanout.OpBind: proto.OpBind,
+	fanout.OpAdmission: proto.OpAdmission, fanout.OpExclude: proto.OpExclude, fanout.OpRestore: proto.OpRestore}
 
 // ops puts what a proxy is told into the protocol's form.
 func (c *Core) ops(all []fanout.TableOp) []proto.TableOp {
@@ -522,9 +516,7 @@
 		}
 		c.figures.Messages++
 		c.figures.Lines += m.lines
-		c.out.Sends = append(c.out.Sends, Send{s.id, proto.Push{
-			Sequence: s.sent, QueuedEntries: uint64(max(c.channel.waiting, 0)),
-			HasNonce: m.marked, Nonce: m.wire, Ops: m.ops,
-		}})
+		c.out.Sends = append(c.out.Sends, Send{s.id, proto.Push{Sequence: s.sent, QueuedEntries: uint64(max(c.channel.waiting, 0)),
+			HasNonce: m.marked, Nonce: m.wire, Ops: m.ops}})
 	}
 }
--- a/internal/coordinator/intake.go
+++ b/internal/coordinator/intake.go
@@ -49,10 +49,8 @@
 )
 
 func newIntake(boot choice.Config) *intake {
-	return &intake{
-		rate: boot.Settings.Intake.Or(0), period: boot.Settings.ReportPeriod.Or(1), last: boot.Now,
-		tries: map[tryPair]*sum{}, usage: map[usagePair]*sum{},
-	}
+	return &intake{rate: boot.Settings.Intake.Or(0), period: boot.Settings.ReportPeriod.Or(1), last: boot.Now,
+		tries: map[tryPair]*sum{}, usage: map[usagePair]*sum{}}
 }
 
 func (k *intake) heard(now choice.Seconds, s *stream, m proto.Reports, known func(choice.BackendID) bool, methods int) {
@@ -104,16 +102,12 @@
 		k.credit--
 		if x.usage {
 			delete(k.usage, x.use)
-			events = append(events, choice.UsageReport{
-				Proxy: x.use.proxy, Method: x.use.method, RPCs: x.n,
-				Failures: min(x.bad, x.n), Span: x.to - x.from,
-			})
+			events = append(events, choice.UsageReport{Proxy: x.use.proxy, Method: x.use.method, RPCs: x.n,
+				Failures: min(x.bad, x.n), Span: x.to - x.from})
 		} else {
 			delete(k.tries, x.pair)
-			events = append(events, choice.AttemptReport{
-				Backend: x.pair.ep, Zone: x.pair.zone, Attempts: x.n, Failures: x.bad,
-				MeanLatency: x.delay, Span: x.to - x.from,
-			})
+			events = append(events, choice.AttemptReport{Backend: x.pair.ep, Zone: x.pair.zone, Attempts: x.n, Failures: x.bad,
+				MeanLatency: x.delay, Span: x.to - x.from})
 		}
 	}
 	return events
--- a/internal/coordinator/machine.go
+++ b/internal/coordinator/machine.go
@@ -76,10 +76,8 @@
 // NewMachine makes a coordinator that goes on from what its last run kept; nil: nothing is kept. Whoever drives it with
 // something kept must write out.Puts, and tell what became of them.
 func NewMachine(boot Bootstrap, kept *checkpoint.Kept) *Machine {
-	return &Machine{
-		boot: boot, core: New(boot.Module, kept), sessions: map[statemachine.Conn]*session{}, peers: map[choice.PeerID]*session{},
-		dialled: statemachine.Dialed, swept: boot.Module.Now, faulted: map[string]int{},
-	}
+	return &Machine{boot: boot, core: New(boot.Module, kept), sessions: map[statemachine.Conn]*session{}, peers: map[choice.PeerID]*session{},
+		dialled: statemachine.Dialed, swept: boot.Module.Now, faulted: map[string]int{}}
 }
 
 // Renew puts other settings in force. The module reads its settings once, so a fresh instance takes over, as after a
@@ -315,10 +313,8 @@
 			delete(m.sessions, s.conn)
 			m.probing--
 			out.Close(s.conn)
-			events = append(events, Probed{
-				EP: s.probe.EP, OK: x.Status == proto.StatusOK, Busy: x.Status == proto.StatusRejected,
-				Delay: now - s.opened,
-			})
+			events = append(events, Probed{EP: s.probe.EP, OK: x.Status == proto.StatusOK, Busy: x.Status == proto.StatusRejected,
+				Delay: now - s.opened})
 			m.probeNext(now, out)
 			return events, nil
 		}
--- a/internal/coordinator/roll.go
+++ b/internal/coordinator/roll.go
@@ -68,10 +68,8 @@
 			}
 			continue
 		}
-		s := &server{Stamp: e.Incarnation, Addr: e.Addr, Entry: choice.Endpoint{
-			Backend: id, Kind: e.Kind, Zone: choice.Zone(e.Zone),
-			Weight: e.Weight, Cell: int(e.Cell), State: choice.BackendOpen,
-		}}
+		s := &server{Stamp: e.Incarnation, Addr: e.Addr, Entry: choice.Endpoint{Backend: id, Kind: e.Kind, Zone: choice.Zone(e.Zone),
+			Weight: e.Weight, Cell: int(e.Cell), State: choice.BackendOpen}}
 		if e.State == proto.BackendDraining {
 			s.Entry.State = choice.BackendDraining
 		}
--- a/internal/platform/day_test.go
+++ b/internal/platform/day_test.go
@@ -170,10 +170,8 @@
 }
 
 func newCrowd(t *testing.T, n int, known func(string) bool, doors ...string) *crowd {
-	c := &crowd{
-		t: t, doors: doors, by: map[statemachine.Conn]*standinProxy{}, late: map[string][]statemachine.Conn{}, known: known,
-		rude: map[statemachine.Conn]statemachine.Seconds{}, good: map[string]bool{}, dice: rand.New(rand.NewPCG(7, 7)), n: statemachine.Dialed,
-	}
+	c := &crowd{t: t, doors: doors, by: map[statemachine.Conn]*standinProxy{}, late: map[string][]statemachine.Conn{}, known: known,
+		rude: map[statemachine.Conn]statemachine.Seconds{}, good: map[string]bool{}, dice: rand.New(rand.NewPCG(7, 7)), n: statemachine.Dialed}
 	for i := range n {
 		c.all = append(c.all, &standinProxy{n: i, zone: string(rune('a' + i%2)), door: i % len(doors), lines: map[string]float64{}, out: map[string]bool{}, levels: map[string]string{}, fresh: true})
 	}
@@ -219,10 +217,8 @@
 			}
 			if _, ok := c.rude[i.Conn]; ok {
 				c.rude[i.Conn] = now
-				out.Write(i.Conn, []byte([]string{
-					"GET / HTTP/1.1\r\n\r\n", "hb\r\n", "atta", "attach proxy=9999 zone=a weight=1 fresh=1\r\n", "done proxy=1 mark=1 took_ms=1\r\n",
-					"assign whole=1\r\n", "\x00\xff", "telemetry zone=nowhere\r\n",
-				}[i.Conn%8]))
+				out.Write(i.Conn, []byte([]string{"GET / HTTP/1.1\r\n\r\n", "hb\r\n", "atta", "attach proxy=9999 zone=a weight=1 fresh=1\r\n", "done proxy=1 mark=1 took_ms=1\r\n",
+					"assign whole=1\r\n", "\x00\xff", "telemetry zone=nowhere\r\n"}[i.Conn%8]))
 			}
 		case statemachine.ConnClosed:
 			if at, ok := c.rude[i.Conn]; ok {
@@ -401,14 +397,12 @@
 }
 
 func settings(proxies int, coordinators int) map[string]any {
-	return map[string]any{
-		"listing": "asked", "ask_within": 10.0, "cold_share": 0.3, "warm_after": 10.0, "drain_grace": 2.0, "fall_multiple": 2.5,
+	return map[string]any{"listing": "asked", "ask_within": 10.0, "cold_share": 0.3, "warm_after": 10.0, "drain_grace": 2.0, "fall_multiple": 2.5,
 		"channel_room": 20000.0, "channel_pace": 10000.0, "message_lines": 10.0, "messages": 30.0, "messages_span": 10.0, "push_time": 0.1,
 		"push_time_worst": 0.3, "proxies": float64(proxies), "level_kind": "none", "report_period": 1.0, "probes": true, "try_wait": 0.8, "tick": 0.004,
 		"zone": "a", "zones.0": "a", "zones.1": "b", "method.n": 2.0, "method.0.name": "read", "method.0.effect": "idempotent", "pick": "pair", "strikes": 5.0,
 		"method.0.soft_deadline": 1.0, "method.0.criticality": 1.0, "method.1.name": "submit", "method.1.effect": "non-idempotent", "bare_limit": 3.7,
-		"method.1.soft_deadline": 1.0, "method.1.criticality": 2.0, "coordinators": float64(coordinators),
-	}
+		"method.1.soft_deadline": 1.0, "method.1.criticality": 2.0, "coordinators": float64(coordinators)}
 }
 
 // town is a network with two coordinators, discovery and a crowd.
@@ -432,10 +426,8 @@
 	for i := range x.nodes {
 		name := fmt.Sprint("c", i)
 		x.w.AddNode(name, "a", func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
-			m, err := New(Bootstrap{
-				Name: name, Discovery: "disco:1", Module: choice.Config{Seed: seed, Now: now, Settings: choice.DecodeSettings(settings(proxies, 2))},
-				MostConns: 4 * proxies, MostProbes: 4, MostAnswer: 1 << 20, Handshake: 1,
-			})
+			m, err := New(Bootstrap{Name: name, Discovery: "disco:1", Module: choice.Config{Seed: seed, Now: now, Settings: choice.DecodeSettings(settings(proxies, 2))},
+				MostConns: 4 * proxies, MostProbes: 4, MostAnswer: 1 << 20, Handshake: 1})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -668,17 +660,9 @@
 	}
 	one, two := m.roll.numbers["s-1"], m.roll.numbers["s-2"]
 	s := &stream{proxy: 1, follower: m.book.Join(1), told: map[choice.BackendID]bool{}}
-	for _, o := range []choice.Command{
-		choice.SetTableEntry{Table: 2, Backend: one, Weight: 1.5},
-		choice.SetTableEntry{Table: 2, Backend: two, Weight: 1},
-		choice.SetExclusion{Backend: two, Excluded: true},
-		choice.SetAdmission{Table: 2, Methods: 1, Level: 1, Retry: 1},
-		choice.SetAdmission{Table: 2, Methods: 2, Level: 1, Retry: 1},
-		choice.SetTableEntry{Table: 3, Backend: one, Weight: 2},
-		choice.BindTable{Proxy: 1, Table: 2, Methods: 3},
-		choice.BindTable{Proxy: 1, Table: 3, Methods: 2},
-		choice.SetTableEntry{Table: 3, Backend: one, Weight: 4},
-	} {
+	for _, o := range []choice.Command{choice.SetTableEntry{Table: 2, Backend: one, Weight: 1.5}, choice.SetTableEntry{Table: 2, Backend: two, Weight: 1}, choice.SetExclusion{Backend: two, Excluded: true},
+		choice.SetAdmission{Table: 2, Methods: 1, Level: 1, Retry: 1}, choice.SetAdmission{Table: 2, Methods: 2, Level: 1, Retry: 1}, choice.SetTableEntry{Table: 3, Backend: one, Weight: 2},
+		choice.BindTable{Proxy: 1, Table: 2, Methods: 3}, choice.BindTable{Proxy: 1, Table: 3, Methods: 2}, choice.SetTableEntry{Table: 3, Backend: one, Weight: 4}} {
 		if !m.book.Apply(o) {
 			t.Fatalf("%T is not carried out", o)
 		}
