--- a/choice/bench_test.go
+++ b/choice/bench_test.go
@@ -16,7 +16,7 @@
 			now += 0.1
 			var all []Event
 			for _, p := range c.proxies {
-				all = append(all, PushAcknowledged{p.id, p.mark, 0.2})
+				all = append(all, PushAcknowledged{p.id, p.nonce, 0.2})
 			}
 			for _, id := range c.id {
 				all = append(all, AttemptReport{Backend: id, Zone: "a", Attempts: 3, MeanLatency: 0.2, Span: 1})
@@ -25,7 +25,7 @@
 		}
 		b.Run(fmt.Sprintf("deal/%d-%d", size[0], size[1]), func(b *testing.B) {
 			for b.Loop() {
-				c.ring.deal()
+				c.ring.assignAll()
 			}
 		})
 		b.Run(fmt.Sprintf("step/%d-%d", size[0], size[1]), func(b *testing.B) {
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -86,7 +86,7 @@
 	flying, bare := map[ProxyID]bool{}, map[ProxyID]bool{}
 	late := map[ProxyID]bool{}
 	for _, p := range w.c.proxies {
-		flying[p.id], late[p.id] = p.flying, w.now > p.left+0.7*silence*w.c.channel.usual // the usual time moves within the step
+		flying[p.id], late[p.id] = p.inFlight, w.now > p.leavesChannelAt+0.7*ackTimeouts*w.c.channel.usualAckTime // the usual time moves within the step
 	}
 	for p, tables := range w.bound {
 		for _, t := range tables {
@@ -129,7 +129,7 @@
 		case SetExclusion:
 			return true
 		case SetTableEntry:
-			if i := w.c.index[o.Backend]; w.c.ease[i] < 1 {
+			if i := w.c.indexOf[o.Backend]; w.c.warmth[i] < 1 {
 				return true
 			}
 		}
@@ -208,7 +208,7 @@
 
 func (w *world) check() {
 	for id, s := range w.told {
-		if _, kept := w.c.index[id]; !kept { // its place was given back: no table may name it
+		if _, kept := w.c.indexOf[id]; !kept { // its place was given back: no table may name it
 			for table, lines := range w.tables {
 				if s == BackendOpen || lines[id] > 0 {
 					w.t.Fatalf("%.2f: server %d lost its place while table %d names it", w.now, id, table)
@@ -217,11 +217,11 @@
 			delete(w.told, id)
 			continue
 		}
-		if i := w.c.index[id]; s != BackendOpen && !w.shut[id] && w.c.owed[i] == 0 {
+		if i := w.c.indexOf[id]; s != BackendOpen && !w.shut[id] && w.c.exclusionDue[i] == 0 {
 			w.t.Fatalf("%.2f: server %d is not open but neither withdrawn nor owed", w.now, id)
 		}
-		if i := w.c.index[id]; w.c.owed[i] > 0 && w.now-w.c.owed[i] > 1.3 {
-			w.t.Fatalf("%.2f: a withdrawal of %d has been owed for %.2f s", w.now, id, w.now-w.c.owed[i])
+		if i := w.c.indexOf[id]; w.c.exclusionDue[i] > 0 && w.now-w.c.exclusionDue[i] > 1.3 {
+			w.t.Fatalf("%.2f: a withdrawal of %d has been owed for %.2f s", w.now, id, w.now-w.c.exclusionDue[i])
 		}
 	}
 	any := false
@@ -237,7 +237,7 @@
 				w.t.Fatalf("%.2f: table %d of proxy %d is empty beside an open server", w.now, t, p)
 			}
 		}
-		if len(w.shut) > 0 && !w.informed[p] && w.now > w.since[p]+w.c.boot.Settings.DrainGrace.Or(1)/2 {
+		if len(w.shut) > 0 && !w.informed[p] && w.now > w.since[p]+w.c.config.Settings.DrainGrace.Or(1)/2 {
 			w.t.Fatalf("%.2f: proxy %d joined at %.2f and knows nothing of what is withdrawn", w.now, p, w.since[p])
 		}
 		recent := 0
@@ -254,7 +254,7 @@
 	for _, n := range w.waiting {
 		sum += n
 	}
-	if float64(sum) > w.c.boot.Settings.ChannelRoom.Or(0) {
+	if float64(sum) > w.c.config.Settings.ChannelRoom.Or(0) {
 		w.t.Fatalf("%.2f: %d lines wait", w.now, sum)
 	}
 }
@@ -326,7 +326,7 @@
 	w := newWorld(t, nil)
 	w.step(0, full(8, 0))
 	out := w.step(0.1, ProxyJoined{0, "a", 10, true})
-	if count[BindTable](out) != 1 || count[SetNonce](out) != 1 || len(w.tables[0]) < arcLeast {
+	if count[BindTable](out) != 1 || count[SetNonce](out) != 1 || len(w.tables[0]) < minArcSize {
 		t.Fatalf("a join gave %v", out)
 	}
 }
@@ -336,17 +336,17 @@
 	w.step(0, full(8, 0))
 	w.step(0.1, ProxyJoined{0, "a", 10, true})
 	p := w.c.proxies[0]
-	mark := p.mark
+	mark := p.nonce
 	w.step(0.01, PushAcknowledged{0, mark + 1, 0.1}, PushAcknowledged{0, mark + 9, 0.1})
-	if !p.flying {
+	if !p.inFlight {
 		t.Fatal("an unknown mark ended the push in flight")
 	}
-	if w.step(0.01, PushAcknowledged{0, mark, 0.1}); p.flying || p.confirmed != 1 {
+	if w.step(0.01, PushAcknowledged{0, mark, 0.1}); p.inFlight || p.nonce != mark {
 		t.Fatalf("the mark did not confirm: %+v", p)
 	}
 	w.step(0.01, ProxyLeft{0})
 	w.step(0.01, ProxyJoined{0, "a", 10, false})
-	if w.step(0.01, PushAcknowledged{0, mark, 0.1}); !p.flying {
+	if w.step(0.01, PushAcknowledged{0, mark, 0.1}); !p.inFlight {
 		t.Fatal("a mark of the last stream ended the push of this one")
 	}
 }
@@ -356,7 +356,7 @@
 func TestTriesHeldBySettings(t *testing.T) {
 	for most, want := range map[string][]RetryPolicy{"": {RetryIfUnprocessed, RetryOnce}, "free": {RetryIfUnprocessed, RetryOnce}, "proven": {RetryIfUnprocessed, RetryIfUnprocessed}, "once": {RetryNever, RetryNever}} {
 		c := newWorld(t, map[string]any{"method.0.most_tries": most, "method.2.most_tries": most}).c
-		if got := []RetryPolicy{c.gate.free[0], c.gate.free[2]}; !slices.Equal(got, want) || c.gate.free[1] != RetryIfUnprocessed {
+		if got := []RetryPolicy{c.admission.normalRetry[0], c.admission.normalRetry[2]}; !slices.Equal(got, want) || c.admission.normalRetry[1] != RetryIfUnprocessed {
 			t.Errorf("%q: %v, %v wanted", most, got, want)
 		}
 	}
@@ -378,10 +378,10 @@
 
 func TestMarksWrap(t *testing.T) {
 	w := newWorld(t, nil)
-	w.c.channel.mark = NonceSpace - 1
+	w.c.channel.nonce = NonceSpace - 1
 	w.step(0, full(8, 0))
-	if w.step(0.1, ProxyJoined{0, "a", 10, true}); w.c.channel.mark != 0 {
-		t.Fatalf("mark %d", w.c.channel.mark)
+	if w.step(0.1, ProxyJoined{0, "a", 10, true}); w.c.channel.nonce != 0 {
+		t.Fatalf("mark %d", w.c.channel.nonce)
 	}
 }
 
@@ -440,7 +440,7 @@
 	w := started(t, map[string]any{"messages": 16.0, "level_kind": "none"}, 8, 4)
 	again := w.restart()
 	for _, p := range w.c.proxies {
-		p.flying, p.left = true, w.now+1e6 // whatever can wait, waits
+		p.inFlight, p.leavesChannelAt = true, w.now+1e6 // whatever can wait, waits
 	}
 	for k := range 12 {
 		again.Weight = 2 / float64(2+k)
@@ -452,12 +452,12 @@
 	w.now += 3 // it climbed, and starts anew
 	w.step(0)
 	for _, p := range w.c.proxies {
-		p.flying = false
-		w.c.stir(p)
+		p.inFlight = false
+		w.c.markDirty(p)
 	}
 	w.step(0.01)
 	for _, p := range w.c.proxies {
-		p.flying, p.left = true, w.now+1e6
+		p.inFlight, p.leavesChannelAt = true, w.now+1e6
 	}
 	again.StartedAt = w.now
 	if out := w.step(0.01, EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{again}}); count[SetTableEntry](out) == 0 {
@@ -506,8 +506,8 @@
 		}
 		near, all := 0.0, 0.0
 		for i := range w.c.id {
-			if all += w.c.carry[i]; w.c.zone[i] == w.c.zones["a"] {
-				near += w.c.carry[i]
+			if all += w.c.assignedLoad[i]; w.c.zone[i] == w.c.zoneIndex["a"] {
+				near += w.c.assignedLoad[i]
 			}
 		}
 		if got := near / all * 2; got < c.least || got > c.most {
@@ -521,7 +521,7 @@
 func TestStormOfJoinsLeavesTime(t *testing.T) {
 	c := New(Config{Seed: 7, Now: 100, Settings: DecodeSettings(values(map[string]any{"proxies": 2600.0, "channel_room": 1e7, "channel_pace": 1e7, "messages": 0.0}))})
 	c.Step(100, []Event{full(200, 0)})
-	deals, last, now := 0, c.ring.sized, 100.0
+	deals, last, now := 0, c.ring.assignedAt, 100.0
 	waits := map[ProxyID]Seconds{}
 	for p := ProxyID(0); now < 102; {
 		now += 0.004
@@ -534,14 +534,14 @@
 		for _, o := range c.Step(now, all) {
 			b, ok := o.(BindTable)
 			if since, first := waits[b.Proxy]; ok && first {
-				if now-since > tick {
+				if now-since > tickInterval {
 					t.Fatalf("proxy %d waited %.2f s for its table", b.Proxy, now-since)
 				}
 				delete(waits, b.Proxy)
 			}
 		}
-		if c.ring.sized != last {
-			deals, last = deals+1, c.ring.sized
+		if c.ring.assignedAt != last {
+			deals, last = deals+1, c.ring.assignedAt
 		}
 	}
 	if deals > 150 || len(waits) > 0 {
@@ -586,7 +586,7 @@
 		w.settle()
 	}
 	// settle outlasts the first bench, so the server is back; what it did must still stand against it.
-	if w.c.fouls[0][0] == 0 {
+	if w.c.ejections[0][0] == 0 {
 		t.Fatal("an aborting server was not benched")
 	}
 	w.settle()
@@ -605,20 +605,20 @@
 	for range 10 {
 		w.feed(8, 1.5, bad, nil)
 	}
-	g := w.c.gate
-	if !g.jammed || g.share[0] >= 1 || g.share[0] > g.share[1] {
-		t.Fatalf("jammed %v, shares %v", g.jammed, g.share)
+	g := w.c.admission
+	if !g.overloaded || g.admitted[0] >= 1 || g.admitted[0] > g.admitted[1] {
+		t.Fatalf("jammed %v, shares %v", g.overloaded, g.admitted)
 	}
 	for i := range w.c.id {
-		if w.c.bench[i][0] > w.now {
+		if w.c.ejectedUntil[i][0] > w.now {
 			t.Fatal("a jam benched a server")
 		}
 	}
 	for range 40 {
 		w.feed(8, 0.1, nil, nil)
 	}
-	if g.share[0] < 1 {
-		t.Fatalf("levels did not come back: %v", g.share)
+	if g.admitted[0] < 1 {
+		t.Fatalf("levels did not come back: %v", g.admitted)
 	}
 }
 
@@ -629,8 +629,8 @@
 	for range 10 {
 		w.feed(8, 0.1, bad, nil)
 	}
-	if g := w.c.gate; g.jammed || g.share[0] < 1 {
-		t.Fatalf("jammed %v, shares %v", g.jammed, g.share)
+	if g := w.c.admission; g.overloaded || g.admitted[0] < 1 {
+		t.Fatalf("jammed %v, shares %v", g.overloaded, g.admitted)
 	}
 }
 
@@ -643,12 +643,12 @@
 		w.feed(8, 0.1, nil, map[BackendID]bool{1000: true})
 		probed += count[ProbeBackend](w.orders)
 	}
-	if probed == 0 || w.c.away(0) {
-		t.Fatalf("%d probes, away %v", probed, w.c.away(0))
+	if probed == 0 || w.c.unreachable(0) {
+		t.Fatalf("%d probes, away %v", probed, w.c.unreachable(0))
 	}
 	w.step(0.1, ProbeResult{Backend: 1000})
 	w.step(0.1, ProbeResult{Backend: 1000})
-	if w.settle(); !w.c.away(0) || w.lines(1000) > 0 {
+	if w.settle(); !w.c.unreachable(0) || w.lines(1000) > 0 {
 		t.Fatal("a deaf server kept its lines")
 	}
 	w.step(0.1, ProbeResult{Backend: 1000, OK: true})
@@ -664,8 +664,8 @@
 		w.feed(8, 0.1, nil, nil)
 		w.step(0.01, AttemptReport{Backend: 1000, Zone: "a", Attempts: 40, MeanLatency: 0.9, Span: 1})
 	}
-	if w.c.trust[0] >= 1 || w.c.trust[1] < 1 {
-		t.Fatalf("trust %v", w.c.trust)
+	if w.c.bias[0] >= 1 || w.c.bias[1] < 1 {
+		t.Fatalf("trust %v", w.c.bias)
 	}
 }
 
@@ -722,17 +722,17 @@
 func TestOnlyAQuietTimeClearsAServer(t *testing.T) {
 	w := newWorld(t, nil)
 	w.step(0, full(8, 0))
-	w.c.bench[0][0], w.c.fouls[0][0] = w.now+1, 2
+	w.c.ejectedUntil[0][0], w.c.ejections[0][0] = w.now+1, 2
 	for range 5 {
 		w.feed(8, 0.1, nil, nil)
 	}
-	if w.c.fouls[0][0] != 2 {
+	if w.c.ejections[0][0] != 2 {
 		t.Fatal("a good turn cleared it")
 	}
 	for range 20 {
 		w.feed(8, 0.1, nil, nil)
 	}
-	if w.c.fouls[0][0] != 0 {
+	if w.c.ejections[0][0] != 0 {
 		t.Fatal("a quiet time did not clear it")
 	}
 }
@@ -741,9 +741,9 @@
 func TestRatesLeaveRoomForBursts(t *testing.T) {
 	w := started(t, map[string]any{"level_kind": "rate"}, 8, 1)
 	p := w.c.proxies[0]
-	p.share, p.usage = []float64{0.5, 0.5, 1}, []float64{1, 100, 1}
-	if p.level(0) < 0.8 || p.level(1) > 60 || p.level(2) != 1 {
-		t.Fatalf("levels %v %v %v", p.level(0), p.level(1), p.level(2))
+	p.admitted, p.usage = []float64{0.5, 0.5, 1}, []float64{1, 100, 1}
+	if p.admissionLevel(0) < 0.8 || p.admissionLevel(1) > 60 || p.admissionLevel(2) != 1 {
+		t.Fatalf("levels %v %v %v", p.admissionLevel(0), p.admissionLevel(1), p.admissionLevel(2))
 	}
 }
 
@@ -753,10 +753,10 @@
 	for range 12 {
 		w.feed(8, 0.1, nil, nil)
 	}
-	calm := w.c.gate.calm
+	calm := w.c.admission.calm
 	w.step(0.1, ProxyLeft{1})
-	if w.feed(8, 0.1, nil, nil); !calm || w.c.gate.calm {
-		t.Fatalf("calm before %v, after %v", calm, w.c.gate.calm)
+	if w.feed(8, 0.1, nil, nil); !calm || w.c.admission.calm {
+		t.Fatalf("calm before %v, after %v", calm, w.c.admission.calm)
 	}
 }
 
@@ -767,8 +767,8 @@
 		w.feed(8, 1.5, nil, nil)
 	}
 	w.restart()
-	if w.step(0.1); !w.c.gate.jammed || w.lines(1000) > 0 {
-		t.Fatalf("jammed %v, %d lines", w.c.gate.jammed, w.lines(1000))
+	if w.step(0.1); !w.c.admission.overloaded || w.lines(1000) > 0 {
+		t.Fatalf("jammed %v, %d lines", w.c.admission.overloaded, w.lines(1000))
 	}
 }
 
@@ -780,7 +780,7 @@
 			t.Fatalf("server %d of another zone in the zone's table", id)
 		}
 	}
-	if len(w.tables[1]) < arcLeast {
+	if len(w.tables[1]) < minArcSize {
 		t.Fatalf("own-zone table %v", w.tables[1])
 	}
 }
@@ -828,7 +828,7 @@
 		case 4:
 			all = append(all, EndpointUpdate{Kind: UpdateFailed})
 		case 5, 6:
-			if w.c.index[id] > 0 {
+			if w.c.indexOf[id] > 0 {
 				n := 1 + r.Intn(30)
 				all = append(all, AttemptReport{Backend: id, Zone: zone, Attempts: n, Failures: r.Intn(n + 1), MeanLatency: r.Float64() * 2, Span: 1})
 			}
@@ -839,7 +839,7 @@
 		case 8:
 			all = append(all, PushAcknowledged{p, Nonce(r.Intn(200)), 0.1})
 		case 9:
-			if w.c.index[id] > 0 {
+			if w.c.indexOf[id] > 0 {
 				all = append(all, ProbeResult{Backend: id, OK: r.Intn(2) == 0})
 			}
 		default:
@@ -887,8 +887,8 @@
 		t.Fatalf("%d of 2700 proxies were bound", count[BindTable](out))
 	}
 	c.Step(102, []Event{EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{{Backend: 1000, State: BackendDraining, Zone: "a", Weight: 2}}}})
-	for i, n := range c.cover {
-		if c.state[i] == BackendOpen && n < coverage {
+	for i, n := range c.arcCount {
+		if c.state[i] == BackendOpen && n < arcsPerBackend {
 			t.Fatalf("server %d lies in %d arcs", i, n)
 		}
 	}
@@ -903,8 +903,8 @@
 	}
 	w.settle()
 	for i := range w.c.id {
-		if w.c.rich(i) > 2.1*120/24 { // 120 RPCs a second on a weight of 24
-			t.Fatalf("server %d is asked for %.1f for each weight", i, w.c.rich(i))
+		if w.c.relativeLoad(i) > 2.1*120/24 { // 120 RPCs a second on a weight of 24
+			t.Fatalf("server %d is asked for %.1f for each weight", i, w.c.relativeLoad(i))
 		}
 	}
 }
@@ -937,7 +937,9 @@
 		for ; first < proxies; first++ {
 			step(0, ProxyJoined{Proxy: first, Zone: "a", Rate: 5})
 		}
-		quiet := func() float64 { return testing.AllocsPerRun(20, func() { w.now += tick; w.c.Step(w.now, nil) }) }
+		quiet := func() float64 {
+			return testing.AllocsPerRun(20, func() { w.now += tickInterval; w.c.Step(w.now, nil) })
+		}
 		step(BackendRetention)
 		before, most, mostProxies := quiet(), 0, 0
 		for deploy := range deploys {
@@ -953,7 +955,7 @@
 		for range 10 {
 			step(BackendRetention / 3)
 		}
-		if most > 4*servers || mostProxies > proxies+5*40 || len(w.c.index) > servers || len(w.c.proxies) > proxies {
+		if most > 4*servers || mostProxies > proxies+5*40 || len(w.c.indexOf) > servers || len(w.c.proxies) > proxies {
 			t.Fatalf("%d deploys: places of %d servers and %d proxies are kept", deploys, most, mostProxies)
 		}
 		if after := quiet(); after > 2*before+10 {
@@ -985,12 +987,12 @@
 // without bound and shed nothing, for good. Found by a search over random days.
 func TestEmptiedListSpoilsNoRate(t *testing.T) {
 	w, sums := busy(t)
-	before := w.c.gate.best
+	before := w.c.admission.bestAnswerRate
 	w.step(0.1, EndpointUpdate{Kind: UpdateFull})
 	for range 5 {
 		w.step(0.5, sums...)
 	}
-	if after := w.c.gate.best; before <= 0 || after > 2*before {
+	if after := w.c.admission.bestAnswerRate; before <= 0 || after > 2*before {
 		t.Fatalf("the best rate of answers went from %v to %v", before, after)
 	}
 }
@@ -999,10 +1001,10 @@
 // or its proxies have nothing. Found by a search over random days (seed 110727).
 func TestSoleServerBackFromDeafnessStays(t *testing.T) {
 	w, _ := busy(t)
-	w.c.back[0], w.c.gate.next = w.now, w.now+10 // late sums of the others do not raise the best rate meanwhile
+	w.c.returnedAt[0], w.c.admission.nextEvaluation = w.now, w.now+10 // late sums of the others do not raise the best rate meanwhile
 	w.step(1.1, EndpointUpdate{Kind: UpdateFull, Endpoints: []Endpoint{{Backend: 1, State: BackendOpen, Zone: "a", Weight: 1}}})
-	if w.c.ease[0] >= 1 || w.shut[1] {
-		t.Fatalf("ease %v, withdrawn %v", w.c.ease[0], w.shut[1])
+	if w.c.warmth[0] >= 1 || w.shut[1] {
+		t.Fatalf("ease %v, withdrawn %v", w.c.warmth[0], w.shut[1])
 	}
 }
 
@@ -1059,8 +1061,8 @@
 	for range 20 {
 		w.step(1, sums...)
 	}
-	if w.c.gate.fair < 1.45 {
-		t.Fatalf("with quick answers a server may take %v of its part", w.c.gate.fair)
+	if w.c.admission.loadFactor < 1.45 {
+		t.Fatalf("with quick answers a server may take %v of its part", w.c.admission.loadFactor)
 	}
 	back := full(80, 0)
 	for i := range back.Endpoints {
@@ -1071,10 +1073,10 @@
 	w.step(0.1, back)
 	cold, warm := 0.0, 0.0
 	for i := range w.c.id {
-		if w.c.ease[i] < 1 {
-			cold += w.c.carry[i] / w.c.ease[i]
+		if w.c.warmth[i] < 1 {
+			cold += w.c.assignedLoad[i] / w.c.warmth[i]
 		} else {
-			warm += w.c.carry[i]
+			warm += w.c.assignedLoad[i]
 		}
 	}
 	if cold == 0 || cold > 2*warm { // 1.6 as it is, 2.5 without the guard
@@ -1096,12 +1098,12 @@
 		for p := range ProxyID(c.proxies) {
 			w.step(0, ProxyJoined{Proxy: p, Zone: home(int(p)), Rate: 1})
 		}
-		g := w.c.gate
-		g.jammed, g.since, g.first, g.best, g.slow = true, w.now, w.now-100, 10, 0.5
+		g := w.c.admission
+		g.overloaded, g.overloadedAt, g.firstReportAt, g.bestAnswerRate, g.relativeLatency = true, w.now, w.now-100, 10, 0.5
 		w.now += 10
 		w.c.now = w.now
-		g.came[0] = c.came
-		if f := w.c.frail(0); (f > 0) != c.frailest {
+		g.arrivals[0] = c.came
+		if f := w.c.requiredWarmth(0); (f > 0) != c.frailest {
 			t.Errorf("%s: cold servers need an ease of %v", name, f)
 		}
 	}
@@ -1156,7 +1158,7 @@
 		w.step(1.3)
 		w.feed(8, 0.1, map[BackendID]float64{1000: 1}, nil)
 	}
-	if i := w.c.index[1000]; w.c.bench[i][0] <= w.now || w.c.bench[i][1] <= w.now {
-		t.Fatalf("it is in use: benched until %v, now %.1f", w.c.bench[i], w.now)
+	if i := w.c.indexOf[1000]; w.c.ejectedUntil[i][0] <= w.now || w.c.ejectedUntil[i][1] <= w.now {
+		t.Fatalf("it is in use: benched until %v, now %.1f", w.c.ejectedUntil[i], w.now)
 	}
 }
--- /dev/null
+++ b/choice/exclusion.go
@@ -0,0 +1,72 @@
+package choice
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+const (
+	informPart       = 0.25 // of the grace, what a first table may take before a list of exclusions goes ahead
+	restoreTolerance = 1.05 // of its warm weight, what a table may still give a backend that is restored
+)
+
+// sendExclusions sends the exclusions that are due, ahead of tables. Where proxies have had many messages of
+// late they are gathered for part of the grace, against a list that drops its backends one by one.
+func (plan *Planner) sendExclusions() {
+	oldest := math.Inf(1)
+	for _, since := range plan.exclusionDue {
+		oldest = min(oldest, cmp.Or(since, oldest))
+	}
+	hold := max(0, plan.settings.DrainGrace-plan.settings.PushTimeWorst-3*plan.channel.usualAckTime) / 2
+	crowded := func(proxy *proxyActor) bool {
+		return proxy.joined && !plan.channel.withinMessageLimit(proxy, ordinaryPart)
+	}
+	if math.IsInf(oldest, 1) || plan.now < oldest+hold && slices.ContainsFunc(plan.proxies, crowded) {
+		return
+	}
+	for i, since := range plan.exclusionDue {
+		if since > 0 {
+			plan.exclusionDue[i] = 0
+			plan.setExcluded(i, true)
+		}
+	}
+}
+
+// restoreExcluded restores an excluded backend that is open, once no table gives it more than it may have.
+func (plan *Planner) restoreExcluded() {
+	for i := range plan.id {
+		if !plan.excluded[i] || plan.state[i] != BackendOpen {
+			continue
+		}
+		most := restoreTolerance * plan.weight[i] * plan.warmth[i]
+		risky := func(proxy *proxyActor) bool { return proxy.joined && proxy.heaviestWeight(i) > most }
+		if !plan.overloadsColdBackend(i) && !slices.ContainsFunc(plan.proxies, risky) {
+			plan.setExcluded(i, false)
+			plan.ring.dirty = true
+		}
+	}
+}
+
+// informExclusions notifies a proxy of all exclusions, if it may still use a table of an earlier stream. A
+// table of ours implies them in fewer lines and goes first if it goes soon: many lists overflow the channel.
+func (p *proxyActor) informExclusions() {
+	if p.informed || p.bound && !p.lacksTable() {
+		return
+	}
+	plan, lines := p.plan, 0
+	for _, excluded := range plan.excluded {
+		if excluded {
+			lines++
+		}
+	}
+	p.waiting = true
+	empty := func(table *proxyTable) bool { return len(table.sent)+len(table.desired) == 0 }
+	soon := plan.now < p.joinedAt+informPart*plan.settings.DrainGrace && !slices.ContainsFunc(p.tables, empty)
+	if soon || float64(plan.channel.waitingLines()+lines) > urgentPart*plan.settings.ChannelRoom {
+		return
+	}
+	p.informed = true
+	p.pendingLines += lines
+	plan.commands = append(plan.commands, NotifyExclusions{p.id})
+}
--- a/choice/join_test.go
+++ b/choice/join_test.go
@@ -77,7 +77,7 @@
 	w := started(t, map[string]any{"proxies": 60.0}, 8, 40)
 	w.settle()
 	w.step(0.3)
-	rounds, before := w.c.ring.round, sum(w.c.carry)
+	rounds, before := w.c.ring.round, sum(w.c.assignedLoad)
 	again := ProxyJoined{Proxy: 50, Zone: "a", Rate: 2}
 	w.step(0.01, again)
 	w.step(0.01, ProxyLeft{50})
@@ -88,7 +88,7 @@
 	if len(w.bound[50]) == 0 {
 		t.Error("it has no table on its last stream")
 	}
-	if grown := sum(w.c.carry) - before; math.Abs(grown-2) > 0.2 {
+	if grown := sum(w.c.assignedLoad) - before; math.Abs(grown-2) > 0.2 {
 		t.Errorf("its usage of 2 counts as %.2f", grown)
 	}
 }
@@ -98,8 +98,8 @@
 	for name, spoil := range map[string]func(w *world){
 		"ejected": func(w *world) {
 			for i := range w.c.id {
-				for zone := range w.c.bench[i] {
-					w.c.bench[i][zone] = w.now + 60
+				for zone := range w.c.ejectedUntil[i] {
+					w.c.ejectedUntil[i][zone] = w.now + 60
 				}
 			}
 		},
@@ -123,13 +123,13 @@
 	w := newWorld(t, map[string]any{"proxies": 60.0, "channel_room": 400.0, "messages": 0.0})
 	w.step(0, full(40, 0))
 	w.step(0.01, drain(0))
-	w.c.channel.ledger = append(w.c.channel.ledger, load{mark: 1, at: w.now, lines: 390})
+	w.c.channel.unacked = append(w.c.channel.unacked, unackedStep{nonce: 1, sentAt: w.now, lines: 390})
 	w.joinAll(0.01, 0, 10)
 	w.step(0.6)
 	if len(w.messages) > 0 || len(w.informed) > 0 && slices.Contains([]bool{w.informed[0], w.informed[9]}, true) {
 		t.Errorf("%d messages though there is no room", len(w.messages))
 	}
-	w.c.channel.ledger = nil
+	w.c.channel.unacked = nil
 	w.settle()
 	for p := range ProxyID(10) {
 		if len(w.bound[p]) == 0 {
@@ -145,7 +145,7 @@
 	for i := range 12 {
 		w.step(0.01, drain(i))
 	}
-	w.c.channel.ledger = append(w.c.channel.ledger, load{mark: 1, at: w.now, lines: 700})
+	w.c.channel.unacked = append(w.c.channel.unacked, unackedStep{nonce: 1, sentAt: w.now, lines: 700})
 	w.joinAll(0.01, 0, 10)
 	if len(w.messages) > 0 {
 		t.Fatal("a table that may come soon is not waited for")
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -1,6 +1,9 @@
 package choice
 
-import "fmt"
+import (
+	"fmt"
+	"math"
+)
 
 // defaultMethods is the number of methods where the settings leave it out.
 const defaultMethods = 1
@@ -170,3 +173,79 @@
 	}
 	return s
 }
+
+// Values of settings that a site's file leaves out.
+const (
+	defaultAskWithin     = 10
+	defaultChannelPace   = 1e4
+	defaultColdShare     = 0.3
+	defaultCriticality   = 1
+	defaultDrainGrace    = 1
+	defaultFallMultiple  = 3
+	defaultMessageLines  = 10
+	defaultMessagesSpan  = 10
+	defaultProxies       = 1
+	defaultPushTime      = 0.2
+	defaultPushTimeWorst = 0.4
+	defaultReportPeriod  = 1
+	defaultSoftDeadline  = 1
+	defaultTryWait       = 1
+	defaultWarmAfter     = 10
+)
+
+// planSettings are the settings that the module goes by, with the defaults for those that are left out.
+type planSettings struct {
+	AskWithin         float64
+	ChannelPace       float64
+	ChannelRoom       float64
+	ColdShare         float64
+	CrossingPrice     float64
+	DrainGrace        float64
+	FallMultiple      float64
+	LevelKind         string
+	Listing           string
+	MessageLines      float64
+	Messages          float64
+	MessagesSpan      float64
+	Methods           []MethodSettings
+	OnlyDrainingBinds bool
+	Pick              string
+	Probes            bool
+	Proxies           float64
+	PushTime          float64
+	PushTimeWorst     float64
+	ReportPeriod      float64
+	Slices            float64
+	Strikes           float64
+	TryWait           float64
+	WarmAfter         float64
+}
+
+func planSettingsOf(s Settings) planSettings {
+	return planSettings{
+		AskWithin:         s.AskWithin.Or(defaultAskWithin),
+		ChannelPace:       s.ChannelPace.Or(defaultChannelPace),
+		ChannelRoom:       s.ChannelRoom.Or(math.Inf(1)),
+		ColdShare:         s.ColdShare.Or(defaultColdShare),
+		CrossingPrice:     s.CrossingPrice.Or(0),
+		DrainGrace:        s.DrainGrace.Or(defaultDrainGrace),
+		FallMultiple:      s.FallMultiple.Or(defaultFallMultiple),
+		LevelKind:         s.LevelKind,
+		Listing:           s.Listing,
+		MessageLines:      s.MessageLines.Or(defaultMessageLines),
+		Messages:          s.Messages.Or(0),
+		MessagesSpan:      s.MessagesSpan.Or(defaultMessagesSpan),
+		Methods:           s.Methods,
+		OnlyDrainingBinds: s.OnlyDrainingBinds,
+		Pick:              s.Pick,
+		Probes:            s.Probes,
+		Proxies:           s.Proxies.Or(defaultProxies),
+		PushTime:          s.PushTime.Or(defaultPushTime),
+		PushTimeWorst:     s.PushTimeWorst.Or(defaultPushTimeWorst),
+		ReportPeriod:      s.ReportPeriod.Or(defaultReportPeriod),
+		Slices:            s.Slices.Or(0),
+		Strikes:           s.Strikes.Or(0),
+		TryWait:           s.TryWait.Or(defaultTryWait),
+		WarmAfter:         s.WarmAfter.Or(defaultWarmAfter),
+	}
+}
