--- a/cmd/gingerfork/serve.go
+++ b/cmd/gingerfork/serve.go
@@ -31,9 +31,9 @@
 		peers[choice.PeerID(n)] = addr
 	}
 	return coordinator.Bootstrap{
-		Name: t.Name, Zone: module.Settings.Zone, ListAddr: t.Text("list-service"), Peers: peers, Module: module,
-		Handshake: t.Num("handshake"), Silence: t.Num("stream-silence"), ListSilence: t.Num("list-silence"),
-		Text: t.Canonical(), ProbeTimeout: t.Num("probe-timeout"), MostStreams: int(t.Num("streams")), MostProbes: int(t.Num("probes-at-once")),
+		Name: t.Name, Zone: module.Settings.Zone, EndpointListAddr: t.Text("list-service"), Peers: peers, ModuleConfig: module,
+		HandshakeTimeout: t.Num("handshake"), ProxyIdleTimeout: t.Num("stream-silence"), EndpointListIdleTimeout: t.Num("list-silence"),
+		SettingsText: t.Canonical(), ProbeTimeout: t.Num("probe-timeout"), MaxStreams: int(t.Num("streams")), MaxProbes: int(t.Num("probes-at-once")),
 	}
 }
 
@@ -155,14 +155,14 @@
 			s.log.Warn("this keyword takes a restart; the old value stays in force", "keyword", k)
 		}
 	}
-	s.loop.Between(func() { s.m.Renew(coordinatorOf(fresh, fresh.Coordinator(s.clock.Now()))) })
+	s.loop.Between(func() { s.m.Reload(coordinatorOf(fresh, fresh.Coordinator(s.clock.Now()))) })
 	s.log.Info("the settings were read again and are in force")
 }
 
 func (s *served) wait() error {
 	err := s.loop.Wait()
-	f, lf := s.m.Figures(), s.loop.Figures()
-	s.log.Info("coordinator ended", "joins", f.Joins, "messages", f.Messages, "lines", f.Lines, "steps", lf.Steps, "longest", lf.Longest)
+	f, lf := s.m.Stats(), s.loop.Figures()
+	s.log.Info("coordinator ended", "joins", f.Joins, "messages", f.Pushes, "lines", f.Entries, "steps", lf.Steps, "longest", lf.Longest)
 	if errors.Is(err, eventloop.ErrFailed) {
 		return badError{err}
 	}
--- a/compare/compare_test.go
+++ b/compare/compare_test.go
@@ -79,8 +79,8 @@
 		return l
 	}
 	list := must(eventloop.Start(ctx, eventloop.Bootstrap{Machine: fake.NewList(all), Listen: []string{"127.0.0.1:0"}, Clock: clock}))
-	m := coordinator.NewMachine(coordinator.Bootstrap{Name: "c0", Zone: "a", ListAddr: list.Addrs()[0], Module: choice.Config{Seed: 1, Now: clock.Now(), Settings: choice.DecodeSettings(values)},
-		Handshake: 30, Silence: 60, ListSilence: 30, ProbeTimeout: 5, MostStreams: 20000, MostProbes: 4}, nil)
+	m := coordinator.NewMachine(coordinator.Bootstrap{Name: "c0", Zone: "a", EndpointListAddr: list.Addrs()[0], ModuleConfig: choice.Config{Seed: 1, Now: clock.Now(), Settings: choice.DecodeSettings(values)},
+		HandshakeTimeout: 30, ProxyIdleTimeout: 60, EndpointListIdleTimeout: 30, ProbeTimeout: 5, MaxStreams: 20000, MaxProbes: 4}, nil)
 	c := must(eventloop.Start(ctx, eventloop.Bootstrap{Machine: m, Listen: []string{"127.0.0.1:0"}, Clock: clock}))
 	crowd := fake.NewCrowd()
 	for i := range n {
@@ -137,7 +137,7 @@
 	time.Sleep(500 * time.Millisecond)
 	bytes := func() int {
 		got := make(chan int)
-		c.Between(func() { got <- m.Figures().Bytes })
+		c.Between(func() { got <- m.Stats().Bytes })
 		return <-got
 	}
 	before := bytes()
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -47,8 +47,8 @@
 func newRig(t *testing.T, more map[string]any, kept *checkpoint.Kept) *rig {
 	r := &rig{t: t, now: 1000, probes: map[statemachine.Conn]string{}, readers: map[statemachine.Conn]*proto.Reader{}, got: map[statemachine.Conn][]proto.Message{},
 		closed: map[statemachine.Conn]bool{}, records: map[string][]byte{}}
-	r.m = NewMachine(Bootstrap{Name: "c0", Zone: "a", ListAddr: "list", Module: choice.Config{Seed: 1, Now: r.now, Settings: choice.DecodeSettings(values(more))}, Handshake: 5,
-		Silence: 10, ListSilence: 5, ProbeTimeout: 1, MostStreams: 1000, MostProbes: 4}, kept)
+	r.m = NewMachine(Bootstrap{Name: "c0", Zone: "a", EndpointListAddr: "list", ModuleConfig: choice.Config{Seed: 1, Now: r.now, Settings: choice.DecodeSettings(values(more))}, HandshakeTimeout: 5,
+		ProxyIdleTimeout: 10, EndpointListIdleTimeout: 5, ProbeTimeout: 1, MaxStreams: 1000, MaxProbes: 4}, kept)
 	return r
 }
 
@@ -221,7 +221,7 @@
 	if !slices.ContainsFunc(r.logs, func(l string) bool { return strings.HasPrefix(l, "server withdrawn[backend "+fmt.Sprint(ep)+" mark 2") }) {
 		t.Errorf("the log does not tell of it: %q", r.logs)
 	}
-	if f := r.m.Figures(); f.Joins != 1 || f.Stale != 0 || f.Messages != 2 {
+	if f := r.m.Stats(); f.Joins != 1 || f.StaleAcknowledgements != 0 || f.Pushes != 2 {
 		t.Errorf("%+v", f)
 	}
 }
@@ -238,11 +238,11 @@
 	r.run(0.1)
 	mark := r.pushes(2)[0].Mark
 	r.step(0.01, data(2, proto.Answer{Mark: old}, proto.Answer{Mark: 4711}))
-	if f := r.m.Figures(); f.Stale != 2 || r.closed[2] {
+	if f := r.m.Stats(); f.StaleAcknowledgements != 2 || r.closed[2] {
 		t.Fatalf("%+v", f)
 	}
 	r.step(0.01, data(2, proto.Answer{Mark: mark}, proto.Answer{Mark: mark}))
-	if f := r.m.Figures(); f.Stale != 3 || r.closed[2] {
+	if f := r.m.Stats(); f.StaleAcknowledgements != 3 || r.closed[2] {
 		t.Fatalf("an answer counted twice: %+v", f)
 	}
 }
@@ -518,13 +518,13 @@
 func TestStormOfJoins(t *testing.T) {
 	r := newRig(t, map[string]any{"proxies": 300.0}, nil)
 	r.listed(40)
-	steps := r.m.Figures().Steps
+	steps := r.m.Stats().Steps
 	var in []statemachine.Input
 	for c := range statemachine.Conn(300) {
 		in = append(in, opened(c+1), data(c+1, hello(fmt.Sprint("f", c))))
 	}
 	r.step(0.01, in...)
-	if got := r.m.Figures().Steps - steps; got > 1 {
+	if got := r.m.Stats().Steps - steps; got > 1 {
 		t.Fatalf("%d steps of the module", got)
 	}
 	r.run(2)
@@ -536,8 +536,8 @@
 		}
 		last = max(last, float64(p[0].Waiting))
 	}
-	if f := r.m.Figures(); f.MostWaiting > 20000 {
-		t.Fatalf("%d lines waited", f.MostWaiting)
+	if f := r.m.Stats(); f.MaxQueuedEntries > 20000 {
+		t.Fatalf("%d lines waited", f.MaxQueuedEntries)
 	}
 }
 
@@ -642,9 +642,9 @@
 	r.join(1, "f0")
 	r.run(0.1)
 	boot := r.m.boot
-	boot.Module.Settings = choice.DecodeSettings(values(map[string]any{"report_period": 3.0}))
-	boot.Module.Now = r.now
-	r.m.Renew(boot)
+	boot.ModuleConfig.Settings = choice.DecodeSettings(values(map[string]any{"report_period": 3.0}))
+	boot.ModuleConfig.Now = r.now
+	r.m.Reload(boot)
 	r.step(0.01)
 	if got := r.refused(1); !strings.Contains(got, "join again") {
 		t.Fatalf("the proxy was told %q", got)
--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -168,24 +168,24 @@
 	step    uint64
 	stepped choice.Seconds
 	out     Orders
-	figures Figures
+	figures Stats
 }
 
 // Figures are counts since the start, for logs, metrics and tests.
-type Figures struct {
+type Stats struct {
 	Joins, Leaves, Superseded int
-	Messages, Lines           int
+	Pushes, Entries           int
 	Bytes                     int // of pushes
 	Steps, Orders             int
-	Stale                     int // answers to marks not in flight
+	StaleAcknowledgements     int // answers to marks not in flight
 	Sums, Handed              int
-	MostWaiting               int
+	MaxQueuedEntries          int
 }
 
 // Figures gives the counts.
-func (c *Core) Figures() Figures {
+func (c *Core) Stats() Stats {
 	f := c.figures
-	f.MostWaiting = c.channel.most
+	f.MaxQueuedEntries = c.channel.most
 	return f
 }
 
@@ -358,7 +358,7 @@
 func (c *Core) answer(now choice.Seconds, s *stream, mark uint64) {
 	at := slices.IndexFunc(s.marks, func(p pending) bool { return p.wire == mark })
 	if at < 0 {
-		c.figures.Stale++
+		c.figures.StaleAcknowledgements++
 		return
 	}
 	p := s.marks[at]
@@ -514,8 +514,8 @@
 			s.marks = append(s.marks, pending{m.wire, m.mark, m.step, m.needs, m.at})
 			c.keep.Sent(s.name, m.wire)
 		}
-		c.figures.Messages++
-		c.figures.Lines += m.lines
+		c.figures.Pushes++
+		c.figures.Entries += m.lines
 		c.out.Sends = append(c.out.Sends, Send{s.id, proto.Push{Seq: s.sent, Waiting: uint64(max(c.channel.waiting, 0)),
 			Marked: m.marked, Mark: m.wire, Ops: m.ops}})
 	}
--- a/internal/coordinator/kept_test.go
+++ b/internal/coordinator/kept_test.go
@@ -255,9 +255,9 @@
 			r.stuck = false
 			r.run(0.01)
 		case "slow":
-			steps := r.m.Figures().Steps
+			steps := r.m.Stats().Steps
 			r.run(0.6)
-			if steps = r.m.Figures().Steps - steps; steps > 200 {
+			if steps = r.m.Stats().Steps - steps; steps > 200 {
 				t.Errorf("%d steps while the disk hung", steps)
 			}
 		}
--- a/internal/coordinator/machine.go
+++ b/internal/coordinator/machine.go
@@ -15,18 +15,18 @@
 
 // Bootstrap is what a coordinator is started with.
 type Bootstrap struct {
-	Name         string
-	Zone         string
-	ListAddr     string
-	Peers        map[choice.PeerID]string // addresses
-	Module       choice.Config
-	Handshake    statemachine.Seconds // within which a stream must say hello
-	Silence      statemachine.Seconds // of a proxy's stream, after which it counts as broken
-	ListSilence  statemachine.Seconds // of the list service
-	ProbeTimeout statemachine.Seconds
-	MostStreams  int
-	MostProbes   int    // at once; more wait
-	Text         string // the settings as they are kept
+	Name                    string
+	Zone                    string
+	EndpointListAddr        string
+	Peers                   map[choice.PeerID]string // addresses
+	ModuleConfig            choice.Config
+	HandshakeTimeout        statemachine.Seconds // within which a stream must say hello
+	ProxyIdleTimeout        statemachine.Seconds // of a proxy's stream, after which it counts as broken
+	EndpointListIdleTimeout statemachine.Seconds // of the list service
+	ProbeTimeout            statemachine.Seconds
+	MaxStreams              int
+	MaxProbes               int    // at once; more wait
+	SettingsText            string // the settings as they are kept
 }
 
 // role is what a connection is to us.
@@ -76,15 +76,15 @@
 // NewMachine makes a coordinator that goes on from what its last run kept; nil: nothing is kept. Whoever drives it with
 // something kept must write out.Puts, and tell what became of them.
 func NewMachine(boot Bootstrap, kept *checkpoint.Kept) *Machine {
-	return &Machine{boot: boot, core: New(boot.Module, kept), sessions: map[statemachine.Conn]*session{}, peers: map[choice.PeerID]*session{},
-		dialled: statemachine.Dialed, swept: boot.Module.Now, faulted: map[string]int{}}
+	return &Machine{boot: boot, core: New(boot.ModuleConfig, kept), sessions: map[statemachine.Conn]*session{}, peers: map[choice.PeerID]*session{},
+		dialled: statemachine.Dialed, swept: boot.ModuleConfig.Now, faulted: map[string]int{}}
 }
 
 // Renew puts other settings in force. The module reads its settings once, so a fresh instance takes over, as after a
 // restart: from the list as held, with no streams. Proxies are refused with that reason, keep their tables, and join
 // again. It must be called between steps.
-func (m *Machine) Renew(boot Bootstrap) {
-	core := New(boot.Module, nil)
+func (m *Machine) Reload(boot Bootstrap) {
+	core := New(boot.ModuleConfig, nil)
 	core.keep, core.roll = m.core.keep, m.core.roll
 	if core.roll.held {
 		core.events = append(core.events, core.roll.kept())
@@ -93,7 +93,7 @@
 }
 
 // Figures gives the counts since the start.
-func (m *Machine) Figures() Figures { return m.core.Figures() }
+func (m *Machine) Stats() Stats { return m.core.Stats() }
 
 // Step implements machine.Machine. If the module fails, nothing of the step is done and out.Fail says why.
 func (m *Machine) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
@@ -109,12 +109,12 @@
 	}()
 	if !m.started {
 		m.started = true
-		if m.core.keep.Settings(m.boot.Text) {
+		if m.core.keep.Settings(m.boot.SettingsText) {
 			out.Log(1, "the settings are other than in the run before")
 		}
 	}
 	if m.renewed {
-		m.core.keep.Settings(m.boot.Text)
+		m.core.keep.Settings(m.boot.SettingsText)
 		m.renewed = false
 		for _, s := range m.order {
 			if m.sessions[s.conn] == s && s.role == proxyRole {
@@ -136,7 +136,7 @@
 
 // pause is how often silent connections are looked for.
 func (m *Machine) pause() statemachine.Seconds {
-	return min(m.boot.Handshake, m.boot.Silence, m.boot.ListSilence, m.boot.ProbeTimeout) / 4
+	return min(m.boot.HandshakeTimeout, m.boot.ProxyIdleTimeout, m.boot.EndpointListIdleTimeout, m.boot.ProbeTimeout) / 4
 }
 
 func (m *Machine) add(s *session) *session {
@@ -157,7 +157,7 @@
 	switch i.Kind {
 	case statemachine.ConnOpened:
 		if s == nil && i.Conn&statemachine.Dialed == 0 {
-			if len(m.sessions) >= m.boot.MostStreams {
+			if len(m.sessions) >= m.boot.MaxStreams {
 				m.refuse(&session{conn: i.Conn}, "too many streams, try another coordinator", out)
 				return events
 			}
@@ -344,8 +344,8 @@
 	}
 	s.name = h.Name
 	s.reader.Open()
-	welcome := proto.Welcome{Version: proto.Version, Name: m.boot.Name, Period: m.boot.Module.Settings.ReportPeriod.Or(1)}
-	for _, method := range m.boot.Module.Settings.Methods {
+	welcome := proto.Welcome{Version: proto.Version, Name: m.boot.Name, Period: m.boot.ModuleConfig.Settings.ReportPeriod.Or(1)}
+	for _, method := range m.boot.ModuleConfig.Settings.Methods {
 		welcome.Methods = append(welcome.Methods, method.Name)
 	}
 	switch h.Role {
@@ -367,7 +367,7 @@
 }
 
 func (m *Machine) knownZone(zone string) bool {
-	zones := m.boot.Module.Settings.Zones
+	zones := m.boot.ModuleConfig.Settings.Zones
 	return len(zones) == 0 || slices.Contains(zones, zone)
 }
 
@@ -386,13 +386,13 @@
 		kept = append(kept, s)
 		silent := now - s.heard
 		switch {
-		case s.role == stranger && now-s.opened > m.boot.Handshake:
+		case s.role == stranger && now-s.opened > m.boot.HandshakeTimeout:
 			m.refuse(s, "no hello in time", out)
-		case s.role == proxyRole && silent > m.boot.Silence:
+		case s.role == proxyRole && silent > m.boot.ProxyIdleTimeout:
 			m.refuse(s, "silent for too long", out)
-		case s.role == listRole && silent > m.boot.ListSilence,
+		case s.role == listRole && silent > m.boot.EndpointListIdleTimeout,
 			s.role == probeRole && now-s.opened > m.boot.ProbeTimeout,
-			s.role == peerRole && !s.ready && now-s.opened > m.boot.Handshake:
+			s.role == peerRole && !s.ready && now-s.opened > m.boot.HandshakeTimeout:
 			out.Abort(s.conn)
 		default:
 			continue
@@ -405,7 +405,7 @@
 }
 
 func (m *Machine) probeNext(now statemachine.Seconds, out *statemachine.Effects) {
-	for len(m.queued) > 0 && m.probing < m.boot.MostProbes {
+	for len(m.queued) > 0 && m.probing < m.boot.MaxProbes {
 		t := m.queued[0]
 		m.queued = m.queued[1:]
 		m.probing++
@@ -442,7 +442,7 @@
 		m.askList(now, proto.Fetch{}, out)
 	}
 	for _, t := range o.Probes {
-		if len(m.queued) < 4*m.boot.MostProbes { // the module asks again for one that got lost here
+		if len(m.queued) < 4*m.boot.MaxProbes { // the module asks again for one that got lost here
 			m.queued = append(m.queued, t)
 		}
 	}
@@ -468,7 +468,7 @@
 		out.Write(m.list.conn, proto.Append(nil, ask))
 		return
 	}
-	if m.list != nil && now-m.list.opened > m.boot.ListSilence {
+	if m.list != nil && now-m.list.opened > m.boot.EndpointListIdleTimeout {
 		out.Abort(m.list.conn)
 		delete(m.sessions, m.list.conn)
 		m.list, m.asks = nil, nil
@@ -477,13 +477,13 @@
 		m.asks = append(m.asks, ask)
 	}
 	if m.list == nil {
-		m.list = m.dial(now, m.boot.ListAddr, &session{role: listRole, name: "list"}, out)
+		m.list = m.dial(now, m.boot.EndpointListAddr, &session{role: listRole, name: "list"}, out)
 	}
 }
 
 // tell sends to peers that are reached; what can't go now is lost, as their protocol allows.
 func (m *Machine) tell(now statemachine.Seconds, t choice.SendToPeer, out *statemachine.Effects) {
-	for p := range choice.PeerID(int(m.boot.Module.Settings.Coordinators.Or(1))) {
+	for p := range choice.PeerID(int(m.boot.ModuleConfig.Settings.Coordinators.Or(1))) {
 		addr := m.boot.Peers[p]
 		if addr == "" || t.To >= 0 && t.To != p || len(t.Data) > proto.MostWord {
 			continue
@@ -492,7 +492,7 @@
 		if s == nil {
 			m.peers[p] = m.dial(now, addr, &session{role: peerRole, peer: p, name: addr}, out)
 		} else if s.ready {
-			out.Write(s.conn, proto.Append(nil, proto.PeerNote{From: uint64(m.boot.Module.Settings.Self.Or(0)), Data: string(t.Data)}))
+			out.Write(s.conn, proto.Append(nil, proto.PeerNote{From: uint64(m.boot.ModuleConfig.Settings.Self.Or(0)), Data: string(t.Data)}))
 		}
 	}
 }
--- a/internal/haproxy/proof_test.go
+++ b/internal/haproxy/proof_test.go
@@ -59,8 +59,8 @@
 		b := trade.Coordinator(now)
 		b.Seed = 3
 		return coordinator.NewMachine(coordinator.Bootstrap{
-			Name: "c0", Zone: "imported", ListAddr: "list", Module: b, Handshake: 1, Silence: 10, ListSilence: 5,
-			ProbeTimeout: 1, MostStreams: 100, MostProbes: 10,
+			Name: "c0", Zone: "imported", EndpointListAddr: "list", ModuleConfig: b, HandshakeTimeout: 1, ProxyIdleTimeout: 10, EndpointListIdleTimeout: 5,
+			ProbeTimeout: 1, MaxStreams: 100, MaxProbes: 10,
 		}, nil)
 	}, "c0")
 	m := trade.Coordinator(0)
--- a/internal/listing/day_test.go
+++ b/internal/listing/day_test.go
@@ -141,8 +141,8 @@
 				t.Fatal(err)
 			}
 			return coordinator.NewMachine(coordinator.Bootstrap{
-				Name: name, Zone: zone, ListAddr: "list", Module: b, Handshake: 1, Silence: 10, ListSilence: 5,
-				ProbeTimeout: 1, MostStreams: 100, MostProbes: 10,
+				Name: name, Zone: zone, EndpointListAddr: "list", ModuleConfig: b, HandshakeTimeout: 1, ProxyIdleTimeout: 10, EndpointListIdleTimeout: 5,
+				ProbeTimeout: 1, MaxStreams: 100, MaxProbes: 10,
 			}, kept)
 		}, name)
 		records = append(records, trace.Record{T: epoch, Kind: trace.Boot, Who: name})
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -192,9 +192,9 @@
 	a.lives++
 	b.Seed = fake.Seed(c.day.Seed, a.name) + uint64(a.lives)
 	return coordinator.Bootstrap{
-		Name: a.name, Zone: a.zone, ListAddr: list, Module: b, Handshake: t.Num("handshake"),
-		Silence: t.Num("stream-silence"), ListSilence: t.Num("list-silence"), ProbeTimeout: t.Num("probe-timeout"),
-		MostStreams: int(t.Num("streams")), MostProbes: int(t.Num("probes-at-once")),
+		Name: a.name, Zone: a.zone, EndpointListAddr: list, ModuleConfig: b, HandshakeTimeout: t.Num("handshake"),
+		ProxyIdleTimeout: t.Num("stream-silence"), EndpointListIdleTimeout: t.Num("list-silence"), ProbeTimeout: t.Num("probe-timeout"),
+		MaxStreams: int(t.Num("streams")), MaxProbes: int(t.Num("probes-at-once")),
 	}
 }
 
@@ -577,7 +577,7 @@
 		w.Add(a.name, a.zone, func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
 			b := c.coordinator(a, now, "list")
 			if o.Way == AllServers {
-				return fake.NewPlain(a.name, "list", d.Trade.Methods, b.Module.Settings.ReportPeriod.Or(1))
+				return fake.NewPlain(a.name, "list", d.Trade.Methods, b.ModuleConfig.Settings.ReportPeriod.Or(1))
 			}
 			kept, err := keptBy(w, a.name)
 			if err != nil {
