--- /dev/null
+++ b/internal/coordinator/acknowledgements.go
@@ -0,0 +1,62 @@
+package coordinator
+
+import (
+	"slices"
+
+	"gingerfork/choice"
+)
+
+// inFlightPush is a push that was sent and is not acknowledged yet.
+type inFlightPush struct {
+	wireNonce         uint64 // the nonce that the proxy got
+	nonce             choice.Nonce
+	step              uint64 // of the decision module, which ordered the push
+	durabilityBarrier uint64 // what must be durable before the acknowledgement counts
+	orderedAt         choice.Seconds
+}
+
+// heldAcknowledgement is an acknowledgement that the decision module must not see yet.
+type heldAcknowledgement struct {
+	step              uint64
+	durabilityBarrier uint64
+	acknowledgement   choice.PushAcknowledged
+	stream            *proxyStream
+}
+
+// acknowledge accepts the acknowledgement of a nonce that is in flight on this very stream. Those of other nonces are
+// ignored: a proxy may acknowledge late, twice, or a push of an earlier stream.
+func (c *controller) acknowledge(now choice.Seconds, s *proxyStream, wireNonce uint64) {
+	i := slices.IndexFunc(s.inFlight, func(p inFlightPush) bool { return p.wireNonce == wireNonce })
+	if i < 0 {
+		c.stats.StaleAcknowledgements++
+		return
+	}
+	push := s.inFlight[i]
+	// An acknowledgement covers all earlier pushes of the stream.
+	s.inFlight = slices.Delete(s.inFlight, 0, i+1)
+	c.checkpoint.Confirmed(s.proxyName, wireNonce)
+	c.heldAcknowledgements = append(c.heldAcknowledgements, heldAcknowledgement{
+		step:              push.step,
+		durabilityBarrier: push.durabilityBarrier,
+		acknowledgement:   choice.PushAcknowledged{Proxy: s.proxy, Nonce: push.nonce, Delay: now - push.orderedAt},
+		stream:            s,
+	})
+}
+
+// releaseAcknowledgements passes acknowledgements on to the decision module, which takes one as proof that all pushes of
+// earlier steps have been sent. Exclusions overtake queued pushes, so their acknowledgements are held until that is true.
+// An acknowledgement is also held until the exclusions that it covers are durable: what counts as done must not be
+// forgotten in a crash.
+func (c *controller) releaseAcknowledgements(now choice.Seconds) {
+	oldestQueued, queued := c.pushQueue.oldestStep()
+	stillHeld := c.heldAcknowledgements[:0]
+	for _, held := range c.heldAcknowledgements {
+		if queued && held.step > oldestQueued || !c.checkpoint.Counts(now, held.durabilityBarrier) {
+			stillHeld = append(stillHeld, held)
+			continue
+		}
+		c.pendingEvents = append(c.pendingEvents, held.acknowledgement)
+	}
+	clear(c.heldAcknowledgements[len(stillHeld):])
+	c.heldAcknowledgements = stillHeld
+}
--- /dev/null
+++ b/internal/coordinator/controller.go
@@ -0,0 +1,195 @@
+package coordinator
+
+import (
+	"fmt"
+
+	"gingerfork/choice"
+	"gingerfork/internal/checkpoint"
+	"gingerfork/internal/fanout"
+	"gingerfork/internal/proto"
+)
+
+const (
+	// maxWakeDelay bounds the time to the next step when nothing is due, in seconds.
+	maxWakeDelay choice.Seconds = 3600
+	// minWakeDelay is the least time between two steps that the controller asks for, in seconds. A deadline that is not met
+	// because of rounding would otherwise be asked for again and again at the same time.
+	minWakeDelay choice.Seconds = 1e-4
+	// defaultPushRate is the rate of pushes where the settings have none, in table entries per second.
+	defaultPushRate = 1e4
+)
+
+// Stats are counts since the controller was created.
+type Stats struct {
+	Joins                 int // proxies that joined
+	Pushes                int // pushes that were sent
+	Entries               int // table entries in them, as the settings charge them
+	Bytes                 int // of the pushes' frames
+	Steps                 int // of the decision module
+	StaleAcknowledgements int // acknowledgements of nonces that were not in flight
+	MaxQueuedEntries      int // the most table entries that ever waited in the push queue
+}
+
+// controller is a coordinator without sessions and protocol.
+type controller struct {
+	planner      *choice.Planner
+	methodCount  int
+	stepInterval choice.Seconds // least time between steps of the decision module that no timer asked for
+
+	endpoints   *endpointList
+	checkpoint  *checkpoint.Keeper
+	pushQueue   pushQueue
+	reports     *reportAggregator
+	distributor *fanout.Distributor
+
+	streams  map[streamID]*proxyStream
+	proxies  map[string]*proxyRecord
+	departed []*proxyRecord // proxies that left, oldest first
+	// freeNumbers are proxy numbers that may be given to another proxy.
+	freeNumbers []choice.ProxyID
+	// streamsByNumber is indexed by the proxy's number; nil where no proxy is joined.
+	streamsByNumber []*proxyStream
+
+	pendingEvents        []choice.Event // for the next step of the decision module
+	heldAcknowledgements []heldAcknowledgement
+	timerAt              choice.Seconds
+	timer                choice.TimerID
+	step                 uint64 // number of the decision module's last step
+	lastStepAt           choice.Seconds
+	result               stepResult // of the step in progress
+	stats                Stats
+}
+
+// newController returns a controller that continues from the state that the previous run saved. Without saved state (nil)
+// nothing is persisted.
+func newController(config choice.Config, saved *checkpoint.Kept) *controller {
+	return assembleController(config, checkpoint.New(config.Now, saved), restoreEndpointList(saved))
+}
+
+// withConfig returns a new controller with other settings that continues from this one's endpoint list and checkpoint. It
+// has no streams.
+func (c *controller) withConfig(config choice.Config) *controller {
+	return assembleController(config, c.checkpoint, c.endpoints)
+}
+
+func assembleController(config choice.Config, keeper *checkpoint.Keeper, endpoints *endpointList) *controller {
+	settings := &config.Settings
+	stepInterval := settings.Tick.Or(0)
+	c := &controller{
+		planner:      choice.New(config),
+		methodCount:  len(settings.Methods),
+		stepInterval: stepInterval,
+		endpoints:    endpoints,
+		checkpoint:   keeper,
+		pushQueue: pushQueue{
+			entriesPerSecond: settings.ChannelPace.Or(defaultPushRate),
+			overheadEntries:  int(settings.MessageLines.Or(0)),
+			maxCatchUp:       stepInterval,
+			nextSendAt:       config.Now,
+		},
+		reports:     newReportAggregator(config),
+		distributor: fanout.New(),
+		streams:     map[streamID]*proxyStream{},
+		proxies:     map[string]*proxyRecord{},
+		timerAt:     config.Now,
+		lastStepAt:  config.Now - stepInterval,
+	}
+	if endpoints.received {
+		c.pendingEvents = append(c.pendingEvents, endpoints.cachedUpdate())
+	}
+	return c
+}
+
+func (c *controller) currentStats() Stats {
+	stats := c.stats
+	stats.MaxQueuedEntries = c.pushQueue.maxQueuedEntries
+	return stats
+}
+
+// handle applies events in order and returns what is to be done. After an error, which is a *moduleFailure, the controller
+// must not be used any more.
+func (c *controller) handle(now choice.Seconds, events []event) (stepResult, error) {
+	c.result = stepResult{wakeAt: now + maxWakeDelay}
+	for _, e := range events {
+		c.apply(now, e)
+	}
+	c.sendQueued(now)
+	c.pendingEvents = append(c.pendingEvents, c.reports.due(now)...)
+	c.releaseAcknowledgements(now)
+	if err := c.decideIfDue(now); err != nil {
+		return stepResult{}, err
+	}
+	c.scheduleWake(now)
+	c.forgetDeparted(now)
+	c.result.mutations, c.result.batch = c.checkpoint.Take(now)
+	return c.result, nil
+}
+
+func (c *controller) apply(now choice.Seconds, e event) {
+	switch e := e.(type) {
+	case proxyJoined:
+		c.join(now, e)
+	case streamClosed:
+		if s := c.streams[e.stream]; s != nil {
+			c.leave(now, s)
+		}
+	case pushAcknowledged:
+		if s := c.streams[e.stream]; s != nil {
+			c.acknowledge(now, s, e.nonce)
+		}
+	case proxyReported:
+		if s := c.streams[e.stream]; s != nil {
+			c.reports.add(now, s, e.report, c.endpoints.has, c.methodCount)
+		}
+	case endpointListReceived:
+		c.applyEndpointList(now, e.list)
+	case endpointListLost:
+		c.pendingEvents = append(c.pendingEvents, choice.EndpointUpdate{Kind: choice.UpdateFailed})
+	case batchPersisted:
+		c.checkpoint.Durable(e.batch)
+	case persistFailed:
+		c.checkpoint.Lost()
+	case probeFinished:
+		c.pendingEvents = append(c.pendingEvents,
+			choice.ProbeResult{Backend: e.backend, OK: e.ok, Busy: e.busy, Latency: e.latency})
+	case peerMessage:
+		c.pendingEvents = append(c.pendingEvents, choice.PeerMessage{From: e.from, Data: []byte(e.data)})
+	default:
+		panic(fmt.Sprintf("coordinator: unknown event %T", e))
+	}
+}
+
+// applyEndpointList updates the endpoint list, persists the change and passes it on to the decision module. For the module
+// a frame that is rejected is a failed update.
+func (c *controller) applyEndpointList(now choice.Seconds, frame proto.List) {
+	change, err := c.endpoints.apply(now, frame)
+	if err != nil {
+		c.result.endpointListError = err
+		c.pendingEvents = append(c.pendingEvents, choice.EndpointUpdate{Kind: choice.UpdateFailed})
+		return
+	}
+	if len(change.update.Endpoints) > 0 || change.update.Kind == choice.UpdateFull {
+		c.checkpoint.Listed(now, c.endpoints.version, change.changed, change.removed)
+	}
+	c.pendingEvents = append(c.pendingEvents, change.update)
+}
+
+// scheduleWake sets the time of the next step to the soonest of all deadlines.
+func (c *controller) scheduleWake(now choice.Seconds) {
+	if len(c.pendingEvents) > 0 {
+		c.wakeBy(c.lastStepAt + c.stepInterval)
+	}
+	c.wakeBy(c.timerAt)
+	if at, ok := c.pushQueue.nextAt(); ok {
+		c.wakeBy(at)
+	}
+	if at, ok := c.reports.nextAt(); ok {
+		c.wakeBy(at)
+	}
+	if at, ok := c.checkpoint.Wake(now); ok {
+		c.wakeBy(at)
+	}
+	c.result.wakeAt = max(c.result.wakeAt, now+minWakeDelay)
+}
+
+func (c *controller) wakeBy(at choice.Seconds) { c.result.wakeAt = min(c.result.wakeAt, at) }
--- /dev/null
+++ b/internal/coordinator/handshake.go
@@ -0,0 +1,83 @@
+package coordinator
+
+import (
+	"slices"
+	"strings"
+	"unicode"
+
+	"gingerfork/internal/proto"
+)
+
+// maxNameBytes bounds the name and the zone in a hello.
+const maxNameBytes = 64
+
+// sendHello starts the handshake on a connection that this coordinator dialed.
+func (m *Machine) sendHello(step *stepContext, s *session) {
+	hello := proto.Hello{Version: proto.Version, Name: m.bootstrap.Name, Zone: m.bootstrap.Zone}
+	switch s.role {
+	case roleEndpointList:
+		hello.Role = proto.RoleWatcher
+		step.send(s, hello)
+	case roleProbe:
+		hello.Role = proto.RoleCaller
+		step.effects.Write(s.conn, proto.Append(proto.Append(nil, hello), proto.Probe{ID: 1}))
+	case rolePeer:
+		hello.Role = proto.RolePeer
+		step.send(s, hello)
+	case roleHandshaking, roleProxy:
+		// These sessions are accepted; the other side sends the hello.
+	}
+}
+
+// handleHello completes the handshake on a connection that was accepted.
+func (m *Machine) handleHello(step *stepContext, s *session, hello proto.Hello) error {
+	if hello.Version != proto.Version {
+		return &protocolVersionError{version: hello.Version}
+	}
+	if !validName(hello.Name) || hello.Zone != "" && !validName(hello.Zone) {
+		return errInvalidName
+	}
+	s.name = hello.Name
+	s.reader.Open()
+	switch hello.Role {
+	case proto.RoleProxy:
+		if !m.knownZone(hello.Zone) {
+			return &unknownZoneError{zone: hello.Zone}
+		}
+		s.role = roleProxy
+		step.send(s, m.welcome())
+		step.effects.Log(logInfo, "proxy joined",
+			"proxy", hello.Name, "zone", hello.Zone, "rate_rps", hello.Rate, "tables_from", hello.Holds)
+		step.raise(proxyJoined{streamID(s.conn), hello})
+		return nil
+	case proto.RolePeer:
+		s.role = rolePeer
+		s.welcomed = true
+		step.send(s, m.welcome())
+		return nil
+	}
+	return &unsupportedRoleError{role: hello.Role}
+}
+
+func (m *Machine) welcome() proto.Welcome {
+	settings := &m.bootstrap.ModuleConfig.Settings
+	welcome := proto.Welcome{Version: proto.Version, Name: m.bootstrap.Name, Period: settings.ReportPeriod.Or(1)}
+	for _, method := range settings.Methods {
+		welcome.Methods = append(welcome.Methods, method.Name)
+	}
+	return welcome
+}
+
+// knownZone accepts any zone if the settings have none.
+func (m *Machine) knownZone(zone string) bool {
+	zones := m.bootstrap.ModuleConfig.Settings.Zones
+	return len(zones) == 0 || slices.Contains(zones, zone)
+}
+
+// validName reports whether a name is fit for logs, traces and terminals.
+func validName(name string) bool {
+	if name == "" || len(name) > maxNameBytes {
+		return false
+	}
+	return !strings.ContainsFunc(name, func(r rune) bool { return unicode.IsSpace(r) || !unicode.IsPrint(r) })
+}
--- /dev/null
+++ b/internal/coordinator/messages.go
@@ -0,0 +1,61 @@
+package coordinator
+
+import (
+	"fmt"
+
+	"gingerfork/choice"
+	"gingerfork/internal/proto"
+)
+
+// handleMessage handles one message. The text of the error, if any, is sent to the other side.
+func (m *Machine) handleMessage(step *stepContext, s *session, message proto.Message) error {
+	if refusal, ok := message.(proto.Refuse); ok {
+		return &peerRejectionError{reason: refusal.Reason}
+	}
+	switch s.role {
+	case roleHandshaking:
+		hello, ok := message.(proto.Hello)
+		if !ok {
+			return fmt.Errorf("%w: %s before the hello", errUnexpectedMessage, messageName(message))
+		}
+		return m.handleHello(step, s, hello)
+	case roleProxy:
+		return m.handleProxyMessage(step, s, message)
+	case roleEndpointList:
+		return m.handleEndpointListMessage(step, s, message)
+	case roleProbe:
+		return m.handleProbeMessage(step, s, message)
+	case rolePeer:
+		return m.handlePeerMessage(step, s, message)
+	}
+	return unexpectedMessage(message)
+}
+
+func unexpectedMessage(message proto.Message) error {
+	return fmt.Errorf("%w: %s", errUnexpectedMessage, messageName(message))
+}
+
+func (m *Machine) handleProxyMessage(step *stepContext, s *session, message proto.Message) error {
+	switch message := message.(type) {
+	case proto.Answer:
+		step.raise(pushAcknowledged{streamID(s.conn), message.Mark})
+		return nil
+	case proto.Sums:
+		step.send(s, proto.Heard{})
+		step.raise(proxyReported{streamID(s.conn), message})
+		return nil
+	}
+	return unexpectedMessage(message)
+}
+
+func (m *Machine) handlePeerMessage(step *stepContext, s *session, message proto.Message) error {
+	switch message := message.(type) {
+	case proto.Welcome:
+		s.welcomed = true
+		return nil
+	case proto.PeerNote:
+		step.raise(peerMessage{choice.PeerID(message.From), message.Data})
+		return nil
+	}
+	return unexpectedMessage(message)
+}
--- /dev/null
+++ b/internal/coordinator/peers.go
@@ -0,0 +1,29 @@
+package coordinator
+
+import (
+	"gingerfork/choice"
+	"gingerfork/internal/proto"
+)
+
+// sendToPeer sends a message to one other coordinator, or to all if To is negative. What cannot be sent at once is lost, which
+// the decision module allows for. A peer without a session is dialed.
+func (m *Machine) sendToPeer(step *stepContext, message choice.SendToPeer) {
+	if len(message.Data) > proto.MostWord {
+		return
+	}
+	settings := &m.bootstrap.ModuleConfig.Settings
+	for peer := range choice.PeerID(int(settings.Coordinators.Or(1))) {
+		addr := m.bootstrap.Peers[peer]
+		if addr == "" || message.To >= 0 && message.To != peer {
+			continue
+		}
+		s := m.peerSessions[peer]
+		if s == nil {
+			s = &session{role: rolePeer, peer: peer, name: addr}
+			m.peerSessions[peer] = s
+			m.dial(step, addr, s)
+		} else if s.welcomed {
+			step.send(s, proto.PeerNote{From: uint64(settings.Self.Or(0)), Data: string(message.Data)})
+		}
+	}
+}
--- /dev/null
+++ b/internal/coordinator/probes.go
@@ -0,0 +1,49 @@
+package coordinator
+
+import "gingerfork/internal/proto"
+
+// queuedProbesPerSlot bounds the probes that wait, for each probe that may be in flight. The decision module repeats probes
+// that get lost here.
+const queuedProbesPerSlot = 4
+
+func (m *Machine) queueProbes(step *stepContext, targets []probeTarget) {
+	for _, target := range targets {
+		if len(m.queuedProbes) < queuedProbesPerSlot*m.bootstrap.MaxProbes {
+			m.queuedProbes = append(m.queuedProbes, target)
+		}
+	}
+	m.startProbes(step)
+}
+
+// startProbes dials backends of the queue, up to the limit of probes in flight.
+func (m *Machine) startProbes(step *stepContext) {
+	for len(m.queuedProbes) > 0 && m.probesInFlight < m.bootstrap.MaxProbes {
+		target := m.queuedProbes[0]
+		m.queuedProbes = m.queuedProbes[1:]
+		m.probesInFlight++
+		m.dial(step, target.addr, &session{role: roleProbe, probe: target})
+	}
+}
+
+func (m *Machine) handleProbeMessage(step *stepContext, s *session, message proto.Message) error {
+	switch message := message.(type) {
+	case proto.Welcome:
+		return nil
+	case proto.ProbeReply:
+		delete(m.sessions, s.conn)
+		step.effects.Close(s.conn)
+		m.finishProbe(step, s, probeFinished{ok: message.Status == proto.OK, busy: message.Status == proto.PushedBack})
+		return nil
+	}
+	return unexpectedMessage(message)
+}
+
+// finishProbe completes the result with the backend and the latency, raises it and starts the next probe. The session must
+// have been removed.
+func (m *Machine) finishProbe(step *stepContext, s *session, result probeFinished) {
+	m.probesInFlight--
+	result.backend = s.probe.backend
+	result.latency = step.now - s.openedAt
+	step.raise(result)
+	m.startProbes(step)
+}
--- /dev/null
+++ b/internal/coordinator/pushqueue.go
@@ -0,0 +1,107 @@
+package coordinator
+
+import (
+	"slices"
+
+	"gingerfork/choice"
+	"gingerfork/internal/proto"
+)
+
+// queuedPush is what one step of the decision module changes for one proxy.
+type queuedPush struct {
+	stream            *proxyStream
+	step              uint64
+	orderedAt         choice.Seconds
+	entries           int // table entries that it is charged as, with its overhead
+	ops               []proto.Op
+	hasNonce          bool
+	nonce             choice.Nonce
+	wireNonce         uint64
+	durabilityBarrier uint64 // what must be durable before its acknowledgement counts
+	urgent            bool   // it excludes a backend
+	removed           bool   // it was sent, or its stream was closed
+}
+
+// pushQueue holds the pushes that wait to be sent. They leave one after another at the rate that the settings state, in the
+// order of the steps that ordered them. But a stream that has an urgent push goes ahead of all streams without one, with the
+// pushes that were queued for it before. So no push is split, and none overtakes another one of its own stream.
+type pushQueue struct {
+	entriesPerSecond float64
+	overheadEntries  int            // charged for each push beside its own table entries
+	maxCatchUp       choice.Seconds // how much idle time counts for the rate
+	nextSendAt       choice.Seconds
+	byStep           []*queuedPush  // may hold pushes that were removed
+	urgentStreams    []*proxyStream // streams with an urgent push, in the order in which the push was added
+	queuedEntries    int
+	maxQueuedEntries int // the most that ever waited
+}
+
+func (q *pushQueue) add(push *queuedPush) {
+	push.entries += q.overheadEntries
+	q.queuedEntries += push.entries
+	q.maxQueuedEntries = max(q.maxQueuedEntries, q.queuedEntries)
+	q.byStep = append(q.byStep, push)
+	push.stream.queue = append(push.stream.queue, push)
+	if push.urgent && !push.stream.hasUrgent {
+		push.stream.hasUrgent = true
+		q.urgentStreams = append(q.urgentStreams, push.stream)
+	}
+}
+
+// oldestStep returns the step of the first push that still waits; the pushes of all earlier steps were sent. It returns
+// false if no push waits.
+func (q *pushQueue) oldestStep() (uint64, bool) {
+	for len(q.byStep) > 0 && q.byStep[0].removed {
+		q.byStep[0] = nil
+		q.byStep = q.byStep[1:]
+	}
+	if len(q.byStep) == 0 {
+		q.byStep = nil
+		return 0, false
+	}
+	return q.byStep[0].step, true
+}
+
+// nextPush removes and returns the push that may be sent now, or nil if none may. After an idle time, or a time in which no
+// step was taken, at most maxCatchUp is made up for, as proxies rely on the rate.
+func (q *pushQueue) nextPush(now choice.Seconds) *queuedPush {
+	if _, ok := q.oldestStep(); !ok || q.nextSendAt > now {
+		return nil
+	}
+	push := q.byStep[0]
+	if len(q.urgentStreams) > 0 {
+		push = q.urgentStreams[0].queue[0]
+	}
+	q.removeFirst(push.stream)
+	q.nextSendAt = max(q.nextSendAt, now-q.maxCatchUp) + float64(push.entries)/q.entriesPerSecond
+	return push
+}
+
+// removeFirst removes the first push of a stream.
+func (q *pushQueue) removeFirst(s *proxyStream) {
+	push := s.queue[0]
+	s.queue[0] = nil
+	s.queue = s.queue[1:]
+	push.removed = true
+	q.queuedEntries -= push.entries
+	if !s.hasUrgent || slices.ContainsFunc(s.queue, func(p *queuedPush) bool { return p.urgent }) {
+		return
+	}
+	s.hasUrgent = false
+	if i := slices.Index(q.urgentStreams, s); i >= 0 {
+		q.urgentStreams = slices.Delete(q.urgentStreams, i, i+1)
+	}
+}
+
+// removeStream removes all pushes of a stream that was closed.
+func (q *pushQueue) removeStream(s *proxyStream) {
+	for len(s.queue) > 0 {
+		q.removeFirst(s)
+	}
+}
+
+// nextAt returns when the next push may be sent, and false if no push waits.
+func (q *pushQueue) nextAt() (choice.Seconds, bool) {
+	_, ok := q.oldestStep()
+	return q.nextSendAt, ok
+}
--- /dev/null
+++ b/internal/coordinator/sessions.go
@@ -0,0 +1,175 @@
+package coordinator
+
+import (
+	"gingerfork/choice"
+	"gingerfork/internal/proto"
+	"gingerfork/internal/statemachine"
+)
+
+// expiryChecksPerTimeout is how often sessions are checked for timeouts within the shortest of them.
+const expiryChecksPerTimeout = 4
+
+// Reasons of rejections, as sent on the wire.
+const (
+	reasonTooManyStreams = "too many streams, try another coordinator"
+	reasonNoHello        = "no hello in time"
+	reasonIdle           = "silent for too long"
+	reasonReloaded       = "other settings are in force, join again"
+)
+
+// sessionRole is what the other side of a session is.
+type sessionRole uint8
+
+const (
+	roleHandshaking sessionRole = iota // it has not sent its hello yet
+	roleProxy
+	roleEndpointList
+	roleProbe
+	rolePeer
+)
+
+// session is one connection, accepted or dialed.
+type session struct {
+	conn     statemachine.Conn
+	role     sessionRole
+	name     string
+	reader   proto.Reader
+	openedAt statemachine.Seconds
+	lastSeen statemachine.Seconds // when data last came, or openedAt
+	welcomed bool                 // the handshake is complete; for roleEndpointList and rolePeer only
+	probe    probeTarget          // for roleProbe
+	peer     choice.PeerID        // for rolePeer, if this coordinator dialed
+}
+
+func (m *Machine) addSession(s *session) {
+	m.sessions[s.conn] = s
+	m.sessionsByAge = append(m.sessionsByAge, s)
+}
+
+// accept opens a session for a connection that came in.
+func (m *Machine) accept(step *stepContext, conn statemachine.Conn) {
+	if len(m.sessions) >= m.bootstrap.MaxStreams {
+		m.reject(step, &session{conn: conn}, reasonTooManyStreams)
+		return
+	}
+	m.addSession(&session{conn: conn, openedAt: step.now, lastSeen: step.now})
+}
+
+// dial opens a connection for a session, which may not be established yet when dial returns.
+func (m *Machine) dial(step *stepContext, addr string, s *session) {
+	m.lastDialed++
+	s.conn = m.lastDialed
+	s.openedAt, s.lastSeen = step.now, step.now
+	step.effects.Dial(s.conn, addr)
+	m.addSession(s)
+}
+
+// receive handles the messages in data. An error ends this session and no other.
+func (m *Machine) receive(step *stepContext, s *session, data []byte) {
+	s.lastSeen = step.now
+	s.reader.Feed(data)
+	for m.sessions[s.conn] == s {
+		message, err := s.reader.Next()
+		if message == nil && err == nil {
+			return
+		}
+		if err == nil {
+			err = m.handleMessage(step, s, message)
+		}
+		if err != nil {
+			m.reject(step, s, err.Error())
+			m.closeSession(step, s, err.Error())
+			return
+		}
+	}
+}
+
+// reject tells the other side the reason and closes the connection. It does not remove the session.
+func (m *Machine) reject(step *stepContext, s *session, reason string) {
+	step.send(s, proto.Refuse{Reason: reason})
+	step.effects.Close(s.conn)
+	if times, logIt := m.rejections.count(reason); logIt {
+		step.effects.Log(logWarning, "stream rejected",
+			"peer", s.name, "conn", uint64(s.conn&^statemachine.Dialed), "reason", reason, "count", times)
+	}
+}
+
+// closeSession removes a session, whichever side ended it, and raises the events that follow from that.
+func (m *Machine) closeSession(step *stepContext, s *session, reason string) {
+	if m.sessions[s.conn] != s {
+		return
+	}
+	delete(m.sessions, s.conn)
+	switch s.role {
+	case roleProxy:
+		step.effects.Log(logInfo, "proxy left", "proxy", s.name, "reason", reason)
+		step.raise(streamClosed{streamID(s.conn)})
+	case roleEndpointList:
+		m.removeEndpointSession()
+		step.effects.Log(logWarning, "endpoint list service disconnected", "reason", reason)
+		step.raise(endpointListLost{})
+	case roleProbe:
+		m.finishProbe(step, s, probeFinished{})
+	case rolePeer:
+		if m.peerSessions[s.peer] == s {
+			delete(m.peerSessions, s.peer)
+		}
+	case roleHandshaking:
+	}
+}
+
+func (m *Machine) expiryInterval() statemachine.Seconds {
+	shortest := min(m.bootstrap.HandshakeTimeout, m.bootstrap.ProxyIdleTimeout, m.bootstrap.EndpointListIdleTimeout,
+		m.bootstrap.ProbeTimeout)
+	return shortest / expiryChecksPerTimeout
+}
+
+// expireSessions closes sessions whose timeout has passed. A connection may break without either side being told.
+func (m *Machine) expireSessions(step *stepContext) {
+	if step.now < m.lastExpiryAt+m.expiryInterval() {
+		return
+	}
+	m.lastExpiryAt = step.now
+	known := len(m.sessionsByAge)
+	open := m.sessionsByAge[:0]
+	for _, s := range m.sessionsByAge {
+		if m.sessions[s.conn] != s {
+			continue
+		}
+		open = append(open, s)
+		if m.expire(step, s) {
+			m.closeSession(step, s, reasonIdle)
+		}
+	}
+	// An expired probe makes room for the next one, whose session was added behind the known ones.
+	open = append(open, m.sessionsByAge[known:]...)
+	m.sessionsByAge = open
+}
+
+// expire ends the connection of a session whose timeout has passed, and returns whether it has.
+func (m *Machine) expire(step *stepContext, s *session) bool {
+	age, idle := step.now-s.openedAt, step.now-s.lastSeen
+	var expired bool
+	switch s.role {
+	case roleHandshaking:
+		if age > m.bootstrap.HandshakeTimeout {
+			m.reject(step, s, reasonNoHello)
+			return true
+		}
+	case roleProxy:
+		if idle > m.bootstrap.ProxyIdleTimeout {
+			m.reject(step, s, reasonIdle)
+			return true
+		}
+	case roleEndpointList:
+		expired = idle > m.bootstrap.EndpointListIdleTimeout
+	case roleProbe:
+		expired = age > m.bootstrap.ProbeTimeout
+	case rolePeer:
+		expired = !s.welcomed && age > m.bootstrap.HandshakeTimeout
+	}
+	if expired {
+		step.effects.Abort(s.conn)
+	}
+	return expired
+}
