--- a/internal/coordinator/acknowledgements.go
+++ b/internal/coordinator/acknowledgements.go
@@ -25,21 +25,21 @@
 
 // acknowledge accepts the acknowledgement of a nonce that is in flight on this very stream. Those of other nonces are
 // ignored: a proxy may acknowledge late, twice, or a push of an earlier stream.
-func (c *controller) acknowledge(now choice.Seconds, s *proxyStream, wireNonce uint64) {
-	i := slices.IndexFunc(s.inFlight, func(p inFlightPush) bool { return p.wireNonce == wireNonce })
+func (c *controller) acknowledge(now choice.Seconds, stream *proxyStream, wireNonce uint64) {
+	i := slices.IndexFunc(stream.inFlight, func(p inFlightPush) bool { return p.wireNonce == wireNonce })
 	if i < 0 {
 		c.stats.StaleAcknowledgements++
 		return
 	}
-	push := s.inFlight[i]
+	push := stream.inFlight[i]
 	// An acknowledgement covers all earlier pushes of the stream.
-	s.inFlight = slices.Delete(s.inFlight, 0, i+1)
-	c.checkpoint.Confirmed(s.proxyName, wireNonce)
+	stream.inFlight = slices.Delete(stream.inFlight, 0, i+1)
+	c.checkpoint.Confirmed(stream.proxyName, wireNonce)
 	c.heldAcknowledgements = append(c.heldAcknowledgements, heldAcknowledgement{
 		step:              push.step,
 		durabilityBarrier: push.durabilityBarrier,
-		acknowledgement:   choice.PushAcknowledged{Proxy: s.proxy, Nonce: push.nonce, Delay: now - push.orderedAt},
-		stream:            s,
+		acknowledgement:   choice.PushAcknowledged{Proxy: stream.proxy, Nonce: push.nonce, Delay: now - push.orderedAt},
+		stream:            stream,
 	})
 }
 
--- /dev/null
+++ b/internal/coordinator/acknowledgements_test.go
@@ -0,0 +1,45 @@
+package coordinator
+
+import (
+	"testing"
+
+	"gingerfork/internal/proto"
+)
+
+// An acknowledgement of a nonce of an earlier stream, or of one that was never sent, is ignored.
+func TestStaleAndUnknownAcknowledgementsAreIgnored(t *testing.T) {
+	harness := newHarness(t, nil, nil)
+	harness.serveEndpoints(4)
+	harness.join(1, "f0")
+	harness.advance(0.1)
+	staleNonce := harness.pushes(1)[0].Mark
+	harness.step(0.01, closed(1))
+	harness.join(2, "f0")
+	harness.advance(0.1)
+	nonce := harness.pushes(2)[0].Mark
+	harness.step(0.01, data(2, proto.Answer{Mark: staleNonce}, proto.Answer{Mark: 4711}))
+	if stats := harness.machine.Stats(); stats.StaleAcknowledgements != 2 || harness.closed[2] {
+		t.Fatalf("%+v", stats)
+	}
+	harness.step(0.01, data(2, proto.Answer{Mark: nonce}, proto.Answer{Mark: nonce}))
+	if stats := harness.machine.Stats(); stats.StaleAcknowledgements != 3 || harness.closed[2] {
+		t.Fatalf("an acknowledgement counted twice: %+v", stats)
+	}
+}
+
+// An acknowledgement covers the earlier pushes of its stream, and none of the later ones.
+func TestAcknowledgementCoversEarlierPushes(t *testing.T) {
+	harness := newHarness(t, nil, nil)
+	c := harness.machine.controller
+	harness.join(1, "f0")
+	stream := c.streams[1]
+	stream.inFlight = []inFlightPush{{wireNonce: 7}, {wireNonce: 8}, {wireNonce: 9}}
+	c.acknowledge(harness.now, stream, 8)
+	if len(stream.inFlight) != 1 || stream.inFlight[0].wireNonce != 9 {
+		t.Fatalf("in flight: %+v", stream.inFlight)
+	}
+	c.acknowledge(harness.now, stream, 7)
+	if stats := harness.machine.Stats(); stats.StaleAcknowledgements != 1 {
+		t.Fatalf("%+v", stats)
+	}
+}
--- a/internal/coordinator/bench_test.go
+++ b/internal/coordinator/bench_test.go
@@ -9,81 +9,89 @@
 	"gingerfork/internal/proto"
 )
 
-// fleet is a core with so many servers and joined proxies, all of whose pushes were answered.
-func newFleet(b testing.TB, servers, proxies int) (c *controller, now float64, version uint64) {
+// fleetSize is how many backends and proxies a benchmark has.
+type fleetSize struct{ backends, proxies int }
+
+func (s fleetSize) String() string { return fmt.Sprintf("%dx%d", s.backends, s.proxies) }
+
+var fleetSizes = []fleetSize{{100, 300}, {300, 800}, {600, 2000}}
+
+// newFleet returns a controller with backends and joined proxies that acknowledged all pushes, and the time.
+func newFleet(tb testing.TB, size fleetSize) (controller *controller, now float64) {
+	tb.Helper()
 	now = 1000
-	c = newController(choice.Config{Now: now, Settings: choice.DecodeSettings(testSettings(map[string]any{"proxies": float64(proxies), "channel_room": 1e9, "channel_pace": 1e9,
-		"messages": 0.0, "tick": 0.0, "probes": false}))}, nil)
-	l := proto.List{Kind: proto.ListFull, Version: 1}
-	for i := range servers {
-		l.Entries = append(l.Entries, listEntry(i+1, proto.ServerOpen))
-	}
-	events := []event{endpointListReceived{l}}
-	for i := range proxies {
+	settings := testSettings(map[string]any{
+		"proxies": float64(size.proxies), "channel_room": 1e9, "channel_pace": 1e9, "messages": 0.0, "tick": 0.0,
+		"probes": false,
+	})
+	controller = newController(choice.Config{Now: now, Settings: settings}, nil)
+	events := []event{endpointListReceived{fullList(1, size.backends)}}
+	for i := range size.proxies {
 		events = append(events, proxyJoined{streamID(i + 1), hello(fmt.Sprint("f", i))})
 	}
-	acknowledgeAll(b, c, now, mustHandle(b, c, now, events))
-	return c, now + 1, 1
+	acknowledgePushes(tb, controller, now, mustHandle(tb, controller, now, events...))
+	return controller, now + 1
 }
 
-func acknowledgeAll(b testing.TB, c *controller, now float64, result stepResult) (entries, bytes int) {
+// acknowledgePushes acknowledges all pushes of a step and returns their size, in operations with their entries and in bytes.
+func acknowledgePushes(tb testing.TB, controller *controller, now float64, result stepResult) (entries, bytes int) {
+	tb.Helper()
 	var events []event
-	for _, s := range result.pushes {
-		bytes += len(proto.Append(nil, s.push))
-		entries += len(s.push.Ops)
-		for _, op := range s.push.Ops {
+	for _, outgoing := range result.pushes {
+		bytes += len(proto.Append(nil, outgoing.push))
+		entries += len(outgoing.push.Ops)
+		for _, op := range outgoing.push.Ops {
 			entries += len(op.Lines) + len(op.Levels)
 		}
-		events = append(events, pushAcknowledged{s.stream, s.push.Mark})
+		events = append(events, pushAcknowledged{outgoing.stream, outgoing.push.Mark})
 	}
-	mustHandle(b, c, now+0.001, events)
+	mustHandle(tb, controller, now+0.001, events...)
 	return entries, bytes
 }
 
-var fleetSizes = [][2]int{{100, 300}, {300, 800}, {600, 2000}}
-
-// One server drains and comes back: what that costs in bytes and lines, beside full tables to all, and which share of
-// the time the module takes.
+// BenchmarkOneBackendChanges drains a backend and takes it back: the size of the pushes, beside full tables to all proxies.
 func BenchmarkOneBackendChanges(b *testing.B) {
 	for _, size := range fleetSizes {
-		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
-			c, now, version := newFleet(b, size[0], size[1])
-			full := 0
-			for f := range c.distributor.Subscribers() {
-				full += len(proto.Append(nil, proto.Push{Ops: c.wireOps(c.distributor.BoundTables(f))}))
+		b.Run(size.String(), func(b *testing.B) {
+			controller, now := newFleet(b, size)
+			fullBytes := 0
+			for subscriber := range controller.distributor.Subscribers() {
+				fullBytes += len(proto.Append(nil, proto.Push{Ops: controller.wireOps(controller.distributor.BoundTables(subscriber))}))
 			}
-			lines, bytes := 0, 0
-			var within time.Duration
+			entries, bytes := 0, 0
+			version := uint64(1)
 			b.ResetTimer()
 			for i := range b.N {
 				now += 3
-				e := listEntry(1+i%size[0], proto.ServerDraining)
-				for range 2 {
+				for _, state := range []proto.ServerState{proto.ServerDraining, proto.ServerOpen} {
 					version++
-					o := mustHandle(b, c, now, []event{endpointListReceived{proto.List{Kind: proto.ListChanges, Base: version - 1, Version: version, Entries: []proto.Entry{e}}}})
-					begin := time.Now()
-					n, m := acknowledgeAll(b, c, now, o)
-					within += time.Since(begin)
-					lines, bytes = lines+n, bytes+m
-					e.State = proto.ServerOpen
+					list := proto.List{
+						Kind: proto.ListChanges, Base: version - 1, Version: version,
+						Entries: []proto.Entry{listEntry(1+i%size.backends, state)},
+					}
+					result := mustHandle(b, controller, now, endpointListReceived{list})
+					addedEntries, addedBytes := acknowledgePushes(b, controller, now, result)
+					entries += addedEntries
+					bytes += addedBytes
 					now += 0.5
 				}
 			}
-			b.ReportMetric(float64(bytes)/float64(2*b.N), "bytes/change")
-			b.ReportMetric(float64(lines)/float64(2*b.N), "lines/change")
-			b.ReportMetric(float64(full), "bytes/full-push")
-			b.ReportMetric(float64(full)/(float64(bytes)/float64(2*b.N)), "full/change")
+			changes := float64(2 * b.N)
+			b.ReportMetric(float64(bytes)/changes, "bytes/change")
+			b.ReportMetric(float64(entries)/changes, "entries/change")
+			b.ReportMetric(float64(fullBytes), "bytes/full-push")
+			b.ReportMetric(float64(fullBytes)/(float64(bytes)/changes), "full/change")
 		})
 	}
 }
 
-// A step in which nothing came, and which part of it is the module's: the same steps of the same fleet without what is
-// around it.
+// BenchmarkQuietStep takes steps without events, and measures the decision module's share: the same steps of an equal fleet
+// without the controller.
 func BenchmarkQuietStep(b *testing.B) {
 	for _, size := range fleetSizes {
-		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
-			whole, now, _ := newFleet(b, size[0], size[1])
-			alone, _, _ := newFleet(b, size[0], size[1])
+		b.Run(size.String(), func(b *testing.B) {
+			full, now := newFleet(b, size)
+			alone, _ := newFleet(b, size)
 			begin := time.Now()
 			for i := range b.N {
 				alone.planner.Step(now+0.25*float64(i+1), nil)
@@ -91,33 +99,26 @@
 			module := time.Since(begin)
 			b.ResetTimer()
 			for i := range b.N {
-				whole.timerAt = now + 0.25*float64(i+1)
-				mustHandle(b, whole, whole.timerAt, nil)
+				full.timerAt = now + 0.25*float64(i+1)
+				mustHandle(b, full, full.timerAt)
 			}
 			b.ReportMetric(100*float64(module)/float64(b.Elapsed()), "module-%")
 		})
 	}
 }
 
-// A storm of joins: six in each step of 4 ms, as when the other coordinators have died. The time a join must follow the
-// proxy's arc, not the number of proxies that joined before it.
+// BenchmarkManyJoins joins six proxies in each step of 4 ms, as when the other coordinators have crashed. The time per join must
+// follow the size of the proxy's arc and not the number of proxies that joined before it.
 func BenchmarkManyJoins(b *testing.B) {
-	const joinsPerStep, stepSeconds = 6, 0.004
-	for _, servers := range []int{200, 600} {
+	for _, backends := range []int{200, 600} {
 		for _, proxies := range []int{300, 1000, 2600} {
-			b.Run(fmt.Sprintf("%dx%d", servers, proxies), func(b *testing.B) {
+			size := fleetSize{backends, proxies}
+			b.Run(size.String(), func(b *testing.B) {
 				for range b.N {
 					b.StopTimer()
-					core, now, _ := newFleet(b, servers, 0)
+					controller, now := newFleet(b, fleetSize{backends: backends})
 					b.StartTimer()
-					for joined := 0; joined < proxies; now += stepSeconds {
-						var events []event
-						for range min(joinsPerStep, proxies-joined) {
-							joined++
-							events = append(events, proxyJoined{streamID(joined), hello(fmt.Sprint("f", joined))})
-						}
-						acknowledgeAll(b, core, now, mustHandle(b, core, now, events))
-					}
+					joinInSteps(b, controller, now, proxies)
 				}
 				b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/float64(proxies), "us/join")
 			})
@@ -125,11 +126,15 @@
 	}
 }
 
-func mustHandle(b testing.TB, c *controller, now float64, events []event) stepResult {
+func joinInSteps(b *testing.B, controller *controller, now float64, proxies int) {
 	b.Helper()
-	result, err := c.handle(now, events)
-	if err != nil {
-		b.Fatal(err)
+	const joinsPerStep, stepSeconds = 6, 0.004
+	for joined := 0; joined < proxies; now += stepSeconds {
+		var events []event
+		for range min(joinsPerStep, proxies-joined) {
+			joined++
+			events = append(events, proxyJoined{streamID(joined), hello(fmt.Sprint("f", joined))})
+		}
+		acknowledgePushes(b, controller, now, mustHandle(b, controller, now, events...))
 	}
-	return result
 }
--- a/internal/coordinator/controller.go
+++ b/internal/coordinator/controller.go
@@ -72,32 +72,33 @@
 	return assembleController(config, c.checkpoint, c.endpoints)
 }
 
-func assembleController(config choice.Config, keeper *checkpoint.Keeper, endpoints *endpointList) *controller {
+func assembleController(config choice.Config, checkpointer *checkpoint.Keeper, endpoints *endpointList) *controller {
 	settings := &config.Settings
 	stepInterval := settings.Tick.Or(0)
-	c := &controller{
+	var pendingEvents []choice.Event
+	if endpoints.received {
+		pendingEvents = append(pendingEvents, endpoints.cachedUpdate())
+	}
+	return &controller{
 		planner:      choice.New(config),
 		methodCount:  len(settings.Methods),
 		stepInterval: stepInterval,
 		endpoints:    endpoints,
-		checkpoint:   keeper,
+		checkpoint:   checkpointer,
 		pushQueue: pushQueue{
 			entriesPerSecond: settings.ChannelPace.Or(defaultPushRate),
 			overheadEntries:  int(settings.MessageLines.Or(0)),
 			maxCatchUp:       stepInterval,
 			nextSendAt:       config.Now,
 		},
-		reports:     newReportAggregator(config),
-		distributor: fanout.New(),
-		streams:     map[streamID]*proxyStream{},
-		proxies:     map[string]*proxyRecord{},
-		timerAt:     config.Now,
-		lastStepAt:  config.Now - stepInterval,
-	}
-	if endpoints.received {
-		c.pendingEvents = append(c.pendingEvents, endpoints.cachedUpdate())
+		reports:       newReportAggregator(config),
+		distributor:   fanout.New(),
+		streams:       map[streamID]*proxyStream{},
+		proxies:       map[string]*proxyRecord{},
+		timerAt:       config.Now,
+		lastStepAt:    config.Now - stepInterval,
+		pendingEvents: pendingEvents,
 	}
-	return c
 }
 
 func (c *controller) currentStats() Stats {
@@ -125,37 +126,37 @@
 	return c.result, nil
 }
 
-func (c *controller) apply(now choice.Seconds, e event) {
-	switch e := e.(type) {
+func (c *controller) apply(now choice.Seconds, incoming event) {
+	switch incoming := incoming.(type) {
 	case proxyJoined:
-		c.join(now, e)
+		c.join(now, incoming)
 	case streamClosed:
-		if s := c.streams[e.stream]; s != nil {
-			c.leave(now, s)
+		if stream := c.streams[incoming.stream]; stream != nil {
+			c.leave(now, stream)
 		}
 	case pushAcknowledged:
-		if s := c.streams[e.stream]; s != nil {
-			c.acknowledge(now, s, e.nonce)
+		if stream := c.streams[incoming.stream]; stream != nil {
+			c.acknowledge(now, stream, incoming.nonce)
 		}
 	case proxyReported:
-		if s := c.streams[e.stream]; s != nil {
-			c.reports.add(now, s, e.report, c.endpoints.has, c.methodCount)
+		if stream := c.streams[incoming.stream]; stream != nil {
+			c.reports.add(now, stream, incoming.report, c.endpoints.has, c.methodCount)
 		}
 	case endpointListReceived:
-		c.applyEndpointList(now, e.list)
+		c.applyEndpointList(now, incoming.list)
 	case endpointListLost:
 		c.pendingEvents = append(c.pendingEvents, choice.EndpointUpdate{Kind: choice.UpdateFailed})
 	case batchPersisted:
-		c.checkpoint.Durable(e.batch)
+		c.checkpoint.Durable(incoming.batch)
 	case persistFailed:
 		c.checkpoint.Lost()
 	case probeFinished:
 		c.pendingEvents = append(c.pendingEvents,
-			choice.ProbeResult{Backend: e.backend, OK: e.ok, Busy: e.busy, Latency: e.latency})
+			choice.ProbeResult{Backend: incoming.backend, OK: incoming.ok, Busy: incoming.busy, Latency: incoming.latency})
 	case peerMessage:
-		c.pendingEvents = append(c.pendingEvents, choice.PeerMessage{From: e.from, Data: []byte(e.data)})
+		c.pendingEvents = append(c.pendingEvents, choice.PeerMessage{From: incoming.from, Data: []byte(incoming.data)})
 	default:
-		panic(fmt.Sprintf("coordinator: unknown event %T", e))
+		panic(fmt.Sprintf("coordinator: unknown event %T", incoming))
 	}
 }
 
--- a/internal/coordinator/endpointclient.go
+++ b/internal/coordinator/endpointclient.go
@@ -33,18 +33,18 @@
 	}
 }
 
-func (m *Machine) handleEndpointListMessage(step *stepContext, s *session, message proto.Message) error {
+func (m *Machine) handleEndpointListMessage(step *stepContext, session *session, message proto.Message) error {
 	switch message := message.(type) {
 	case proto.Welcome:
-		s.reader.Open()
-		s.welcomed = true
+		session.reader.Open()
+		session.welcomed = true
 		for _, request := range m.pendingRequests {
-			step.send(s, request)
+			step.send(session, request)
 		}
 		m.pendingRequests = nil
 		return nil
 	case proto.List:
-		if !s.welcomed {
+		if !session.welcomed {
 			return fmt.Errorf("%w: a list before the welcome", errUnexpectedMessage)
 		}
 		step.raise(endpointListReceived{message})
--- a/internal/coordinator/errors.go
+++ b/internal/coordinator/errors.go
@@ -39,7 +39,9 @@
 // unsupportedRoleError says that a coordinator does not serve sessions of this role.
 type unsupportedRoleError struct{ role proto.Role }
 
-func (e *unsupportedRoleError) Error() string { return fmt.Sprintf("role %d is not served here", e.role) }
+func (e *unsupportedRoleError) Error() string {
+	return fmt.Sprintf("role %d is not served here", e.role)
+}
 
 // listDefect is what is wrong with an entry of the endpoint list.
 type listDefect uint8
--- a/internal/coordinator/events.go
+++ b/internal/coordinator/events.go
@@ -94,7 +94,7 @@
 	exclusionChange struct {
 		backend  choice.BackendID
 		excluded bool
-		proxies  int    // how many are told
+		proxies  int    // how many get the change
 		nonce    uint64 // of the pushes, as on the wire
 	}
 	// probeTarget is a backend to probe.
--- a/internal/coordinator/handshake.go
+++ b/internal/coordinator/handshake.go
@@ -12,48 +12,48 @@
 const maxNameBytes = 64
 
 // sendHello starts the handshake on a connection that this coordinator dialed.
-func (m *Machine) sendHello(step *stepContext, s *session) {
+func (m *Machine) sendHello(step *stepContext, session *session) {
 	hello := proto.Hello{Version: proto.Version, Name: m.bootstrap.Name, Zone: m.bootstrap.Zone}
-	switch s.role {
+	switch session.role {
 	case roleEndpointList:
 		hello.Role = proto.RoleWatcher
-		step.send(s, hello)
+		step.send(session, hello)
 	case roleProbe:
 		hello.Role = proto.RoleCaller
-		step.effects.Write(s.conn, proto.Append(proto.Append(nil, hello), proto.Probe{ID: 1}))
+		step.effects.Write(session.conn, proto.Append(proto.Append(nil, hello), proto.Probe{ID: 1}))
 	case rolePeer:
 		hello.Role = proto.RolePeer
-		step.send(s, hello)
+		step.send(session, hello)
 	case roleHandshaking, roleProxy:
 		// These sessions are accepted; the other side sends the hello.
 	}
 }
 
 // handleHello completes the handshake on a connection that was accepted.
-func (m *Machine) handleHello(step *stepContext, s *session, hello proto.Hello) error {
+func (m *Machine) handleHello(step *stepContext, session *session, hello proto.Hello) error {
 	if hello.Version != proto.Version {
 		return &protocolVersionError{version: hello.Version}
 	}
 	if !validName(hello.Name) || hello.Zone != "" && !validName(hello.Zone) {
 		return errInvalidName
 	}
-	s.name = hello.Name
-	s.reader.Open()
+	session.name = hello.Name
+	session.reader.Open()
 	switch hello.Role {
 	case proto.RoleProxy:
 		if !m.knownZone(hello.Zone) {
 			return &unknownZoneError{zone: hello.Zone}
 		}
-		s.role = roleProxy
-		step.send(s, m.welcome())
+		session.role = roleProxy
+		step.send(session, m.welcome())
 		step.effects.Log(logInfo, "proxy joined",
 			"proxy", hello.Name, "zone", hello.Zone, "rate_rps", hello.Rate, "tables_from", hello.Holds)
-		step.raise(proxyJoined{streamID(s.conn), hello})
+		step.raise(proxyJoined{streamID(session.conn), hello})
 		return nil
 	case proto.RolePeer:
-		s.role = rolePeer
-		s.welcomed = true
-		step.send(s, m.welcome())
+		session.role = rolePeer
+		session.welcomed = true
+		step.send(session, m.welcome())
 		return nil
 	}
 	return &unsupportedRoleError{role: hello.Role}
--- /dev/null
+++ b/internal/coordinator/harness_test.go
@@ -0,0 +1,343 @@
+package coordinator
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+
+	"gingerfork/choice"
+	"gingerfork/internal/checkpoint"
+	"gingerfork/internal/proto"
+	"gingerfork/internal/statemachine"
+)
+
+const endpointListAddr = "list"
+
+// testSettings are the settings of most tests, with some of them replaced.
+func testSettings(overrides map[string]any) choice.Settings {
+	settings := map[string]any{
+		"listing": "asked", "ask_within": 10.0, "cold_share": 0.3, "warm_after": 10.0, "drain_grace": 2.0, "fall_multiple": 2.5,
+		"channel_room": 20000.0, "channel_pace": 10000.0, "message_lines": 10.0, "messages": 30.0, "messages_span": 10.0,
+		"push_time": 0.1, "push_time_worst": 0.3, "proxies": 4.0, "level_kind": "share", "report_period": 1.0, "probes": true,
+		"try_wait": 0.8, "tick": 0.004, "zone": "a", "zones.n": 2.0, "zones.0": "a", "zones.1": "b", "method.n": 2.0,
+		"method.0.name": "read", "method.0.effect": "idempotent", "method.0.soft_deadline": 1.0, "method.0.criticality": 1.0,
+		"method.1.name": "submit", "method.1.effect": "non-idempotent", "method.1.soft_deadline": 1.0,
+		"method.1.criticality": 2.0,
+	}
+	maps.Copy(settings, overrides)
+	return choice.DecodeSettings(settings)
+}
+
+// harness steps a Machine by hand. It acts as the endpoint list service, as a store and as any number of proxies.
+type harness struct {
+	t            *testing.T
+	machine      *Machine
+	now          float64
+	effects      statemachine.Effects
+	endpointConn statemachine.Conn // that the machine dialed last to the endpoint list service
+	probes       map[statemachine.Conn]string
+	readers      map[statemachine.Conn]*proto.Reader
+	received     map[statemachine.Conn][]proto.Message
+	closed       map[statemachine.Conn]bool
+	version      uint64            // of the endpoint list
+	records      map[string][]byte // what the store holds
+	batch        uint64            // that was not reported to the machine as durable yet
+	storeHangs   bool
+	logs         []string
+}
+
+func newHarness(t *testing.T, overrides map[string]any, saved *checkpoint.Kept) *harness {
+	t.Helper()
+	created := &harness{
+		t:        t,
+		now:      1000,
+		probes:   map[statemachine.Conn]string{},
+		readers:  map[statemachine.Conn]*proto.Reader{},
+		received: map[statemachine.Conn][]proto.Message{},
+		closed:   map[statemachine.Conn]bool{},
+		records:  map[string][]byte{},
+	}
+	created.machine = NewMachine(Bootstrap{
+		Name:                    "c0",
+		Zone:                    "a",
+		EndpointListAddr:        endpointListAddr,
+		ModuleConfig:            choice.Config{Seed: 1, Now: created.now, Settings: testSettings(overrides)},
+		HandshakeTimeout:        5,
+		ProxyIdleTimeout:        10,
+		EndpointListIdleTimeout: 5,
+		ProbeTimeout:            1,
+		MaxStreams:              1000,
+		MaxProbes:               4,
+	}, saved)
+	return created
+}
+
+// step lets time pass, then hands inputs to the machine and records its effects.
+func (h *harness) step(after float64, inputs ...statemachine.Input) {
+	h.t.Helper()
+	h.now += after
+	h.effects.Reset()
+	if h.batch > 0 && !h.storeHangs {
+		inputs = append([]statemachine.Input{{Kind: statemachine.Persisted, Batch: h.batch}}, inputs...)
+		h.batch = 0
+	}
+	h.machine.Step(h.now, inputs, &h.effects)
+	if h.effects.Failure != "" {
+		h.t.Fatal(h.effects.Failure)
+	}
+	for _, entry := range h.effects.LogEntries {
+		h.logs = append(h.logs, fmt.Sprint(entry.Message, entry.Attributes))
+	}
+	h.recordMutations()
+	for _, action := range h.effects.Actions {
+		h.recordAction(action)
+	}
+}
+
+func (h *harness) recordMutations() {
+	for _, mutation := range h.effects.Mutations {
+		if mutation.Value == nil {
+			delete(h.records, mutation.Key)
+		} else {
+			h.records[mutation.Key] = mutation.Value
+		}
+	}
+	if h.effects.Batch > 0 {
+		h.batch = h.effects.Batch
+		h.effects.WakeBy(h.now + 0.001)
+	}
+}
+
+func (h *harness) recordAction(action statemachine.Action) {
+	h.t.Helper()
+	switch action.Kind {
+	case statemachine.ActionDial:
+		if action.Addr == endpointListAddr {
+			h.endpointConn = action.Conn
+		} else {
+			h.probes[action.Conn] = action.Addr
+		}
+	case statemachine.ActionWrite:
+		h.recordWrite(action.Conn, action.Data)
+	default:
+		h.closed[action.Conn] = true
+	}
+}
+
+func (h *harness) recordWrite(conn statemachine.Conn, data []byte) {
+	h.t.Helper()
+	reader := h.readers[conn]
+	if reader == nil {
+		reader = &proto.Reader{}
+		reader.Open()
+		h.readers[conn] = reader
+	}
+	reader.Feed(data)
+	for {
+		message, err := reader.Next()
+		if err != nil {
+			h.t.Fatal(err)
+		}
+		if message == nil {
+			return
+		}
+		h.received[conn] = append(h.received[conn], message)
+	}
+}
+
+// advance steps until a time has passed, whenever the machine asks for it.
+func (h *harness) advance(span float64) {
+	h.t.Helper()
+	for end := h.now + span; h.now < end; {
+		h.step(max(0.0001, min(h.effects.WakeAt, end)-h.now))
+	}
+}
+
+// restartState is what a restart finds in the store.
+func (h *harness) restartState() *checkpoint.Kept {
+	h.t.Helper()
+	saved, err := checkpoint.Read(maps.All(h.records))
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	return saved
+}
+
+// serveEndpoints accepts the connection to the endpoint list service and sends a full list of so many backends.
+func (h *harness) serveEndpoints(count int) {
+	h.t.Helper()
+	h.advance(0.5)
+	if h.endpointConn == 0 {
+		h.t.Fatal("the endpoint list service was not dialed")
+	}
+	h.version++
+	h.step(0.01, opened(h.endpointConn),
+		data(h.endpointConn, proto.Welcome{Version: 1, Name: "list"}, fullList(h.version, count)))
+	h.advance(0.1)
+}
+
+// updateEndpoints sends changes of the endpoint list.
+func (h *harness) updateEndpoints(entries ...proto.Entry) {
+	h.t.Helper()
+	h.step(0.01, h.endpointChanges(entries...))
+}
+
+// endpointChanges is the next version of the endpoint list.
+func (h *harness) endpointChanges(entries ...proto.Entry) statemachine.Input {
+	h.version++
+	changes := proto.List{Kind: proto.ListChanges, Base: h.version - 1, Version: h.version, Entries: entries}
+	return data(h.endpointConn, changes)
+}
+
+// endpointKeepalive confirms the current version of the endpoint list.
+func (h *harness) endpointKeepalive() statemachine.Input {
+	return data(h.endpointConn, proto.List{Kind: proto.ListChanges, Base: h.version, Version: h.version})
+}
+
+func (h *harness) join(conn statemachine.Conn, name string) {
+	h.t.Helper()
+	h.step(0.01, opened(conn), data(conn, hello(name)))
+}
+
+// joinMany lets proxies join on the connections from 1 on, all in one step.
+func (h *harness) joinMany(count int) {
+	h.t.Helper()
+	var inputs []statemachine.Input
+	for i := range count {
+		conn := statemachine.Conn(i + 1)
+		inputs = append(inputs, opened(conn), data(conn, hello(fmt.Sprint("f", i))))
+	}
+	h.step(0.01, inputs...)
+}
+
+// pushes removes and returns the pushes that a connection received. It removes all other messages, too.
+func (h *harness) pushes(conn statemachine.Conn) []proto.Push {
+	var pushes []proto.Push
+	for _, message := range h.received[conn] {
+		if push, ok := message.(proto.Push); ok {
+			pushes = append(pushes, push)
+		}
+	}
+	h.received[conn] = nil
+	return pushes
+}
+
+// acknowledgeFirst acknowledges the one push that each connection must have received.
+func (h *harness) acknowledgeFirst(after float64, conns ...statemachine.Conn) {
+	h.t.Helper()
+	var inputs []statemachine.Input
+	for _, conn := range conns {
+		pushes := h.pushes(conn)
+		if len(pushes) == 0 {
+			h.t.Fatalf("no push on connection %d", conn)
+		}
+		inputs = append(inputs, data(conn, proto.Answer{Mark: pushes[0].Mark}))
+	}
+	h.step(after, inputs...)
+}
+
+// rejectionReason is the reason with which a connection was closed; empty if it was not.
+func (h *harness) rejectionReason(conn statemachine.Conn) string {
+	for _, message := range h.received[conn] {
+		if refusal, ok := message.(proto.Refuse); ok && h.closed[conn] {
+			return refusal.Reason
+		}
+	}
+	return ""
+}
+
+func (h *harness) logged(match func(string, string) bool, text string) bool {
+	return slices.ContainsFunc(h.logs, func(line string) bool { return match(line, text) })
+}
+
+func data(conn statemachine.Conn, messages ...proto.Message) statemachine.Input {
+	return statemachine.Input{Kind: statemachine.ConnData, Conn: conn, Data: frames(messages...)}
+}
+
+func frames(messages ...proto.Message) []byte {
+	var encoded []byte
+	for _, message := range messages {
+		encoded = proto.Append(encoded, message)
+	}
+	return encoded
+}
+
+func opened(conn statemachine.Conn) statemachine.Input {
+	return statemachine.Input{Kind: statemachine.ConnOpened, Conn: conn}
+}
+
+func closed(conn statemachine.Conn) statemachine.Input {
+	return statemachine.Input{Kind: statemachine.ConnClosed, Conn: conn}
+}
+
+func hello(name string) proto.Hello {
+	return proto.Hello{Version: proto.Version, Role: proto.RoleProxy, Name: name, Zone: "a", Rate: 10, Fresh: true}
+}
+
+func listEntry(backend int, state proto.ServerState) proto.Entry {
+	return proto.Entry{
+		EP: proto.EP(backend), State: state, Zone: "a", Weight: 1, Old: true, Stamp: 1, Addr: fmt.Sprintf("s%d", backend),
+	}
+}
+
+// fullList is a list of the backends from 1 on.
+func fullList(version uint64, count int) proto.List {
+	list := proto.List{Kind: proto.ListFull, Version: version}
+	for i := range count {
+		list.Entries = append(list.Entries, listEntry(i+1, proto.ServerOpen))
+	}
+	return list
+}
+
+// hasOp reports whether pushes have an operation for a backend; backend 0 stands for any.
+func hasOp(pushes []proto.Push, kind proto.OpKind, backend proto.EP) bool {
+	matches := func(op proto.Op) bool {
+		if op.Kind != kind {
+			return false
+		}
+		return backend == 0 || slices.Contains(op.Withdrawn, backend) || len(op.Lines) == 1 && op.Lines[0].EP == backend
+	}
+	return slices.ContainsFunc(pushes, func(push proto.Push) bool { return slices.ContainsFunc(push.Ops, matches) })
+}
+
+// routableBackends are the backends that a proxy may send to after its pushes.
+func routableBackends(pushes []proto.Push) map[proto.EP]bool {
+	weighted, excluded := map[proto.EP]bool{}, map[proto.EP]bool{}
+	for _, push := range pushes {
+		for _, op := range push.Ops {
+			if op.Kind == proto.OpBind {
+				clear(weighted)
+				clear(excluded)
+			}
+			for _, line := range op.Lines {
+				weighted[line.EP], excluded[line.EP] = line.Weight > 0, line.Shut
+			}
+			for _, backend := range op.Withdrawn {
+				excluded[backend] = op.Kind != proto.OpReadmit
+			}
+		}
+	}
+	for backend := range excluded {
+		weighted[backend] = weighted[backend] && !excluded[backend]
+	}
+	return weighted
+}
+
+// mustHandle lets a controller take a step that must not fail.
+func mustHandle(tb testing.TB, c *controller, now float64, events ...event) stepResult {
+	tb.Helper()
+	result, err := c.handle(now, events)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return result
+}
+
+func mustContain(t *testing.T, got, want string) {
+	t.Helper()
+	if !strings.Contains(got, want) {
+		t.Fatalf("got %q, want it to contain %q", got, want)
+	}
+}
--- a/internal/coordinator/machine.go
+++ b/internal/coordinator/machine.go
@@ -25,7 +25,7 @@
 	SettingsText            string // the settings in the form in which they are persisted
 }
 
-// Machine is a coordinator with its sessions and protocol. It implements statemachine.Machine.
+// Machine is a coordinator with its sessions and protocol.
 type Machine struct {
 	bootstrap  Bootstrap
 	controller *controller
@@ -47,6 +47,8 @@
 	storeFailure string // why the store does not accept records; empty if it does
 }
 
+var _ statemachine.Machine = (*Machine)(nil)
+
 // NewMachine returns a coordinator that continues from the state that its previous run saved. Without saved state (nil)
 // nothing is persisted. A driver that passes saved state must write Effects.Mutations and report Persisted or PersistFailed.
 func NewMachine(bootstrap Bootstrap, saved *checkpoint.Kept) *Machine {
@@ -82,8 +84,8 @@
 
 func (step *stepContext) raise(e event) { step.events = append(step.events, e) }
 
-func (step *stepContext) send(s *session, message proto.Message) {
-	step.effects.Write(s.conn, proto.Append(nil, message))
+func (step *stepContext) send(session *session, message proto.Message) {
+	step.effects.Write(session.conn, proto.Append(nil, message))
 }
 
 // Step implements statemachine.Machine. If the decision module fails, nothing of the step is done and Effects.Failure says
@@ -128,30 +130,30 @@
 	}
 	m.reloaded = false
 	m.controller.checkpoint.Settings(m.bootstrap.SettingsText)
-	for _, s := range m.sessionsByAge {
-		if m.sessions[s.conn] == s && s.role == roleProxy {
-			m.reject(step, s, reasonReloaded)
-			delete(m.sessions, s.conn)
+	for _, session := range m.sessionsByAge {
+		if m.sessions[session.conn] == session && session.role == roleProxy {
+			m.reject(step, session, reasonReloaded)
+			delete(m.sessions, session.conn)
 		}
 	}
 }
 
 func (m *Machine) handleInput(step *stepContext, input statemachine.Input) {
-	s := m.sessions[input.Conn]
+	session := m.sessions[input.Conn]
 	switch input.Kind {
 	case statemachine.ConnOpened:
-		if s != nil {
-			m.sendHello(step, s)
+		if session != nil {
+			m.sendHello(step, session)
 		} else if input.Conn&statemachine.Dialed == 0 {
 			m.accept(step, input.Conn)
 		}
 	case statemachine.ConnClosed:
-		if s != nil {
-			m.closeSession(step, s, input.Text)
+		if session != nil {
+			m.closeSession(step, session, input.Text)
 		}
 	case statemachine.ConnData:
-		if s != nil {
-			m.receive(step, s, input.Data)
+		if session != nil {
+			m.receive(step, session, input.Data)
 		}
 	case statemachine.Persisted:
 		m.batchPersisted(step, input.Batch)
--- a/internal/coordinator/messages.go
+++ b/internal/coordinator/messages.go
@@ -8,25 +8,25 @@
 )
 
 // handleMessage handles one message. The text of the error, if any, is sent to the other side.
-func (m *Machine) handleMessage(step *stepContext, s *session, message proto.Message) error {
+func (m *Machine) handleMessage(step *stepContext, session *session, message proto.Message) error {
 	if refusal, ok := message.(proto.Refuse); ok {
 		return &peerRejectionError{reason: refusal.Reason}
 	}
-	switch s.role {
+	switch session.role {
 	case roleHandshaking:
 		hello, ok := message.(proto.Hello)
 		if !ok {
 			return fmt.Errorf("%w: %s before the hello", errUnexpectedMessage, messageName(message))
 		}
-		return m.handleHello(step, s, hello)
+		return m.handleHello(step, session, hello)
 	case roleProxy:
-		return m.handleProxyMessage(step, s, message)
+		return m.handleProxyMessage(step, session, message)
 	case roleEndpointList:
-		return m.handleEndpointListMessage(step, s, message)
+		return m.handleEndpointListMessage(step, session, message)
 	case roleProbe:
-		return m.handleProbeMessage(step, s, message)
+		return m.handleProbeMessage(step, session, message)
 	case rolePeer:
-		return m.handlePeerMessage(step, s, message)
+		return m.handlePeerMessage(step, session, message)
 	}
 	return unexpectedMessage(message)
 }
@@ -35,23 +35,23 @@
 	return fmt.Errorf("%w: %s", errUnexpectedMessage, messageName(message))
 }
 
-func (m *Machine) handleProxyMessage(step *stepContext, s *session, message proto.Message) error {
+func (m *Machine) handleProxyMessage(step *stepContext, session *session, message proto.Message) error {
 	switch message := message.(type) {
 	case proto.Answer:
-		step.raise(pushAcknowledged{streamID(s.conn), message.Mark})
+		step.raise(pushAcknowledged{streamID(session.conn), message.Mark})
 		return nil
 	case proto.Sums:
-		step.send(s, proto.Heard{})
-		step.raise(proxyReported{streamID(s.conn), message})
+		step.send(session, proto.Heard{})
+		step.raise(proxyReported{streamID(session.conn), message})
 		return nil
 	}
 	return unexpectedMessage(message)
 }
 
-func (m *Machine) handlePeerMessage(step *stepContext, s *session, message proto.Message) error {
+func (m *Machine) handlePeerMessage(step *stepContext, session *session, message proto.Message) error {
 	switch message := message.(type) {
 	case proto.Welcome:
-		s.welcomed = true
+		session.welcomed = true
 		return nil
 	case proto.PeerNote:
 		step.raise(peerMessage{choice.PeerID(message.From), message.Data})
--- a/internal/coordinator/module.go
+++ b/internal/coordinator/module.go
@@ -88,7 +88,7 @@
 			c.result.probes = append(c.result.probes, probeTarget{command.Backend, listed.Addr})
 		}
 	case choice.SetTimer:
-		// The module sets one timer at a time and looks at the clock itself, so the soonest one serves them all.
+		// The module sets one timer at a time and looks at the clock itself, so the soonest one is enough.
 		if command.At < c.timerAt {
 			c.timerAt, c.timer = command.At, command.Timer
 		}
--- /dev/null
+++ b/internal/coordinator/persistence_test.go
@@ -0,0 +1,119 @@
+package coordinator
+
+import (
+	"slices"
+	"strings"
+	"testing"
+
+	"gingerfork/internal/checkpoint"
+	"gingerfork/internal/proto"
+	"gingerfork/internal/statemachine"
+)
+
+// An exclusion is sent at once, whatever the store does. Its acknowledgement counts once the exclusion is durable, or once
+// that has taken too long; while the store is unavailable nothing waits.
+func TestExclusionDoesNotWaitForStore(t *testing.T) {
+	harness := newHarness(t, nil, &checkpoint.Kept{})
+	harness.serveEndpoints(6)
+	harness.join(1, "f0")
+	harness.advance(0.1)
+	harness.acknowledgeFirst(0.01, 1)
+	harness.advance(0.1)
+	for i, store := range []string{"durable", "slow", "unavailable"} {
+		harness.storeHangs = true
+		harness.updateEndpoints(listEntry(i+1, proto.ServerDraining))
+		if store == "unavailable" {
+			harness.step(0, statemachine.Input{Kind: statemachine.PersistFailed, Text: "no space"})
+		}
+		harness.advance(0.02)
+		pushes := harness.pushes(1)
+		if !hasOp(pushes, proto.OpWithdraw, proto.EP(i+1)) {
+			t.Fatalf("%s: the exclusion waited: %+v", store, pushes)
+		}
+		for _, push := range pushes {
+			harness.step(0.001, data(1, proto.Answer{Mark: push.Mark}))
+		}
+		harness.advance(0.1)
+		if counts := harness.acknowledgementsCount(); counts != (store == "unavailable") {
+			t.Errorf("%s: the acknowledgement counts: %v", store, counts)
+		}
+		switch store {
+		case "durable":
+			harness.storeHangs = false
+			harness.advance(0.01)
+		case "slow":
+			harness.advanceWithinSteps(0.6, 200)
+		}
+		if !harness.acknowledgementsCount() {
+			t.Errorf("%s: the acknowledgement still does not count", store)
+		}
+		harness.storeHangs = false
+		harness.advance(0.1)
+	}
+	if !harness.logged(strings.Contains, "store unavailable") || !harness.logged(strings.Contains, "store recovered") {
+		t.Errorf("%q", harness.logs)
+	}
+}
+
+// acknowledgementsCount reports whether no acknowledgement is held back from the decision module.
+func (h *harness) acknowledgementsCount() bool {
+	return len(h.machine.controller.heldAcknowledgements) == 0
+}
+
+// advanceWithinSteps advances and checks how many steps the decision module took.
+func (h *harness) advanceWithinSteps(span float64, maxSteps int) {
+	h.t.Helper()
+	before := h.machine.Stats().Steps
+	h.advance(span)
+	if steps := h.machine.Stats().Steps - before; steps > maxSteps {
+		h.t.Errorf("%d steps in %v s, want at most %d", steps, span, maxSteps)
+	}
+}
+
+// No push with a nonce is sent before the first range of nonces is durable; a store that hangs delays it by half a second.
+func TestNoncesAreReservedBeforePushes(t *testing.T) {
+	const firstNonce = 500
+	for _, hangs := range []bool{false, true} {
+		harness := newHarness(t, nil, &checkpoint.Kept{Marks: firstNonce})
+		harness.storeHangs = true
+		harness.serveEndpoints(5)
+		harness.machine.controller.checkpoint = checkpoint.New(harness.now, &checkpoint.Kept{Marks: firstNonce})
+		harness.join(1, "f0")
+		harness.advance(0.1)
+		if pushes := harness.pushes(1); len(pushes) != 0 {
+			t.Fatalf("a push was sent before its nonce was reserved: %+v", pushes)
+		}
+		harness.storeHangs = hangs
+		if hangs {
+			harness.advance(0.5)
+		} else {
+			harness.advance(0.01)
+		}
+		if pushes := harness.pushes(1); len(pushes) != 1 || pushes[0].Mark < firstNonce {
+			t.Errorf("store hangs: %v: %+v", hangs, pushes)
+		}
+	}
+}
+
+// All backends left the list and the coordinator crashed. A proxy that comes back with its former tables learns which
+// backends are excluded, though there is no table for it.
+func TestDrainsSurviveRestartWithoutTable(t *testing.T) {
+	harness := newHarness(t, nil, &checkpoint.Kept{})
+	harness.serveEndpoints(2)
+	harness.join(1, "f0")
+	harness.advance(0.1)
+	harness.updateEndpoints(listEntry(1, proto.ServerGone), listEntry(2, proto.ServerGone))
+	harness.advance(0.1)
+	restarted := newHarness(t, nil, harness.restartState())
+	proxy := hello("f0")
+	proxy.Fresh, proxy.Holds = false, "c0"
+	restarted.step(0.01, opened(1), data(1, proxy))
+	restarted.advance(0.1)
+	pushes := restarted.pushes(1)
+	bound := slices.ContainsFunc(pushes, func(push proto.Push) bool {
+		return slices.ContainsFunc(push.Ops, func(op proto.Op) bool { return op.Kind == proto.OpBind })
+	})
+	if !bound && (!hasOp(pushes, proto.OpWithdraw, 1) || !hasOp(pushes, proto.OpWithdraw, 2)) {
+		t.Fatalf("bound %v: %+v", bound, pushes)
+	}
+}
--- a/internal/coordinator/probes.go
+++ b/internal/coordinator/probes.go
@@ -25,14 +25,14 @@
 	}
 }
 
-func (m *Machine) handleProbeMessage(step *stepContext, s *session, message proto.Message) error {
+func (m *Machine) handleProbeMessage(step *stepContext, session *session, message proto.Message) error {
 	switch message := message.(type) {
 	case proto.Welcome:
 		return nil
 	case proto.ProbeReply:
-		delete(m.sessions, s.conn)
-		step.effects.Close(s.conn)
-		m.finishProbe(step, s, probeFinished{ok: message.Status == proto.OK, busy: message.Status == proto.PushedBack})
+		delete(m.sessions, session.conn)
+		step.effects.Close(session.conn)
+		m.finishProbe(step, session, probeFinished{ok: message.Status == proto.OK, busy: message.Status == proto.PushedBack})
 		return nil
 	}
 	return unexpectedMessage(message)
@@ -40,10 +40,10 @@
 
 // finishProbe completes the result with the backend and the latency, raises it and starts the next probe. The session must
 // have been removed.
-func (m *Machine) finishProbe(step *stepContext, s *session, result probeFinished) {
+func (m *Machine) finishProbe(step *stepContext, session *session, result probeFinished) {
 	m.probesInFlight--
-	result.backend = s.probe.backend
-	result.latency = step.now - s.openedAt
+	result.backend = session.probe.backend
+	result.latency = step.now - session.openedAt
 	step.raise(result)
 	m.startProbes(step)
 }
--- a/internal/coordinator/proxies.go
+++ b/internal/coordinator/proxies.go
@@ -42,24 +42,24 @@
 		c.proxies[record.name] = record
 	}
 	if record.stream != nil {
-		// The older stream is either dead without our having noticed, or it belongs to another process that uses the same
-		// name. Only one of them can be served.
+		// Either the older connection broke without a notice, or another process uses the same name. Only one of the
+		// streams can be served.
 		c.result.rejections = append(c.result.rejections, rejection{record.stream.id, reasonSuperseded})
 		c.leave(now, record.stream)
 	}
-	s := &proxyStream{
+	stream := &proxyStream{
 		id:         joined.stream,
 		proxyName:  record.name,
 		proxy:      record.number,
 		zone:       choice.Zone(joined.hello.Zone),
 		subscriber: c.distributor.Join(record.number),
 	}
-	record.stream = s
-	c.streams[s.id] = s
-	c.streamsByNumber[s.proxy] = s
+	record.stream = stream
+	c.streams[stream.id] = stream
+	c.streamsByNumber[stream.proxy] = stream
 	c.stats.Joins++
 	c.pendingEvents = append(c.pendingEvents,
-		choice.ProxyJoined{Proxy: s.proxy, Zone: s.zone, Rate: joined.hello.Rate, Fresh: joined.hello.Fresh})
+		choice.ProxyJoined{Proxy: stream.proxy, Zone: stream.zone, Rate: joined.hello.Rate, Fresh: joined.hello.Fresh})
 }
 
 // allocateNumber returns a free number, preferring those used before, so that the module's tables stay small.
@@ -74,17 +74,19 @@
 	return number
 }
 
-func (c *controller) leave(now choice.Seconds, s *proxyStream) {
-	delete(c.streams, s.id)
-	c.streamsByNumber[s.proxy] = nil
-	c.pushQueue.removeStream(s)
-	c.distributor.Leave(s.subscriber)
-	c.heldAcknowledgements = slices.DeleteFunc(c.heldAcknowledgements, func(h heldAcknowledgement) bool { return h.stream == s })
-	record := c.proxies[s.proxyName]
+func (c *controller) leave(now choice.Seconds, stream *proxyStream) {
+	delete(c.streams, stream.id)
+	c.streamsByNumber[stream.proxy] = nil
+	c.pushQueue.removeStream(stream)
+	c.distributor.Leave(stream.subscriber)
+	c.heldAcknowledgements = slices.DeleteFunc(c.heldAcknowledgements, func(held heldAcknowledgement) bool {
+		return held.stream == stream
+	})
+	record := c.proxies[stream.proxyName]
 	record.stream = nil
 	record.leftAt = now
 	c.departed = append(c.departed, record)
-	c.pendingEvents = append(c.pendingEvents, choice.ProxyLeft{Proxy: s.proxy})
+	c.pendingEvents = append(c.pendingEvents, choice.ProxyLeft{Proxy: stream.proxy})
 }
 
 // forgetDeparted frees the numbers of proxies that left so long ago that the decision module has forgotten them.
--- /dev/null
+++ b/internal/coordinator/proxies_test.go
@@ -0,0 +1,44 @@
+package coordinator
+
+import (
+	"fmt"
+	"testing"
+
+	"gingerfork/internal/proto"
+	"gingerfork/internal/statemachine"
+)
+
+// A proxy that joins on two streams at the same time is served on the newer one only.
+func TestSecondStreamOfAProxyReplacesTheFirst(t *testing.T) {
+	harness := newHarness(t, nil, nil)
+	harness.serveEndpoints(4)
+	harness.step(0.01, opened(1), opened(2), data(1, hello("f0")), data(2, hello("f0")))
+	harness.advance(0.2)
+	mustContain(t, harness.rejectionReason(1), "joined again")
+	if pushes := harness.pushes(2); len(pushes) != 1 || harness.closed[2] {
+		t.Fatalf("the newer stream: %+v", pushes)
+	}
+	harness.step(0.1, closed(1)) // the older stream's end comes late, and must not end the newer one
+	harness.updateEndpoints(listEntry(1, proto.ServerDraining), listEntry(2, proto.ServerDraining))
+	harness.advance(0.2)
+	if !hasOp(harness.pushes(2), proto.OpWithdraw, 0) {
+		t.Fatal("the newer stream is not served")
+	}
+}
+
+// A proxy's number goes to another proxy, but only once the decision module has forgotten the first one.
+func TestProxyNumbersAreReused(t *testing.T) {
+	harness := newHarness(t, nil, nil)
+	harness.serveEndpoints(3)
+	for i := range 200 {
+		conn := statemachine.Conn(i + 1)
+		harness.join(conn, fmt.Sprint("f", i))
+		harness.advance(0.02)
+		harness.step(100, closed(conn), harness.endpointKeepalive())
+	}
+	c := harness.machine.controller
+	numbers, tables, names := len(c.streamsByNumber), c.distributor.TableCount(), len(c.proxies)
+	if numbers > 20 || tables > 20 || names > 20 {
+		t.Fatalf("%d numbers, %d tables and %d names for proxies that came one by one", numbers, tables, names)
+	}
+}
--- a/internal/coordinator/push.go
+++ b/internal/coordinator/push.go
@@ -59,22 +59,22 @@
 		if push == nil {
 			return
 		}
-		s := push.stream
-		s.lastSequence++
+		stream := push.stream
+		stream.lastSequence++
 		if push.hasNonce {
-			s.inFlight = append(s.inFlight, inFlightPush{
+			stream.inFlight = append(stream.inFlight, inFlightPush{
 				wireNonce:         push.wireNonce,
 				nonce:             push.nonce,
 				step:              push.step,
 				durabilityBarrier: push.durabilityBarrier,
 				orderedAt:         push.orderedAt,
 			})
-			c.checkpoint.Sent(s.proxyName, push.wireNonce)
+			c.checkpoint.Sent(stream.proxyName, push.wireNonce)
 		}
 		c.stats.Pushes++
 		c.stats.Entries += push.entries
-		c.result.pushes = append(c.result.pushes, outgoingPush{s.id, proto.Push{
-			Seq:     s.lastSequence,
+		c.result.pushes = append(c.result.pushes, outgoingPush{stream.id, proto.Push{
+			Seq:     stream.lastSequence,
 			Waiting: uint64(max(c.pushQueue.queuedEntries, 0)),
 			Marked:  push.hasNonce,
 			Mark:    push.wireNonce,
@@ -93,24 +93,24 @@
 }
 
 func (c *controller) wireOp(tableOp fanout.TableOp) proto.Op {
-	op := proto.Op{Kind: wireOpKinds[tableOp.Kind]}
+	wireOp := proto.Op{Kind: wireOpKinds[tableOp.Kind]}
 	if tableOp.Kind != fanout.OpExclude && tableOp.Kind != fanout.OpRestore {
-		op.Table = uint64(tableOp.Table)
+		wireOp.Table = uint64(tableOp.Table)
 	}
 	if tableOp.Kind == fanout.OpBind {
-		op.Methods = tableOp.Methods
+		wireOp.Methods = tableOp.Methods
 	}
 	for _, entry := range tableOp.Entries {
-		op.Lines = append(op.Lines, c.wireEntry(entry))
+		wireOp.Lines = append(wireOp.Lines, c.wireEntry(entry))
 	}
 	for _, admission := range tableOp.Admissions {
-		op.Levels = append(op.Levels,
+		wireOp.Levels = append(wireOp.Levels,
 			proto.Level{Methods: admission.Methods, Level: admission.Level, Tries: uint64(admission.Retry)})
 	}
 	for _, backend := range tableOp.Backends {
-		op.Withdrawn = append(op.Withdrawn, proto.EP(backend))
+		wireOp.Withdrawn = append(wireOp.Withdrawn, proto.EP(backend))
 	}
-	return op
+	return wireOp
 }
 
 // wireEntry adds the backend's address, which the decision module does not know, unless the entry removes the backend.
--- a/internal/coordinator/reports.go
+++ b/internal/coordinator/reports.go
@@ -70,17 +70,17 @@
 // add adds a proxy's report. Attempts at backends that isListed does not know, and usage of methods from methodCount on, are
 // ignored.
 func (a *reportAggregator) add(
-	now choice.Seconds, s *proxyStream, report proto.Sums, isListed func(choice.BackendID) bool, methodCount int,
+	now choice.Seconds, stream *proxyStream, report proto.Sums, isListed func(choice.BackendID) bool, methodCount int,
 ) {
 	from := now - report.Over
 	for _, attempts := range report.Tries {
 		if attempts.Tries != 0 && isListed(choice.BackendID(attempts.EP)) {
-			a.addAttempts(now, from, s.zone, attempts)
+			a.addAttempts(now, from, stream.zone, attempts)
 		}
 	}
 	for _, usage := range report.Usage {
 		if int(usage.Method) < methodCount && usage.RPCs != 0 {
-			a.addUsage(now, from, s.proxy, usage)
+			a.addUsage(now, from, stream.proxy, usage)
 		}
 	}
 }
--- /dev/null
+++ b/internal/coordinator/reports_test.go
@@ -0,0 +1,125 @@
+package coordinator
+
+import (
+	"testing"
+
+	"gingerfork/choice"
+	"gingerfork/internal/proto"
+)
+
+func allListed(choice.BackendID) bool { return true }
+
+func newTestAggregator(now, reportsPerSecond, period float64) *reportAggregator {
+	settings := choice.DecodeSettings(map[string]any{"intake": reportsPerSecond, "report_period": period})
+	return newReportAggregator(choice.Config{Now: now, Settings: settings})
+}
+
+// Attempts reach the decision module summed by zone, usage by proxy, with the time that they cover.
+func TestReportsAreAggregatedAndRateLimited(t *testing.T) {
+	now := 100.0
+	aggregator := newTestAggregator(0, 10, 1)
+	aggregator.due(now)
+	for i := range 20 {
+		stream := &proxyStream{proxy: choice.ProxyID(i), zone: "a"}
+		aggregator.add(now, stream, proto.Sums{
+			Over:  2,
+			Usage: []proto.Usage{{Method: 0, RPCs: 3, Bad: 1}, {Method: 9, RPCs: 3}},
+			Tries: []proto.Tries{{EP: 1, Tries: 4, Bad: 2, Delay: 0.1}, {EP: 2, Tries: 1, Delay: 0.2}},
+		}, allListed, 2)
+	}
+	attempts, usage := 0, 0
+	var times []float64 // of each report
+	for range 80 {
+		now += 0.1
+		for _, event := range aggregator.due(now) {
+			times = append(times, now)
+			switch report := event.(type) {
+			case choice.AttemptReport:
+				attempts++
+				checkAttemptReport(t, report)
+			case choice.UsageReport:
+				usage++
+				if report.RPCs != 3 || report.Failures != 1 || report.Method != 0 {
+					t.Errorf("%+v", report)
+				}
+			}
+		}
+	}
+	if attempts != 2 || usage != 20 {
+		t.Fatalf("%d attempt reports, %d usage reports", attempts, usage)
+	}
+	for i := 12; i < len(times); i++ {
+		if span := times[i] - times[i-12]; span < 1 {
+			t.Fatalf("12 reports within %.2f s, the limit is 10 a second", span)
+		}
+	}
+}
+
+// checkAttemptReport checks the sum over 20 proxies that reported the same.
+func checkAttemptReport(t *testing.T, report choice.AttemptReport) {
+	t.Helper()
+	if report.Backend != 1 {
+		return
+	}
+	latencyWrong := report.MeanLatency < 0.0999 || report.MeanLatency > 0.1001
+	if report.Attempts != 80 || report.Failures != 40 || latencyWrong || report.Span != 2 {
+		t.Errorf("%+v", report)
+	}
+}
+
+// However late the decision module takes reports, what waits is bounded by the pairs that they are summed over.
+func TestPendingReportsAreBounded(t *testing.T) {
+	aggregator := newTestAggregator(100, 10, 1)
+	for range 1000 {
+		aggregator.add(100, &proxyStream{zone: "a"}, proto.Sums{
+			Over: 1, Usage: []proto.Usage{{Method: 0, RPCs: 1}}, Tries: []proto.Tries{{EP: 1, Tries: 1}},
+		}, allListed, 2)
+	}
+	if n := len(aggregator.queue); n > 2 {
+		t.Fatalf("%d reports wait for one backend and one proxy", n)
+	}
+}
+
+// Rounding must not make the aggregator ask for the same time again and again. Found in a scenario that never ended.
+func TestReportAggregatorDoesNotSpin(t *testing.T) {
+	const proxies, maxSteps = 50, 200
+	for _, rate := range []float64{3, 7, 500, 1e4 / 3} {
+		aggregator := newTestAggregator(1e6, rate, 2)
+		for i := range proxies {
+			stream := &proxyStream{proxy: choice.ProxyID(i)}
+			aggregator.add(1e6, stream, proto.Sums{Usage: []proto.Usage{{RPCs: 1}}}, nil, 1)
+		}
+		now, steps, reports := 1e6, 0, 0
+		for at, ok := now, true; ok && steps < maxSteps; at, ok = aggregator.nextAt() {
+			now = max(now, at)
+			reports += len(aggregator.due(now))
+			steps++
+		}
+		if reports != proxies {
+			t.Errorf("at %v reports a second: %d of %d reports after %d steps", rate, reports, proxies, steps)
+		}
+	}
+}
+
+// Usage is passed on at once. In one plain queue it waited behind attempts that were being gathered, which delayed admission
+// control. Found on an emulated fleet.
+func TestUsageReportsDoNotWaitForAttemptReports(t *testing.T) {
+	aggregator := newTestAggregator(100, 0, 2)
+	report := proto.Sums{Over: 1, Tries: []proto.Tries{{EP: 1, Tries: 4}}, Usage: []proto.Usage{{Method: 0, RPCs: 5}}}
+	aggregator.add(100, &proxyStream{zone: "a"}, report, allListed, 1)
+	first := aggregator.due(100)
+	if len(first) != 1 {
+		t.Fatalf("%d events at once", len(first))
+	}
+	if _, ok := first[0].(choice.UsageReport); !ok {
+		t.Fatalf("first came %T", first[0])
+	}
+	if later := aggregator.due(101); len(later) != 1 {
+		t.Fatalf("%d events once the attempts were gathered", len(later))
+	}
+	aggregator.add(102, &proxyStream{zone: "a", proxy: 7}, report, allListed, 1)
+	aggregator.forgetProxy(7)
+	if rest := aggregator.due(110); len(rest) != 1 {
+		t.Fatalf("%d events for a proxy that was forgotten and a backend that was not", len(rest))
+	}
+}
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -41,9 +41,9 @@
 	peer     choice.PeerID        // for rolePeer, if this coordinator dialed
 }
 
-func (m *Machine) addSession(s *session) {
-	m.sessions[s.conn] = s
-	m.sessionsByAge = append(m.sessionsByAge, s)
+func (m *Machine) addSession(session *session) {
+	m.sessions[session.conn] = session
+	m.sessionsByAge = append(m.sessionsByAge, session)
 }
 
 // accept opens a session for a connection that came in.
@@ -65,54 +65,54 @@
 }
 
 // receive handles the messages in data. An error ends this session and no other.
-func (m *Machine) receive(step *stepContext, s *session, data []byte) {
-	s.lastSeen = step.now
-	s.reader.Feed(data)
-	for m.sessions[s.conn] == s {
-		message, err := s.reader.Next()
+func (m *Machine) receive(step *stepContext, session *session, data []byte) {
+	session.lastSeen = step.now
+	session.reader.Feed(data)
+	for m.sessions[session.conn] == session {
+		message, err := session.reader.Next()
 		if message == nil && err == nil {
 			return
 		}
 		if err == nil {
-			err = m.handleMessage(step, s, message)
+			err = m.handleMessage(step, session, message)
 		}
 		if err != nil {
-			m.reject(step, s, err.Error())
-			m.closeSession(step, s, err.Error())
+			m.reject(step, session, err.Error())
+			m.closeSession(step, session, err.Error())
 			return
 		}
 	}
 }
 
 // reject tells the other side the reason and closes the connection. It does not remove the session.
-func (m *Machine) reject(step *stepContext, s *session, reason string) {
-	step.send(s, proto.Refuse{Reason: reason})
-	step.effects.Close(s.conn)
+func (m *Machine) reject(step *stepContext, session *session, reason string) {
+	step.send(session, proto.Refuse{Reason: reason})
+	step.effects.Close(session.conn)
 	if times, logIt := m.rejections.count(reason); logIt {
 		step.effects.Log(logWarning, "stream rejected",
-			"peer", s.name, "conn", uint64(s.conn&^statemachine.Dialed), "reason", reason, "count", times)
+			"peer", session.name, "conn", uint64(session.conn&^statemachine.Dialed), "reason", reason, "count", times)
 	}
 }
 
 // closeSession removes a session, whichever side ended it, and raises the events that follow from that.
-func (m *Machine) closeSession(step *stepContext, s *session, reason string) {
-	if m.sessions[s.conn] != s {
+func (m *Machine) closeSession(step *stepContext, session *session, reason string) {
+	if m.sessions[session.conn] != session {
 		return
 	}
-	delete(m.sessions, s.conn)
-	switch s.role {
+	delete(m.sessions, session.conn)
+	switch session.role {
 	case roleProxy:
-		step.effects.Log(logInfo, "proxy left", "proxy", s.name, "reason", reason)
-		step.raise(streamClosed{streamID(s.conn)})
+		step.effects.Log(logInfo, "proxy left", "proxy", session.name, "reason", reason)
+		step.raise(streamClosed{streamID(session.conn)})
 	case roleEndpointList:
 		m.removeEndpointSession()
 		step.effects.Log(logWarning, "endpoint list service disconnected", "reason", reason)
 		step.raise(endpointListLost{})
 	case roleProbe:
-		m.finishProbe(step, s, probeFinished{})
+		m.finishProbe(step, session, probeFinished{})
 	case rolePeer:
-		if m.peerSessions[s.peer] == s {
-			delete(m.peerSessions, s.peer)
+		if m.peerSessions[session.peer] == session {
+			delete(m.peerSessions, session.peer)
 		}
 	case roleHandshaking:
 	}
@@ -124,7 +124,7 @@
 	return shortest / expiryChecksPerTimeout
 }
 
-// expireSessions closes sessions whose timeout has passed. A connection may break without either side being told.
+// expireSessions closes sessions whose timeout has passed. A connection may break without a notice to either side.
 func (m *Machine) expireSessions(step *stepContext) {
 	if step.now < m.lastExpiryAt+m.expiryInterval() {
 		return
@@ -132,13 +132,13 @@
 	m.lastExpiryAt = step.now
 	known := len(m.sessionsByAge)
 	open := m.sessionsByAge[:0]
-	for _, s := range m.sessionsByAge {
-		if m.sessions[s.conn] != s {
+	for _, session := range m.sessionsByAge {
+		if m.sessions[session.conn] != session {
 			continue
 		}
-		open = append(open, s)
-		if m.expire(step, s) {
-			m.closeSession(step, s, reasonIdle)
+		open = append(open, session)
+		if m.expire(step, session) {
+			m.closeSession(step, session, reasonIdle)
 		}
 	}
 	// An expired probe makes room for the next one, whose session was added behind the known ones.
@@ -147,18 +147,18 @@
 }
 
 // expire ends the connection of a session whose timeout has passed, and returns whether it has.
-func (m *Machine) expire(step *stepContext, s *session) bool {
-	age, idle := step.now-s.openedAt, step.now-s.lastSeen
+func (m *Machine) expire(step *stepContext, session *session) bool {
+	age, idle := step.now-session.openedAt, step.now-session.lastSeen
 	var expired bool
-	switch s.role {
+	switch session.role {
 	case roleHandshaking:
 		if age > m.bootstrap.HandshakeTimeout {
-			m.reject(step, s, reasonNoHello)
+			m.reject(step, session, reasonNoHello)
 			return true
 		}
 	case roleProxy:
 		if idle > m.bootstrap.ProxyIdleTimeout {
-			m.reject(step, s, reasonIdle)
+			m.reject(step, session, reasonIdle)
 			return true
 		}
 	case roleEndpointList:
@@ -166,10 +166,10 @@
 	case roleProbe:
 		expired = age > m.bootstrap.ProbeTimeout
 	case rolePeer:
-		expired = !s.welcomed && age > m.bootstrap.HandshakeTimeout
+		expired = !session.welcomed && age > m.bootstrap.HandshakeTimeout
 	}
 	if expired {
-		step.effects.Abort(s.conn)
+		step.effects.Abort(session.conn)
 	}
 	return expired
 }
--- /dev/null
+++ b/internal/coordinator/sessions_test.go
@@ -0,0 +1,105 @@
+package coordinator
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"gingerfork/internal/proto"
+	"gingerfork/internal/statemachine"
+)
+
+// Frames that are malformed, unexpected or against the handshake close their own stream with a reason, and no other stream.
+func TestRejectedStreamsLeaveOthersAlone(t *testing.T) {
+	harness := newHarness(t, nil, nil)
+	harness.serveEndpoints(4)
+	harness.join(1, "good")
+	harness.advance(0.1)
+	harness.pushes(1)
+	for i, test := range []struct {
+		sent []byte
+		want string
+	}{
+		{[]byte{0xff, 0, 0, 0, 1}, "a frame of"},
+		{frames(proto.Answer{Mark: 1}), "a frame out of order: proto.Answer before the hello"},
+		{frames(proto.Hello{Version: 9, Name: "x", Zone: "a"}), "version 9"},
+		{frames(proto.Hello{Version: 1, Name: "x y", Zone: "a"}), "name"},
+		{frames(proto.Hello{Version: 1, Name: "x", Zone: "mars"}), "zone \"mars\""},
+		{frames(proto.Hello{Version: 1, Role: proto.RoleWatcher, Name: "x", Zone: "a"}), "not served here"},
+		{frames(hello("x"), hello("x")), "a frame out of order: proto.Hello"},
+		{frames(hello("x"), proto.Push{}), "a frame out of order: proto.Push"},
+		{frames(hello("x"), proto.RPC{}), "a frame out of order: proto.RPC"},
+	} {
+		conn := statemachine.Conn(10 + i)
+		harness.step(0.01, opened(conn))
+		for _, b := range test.sent { // a byte at a time
+			harness.step(0, statemachine.Input{Kind: statemachine.ConnData, Conn: conn, Data: []byte{b}})
+		}
+		if reason := harness.rejectionReason(conn); !strings.Contains(reason, test.want) {
+			t.Errorf("%d: rejected with %q, want %q", i, reason, test.want)
+		}
+		if n := len(harness.machine.sessions); n != 2 {
+			t.Fatalf("%d: %d sessions, want that of the endpoint list and that of the good proxy", i, n)
+		}
+	}
+	harness.updateEndpoints(listEntry(1, proto.ServerDraining))
+	harness.advance(1)
+	if harness.closed[1] || !hasOp(harness.pushes(1), proto.OpWithdraw, 1) {
+		t.Fatal("the good proxy is not served any more")
+	}
+}
+
+// A stream without a hello and a proxy that is silent for too long are rejected; a proxy that reports is not.
+func TestSilentStreamsAreRejected(t *testing.T) {
+	harness := newHarness(t, nil, nil)
+	harness.serveEndpoints(4)
+	harness.join(1, "good")
+	harness.step(0, opened(50))
+	for range 24 {
+		harness.advance(0.5)
+		harness.step(0, data(1, proto.Sums{Over: 0.5}))
+		harness.step(0, harness.endpointKeepalive())
+	}
+	if reason := harness.rejectionReason(50); !strings.Contains(reason, "no hello") || harness.closed[1] {
+		t.Fatalf("a stream without hello: %q, the good proxy closed: %v", reason, harness.closed[1])
+	}
+	harness.advance(11)
+	if reason := harness.rejectionReason(1); !strings.Contains(reason, "silent") {
+		t.Fatalf("a silent proxy: %q", reason)
+	}
+}
+
+// Connections beyond the limit are rejected, and accepted again once another has gone.
+func TestStreamLimit(t *testing.T) {
+	harness := newHarness(t, nil, nil)
+	harness.step(0.01) // dials the endpoint list service, whose session counts
+	harness.machine.bootstrap.MaxStreams = len(harness.machine.sessions) + 2
+	harness.step(0.01, opened(1), opened(2), opened(3))
+	if reason := harness.rejectionReason(3); reason != reasonTooManyStreams || harness.closed[1] || harness.closed[2] {
+		t.Fatalf("the third stream: %q", reason)
+	}
+	harness.step(0.01, closed(1), opened(4))
+	if harness.closed[4] {
+		t.Fatalf("the fourth stream: %q", harness.rejectionReason(4))
+	}
+}
+
+// Rejections for the same reason are logged at the first and then at each doubling of their number.
+func TestRejectionLogIsRateLimited(t *testing.T) {
+	log := rejectionLog{}
+	var logged []int
+	for range 10 {
+		if times, logIt := log.count("a"); logIt {
+			logged = append(logged, times)
+		}
+	}
+	if got := fmt.Sprint(logged); got != "[1 2 4 8]" {
+		t.Errorf("logged at %s, want [1 2 4 8]", got)
+	}
+	for i := range 3 * maxRejectionReasons {
+		log.count(fmt.Sprint(i))
+	}
+	if len(log) > maxRejectionReasons+1 {
+		t.Errorf("%d reasons are held", len(log))
+	}
+}
