--- a/internal/coordinator/pushqueue_test.go
+++ b/internal/coordinator/pushqueue_test.go
@@ -27,6 +27,10 @@
 	if waiting < 10 {
 		t.Fatalf("only %d of %d tables wait: the push rate is too high for the test", waiting, proxies)
 	}
+	harness.advance(0.5)
+	if excluded, empty := harness.excludedAndWithoutPush(proxies, 1); excluded == 0 || empty == 0 {
+		t.Errorf("%d proxies have the exclusion while %d have no table, want some of both", excluded, empty)
+	}
 	harness.advance(6)
 	for i := range proxies {
 		pushes := harness.pushes(statemachine.Conn(i + 1))
@@ -41,6 +45,25 @@
 	}
 }
 
+// excludedAndWithoutPush counts the proxies that received the exclusion of a backend and those that received no push yet.
+func (h *harness) excludedAndWithoutPush(proxies int, backend proto.EP) (excluded, withoutPush int) {
+	for i := range proxies {
+		var pushes []proto.Push
+		for _, message := range h.received[statemachine.Conn(i+1)] {
+			if push, ok := message.(proto.Push); ok {
+				pushes = append(pushes, push)
+			}
+		}
+		if hasOp(pushes, proto.OpWithdraw, backend) {
+			excluded++
+		}
+		if len(pushes) == 0 {
+			withoutPush++
+		}
+	}
+	return excluded, withoutPush
+}
+
 // Three hundred joins at the same time take one step of the decision module; their tables keep to the push rate and limits.
 func TestManyJoinsAtOnce(t *testing.T) {
 	const proxies = 300
