--- /dev/null
+++ b/choice/admission_test.go
@@ -0,0 +1,108 @@
+package choice
+
+import (
+	"slices"
+	"testing"
+)
+
+// The settings may limit a method's retries below what its effect permits, and never raise them.
+func TestRetryPolicyHeldBySettings(t *testing.T) {
+	for most, want := range map[string][]RetryPolicy{
+		"":       {RetryIfUnprocessed, RetryIfUnprocessed, RetryOnce},
+		"free":   {RetryIfUnprocessed, RetryIfUnprocessed, RetryOnce},
+		"proven": {RetryIfUnprocessed, RetryIfUnprocessed, RetryIfUnprocessed},
+		"once":   {RetryNever, RetryIfUnprocessed, RetryNever},
+	} {
+		t.Run(most, func(t *testing.T) {
+			planner := New(testConfig(map[string]any{"method.0.most_tries": most, "method.2.most_tries": most}))
+			if got := planner.admission.normalRetry; !slices.Equal(got, want) {
+				t.Errorf("retry policies %v, %v wanted", got, want)
+			}
+		})
+	}
+}
+
+// Failures of most backends together are an overload: none is ejected, and less is admitted, least of the lowest criticality.
+func TestOverloadShedsLoadAndEjectsNoBackend(t *testing.T) {
+	fleet := startedFleet(t, nil, 8, 4)
+	failing := map[BackendID]float64{}
+	for i := range 8 {
+		failing[backendID(i)] = 0.6
+	}
+	for range 10 {
+		fleet.reportSecond(8, 1.5, failing, nil)
+	}
+	admission := fleet.planner.admission
+	if !admission.overloaded || admission.admitted[0] >= 1 || admission.admitted[0] > admission.admitted[1] {
+		t.Fatalf("overloaded %v, admitted shares %v", admission.overloaded, admission.admitted)
+	}
+	for i, id := range fleet.planner.id {
+		if fleet.planner.ejectedUntil[i][0] > fleet.now {
+			t.Fatalf("backend %d is ejected in an overload", id)
+		}
+	}
+	for range 40 {
+		fleet.reportSecond(8, 0.1, nil, nil)
+	}
+	if admission.admitted[0] < 1 {
+		t.Fatalf("admission levels after the overload: %v", admission.admitted)
+	}
+}
+
+// Half of the backends failing beside quick answers of the rest is no overload: no load is shed for it.
+func TestFailingGroupIsNoOverload(t *testing.T) {
+	fleet := startedFleet(t, nil, 8, 4)
+	failing := map[BackendID]float64{backendID(0): 0.7, backendID(1): 0.7, backendID(2): 0.7, backendID(3): 0.7}
+	for range 10 {
+		fleet.reportSecond(8, 0.1, failing, nil)
+	}
+	if admission := fleet.planner.admission; admission.overloaded || admission.admitted[0] < 1 {
+		t.Fatalf("overloaded %v, admitted shares %v", admission.overloaded, admission.admitted)
+	}
+}
+
+// Streams that break mean a cut or a crash before any report shows it: the fleet is not calm then.
+func TestBrokenStreamsEndCalm(t *testing.T) {
+	fleet := startedFleet(t, nil, 8, 2)
+	for range 12 {
+		fleet.reportSecond(8, 0.1, nil, nil)
+	}
+	calm := fleet.planner.admission.calm
+	fleet.step(0.1, ProxyLeft{1})
+	fleet.reportSecond(8, 0.1, nil, nil)
+	if !calm || fleet.planner.admission.calm {
+		t.Fatalf("calm before %v, after %v", calm, fleet.planner.admission.calm)
+	}
+}
+
+// Reports that come after the endpoint list emptied must not count as an unbounded rate: it let in all cold backends, ejected
+// without bound and shed no load, for good. A search over random days found this.
+func TestEmptiedListKeepsTheBestAnswerRate(t *testing.T) {
+	fleet, reports := usualLoadFleet(t)
+	before := fleet.planner.admission.bestAnswerRate
+	fleet.step(0.1, EndpointUpdate{Kind: UpdateFull})
+	for range 5 {
+		fleet.step(0.5, reports...)
+	}
+	if after := fleet.planner.admission.bestAnswerRate; before <= 0 || after > 2*before {
+		t.Fatalf("the best rate of answers went from %v to %v", before, after)
+	}
+}
+
+// usualLoadFleet returns eight warm backends, which have answered for a while at their usual rate, and the reports of a second.
+func usualLoadFleet(t *testing.T) (fleet *fleetModel, reports []Event) {
+	t.Helper()
+	fleet = newFleetModel(t, map[string]any{"probes": false, "listing": "pushed", "proxies": 4.0})
+	update := EndpointUpdate{Kind: UpdateFull}
+	for i := range BackendID(8) {
+		update.Endpoints = append(update.Endpoints, Endpoint{Backend: i + 1, State: BackendOpen, Zone: "a", Weight: 1})
+		reports = append(reports, AttemptReport{Backend: i + 1, Zone: "a", Attempts: 10, MeanLatency: 0.05, Span: 1})
+	}
+	fleet.step(0, update)
+	for proxy := range ProxyID(4) {
+		fleet.step(0, ProxyJoined{Proxy: proxy, Zone: "a", Rate: 20})
+		reports = append(reports, UsageReport{Proxy: proxy, Method: 0, RPCs: 20, Span: 1})
+	}
+	fleet.repeat(15, reports)
+	return fleet, reports
+}
--- a/choice/bench_test.go
+++ b/choice/bench_test.go
@@ -5,34 +5,40 @@
 	"testing"
 )
 
-// How a deal and a quiet step grow with the fleet; figures of growth stand in docs/design.md.
+// BenchmarkGrowth measures how an assignment of all arcs and a step without events grow with the fleet; docs/design.md has the
+// figures.
 func BenchmarkGrowth(b *testing.B) {
-	for _, size := range [][2]int{{100, 100}, {350, 270}, {600, 770}} {
-		c := New(Config{Seed: 7, Now: 100, Settings: DecodeSettings(values(nil))})
-		c.Step(100, []Event{full(size[0], 0)})
-		now := 100.0
-		c.Step(now, crowd(size[1]))
-		for now < 110 {
-			now += 0.1
-			var all []Event
-			for _, p := range c.proxies {
-				all = append(all, PushAcknowledged{p.id, p.nonce, 0.2})
-			}
-			for _, id := range c.id {
-				all = append(all, AttemptReport{Backend: id, Zone: "a", Attempts: 3, MeanLatency: 0.2, Span: 1})
-			}
-			c.Step(now, all)
-		}
-		b.Run(fmt.Sprintf("deal/%d-%d", size[0], size[1]), func(b *testing.B) {
+	for _, size := range []struct{ backends, proxies int }{{100, 100}, {350, 270}, {600, 770}} {
+		planner, now := loadedPlanner(size.backends, size.proxies)
+		b.Run(fmt.Sprintf("assign/%d-%d", size.backends, size.proxies), func(b *testing.B) {
 			for b.Loop() {
-				c.ring.assignAll()
+				planner.ring.assignAll()
 			}
 		})
-		b.Run(fmt.Sprintf("step/%d-%d", size[0], size[1]), func(b *testing.B) {
+		b.Run(fmt.Sprintf("step/%d-%d", size.backends, size.proxies), func(b *testing.B) {
 			for b.Loop() {
 				now += 0.004
-				c.Step(now, nil)
+				planner.Step(now, nil)
 			}
 		})
 	}
 }
+
+// loadedPlanner returns a planner whose backends and proxies have reported for ten seconds, and the time at its last step.
+func loadedPlanner(backends, proxies int) (planner *Planner, now Seconds) {
+	planner, now = New(testConfig(nil)), startTime
+	planner.Step(now, []Event{fullUpdate(backends, 0)})
+	planner.Step(now, joinEvents(proxies))
+	for now < startTime+10 {
+		now += 0.1
+		var events []Event
+		for _, proxy := range planner.proxies {
+			events = append(events, PushAcknowledged{proxy.id, proxy.nonce, 0.2})
+		}
+		for _, id := range planner.id {
+			events = append(events, AttemptReport{Backend: id, Zone: "a", Attempts: 3, MeanLatency: 0.2, Span: 1})
+		}
+		planner.Step(now, events)
+	}
+	return planner, now
+}
--- /dev/null
+++ b/choice/ejection_test.go
@@ -0,0 +1,119 @@
+package choice
+
+import "testing"
+
+func TestAbortingBackendIsEjectedAndReturns(t *testing.T) {
+	fleet := startedFleet(t, nil, 8, 4)
+	fleet.acknowledgeAll()
+	fleet.reportSecond(8, 0.1, nil, nil) // shows what the backends can carry
+	for range 4 {
+		fleet.reportSecond(8, 0.1, map[BackendID]float64{backendID(0): 0.7}, nil)
+		fleet.acknowledgeAll()
+	}
+	// acknowledgeAll takes longer than the first ejection, so the backend is back; the ejection must still be counted.
+	if fleet.planner.ejections[0][0] == 0 {
+		t.Fatal("an aborting backend was not ejected")
+	}
+	fleet.acknowledgeAll()
+	if fleet.tablesWith(backendID(0)) == 0 {
+		t.Fatal("the ejected backend never returned")
+	}
+}
+
+// An ejected backend leaves all tables, and returns to them after the ejection.
+func TestEjectedBackendLeavesTheArcs(t *testing.T) {
+	fleet := startedFleet(t, nil, 8, 4)
+	fleet.acknowledgeAll()
+	fleet.reportSecond(8, 0.1, nil, nil) // shows what the backends can carry
+	ejected := func() bool {
+		until := fleet.planner.ejectedUntil[fleet.planner.indexOf[backendID(0)]]
+		return until[0] > fleet.now && until[1] > fleet.now
+	}
+	for second := 0; !ejected(); second++ {
+		if second == 5 {
+			t.Fatal("an aborting backend was not ejected for both zones")
+		}
+		fleet.reportSecond(8, 0.1, map[BackendID]float64{backendID(0): 1}, nil)
+	}
+	fleet.acknowledge(3)
+	if tables := fleet.tablesWith(backendID(0)); !ejected() || tables > 0 {
+		t.Fatalf("ejected %v, and in %d tables", ejected(), tables)
+	}
+	fleet.acknowledgeAll()
+	if tables := fleet.tablesWith(backendID(0)); ejected() || tables == 0 {
+		t.Fatalf("ejected %v, and in %d tables after the ejection", ejected(), tables)
+	}
+}
+
+// A backend that aborts from the planner's start on is ejected before the best rate of answers has been learned.
+func TestAbortingBackendIsEjectedAfterTheStart(t *testing.T) {
+	fleet := startedFleet(t, nil, 8, 6)
+	for range 2 { // usage reports come every other second, and attempt reports show fewer requests than came
+		for proxy := range ProxyID(6) {
+			fleet.step(0.01, UsageReport{Proxy: proxy, RPCs: 60, Span: 2})
+		}
+		fleet.step(1.3)
+		fleet.reportSecond(8, 0.1, map[BackendID]float64{backendID(0): 1}, nil)
+	}
+	until := fleet.planner.ejectedUntil[fleet.planner.indexOf[backendID(0)]]
+	if until[0] <= fleet.now || until[1] <= fleet.now {
+		t.Fatalf("the backend is in use: ejected until %v, now %.1f", until, fleet.now)
+	}
+}
+
+// A backend that fails by turns is ejected for longer each time: success between the failures does not clear its ejections, only
+// a longer time without failures does.
+func TestOnlyALongSuccessClearsEjections(t *testing.T) {
+	fleet := newFleetModel(t, nil)
+	fleet.step(0, fullUpdate(8, 0))
+	fleet.planner.ejectedUntil[0][0], fleet.planner.ejections[0][0] = fleet.now+1, 2
+	for range 5 {
+		fleet.reportSecond(8, 0.1, nil, nil)
+	}
+	if fleet.planner.ejections[0][0] != 2 {
+		t.Fatal("a short time without failures cleared the ejections")
+	}
+	for range 20 {
+		fleet.reportSecond(8, 0.1, nil, nil)
+	}
+	if fleet.planner.ejections[0][0] != 0 {
+		t.Fatal("a long time without failures did not clear the ejections")
+	}
+}
+
+// A backend that answers neither requests nor probes leaves the arcs; missing reports alone do not remove it.
+func TestUnreachableBackendLeavesTheArcs(t *testing.T) {
+	fleet := startedFleet(t, nil, 8, 6)
+	fleet.acknowledgeAll()
+	probes := 0
+	for range 6 {
+		fleet.reportSecond(8, 0.1, nil, map[BackendID]bool{backendID(0): true})
+		probes += countCommands[ProbeBackend](fleet.commands)
+	}
+	if probes == 0 || fleet.planner.unreachable(0) {
+		t.Fatalf("%d probes, unreachable %v", probes, fleet.planner.unreachable(0))
+	}
+	fleet.step(0.1, ProbeResult{Backend: backendID(0)})
+	fleet.step(0.1, ProbeResult{Backend: backendID(0)})
+	fleet.acknowledgeAll()
+	if !fleet.planner.unreachable(0) || fleet.tablesWith(backendID(0)) > 0 {
+		t.Fatal("an unreachable backend stayed in tables")
+	}
+	fleet.step(0.1, ProbeResult{Backend: backendID(0), OK: true})
+	fleet.acknowledgeAll()
+	if fleet.tablesWith(backendID(0)) == 0 {
+		t.Fatal("a backend that is reachable again is in no table")
+	}
+}
+
+// Arcs move load away from a backend whose answers take long while the others' do not.
+func TestSlowBackendIsBiasedAgainst(t *testing.T) {
+	fleet := startedFleet(t, nil, 8, 6)
+	for range 20 {
+		fleet.reportSecond(8, 0.1, nil, nil)
+		fleet.step(0.01, AttemptReport{Backend: backendID(0), Zone: "a", Attempts: 40, MeanLatency: 0.9, Span: 1})
+	}
+	if bias := fleet.planner.bias; bias[0] >= 1 || bias[1] < 1 {
+		t.Fatalf("bias %v", bias)
+	}
+}
--- /dev/null
+++ b/choice/exclusion_test.go
@@ -0,0 +1,140 @@
+package choice
+
+import (
+	"slices"
+	"testing"
+)
+
+func TestExclusionIsUrgentAndBringsReplacements(t *testing.T) {
+	fleet := startedFleet(t, nil, 16, 6)
+	fleet.acknowledgeAll()
+	fleet.step(0.1, deltaUpdate(Endpoint{Backend: 9, State: BackendOpen, Zone: "a", Weight: 2}))
+	update := EndpointUpdate{Kind: UpdateDelta}
+	for id := range fleet.tables[0] {
+		endpoint := Endpoint{Backend: id, State: BackendDraining, Zone: fleet.open[id].Zone, Weight: 2}
+		update.Endpoints = append(update.Endpoints, endpoint)
+	}
+	commands := fleet.step(0.05, update)
+	if countCommands[SetExclusion](commands) != len(update.Endpoints) || countCommands[SetTableEntry](commands) == 0 {
+		t.Fatalf("the exclusion of a whole arc gave %v", commands)
+	}
+}
+
+// Where a proxy has had many messages of late, exclusions are gathered for part of the grace and sent together.
+func TestExclusionsAreGatheredNearTheMessageLimit(t *testing.T) {
+	fleet := startedFleet(t, nil, 8, 4)
+	fleet.acknowledgeAll()
+	recent := int(ordinaryPart * fleet.planner.settings.Messages)
+	fleet.planner.proxies[0].sentAt = slices.Repeat([]Seconds{fleet.now}, recent)
+	for number := range 3 {
+		commands := fleet.step(0.1, stateUpdate(number, BackendDraining))
+		if countCommands[SetExclusion](commands) > 0 {
+			t.Fatalf("the exclusion of backend %d is not gathered: %v", backendID(number), commands)
+		}
+	}
+	commands := fleet.step(0.5) // more than half of what the push times leave of the grace of 2 s
+	if excluded := countCommands[SetExclusion](commands); excluded != 3 {
+		t.Fatalf("%d of 3 exclusions are sent together", excluded)
+	}
+}
+
+// Proxies that join in the step in which a backend begins to drain get tables without it, and the exclusion is sent at once.
+func TestJoinsAndADrainInOneStep(t *testing.T) {
+	fleet := startedFleet(t, map[string]any{"proxies": 60.0}, 8, 40)
+	fleet.acknowledgeAll()
+	fleet.joinTogether(0.1, 40, 43, stateUpdate(3, BackendDraining))
+	if !fleet.excluded[backendID(3)] {
+		t.Error("the exclusion of the draining backend waits")
+	}
+	for proxy := ProxyID(40); proxy < 43; proxy++ {
+		if len(fleet.bound[proxy]) == 0 {
+			t.Fatalf("proxy %d has no table", proxy)
+		}
+		for _, table := range fleet.bound[proxy] {
+			if fleet.tables[table][backendID(3)] > 0 {
+				t.Errorf("proxy %d is given the draining backend", proxy)
+			}
+		}
+	}
+}
+
+// A backend drains while hundreds of proxies wait for room for their first table: the exclusion reaches them first, the channel
+// keeps its limit, and all have tables in the end.
+func TestExclusionWhileProxiesWaitForTables(t *testing.T) {
+	const proxies = 900
+	fleet := newFleetModel(t, map[string]any{
+		"proxies": float64(proxies), "channel_room": 21600.0, "channel_pace": 21600.0, "messages": 0.0,
+	})
+	fleet.step(0, fullUpdate(40, 0))
+	fleet.joinTogether(0.01, 0, proxies)
+	waiting := 0
+	for proxy := range ProxyID(proxies) {
+		if len(fleet.bound[proxy]) == 0 {
+			waiting++
+		}
+	}
+	if waiting < 100 || waiting > 500 {
+		t.Fatalf("%d proxies wait for their table", waiting)
+	}
+	fleet.step(0.01, stateUpdate(3, BackendDraining))
+	if !fleet.excluded[backendID(3)] {
+		t.Error("the exclusion waits")
+	}
+	fleet.acknowledgeAll()
+	for proxy := range ProxyID(proxies) {
+		if len(fleet.bound[proxy]) == 0 {
+			t.Fatalf("proxy %d has no table", proxy)
+		}
+	}
+}
+
+// Without room in the channel the planner sends neither tables nor lists of exclusions; once there is room, all proxies get tables.
+func TestJoinsWithoutRoomInTheChannel(t *testing.T) {
+	fleet := newFleetModel(t, map[string]any{"proxies": 60.0, "channel_room": 400.0, "messages": 0.0})
+	fleet.step(0, fullUpdate(40, 0))
+	fleet.step(0.01, stateUpdate(0, BackendDraining))
+	fleet.fillChannel(390)
+	fleet.joinTogether(0.01, 0, 10)
+	fleet.step(0.6)
+	if len(fleet.messaged) > 0 || fleet.informed[0] || fleet.informed[9] {
+		t.Errorf("%d messages though there is no room", len(fleet.messaged))
+	}
+	fleet.planner.channel.unacked = nil
+	fleet.acknowledgeAll()
+	for proxy := range ProxyID(10) {
+		if len(fleet.bound[proxy]) == 0 {
+			t.Errorf("proxy %d has no table", proxy)
+		}
+	}
+}
+
+// A proxy that waits for its first table for longer than a part of the grace is informed of the exclusions, within the room of
+// the channel.
+func TestExclusionsAheadOfALateTable(t *testing.T) {
+	fleet := newFleetModel(t, map[string]any{"proxies": 60.0, "channel_room": 1000.0, "messages": 0.0})
+	fleet.step(0, fullUpdate(40, 0))
+	for i := range 12 {
+		fleet.step(0.01, stateUpdate(i, BackendDraining))
+	}
+	fleet.fillChannel(700)
+	fleet.joinTogether(0.01, 0, 10)
+	if len(fleet.messaged) > 0 {
+		t.Fatal("exclusions are sent ahead of a table that may follow soon")
+	}
+	fleet.step(0.7)
+	informed := 0
+	for proxy := range ProxyID(10) {
+		if fleet.informed[proxy] && len(fleet.bound[proxy]) == 0 {
+			informed++
+		}
+	}
+	if informed < 5 {
+		t.Errorf("%d of 10 proxies are informed of the exclusions", informed)
+	}
+}
+
+// fillChannel has the planner count lines that wait in the channel and are not acknowledged.
+func (m *fleetModel) fillChannel(lines int) {
+	channel := m.planner.channel
+	channel.unacked = append(channel.unacked, unackedStep{nonce: 1, sentAt: m.now, lines: lines})
+}
--- /dev/null
+++ b/choice/helpers_test.go
@@ -0,0 +1,110 @@
+package choice
+
+import "maps"
+
+// startTime is the time at which the planners of the tests start.
+const startTime Seconds = 100
+
+// testSettings returns settings in the flat form, changed by the overrides.
+func testSettings(overrides map[string]any) map[string]any {
+	settings := map[string]any{
+		"listing":         "asked",
+		"ask_within":      10.0,
+		"cold_share":      0.2,
+		"warm_after":      12.0,
+		"drain_grace":     2.0,
+		"fall_multiple":   3.0,
+		"channel_room":    6000.0,
+		"channel_pace":    4000.0,
+		"message_lines":   10.0,
+		"messages":        20.0,
+		"messages_span":   10.0,
+		"push_time":       0.2,
+		"push_time_worst": 0.4,
+		"proxies":         6.0,
+		"level_kind":      "share",
+		"report_period":   1.0,
+		"probes":          true,
+		"try_wait":        0.8,
+
+		"zones.n": 2.0,
+		"zones.0": "a",
+		"zones.1": "b",
+
+		"method.n":               3.0,
+		"method.0.soft_deadline": 1.0,
+		"method.0.criticality":   1.0,
+		"method.0.effect":        "idempotent",
+		"method.1.effect":        "non-idempotent",
+		"method.1.soft_deadline": 1.0,
+		"method.1.criticality":   2.0,
+		"method.2.effect":        "tokened",
+		"method.2.group":         "all",
+		"method.2.window":        5.0,
+		"method.2.soft_deadline": 1.0,
+	}
+	maps.Copy(settings, overrides)
+	return settings
+}
+
+// testConfig returns the config of a planner with testSettings, changed by the overrides.
+func testConfig(overrides map[string]any) Config {
+	return Config{Seed: 7, Now: startTime, Settings: DecodeSettings(testSettings(overrides))}
+}
+
+// backendID returns the id of a backend by its number.
+func backendID(number int) BackendID { return BackendID(1000 + 77*number) }
+
+// homeZone returns the zone of a backend or a proxy by its number.
+func homeZone(number int) Zone { return Zone("ab"[number%2 : number%2+1]) }
+
+// fullUpdate lists the first backends as open, started at that time.
+func fullUpdate(backends int, startedAt Seconds) EndpointUpdate {
+	update := EndpointUpdate{Kind: UpdateFull}
+	for i := range backends {
+		update.Endpoints = append(update.Endpoints, Endpoint{
+			Backend: backendID(i), State: BackendOpen, StartedAt: startedAt, Zone: homeZone(i), Weight: 2,
+		})
+	}
+	return update
+}
+
+// deltaUpdate lists changed endpoints.
+func deltaUpdate(endpoints ...Endpoint) EndpointUpdate {
+	return EndpointUpdate{Kind: UpdateDelta, Endpoints: endpoints}
+}
+
+// stateUpdate lists a backend, by its number, with a state.
+func stateUpdate(number int, state BackendState) EndpointUpdate {
+	endpoint := fullUpdate(number+1, 0).Endpoints[number]
+	endpoint.State = state
+	return deltaUpdate(endpoint)
+}
+
+// joinEvents has many proxies of different usage join.
+func joinEvents(proxies int) (events []Event) {
+	for proxy := range proxies {
+		events = append(events, ProxyJoined{ProxyID(proxy), homeZone(proxy), float64(1 + proxy%7), true})
+	}
+	return events
+}
+
+// quickReports reports quick answers of the first backends, each from its own zone.
+func quickReports(backends int) (reports []Event) {
+	for i := range backends {
+		reports = append(reports, AttemptReport{
+			Backend: backendID(i), Zone: homeZone(i), Attempts: 8, MeanLatency: 0.05, Span: 1,
+		})
+	}
+	return reports
+}
+
+// countCommands counts the commands of a type.
+func countCommands[T Command](commands []Command) (count int) {
+	for _, command := range commands {
+		if _, ok := command.(T); ok {
+			count++
+		}
+	}
+	return count
+}
