--- /dev/null
+++ b/choice/settings_test.go
@@ -0,0 +1,142 @@
+package choice
+
+import (
+	"reflect"
+	"testing"
+)
+
+// The methods are decoded by TestMethodSettingsAreDecoded.
+const methodsField = "Methods"
+
+// settingNames are the names, in the flat form, of the fields of Settings.
+var settingNames = map[string]string{
+	"AskWithin":         "ask_within",
+	"BareLimit":         "bare_limit",
+	"ChannelPace":       "channel_pace",
+	"ChannelRoom":       "channel_room",
+	"ColdShare":         "cold_share",
+	"Coordinators":      "coordinators",
+	"CrossingPrice":     "price.crossing",
+	"DrainGrace":        "drain_grace",
+	"FallMultiple":      "fall_multiple",
+	"FallWindow":        "fall_window",
+	"FeedbackColumns":   "Feedback.Columns",
+	"FeedbackSource":    "Feedback.Source",
+	"Intake":            "intake",
+	"LevelKind":         "level_kind",
+	"Listing":           "listing",
+	"MessageLines":      "message_lines",
+	"Messages":          "messages",
+	"MessagesSpan":      "messages_span",
+	"OnlyDrainingBinds": "only_draining_binds",
+	"Pick":              "pick",
+	"Probes":            "probes",
+	"Proxies":           "proxies",
+	"PushTime":          "push_time",
+	"PushTimeWorst":     "push_time_worst",
+	"ReportPeriod":      "report_period",
+	"Self":              "self",
+	"Slices":            "slices",
+	"Strikes":           "strikes",
+	"Tick":              "tick",
+	"TryWait":           "try_wait",
+	"WarmAfter":         "warm_after",
+	"Zone":              "zone",
+	"Zones":             "zones",
+}
+
+// methodSettingNames are the names, behind the prefix of the method, of the fields of MethodSettings.
+var methodSettingNames = map[string]string{
+	"Name":         "name",
+	"Effect":       "effect",
+	"Group":        "group",
+	"MostTries":    "most_tries",
+	"OwnZone":      "own_zone",
+	"Criticality":  "criticality",
+	"SoftDeadline": "soft_deadline",
+	"Deadline":     "deadline",
+	"Window":       "window",
+}
+
+func TestSettingsAreDecoded(t *testing.T) {
+	checkNamesMatchFields(t, reflect.TypeFor[Settings](), settingNames, methodsField)
+	for field, name := range settingNames {
+		t.Run(field, func(t *testing.T) {
+			flat, want := flatForm(t, reflect.TypeFor[Settings](), field, name)
+			checkOnlyField(t, reflect.ValueOf(DecodeSettings(flat)), field, want)
+		})
+	}
+}
+
+func TestMethodSettingsAreDecoded(t *testing.T) {
+	checkNamesMatchFields(t, reflect.TypeFor[MethodSettings](), methodSettingNames)
+	for field, name := range methodSettingNames {
+		t.Run(field, func(t *testing.T) {
+			flat, want := flatForm(t, reflect.TypeFor[MethodSettings](), field, "method.1."+name)
+			flat["method.n"] = 2.0
+			methods := DecodeSettings(flat).Methods
+			if len(methods) != 2 {
+				t.Fatalf("%d methods are decoded, 2 wanted", len(methods))
+			}
+			checkOnlyField(t, reflect.ValueOf(methods[1]), field, want)
+			if methods[0] != (MethodSettings{}) {
+				t.Errorf("the settings of method 1 are decoded for method 0: %+v", methods[0])
+			}
+		})
+	}
+}
+
+// checkNamesMatchFields checks that a type has just the exported fields that have a name here, beside the exceptions.
+func checkNamesMatchFields(t *testing.T, settings reflect.Type, names map[string]string, exceptions ...string) {
+	t.Helper()
+	fields := map[string]bool{}
+	for _, field := range exceptions {
+		fields[field] = true
+	}
+	for _, field := range reflect.VisibleFields(settings) {
+		if _, named := names[field.Name]; !named && !fields[field.Name] && field.IsExported() {
+			t.Errorf("%s.%s has no name in the flat form", settings.Name(), field.Name)
+		}
+		fields[field.Name] = true
+	}
+	for field := range names {
+		if !fields[field] {
+			t.Errorf("%s has no field %s", settings.Name(), field)
+		}
+	}
+}
+
+// flatForm returns a flat form with a value for one field, and that value as it should be decoded.
+func flatForm(t *testing.T, settings reflect.Type, field, name string) (flat map[string]any, want any) {
+	t.Helper()
+	structField, ok := settings.FieldByName(field)
+	if !ok {
+		t.Fatalf("%s has no field %s", settings.Name(), field)
+	}
+	switch structField.Type {
+	case reflect.TypeFor[Number]():
+		return map[string]any{name: 42.0}, NumberOf(42)
+	case reflect.TypeFor[string]():
+		return map[string]any{name: "word"}, "word"
+	case reflect.TypeFor[bool]():
+		return map[string]any{name: true}, true
+	case reflect.TypeFor[[]string]():
+		return map[string]any{name + ".n": 2.0, name + ".0": "first", name + ".1": "second"}, []string{"first", "second"}
+	default:
+		t.Fatalf("%s.%s is of type %s, for which there is no flat form", settings.Name(), field, structField.Type)
+		return nil, nil
+	}
+}
+
+// checkOnlyField checks that one field was decoded as wanted and that the others are left out.
+func checkOnlyField(t *testing.T, decoded reflect.Value, field string, want any) {
+	t.Helper()
+	if got := decoded.FieldByName(field).Interface(); !reflect.DeepEqual(got, want) {
+		t.Errorf("decoded %v, %v wanted", got, want)
+	}
+	for _, other := range reflect.VisibleFields(decoded.Type()) {
+		if other.Name != field && other.Name != methodsField && !decoded.FieldByIndex(other.Index).IsZero() {
+			t.Errorf("the setting of %s is decoded as %s", field, other.Name)
+		}
+	}
+}
