--- a/cmd/gingerfork/check.go
+++ b/cmd/gingerfork/check.go
@@ -26,7 +26,7 @@
 		}
 		fmt.Fprintf(p.out, "%s: good\n", f)
 		if t, err := bootstrap.Read(f); err == nil {
-			for _, h := range configcheck.Of(t.Coordinator(0)) {
+			for _, h := range configcheck.Warnings(t.CoordinatorConfig(0)) {
 				fmt.Fprintf(p.err, "%s: a doubt: %s\n", f, h)
 			}
 		}
@@ -51,7 +51,7 @@
 }
 
 // readDay reads a day from a file, or one that comes with the program by its name.
-func readDay(name string) (*scenario.Day, error) {
+func readDay(name string) (*scenario.Scenario, error) {
 	text, err := os.ReadFile(name)
 	if err == nil {
 		return scenario.Read(name, string(text), func(file string) ([]byte, error) {
@@ -71,7 +71,7 @@
 		if errors.As(err, &p) {
 			err = p.Err
 		}
-		return nil, fmt.Errorf("%s: %w, and no day of that name comes with the program (those that do: %s)", name, err, strings.Join(scenario.Shipped(), ", "))
+		return nil, fmt.Errorf("%s: %w, and no day of that name comes with the program (those that do: %s)", name, err, strings.Join(scenario.Builtin(), ", "))
 	}
 	return scenario.Read(name+".day", string(text), scenario.File)
 }
--- a/cmd/gingerfork/emulate.go
+++ b/cmd/gingerfork/emulate.go
@@ -39,7 +39,7 @@
 	if c.Scale != 1 && c.Scale > 0 {
 		d.Scale(c.Scale)
 	}
-	e := scenario.Emulation{Day: d, Port: c.Port, Loops: c.Loops}
+	e := scenario.Emulation{Scenario: d, Port: c.Port, EventLoops: c.Loops}
 	if c.Part != "" {
 		k, n, _ := strings.Cut(c.Part, "/")
 		e.Part, err = strconv.Atoi(k)
@@ -51,24 +51,24 @@
 		}
 	}
 	if c.For != "" {
-		if d.Length, err = bootstrap.Duration(c.For); err != nil {
+		if d.Duration, err = bootstrap.ParseDuration(c.For); err != nil {
 			return fmt.Errorf("for %w", err)
 		}
 	}
 	line := newLive(p.out)
 	var mu sync.Mutex
 	var late report.Behind
-	e.Figures = func(t emulator.Tally) {
+	e.OnTally = func(t emulator.FleetStats) {
 		mu.Lock()
 		defer mu.Unlock()
-		late.Look(t.Late)
+		late.Look(t.MaxDelay)
 		if c.JSON {
 			_ = json.NewEncoder(p.out).Encode(t)
 			return
 		}
 		line.show(t.String(), late.Looks%5 == 1)
 	}
-	e.Event = func(text string) {
+	e.OnStep = func(text string) {
 		mu.Lock()
 		defer mu.Unlock()
 		if !c.JSON {
@@ -76,7 +76,7 @@
 		}
 	}
 	if !c.JSON {
-		fmt.Fprintf(p.out, "%s: list service at %s, servers from %s on, %.0f s\n", d.Name, e.ListAddr(), e.Addr(0), d.Length)
+		fmt.Fprintf(p.out, "%s: list service at %s, servers from %s on, %.0f s\n", d.Name, e.ListAddr(), e.Addr(0), d.Duration)
 	}
 	if err := e.Run(ctx); err != nil {
 		return badError{err}
@@ -159,12 +159,12 @@
 	if err != nil {
 		return badError{err}
 	}
-	m := s.Coordinator(0)
-	b := load.Bootstrap{Proxies: c.Proxies, Rate: c.Rate, Uneven: c.Uneven, To: c.Coordinator, Servers: c.Server, Seed: c.Seed}
-	t := fake.FrontTrade{
-		Methods: fake.Methods(m.Settings.Methods), Pick: m.Settings.Pick, Strikes: int(m.Settings.Strikes.Or(0)), KeepAway: 5,
-		TryWait: m.Settings.TryWait.Or(0.8), LineStill: 0.0002, LevelRate: m.Settings.LevelKind == "rate", Period: m.Settings.ReportPeriod.Or(1),
-		ConnectTimeout: 0.25, AgainMost: c.AtMost,
+	m := s.CoordinatorConfig(0)
+	b := load.Config{Proxies: c.Proxies, Rate: c.Rate, RateVariation: c.Uneven, Coordinators: c.Coordinator, Backends: c.Server, Seed: c.Seed}
+	t := fake.FrontEndConfig{
+		Methods: fake.MethodConfigs(m.Settings.Methods), Policy: m.Settings.Pick, FailureLimit: int(m.Settings.Strikes.Or(0)), AvoidFor: 5,
+		AttemptTimeout: m.Settings.TryWait.Or(0.8), ApplyTimePerEntry: 0.0002, AdmissionIsRate: m.Settings.LevelKind == "rate", ReportPeriod: m.Settings.ReportPeriod.Or(1),
+		ConnectTimeout: 0.25, ClientRetryLimit: c.AtMost,
 	}
 	for i, x := range t.Methods {
 		b.Methods = append(b.Methods, invariant.Method{Name: x.Name, Criticality: x.Criticality, SoftDeadline: x.SoftDeadline})
@@ -172,7 +172,7 @@
 			return fmt.Errorf("mix has %d shares, the settings have %d methods", len(c.Mix), len(t.Methods))
 		}
 		if len(c.Mix) > 0 {
-			if t.Methods[i].Share, err = bootstrap.Share(c.Mix[i]); err != nil {
+			if t.Methods[i].Share, err = bootstrap.ParseShare(c.Mix[i]); err != nil {
 				return fmt.Errorf("mix: %w", err)
 			}
 		}
@@ -180,28 +180,28 @@
 	b.Zones = append(b.Zones, m.Settings.Zones...)
 	span := func(name, text string, into *float64) {
 		if err == nil && text != "" {
-			if *into, err = bootstrap.Duration(text); err != nil {
+			if *into, err = bootstrap.ParseDuration(text); err != nil {
 				err = fmt.Errorf("%s: %w", name, err)
 			}
 		}
 	}
 	share := func(name, text string, into *float64) {
 		if err == nil && text != "" {
-			if *into, err = scenario.Percent(text); err != nil {
+			if *into, err = scenario.ParsePercent(text); err != nil {
 				err = fmt.Errorf("%s: %w", name, err)
 			}
 		}
 	}
 	var length float64
 	span("for", c.For, &length)
-	share("wave", c.Wave, &t.Shape.Swing)
-	span("over", c.Over, &t.Shape.Day)
-	share("again", c.Again, &t.ComeAgain)
-	span("after", c.After, &t.AgainWait)
+	share("wave", c.Wave, &t.Shape.DailySwing)
+	span("over", c.Over, &t.Shape.DayLength)
+	share("again", c.Again, &t.ClientRetryChance)
+	span("after", c.After, &t.ClientRetryBackoff)
 	if c.Bursts != "" {
-		share("bursts", c.Bursts, &t.Shape.Height)
-		span("every", c.Every, &t.Shape.Every)
-		span("lasting", c.Lasting, &t.Shape.Lasts)
+		share("bursts", c.Bursts, &t.Shape.BurstFactor)
+		span("every", c.Every, &t.Shape.BurstInterval)
+		span("lasting", c.Lasting, &t.Shape.BurstLength)
 	}
 	if err == nil && c.Keys > 0 {
 		t.Keys, err = traffic.NewZipf(c.Keys, c.Zipf)
@@ -209,10 +209,10 @@
 	if err != nil {
 		return err
 	}
-	b.Front, b.For = t, time.Duration(length*1e9)
+	b.FrontEnd, b.Duration = t, time.Duration(length*1e9)
 	line := newLive(p.out)
 	if !c.JSON {
-		b.EachAbout = func(second int, s report.Second) {
+		b.OnSecond = func(second int, s report.Second) {
 			line.show(fmt.Sprintf("%4d s: %d in time, %d late, %d pushed back, %d aborted; service %.3f", second+1, s.InTime, s.Late, s.PushedBack, s.Aborted, s.Service()), second%5 == 0)
 		}
 	}
--- a/cmd/gingerfork/main_test.go
+++ b/cmd/gingerfork/main_test.go
@@ -154,7 +154,7 @@
 	for _, r := range records {
 		count[r.Kind]++
 	}
-	if count[trace.Boot] != 3 || count[trace.Join] < 7 || count[trace.Run] < 100 || count[trace.Start] != 2 || count[trace.Apply] < 8 {
+	if count[trace.CoordinatorStarted] != 3 || count[trace.ProxyJoined] < 7 || count[trace.EffectExecuted] < 100 || count[trace.BackendStarted] != 2 || count[trace.PushApplied] < 8 {
 		t.Errorf("%v", count)
 	}
 }
@@ -256,7 +256,7 @@
 		_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
 		fmt.Fprintf(conn, "%s", proto.Append(nil, proto.Hello{Version: 1, Name: "probe", Zone: "dc-kewdale"}))
 		var r proto.Reader
-		r.Open()
+		r.HandshakeDone()
 		b := make([]byte, 4096)
 		for {
 			n, err := conn.Read(b)
@@ -266,7 +266,7 @@
 			r.Feed(b[:n])
 			if m, _ := r.Next(); m != nil {
 				w, ok := m.(proto.Welcome)
-				return ok && w.Period == 1
+				return ok && w.ReportPeriod == 1
 			}
 		}
 	})
@@ -289,7 +289,7 @@
 	records, err := trace.Read(in)
 	answered := 0
 	for _, r := range records {
-		if r.Kind == trace.End && r.Text == "ok" {
+		if r.Kind == trace.RPCFinished && r.Text == "ok" {
 			answered++
 		}
 	}
--- a/cmd/gingerfork/serve.go
+++ b/cmd/gingerfork/serve.go
@@ -25,15 +25,15 @@
 }
 
 // coordinatorOf is what a coordinator is started with, from its settings.
-func coordinatorOf(t *bootstrap.Trade, module choice.Config) coordinator.Bootstrap {
+func coordinatorOf(t *bootstrap.Settings, module choice.Config) coordinator.Bootstrap {
 	peers := map[choice.PeerID]string{}
 	for n, addr := range t.Peers {
 		peers[choice.PeerID(n)] = addr
 	}
 	return coordinator.Bootstrap{
 		Name: t.Name, Zone: module.Settings.Zone, EndpointListAddr: t.Text("list-service"), Peers: peers, ModuleConfig: module,
-		HandshakeTimeout: t.Num("handshake"), ProxyIdleTimeout: t.Num("stream-silence"), EndpointListIdleTimeout: t.Num("list-silence"),
-		SettingsText: t.Canonical(), ProbeTimeout: t.Num("probe-timeout"), MaxStreams: int(t.Num("streams")), MaxProbes: int(t.Num("probes-at-once")),
+		HandshakeTimeout: t.Number("handshake"), ProxyIdleTimeout: t.Number("stream-silence"), EndpointListIdleTimeout: t.Number("list-silence"),
+		SettingsText: t.Canonical(), ProbeTimeout: t.Number("probe-timeout"), MaxStreams: int(t.Number("streams")), MaxProbes: int(t.Number("probes-at-once")),
 	}
 }
 
@@ -80,7 +80,7 @@
 }
 
 // read reads all files. Two instances must not share what each would write over.
-func (c serveCmd) read() (all []*bootstrap.Trade, err error) {
+func (c serveCmd) read() (all []*bootstrap.Settings, err error) {
 	by := map[string]string{}
 	for _, f := range c.Files {
 		t, bad := bootstrap.Read(f)
@@ -104,7 +104,7 @@
 // served is one coordinator of the process.
 type served struct {
 	file   string
-	trade  *bootstrap.Trade
+	trade  *bootstrap.Settings
 	clock  *eventloop.Clock
 	source *source
 	store  *store.Store // nil: nothing is kept
@@ -113,7 +113,7 @@
 	log    *slog.Logger
 }
 
-func start(ctx context.Context, p *program, file string, t *bootstrap.Trade) (*served, error) {
+func start(ctx context.Context, p *program, file string, t *bootstrap.Settings) (*served, error) {
 	log := p.logger().With("instance", t.Name)
 	dir := t.Text("state")
 	s := &served{file: file, trade: t, clock: eventloop.NewClock(), log: log}
@@ -125,9 +125,9 @@
 		s.shut()
 		return nil, err
 	}
-	s.m = coordinator.NewMachine(coordinatorOf(t, t.Coordinator(s.clock.Now())), kept)
+	s.m = coordinator.NewMachine(coordinatorOf(t, t.CoordinatorConfig(s.clock.Now())), kept)
 	if s.loop, err = eventloop.Start(ctx, eventloop.Bootstrap{
-		Machine: s.m, Listen: []string{t.Text("listen")}, Dir: dir, MostOut: int(t.Num("reader-buffer")),
+		Machine: s.m, Listen: []string{t.Text("listen")}, Dir: dir, MaxWriteBuffer: int(t.Number("reader-buffer")),
 		Log: log, Clock: s.clock, Store: s.store,
 	}); err != nil {
 		s.source.end()
@@ -155,15 +155,15 @@
 			s.log.Warn("this keyword takes a restart; the old value stays in force", "keyword", k)
 		}
 	}
-	s.loop.Between(func() { s.m.Reload(coordinatorOf(fresh, fresh.Coordinator(s.clock.Now()))) })
+	s.loop.RunBetweenSteps(func() { s.m.Reload(coordinatorOf(fresh, fresh.CoordinatorConfig(s.clock.Now()))) })
 	s.log.Info("the settings were read again and are in force")
 }
 
 func (s *served) wait() error {
 	err := s.loop.Wait()
 	f, lf := s.m.Stats(), s.loop.Figures()
-	s.log.Info("coordinator ended", "joins", f.Joins, "messages", f.Pushes, "lines", f.Entries, "steps", lf.Steps, "longest", lf.Longest)
-	if errors.Is(err, eventloop.ErrFailed) {
+	s.log.Info("coordinator ended", "joins", f.Joins, "messages", f.Pushes, "lines", f.Entries, "steps", lf.Steps, "longest", lf.LongestStep)
+	if errors.Is(err, eventloop.ErrMachineFailed) {
 		return badError{err}
 	}
 	return err
@@ -179,7 +179,7 @@
 
 // open opens the store in the state folder, and reads what the last run kept. A store that is damaged ends the start: to
 // go on without it is the operator's word.
-func (s *served) open(dir string) (*checkpoint.Kept, error) {
+func (s *served) open(dir string) (*checkpoint.State, error) {
 	if dir == "" {
 		return nil, nil
 	}
@@ -187,20 +187,20 @@
 	if err != nil {
 		return nil, err
 	}
-	st, r, err := store.Open(store.Bootstrap{Folder: folder, Background: true})
+	st, r, err := store.Open(store.Options{Folder: folder, Background: true})
 	if err != nil {
 		return nil, badError{fmt.Errorf("%s: %w (gingerfork store check %s)", filepath.Join(dir, "store"), err, filepath.Join(dir, "store"))}
 	}
-	if r.Cut > 0 {
-		s.log.Warn("the store had a torn tail, never acknowledged, and it was cut", "file", r.CutFile, "bytes", r.Cut)
+	if r.TornBytes > 0 {
+		s.log.Warn("the store had a torn tail, never acknowledged, and it was cut", "file", r.TornFile, "bytes", r.TornBytes)
 	}
-	kept, err := checkpoint.Read(st.Scan(""))
+	kept, err := checkpoint.Decode(st.Scan(""))
 	if err != nil {
 		_ = st.Close() // nothing was written; what it fails at would only hide why
 		return nil, badError{fmt.Errorf("the store is whole, but makes no sense: %w", err)}
 	}
 	s.store = st
-	s.log.Info("the store was opened", "keys", r.Keys, "batches", r.Frames, "servers", len(kept.Servers), "drains", len(kept.Drains), "marks-from", kept.Marks)
+	s.log.Info("the store was opened", "keys", r.Keys, "batches", r.LogFrames, "servers", len(kept.Endpoints), "drains", len(kept.Drains), "marks-from", kept.NonceLimit)
 	return kept, nil
 }
 
--- a/internal/coordinator/acknowledgements.go
+++ b/internal/coordinator/acknowledgements.go
@@ -34,7 +34,7 @@
 	push := stream.inFlight[i]
 	// An acknowledgement covers all earlier pushes of the stream.
 	stream.inFlight = slices.Delete(stream.inFlight, 0, i+1)
-	c.checkpoint.Confirmed(stream.proxyName, wireNonce)
+	c.checkpoint.PushAcknowledged(stream.proxyName, wireNonce)
 	c.heldAcknowledgements = append(c.heldAcknowledgements, heldAcknowledgement{
 		step:              push.step,
 		durabilityBarrier: push.durabilityBarrier,
@@ -51,7 +51,7 @@
 	oldestQueued, queued := c.pushQueue.oldestStep()
 	stillHeld := c.heldAcknowledgements[:0]
 	for _, held := range c.heldAcknowledgements {
-		if queued && held.step > oldestQueued || !c.checkpoint.Counts(now, held.durabilityBarrier) {
+		if queued && held.step > oldestQueued || !c.checkpoint.BarrierReached(now, held.durabilityBarrier) {
 			stillHeld = append(stillHeld, held)
 			continue
 		}
--- a/internal/coordinator/acknowledgements_test.go
+++ b/internal/coordinator/acknowledgements_test.go
@@ -12,16 +12,16 @@
 	harness.serveEndpoints(4)
 	harness.join(1, "f0")
 	harness.advance(0.1)
-	staleNonce := harness.pushes(1)[0].Mark
+	staleNonce := harness.pushes(1)[0].Nonce
 	harness.step(0.01, closed(1))
 	harness.join(2, "f0")
 	harness.advance(0.1)
-	nonce := harness.pushes(2)[0].Mark
-	harness.step(0.01, data(2, proto.Answer{Mark: staleNonce}, proto.Answer{Mark: 4711}))
+	nonce := harness.pushes(2)[0].Nonce
+	harness.step(0.01, data(2, proto.Acknowledgement{Nonce: staleNonce}, proto.Acknowledgement{Nonce: 4711}))
 	if stats := harness.machine.Stats(); stats.StaleAcknowledgements != 2 || harness.closed[2] {
 		t.Fatalf("%+v", stats)
 	}
-	harness.step(0.01, data(2, proto.Answer{Mark: nonce}, proto.Answer{Mark: nonce}))
+	harness.step(0.01, data(2, proto.Acknowledgement{Nonce: nonce}, proto.Acknowledgement{Nonce: nonce}))
 	if stats := harness.machine.Stats(); stats.StaleAcknowledgements != 3 || harness.closed[2] {
 		t.Fatalf("an acknowledgement counted twice: %+v", stats)
 	}
--- a/internal/coordinator/bench_test.go
+++ b/internal/coordinator/bench_test.go
@@ -41,9 +41,9 @@
 		bytes += len(proto.Append(nil, outgoing.push))
 		entries += len(outgoing.push.Ops)
 		for _, op := range outgoing.push.Ops {
-			entries += len(op.Lines) + len(op.Levels)
+			entries += len(op.Entries) + len(op.Admissions)
 		}
-		events = append(events, pushAcknowledged{outgoing.stream, outgoing.push.Mark})
+		events = append(events, pushAcknowledged{outgoing.stream, outgoing.push.Nonce})
 	}
 	mustHandle(tb, controller, now+0.001, events...)
 	return entries, bytes
@@ -63,11 +63,11 @@
 			b.ResetTimer()
 			for i := range b.N {
 				now += 3
-				for _, state := range []proto.ServerState{proto.ServerDraining, proto.ServerOpen} {
+				for _, state := range []proto.BackendState{proto.BackendDraining, proto.BackendOpen} {
 					version++
-					list := proto.List{
-						Kind: proto.ListChanges, Base: version - 1, Version: version,
-						Entries: []proto.Entry{listEntry(1+i%size.backends, state)},
+					list := proto.EndpointUpdate{
+						Kind: proto.UpdateDelta, BaseVersion: version - 1, Version: version,
+						Endpoints: []proto.Endpoint{listEntry(1+i%size.backends, state)},
 					}
 					result := mustHandle(b, controller, now, endpointListReceived{list})
 					addedEntries, addedBytes := acknowledgePushes(b, controller, now, result)
--- a/internal/coordinator/controller.go
+++ b/internal/coordinator/controller.go
@@ -37,7 +37,7 @@
 	stepInterval choice.Seconds // least time between steps of the decision module that no timer asked for
 
 	endpoints   *endpointList
-	checkpoint  *checkpoint.Keeper
+	checkpoint  *checkpoint.Checkpointer
 	pushQueue   pushQueue
 	reports     *reportAggregator
 	distributor *fanout.Distributor
@@ -62,7 +62,7 @@
 
 // newController returns a controller that continues from the state that the previous run saved. Without saved state (nil)
 // nothing is persisted.
-func newController(config choice.Config, saved *checkpoint.Kept) *controller {
+func newController(config choice.Config, saved *checkpoint.State) *controller {
 	return assembleController(config, checkpoint.New(config.Now, saved), restoreEndpointList(saved))
 }
 
@@ -72,7 +72,7 @@
 	return assembleController(config, c.checkpoint, c.endpoints)
 }
 
-func assembleController(config choice.Config, checkpointer *checkpoint.Keeper, endpoints *endpointList) *controller {
+func assembleController(config choice.Config, checkpointer *checkpoint.Checkpointer, endpoints *endpointList) *controller {
 	settings := &config.Settings
 	stepInterval := settings.Tick.Or(0)
 	var pendingEvents []choice.Event
@@ -122,7 +122,7 @@
 	}
 	c.scheduleWake(now)
 	c.forgetDeparted(now)
-	c.result.mutations, c.result.batch = c.checkpoint.Take(now)
+	c.result.mutations, c.result.batch = c.checkpoint.TakeBatch(now)
 	return c.result, nil
 }
 
@@ -147,9 +147,9 @@
 	case endpointListLost:
 		c.pendingEvents = append(c.pendingEvents, choice.EndpointUpdate{Kind: choice.UpdateFailed})
 	case batchPersisted:
-		c.checkpoint.Durable(incoming.batch)
+		c.checkpoint.Persisted(incoming.batch)
 	case persistFailed:
-		c.checkpoint.Lost()
+		c.checkpoint.PersistFailed()
 	case probeFinished:
 		c.pendingEvents = append(c.pendingEvents,
 			choice.ProbeResult{Backend: incoming.backend, OK: incoming.ok, Busy: incoming.busy, Latency: incoming.latency})
@@ -162,7 +162,7 @@
 
 // applyEndpointList updates the endpoint list, persists the change and passes it on to the decision module. For the module
 // a frame that is rejected is a failed update.
-func (c *controller) applyEndpointList(now choice.Seconds, frame proto.List) {
+func (c *controller) applyEndpointList(now choice.Seconds, frame proto.EndpointUpdate) {
 	change, err := c.endpoints.apply(now, frame)
 	if err != nil {
 		c.result.endpointListError = err
@@ -170,7 +170,7 @@
 		return
 	}
 	if len(change.update.Endpoints) > 0 || change.update.Kind == choice.UpdateFull {
-		c.checkpoint.Listed(now, c.endpoints.version, change.changed, change.removed)
+		c.checkpoint.UpdateEndpoints(now, c.endpoints.version, change.changed, change.removed)
 	}
 	c.pendingEvents = append(c.pendingEvents, change.update)
 }
@@ -187,7 +187,7 @@
 	if at, ok := c.reports.nextAt(); ok {
 		c.wakeBy(at)
 	}
-	if at, ok := c.checkpoint.Wake(now); ok {
+	if at, ok := c.checkpoint.NextDeadline(now); ok {
 		c.wakeBy(at)
 	}
 	c.result.wakeAt = max(c.result.wakeAt, now+minWakeDelay)
--- a/internal/coordinator/endpointclient.go
+++ b/internal/coordinator/endpointclient.go
@@ -36,14 +36,14 @@
 func (m *Machine) handleEndpointListMessage(step *stepContext, session *session, message proto.Message) error {
 	switch message := message.(type) {
 	case proto.Welcome:
-		session.reader.Open()
+		session.reader.HandshakeDone()
 		session.welcomed = true
 		for _, request := range m.pendingRequests {
 			step.send(session, request)
 		}
 		m.pendingRequests = nil
 		return nil
-	case proto.List:
+	case proto.EndpointUpdate:
 		if !session.welcomed {
 			return fmt.Errorf("%w: a list before the welcome", errUnexpectedMessage)
 		}
--- a/internal/coordinator/endpoints_test.go
+++ b/internal/coordinator/endpoints_test.go
@@ -11,17 +11,17 @@
 )
 
 // invalidLists are frames that do not fit a list of three backends at version 1, by what is wrong with them.
-var invalidLists = map[string]proto.List{
-	"duplicate backend": {Kind: proto.ListFull, Version: 9, Entries: []proto.Entry{
-		listEntry(7, proto.ServerOpen), listEntry(7, proto.ServerOpen),
+var invalidLists = map[string]proto.EndpointUpdate{
+	"duplicate backend": {Kind: proto.UpdateFull, Version: 9, Endpoints: []proto.Endpoint{
+		listEntry(7, proto.BackendOpen), listEntry(7, proto.BackendOpen),
 	}},
-	"version gap": {Kind: proto.ListChanges, Base: 7, Version: 8, Entries: []proto.Entry{listEntry(7, proto.ServerOpen)}},
+	"version gap": {Kind: proto.UpdateDelta, BaseVersion: 7, Version: 8, Endpoints: []proto.Endpoint{listEntry(7, proto.BackendOpen)}},
 	"removed in a full list": {
-		Kind: proto.ListFull, Version: 9, Entries: []proto.Entry{listEntry(7, proto.ServerGone)},
+		Kind: proto.UpdateFull, Version: 9, Endpoints: []proto.Endpoint{listEntry(7, proto.BackendGone)},
 	},
-	"no address": {Kind: proto.ListFull, Version: 9, Entries: []proto.Entry{{EP: 7, State: proto.ServerOpen}}},
-	"second entry invalid": {Kind: proto.ListChanges, Base: 1, Version: 2, Entries: []proto.Entry{
-		listEntry(1, proto.ServerGone), {EP: 8, State: proto.ServerOpen},
+	"no address": {Kind: proto.UpdateFull, Version: 9, Endpoints: []proto.Endpoint{{Backend: 7, State: proto.BackendOpen}}},
+	"second entry invalid": {Kind: proto.UpdateDelta, BaseVersion: 1, Version: 2, Endpoints: []proto.Endpoint{
+		listEntry(1, proto.BackendGone), {Backend: 8, State: proto.BackendOpen},
 	}},
 }
 
@@ -48,8 +48,8 @@
 	harness := newHarness(t, nil, nil)
 	harness.serveEndpoints(3)
 	for range 3 {
-		harness.step(0.01, data(harness.endpointConn, proto.List{
-			Kind: proto.ListChanges, Base: 0, Version: 1, Entries: []proto.Entry{listEntry(1, proto.ServerDraining)},
+		harness.step(0.01, data(harness.endpointConn, proto.EndpointUpdate{
+			Kind: proto.UpdateDelta, BaseVersion: 0, Version: 1, Endpoints: []proto.Endpoint{listEntry(1, proto.BackendDraining)},
 		}))
 	}
 	if harness.closed[harness.endpointConn] || harness.machine.controller.endpoints.backends[1].Entry.State != choice.BackendOpen {
@@ -82,7 +82,7 @@
 
 // The endpoint list service fails during a restart: the cached list serves at once, and the service is dialed until it answers.
 func TestRestartServesCachedListWhileListServiceFails(t *testing.T) {
-	harness := newHarness(t, nil, &checkpoint.Kept{})
+	harness := newHarness(t, nil, &checkpoint.State{})
 	harness.serveEndpoints(5)
 	harness = newHarness(t, nil, harness.restartState())
 	harness.join(1, "f0")
@@ -98,7 +98,7 @@
 			harness.step(0.01, statemachine.Input{Kind: statemachine.ConnClosed, Conn: conn, Text: "refused"})
 		}
 		harness.advance(3)
-		harness.step(0, data(1, proto.Sums{Over: 1}))
+		harness.step(0, data(1, proto.Reports{Span: 1}))
 	}
 	if dials < 3 {
 		t.Fatalf("dialed %d times in 18 s", dials)
--- a/internal/coordinator/errors.go
+++ b/internal/coordinator/errors.go
@@ -56,7 +56,7 @@
 // listEntryError says that an entry makes a frame of the endpoint list invalid.
 type listEntryError struct {
 	version uint64
-	backend proto.EP
+	backend proto.BackendID
 	defect  listDefect
 }
 
@@ -78,41 +78,3 @@
 func (e *versionGapError) Error() string {
 	return fmt.Sprintf("list changes from version %d, but version %d is held", e.base, e.current)
 }
-
-// messageName names the type of a message in errors. The names are part of texts on the wire, so they do not follow the names
-// of the Go types.
-func messageName(message proto.Message) string {
-	switch message.(type) {
-	case proto.Hello:
-		return "proto.Hello"
-	case proto.Welcome:
-		return "proto.Welcome"
-	case proto.Refuse:
-		return "proto.Refuse"
-	case proto.Push:
-		return "proto.Push"
-	case proto.Answer:
-		return "proto.Answer"
-	case proto.Sums:
-		return "proto.Sums"
-	case proto.Heard:
-		return "proto.Heard"
-	case proto.Watch:
-		return "proto.Watch"
-	case proto.Fetch:
-		return "proto.Fetch"
-	case proto.List:
-		return "proto.List"
-	case proto.RPC:
-		return "proto.RPC"
-	case proto.Reply:
-		return "proto.Reply"
-	case proto.Probe:
-		return "proto.Probe"
-	case proto.ProbeReply:
-		return "proto.ProbeReply"
-	case proto.PeerNote:
-		return "proto.PeerNote"
-	}
-	return fmt.Sprintf("%T", message)
-}
--- a/internal/coordinator/errors_test.go
+++ b/internal/coordinator/errors_test.go
@@ -38,13 +38,13 @@
 
 func TestMessageNames(t *testing.T) {
 	for want, message := range map[string]proto.Message{
-		"proto.Hello": proto.Hello{}, "proto.Welcome": proto.Welcome{}, "proto.Refuse": proto.Refuse{},
-		"proto.Push": proto.Push{}, "proto.Answer": proto.Answer{}, "proto.Sums": proto.Sums{}, "proto.Heard": proto.Heard{},
-		"proto.Watch": proto.Watch{}, "proto.Fetch": proto.Fetch{}, "proto.List": proto.List{}, "proto.RPC": proto.RPC{},
+		"proto.Hello": proto.Hello{}, "proto.Welcome": proto.Welcome{}, "proto.Refuse": proto.Reject{},
+		"proto.Push": proto.Push{}, "proto.Answer": proto.Acknowledgement{}, "proto.Sums": proto.Reports{}, "proto.Heard": proto.ReportsReceived{},
+		"proto.Watch": proto.WatchEndpoints{}, "proto.Fetch": proto.FetchEndpoints{}, "proto.List": proto.EndpointUpdate{}, "proto.RPC": proto.RPC{},
 		"proto.Reply": proto.Reply{}, "proto.Probe": proto.Probe{}, "proto.ProbeReply": proto.ProbeReply{},
-		"proto.PeerNote": proto.PeerNote{},
+		"proto.PeerNote": proto.PeerMessage{},
 	} {
-		if got := messageName(message); got != want {
+		if got := proto.WireName(message); got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
--- a/internal/coordinator/events.go
+++ b/internal/coordinator/events.go
@@ -28,10 +28,10 @@
 	// proxyReported is a proxy's report of its usage and of its attempts at backends.
 	proxyReported struct {
 		stream streamID
-		report proto.Sums
+		report proto.Reports
 	}
 	// endpointListReceived is a frame of the endpoint list service.
-	endpointListReceived struct{ list proto.List }
+	endpointListReceived struct{ list proto.EndpointUpdate }
 	// endpointListLost says that the endpoint list service cannot be reached or that its stream ended.
 	endpointListLost struct{}
 	// batchPersisted says that all records up to this batch are durable.
@@ -67,13 +67,13 @@
 	pushes           []outgoingPush
 	rejections       []rejection
 	probes           []probeTarget
-	watch            *proto.Watch // for the endpoint list service; nil if the watch stays as it is
-	fetch            bool         // the whole endpoint list is to be requested once
+	watch            *proto.WatchEndpoints // for the endpoint list service; nil if the watch stays as it is
+	fetch            bool                  // the whole endpoint list is to be requested once
 	peerMessages     []choice.SendToPeer
 	logMessages      []string // texts of the decision module
 	exclusionChanges []exclusionChange
-	mutations        []checkpoint.Put // records to persist together, under the number in batch
-	batch            uint64           // 0 if there is nothing to persist
+	mutations        []checkpoint.Mutation // records to persist together, under the number in batch
+	batch            uint64                // 0 if there is nothing to persist
 	wakeAt           choice.Seconds
 	// endpointListError says why the last frame of the endpoint list was rejected. The stream that it came on must be closed.
 	endpointListError error
--- a/internal/coordinator/execute.go
+++ b/internal/coordinator/execute.go
@@ -25,7 +25,7 @@
 		m.requestEndpoints(step, *result.watch)
 	}
 	if result.fetch {
-		m.requestEndpoints(step, proto.Fetch{})
+		m.requestEndpoints(step, proto.FetchEndpoints{})
 	}
 	m.queueProbes(step, result.probes)
 	for _, message := range result.peerMessages {
--- a/internal/coordinator/handshake.go
+++ b/internal/coordinator/handshake.go
@@ -19,7 +19,7 @@
 		hello.Role = proto.RoleWatcher
 		step.send(session, hello)
 	case roleProbe:
-		hello.Role = proto.RoleCaller
+		hello.Role = proto.RoleClient
 		step.effects.Write(session.conn, proto.Append(proto.Append(nil, hello), proto.Probe{ID: 1}))
 	case rolePeer:
 		hello.Role = proto.RolePeer
@@ -38,7 +38,7 @@
 		return errInvalidName
 	}
 	session.name = hello.Name
-	session.reader.Open()
+	session.reader.HandshakeDone()
 	switch hello.Role {
 	case proto.RoleProxy:
 		if !m.knownZone(hello.Zone) {
@@ -47,7 +47,7 @@
 		session.role = roleProxy
 		step.send(session, m.welcome())
 		step.effects.Log(logInfo, "proxy joined",
-			"proxy", hello.Name, "zone", hello.Zone, "rate_rps", hello.Rate, "tables_from", hello.Holds)
+			"proxy", hello.Name, "zone", hello.Zone, "rate_rps", hello.Rate, "tables_from", hello.TablesOf)
 		step.raise(proxyJoined{streamID(session.conn), hello})
 		return nil
 	case proto.RolePeer:
@@ -61,7 +61,7 @@
 
 func (m *Machine) welcome() proto.Welcome {
 	settings := &m.bootstrap.ModuleConfig.Settings
-	welcome := proto.Welcome{Version: proto.Version, Name: m.bootstrap.Name, Period: settings.ReportPeriod.Or(1)}
+	welcome := proto.Welcome{Version: proto.Version, Name: m.bootstrap.Name, ReportPeriod: settings.ReportPeriod.Or(1)}
 	for _, method := range settings.Methods {
 		welcome.Methods = append(welcome.Methods, method.Name)
 	}
--- a/internal/coordinator/harness_test.go
+++ b/internal/coordinator/harness_test.go
@@ -48,7 +48,7 @@
 	logs         []string
 }
 
-func newHarness(t *testing.T, overrides map[string]any, saved *checkpoint.Kept) *harness {
+func newHarness(t *testing.T, overrides map[string]any, saved *checkpoint.State) *harness {
 	t.Helper()
 	created := &harness{
 		t:        t,
@@ -131,7 +131,7 @@
 	reader := h.readers[conn]
 	if reader == nil {
 		reader = &proto.Reader{}
-		reader.Open()
+		reader.HandshakeDone()
 		h.readers[conn] = reader
 	}
 	reader.Feed(data)
@@ -156,9 +156,9 @@
 }
 
 // restartState is what a restart finds in the store.
-func (h *harness) restartState() *checkpoint.Kept {
+func (h *harness) restartState() *checkpoint.State {
 	h.t.Helper()
-	saved, err := checkpoint.Read(maps.All(h.records))
+	saved, err := checkpoint.Decode(maps.All(h.records))
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -179,21 +179,21 @@
 }
 
 // updateEndpoints sends changes of the endpoint list.
-func (h *harness) updateEndpoints(entries ...proto.Entry) {
+func (h *harness) updateEndpoints(entries ...proto.Endpoint) {
 	h.t.Helper()
 	h.step(0.01, h.endpointChanges(entries...))
 }
 
 // endpointChanges is the next version of the endpoint list.
-func (h *harness) endpointChanges(entries ...proto.Entry) statemachine.Input {
+func (h *harness) endpointChanges(entries ...proto.Endpoint) statemachine.Input {
 	h.version++
-	changes := proto.List{Kind: proto.ListChanges, Base: h.version - 1, Version: h.version, Entries: entries}
+	changes := proto.EndpointUpdate{Kind: proto.UpdateDelta, BaseVersion: h.version - 1, Version: h.version, Endpoints: entries}
 	return data(h.endpointConn, changes)
 }
 
 // endpointKeepalive confirms the current version of the endpoint list.
 func (h *harness) endpointKeepalive() statemachine.Input {
-	return data(h.endpointConn, proto.List{Kind: proto.ListChanges, Base: h.version, Version: h.version})
+	return data(h.endpointConn, proto.EndpointUpdate{Kind: proto.UpdateDelta, BaseVersion: h.version, Version: h.version})
 }
 
 func (h *harness) join(conn statemachine.Conn, name string) {
@@ -233,7 +233,7 @@
 		if len(pushes) == 0 {
 			h.t.Fatalf("no push on connection %d", conn)
 		}
-		inputs = append(inputs, data(conn, proto.Answer{Mark: pushes[0].Mark}))
+		inputs = append(inputs, data(conn, proto.Acknowledgement{Nonce: pushes[0].Nonce}))
 	}
 	h.step(after, inputs...)
 }
@@ -241,7 +241,7 @@
 // rejectionReason is the reason with which a connection was closed; empty if it was not.
 func (h *harness) rejectionReason(conn statemachine.Conn) string {
 	for _, message := range h.received[conn] {
-		if refusal, ok := message.(proto.Refuse); ok && h.closed[conn] {
+		if refusal, ok := message.(proto.Reject); ok && h.closed[conn] {
 			return refusal.Reason
 		}
 	}
@@ -276,46 +276,46 @@
 	return proto.Hello{Version: proto.Version, Role: proto.RoleProxy, Name: name, Zone: "a", Rate: 10, Fresh: true}
 }
 
-func listEntry(backend int, state proto.ServerState) proto.Entry {
-	return proto.Entry{
-		EP: proto.EP(backend), State: state, Zone: "a", Weight: 1, Old: true, Stamp: 1, Addr: fmt.Sprintf("s%d", backend),
+func listEntry(backend int, state proto.BackendState) proto.Endpoint {
+	return proto.Endpoint{
+		Backend: proto.BackendID(backend), State: state, Zone: "a", Weight: 1, StartedLongAgo: true, Incarnation: 1, Addr: fmt.Sprintf("s%d", backend),
 	}
 }
 
 // fullList is a list of the backends from 1 on.
-func fullList(version uint64, count int) proto.List {
-	list := proto.List{Kind: proto.ListFull, Version: version}
+func fullList(version uint64, count int) proto.EndpointUpdate {
+	list := proto.EndpointUpdate{Kind: proto.UpdateFull, Version: version}
 	for i := range count {
-		list.Entries = append(list.Entries, listEntry(i+1, proto.ServerOpen))
+		list.Endpoints = append(list.Endpoints, listEntry(i+1, proto.BackendOpen))
 	}
 	return list
 }
 
 // hasOp reports whether pushes have an operation for a backend; backend 0 stands for any.
-func hasOp(pushes []proto.Push, kind proto.OpKind, backend proto.EP) bool {
-	matches := func(op proto.Op) bool {
+func hasOp(pushes []proto.Push, kind proto.OpKind, backend proto.BackendID) bool {
+	matches := func(op proto.TableOp) bool {
 		if op.Kind != kind {
 			return false
 		}
-		return backend == 0 || slices.Contains(op.Withdrawn, backend) || len(op.Lines) == 1 && op.Lines[0].EP == backend
+		return backend == 0 || slices.Contains(op.Backends, backend) || len(op.Entries) == 1 && op.Entries[0].Backend == backend
 	}
 	return slices.ContainsFunc(pushes, func(push proto.Push) bool { return slices.ContainsFunc(push.Ops, matches) })
 }
 
 // routableBackends are the backends that a proxy may send to after its pushes.
-func routableBackends(pushes []proto.Push) map[proto.EP]bool {
-	weighted, excluded := map[proto.EP]bool{}, map[proto.EP]bool{}
+func routableBackends(pushes []proto.Push) map[proto.BackendID]bool {
+	weighted, excluded := map[proto.BackendID]bool{}, map[proto.BackendID]bool{}
 	for _, push := range pushes {
 		for _, op := range push.Ops {
 			if op.Kind == proto.OpBind {
 				clear(weighted)
 				clear(excluded)
 			}
-			for _, line := range op.Lines {
-				weighted[line.EP], excluded[line.EP] = line.Weight > 0, line.Shut
+			for _, line := range op.Entries {
+				weighted[line.Backend], excluded[line.Backend] = line.Weight > 0, line.Excluded
 			}
-			for _, backend := range op.Withdrawn {
-				excluded[backend] = op.Kind != proto.OpReadmit
+			for _, backend := range op.Backends {
+				excluded[backend] = op.Kind != proto.OpRestore
 			}
 		}
 	}
--- a/internal/coordinator/machine.go
+++ b/internal/coordinator/machine.go
@@ -51,7 +51,7 @@
 
 // NewMachine returns a coordinator that continues from the state that its previous run saved. Without saved state (nil)
 // nothing is persisted. A driver that passes saved state must write Effects.Mutations and report Persisted or PersistFailed.
-func NewMachine(bootstrap Bootstrap, saved *checkpoint.Kept) *Machine {
+func NewMachine(bootstrap Bootstrap, saved *checkpoint.State) *Machine {
 	return &Machine{
 		bootstrap:    bootstrap,
 		controller:   newController(bootstrap.ModuleConfig, saved),
@@ -121,7 +121,7 @@
 func (m *Machine) applySettings(step *stepContext) {
 	if !m.started {
 		m.started = true
-		if m.controller.checkpoint.Settings(m.bootstrap.SettingsText) {
+		if m.controller.checkpoint.UpdateSettings(m.bootstrap.SettingsText) {
 			step.effects.Log(logInfo, "settings changed since the previous run")
 		}
 	}
@@ -129,7 +129,7 @@
 		return
 	}
 	m.reloaded = false
-	m.controller.checkpoint.Settings(m.bootstrap.SettingsText)
+	m.controller.checkpoint.UpdateSettings(m.bootstrap.SettingsText)
 	for _, session := range m.sessionsByAge {
 		if m.sessions[session.conn] == session && session.role == roleProxy {
 			m.reject(step, session, reasonReloaded)
--- a/internal/coordinator/machine_test.go
+++ b/internal/coordinator/machine_test.go
@@ -46,7 +46,7 @@
 	harness.join(2, "f0")
 	harness.advance(0.1)
 	welcome, ok := harness.received[2][0].(proto.Welcome)
-	if !ok || welcome.Period != 3 {
+	if !ok || welcome.ReportPeriod != 3 {
 		t.Fatalf("want a welcome with the new report period, got %+v", harness.received[2][0])
 	}
 	if pushes := harness.pushes(2); len(pushes) != 1 || len(routableBackends(pushes)) < 3 {
--- a/internal/coordinator/messages.go
+++ b/internal/coordinator/messages.go
@@ -9,14 +9,14 @@
 
 // handleMessage handles one message. The text of the error, if any, is sent to the other side.
 func (m *Machine) handleMessage(step *stepContext, session *session, message proto.Message) error {
-	if refusal, ok := message.(proto.Refuse); ok {
+	if refusal, ok := message.(proto.Reject); ok {
 		return &peerRejectionError{reason: refusal.Reason}
 	}
 	switch session.role {
 	case roleHandshaking:
 		hello, ok := message.(proto.Hello)
 		if !ok {
-			return fmt.Errorf("%w: %s before the hello", errUnexpectedMessage, messageName(message))
+			return fmt.Errorf("%w: %s before the hello", errUnexpectedMessage, proto.WireName(message))
 		}
 		return m.handleHello(step, session, hello)
 	case roleProxy:
@@ -32,16 +32,16 @@
 }
 
 func unexpectedMessage(message proto.Message) error {
-	return fmt.Errorf("%w: %s", errUnexpectedMessage, messageName(message))
+	return fmt.Errorf("%w: %s", errUnexpectedMessage, proto.WireName(message))
 }
 
 func (m *Machine) handleProxyMessage(step *stepContext, session *session, message proto.Message) error {
 	switch message := message.(type) {
-	case proto.Answer:
-		step.raise(pushAcknowledged{streamID(session.conn), message.Mark})
+	case proto.Acknowledgement:
+		step.raise(pushAcknowledged{streamID(session.conn), message.Nonce})
 		return nil
-	case proto.Sums:
-		step.send(session, proto.Heard{})
+	case proto.Reports:
+		step.send(session, proto.ReportsReceived{})
 		step.raise(proxyReported{streamID(session.conn), message})
 		return nil
 	}
@@ -53,7 +53,7 @@
 	case proto.Welcome:
 		session.welcomed = true
 		return nil
-	case proto.PeerNote:
+	case proto.PeerMessage:
 		step.raise(peerMessage{choice.PeerID(message.From), message.Data})
 		return nil
 	}
--- a/internal/coordinator/module.go
+++ b/internal/coordinator/module.go
@@ -80,7 +80,7 @@
 func (c *controller) execute(command choice.Command) error {
 	switch command := command.(type) {
 	case choice.WatchEndpoints:
-		c.result.watch = &proto.Watch{On: command.On, Since: c.endpoints.watchVersion()}
+		c.result.watch = &proto.WatchEndpoints{On: command.On, SinceVersion: c.endpoints.watchVersion()}
 	case choice.FetchEndpoints:
 		c.result.fetch = true
 	case choice.ProbeBackend:
--- a/internal/coordinator/peers.go
+++ b/internal/coordinator/peers.go
@@ -8,7 +8,7 @@
 // sendToPeer sends a message to one other coordinator, or to all if To is negative. What cannot be sent at once is lost, which
 // the decision module allows for. A peer without a session is dialed.
 func (m *Machine) sendToPeer(step *stepContext, message choice.SendToPeer) {
-	if len(message.Data) > proto.MostWord {
+	if len(message.Data) > proto.MaxString {
 		return
 	}
 	settings := &m.bootstrap.ModuleConfig.Settings
@@ -23,7 +23,7 @@
 			m.peerSessions[peer] = s
 			m.dial(step, addr, s)
 		} else if s.welcomed {
-			step.send(s, proto.PeerNote{From: uint64(settings.Self.Or(0)), Data: string(message.Data)})
+			step.send(s, proto.PeerMessage{From: uint64(settings.Self.Or(0)), Data: string(message.Data)})
 		}
 	}
 }
--- a/internal/coordinator/peers_test.go
+++ b/internal/coordinator/peers_test.go
@@ -34,7 +34,7 @@
 		t.Fatalf("%+v", harness.effects.Actions)
 	}
 	peerHello := proto.Hello{Version: 1, Role: proto.RolePeer, Name: "c1", Zone: "b"}
-	harness.step(0.01, opened(7), data(7, peerHello, proto.PeerNote{From: 1, Data: text}))
+	harness.step(0.01, opened(7), data(7, peerHello, proto.PeerMessage{From: 1, Data: text}))
 	if harness.closed[7] || harness.machine.sessions[7].role != rolePeer {
 		t.Fatal("a peer was not accepted")
 	}
--- a/internal/coordinator/persistence_test.go
+++ b/internal/coordinator/persistence_test.go
@@ -13,7 +13,7 @@
 // An exclusion is sent at once, whatever the store does. Its acknowledgement counts once the exclusion is durable, or once
 // that has taken too long; while the store is unavailable nothing waits.
 func TestExclusionDoesNotWaitForStore(t *testing.T) {
-	harness := newHarness(t, nil, &checkpoint.Kept{})
+	harness := newHarness(t, nil, &checkpoint.State{})
 	harness.serveEndpoints(6)
 	harness.join(1, "f0")
 	harness.advance(0.1)
@@ -21,17 +21,17 @@
 	harness.advance(0.1)
 	for i, store := range []string{"durable", "slow", "unavailable"} {
 		harness.storeHangs = true
-		harness.updateEndpoints(listEntry(i+1, proto.ServerDraining))
+		harness.updateEndpoints(listEntry(i+1, proto.BackendDraining))
 		if store == "unavailable" {
 			harness.step(0, statemachine.Input{Kind: statemachine.PersistFailed, Text: "no space"})
 		}
 		harness.advance(0.02)
 		pushes := harness.pushes(1)
-		if !hasOp(pushes, proto.OpWithdraw, proto.EP(i+1)) {
+		if !hasOp(pushes, proto.OpExclude, proto.BackendID(i+1)) {
 			t.Fatalf("%s: the exclusion waited: %+v", store, pushes)
 		}
 		for _, push := range pushes {
-			harness.step(0.001, data(1, proto.Answer{Mark: push.Mark}))
+			harness.step(0.001, data(1, proto.Acknowledgement{Nonce: push.Nonce}))
 		}
 		harness.advance(0.1)
 		if counts := harness.acknowledgementsCount(); counts != (store == "unavailable") {
@@ -74,10 +74,10 @@
 func TestNoncesAreReservedBeforePushes(t *testing.T) {
 	const firstNonce = 500
 	for _, hangs := range []bool{false, true} {
-		harness := newHarness(t, nil, &checkpoint.Kept{Marks: firstNonce})
+		harness := newHarness(t, nil, &checkpoint.State{NonceLimit: firstNonce})
 		harness.storeHangs = true
 		harness.serveEndpoints(5)
-		harness.machine.controller.checkpoint = checkpoint.New(harness.now, &checkpoint.Kept{Marks: firstNonce})
+		harness.machine.controller.checkpoint = checkpoint.New(harness.now, &checkpoint.State{NonceLimit: firstNonce})
 		harness.join(1, "f0")
 		harness.advance(0.1)
 		if pushes := harness.pushes(1); len(pushes) != 0 {
@@ -89,7 +89,7 @@
 		} else {
 			harness.advance(0.01)
 		}
-		if pushes := harness.pushes(1); len(pushes) != 1 || pushes[0].Mark < firstNonce {
+		if pushes := harness.pushes(1); len(pushes) != 1 || pushes[0].Nonce < firstNonce {
 			t.Errorf("store hangs: %v: %+v", hangs, pushes)
 		}
 	}
@@ -98,22 +98,22 @@
 // All backends left the list and the coordinator crashed. A proxy that comes back with its former tables learns which
 // backends are excluded, though there is no table for it.
 func TestDrainsSurviveRestartWithoutTable(t *testing.T) {
-	harness := newHarness(t, nil, &checkpoint.Kept{})
+	harness := newHarness(t, nil, &checkpoint.State{})
 	harness.serveEndpoints(2)
 	harness.join(1, "f0")
 	harness.advance(0.1)
-	harness.updateEndpoints(listEntry(1, proto.ServerGone), listEntry(2, proto.ServerGone))
+	harness.updateEndpoints(listEntry(1, proto.BackendGone), listEntry(2, proto.BackendGone))
 	harness.advance(0.1)
 	restarted := newHarness(t, nil, harness.restartState())
 	proxy := hello("f0")
-	proxy.Fresh, proxy.Holds = false, "c0"
+	proxy.Fresh, proxy.TablesOf = false, "c0"
 	restarted.step(0.01, opened(1), data(1, proxy))
 	restarted.advance(0.1)
 	pushes := restarted.pushes(1)
 	bound := slices.ContainsFunc(pushes, func(push proto.Push) bool {
-		return slices.ContainsFunc(push.Ops, func(op proto.Op) bool { return op.Kind == proto.OpBind })
+		return slices.ContainsFunc(push.Ops, func(op proto.TableOp) bool { return op.Kind == proto.OpBind })
 	})
-	if !bound && (!hasOp(pushes, proto.OpWithdraw, 1) || !hasOp(pushes, proto.OpWithdraw, 2)) {
+	if !bound && (!hasOp(pushes, proto.OpExclude, 1) || !hasOp(pushes, proto.OpExclude, 2)) {
 		t.Fatalf("bound %v: %+v", bound, pushes)
 	}
 }
--- a/internal/coordinator/probes.go
+++ b/internal/coordinator/probes.go
@@ -32,7 +32,7 @@
 	case proto.ProbeReply:
 		delete(m.sessions, session.conn)
 		step.effects.Close(session.conn)
-		m.finishProbe(step, session, probeFinished{ok: message.Status == proto.OK, busy: message.Status == proto.PushedBack})
+		m.finishProbe(step, session, probeFinished{ok: message.Status == proto.StatusOK, busy: message.Status == proto.StatusRejected})
 		return nil
 	}
 	return unexpectedMessage(message)
--- a/internal/coordinator/probes_test.go
+++ b/internal/coordinator/probes_test.go
@@ -15,8 +15,8 @@
 	harness.acknowledgeFirst(0, 1)
 	maxInFlight := 0
 	for range 60 { // only backend 1 answers
-		harness.step(0.1, data(1, proto.Sums{
-			Over: 0.1, Usage: []proto.Usage{{RPCs: 20}}, Tries: []proto.Tries{{EP: 1, Tries: 20, Delay: 0.01}},
+		harness.step(0.1, data(1, proto.Reports{
+			Span: 0.1, Usage: []proto.UsageReport{{RPCs: 20}}, Attempts: []proto.AttemptReport{{Backend: 1, Attempts: 20, MeanLatency: 0.01}},
 		}))
 		harness.advance(0.05)
 		maxInFlight = max(maxInFlight, harness.machine.probesInFlight)
--- a/internal/coordinator/proxies.go
+++ b/internal/coordinator/proxies.go
@@ -100,7 +100,7 @@
 		// A proxy that joined again is not departed, and one that left once more is in the list a second time.
 		if record.stream == nil && c.proxies[record.name] == record {
 			delete(c.proxies, record.name)
-			c.checkpoint.Forget(record.name)
+			c.checkpoint.RemoveProxy(record.name)
 			c.reports.forgetProxy(record.number)
 			c.freeNumbers = append(c.freeNumbers, record.number)
 		}
--- a/internal/coordinator/proxies_test.go
+++ b/internal/coordinator/proxies_test.go
@@ -19,9 +19,9 @@
 		t.Fatalf("the newer stream: %+v", pushes)
 	}
 	harness.step(0.1, closed(1)) // the older stream's end comes late, and must not end the newer one
-	harness.updateEndpoints(listEntry(1, proto.ServerDraining), listEntry(2, proto.ServerDraining))
+	harness.updateEndpoints(listEntry(1, proto.BackendDraining), listEntry(2, proto.BackendDraining))
 	harness.advance(0.2)
-	if !hasOp(harness.pushes(2), proto.OpWithdraw, 0) {
+	if !hasOp(harness.pushes(2), proto.OpExclude, 0) {
 		t.Fatal("the newer stream is not served")
 	}
 }
--- a/internal/coordinator/push.go
+++ b/internal/coordinator/push.go
@@ -8,12 +8,12 @@
 
 // wireOpKinds translates the kinds of table operations for the wire.
 var wireOpKinds = map[fanout.OpKind]proto.OpKind{
-	fanout.OpSetEntry:  proto.OpLine,
+	fanout.OpSetEntry:  proto.OpSetEntry,
 	fanout.OpClear:     proto.OpClear,
 	fanout.OpBind:      proto.OpBind,
-	fanout.OpAdmission: proto.OpLevel,
-	fanout.OpExclude:   proto.OpWithdraw,
-	fanout.OpRestore:   proto.OpReadmit,
+	fanout.OpAdmission: proto.OpAdmission,
+	fanout.OpExclude:   proto.OpExclude,
+	fanout.OpRestore:   proto.OpRestore,
 }
 
 // queuePushes queues what the commands of a step changed for each proxy. The nonce is nil if the step set none; then the
@@ -21,18 +21,18 @@
 func (c *controller) queuePushes(now choice.Seconds, nonce *choice.SetNonce) {
 	// Backends that the endpoint list took out of use before a restart are excluded too. The module did not run at that
 	// time, so it has no command for them.
-	messages, exclusionChanges := c.distributor.Flush(c.checkpoint.Drained)
+	messages, exclusionChanges := c.distributor.Flush(c.checkpoint.DrainedBackends)
 	var wireNonce, barrier uint64
 	if nonce != nil && len(messages) > 0 {
-		wireNonce = c.checkpoint.Mark()
-		barrier = c.checkpoint.Needs()
+		wireNonce = c.checkpoint.NextNonce()
+		barrier = c.checkpoint.DurabilityBarrier()
 	}
 	for _, message := range messages {
 		push := &queuedPush{
 			stream:    c.streamsByNumber[message.To.Proxy],
 			step:      c.step,
 			orderedAt: now,
-			entries:   message.Lines,
+			entries:   message.EntryCount,
 			ops:       c.wireOps(message.Ops),
 			urgent:    message.Urgent,
 		}
@@ -54,7 +54,7 @@
 // sendQueued moves pushes from the queue into the result, as far as their rate allows. Pushes wait for the first batch of
 // nonces to be durable: after a crash the same nonces would be given out again.
 func (c *controller) sendQueued(now choice.Seconds) {
-	for c.checkpoint.Open(now) {
+	for c.checkpoint.NoncesReady(now) {
 		push := c.pushQueue.nextPush(now)
 		if push == nil {
 			return
@@ -69,31 +69,31 @@
 				durabilityBarrier: push.durabilityBarrier,
 				orderedAt:         push.orderedAt,
 			})
-			c.checkpoint.Sent(stream.proxyName, push.wireNonce)
+			c.checkpoint.PushSent(stream.proxyName, push.wireNonce)
 		}
 		c.stats.Pushes++
 		c.stats.Entries += push.entries
 		c.result.pushes = append(c.result.pushes, outgoingPush{stream.id, proto.Push{
-			Seq:     stream.lastSequence,
-			Waiting: uint64(max(c.pushQueue.queuedEntries, 0)),
-			Marked:  push.hasNonce,
-			Mark:    push.wireNonce,
-			Ops:     push.ops,
+			Sequence:      stream.lastSequence,
+			QueuedEntries: uint64(max(c.pushQueue.queuedEntries, 0)),
+			HasNonce:      push.hasNonce,
+			Nonce:         push.wireNonce,
+			Ops:           push.ops,
 		}})
 	}
 }
 
 // wireOps translates table operations for the wire.
-func (c *controller) wireOps(tableOps []fanout.TableOp) []proto.Op {
-	ops := make([]proto.Op, 0, len(tableOps))
+func (c *controller) wireOps(tableOps []fanout.TableOp) []proto.TableOp {
+	ops := make([]proto.TableOp, 0, len(tableOps))
 	for _, tableOp := range tableOps {
 		ops = append(ops, c.wireOp(tableOp))
 	}
 	return ops
 }
 
-func (c *controller) wireOp(tableOp fanout.TableOp) proto.Op {
-	wireOp := proto.Op{Kind: wireOpKinds[tableOp.Kind]}
+func (c *controller) wireOp(tableOp fanout.TableOp) proto.TableOp {
+	wireOp := proto.TableOp{Kind: wireOpKinds[tableOp.Kind]}
 	if tableOp.Kind != fanout.OpExclude && tableOp.Kind != fanout.OpRestore {
 		wireOp.Table = uint64(tableOp.Table)
 	}
@@ -101,21 +101,21 @@
 		wireOp.Methods = tableOp.Methods
 	}
 	for _, entry := range tableOp.Entries {
-		wireOp.Lines = append(wireOp.Lines, c.wireEntry(entry))
+		wireOp.Entries = append(wireOp.Entries, c.wireEntry(entry))
 	}
 	for _, admission := range tableOp.Admissions {
-		wireOp.Levels = append(wireOp.Levels,
-			proto.Level{Methods: admission.Methods, Level: admission.Level, Tries: uint64(admission.Retry)})
+		wireOp.Admissions = append(wireOp.Admissions,
+			proto.Admission{Methods: admission.Methods, Level: admission.Level, Retry: uint64(admission.Retry)})
 	}
 	for _, backend := range tableOp.Backends {
-		wireOp.Withdrawn = append(wireOp.Withdrawn, proto.EP(backend))
+		wireOp.Backends = append(wireOp.Backends, proto.BackendID(backend))
 	}
 	return wireOp
 }
 
 // wireEntry adds the backend's address, which the decision module does not know, unless the entry removes the backend.
-func (c *controller) wireEntry(entry fanout.TableEntry) proto.Line {
-	wire := proto.Line{EP: proto.EP(entry.Backend), Weight: entry.Weight, Shut: entry.Excluded}
+func (c *controller) wireEntry(entry fanout.TableEntry) proto.TableEntry {
+	wire := proto.TableEntry{Backend: proto.BackendID(entry.Backend), Weight: entry.Weight, Excluded: entry.Excluded}
 	if listed := c.endpoints.backends[entry.Backend]; listed != nil && entry.Weight > 0 {
 		wire.Addr = listed.Addr
 	}
--- a/internal/coordinator/push_test.go
+++ b/internal/coordinator/push_test.go
@@ -16,18 +16,18 @@
 	harness.join(1, "f0")
 	harness.advance(0.1)
 	pushes := harness.pushes(1)
-	if len(pushes) != 1 || !pushes[0].Marked || pushes[0].Seq != 1 {
+	if len(pushes) != 1 || !pushes[0].HasNonce || pushes[0].Sequence != 1 {
 		t.Fatalf("want one first push with a nonce, got %+v", pushes)
 	}
 	lastOp := pushes[0].Ops[len(pushes[0].Ops)-1]
-	if lastOp.Kind != proto.OpBind || len(lastOp.Lines) < 3 {
+	if lastOp.Kind != proto.OpBind || len(lastOp.Entries) < 3 {
 		t.Fatalf("want a full table of 3 entries or more, got %+v", pushes)
 	}
-	harness.step(0.01, data(1, proto.Answer{Mark: pushes[0].Mark}))
-	backend := lastOp.Lines[0].EP
-	harness.updateEndpoints(listEntry(int(backend), proto.ServerDraining))
+	harness.step(0.01, data(1, proto.Acknowledgement{Nonce: pushes[0].Nonce}))
+	backend := lastOp.Entries[0].Backend
+	harness.updateEndpoints(listEntry(int(backend), proto.BackendDraining))
 	harness.advance(0.1)
-	if pushes := harness.pushes(1); !hasOp(pushes, proto.OpWithdraw, backend) {
+	if pushes := harness.pushes(1); !hasOp(pushes, proto.OpExclude, backend) {
 		t.Fatalf("backend %d was not excluded: %+v", backend, pushes)
 	}
 	if !harness.logged(strings.HasPrefix, fmt.Sprintf("backend excluded[backend %d nonce 2", backend)) {
@@ -45,14 +45,14 @@
 	harness.join(1, "f0")
 	harness.advance(0.1)
 	first := len(harness.pushes(1))
-	harness.updateEndpoints(listEntry(9, proto.ServerOpen))
+	harness.updateEndpoints(listEntry(9, proto.BackendOpen))
 	harness.step(0.05)
 	if first != 1 || len(harness.pushes(1)) != 0 {
 		t.Fatal("a second push was sent with one in flight")
 	}
 	for i := range 12 {
 		harness.advance(0.5)
-		harness.step(0, data(1, proto.Sums{Over: 1}))
+		harness.step(0, data(1, proto.Reports{Span: 1}))
 		pushes := harness.pushes(1)
 		if hasOp(pushes, proto.OpBind, 0) {
 			return
@@ -74,9 +74,9 @@
 	harness.acknowledgeFirst(0, 1, 2)
 	var late []statemachine.Input
 	for range 5 {
-		late = append(late, data(1, proto.Sums{Over: 1}), data(2, proto.Sums{Over: 1}))
+		late = append(late, data(1, proto.Reports{Span: 1}), data(2, proto.Reports{Span: 1}))
 	}
-	late = append(late, harness.endpointChanges(listEntry(1, proto.ServerDraining)))
+	late = append(late, harness.endpointChanges(listEntry(1, proto.BackendDraining)))
 	harness.step(5, late...)
 	if harness.closed[1] || harness.closed[2] {
 		t.Fatal("a proxy whose reports came in time was rejected")
@@ -86,7 +86,7 @@
 	if len(first) > 2 || len(second) > 2 {
 		t.Fatalf("more than two pushes to a proxy: %+v %+v", first, second)
 	}
-	if routableBackends(first)[1] || !hasOp(append(first, second...), proto.OpWithdraw, 1) {
+	if routableBackends(first)[1] || !hasOp(append(first, second...), proto.OpExclude, 1) {
 		t.Fatalf("the draining backend was not excluded: %+v %+v", first, second)
 	}
 }
--- a/internal/coordinator/pushqueue.go
+++ b/internal/coordinator/pushqueue.go
@@ -13,7 +13,7 @@
 	step              uint64
 	orderedAt         choice.Seconds
 	entries           int // table entries that it is charged as, with its overhead
-	ops               []proto.Op
+	ops               []proto.TableOp
 	hasNonce          bool
 	nonce             choice.Nonce
 	wireNonce         uint64
--- a/internal/coordinator/pushqueue_test.go
+++ b/internal/coordinator/pushqueue_test.go
@@ -16,7 +16,7 @@
 	harness.serveEndpoints(6)
 	harness.joinMany(proxies)
 	harness.advance(0.02)
-	harness.updateEndpoints(listEntry(1, proto.ServerDraining))
+	harness.updateEndpoints(listEntry(1, proto.BackendDraining))
 	harness.step(0.005)
 	waiting := 0
 	for i := range proxies {
@@ -35,8 +35,8 @@
 	for i := range proxies {
 		pushes := harness.pushes(statemachine.Conn(i + 1))
 		for j, push := range pushes {
-			if push.Seq != uint64(j+1) {
-				t.Fatalf("proxy %d: push %d comes as number %d", i, push.Seq, j+1)
+			if push.Sequence != uint64(j+1) {
+				t.Fatalf("proxy %d: push %d comes as number %d", i, push.Sequence, j+1)
 			}
 		}
 		if routableBackends(pushes)[1] {
@@ -46,7 +46,7 @@
 }
 
 // excludedAndWithoutPush counts the proxies that received the exclusion of a backend and those that received no push yet.
-func (h *harness) excludedAndWithoutPush(proxies int, backend proto.EP) (excluded, withoutPush int) {
+func (h *harness) excludedAndWithoutPush(proxies int, backend proto.BackendID) (excluded, withoutPush int) {
 	for i := range proxies {
 		var pushes []proto.Push
 		for _, message := range h.received[statemachine.Conn(i+1)] {
@@ -54,7 +54,7 @@
 				pushes = append(pushes, push)
 			}
 		}
-		if hasOp(pushes, proto.OpWithdraw, backend) {
+		if hasOp(pushes, proto.OpExclude, backend) {
 			excluded++
 		}
 		if len(pushes) == 0 {
--- a/internal/coordinator/reports.go
+++ b/internal/coordinator/reports.go
@@ -70,11 +70,11 @@
 // add adds a proxy's report. Attempts at backends that isListed does not know, and usage of methods from methodCount on, are
 // ignored.
 func (a *reportAggregator) add(
-	now choice.Seconds, stream *proxyStream, report proto.Sums, isListed func(choice.BackendID) bool, methodCount int,
+	now choice.Seconds, stream *proxyStream, report proto.Reports, isListed func(choice.BackendID) bool, methodCount int,
 ) {
-	from := now - report.Over
-	for _, attempts := range report.Tries {
-		if attempts.Tries != 0 && isListed(choice.BackendID(attempts.EP)) {
+	from := now - report.Span
+	for _, attempts := range report.Attempts {
+		if attempts.Attempts != 0 && isListed(choice.BackendID(attempts.Backend)) {
 			a.addAttempts(now, from, stream.zone, attempts)
 		}
 	}
@@ -85,8 +85,8 @@
 	}
 }
 
-func (a *reportAggregator) addAttempts(now, from choice.Seconds, zone choice.Zone, attempts proto.Tries) {
-	key := attemptKey{choice.BackendID(attempts.EP), zone}
+func (a *reportAggregator) addAttempts(now, from choice.Seconds, zone choice.Zone, attempts proto.AttemptReport) {
+	key := attemptKey{choice.BackendID(attempts.Backend), zone}
 	pending := a.attempts[key]
 	if pending == nil {
 		pending = &pendingReport{readyAt: now + a.period*attemptGatheringPeriods, from: from, attemptKey: key}
@@ -94,14 +94,14 @@
 		a.enqueue(pending)
 	}
 	succeeded := float64(pending.count - pending.failures)
-	succeededMore := float64(attempts.Tries - attempts.Bad)
+	succeededMore := float64(attempts.Attempts - attempts.Failures)
 	if succeededMore > 0 {
-		pending.meanLatency = (pending.meanLatency*succeeded + attempts.Delay*succeededMore) / (succeeded + succeededMore)
+		pending.meanLatency = (pending.meanLatency*succeeded + attempts.MeanLatency*succeededMore) / (succeeded + succeededMore)
 	}
-	pending.extend(from, now, attempts.Tries, attempts.Bad)
+	pending.extend(from, now, attempts.Attempts, attempts.Failures)
 }
 
-func (a *reportAggregator) addUsage(now, from choice.Seconds, proxy choice.ProxyID, usage proto.Usage) {
+func (a *reportAggregator) addUsage(now, from choice.Seconds, proxy choice.ProxyID, usage proto.UsageReport) {
 	key := usageKey{proxy, choice.MethodID(usage.Method)}
 	pending := a.usage[key]
 	if pending == nil {
@@ -109,7 +109,7 @@
 		a.usage[key] = pending
 		a.enqueue(pending)
 	}
-	pending.extend(from, now, usage.RPCs, usage.Bad)
+	pending.extend(from, now, usage.RPCs, usage.Failures)
 }
 
 func (r *pendingReport) extend(from, to choice.Seconds, count, failures uint64) {
--- a/internal/coordinator/reports_test.go
+++ b/internal/coordinator/reports_test.go
@@ -21,10 +21,10 @@
 	aggregator.due(now)
 	for i := range 20 {
 		stream := &proxyStream{proxy: choice.ProxyID(i), zone: "a"}
-		aggregator.add(now, stream, proto.Sums{
-			Over:  2,
-			Usage: []proto.Usage{{Method: 0, RPCs: 3, Bad: 1}, {Method: 9, RPCs: 3}},
-			Tries: []proto.Tries{{EP: 1, Tries: 4, Bad: 2, Delay: 0.1}, {EP: 2, Tries: 1, Delay: 0.2}},
+		aggregator.add(now, stream, proto.Reports{
+			Span:     2,
+			Usage:    []proto.UsageReport{{Method: 0, RPCs: 3, Failures: 1}, {Method: 9, RPCs: 3}},
+			Attempts: []proto.AttemptReport{{Backend: 1, Attempts: 4, Failures: 2, MeanLatency: 0.1}, {Backend: 2, Attempts: 1, MeanLatency: 0.2}},
 		}, allListed, 2)
 	}
 	attempts, usage := 0, 0
@@ -71,8 +71,8 @@
 func TestPendingReportsAreBounded(t *testing.T) {
 	aggregator := newTestAggregator(100, 10, 1)
 	for range 1000 {
-		aggregator.add(100, &proxyStream{zone: "a"}, proto.Sums{
-			Over: 1, Usage: []proto.Usage{{Method: 0, RPCs: 1}}, Tries: []proto.Tries{{EP: 1, Tries: 1}},
+		aggregator.add(100, &proxyStream{zone: "a"}, proto.Reports{
+			Span: 1, Usage: []proto.UsageReport{{Method: 0, RPCs: 1}}, Attempts: []proto.AttemptReport{{Backend: 1, Attempts: 1}},
 		}, allListed, 2)
 	}
 	if n := len(aggregator.queue); n > 2 {
@@ -87,7 +87,7 @@
 		aggregator := newTestAggregator(1e6, rate, 2)
 		for i := range proxies {
 			stream := &proxyStream{proxy: choice.ProxyID(i)}
-			aggregator.add(1e6, stream, proto.Sums{Usage: []proto.Usage{{RPCs: 1}}}, nil, 1)
+			aggregator.add(1e6, stream, proto.Reports{Usage: []proto.UsageReport{{RPCs: 1}}}, nil, 1)
 		}
 		now, steps, reports := 1e6, 0, 0
 		for at, ok := now, true; ok && steps < maxSteps; at, ok = aggregator.nextAt() {
@@ -105,7 +105,7 @@
 // control. Found on an emulated fleet.
 func TestUsageReportsDoNotWaitForAttemptReports(t *testing.T) {
 	aggregator := newTestAggregator(100, 0, 2)
-	report := proto.Sums{Over: 1, Tries: []proto.Tries{{EP: 1, Tries: 4}}, Usage: []proto.Usage{{Method: 0, RPCs: 5}}}
+	report := proto.Reports{Span: 1, Attempts: []proto.AttemptReport{{Backend: 1, Attempts: 4}}, Usage: []proto.UsageReport{{Method: 0, RPCs: 5}}}
 	aggregator.add(100, &proxyStream{zone: "a"}, report, allListed, 1)
 	first := aggregator.due(100)
 	if len(first) != 1 {
--- a/internal/coordinator/restart_test.go
+++ b/internal/coordinator/restart_test.go
@@ -25,7 +25,7 @@
 type durableFact struct {
 	logSize  int // bytes of the segment
 	proxy    int
-	backend  proto.EP
+	backend  proto.BackendID
 	nonce    uint64
 	restored bool
 }
@@ -40,11 +40,11 @@
 
 func newStoreHarness(t *testing.T, folder *disk.Memory) *storeHarness {
 	t.Helper()
-	opened, _, err := store.Open(store.Bootstrap{Folder: folder, ID: 1, LeastLog: 1 << 30})
+	opened, _, err := store.Open(store.Options{Folder: folder, ID: 1, MinCompactionBytes: 1 << 30})
 	if err != nil {
 		t.Fatal(err)
 	}
-	saved, err := checkpoint.Read(opened.Scan(""))
+	saved, err := checkpoint.Decode(opened.Scan(""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -121,21 +121,21 @@
 
 func (h *storeHarness) acknowledge(proxy int, push proto.Push) {
 	h.t.Helper()
-	h.addFact(durableFact{nonce: push.Mark})
-	h.advanceDurably(0.01, data(statemachine.Conn(proxy), proto.Answer{Mark: push.Mark}))
+	h.addFact(durableFact{nonce: push.Nonce})
+	h.advanceDurably(0.01, data(statemachine.Conn(proxy), proto.Acknowledgement{Nonce: push.Nonce}))
 	for _, op := range push.Ops {
-		if op.Kind == proto.OpWithdraw {
-			h.addFact(durableFact{proxy: proxy, backend: op.Withdrawn[0]})
+		if op.Kind == proto.OpExclude {
+			h.addFact(durableFact{proxy: proxy, backend: op.Backends[0]})
 		}
 	}
 }
 
 // applyEndpoints sends changes of the endpoint list, adds the facts that follow, and lets the proxies acknowledge.
-func (h *storeHarness) applyEndpoints(entries ...proto.Entry) {
+func (h *storeHarness) applyEndpoints(entries ...proto.Endpoint) {
 	h.t.Helper()
 	for _, entry := range entries {
-		if entry.State == proto.ServerOpen {
-			h.addFact(durableFact{backend: entry.EP, restored: true})
+		if entry.State == proto.BackendOpen {
+			h.addFact(durableFact{backend: entry.Backend, restored: true})
 		}
 	}
 	h.advanceDurably(0.05, h.endpointChanges(entries...))
@@ -170,15 +170,15 @@
 	}
 	harness.advanceDurably(0.2)
 	harness.acknowledgeAll()
-	harness.applyEndpoints(listEntry(1, proto.ServerDraining))
-	harness.applyEndpoints(listEntry(2, proto.ServerDraining), listEntry(3, proto.ServerGone))
+	harness.applyEndpoints(listEntry(1, proto.BackendDraining))
+	harness.applyEndpoints(listEntry(2, proto.BackendDraining), listEntry(3, proto.BackendGone))
 	if compact {
 		harness.compact()
 	}
-	restarted := listEntry(1, proto.ServerOpen)
-	restarted.Stamp = 2
+	restarted := listEntry(1, proto.BackendOpen)
+	restarted.Incarnation = 2
 	harness.applyEndpoints(restarted)
-	harness.applyEndpoints(listEntry(4, proto.ServerGone), listEntry(5, proto.ServerDraining))
+	harness.applyEndpoints(listEntry(4, proto.BackendGone), listEntry(5, proto.BackendDraining))
 	harness.advanceDurably(1.5)
 	return harness
 }
@@ -186,13 +186,13 @@
 // durableState is what the facts up to a size of the log amount to.
 type durableState struct {
 	// excluded has the backends that are out of use, each with the proxies that confirmed so.
-	excluded  map[proto.EP]map[int]bool
+	excluded  map[proto.BackendID]map[int]bool
 	lastNonce uint64
 	cut       int // size of the log in bytes, for messages
 }
 
 func durableStateAt(facts []durableFact, logSize int) durableState {
-	state := durableState{excluded: map[proto.EP]map[int]bool{}, cut: logSize}
+	state := durableState{excluded: map[proto.BackendID]map[int]bool{}, cut: logSize}
 	for _, fact := range facts {
 		switch {
 		case fact.logSize > logSize:
@@ -223,13 +223,13 @@
 			continue
 		}
 		checked++
-		if hasOp(pushes, proto.OpWithdraw, backend) {
+		if hasOp(pushes, proto.OpExclude, backend) {
 			t.Fatalf("cut at %d: proxy %d gets the exclusion of backend %d again", s.cut, proxy, backend)
 		}
 	}
 	for _, push := range pushes {
-		if push.Marked && push.Mark <= s.lastNonce {
-			t.Fatalf("cut at %d: nonce %d, though %d was used before", s.cut, push.Mark, s.lastNonce)
+		if push.HasNonce && push.Nonce <= s.lastNonce {
+			t.Fatalf("cut at %d: nonce %d, though %d was used before", s.cut, push.Nonce, s.lastNonce)
 		}
 	}
 	return checked
@@ -268,7 +268,7 @@
 	harness := newStoreHarness(t, folder)
 	for proxy := 1; proxy <= restartProxies; proxy++ {
 		again := hello(fmt.Sprint("f", proxy))
-		again.Fresh, again.Holds, again.Mark = false, "c0", want.lastNonce
+		again.Fresh, again.TablesOf, again.Nonce = false, "c0", want.lastNonce
 		conn := statemachine.Conn(proxy)
 		harness.advanceDurably(0.01, opened(conn), data(conn, again))
 	}
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -86,7 +86,7 @@
 
 // reject tells the other side the reason and closes the connection. It does not remove the session.
 func (m *Machine) reject(step *stepContext, session *session, reason string) {
-	step.send(session, proto.Refuse{Reason: reason})
+	step.send(session, proto.Reject{Reason: reason})
 	step.effects.Close(session.conn)
 	if times, logIt := m.rejections.count(reason); logIt {
 		step.effects.Log(logWarning, "stream rejected",
--- a/internal/coordinator/sessions_test.go
+++ b/internal/coordinator/sessions_test.go
@@ -21,7 +21,7 @@
 		want string
 	}{
 		{[]byte{0xff, 0, 0, 0, 1}, "a frame of"},
-		{frames(proto.Answer{Mark: 1}), "a frame out of order: proto.Answer before the hello"},
+		{frames(proto.Acknowledgement{Nonce: 1}), "a frame out of order: proto.Answer before the hello"},
 		{frames(proto.Hello{Version: 9, Name: "x", Zone: "a"}), "version 9"},
 		{frames(proto.Hello{Version: 1, Name: "x y", Zone: "a"}), "name"},
 		{frames(proto.Hello{Version: 1, Name: "x", Zone: "mars"}), "zone \"mars\""},
@@ -42,9 +42,9 @@
 			t.Fatalf("%d: %d sessions, want that of the endpoint list and that of the good proxy", i, n)
 		}
 	}
-	harness.updateEndpoints(listEntry(1, proto.ServerDraining))
+	harness.updateEndpoints(listEntry(1, proto.BackendDraining))
 	harness.advance(1)
-	if harness.closed[1] || !hasOp(harness.pushes(1), proto.OpWithdraw, 1) {
+	if harness.closed[1] || !hasOp(harness.pushes(1), proto.OpExclude, 1) {
 		t.Fatal("the good proxy is not served any more")
 	}
 }
@@ -57,7 +57,7 @@
 	harness.step(0, opened(50))
 	for range 24 {
 		harness.advance(0.5)
-		harness.step(0, data(1, proto.Sums{Over: 0.5}))
+		harness.step(0, data(1, proto.Reports{Span: 0.5}))
 		harness.step(0, harness.endpointKeepalive())
 	}
 	if reason := harness.rejectionReason(50); !strings.Contains(reason, "no hello") || harness.closed[1] {
--- a/internal/listing/day_test.go
+++ b/internal/listing/day_test.go
@@ -34,16 +34,16 @@
 		switch i.Kind {
 		case statemachine.ConnOpened:
 			w.in[i.Conn], w.out[i.Conn] = &proto.Reader{}, &proto.Reader{}
-			w.in[i.Conn].Open()
-			w.out[i.Conn].Open()
+			w.in[i.Conn].HandshakeDone()
+			w.out[i.Conn].HandshakeDone()
 		case statemachine.ConnData:
 			w.in[i.Conn].Feed(i.Data)
 			for m, _ := w.in[i.Conn].Next(); m != nil; m, _ = w.in[i.Conn].Next() {
 				switch m := m.(type) {
 				case proto.Hello:
 					w.name[i.Conn] = m.Name
-				case proto.Watch, proto.Fetch:
-					out.Record(trace.Record{T: now, Kind: trace.Ask, Of: w.name[i.Conn]})
+				case proto.WatchEndpoints, proto.FetchEndpoints:
+					out.Record(trace.Record{Time: now, Kind: trace.EndpointsRequested, Coordinator: w.name[i.Conn]})
 				}
 			}
 		}
@@ -55,7 +55,7 @@
 		for _, e := range w.f.Entries() {
 			text += fmt.Sprintf(" %d:%c:%.3f:%s", e.Number, "odg"[e.State], e.Start, w.zone)
 		}
-		out.Record(trace.Record{T: now, Kind: trace.List, N: int64(v), Text: text})
+		out.Record(trace.Record{Time: now, Kind: trace.EndpointsDelivered, Count: int64(v), Text: text})
 	}
 	for _, a := range out.Actions {
 		r := w.out[a.Conn]
@@ -64,26 +64,26 @@
 		}
 		r.Feed(a.Data)
 		for m, _ := r.Next(); m != nil; m, _ = r.Next() {
-			l, is := m.(proto.List)
-			if !is || l.Kind == proto.ListError || l.Kind == proto.ListChanges && len(l.Entries) == 0 {
+			l, is := m.(proto.EndpointUpdate)
+			if !is || l.Kind == proto.UpdateFailed || l.Kind == proto.UpdateDelta && len(l.Endpoints) == 0 {
 				continue
 			}
 			text := []string{"full", "changes"}[l.Kind]
-			for _, e := range l.Entries {
+			for _, e := range l.Endpoints {
 				start := now - e.Age
-				if e.Old {
+				if e.StartedLongAgo {
 					start = 0
 				}
-				text += fmt.Sprintf(" %d:%c:%.3f:%s", e.EP, "god"[e.State], start, e.Zone)
+				text += fmt.Sprintf(" %d:%c:%.3f:%s", e.Backend, "god"[e.State], start, e.Zone)
 			}
-			out.Record(trace.Record{T: now, Kind: trace.List, Of: w.name[a.Conn], N: int64(l.Version), Text: text})
+			out.Record(trace.Record{Time: now, Kind: trace.EndpointsDelivered, Coordinator: w.name[a.Conn], Count: int64(l.Version), Text: text})
 		}
 	}
 }
 
 // followed plays a fleet whose list follows files: what happens at which second. It gives the report, what was held back, and
 // the records.
-func followed(t *testing.T, seconds float64, happens map[float64]func(offer func([]follow.Server), w *simnet.World)) (invariant.Report, []string, []trace.Record) {
+func followed(t *testing.T, seconds float64, happens map[float64]func(offer func([]follow.Server), w *simnet.Network)) (invariant.Report, []string, []trace.Record) {
 	t.Helper()
 	conf, err := scenario.File("perth.conf")
 	if err != nil {
@@ -100,7 +100,7 @@
 	w.Trace = func(r trace.Record) { records = append(records, r) }
 	var held []string
 	var now *Service
-	w.Add("list", zone, func(_ statemachine.Seconds, files map[string][]byte) statemachine.Machine {
+	w.AddNode("list", zone, func(_ statemachine.Seconds, files map[string][]byte) statemachine.Machine {
 		s, err := New("list", zone, follow.Terms{DrainFor: 4, MostLost: 0.5}, files[Kept], func(_ int, err error) {
 			if err != nil {
 				held = append(held, err.Error())
@@ -113,30 +113,30 @@
 		return &watched{Service: s, out: map[statemachine.Conn]*proto.Reader{}, in: map[statemachine.Conn]*proto.Reader{}, name: map[statemachine.Conn]string{}}
 	}, "list")
 	// An offer is looked at in the next step, as on sockets.
-	offer := func(s []follow.Server) { now.Offer(s); w.Tell("list", "look") }
+	offer := func(s []follow.Server) { now.Offer(s); w.SendCommand("list", "look") }
 	w.Start("list")
 	offer(servers(6, 1))
 	for i, s := range servers(6, 1) {
-		w.Add(s.Addr, zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
-			return emulator.NewServer(emulator.Trade{EP: s.Number, Zone: zone, Cores: 4, Speed: 1, Work: []emulator.Work{{Mean: 0.02}}, QueueMost: 100, Seed: uint64(i)})
+		w.AddNode(s.Addr, zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
+			return emulator.NewBackend(emulator.Config{Backend: s.Number, Zone: zone, Cores: 4, Speed: 1, Work: []emulator.Work{{Mean: 0.02}}, QueueLimit: 100, Seed: uint64(i)})
 		}, s.Addr)
 		w.Start(s.Addr)
 	}
 	for i := range 2 {
 		name := fmt.Sprint("c", i)
-		w.Add(name, zone, func(at statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
-			b := trade.Coordinator(at)
+		w.AddNode(name, zone, func(at statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
+			b := trade.CoordinatorConfig(at)
 			values := map[string]any{}
 			for k, v := range trade.Values {
 				values[k] = v
 			}
 			values["self"], values["coordinators"] = float64(i), 2.0
 			b.Settings, b.Seed = choice.DecodeSettings(values), uint64(i)+1
-			records, err := w.Records(name)
+			records, err := w.OpenStore(name)
 			if err != nil {
 				t.Fatal(err)
 			}
-			kept, err := checkpoint.Read(records)
+			kept, err := checkpoint.Decode(records)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -145,34 +145,34 @@
 				ProbeTimeout: 1, MaxStreams: 100, MaxProbes: 10,
 			}, kept)
 		}, name)
-		records = append(records, trace.Record{T: epoch, Kind: trace.Boot, Who: name})
+		records = append(records, trace.Record{Time: epoch, Kind: trace.CoordinatorStarted, Party: name})
 		w.Start(name)
 	}
-	m := trade.Coordinator(0)
+	m := trade.CoordinatorConfig(0)
 	for i := range 8 {
 		name := fmt.Sprint("f", i)
-		w.Add(name, zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
-			return fake.NewFrontEnd(fake.FrontTrade{
+		w.AddNode(name, zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
+			return fake.NewFrontEnd(fake.FrontEndConfig{
 				Name: name, Zone: zone, Coordinators: []string{fmt.Sprint("c", i%2), fmt.Sprint("c", 1-i%2)},
-				Methods: fake.Methods(m.Settings.Methods), Rate: 15, Pick: m.Settings.Pick, KeepAway: 5, TryWait: 0.8, Period: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
+				Methods: fake.MethodConfigs(m.Settings.Methods), Rate: 15, Policy: m.Settings.Pick, AvoidFor: 5, AttemptTimeout: 0.8, ReportPeriod: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
 			})
 		})
 		w.Start(name)
 	}
 	for at, do := range happens {
-		w.At(epoch+at, func() { do(offer, w) })
+		w.Schedule(epoch+at, func() { do(offer, w) })
 	}
-	w.Run(epoch + seconds)
-	if len(w.Fails) > 0 {
-		t.Fatal(w.Fails)
+	w.RunUntil(epoch + seconds)
+	if len(w.Failures) > 0 {
+		t.Fatal(w.Failures)
 	}
-	report, err := invariant.Check(records, (&scenario.Day{Trade: trade}).Limits())
+	report, err := invariant.Check(records, (&scenario.Scenario{Settings: trade}).Limits())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, v := range report.Rules {
-		if v.Broken > 0 {
-			t.Errorf("rule %d at %.3f, %s: %s", v.Rule, v.T-epoch, v.Who, v.Why)
+		if v.Violations > 0 {
+			t.Errorf("rule %d at %.3f, %s: %s", v.Rule, v.FirstTime-epoch, v.Party, v.Reason)
 		}
 	}
 	return report, held, records
@@ -182,16 +182,16 @@
 // moves: all rules are kept, and hardly an RPC is lost.
 func TestFollowedListKeepsTheRules(t *testing.T) {
 	five := servers(5, 1)
-	report, held, records := followed(t, 40, map[float64]func(func([]follow.Server), *simnet.World){
-		5:  func(offer func([]follow.Server), _ *simnet.World) { offer(five) },
-		7:  func(_ func([]follow.Server), w *simnet.World) { w.Kill("list") },
-		10: func(offer func([]follow.Server), w *simnet.World) { w.Start("list"); offer(servers(4, 1)) }, // the last one's drain ended meanwhile
-		16: func(offer func([]follow.Server), _ *simnet.World) { offer(servers(1, 1)) },                  // cut short
-		18: func(offer func([]follow.Server), _ *simnet.World) { offer(five) },
-		19: func(offer func([]follow.Server), _ *simnet.World) { offer(servers(4, 1)) },
-		20: func(offer func([]follow.Server), _ *simnet.World) { offer(five) },
-		24: func(_ func([]follow.Server), w *simnet.World) { w.Kill("c0") },
-		25: func(offer func([]follow.Server), w *simnet.World) { w.Start("c0"); offer(servers(6, 1)) },
+	report, held, records := followed(t, 40, map[float64]func(func([]follow.Server), *simnet.Network){
+		5:  func(offer func([]follow.Server), _ *simnet.Network) { offer(five) },
+		7:  func(_ func([]follow.Server), w *simnet.Network) { w.Kill("list") },
+		10: func(offer func([]follow.Server), w *simnet.Network) { w.Start("list"); offer(servers(4, 1)) }, // the last one's drain ended meanwhile
+		16: func(offer func([]follow.Server), _ *simnet.Network) { offer(servers(1, 1)) },                  // cut short
+		18: func(offer func([]follow.Server), _ *simnet.Network) { offer(five) },
+		19: func(offer func([]follow.Server), _ *simnet.Network) { offer(servers(4, 1)) },
+		20: func(offer func([]follow.Server), _ *simnet.Network) { offer(five) },
+		24: func(_ func([]follow.Server), w *simnet.Network) { w.Kill("c0") },
+		25: func(offer func([]follow.Server), w *simnet.Network) { w.Start("c0"); offer(servers(6, 1)) },
 	})
 	if len(held) != 1 || !strings.Contains(held[0], "out of use") {
 		t.Errorf("held back: %q", held)
@@ -201,7 +201,7 @@
 	}
 	drained := 0
 	for _, r := range records {
-		if r.Kind == trace.List && r.Of != "" && strings.Contains(r.Text, "6:d:") {
+		if r.Kind == trace.EndpointsDelivered && r.Coordinator != "" && strings.Contains(r.Text, "6:d:") {
 			drained++
 		}
 	}
@@ -214,19 +214,19 @@
 func TestChangedWeightIsALine(t *testing.T) {
 	heavier := servers(6, 1)
 	heavier[2].Weight = 1.3
-	_, _, records := followed(t, 20, map[float64]func(func([]follow.Server), *simnet.World){
-		12: func(offer func([]follow.Server), _ *simnet.World) { offer(heavier) },
+	_, _, records := followed(t, 20, map[float64]func(func([]follow.Server), *simnet.Network){
+		12: func(offer func([]follow.Server), _ *simnet.Network) { offer(heavier) },
 	})
 	lines := map[string]int{}
 	for _, r := range records {
-		if r.Kind != trace.Apply || r.T < 1e6+12 || r.T > 1e6+14 {
+		if r.Kind != trace.PushApplied || r.Time < 1e6+12 || r.Time > 1e6+14 {
 			continue
 		}
 		if strings.Contains(r.Text, "bind") {
-			t.Errorf("%s was given a new table: %s", r.Who, r.Text)
+			t.Errorf("%s was given a new table: %s", r.Party, r.Text)
 		}
 		if strings.Contains(r.Text, " 3:1.3") {
-			lines[r.Who]++
+			lines[r.Party]++
 		}
 	}
 	if len(lines) == 0 {
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -91,14 +91,14 @@
 	if f.dir, err = os.MkdirTemp("", "gingerfork-measure-"); err != nil {
 		return f, err
 	}
-	var all []fake.Listing
-	crowd := fake.NewCrowd()
+	var all []fake.Endpoint
+	crowd := fake.NewMultiplexer()
 	var doors []string
 	for i := range servers {
-		ep := proto.EP(i + 1)
-		all = append(all, fake.Listing{EP: ep, State: proto.ServerOpen, Zone: "a", Weight: 1, Stamp: 1, Addr: "127.0.0.1:1"})
+		ep := proto.BackendID(i + 1)
+		all = append(all, fake.Endpoint{Backend: ep, State: proto.BackendOpen, Zone: "a", Weight: 1, Incarnation: 1, Addr: "127.0.0.1:1"})
 		if rate > 0 {
-			crowd.Add(fmt.Sprint("s", i), emulator.NewServer(emulator.Trade{EP: ep, Cores: 8, Speed: 1, Work: []emulator.Work{{Mean: 0.008}}, QueueMost: 100, Seed: uint64(ep)}), 1)
+			crowd.Add(fmt.Sprint("s", i), emulator.NewBackend(emulator.Config{Backend: ep, Cores: 8, Speed: 1, Work: []emulator.Work{{Mean: 0.008}}, QueueLimit: 100, Seed: uint64(ep)}), 1)
 			doors = append(doors, "127.0.0.1:0")
 		}
 	}
@@ -110,7 +110,7 @@
 			all[i].Addr = a
 		}
 	}
-	f.list, err = eventloop.Start(ctx, eventloop.Bootstrap{Machine: fake.NewList(all), Listen: []string{"127.0.0.1:0"}, Clock: f.clock, Trace: f.note})
+	f.list, err = eventloop.Start(ctx, eventloop.Bootstrap{Machine: fake.NewEndpointService(all), Listen: []string{"127.0.0.1:0"}, Clock: f.clock, Trace: f.note})
 	if err != nil {
 		return f, err
 	}
@@ -127,11 +127,11 @@
 	if err = f.exec(); err != nil {
 		return f, err
 	}
-	proxies := fake.NewCrowd()
+	proxies := fake.NewMultiplexer()
 	for i := range fronts {
-		proxies.Add(fmt.Sprint("f", i), fake.NewFrontEnd(fake.FrontTrade{
+		proxies.Add(fmt.Sprint("f", i), fake.NewFrontEnd(fake.FrontEndConfig{
 			Name: fmt.Sprint("f", i), Zone: "a", Coordinators: []string{at}, Rate: rate,
-			Methods: fake.Methods(trade.Coordinator(0).Settings.Methods), Pick: "pair", Period: 2, ConnectTimeout: 2, Seed: uint64(i + 1),
+			Methods: fake.MethodConfigs(trade.CoordinatorConfig(0).Settings.Methods), Policy: "pair", ReportPeriod: 2, ConnectTimeout: 2, Seed: uint64(i + 1),
 		}), 0)
 	}
 	f.fronts, err = eventloop.Start(ctx, eventloop.Bootstrap{Machine: proxies, Clock: f.clock, Trace: f.note})
@@ -155,7 +155,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range all {
-		if r.Kind != trace.End {
+		if r.Kind != trace.RPCFinished {
 			f.records = append(f.records, r)
 		}
 	}
@@ -192,12 +192,12 @@
 	first, last := 0.0, 0.0
 	for end := time.Now().Add(limit); ; time.Sleep(20 * time.Millisecond) {
 		for _, r := range f.take() {
-			if r.Kind == trace.Join && first == 0 {
-				first = r.T
+			if r.Kind == trace.ProxyJoined && first == 0 {
+				first = r.Time
 			}
-			if r.Kind == trace.Apply && !applied[r.Who] {
-				applied[r.Who] = true
-				last = max(last, r.T)
+			if r.Kind == trace.PushApplied && !applied[r.Party] {
+				applied[r.Party] = true
+				last = max(last, r.Time)
 			}
 		}
 		if len(applied) >= n {
@@ -215,23 +215,23 @@
 func (f *Fleet) Drains(n int) (all []float64, sent int) {
 	for ep := 1; ep <= n; ep++ {
 		f.take()
-		f.list.Tell(fmt.Sprintf("state %d draining", ep))
+		f.list.SendCommand(fmt.Sprintf("state %d draining", ep))
 		time.Sleep(700 * time.Millisecond)
 		told, last := 0.0, 0.0
 		for _, r := range f.take() {
 			switch {
-			case r.Kind == trace.List && r.Of == "c0" && told == 0:
-				told = r.T
-			case r.Kind == trace.Apply && slices.Contains(strings.Split(r.Text, ";"), fmt.Sprint("withdraw ", ep)):
-				last = max(last, r.T)
-			case r.Kind == trace.Try && r.EP == uint32(ep) && told > 0:
+			case r.Kind == trace.EndpointsDelivered && r.Coordinator == "c0" && told == 0:
+				told = r.Time
+			case r.Kind == trace.PushApplied && slices.Contains(strings.Split(r.Text, ";"), fmt.Sprint("withdraw ", ep)):
+				last = max(last, r.Time)
+			case r.Kind == trace.AttemptSent && r.Backend == uint32(ep) && told > 0:
 				sent++
 			}
 		}
 		if told > 0 {
 			all = append(all, max(0, last-told))
 		}
-		f.list.Tell(fmt.Sprintf("state %d open", ep))
+		f.list.SendCommand(fmt.Sprintf("state %d open", ep))
 		time.Sleep(100 * time.Millisecond)
 	}
 	slices.Sort(all)
--- a/internal/scenario/emulate.go
+++ b/internal/scenario/emulate.go
@@ -21,12 +21,12 @@
 // Emulation is a day's servers and list service on the loopback address, for coordinators and proxies of one's own. It
 // may be spread over processes: each plays its part of the servers, the first one the list service, too.
 type Emulation struct {
-	Day         *Day
-	Port        int                  // of the list service; servers have those behind it
-	Part, Parts int                  // from 1; 0: all in this process
-	Loops       int                  // that carry the servers; 0: one
-	Figures     func(emulator.Tally) // of each second
-	Event       func(text string)    // what the script does
+	Scenario    *Scenario
+	Port        int                       // of the list service; servers have those behind it
+	Part, Parts int                       // from 1; 0: all in this process
+	EventLoops  int                       // that carry the servers; 0: one
+	OnTally     func(emulator.FleetStats) // of each second
+	OnStep      func(text string)         // what the script does
 	Trace       func([]trace.Record)
 }
 
@@ -37,10 +37,10 @@
 func (e Emulation) Addr(server int) string { return fmt.Sprintf("127.0.0.1:%d", e.Port+1+server) }
 
 // elsewhere are the verbs that need more than servers and a list: links, coordinators, front ends.
-func elsewhere(a Act) bool {
-	switch a.Of {
+func elsewhere(a Step) bool {
+	switch a.Target {
 	case "servers":
-		return a.Verb == "cut" || a.Verb == "silence" || a.With == "silence"
+		return a.Verb == "cut" || a.Verb == "silence" || a.FlapMode == "silence"
 	case "zone":
 		return a.Verb != "lose"
 	case "list":
@@ -52,14 +52,14 @@
 // Check tells which lines of a day can't be emulated without the rest of it, and what else is wrong.
 func (e Emulation) Check() error {
 	var faults bootstrap.Faults
-	for _, a := range e.Day.Acts {
+	for _, a := range e.Scenario.Steps {
 		if elsewhere(a) {
-			faults = append(faults, a.Line.Fault("%s %s is not in an emulated fleet's hands: play the day by rehearse, or take the line out", a.Verb, a.Of))
+			faults = append(faults, a.Source.Fault("%s %s is not in an emulated fleet's hands: play the day by rehearse, or take the line out", a.Verb, a.Target))
 		}
 	}
 	n := 0
-	for _, g := range e.Day.Servers {
-		n += g.N
+	for _, g := range e.Scenario.Backends {
+		n += g.Count
 	}
 	switch {
 	case len(faults) > 0:
@@ -81,7 +81,7 @@
 	list    *eventloop.Loop
 	due     []timed
 	mu      sync.Mutex
-	seconds map[int]emulator.Tally
+	seconds map[int]emulator.FleetStats
 	parts   map[int]int
 }
 
@@ -90,15 +90,15 @@
 	if err := e.Check(); err != nil {
 		return err
 	}
-	c := newCast(e.Day)
-	s := &emulation{Emulation: e, cast: c, clock: eventloop.NewClock(), owner: map[string]*eventloop.Loop{}, seconds: map[int]emulator.Tally{}, parts: map[int]int{}}
+	c := newCast(e.Scenario)
+	s := &emulation{Emulation: e, cast: c, clock: eventloop.NewClock(), owner: map[string]*eventloop.Loop{}, seconds: map[int]emulator.FleetStats{}, parts: map[int]int{}}
 	c.stage = s
 	c.record = func(r trace.Record) {
 		if e.Trace != nil {
 			e.Trace([]trace.Record{r})
 		}
-		if r.Kind == trace.Trouble && e.Event != nil {
-			e.Event(r.Text)
+		if r.Kind == trace.FaultInjected && e.OnStep != nil {
+			e.OnStep(r.Text)
 		}
 	}
 	inner, cancel := context.WithCancel(context.Background())
@@ -117,10 +117,10 @@
 			mine = append(mine, a)
 		}
 	}
-	n := min(max(1, e.Loops), max(1, len(mine)))
+	n := min(max(1, e.EventLoops), max(1, len(mine)))
 	store := c.store()
 	for k := range n {
-		fleet := emulator.NewFleet(func(t emulator.Tally) { s.tally(n, t) })
+		fleet := emulator.NewFleet(func(t emulator.FleetStats) { s.tally(n, t) })
 		b := eventloop.Bootstrap{Machine: fleet, Clock: s.clock, Trace: e.Trace}
 		var names []string
 		for i, a := range mine {
@@ -129,10 +129,10 @@
 			}
 			t := c.trade(a, store)
 			if n > 1 || e.Parts > 1 {
-				t.Ledger = nil
-				t.Store = &emulator.Store{Group: e.Day.Tokens, Window: store.Window} // what one loop or process owns, another can't see
+				t.Executions = nil
+				t.KeyStore = &emulator.KeyStore{Scope: e.Scenario.IdempotencyScope, Window: store.Window} // what one loop or process owns, another can't see
 			}
-			fleet.Add(a.name, t)
+			fleet.AddBackend(a.name, t)
 			b.Listen = append(b.Listen, e.Addr(a.at))
 			names = append(names, a.name)
 		}
@@ -149,7 +149,7 @@
 		}
 	}
 	if e.Part <= 1 {
-		list := fake.NewList(c.listings(func(a *actor) string { return e.Addr(a.at) }))
+		list := fake.NewEndpointService(c.listings(func(a *actor) string { return e.Addr(a.at) }))
 		if s.list, err = eventloop.Start(inner, eventloop.Bootstrap{Machine: list, Listen: []string{e.ListAddr()}, Clock: s.clock}); err != nil {
 			return fmt.Errorf("emulate the list service: %w", err)
 		}
@@ -159,22 +159,22 @@
 	for _, a := range c.servers {
 		a.up, a.lives = true, 1
 	}
-	for _, a := range e.Day.Acts {
-		s.At(c.begin+a.At, func() { c.act(a) })
+	for _, a := range e.Scenario.Steps {
+		s.Schedule(c.begin+a.At, func() { c.act(a) })
 	}
-	return s.run(ctx, c.begin+e.Day.Length, loops)
+	return s.run(ctx, c.begin+e.Scenario.Duration, loops)
 }
 
 // tally gathers the loops' figures of a second.
-func (s *emulation) tally(n int, t emulator.Tally) {
-	if s.Figures == nil {
+func (s *emulation) tally(n int, t emulator.FleetStats) {
+	if s.OnTally == nil {
 		return
 	}
 	s.mu.Lock()
-	at := int(t.T + 0.5)
+	at := int(t.Elapsed + 0.5)
 	sum := t
 	if s.parts[at] > 0 {
-		sum = s.seconds[at].Sum(t)
+		sum = s.seconds[at].Add(t)
 	}
 	s.seconds[at] = sum
 	s.parts[at]++
@@ -185,7 +185,7 @@
 	}
 	s.mu.Unlock()
 	if whole {
-		s.Figures(sum)
+		s.OnTally(sum)
 	}
 }
 
@@ -236,25 +236,27 @@
 
 func (s *emulation) Now() statemachine.Seconds { return s.clock.Now() }
 
-func (s *emulation) At(at statemachine.Seconds, do func()) { s.due = append(s.due, timed{at, do}) }
+func (s *emulation) Schedule(at statemachine.Seconds, do func()) {
+	s.due = append(s.due, timed{at, do})
+}
 
-func (s *emulation) Start(name string) { s.Tell(name, "start") }
+func (s *emulation) Start(name string) { s.SendCommand(name, "start") }
 
-func (s *emulation) Kill(name string) { s.Tell(name, "kill") }
+func (s *emulation) Kill(name string) { s.SendCommand(name, "kill") }
 
-func (s *emulation) Stall(string, statemachine.Seconds) {}
+func (s *emulation) Pause(string, statemachine.Seconds) {}
 
-func (s *emulation) Hinder(string, simnet.Hindrance, func(a, b string) bool) {}
+func (s *emulation) AddLinkFault(string, simnet.LinkFault, func(a, b string) bool) {}
 
-func (s *emulation) Clear(string) {}
+func (s *emulation) RemoveLinkFault(string) {}
 
-func (s *emulation) Reset(func(a, b string) bool) {}
+func (s *emulation) ResetConnections(func(a, b string) bool) {}
 
-func (s *emulation) Tell(name, text string) {
+func (s *emulation) SendCommand(name, text string) {
 	switch l := s.owner[name]; {
 	case name == "list" && s.list != nil:
-		s.list.Tell(text)
+		s.list.SendCommand(text)
 	case l != nil:
-		l.Tell(name + " " + strings.TrimSpace(text))
+		l.SendCommand(name + " " + strings.TrimSpace(text))
 	}
 }
--- a/internal/scenario/hard_test.go
+++ b/internal/scenario/hard_test.go
@@ -13,18 +13,18 @@
 	"frontends 6 zone dc-kewdale rate 12\nfrontends 6 zone dc-malaga rate 12\nmix 70% 30%\n"
 
 // kept plays a day and fails the test for every rule that broke.
-func kept(t *testing.T, name string, d *Day, o Options) Result {
+func kept(t *testing.T, name string, d *Scenario, o Options) Result {
 	t.Helper()
-	r, err := Virtual(d, o)
+	r, err := PlayVirtual(d, o)
 	if err != nil {
 		t.Fatal(name, err)
 	}
 	for _, v := range r.Report.Rules {
-		if v.Broken > 0 {
-			t.Errorf("%s: rule %d at %.3f, %s: %s", name, v.Rule, v.T, v.Who, v.Why)
+		if v.Violations > 0 {
+			t.Errorf("%s: rule %d at %.3f, %s: %s", name, v.Rule, v.FirstTime, v.Party, v.Reason)
 		}
 	}
-	for _, f := range r.Fails {
+	for _, f := range r.Failures {
 		t.Errorf("%s: %s", name, f)
 	}
 	return r
@@ -38,8 +38,8 @@
 		d.Scale(0.3)
 		d.Seed = seed + 1
 		r := kept(t, fmt.Sprint("seed ", seed+1), d, Options{})
-		if r.Report.Falls > 0 || r.Report.Service.Share() < 0.8 {
-			t.Errorf("seed %d: %d fell, service %.3f", seed+1, r.Report.Falls, r.Report.Service.Share())
+		if r.Report.Collapses > 0 || r.Report.Service.Share() < 0.8 {
+			t.Errorf("seed %d: %d fell, service %.3f", seed+1, r.Report.Collapses, r.Report.Service.Share())
 		}
 	}
 }
@@ -54,9 +54,9 @@
 		"restart in place under the same id, connections held": {"at 8s kill servers number 3 for 50ms\n", 0.97, func(r Result) string {
 			starts, after := 0, 0
 			for _, x := range r.Records {
-				if x.Kind == trace.Start && x.EP == 4 {
+				if x.Kind == trace.BackendStarted && x.Backend == 4 {
 					starts++
-				} else if x.Kind == trace.Run && x.EP == 4 && starts > 0 {
+				} else if x.Kind == trace.EffectExecuted && x.Backend == 4 && starts > 0 {
 					after++
 				}
 			}
@@ -68,7 +68,7 @@
 		"drain during a hang": {"at 6s hang servers number 2,3 for 8s\nat 8s deploy servers number 2,3 drain 3s down 1s every 1s\n", 0.9, func(r Result) string {
 			gone := 0
 			for _, x := range r.Records {
-				if x.Kind == trace.Gone && (x.EP == 3 || x.EP == 4) {
+				if x.Kind == trace.BackendStopped && (x.Backend == 3 || x.Backend == 4) {
 					gone++
 				}
 			}
@@ -80,9 +80,9 @@
 		"a pause longer than the deadline": {"at 8s hang servers 30% for 6s\n", 0.8, func(r Result) string {
 			late, worst := 0, 0.0
 			for _, x := range r.Records {
-				if x.Kind == trace.End && x.Text == "aborted" {
+				if x.Kind == trace.RPCFinished && x.Text == "aborted" {
 					late++
-					worst = max(worst, x.X)
+					worst = max(worst, x.Value)
 				}
 			}
 			if late == 0 || worst > 2.5+0.01 {
@@ -93,7 +93,7 @@
 		"a coordinator's time leaps": {"at 8s stall coordinators number 0 for 15s\n", 0.95, func(r Result) string {
 			joins := 0
 			for _, x := range r.Records {
-				if x.Kind == trace.Join {
+				if x.Kind == trace.ProxyJoined {
 					joins++
 				}
 			}
@@ -104,7 +104,7 @@
 		}},
 		"silence is no reset": {"at 8s silence servers 3 for 8s\n", 0.85, func(r Result) string {
 			for _, x := range r.Records {
-				if x.Kind == trace.End && x.Text == "aborted" && x.X > 1.9 {
+				if x.Kind == trace.RPCFinished && x.Text == "aborted" && x.Value > 1.9 {
 					return ""
 				}
 			}
@@ -114,8 +114,8 @@
 			"at 6s flap servers number 2 by 1s for 8s with hang\nat 6s flap servers number 3 by 1s for 8s with fast\n", 0.8, func(r Result) string {
 			starts := map[uint32]int{}
 			for _, x := range r.Records {
-				if x.Kind == trace.Start {
-					starts[x.EP]++
+				if x.Kind == trace.BackendStarted {
+					starts[x.Backend]++
 				}
 			}
 			if starts[1] != 4 || starts[2] != 4 || starts[3]+starts[4] != 0 {
@@ -148,47 +148,47 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r, err := Virtual(d, Options{})
+		r, err := PlayVirtual(d, Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return r
 	}
-	if r := play("all", "server"); r.Report.Rules[1].Broken == 0 {
+	if r := play("all", "server"); r.Report.Rules[1].Violations == 0 {
 		t.Error("settings that lie about who drops repeats broke nothing")
 	}
-	if r := play("all", "all"); r.Report.Rules[1].Broken > 0 {
-		t.Errorf("with one store for all: %s", r.Report.Rules[1].Why)
+	if r := play("all", "all"); r.Report.Rules[1].Violations > 0 {
+		t.Errorf("with one store for all: %s", r.Report.Rules[1].Reason)
 	}
 }
 
 // A server that falls over during its drain ends what it had with a reset, and what still comes is refused.
 func TestFallDuringADrain(t *testing.T) {
-	m := emulator.New(emulator.Trade{
-		EP: 1, Cores: 1, Speed: 1, Work: []emulator.Work{{Mean: 0.1, Shape: emulator.Fixed}}, QueueMost: 1000, Cold: true,
-		ColdShare: 0.3, WarmAfter: 10, FallMultiple: 2, FallWindow: 1, Seed: 1,
+	m := emulator.NewModel(emulator.Config{
+		Backend: 1, Cores: 1, Speed: 1, Work: []emulator.Work{{Mean: 0.1, Family: emulator.Constant}}, QueueLimit: 1000, StartsCold: true,
+		ColdSpeed: 0.3, WarmupTime: 10, OverloadMultiple: 2, OverloadWindow: 1, Seed: 1,
 	}, 0)
 	m.Connect(1, "")
 	for i := range uint64(4) {
-		m.Ask(1, emulator.RPC{ID: i + 1, Left: 5})
+		m.Submit(1, emulator.RPC{ID: i + 1, TimeLeft: 5})
 	}
 	m.Advance(0.1)
 	m.Drain()
 	fell, refused := false, 0
 	for i := range uint64(40) {
-		m.Ask(1, emulator.RPC{ID: 100 + i, Left: 5})
+		m.Submit(1, emulator.RPC{ID: 100 + i, TimeLeft: 5})
 		for _, e := range m.Advance(0.1 + float64(i)*0.01) {
 			switch e := e.(type) {
-			case emulator.Fell:
+			case emulator.Collapsed:
 				fell = true
 			case emulator.Reply:
-				if e.Status == emulator.PushedBack && !fell {
+				if e.Status == emulator.StatusRejected && !fell {
 					refused++
 				}
 			}
 		}
 	}
-	if !fell || refused == 0 || !m.Fallen() || len(m.Advance(50)) > 0 {
+	if !fell || refused == 0 || !m.HasCollapsed() || len(m.Advance(50)) > 0 {
 		t.Errorf("fell %v after %d were refused, and it still speaks", fell, refused)
 	}
 }
@@ -200,8 +200,8 @@
 			"frontends 6 zone dc-kewdale rate 20 pick "+pick+"\nmix 70% 30%\nat 0s slow servers number 0,1 by 3\n"), Options{})
 		slow, all := 0.0, 0.0
 		for _, x := range r.Records {
-			if x.Kind == trace.Try && x.T > r.Records[0].T+3 {
-				if all++; x.EP <= 2 {
+			if x.Kind == trace.AttemptSent && x.Time > r.Records[0].Time+3 {
+				if all++; x.Backend <= 2 {
 					slow++
 				}
 			}
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -19,44 +19,44 @@
 )
 
 // Stage is where a day plays: sockets, or virtual time.
-type Stage interface {
+type Environment interface {
 	Now() statemachine.Seconds
-	At(at statemachine.Seconds, do func())
+	Schedule(at statemachine.Seconds, do func())
 	Start(name string)
 	Kill(name string)
-	Stall(name string, span statemachine.Seconds)
-	Tell(name, text string)
-	Hinder(name string, h simnet.Hindrance, match func(a, b string) bool)
-	Clear(name string)
-	Reset(match func(a, b string) bool)
+	Pause(name string, span statemachine.Seconds)
+	SendCommand(name, text string)
+	AddLinkFault(name string, h simnet.LinkFault, match func(a, b string) bool)
+	RemoveLinkFault(name string)
+	ResetConnections(match func(a, b string) bool)
 }
 
 // Result is what a day came to.
 type Result struct {
-	Day     *Day
-	Report  invariant.Report
-	Records []trace.Record
-	Fails   []string // of machines that failed: a defect of the program, whatever the rules say
-	Steps   int
-	Truth   *Truth           // nil unless it was asked for
-	Twice   []emulator.Twice // RPCs that took effect twice, by the servers' own ledger
+	Scenario         *Scenario
+	Report           invariant.Report
+	Records          []trace.Record
+	Failures         []string // of machines that failed: a defect of the program, whatever the rules say
+	MachineSteps     int
+	Truth            *GroundTruth                 // nil unless it was asked for
+	DuplicateEffects []emulator.RepeatedExecution // RPCs that took effect twice, by the servers' own ledger
 }
 
 // cast is who plays in a day.
 type cast struct {
-	day     *Day
-	stage   Stage
+	day     *Scenario
+	stage   Environment
 	record  func(trace.Record)
 	servers []*actor
 	fronts  []*actor
 	coords  []*actor
 	all     map[string]*actor
-	dice    emulator.Dice
+	dice    emulator.Random
 	count   int
 	begin   statemachine.Seconds
 	spoil   map[string]any // values given to coordinators in place of the settings'
 	zoneCut map[string]int // how many cuts part a zone from the others
-	ledger  *emulator.Ledger
+	ledger  *emulator.ExecutionLog
 	glance  float64 // servers tell of themselves so often; 0: they don't
 }
 
@@ -64,10 +64,10 @@
 	name  string
 	zone  string
 	kind  string
-	ep    proto.EP
+	ep    proto.BackendID
 	at    int
 	rate  float64
-	group ServerGroup
+	group BackendGroup
 	up    bool
 	lives int
 	pick  string
@@ -76,8 +76,8 @@
 	cutOff int
 }
 
-func newCast(d *Day) *cast {
-	c := &cast{day: d, all: map[string]*actor{}, zoneCut: map[string]int{}, ledger: &emulator.Ledger{}, dice: emulator.NewDice(d.Seed)}
+func newCast(d *Scenario) *cast {
+	c := &cast{day: d, all: map[string]*actor{}, zoneCut: map[string]int{}, ledger: &emulator.ExecutionLog{}, dice: emulator.NewRandom(d.Seed)}
 	zones := d.Zones()
 	zone := func(z string, i int) string {
 		if z == "" {
@@ -92,63 +92,63 @@
 	for i := range d.Coordinators {
 		put(&c.coords, &actor{name: fmt.Sprintf("c%d", i), zone: zones[i%len(zones)], at: i})
 	}
-	for _, g := range d.Servers {
-		for range g.N {
+	for _, g := range d.Backends {
+		for range g.Count {
 			i := len(c.servers)
-			put(&c.servers, &actor{name: fmt.Sprintf("s%d", i), zone: zone(g.Zone, i), kind: g.Kind, ep: proto.EP(i + 1), at: i, group: g})
+			put(&c.servers, &actor{name: fmt.Sprintf("s%d", i), zone: zone(g.Zone, i), kind: g.Kind, ep: proto.BackendID(i + 1), at: i, group: g})
 		}
 	}
-	for n, g := range d.Fronts {
-		factors := traffic.Uneven(g.N, g.Uneven, fake.Seed(d.Seed, fmt.Sprint("uneven ", n)))
-		for k := range g.N {
+	for n, g := range d.Proxies {
+		factors := traffic.LognormalFactors(g.Count, g.RateVariation, fake.DeriveSeed(d.Seed, fmt.Sprint("uneven ", n)))
+		for k := range g.Count {
 			i := len(c.fronts)
-			put(&c.fronts, &actor{name: fmt.Sprintf("f%d", i), zone: zone(g.Zone, i), at: i, rate: g.Rate * factors[k], pick: g.Pick})
+			put(&c.fronts, &actor{name: fmt.Sprintf("f%d", i), zone: zone(g.Zone, i), at: i, rate: g.Rate * factors[k], pick: g.BackendPolicy})
 		}
 	}
 	c.all["list"] = &actor{name: "list", zone: zones[0]}
 	return c
 }
 
-func (c *cast) draw() float64 { return c.dice.Draw() }
+func (c *cast) draw() float64 { return c.dice.Uniform() }
 
 // listings is what the list service knows at the beginning; addr tells where servers are reached.
-func (c *cast) listings(addr func(a *actor) string) (all []fake.Listing) {
+func (c *cast) listings(addr func(a *actor) string) (all []fake.Endpoint) {
 	for _, s := range c.servers {
-		all = append(all, fake.Listing{
-			EP: s.ep, State: proto.ServerOpen, Kind: s.kind, Zone: s.zone, Weight: s.group.Weight,
-			Addr: addr(s), Stamp: 1,
+		all = append(all, fake.Endpoint{
+			Backend: s.ep, State: proto.BackendOpen, Kind: s.kind, Zone: s.zone, Weight: s.group.Weight,
+			Addr: addr(s), Incarnation: 1,
 		})
 	}
 	return all
 }
 
 // server makes an emulated server for its next life.
-func (c *cast) server(a *actor, store *emulator.Store) *emulator.Server {
+func (c *cast) server(a *actor, store *emulator.KeyStore) *emulator.Backend {
 	a.lives++
 	t := c.trade(a, store)
-	t.Cold = a.lives > 1
+	t.StartsCold = a.lives > 1
 	t.Seed += uint64(a.lives)
-	t.Glance = c.glance
-	return emulator.NewServer(t)
+	t.SampleInterval = c.glance
+	return emulator.NewBackend(t)
 }
 
 // trade is what a server of its group is.
-func (c *cast) trade(a *actor, store *emulator.Store) emulator.Trade {
-	b := choice.Config{Settings: choice.DecodeSettings(c.day.Trade.Values)}
+func (c *cast) trade(a *actor, store *emulator.KeyStore) emulator.Config {
+	b := choice.Config{Settings: choice.DecodeSettings(c.day.Settings.Values)}
 	g := a.group
 	work := g.Work
 	work.Mean = float64(g.Workers) / g.Capacity
-	return emulator.Trade{
-		EP: a.ep, Zone: a.zone, Cores: g.Workers, Speed: 1, Work: []emulator.Work{work}, QueueMost: g.Queue,
-		GiveUp: g.GiveUp, ColdShare: b.Settings.ColdShare.Or(0.3), WarmAfter: b.Settings.WarmAfter.Or(10),
-		FallMultiple: b.Settings.FallMultiple.Or(3), FallWindow: b.Settings.FallWindow.Or(1), ProbeWork: work.Mean / 10, ProbesMost: 10,
-		ConnWork: work.Mean / 10, Seed: fake.Seed(c.day.Seed, a.name), Store: store, Ledger: c.ledger,
-		Cell: g.Cell, Connections: g.Conns, Reports: g.Reports, ReportLate: g.Late, ReportNoise: g.Noise, Keys: g.Memory, KeySaves: g.Saves,
+	return emulator.Config{
+		Backend: a.ep, Zone: a.zone, Cores: g.Workers, Speed: 1, Work: []emulator.Work{work}, QueueLimit: g.Queue,
+		CancelPolicy: g.CancelMode, ColdSpeed: b.Settings.ColdShare.Or(0.3), WarmupTime: b.Settings.WarmAfter.Or(10),
+		OverloadMultiple: b.Settings.FallMultiple.Or(3), OverloadWindow: b.Settings.FallWindow.Or(1), ProbeWork: work.Mean / 10, ProbeLimit: 10,
+		ConnWork: work.Mean / 10, Seed: fake.DeriveSeed(c.day.Seed, a.name), KeyStore: store, Executions: c.ledger,
+		Cell: g.Cell, ConnLimit: g.MaxConnections, ReportsLoad: g.Reports, ReportDelay: g.ReportDelay, ReportNoise: g.ReportNoise, CacheSize: g.CacheKeys, CacheSavings: g.CacheSaving,
 	}
 }
 
 func (c *cast) front(a *actor, coords []string) *fake.FrontEnd {
-	b := choice.Config{Settings: choice.DecodeSettings(c.day.Trade.Values)}
+	b := choice.Config{Settings: choice.DecodeSettings(c.day.Settings.Values)}
 	order := make([]string, 0, len(coords))
 	for i := range coords {
 		order = append(order, coords[(a.at+i)%len(coords)])
@@ -158,18 +158,18 @@
 	if a.pick != "" {
 		pick = a.pick
 	}
-	return fake.NewFrontEnd(fake.FrontTrade{
+	return fake.NewFrontEnd(fake.FrontEndConfig{
 		Name: a.name, Zone: a.zone, Coordinators: order, Methods: c.day.methods(),
-		Rate: a.rate, Pick: pick, Begin: c.begin, Shape: c.day.Shape, Keys: c.day.Keys, Strikes: int(b.Settings.Strikes.Or(0)), KeepAway: c.day.KeepAway, TryWait: b.Settings.TryWait.Or(0.8),
-		LineStill: c.day.LineStill, LevelRate: b.Settings.LevelKind == "rate", Period: b.Settings.ReportPeriod.Or(1), Watch: c.glance > 0,
-		ConnectTimeout: c.day.Connect, ComeAgain: c.day.ComeAgain, AgainWait: c.day.AgainWait, AgainMost: c.day.AgainMost, Seed: fake.Seed(c.day.Seed, a.name) + uint64(a.lives),
+		Rate: a.rate, Policy: pick, TrafficStart: c.begin, Shape: c.day.Shape, Keys: c.day.Keys, FailureLimit: int(b.Settings.Strikes.Or(0)), AvoidFor: c.day.EjectionTime, AttemptTimeout: b.Settings.TryWait.Or(0.8),
+		ApplyTimePerEntry: c.day.EntryApplyTime, AdmissionIsRate: b.Settings.LevelKind == "rate", ReportPeriod: b.Settings.ReportPeriod.Or(1), RecordDelay: c.glance > 0,
+		ConnectTimeout: c.day.ConnectTimeout, ClientRetryChance: c.day.ClientRetryShare, ClientRetryBackoff: c.day.ClientRetryDelay, ClientRetryLimit: c.day.ClientRetryMax, Seed: fake.DeriveSeed(c.day.Seed, a.name) + uint64(a.lives),
 	})
 }
 
 // store is what servers share for tokens, as the settings' groups allow.
-func (c *cast) store() *emulator.Store {
-	b := choice.Config{Settings: choice.DecodeSettings(c.day.Trade.Values)}
-	s := &emulator.Store{Group: c.day.Tokens}
+func (c *cast) store() *emulator.KeyStore {
+	b := choice.Config{Settings: choice.DecodeSettings(c.day.Settings.Values)}
+	s := &emulator.KeyStore{Scope: c.day.IdempotencyScope}
 	for _, method := range b.Settings.Methods {
 		s.Window = max(s.Window, method.Window.Or(0))
 	}
@@ -178,8 +178,8 @@
 
 // coordinator is what a coordinator is started with.
 func (c *cast) coordinator(a *actor, now statemachine.Seconds, list string) coordinator.Bootstrap {
-	t := c.day.Trade
-	b := t.Coordinator(now)
+	t := c.day.Settings
+	b := t.CoordinatorConfig(now)
 	values := make(map[string]any, len(t.Values))
 	for k, v := range t.Values {
 		values[k] = v
@@ -190,11 +190,11 @@
 	values["zone"], values["self"], values["coordinators"] = a.zone, float64(a.at), float64(c.day.Coordinators)
 	b.Settings = choice.DecodeSettings(values)
 	a.lives++
-	b.Seed = fake.Seed(c.day.Seed, a.name) + uint64(a.lives)
+	b.Seed = fake.DeriveSeed(c.day.Seed, a.name) + uint64(a.lives)
 	return coordinator.Bootstrap{
-		Name: a.name, Zone: a.zone, EndpointListAddr: list, ModuleConfig: b, HandshakeTimeout: t.Num("handshake"),
-		ProxyIdleTimeout: t.Num("stream-silence"), EndpointListIdleTimeout: t.Num("list-silence"), ProbeTimeout: t.Num("probe-timeout"),
-		MaxStreams: int(t.Num("streams")), MaxProbes: int(t.Num("probes-at-once")),
+		Name: a.name, Zone: a.zone, EndpointListAddr: list, ModuleConfig: b, HandshakeTimeout: t.Number("handshake"),
+		ProxyIdleTimeout: t.Number("stream-silence"), EndpointListIdleTimeout: t.Number("list-silence"), ProbeTimeout: t.Number("probe-timeout"),
+		MaxStreams: int(t.Number("streams")), MaxProbes: int(t.Number("probes-at-once")),
 	}
 }
 
@@ -211,15 +211,15 @@
 	for _, f := range c.fronts {
 		c.up(f)
 	}
-	for _, a := range c.day.Acts {
-		c.stage.At(c.begin+a.At, func() { c.act(a) })
+	for _, a := range c.day.Steps {
+		c.stage.Schedule(c.begin+a.At, func() { c.act(a) })
 	}
 }
 
 func (c *cast) up(a *actor) {
 	a.up = true
 	if a.name[0] == 'c' {
-		c.record(trace.Record{T: c.stage.Now(), Kind: trace.Boot, Who: a.name})
+		c.record(trace.Record{Time: c.stage.Now(), Kind: trace.CoordinatorStarted, Party: a.name})
 	}
 	c.stage.Start(a.name)
 }
@@ -231,9 +231,9 @@
 	}
 	a.up = false
 	c.stage.Kill(a.name)
-	r := trace.Record{T: c.stage.Now(), Kind: trace.Kill, Who: a.name}
+	r := trace.Record{Time: c.stage.Now(), Kind: trace.ProcessKilled, Party: a.name}
 	if a.ep > 0 {
-		r = trace.Record{T: c.stage.Now(), Kind: trace.Gone, EP: a.ep}
+		r = trace.Record{Time: c.stage.Now(), Kind: trace.BackendStopped, Backend: a.ep}
 	}
 	c.record(r)
 }
@@ -248,29 +248,31 @@
 	}
 }
 
-func (c *cast) list(format string, args ...any) { c.stage.Tell("list", fmt.Sprintf(format, args...)) }
+func (c *cast) list(format string, args ...any) {
+	c.stage.SendCommand("list", fmt.Sprintf(format, args...))
+}
 
-func (c *cast) after(span statemachine.Seconds, do func()) { c.stage.At(c.stage.Now()+span, do) }
+func (c *cast) after(span statemachine.Seconds, do func()) { c.stage.Schedule(c.stage.Now()+span, do) }
 
 // then does something at the end of an act that has one.
-func (c *cast) then(a Act, do func()) {
-	if a.For > 0 {
-		c.after(a.For, do)
+func (c *cast) then(a Step, do func()) {
+	if a.Duration > 0 {
+		c.after(a.Duration, do)
 	}
 }
 
 // pick chooses whom an act hits: at random by the day's seed, where only a number or a part is given.
-func (c *cast) pick(from []*actor, p Pick) (hit []*actor) {
+func (c *cast) pick(from []*actor, p Selector) (hit []*actor) {
 	for _, a := range from {
-		if (p.Zone == "" || a.zone == p.Zone) && (p.Kind == "" || a.kind == p.Kind) && (len(p.Index) == 0 || slices.Contains(p.Index, a.at)) {
+		if (p.Zone == "" || a.zone == p.Zone) && (p.Kind == "" || a.kind == p.Kind) && (len(p.Indexes) == 0 || slices.Contains(p.Indexes, a.at)) {
 			hit = append(hit, a)
 		}
 	}
 	n := len(hit)
-	if p.Part > 0 {
-		n = int(p.Part*float64(len(hit)) + 0.5)
-	} else if p.N > 0 {
-		n = min(p.N, n)
+	if p.Share > 0 {
+		n = int(p.Share*float64(len(hit)) + 0.5)
+	} else if p.Count > 0 {
+		n = min(p.Count, n)
 	}
 	for i := range n {
 		j := i + int(c.draw()*float64(len(hit)-i))
@@ -279,33 +281,33 @@
 	return hit[:n]
 }
 
-func (c *cast) act(a Act) {
+func (c *cast) act(a Step) {
 	c.count++
 	id := strconv.Itoa(c.count)
 	text := ""
-	for i, w := range a.Line.Words[2:] {
+	for i, w := range a.Source.Words[2:] {
 		if i > 0 {
 			text += " "
 		}
 		text += w
 	}
 	var hit []*actor
-	switch a.Of {
+	switch a.Target {
 	case "servers":
-		hit = c.pick(c.servers, a.Pick)
+		hit = c.pick(c.servers, a.Selector)
 	case "frontends", "streams":
-		hit = c.pick(c.fronts, a.Pick)
+		hit = c.pick(c.fronts, a.Selector)
 	case "coordinators":
-		hit = c.pick(c.coords, a.Pick)
+		hit = c.pick(c.coords, a.Selector)
 	case "zone":
-		hit = c.pick(c.servers, a.Pick)
+		hit = c.pick(c.servers, a.Selector)
 	}
-	c.record(trace.Record{T: c.stage.Now(), Kind: trace.Trouble, Text: text, X: c.lasts(a, len(hit))})
+	c.record(trace.Record{Time: c.stage.Now(), Kind: trace.FaultInjected, Text: text, Value: c.lasts(a, len(hit))})
 	in := map[string]bool{}
 	for _, x := range hit {
 		in[x.name] = true
 	}
-	by, _ := strconv.ParseFloat(a.By, 64)
+	by, _ := strconv.ParseFloat(a.Argument, 64)
 	switch a.Verb {
 	case "kill", "vanish", "lose":
 		for _, x := range hit {
@@ -314,16 +316,16 @@
 		}
 	case "stall":
 		for _, x := range hit {
-			c.stage.Stall(x.name, a.For)
-			c.record(trace.Record{T: c.stage.Now(), Kind: trace.Stall, Who: x.name, X: a.For})
+			c.stage.Pause(x.name, a.Duration)
+			c.record(trace.Record{Time: c.stage.Now(), Kind: trace.ProcessPaused, Party: x.name, Value: a.Duration})
 		}
 	case "hang", "fast", "part", "method", "from", "dear", "shake", "conns":
 		c.afflict(a, hit)
 	case "pauses":
 		for _, x := range hit {
-			for t := 0.0; t < a.For; t++ {
-				c.after(t+c.draw()*0.5, func() { c.stage.Tell(x.name, "hang") })
-				c.after(t+0.5+min(by, 0.5), func() { c.stage.Tell(x.name, "heal hang") })
+			for t := 0.0; t < a.Duration; t++ {
+				c.after(t+c.draw()*0.5, func() { c.stage.SendCommand(x.name, "hang") })
+				c.after(t+0.5+min(by, 0.5), func() { c.stage.SendCommand(x.name, "heal hang") })
 			}
 		}
 	case "silence":
@@ -333,15 +335,15 @@
 		}
 	case "flap":
 		for i, x := range hit {
-			for t := 0.0; t < a.For; t += 2 * max(by, 0.1) {
+			for t := 0.0; t < a.Duration; t += 2 * max(by, 0.1) {
 				c.after(t, func() {
 					up := func() { c.raise(x) }
-					switch a.With {
+					switch a.FlapMode {
 					case "silence":
 						up = c.hush(x, id+"."+strconv.Itoa(i))
 					case "hang", "fast":
-						c.stage.Tell(x.name, a.With)
-						up = func() { c.stage.Tell(x.name, "heal "+a.With) }
+						c.stage.SendCommand(x.name, a.FlapMode)
+						up = func() { c.stage.SendCommand(x.name, "heal "+a.FlapMode) }
 					default:
 						c.fall(x, true)
 					}
@@ -352,21 +354,21 @@
 	case "deploy":
 		c.deploy(a, hit)
 	case "slow":
-		if a.Of == "servers" {
+		if a.Target == "servers" {
 			c.afflict(a, hit)
 			break
 		}
-		usual := choice.Config{Settings: choice.DecodeSettings(c.day.Trade.Values)}.Settings.PushTime.Or(0.1)
-		c.hinder(a, id, simnet.Hindrance{Delay: (by - 1) * usual}, c.streams(in))
+		usual := choice.Config{Settings: choice.DecodeSettings(c.day.Settings.Values)}.Settings.PushTime.Or(0.1)
+		c.hinder(a, id, simnet.LinkFault{ExtraLatency: (by - 1) * usual}, c.streams(in))
 	case "late":
-		if a.Of == "list" {
+		if a.Target == "list" {
 			c.list("late %g", by)
 			c.then(a, func() { c.list("late 0") })
 			break
 		}
-		c.hinder(a, id, simnet.Hindrance{Delay: by}, c.streams(in))
+		c.hinder(a, id, simnet.LinkFault{ExtraLatency: by}, c.streams(in))
 	case "break":
-		c.stage.Reset(c.streams(in))
+		c.stage.ResetConnections(c.streams(in))
 	case "stale", "fail":
 		c.list("%s on", a.Verb)
 		c.then(a, func() { c.list("%s off", a.Verb) })
@@ -378,11 +380,11 @@
 		}
 		c.then(a, func() { c.list("show all") })
 	case "cut":
-		c.hinder(a, id, simnet.Hindrance{Cut: true}, c.across(a, in))
+		c.hinder(a, id, simnet.LinkFault{Partitioned: true}, c.across(a, in))
 		mark := func(n int) {
-			switch a.Of {
+			switch a.Target {
 			case "zone":
-				c.zoneCut[a.Pick.Zone] += n
+				c.zoneCut[a.Selector.Zone] += n
 			case "servers":
 				for _, x := range hit {
 					x.cutOff += n
@@ -393,18 +395,18 @@
 		c.then(a, func() { mark(-1) })
 	case "load":
 		for _, x := range hit {
-			c.stage.Tell(x.name, fmt.Sprintf("rate %g", x.rate*by))
-			c.then(a, func() { c.stage.Tell(x.name, fmt.Sprintf("rate %g", x.rate)) })
+			c.stage.SendCommand(x.name, fmt.Sprintf("rate %g", x.rate*by))
+			c.then(a, func() { c.stage.SendCommand(x.name, fmt.Sprintf("rate %g", x.rate)) })
 		}
 	}
 }
 
 // lasts tells how long an act's trouble lasts, in seconds.
-func (c *cast) lasts(a Act, hit int) statemachine.Seconds {
-	rest := c.day.Length - a.At
+func (c *cast) lasts(a Step, hit int) statemachine.Seconds {
+	rest := c.day.Duration - a.At
 	switch {
-	case a.For > 0:
-		return min(a.For, rest)
+	case a.Duration > 0:
+		return min(a.Duration, rest)
 	case a.Verb == "break":
 		return 0
 	case a.Verb == "deploy":
@@ -415,7 +417,7 @@
 }
 
 // deploy is how a deploy goes: how long servers drain, how long each is down, and when the next one's turn is.
-func (a Act) deploy() (drain, down, every statemachine.Seconds) {
+func (a Step) deploy() (drain, down, every statemachine.Seconds) {
 	value := func(name string, def float64) float64 {
 		if v, ok := a.More[name]; ok {
 			return v
@@ -428,10 +430,10 @@
 // hush has a server's machine lose its power: its process ends, and nobody hears of it, not even by a reset. What it
 // gives brings it back.
 func (c *cast) hush(x *actor, id string) func() {
-	c.stage.Hinder(id, simnet.Hindrance{Cut: true}, func(a, b string) bool { return a == x.name || b == x.name })
+	c.stage.AddLinkFault(id, simnet.LinkFault{Partitioned: true}, func(a, b string) bool { return a == x.name || b == x.name })
 	c.fall(x, true)
 	return func() {
-		c.stage.Clear(id)
+		c.stage.RemoveLinkFault(id)
 		c.raise(x)
 	}
 }
@@ -440,7 +442,7 @@
 func (c *cast) fall(x *actor, listed bool) {
 	c.kill(x)
 	if x.ep > 0 && listed {
-		c.after(c.day.Notice, func() {
+		c.after(c.day.ExitDetectionDelay, func() {
 			if !x.up {
 				c.list("state %d gone", x.ep)
 			}
@@ -448,44 +450,44 @@
 	}
 }
 
-func (c *cast) afflict(a Act, hit []*actor) {
+func (c *cast) afflict(a Step, hit []*actor) {
 	word := a.Verb
-	by := a.By
+	by := a.Argument
 	switch a.Verb {
 	case "method":
-		by = strconv.Itoa(slices.Index(c.day.Trade.Methods, a.By))
+		by = strconv.Itoa(slices.Index(c.day.Settings.Methods, a.Argument))
 	case "from":
-		by = "c" + a.By
+		by = "c" + a.Argument
 	}
 	if by != "" {
 		word += " " + by
 	}
 	for _, x := range hit {
-		c.stage.Tell(x.name, word)
-		c.then(a, func() { c.stage.Tell(x.name, "heal "+a.Verb) })
+		c.stage.SendCommand(x.name, word)
+		c.then(a, func() { c.stage.SendCommand(x.name, "heal "+a.Verb) })
 	}
 }
 
-func (c *cast) hinder(a Act, id string, h simnet.Hindrance, match func(x, y string) bool) {
-	c.stage.Hinder(id, h, match)
+func (c *cast) hinder(a Step, id string, h simnet.LinkFault, match func(x, y string) bool) {
+	c.stage.AddLinkFault(id, h, match)
 	mark := func(kind string) {
 		for _, f := range c.fronts {
 			for _, x := range c.coords {
-				if h.Cut && (match(f.name, x.name) || match(x.name, f.name)) {
-					c.record(trace.Record{T: c.stage.Now(), Kind: kind, Who: f.name, Of: x.name})
+				if h.Partitioned && (match(f.name, x.name) || match(x.name, f.name)) {
+					c.record(trace.Record{Time: c.stage.Now(), Kind: kind, Party: f.name, Coordinator: x.name})
 				}
 			}
 		}
 		for _, x := range c.coords {
-			if h.Cut && (match("list", x.name) || match(x.name, "list")) {
-				c.record(trace.Record{T: c.stage.Now(), Kind: kind, Who: "list", Of: x.name})
+			if h.Partitioned && (match("list", x.name) || match(x.name, "list")) {
+				c.record(trace.Record{Time: c.stage.Now(), Kind: kind, Party: "list", Coordinator: x.name})
 			}
 		}
 	}
-	mark(trace.Cut)
+	mark(trace.LinkCut)
 	c.then(a, func() {
-		c.stage.Clear(id)
-		mark(trace.Heal)
+		c.stage.RemoveLinkFault(id)
+		mark(trace.LinkRestored)
 	})
 }
 
@@ -494,8 +496,8 @@
 	return func(a, b string) bool { return hit[a] && b[0] == 'c' || hit[b] && a[0] == 'c' }
 }
 
-func (c *cast) across(a Act, hit map[string]bool) func(x, y string) bool {
-	switch a.Of {
+func (c *cast) across(a Step, hit map[string]bool) func(x, y string) bool {
+	switch a.Target {
 	case "list":
 		return func(x, y string) bool { return x == "list" || y == "list" }
 	case "servers":
@@ -507,11 +509,11 @@
 		}
 		return ""
 	}
-	return func(x, y string) bool { return (zone(x) == a.Pick.Zone) != (zone(y) == a.Pick.Zone) }
+	return func(x, y string) bool { return (zone(x) == a.Selector.Zone) != (zone(y) == a.Selector.Zone) }
 }
 
 // deploy takes servers out one after another, with a drain announced, and brings them back cold.
-func (c *cast) deploy(a Act, hit []*actor) {
+func (c *cast) deploy(a Step, hit []*actor) {
 	drain, down, every := a.deploy()
 	for i, x := range hit {
 		c.after(float64(i)*every, func() {
@@ -528,18 +530,18 @@
 }
 
 // finish sorts what was recorded and checks it.
-func finish(d *Day, records []trace.Record, fails []string) (Result, error) {
+func finish(d *Scenario, records []trace.Record, fails []string) (Result, error) {
 	slices.SortStableFunc(records, func(a, b trace.Record) int {
 		switch {
-		case a.T < b.T:
+		case a.Time < b.Time:
 			return -1
-		case a.T > b.T:
+		case a.Time > b.Time:
 			return 1
 		}
 		return 0
 	})
 	report, err := invariant.Check(records, d.Limits())
-	return Result{Day: d, Report: report, Records: records, Fails: fails}, err
+	return Result{Scenario: d, Report: report, Records: records, Failures: fails}, err
 }
 
 // Options of a day in virtual time; the zero value is a plain day.
@@ -548,43 +550,43 @@
 	// Wrap may put another machine in a coordinator's place: one that is spoiled on purpose, to see that it is caught.
 	Wrap func(name string, m statemachine.Machine) statemachine.Machine
 	// Values are given to coordinators in place of the settings' own, to the same end.
-	Values map[string]any
-	Way    Way  // how proxies get their tables
-	Truth  bool // the servers' true state is looked at, too
+	Overrides   map[string]any
+	Tables      TableSource // how proxies get their tables
+	SampleTruth bool        // the servers' true state is looked at, too
 }
 
 // Virtual plays a day in virtual time.
-func Virtual(d *Day, o Options) (Result, error) {
+func PlayVirtual(d *Scenario, o Options) (Result, error) {
 	var records []trace.Record
 	c := newCast(d)
-	c.spoil = o.Values
+	c.spoil = o.Overrides
 	const epoch = 1e6 // any time will do; one that is not 0 shows what takes 0 for "never"
-	w := simnet.New(d.Seed, epoch, d.Same, d.Cross)
+	w := simnet.New(d.Seed, epoch, d.ZoneLatency, d.CrossZoneLatency)
 	c.stage, c.record = w, func(r trace.Record) { records = append(records, r) }
 	w.Trace, w.Log = c.record, o.Log
 	self := func(a *actor) string { return a.name }
 	store := c.store()
-	frost := &fake.Frost{After: epoch + Settled}
-	w.Add("list", c.all["list"].zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
-		return fake.NewList(c.listings(self))
+	frost := &fake.TableFreezer{FreezeAt: epoch + FreezeDelay}
+	w.AddNode("list", c.all["list"].zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
+		return fake.NewEndpointService(c.listings(self))
 	}, "list")
 	for _, a := range c.servers {
-		w.Add(a.name, a.zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return c.server(a, store) }, a.name)
+		w.AddNode(a.name, a.zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return c.server(a, store) }, a.name)
 	}
 	coords := make([]string, 0, len(c.coords))
 	for _, a := range c.coords {
 		coords = append(coords, a.name)
-		w.Add(a.name, a.zone, func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
+		w.AddNode(a.name, a.zone, func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
 			b := c.coordinator(a, now, "list")
-			if o.Way == AllServers {
-				return fake.NewPlain(a.name, "list", d.Trade.Methods, b.ModuleConfig.Settings.ReportPeriod.Or(1))
+			if o.Tables == AllBackends {
+				return fake.NewBaselineCoordinator(a.name, "list", d.Settings.Methods, b.ModuleConfig.Settings.ReportPeriod.Or(1))
 			}
 			kept, err := keptBy(w, a.name)
 			if err != nil {
-				w.Fails = append(w.Fails, fmt.Sprintf("%s: %v", a.name, err))
+				w.Failures = append(w.Failures, fmt.Sprintf("%s: %v", a.name, err))
 			}
 			m := statemachine.Machine(coordinator.NewMachine(b, kept))
-			if o.Way == FrozenStart {
+			if o.Tables == FrozenTables {
 				m = frost.Wrap(m)
 			}
 			if o.Wrap != nil {
@@ -594,26 +596,26 @@
 		}, a.name)
 	}
 	for _, a := range c.fronts {
-		w.Add(a.name, a.zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return c.front(a, coords) })
+		w.AddNode(a.name, a.zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return c.front(a, coords) })
 	}
 	c.start()
-	var truth *Truth
-	if o.Truth {
-		truth = &Truth{}
+	var truth *GroundTruth
+	if o.SampleTruth {
+		truth = &GroundTruth{}
 		c.watch(w, truth)
 	}
-	w.Run(epoch + d.Length)
-	r, err := finish(d, records, w.Fails)
-	r.Truth, r.Twice = truth, c.ledger.Twice
-	r.Steps = w.Steps
+	w.RunUntil(epoch + d.Duration)
+	r, err := finish(d, records, w.Failures)
+	r.Truth, r.DuplicateEffects = truth, c.ledger.Repeated
+	r.MachineSteps = w.Steps
 	return r, err
 }
 
 // keptBy opens a node's store and reads what its last life left.
-func keptBy(w *simnet.World, name string) (*checkpoint.Kept, error) {
-	records, err := w.Records(name)
+func keptBy(w *simnet.Network, name string) (*checkpoint.State, error) {
+	records, err := w.OpenStore(name)
 	if err != nil {
 		return nil, err
 	}
-	return checkpoint.Read(records)
+	return checkpoint.Decode(records)
 }
--- a/internal/scenario/rehearse_test.go
+++ b/internal/scenario/rehearse_test.go
@@ -12,7 +12,7 @@
 	"gingerfork/internal/trace"
 )
 
-func day(t *testing.T, name string) *Day {
+func day(t *testing.T, name string) *Scenario {
 	t.Helper()
 	text, err := File(name + ".day")
 	if err != nil {
@@ -25,7 +25,7 @@
 	return d
 }
 
-func script(t *testing.T, text string) *Day {
+func script(t *testing.T, text string) *Scenario {
 	t.Helper()
 	d, err := Read("test.day", text, File)
 	if err != nil {
@@ -36,18 +36,18 @@
 
 // Each shipped day keeps all rules, with a service that a build that forgets a trouble would not reach.
 func TestShippedDays(t *testing.T) {
-	for _, name := range Shipped() {
-		r, err := Virtual(day(t, name), Options{})
+	for _, name := range Builtin() {
+		r, err := PlayVirtual(day(t, name), Options{})
 		if err != nil {
 			t.Fatal(name, err)
 		}
 		for _, v := range r.Report.Rules {
-			if v.Broken > 0 {
-				t.Errorf("%s: rule %d broke %d times, first at %.3f, %s: %s", name, v.Rule, v.Broken, v.T, v.Who, v.Why)
+			if v.Violations > 0 {
+				t.Errorf("%s: rule %d broke %d times, first at %.3f, %s: %s", name, v.Rule, v.Violations, v.FirstTime, v.Party, v.Reason)
 			}
 		}
-		if len(r.Fails) > 0 || r.Report.Service.Share() < 0.85 || r.Report.Troubles == 0 {
-			t.Errorf("%s: service %.3f, troubles %d, defects %v", name, r.Report.Service.Share(), r.Report.Troubles, r.Fails)
+		if len(r.Failures) > 0 || r.Report.Service.Share() < 0.85 || r.Report.Faults == 0 {
+			t.Errorf("%s: service %.3f, troubles %d, defects %v", name, r.Report.Service.Share(), r.Report.Faults, r.Failures)
 		}
 		t.Logf("%s: service %.3f of %d RPCs", name, r.Report.Service.Share(), r.Report.Service.RPCs)
 	}
@@ -56,9 +56,9 @@
 // Same seed, same trace, to the byte; another seed, another.
 func TestVirtualDaysRepeat(t *testing.T) {
 	play := func(seed uint64) []byte {
-		d := script(t, Random(11))
+		d := script(t, RandomScript(11))
 		d.Seed = seed
-		r, err := Virtual(d, Options{})
+		r, err := PlayVirtual(d, Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -86,9 +86,9 @@
 	if testing.Short() {
 		n = 50
 	}
-	err := Search(context.Background(), 1, n, func(f Found) {
-		if known[f.Seed] != f.What {
-			t.Errorf("seed %d: %s %v\n%s", f.Seed, f.What, f.Result.Fails, f.Script)
+	err := Search(context.Background(), 1, n, func(f Finding) {
+		if known[f.Seed] != f.Violation {
+			t.Errorf("seed %d: %s %v\n%s", f.Seed, f.Violation, f.Result.Failures, f.Script)
 		}
 	}, func(int) {})
 	if err != nil {
@@ -108,7 +108,7 @@
 	var acts []statemachine.Action
 	for _, a := range out.Actions {
 		var r proto.Reader
-		r.Open()
+		r.HandshakeDone()
 		r.Feed(a.Data)
 		m, _ := r.Next()
 		p, ok := m.(proto.Push)
@@ -119,8 +119,8 @@
 		more := s.edit(&p)
 		for i := range more + 1 {
 			s.seqs[a.Conn]++
-			if p.Seq = s.seqs[a.Conn]; i > 0 {
-				p.Ops, p.Marked = nil, false
+			if p.Sequence = s.seqs[a.Conn]; i > 0 {
+				p.Ops, p.HasNonce = nil, false
 			}
 			acts = append(acts, statemachine.Action{Kind: statemachine.ActionWrite, Conn: a.Conn, Data: proto.Append(nil, p)})
 		}
@@ -144,8 +144,8 @@
 
 // A coordinator that is spoiled on purpose is caught, by the rule that it breaks; the same one unspoiled is not.
 func TestSpoiledCoordinatorsAreCaught(t *testing.T) {
-	shuts := func(o proto.Op) bool {
-		return o.Kind == proto.OpWithdraw || o.Kind == proto.OpLine && (o.Lines[0].Weight == 0 || o.Lines[0].Shut)
+	shuts := func(o proto.TableOp) bool {
+		return o.Kind == proto.OpExclude || o.Kind == proto.OpSetEntry && (o.Entries[0].Weight == 0 || o.Entries[0].Excluded)
 	}
 	for name, c := range map[string]struct {
 		rule int
@@ -154,16 +154,16 @@
 		"as it is": {0, func(*proto.Push) int { return 0 }},
 		"a table emptied": {1, func(p *proto.Push) int {
 			for i, o := range p.Ops {
-				if o.Kind == proto.OpLine {
-					p.Ops[i] = proto.Op{Kind: proto.OpClear, Table: o.Table}
+				if o.Kind == proto.OpSetEntry {
+					p.Ops[i] = proto.TableOp{Kind: proto.OpClear, Table: o.Table}
 				}
 			}
 			return 0
 		}},
 		"a non-idempotent RPC repeated": {2, func(p *proto.Push) int {
 			for i, o := range p.Ops {
-				for k := range o.Levels {
-					p.Ops[i].Levels[k].Tries = 2
+				for k := range o.Admissions {
+					p.Ops[i].Admissions[k].Retry = 2
 				}
 			}
 			return 0
@@ -174,17 +174,17 @@
 		}},
 		"a burst of messages": {5, func(*proto.Push) int { return 35 }},
 	} {
-		r, err := Virtual(script(t, spoilDay), Options{Wrap: func(_ string, m statemachine.Machine) statemachine.Machine {
+		r, err := PlayVirtual(script(t, spoilDay), Options{Wrap: func(_ string, m statemachine.Machine) statemachine.Machine {
 			return &spoiled{m, c.edit, map[statemachine.Conn]uint64{}}
 		}})
 		if err != nil {
 			t.Fatal(name, err)
 		}
 		for _, v := range r.Report.Rules {
-			if (v.Broken > 0) != (v.Rule == c.rule) {
-				t.Errorf("%s: rule %d broke %d times: %s", name, v.Rule, v.Broken, v.Why)
+			if (v.Violations > 0) != (v.Rule == c.rule) {
+				t.Errorf("%s: rule %d broke %d times: %s", name, v.Rule, v.Violations, v.Reason)
 			}
-			if v.Rule == c.rule && (v.Record < 1 || v.Who == "" || r.Records[v.Record-1].T != v.T) {
+			if v.Rule == c.rule && (v.Record < 1 || v.Party == "" || r.Records[v.Record-1].Time != v.FirstTime) {
 				t.Errorf("%s: rule %d names no record: %+v", name, v.Rule, v)
 			}
 		}
@@ -194,7 +194,7 @@
 // So is one that takes cold servers for warm.
 func TestColdServerAtFullWeightIsCaught(t *testing.T) {
 	for cold, values := range map[bool]map[string]any{false: nil, true: {"warm_after": 0.001}} {
-		r, err := Virtual(script(t, `
+		r, err := PlayVirtual(script(t, `
 settings perth.conf
 length 20s
 seed 5
@@ -204,13 +204,13 @@
 frontends 3 zone dc-malaga rate 26
 mix 70% 30%
 at 5s deploy servers 4 drain 1s down 1s every 300ms
-`), Options{Values: values})
+`), Options{Overrides: values})
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, v := range r.Report.Rules {
-			if (v.Broken > 0) != (cold && v.Rule == 4) {
-				t.Errorf("cold servers taken for warm: %v, rule %d broke %d times: %s", cold, v.Rule, v.Broken, v.Why)
+			if (v.Violations > 0) != (cold && v.Rule == 4) {
+				t.Errorf("cold servers taken for warm: %v, rule %d broke %d times: %s", cold, v.Rule, v.Violations, v.Reason)
 			}
 		}
 	}
@@ -232,14 +232,14 @@
 
 // A machine that fails is reported, and shrinking keeps what it shrinks.
 func TestFailuresAndShrinking(t *testing.T) {
-	r, err := Virtual(script(t, spoilDay), Options{Wrap: func(_ string, m statemachine.Machine) statemachine.Machine { return &failing{inner: m} }})
-	if err != nil || len(r.Fails) == 0 || !strings.Contains(r.Fails[0], "c0: the module failed") {
-		t.Fatal(err, r.Fails)
+	r, err := PlayVirtual(script(t, spoilDay), Options{Wrap: func(_ string, m statemachine.Machine) statemachine.Machine { return &failing{inner: m} }})
+	if err != nil || len(r.Failures) == 0 || !strings.Contains(r.Failures[0], "c0: the module failed") {
+		t.Fatal(err, r.Failures)
 	}
 	for seed, what := range known {
-		text := Random(seed)
-		short, res := Shrink(text, what, Result{})
-		if len(short) > len(text) || !res.Report.Broken() {
+		text := RandomScript(seed)
+		short, res := Minimize(text, what, Result{})
+		if len(short) > len(text) || !res.Report.Violated() {
 			t.Errorf("seed %d: shrunk to %s", seed, short)
 		}
 		again, _, err := judge(short)
@@ -281,7 +281,7 @@
 // A proxy that joins while all servers are withdrawn holds tables of an earlier stream; it must be told.
 // Found by search (seed 5480): it went on sending.
 func TestProxyThatJoinsAfterTheListEmptied(t *testing.T) {
-	r, err := Virtual(script(t, `
+	r, err := PlayVirtual(script(t, `
 settings perth.conf
 length 8s
 seed 481
@@ -292,11 +292,11 @@
 at 3s kill coordinators 1 for 875ms
 at 4s empty list for 2750ms
 `), Options{})
-	if err != nil || r.Report.Broken() {
+	if err != nil || r.Report.Violated() {
 		t.Fatal(err, r.Report.Rules)
 	}
 	late := slices.ContainsFunc(r.Records, func(x trace.Record) bool {
-		return x.Kind == trace.Apply && strings.HasPrefix(x.Text, "withdraw 1;withdraw 2")
+		return x.Kind == trace.PushApplied && strings.HasPrefix(x.Text, "withdraw 1;withdraw 2")
 	})
 	if !late {
 		t.Fatal("nobody was told that all is withdrawn: the test lost its cause")
--- a/internal/scenario/sockets.go
+++ b/internal/scenario/sockets.go
@@ -23,7 +23,7 @@
 )
 
 // Serving tells how a coordinator's process is started: a command to which the settings file is added.
-type Serving struct {
+type CoordinatorCommand struct {
 	Command []string
 	Env     []string
 	Dir     string // for settings, kept lists and logs; it must exist
@@ -33,7 +33,7 @@
 // loops of this one; between any two of them stands a relay that can hinder what passes.
 type sockets struct {
 	cast    *cast
-	serving Serving
+	serving CoordinatorCommand
 	clock   *eventloop.Clock
 	ctx     context.Context
 	nodes   map[string]*node
@@ -55,7 +55,7 @@
 
 type hindering struct {
 	name  string
-	h     simnet.Hindrance
+	h     simnet.LinkFault
 	match func(a, b string) bool
 }
 
@@ -103,7 +103,7 @@
 }
 
 // Sockets plays a day on sockets, in real time. It ends early, with what was seen so far, when ctx does.
-func Sockets(ctx context.Context, d *Day, serving Serving) (Result, error) {
+func PlaySockets(ctx context.Context, d *Scenario, serving CoordinatorCommand) (Result, error) {
 	c := newCast(d)
 	c.glance, c.ledger = 1, nil // its servers are on loops of their own; the checker finds effects by the trace
 	s := &sockets{cast: c, serving: serving, clock: eventloop.NewClock(), nodes: map[string]*node{}, relays: map[string]*relay{}}
@@ -120,7 +120,7 @@
 		return Result{}, err
 	}
 	c.start()
-	s.run(ctx, c.begin+d.Length)
+	s.run(ctx, c.begin+d.Duration)
 	s.end()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,8 +151,8 @@
 	}
 	list := add(c.all["list"], next(), nil)
 	list.make = func() statemachine.Machine {
-		l := fake.NewList(c.listings(func(a *actor) string { return s.nodes[a.name].addr }))
-		l.Via = func(watcher, addr string) string {
+		l := fake.NewEndpointService(c.listings(func(a *actor) string { return s.nodes[a.name].addr }))
+		l.RewriteAddr = func(watcher, addr string) string {
 			if r := s.relays[watcher]; r != nil {
 				return r.door(names[addr])
 			}
@@ -293,7 +293,7 @@
 
 func (s *sockets) Now() statemachine.Seconds { return s.clock.Now() }
 
-func (s *sockets) At(at statemachine.Seconds, do func()) { s.due = append(s.due, timed{at, do}) }
+func (s *sockets) Schedule(at statemachine.Seconds, do func()) { s.due = append(s.due, timed{at, do}) }
 
 func (s *sockets) Start(name string) {
 	n := s.nodes[name]
@@ -305,7 +305,7 @@
 		_ = n.last.Wait() // it holds the port
 		n.last = nil
 	}
-	b := eventloop.Bootstrap{Machine: n.make(), Clock: s.clock, Via: n.via, Trace: func(all []trace.Record) {
+	b := eventloop.Bootstrap{Machine: n.make(), Clock: s.clock, RewriteDialAddress: n.via, Trace: func(all []trace.Record) {
 		s.mu.Lock()
 		s.records = append(s.records, all...)
 		s.mu.Unlock()
@@ -372,29 +372,29 @@
 	}
 }
 
-func (s *sockets) Stall(name string, span statemachine.Seconds) {
+func (s *sockets) Pause(name string, span statemachine.Seconds) {
 	n := s.nodes[name]
 	if n.cmd == nil {
-		s.Tell(name, fmt.Sprintf("still %g", span))
+		s.SendCommand(name, fmt.Sprintf("still %g", span))
 		return
 	}
 	p := n.cmd.Process
 	_ = p.Signal(syscall.SIGSTOP)
-	s.At(s.Now()+span, func() { _ = p.Signal(syscall.SIGCONT) })
+	s.Schedule(s.Now()+span, func() { _ = p.Signal(syscall.SIGCONT) })
 }
 
-func (s *sockets) Tell(name, text string) {
+func (s *sockets) SendCommand(name, text string) {
 	if n := s.nodes[name]; n != nil && n.loop != nil {
-		n.loop.Tell(text)
+		n.loop.SendCommand(text)
 	}
 }
 
-func (s *sockets) Hinder(name string, h simnet.Hindrance, match func(a, b string) bool) {
+func (s *sockets) AddLinkFault(name string, h simnet.LinkFault, match func(a, b string) bool) {
 	s.rules = append(s.rules, hindering{name, h, match})
 	s.spread()
 }
 
-func (s *sockets) Clear(name string) {
+func (s *sockets) RemoveLinkFault(name string) {
 	s.rules = slices.DeleteFunc(s.rules, func(r hindering) bool { return r.name == name })
 	s.spread()
 }
@@ -403,47 +403,45 @@
 func (s *sockets) spread() {
 	for of, r := range s.relays {
 		for i, to := range r.targets {
-			var h simnet.Hindrance
+			var h simnet.LinkFault
 			for _, x := range s.rules {
 				if x.match(of, to) || x.match(to, of) {
-					h.Cut, h.Drop, h.Delay = h.Cut || x.h.Cut, h.Drop || x.h.Drop, h.Delay+x.h.Delay
-					if x.h.Pace > 0 && (h.Pace == 0 || x.h.Pace < h.Pace) {
-						h.Pace = x.h.Pace
+					h.Partitioned, h.Reset, h.ExtraLatency = h.Partitioned || x.h.Partitioned, h.Reset || x.h.Reset, h.ExtraLatency+x.h.ExtraLatency
+					if x.h.Bandwidth > 0 && (h.Bandwidth == 0 || x.h.Bandwidth < h.Bandwidth) {
+						h.Bandwidth = x.h.Bandwidth
 					}
 				}
 			}
 			bit := map[bool]int{true: 1}
-			word := fmt.Sprintf("set %d %d %d %g %g", i, bit[h.Cut], bit[h.Drop], h.Delay, h.Pace)
-			if r.told[i] != word && (r.told[i] != "" || h != (simnet.Hindrance{})) {
+			word := fmt.Sprintf("set %d %d %d %g %g", i, bit[h.Partitioned], bit[h.Reset], h.ExtraLatency, h.Bandwidth)
+			if r.told[i] != word && (r.told[i] != "" || h != (simnet.LinkFault{})) {
 				r.told[i] = word
-				r.loop.Tell(word)
+				r.loop.SendCommand(word)
 			}
 		}
 	}
 }
 
-func (s *sockets) Reset(match func(a, b string) bool) {
+func (s *sockets) ResetConnections(match func(a, b string) bool) {
 	for of, r := range s.relays {
 		for i, to := range r.targets {
 			if match(of, to) || match(to, of) {
-				r.loop.Tell(fmt.Sprintf("reset %d", i))
+				r.loop.SendCommand(fmt.Sprintf("reset %d", i))
 			}
 		}
 	}
 }
 
 // instance writes the settings of one coordinator of the day.
-func (d *Day) instance(a *actor, listen, list, state string, life int) string {
+func (d *Scenario) instance(a *actor, listen, list, state string, life int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "instance %s\n  zone %s\n  listen %s\n  list-service %s\n  state %s\n  seed %d\n  coordinators %d\n  self %d\n",
-		a.name, a.zone, listen, list, state, (fake.Seed(d.Seed, a.name)+uint64(life))%(1<<50), d.Coordinators, a.at)
+		a.name, a.zone, listen, list, state, (fake.DeriveSeed(d.Seed, a.name)+uint64(life))%(1<<50), d.Coordinators, a.at)
 	in := ""
 	own := []string{"zone", "listen", "list-service", "state", "seed", "coordinators", "self", "peer"}
 	for _, l := range d.lines {
-		for _, s := range bootstrap.Sections {
-			if s.Name == l.Words[0] {
-				in = s.Name
-			}
+		if bootstrap.IsSection(l.Words[0]) {
+			in = l.Words[0]
 		}
 		if l.Words[0] == "instance" || in == "instance" && slices.Contains(own, l.Words[0]) {
 			continue
