--- a/cmd/gingerfork/emulate.go
+++ b/cmd/gingerfork/emulate.go
@@ -161,10 +161,10 @@
 	}
 	m := s.Coordinator(0)
 	b := load.Bootstrap{Proxies: c.Proxies, Rate: c.Rate, Uneven: c.Uneven, To: c.Coordinator, Servers: c.Server, Seed: c.Seed}
-	t := fake.FrontTrade{
-		Methods: fake.Methods(m.Settings.Methods), Pick: m.Settings.Pick, Strikes: int(m.Settings.Strikes.Or(0)), KeepAway: 5,
-		TryWait: m.Settings.TryWait.Or(0.8), LineStill: 0.0002, LevelRate: m.Settings.LevelKind == "rate", Period: m.Settings.ReportPeriod.Or(1),
-		ConnectTimeout: 0.25, AgainMost: c.AtMost,
+	t := fake.FrontEndConfig{
+		Methods: fake.MethodConfigs(m.Settings.Methods), Policy: m.Settings.Pick, FailureLimit: int(m.Settings.Strikes.Or(0)), AvoidFor: 5,
+		AttemptTimeout: m.Settings.TryWait.Or(0.8), ApplyTimePerEntry: 0.0002, AdmissionIsRate: m.Settings.LevelKind == "rate", ReportPeriod: m.Settings.ReportPeriod.Or(1),
+		ConnectTimeout: 0.25, ClientRetryLimit: c.AtMost,
 	}
 	for i, x := range t.Methods {
 		b.Methods = append(b.Methods, invariant.Method{Name: x.Name, Criticality: x.Criticality, SoftDeadline: x.SoftDeadline})
@@ -196,8 +196,8 @@
 	span("for", c.For, &length)
 	share("wave", c.Wave, &t.Shape.Swing)
 	span("over", c.Over, &t.Shape.Day)
-	share("again", c.Again, &t.ComeAgain)
-	span("after", c.After, &t.AgainWait)
+	share("again", c.Again, &t.ClientRetryChance)
+	span("after", c.After, &t.ClientRetryBackoff)
 	if c.Bursts != "" {
 		share("bursts", c.Bursts, &t.Shape.Height)
 		span("every", c.Every, &t.Shape.Every)
--- a/cmd/gingerfork/standin.go
+++ b/cmd/gingerfork/standin.go
@@ -103,7 +103,7 @@
 }
 
 func (c listCmd) Run(ctx context.Context, p *program) error {
-	var all []fake.Listing
+	var all []fake.Endpoint
 	for _, s := range c.Servers {
 		f := strings.Split(s, ",")
 		if len(f) != 4 {
@@ -117,9 +117,9 @@
 		if err != nil {
 			return fmt.Errorf("server %q: weight %w", s, err)
 		}
-		all = append(all, fake.Listing{EP: proto.EP(ep), State: proto.ServerOpen, Zone: f[1], Weight: w, Addr: f[3], Stamp: 1})
+		all = append(all, fake.Endpoint{Backend: proto.EP(ep), State: proto.ServerOpen, Zone: f[1], Weight: w, Addr: f[3], Incarnation: 1})
 	}
-	return c.run(ctx, p, "list", fake.NewList(all), c.Listen)
+	return c.run(ctx, p, "list", fake.NewEndpointService(all), c.Listen)
 }
 
 type frontendCmd struct {
@@ -142,11 +142,11 @@
 			c.Zone = zones[0]
 		}
 	}
-	t := fake.FrontTrade{
-		Name: c.Name, Zone: c.Zone, Coordinators: c.Coordinator, Rate: c.Rate, Pick: b.Settings.Pick,
-		Strikes: int(b.Settings.Strikes.Or(0)), KeepAway: 5, TryWait: b.Settings.TryWait.Or(0.8), LineStill: 0.0002,
-		LevelRate: b.Settings.LevelKind == "rate", Period: b.Settings.ReportPeriod.Or(1), ConnectTimeout: 0.25, Seed: c.Seed,
-		Methods: fake.Methods(b.Settings.Methods),
+	t := fake.FrontEndConfig{
+		Name: c.Name, Zone: c.Zone, Coordinators: c.Coordinator, Rate: c.Rate, Policy: b.Settings.Pick,
+		FailureLimit: int(b.Settings.Strikes.Or(0)), AvoidFor: 5, AttemptTimeout: b.Settings.TryWait.Or(0.8), ApplyTimePerEntry: 0.0002,
+		AdmissionIsRate: b.Settings.LevelKind == "rate", ReportPeriod: b.Settings.ReportPeriod.Or(1), ConnectTimeout: 0.25, Seed: c.Seed,
+		Methods: fake.MethodConfigs(b.Settings.Methods),
 	}
 	return c.run(ctx, p, c.Name, fake.NewFrontEnd(t))
 }
--- a/internal/fake/baseline.go
+++ b/internal/fake/baseline.go
@@ -11,7 +11,7 @@
 // Plain is a coordinator as many fleets run one, to compare with: every proxy has one table of all servers that the
 // list shows as open, at their listed weights, and each change of the list goes to all at once. It watches nobody's
 // health, knows of no warm-up, sets no levels, paces nothing.
-type Plain struct {
+type BaselineCoordinator struct {
 	name    string
 	list    string // its address
 	methods []string
@@ -33,15 +33,15 @@
 }
 
 // NewPlain makes one.
-func NewPlain(name, list string, methods []string, period float64) *Plain {
-	return &Plain{
+func NewBaselineCoordinator(name, list string, methods []string, period float64) *BaselineCoordinator {
+	return &BaselineCoordinator{
 		name: name, list: list, methods: methods, period: period, conns: statemachine.Dialed, open: map[proto.EP]proto.Line{},
 		proxies: map[statemachine.Conn]*plainProxy{},
 	}
 }
 
 // Step implements machine.Machine.
-func (p *Plain) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
+func (p *BaselineCoordinator) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	p.out = out
 	for _, i := range in {
 		switch {
@@ -68,7 +68,7 @@
 	}
 }
 
-func (p *Plain) fromList(now statemachine.Seconds, i statemachine.Input) {
+func (p *BaselineCoordinator) fromList(now statemachine.Seconds, i statemachine.Input) {
 	lost := func() {
 		p.watch, p.retry = 0, now+0.5
 	}
@@ -104,7 +104,7 @@
 	}
 }
 
-func (p *Plain) news(m proto.List) {
+func (p *BaselineCoordinator) news(m proto.List) {
 	var ops []proto.Op
 	set := func(l proto.Line) {
 		if was, held := p.open[l.EP]; was == l || !held && l.Weight == 0 {
@@ -144,7 +144,7 @@
 	}
 }
 
-func (p *Plain) sorted() (all []proto.EP) {
+func (p *BaselineCoordinator) sorted() (all []proto.EP) {
 	for ep := range p.open {
 		all = append(all, ep)
 	}
@@ -152,12 +152,12 @@
 	return all
 }
 
-func (p *Plain) push(c statemachine.Conn, x *plainProxy, ops []proto.Op) {
+func (p *BaselineCoordinator) push(c statemachine.Conn, x *plainProxy, ops []proto.Op) {
 	x.seq++
 	p.out.Write(c, proto.Append(nil, proto.Push{Seq: x.seq, Ops: ops}))
 }
 
-func (p *Plain) fromProxy(c statemachine.Conn, x *plainProxy) {
+func (p *BaselineCoordinator) fromProxy(c statemachine.Conn, x *plainProxy) {
 	for {
 		msg, err := x.reader.Next()
 		if err != nil {
@@ -185,10 +185,10 @@
 
 // Frost freezes what coordinators order, to compare with: from a time on, every proxy keeps the tables that it had then,
 // for good. A coordinator's process that starts later, and a proxy that joins again, are given the same.
-type Frost struct {
-	After statemachine.Seconds
-	held  map[string]map[uint64]*frozen // by proxy and table
-	hello []byte                        // the welcome, as the coordinators gave it
+type TableFreezer struct {
+	FreezeAt statemachine.Seconds
+	held     map[string]map[uint64]*frozen // by proxy and table
+	hello    []byte                        // the welcome, as the coordinators gave it
 }
 
 type frozen struct {
@@ -197,7 +197,7 @@
 }
 
 // Wrap puts a coordinator under the frost.
-func (f *Frost) Wrap(m statemachine.Machine) statemachine.Machine {
+func (f *TableFreezer) Wrap(m statemachine.Machine) statemachine.Machine {
 	if f.held == nil {
 		f.held = map[string]map[uint64]*frozen{}
 	}
@@ -205,7 +205,7 @@
 }
 
 type frosted struct {
-	f     *Frost
+	f     *TableFreezer
 	inner statemachine.Machine
 	ends  map[statemachine.Conn]*frostedEnd
 }
@@ -217,7 +217,7 @@
 
 // Step implements machine.Machine.
 func (x *frosted) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
-	frozen := now >= x.f.After
+	frozen := now >= x.f.FreezeAt
 	for _, i := range in {
 		switch {
 		case i.Kind == statemachine.ConnOpened && i.Conn&statemachine.Dialed == 0:
@@ -240,7 +240,7 @@
 			x.note(e, a.Data)
 		}
 	}
-	out.WakeBy(x.f.After)
+	out.WakeBy(x.f.FreezeAt)
 }
 
 func (x *frosted) read(c statemachine.Conn, e *frostedEnd, data []byte, frozen bool, out *statemachine.Effects) {
@@ -288,7 +288,7 @@
 	}
 }
 
-func (f *Frost) apply(proxy string, o proto.Op) {
+func (f *TableFreezer) apply(proxy string, o proto.Op) {
 	tables := f.held[proxy]
 	if tables == nil {
 		tables = map[uint64]*frozen{}
@@ -321,7 +321,7 @@
 }
 
 // tables are the orders that give a proxy what it had, all that was shut or shed then let in again.
-func (f *Frost) tables(proxy string) (ops []proto.Op) {
+func (f *TableFreezer) tables(proxy string) (ops []proto.Op) {
 	for _, n := range slices.Sorted(maps.Keys(f.held[proxy])) {
 		t := f.held[proxy][n]
 		o := proto.Op{Kind: proto.OpBind, Table: n, Methods: t.methods}
--- a/internal/fake/common.go
+++ b/internal/fake/common.go
@@ -11,7 +11,7 @@
 )
 
 // Seed makes a seed out of one and a name.
-func Seed(of uint64, name string) uint64 {
+func DeriveSeed(of uint64, name string) uint64 {
 	return of<<32 ^ uint64(crc32.ChecksumIEEE([]byte(name)))
 }
 
--- a/internal/fake/crowd.go
+++ b/internal/fake/crowd.go
@@ -10,7 +10,7 @@
 // Crowd is many machines in one, so that a single loop can drive thousands of stand-ins. Each member has as many of the
 // crowd's doors as it asks for, in the order of the members; a script's word goes to the member whose name it begins
 // with, or with * to all.
-type Crowd struct {
+type Multiplexer struct {
 	members []*member
 	byName  map[string]*member
 	door    []*member // by the crowd's doors
@@ -45,12 +45,12 @@
 func (w *wakes) Pop() any          { old := *w; x := old[len(old)-1]; *w = old[:len(old)-1]; return x }
 
 // NewCrowd makes an empty one.
-func NewCrowd() *Crowd {
-	return &Crowd{byName: map[string]*member{}, first: map[*member]int{}, local: map[statemachine.Conn]place{}, dialled: statemachine.Dialed}
+func NewMultiplexer() *Multiplexer {
+	return &Multiplexer{byName: map[string]*member{}, first: map[*member]int{}, local: map[statemachine.Conn]place{}, dialled: statemachine.Dialed}
 }
 
 // Add adds a member before the crowd is first stepped.
-func (c *Crowd) Add(name string, m statemachine.Machine, doors int) {
+func (c *Multiplexer) Add(name string, m statemachine.Machine, doors int) {
 	x := &member{name: name, m: m, outer: map[statemachine.Conn]statemachine.Conn{}}
 	c.members = append(c.members, x)
 	c.byName[name] = x
@@ -62,7 +62,7 @@
 }
 
 // Step implements machine.Machine: only members to whom something came, or who asked for it, are stepped.
-func (c *Crowd) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
+func (c *Multiplexer) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	var busy []*member
 	give := func(x *member, i statemachine.Input) {
 		if len(x.in) == 0 {
@@ -113,7 +113,7 @@
 	}
 }
 
-func (c *Crowd) step(now statemachine.Seconds, x *member, out *statemachine.Effects) {
+func (c *Multiplexer) step(now statemachine.Seconds, x *member, out *statemachine.Effects) {
 	in := x.in
 	x.in = nil
 	c.out.Reset()
--- a/internal/fake/frontend.go
+++ b/internal/fake/frontend.go
@@ -16,31 +16,31 @@
 )
 
 // Effect tells what a second run of an RPC does.
-type Effect uint8
+type Repeatability uint8
 
 // What a second run may do.
 const (
-	Idempotent Effect = iota
-	Tokened
+	Idempotent Repeatability = iota
+	IdempotentWithKey
 	NonIdempotent
 )
 
 // MethodTrade says what a method is.
-type MethodTrade struct {
-	Name         string
-	Effect       Effect
-	Criticality  float64
-	SoftDeadline statemachine.Seconds
-	Deadline     statemachine.Seconds
-	Share        float64 // of the RPCs
+type MethodConfig struct {
+	Name          string
+	Repeatability Repeatability
+	Criticality   float64
+	SoftDeadline  statemachine.Seconds
+	Deadline      statemachine.Seconds
+	Share         float64 // of the RPCs
 }
 
 // Methods are the methods of a fleet's settings, each with an equal share of the RPCs.
-func Methods(methods []choice.MethodSettings) (all []MethodTrade) {
+func MethodConfigs(methods []choice.MethodSettings) (all []MethodConfig) {
 	for _, method := range methods {
-		effect := map[string]Effect{"idempotent": Idempotent, "tokened": Tokened, "non-idempotent": NonIdempotent}[method.Effect]
-		all = append(all, MethodTrade{
-			Name: method.Name, Effect: effect, Criticality: method.Criticality.Or(1),
+		effect := map[string]Repeatability{"idempotent": Idempotent, "tokened": IdempotentWithKey, "non-idempotent": NonIdempotent}[method.Effect]
+		all = append(all, MethodConfig{
+			Name: method.Name, Repeatability: effect, Criticality: method.Criticality.Or(1),
 			SoftDeadline: method.SoftDeadline.Or(1), Deadline: method.Deadline.Or(2), Share: 1 / float64(len(methods)),
 		})
 	}
@@ -48,36 +48,36 @@
 }
 
 // FrontTrade says what a front end is.
-type FrontTrade struct {
-	Name           string
-	Zone           string
-	Coordinators   []string // addresses, tried in this order
-	Methods        []MethodTrade
-	Rate           float64              // RPCs a second that come to it
-	Begin          statemachine.Seconds // of the day, which the traffic's shape goes by; 0: its own first step
-	Shape          traffic.Shape
-	Keys           *traffic.Zipf // nil: RPCs are about nothing
-	Pick           string        // even, weight, pair, or report: the one of two that reported less
-	Strikes        int           // own failures in a row after which it keeps away from a server; 0: never
-	KeepAway       statemachine.Seconds
-	TryWait        float64 // of the soft deadline, what a try that may be followed waits
-	LineStill      statemachine.Seconds
-	LevelRate      bool // levels are rates, not shares
-	Period         statemachine.Seconds
-	Watch          bool         // it tells how late it did what was due
-	Fixed          []proto.Line // its one table, in place of a coordinator's
-	ConnectTimeout statemachine.Seconds
-	Seed           uint64
+type FrontEndConfig struct {
+	Name              string
+	Zone              string
+	Coordinators      []string // addresses, tried in this order
+	Methods           []MethodConfig
+	Rate              float64              // RPCs a second that come to it
+	TrafficStart      statemachine.Seconds // of the day, which the traffic's shape goes by; 0: its own first step
+	Shape             traffic.Shape
+	Keys              *traffic.Zipf // nil: RPCs are about nothing
+	Policy            string        // even, weight, pair, or report: the one of two that reported less
+	FailureLimit      int           // own failures in a row after which it keeps away from a server; 0: never
+	AvoidFor          statemachine.Seconds
+	AttemptTimeout    float64 // of the soft deadline, what a try that may be followed waits
+	ApplyTimePerEntry statemachine.Seconds
+	AdmissionIsRate   bool // levels are rates, not shares
+	ReportPeriod      statemachine.Seconds
+	RecordDelay       bool         // it tells how late it did what was due
+	StaticTable       []proto.Line // its one table, in place of a coordinator's
+	ConnectTimeout    statemachine.Seconds
+	Seed              uint64
 	// Clients whose RPC failed come again, with this chance, after about so long, at most so many times: idempotent and
 	// tokened RPCs after any failure, others only after a push back, which proves that they never ran.
-	ComeAgain float64
-	AgainWait statemachine.Seconds
-	AgainMost int
+	ClientRetryChance  float64
+	ClientRetryBackoff statemachine.Seconds
+	ClientRetryLimit   int
 }
 
 // FrontEnd follows the tables of one coordinator, and sends the RPCs that come to it to servers.
 type FrontEnd struct {
-	trade  FrontTrade
+	trade  FrontEndConfig
 	dice   emulator.Dice
 	source *traffic.Source
 	late   statemachine.Seconds // the most that an arrival was late, since the last report
@@ -180,7 +180,7 @@
 }
 
 // NewFrontEnd makes one.
-func NewFrontEnd(t FrontTrade) *FrontEnd {
+func NewFrontEnd(t FrontEndConfig) *FrontEnd {
 	return &FrontEnd{
 		trade: t, dice: emulator.NewDice(t.Seed), conns: statemachine.Dialed, rate: t.Rate, tables: map[uint64]*sheet{},
 		methods: make([]*sheet, len(t.Methods)), withdrawn: map[proto.EP]bool{}, links: map[proto.EP]*link{},
@@ -197,14 +197,14 @@
 		for m := range f.usage {
 			f.usage[m].Method = uint64(m)
 		}
-		if f.trade.Fixed == nil {
+		if f.trade.StaticTable == nil {
 			f.dial(now)
 		} else {
-			f.do(proto.Op{Kind: proto.OpBind, Lines: f.trade.Fixed}, &strings.Builder{})
+			f.do(proto.Op{Kind: proto.OpBind, Lines: f.trade.StaticTable}, &strings.Builder{})
 		}
-		f.timers.at(now+f.trade.Period*(0.5+f.dice.Draw()), f.report)
-		f.self = Seed(0, fmt.Sprint(f.trade.Name, f.trade.Seed)) << 32
-		begin := f.trade.Begin
+		f.timers.at(now+f.trade.ReportPeriod*(0.5+f.dice.Draw()), f.report)
+		f.self = DeriveSeed(0, fmt.Sprint(f.trade.Name, f.trade.Seed)) << 32
+		begin := f.trade.TrafficStart
 		if begin == 0 {
 			begin = now
 		}
@@ -324,7 +324,7 @@
 			T: now, Kind: trace.Push, Who: f.trade.Name, Of: f.of, Mark: int(m.Mark), N: int64(m.Waiting),
 			X: float64(lines),
 		})
-		f.still = max(f.still, now) + float64(lines)*f.trade.LineStill
+		f.still = max(f.still, now) + float64(lines)*f.trade.ApplyTimePerEntry
 		f.applied = append(f.applied, m)
 		if f.still <= now {
 			f.applied = f.applied[:len(f.applied)-1]
@@ -464,23 +464,23 @@
 
 // report sends what was met since the last one; an empty one too, as a sign of life.
 func (f *FrontEnd) report(now statemachine.Seconds) {
-	f.timers.at(now+f.trade.Period, f.report)
-	if f.trade.Watch {
+	f.timers.at(now+f.trade.ReportPeriod, f.report)
+	if f.trade.RecordDelay {
 		f.out.Record(trace.Record{T: now, Kind: trace.Late, Who: f.trade.Name, X: f.late})
 		f.late = 0
 	}
-	if f.trade.Fixed != nil {
+	if f.trade.StaticTable != nil {
 		f.clearSums(now)
 		return
 	}
 	if !f.joined {
-		if f.stream != 0 && now-f.heard > 4*f.trade.Period {
+		if f.stream != 0 && now-f.heard > 4*f.trade.ReportPeriod {
 			f.out.Abort(f.stream)
 			f.leave(now, "no welcome")
 		}
 		return
 	}
-	if now-f.heard > 4*f.trade.Period {
+	if now-f.heard > 4*f.trade.ReportPeriod {
 		f.out.Abort(f.stream)
 		f.leave(now, "silent for too long")
 		return
@@ -533,7 +533,7 @@
 func (f *FrontEnd) arrive(now statemachine.Seconds, d traffic.Due) {
 	f.count++
 	r := &rpc{id: f.self | f.count, asked: d.At, method: d.Method, key: d.Key}
-	if f.trade.Methods[r.method].Effect == Tokened {
+	if f.trade.Methods[r.method].Repeatability == IdempotentWithKey {
 		r.token = r.id
 	}
 	f.begin(now, r)
@@ -565,7 +565,7 @@
 	if !ok {
 		return true
 	}
-	if !f.trade.LevelRate {
+	if !f.trade.AdmissionIsRate {
 		return l.level >= 1 || f.dice.Draw() < l.level
 	}
 	l.room = min(l.room+(now-l.last)*l.level, max(1, l.level))
@@ -614,7 +614,7 @@
 		}
 		return open[len(open)-1]
 	}
-	switch f.trade.Pick {
+	switch f.trade.Policy {
 	case "pair":
 		a, b := draw(), draw()
 		if f.busy(b.ep) < f.busy(a.ep) {
@@ -652,7 +652,7 @@
 
 // reported is the load that a server reported last, if that is not long ago, else what is known here.
 func (f *FrontEnd) reported(now statemachine.Seconds, ep proto.EP) float64 {
-	if l := f.links[ep]; l != nil && l.told > 0 && now < l.told+f.trade.Period {
+	if l := f.links[ep]; l != nil && l.told > 0 && now < l.told+f.trade.ReportPeriod {
 		return l.load
 	}
 	return float64(f.busy(ep))
@@ -698,7 +698,7 @@
 	}
 	if tries := f.tries(r); tries >= 2 && r.n < int(tries) {
 		try := r.try
-		f.timers.at(now+f.trade.TryWait*f.trade.Methods[r.method].SoftDeadline, func(now statemachine.Seconds) {
+		f.timers.at(now+f.trade.AttemptTimeout*f.trade.Methods[r.method].SoftDeadline, func(now statemachine.Seconds) {
 			if !r.done && r.try == try {
 				// It is given up, though it may run or have run.
 				f.failedTry(now, r, true)
@@ -746,8 +746,8 @@
 		h.fails = 0
 	} else {
 		x.bad++
-		if h.fails++; f.trade.Strikes > 0 && h.fails >= f.trade.Strikes {
-			h = health{0, now + f.trade.KeepAway}
+		if h.fails++; f.trade.FailureLimit > 0 && h.fails >= f.trade.FailureLimit {
+			h = health{0, now + f.trade.AvoidFor}
 		}
 	}
 	if h == (health{}) {
@@ -806,11 +806,11 @@
 
 // comeAgain has the client of an RPC that failed ask once more, as a new RPC with the token of the first.
 func (f *FrontEnd) comeAgain(now statemachine.Seconds, r *rpc, status proto.Status) {
-	safe := f.trade.Methods[r.method].Effect != NonIdempotent || status == proto.PushedBack
-	if status == proto.OK || !safe || r.came >= f.trade.AgainMost || f.dice.Draw() >= f.trade.ComeAgain {
+	safe := f.trade.Methods[r.method].Repeatability != NonIdempotent || status == proto.PushedBack
+	if status == proto.OK || !safe || r.came >= f.trade.ClientRetryLimit || f.dice.Draw() >= f.trade.ClientRetryChance {
 		return
 	}
-	wait := f.trade.AgainWait * float64(int(1)<<min(r.came, 10)) * (0.5 + f.dice.Draw())
+	wait := f.trade.ClientRetryBackoff * float64(int(1)<<min(r.came, 10)) * (0.5 + f.dice.Draw())
 	f.timers.at(now+wait, func(now statemachine.Seconds) {
 		f.count++
 		f.begin(now, &rpc{id: f.self | f.count, method: r.method, asked: now, token: r.token, key: r.key, came: r.came + 1})
--- a/internal/fake/list.go
+++ b/internal/fake/list.go
@@ -13,23 +13,23 @@
 )
 
 // Listing is a server as the list service knows it.
-type Listing struct {
-	EP     proto.EP
-	State  proto.ServerState
-	Kind   string
-	Zone   string
-	Cell   uint64
-	Weight float64
-	Addr   string
-	Start  statemachine.Seconds // of its process; 0: long ago
-	Stamp  uint64
+type Endpoint struct {
+	Backend     proto.EP
+	State       proto.ServerState
+	Kind        string
+	Zone        string
+	Cell        uint64
+	Weight      float64
+	Addr        string
+	Started     statemachine.Seconds // of its process; 0: long ago
+	Incarnation uint64
 }
 
 // List is a list service: numbered versions, whole lists and changes, watchers; and it can be late, stale, wrong, empty
 // or out of order on command.
-type List struct {
-	all      map[proto.EP]Listing
-	past     map[proto.EP]Listing // all that ever were, as last listed
+type EndpointService struct {
+	all      map[proto.EP]Endpoint
+	past     map[proto.EP]Endpoint // all that ever were, as last listed
 	version  uint64
 	history  []change // oldest first
 	watchers map[statemachine.Conn]*watcher
@@ -42,12 +42,12 @@
 	begun    bool
 	out      *statemachine.Effects
 	// Via tells at which address a watcher is to reach a server; nil: at its own.
-	Via func(watcher, addr string) string
+	RewriteAddr func(watcher, addr string) string
 }
 
 type change struct {
 	version uint64
-	entry   Listing
+	entry   Endpoint
 }
 
 type watcher struct {
@@ -61,16 +61,16 @@
 const historyMost = 4096
 
 // NewList makes a list service that shows these servers.
-func NewList(all []Listing) *List {
-	l := &List{all: map[proto.EP]Listing{}, past: map[proto.EP]Listing{}, version: 1, watchers: map[statemachine.Conn]*watcher{}}
+func NewEndpointService(all []Endpoint) *EndpointService {
+	l := &EndpointService{all: map[proto.EP]Endpoint{}, past: map[proto.EP]Endpoint{}, version: 1, watchers: map[statemachine.Conn]*watcher{}}
 	for _, e := range all {
-		l.all[e.EP], l.past[e.EP] = e, e
+		l.all[e.Backend], l.past[e.Backend] = e, e
 	}
 	return l
 }
 
 // Step implements machine.Machine.
-func (l *List) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
+func (l *EndpointService) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	l.out = out
 	if !l.begun {
 		l.begun = true
@@ -114,7 +114,7 @@
 	return all
 }
 
-func (l *List) read(now statemachine.Seconds, w *watcher) {
+func (l *EndpointService) read(now statemachine.Seconds, w *watcher) {
 	for l.watchers[w.conn] == w {
 		msg, err := w.reader.Next()
 		if err != nil {
@@ -144,7 +144,7 @@
 }
 
 // answer to a call: what changed since a version, or all of it.
-func (l *List) answer(now statemachine.Seconds, w *watcher, since uint64) {
+func (l *EndpointService) answer(now statemachine.Seconds, w *watcher, since uint64) {
 	if l.fail {
 		l.out.Write(w.conn, proto.Append(nil, proto.List{Kind: proto.ListError, Reason: "the list service is out of order"}))
 		return
@@ -158,12 +158,12 @@
 }
 
 // deliver sends a watcher what it lacks.
-func (l *List) deliver(now statemachine.Seconds, w *watcher, called bool) {
+func (l *EndpointService) deliver(now statemachine.Seconds, w *watcher, called bool) {
 	if l.stale && !called || l.watchers[w.conn] != w || w.told == l.version && !called {
 		return
 	}
 	m := proto.List{Kind: proto.ListFull, Base: w.told, Version: l.version}
-	var entries []Listing
+	var entries []Endpoint
 	if w.told == 0 || l.wrong != nil {
 		entries = l.shown()
 	} else {
@@ -171,10 +171,10 @@
 		last := map[proto.EP]int{}
 		for _, c := range l.history {
 			if c.version > w.told {
-				if at, ok := last[c.entry.EP]; ok {
+				if at, ok := last[c.entry.Backend]; ok {
 					entries[at] = c.entry
 				} else {
-					last[c.entry.EP] = len(entries)
+					last[c.entry.Backend] = len(entries)
 					entries = append(entries, c.entry)
 				}
 			}
@@ -182,14 +182,14 @@
 	}
 	for _, e := range entries {
 		x := proto.Entry{
-			EP: e.EP, State: e.State, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, Old: e.Start == 0,
-			Stamp: e.Stamp, Addr: e.Addr,
+			EP: e.Backend, State: e.State, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, Old: e.Started == 0,
+			Stamp: e.Incarnation, Addr: e.Addr,
 		}
-		if l.Via != nil {
-			x.Addr = l.Via(w.name, e.Addr)
+		if l.RewriteAddr != nil {
+			x.Addr = l.RewriteAddr(w.name, e.Addr)
 		}
-		if e.Start > 0 {
-			x.Age = max(0, now-e.Start)
+		if e.Started > 0 {
+			x.Age = max(0, now-e.Started)
 		}
 		m.Entries = append(m.Entries, x)
 	}
@@ -202,34 +202,34 @@
 	l.out.Record(trace.Record{T: now, Kind: trace.List, Of: w.name, N: int64(l.version), Text: kind + show(entries)})
 }
 
-func (l *List) shown() (all []Listing) {
+func (l *EndpointService) shown() (all []Endpoint) {
 	for _, e := range l.all {
-		if l.wrong == nil || l.wrong[e.EP] {
+		if l.wrong == nil || l.wrong[e.Backend] {
 			all = append(all, e)
 		}
 	}
-	slices.SortFunc(all, func(a, b Listing) int { return cmp.Compare(a.EP, b.EP) })
+	slices.SortFunc(all, func(a, b Endpoint) int { return cmp.Compare(a.Backend, b.Backend) })
 	return all
 }
 
 // show writes entries for the trace: number, state (o, d or g), start, zone.
-func show(all []Listing) string {
+func show(all []Endpoint) string {
 	var b strings.Builder
 	for _, e := range all {
-		fmt.Fprintf(&b, "%d:%c:%.3f:%s ", e.EP, "god"[e.State], e.Start, e.Zone)
+		fmt.Fprintf(&b, "%d:%c:%.3f:%s ", e.Backend, "god"[e.State], e.Started, e.Zone)
 	}
 	return strings.TrimSuffix(b.String(), " ")
 }
 
 // change makes a new version, and tells the watchers once it is late enough.
-func (l *List) change(now statemachine.Seconds, entries ...Listing) {
+func (l *EndpointService) change(now statemachine.Seconds, entries ...Endpoint) {
 	l.version++
 	for _, e := range entries {
-		l.past[e.EP] = e
+		l.past[e.Backend] = e
 		if e.State == proto.ServerGone {
-			delete(l.all, e.EP)
+			delete(l.all, e.Backend)
 		} else {
-			l.all[e.EP] = e
+			l.all[e.Backend] = e
 		}
 		l.history = append(l.history, change{l.version, e})
 	}
@@ -240,7 +240,7 @@
 	l.spread(now)
 }
 
-func (l *List) spread(now statemachine.Seconds) {
+func (l *EndpointService) spread(now statemachine.Seconds) {
 	tell := func(now statemachine.Seconds) {
 		for _, c := range sortedConns(l.watchers) {
 			if w := l.watchers[c]; w.on {
@@ -259,7 +259,7 @@
 //
 //	state EP open|draining|gone   restart EP ADDR   add EP ZONE KIND CELL WEIGHT ADDR   weight EP W
 //	late SECONDS   fail on|off   stale on|off   show all|none|EP…   break
-func (l *List) told(now statemachine.Seconds, text string) {
+func (l *EndpointService) told(now statemachine.Seconds, text string) {
 	word, rest, _ := strings.Cut(text, " ")
 	args := strings.Fields(rest)
 	arg := func(i int) string {
@@ -283,7 +283,7 @@
 		}
 	case "restart":
 		if e, known = l.past[proto.EP(number(0))]; known {
-			e.State, e.Start, e.Stamp = proto.ServerOpen, now, e.Stamp+1
+			e.State, e.Started, e.Incarnation = proto.ServerOpen, now, e.Incarnation+1
 			if arg(1) != "" {
 				e.Addr = arg(1)
 			}
@@ -291,9 +291,9 @@
 		}
 	case "add":
 		cell, _ := strconv.ParseUint(arg(3), 10, 64)
-		l.change(now, Listing{
-			EP: proto.EP(number(0)), State: proto.ServerOpen, Zone: arg(1), Kind: arg(2), Cell: cell,
-			Weight: number(4), Addr: arg(5), Start: now, Stamp: l.version + 1,
+		l.change(now, Endpoint{
+			Backend: proto.EP(number(0)), State: proto.ServerOpen, Zone: arg(1), Kind: arg(2), Cell: cell,
+			Weight: number(4), Addr: arg(5), Started: now, Incarnation: l.version + 1,
 		})
 	case "late":
 		l.late = number(0)
@@ -326,7 +326,7 @@
 	}
 }
 
-func (l *List) drop(statemachine.Seconds) {
+func (l *EndpointService) drop(statemachine.Seconds) {
 	for _, c := range sortedConns(l.watchers) {
 		l.out.Abort(c)
 		delete(l.watchers, c)
--- a/internal/fake/standin_test.go
+++ b/internal/fake/standin_test.go
@@ -51,7 +51,7 @@
 }
 
 // play runs a front end under one table with servers, and counts tries by server and ends by kind.
-func play(t *testing.T, span float64, trade FrontTrade, h *herald, servers ...emulator.Trade) (tries map[uint32]int, ends map[string]int, all []trace.Record) {
+func play(t *testing.T, span float64, trade FrontEndConfig, h *herald, servers ...emulator.Trade) (tries map[uint32]int, ends map[string]int, all []trace.Record) {
 	t.Helper()
 	w := simnet.New(1, 1e6, 0.0003, 0.0006)
 	tries, ends = map[uint32]int{}, map[string]int{}
@@ -72,9 +72,9 @@
 		w.Add(name, "a", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return emulator.NewServer(s) }, name)
 		w.Start(name)
 	}
-	trade.Name, trade.Zone, trade.Coordinators, trade.Period, trade.ConnectTimeout, trade.Seed = "f0", "a", []string{"c0"}, 1, 0.2, 3
+	trade.Name, trade.Zone, trade.Coordinators, trade.ReportPeriod, trade.ConnectTimeout, trade.Seed = "f0", "a", []string{"c0"}, 1, 0.2, 3
 	if trade.Methods == nil {
-		trade.Methods = []MethodTrade{{Name: "m", Criticality: 1, SoftDeadline: 0.5, Deadline: 2, Share: 1}}
+		trade.Methods = []MethodConfig{{Name: "m", Criticality: 1, SoftDeadline: 0.5, Deadline: 2, Share: 1}}
 	}
 	w.Add("f0", "a", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return NewFrontEnd(trade) })
 	w.Start("f0")
@@ -107,7 +107,7 @@
 
 func TestPicks(t *testing.T) {
 	for pick, most := range map[string]float64{"lottery": 0.03, "even": 0.002} {
-		tries, ends, _ := play(t, 40, FrontTrade{Rate: 100, Pick: pick}, bind(nil, 1, 2, 5), quick(1), quick(2), quick(3))
+		tries, ends, _ := play(t, 40, FrontEndConfig{Rate: 100, Policy: pick}, bind(nil, 1, 2, 5), quick(1), quick(2), quick(3))
 		sum := float64(tries[1] + tries[2] + tries[3])
 		for i, want := range []float64{1.0 / 8, 2.0 / 8, 5.0 / 8} {
 			if got := float64(tries[uint32(i+1)]) / sum; math.Abs(got-want) > most {
@@ -120,7 +120,7 @@
 	}
 	// Of two drawn, the one with fewer RPCs under way: one that is slow gets less than its weight.
 	slow := server(1, 30, 20, 100)
-	tries, _, _ := play(t, 40, FrontTrade{Rate: 60, Pick: "pair"}, bind(nil, 1, 1), slow, quick(2))
+	tries, _, _ := play(t, 40, FrontEndConfig{Rate: 60, Policy: "pair"}, bind(nil, 1, 1), slow, quick(2))
 	if part := float64(tries[1]) / float64(tries[1]+tries[2]); part > 0.35 || part < 0.02 {
 		t.Errorf("pair: the slow server has %.2f of the tries", part)
 	}
@@ -136,7 +136,7 @@
 	}{
 		"once, after proof": {full, 0, false}, "proven, after proof": {full, 1, true}, "proven, without": {hangs, 1, false}, "again, without": {hangs, 2, true},
 	} {
-		_, ends, all := play(t, 20, FrontTrade{Rate: 10, Pick: "lottery", TryWait: 0.8}, bind(&proto.Level{Level: 1, Tries: c.tries}, 1, 1), c.first, quick(2))
+		_, ends, all := play(t, 20, FrontEndConfig{Rate: 10, Policy: "lottery", AttemptTimeout: 0.8}, bind(&proto.Level{Level: 1, Tries: c.tries}, 1, 1), c.first, quick(2))
 		again := 0
 		for _, r := range all {
 			if r.Kind == trace.Try && r.N == 2 {
@@ -153,23 +153,23 @@
 }
 
 func TestLevelsStrikesAndSilence(t *testing.T) {
-	_, ends, _ := play(t, 40, FrontTrade{Rate: 100, Pick: "even"}, bind(&proto.Level{Level: 0.25}, 1), quick(1))
+	_, ends, _ := play(t, 40, FrontEndConfig{Rate: 100, Policy: "even"}, bind(&proto.Level{Level: 0.25}, 1), quick(1))
 	if part := float64(ends["ok"]) / float64(ends["ok"]+ends["pushed back"]); math.Abs(part-0.25) > 0.03 {
 		t.Errorf("a level of a quarter lets in %.3f", part)
 	}
-	_, ends, _ = play(t, 40, FrontTrade{Rate: 100, Pick: "even", LevelRate: true}, bind(&proto.Level{Level: 20}, 1), quick(1))
+	_, ends, _ = play(t, 40, FrontEndConfig{Rate: 100, Policy: "even", AdmissionIsRate: true}, bind(&proto.Level{Level: 20}, 1), quick(1))
 	if n := ends["ok"]; n < 700 || n > 900 {
 		t.Errorf("a level of 20 a second let in %d in 40 s", n)
 	}
 	full := server(1, 1, 0, 0)
-	without, _, _ := play(t, 30, FrontTrade{Rate: 50, Pick: "lottery"}, bind(nil, 1, 1), full, quick(2))
-	with, _, _ := play(t, 30, FrontTrade{Rate: 50, Pick: "lottery", Strikes: 3, KeepAway: 5}, bind(nil, 1, 1), full, quick(2))
+	without, _, _ := play(t, 30, FrontEndConfig{Rate: 50, Policy: "lottery"}, bind(nil, 1, 1), full, quick(2))
+	with, _, _ := play(t, 30, FrontEndConfig{Rate: 50, Policy: "lottery", FailureLimit: 3, AvoidFor: 5}, bind(nil, 1, 1), full, quick(2))
 	if with[1]*5 > without[1] || with[1] < 6 {
 		t.Errorf("with strikes %d tries at a server that pushes all back, %d without", with[1], without[1])
 	}
 	h := bind(nil, 1)
 	h.deaf = true
-	if play(t, 30, FrontTrade{Rate: 1, Pick: "even"}, h, quick(1)); h.hellos < 4 || h.answers != h.hellos {
+	if play(t, 30, FrontEndConfig{Rate: 1, Policy: "even"}, h, quick(1)); h.hellos < 4 || h.answers != h.hellos {
 		t.Errorf("%d hellos and %d answers to a coordinator that falls silent", h.hellos, h.answers)
 	}
 }
@@ -177,7 +177,7 @@
 // Clients whose RPC failed come again as told: others than idempotent ones only after proof that theirs never ran.
 func TestClientsComeAgain(t *testing.T) {
 	for name, c := range map[string]struct {
-		effect Effect
+		effect Repeatability
 		first  emulator.Trade
 		again  bool
 	}{
@@ -185,10 +185,10 @@
 		"non-idempotent, hangs":  {NonIdempotent, server(1, 0.001, 100000, 9), false},
 		"non-idempotent, pushed": {NonIdempotent, server(1, 1, 0, 0), true},
 	} {
-		methods := []MethodTrade{{Name: "m", Effect: c.effect, Criticality: 1, SoftDeadline: 0.3, Deadline: 0.5, Share: 1}}
-		trade := FrontTrade{Rate: 10, Pick: "even", Methods: methods, ComeAgain: 1, AgainWait: 0.1, AgainMost: 2}
+		methods := []MethodConfig{{Name: "m", Repeatability: c.effect, Criticality: 1, SoftDeadline: 0.3, Deadline: 0.5, Share: 1}}
+		trade := FrontEndConfig{Rate: 10, Policy: "even", Methods: methods, ClientRetryChance: 1, ClientRetryBackoff: 0.1, ClientRetryLimit: 2}
 		_, ends, _ := play(t, 30, trade, bind(nil, 1), c.first)
-		trade.ComeAgain = 0
+		trade.ClientRetryChance = 0
 		_, once, _ := play(t, 30, trade, bind(nil, 1), c.first)
 		all, alone := float64(ends["aborted"]+ends["pushed back"]), float64(once["aborted"]+once["pushed back"])
 		if part := all / alone; c.again && (part < 2.7 || part > 3.3) || !c.again && (part < 0.8 || part > 1.25) {
@@ -204,7 +204,7 @@
 	}{{20, false}, {60, true}} {
 		cold := server(1, 60, 10, 200)
 		cold.Cold, cold.ColdShare, cold.WarmAfter, cold.FallMultiple, cold.FallWindow = true, 0.25, 20, 2.5, 1
-		_, ends, all := play(t, 10, FrontTrade{Rate: c.rate, Pick: "even"}, bind(nil, 1), cold)
+		_, ends, all := play(t, 10, FrontEndConfig{Rate: c.rate, Policy: "even"}, bind(nil, 1), cold)
 		fell := 0
 		for _, r := range all {
 			if r.Kind == trace.Fall {
@@ -216,7 +216,7 @@
 		}
 		warm := cold
 		warm.Cold = false
-		if _, ends, _ = play(t, 10, FrontTrade{Rate: c.rate, Pick: "even"}, bind(nil, 1), warm); ends["aborted"] > 0 {
+		if _, ends, _ = play(t, 10, FrontEndConfig{Rate: c.rate, Policy: "even"}, bind(nil, 1), warm); ends["aborted"] > 0 {
 			t.Errorf("a warm one fell at %v: %v", c.rate, ends)
 		}
 	}
@@ -229,8 +229,8 @@
 	hangs.Store = store
 	other := quick(2)
 	other.Store = store
-	methods := []MethodTrade{{Name: "save", Effect: Tokened, Criticality: 1, SoftDeadline: 0.3, Deadline: 2, Share: 1}}
-	_, _, all := play(t, 20, FrontTrade{Rate: 20, Pick: "lottery", TryWait: 0.8, Methods: methods}, bind(&proto.Level{Level: 1, Tries: 2}, 1, 1), hangs, other)
+	methods := []MethodConfig{{Name: "save", Repeatability: IdempotentWithKey, Criticality: 1, SoftDeadline: 0.3, Deadline: 2, Share: 1}}
+	_, _, all := play(t, 20, FrontEndConfig{Rate: 20, Policy: "lottery", AttemptTimeout: 0.8, Methods: methods}, bind(&proto.Level{Level: 1, Tries: 2}, 1, 1), hangs, other)
 	runs, again := map[uint64]int{}, 0
 	for _, r := range all {
 		if r.Kind == trace.Run {
@@ -252,7 +252,7 @@
 
 // The list service tells what changed since a version, all where it can't, and nothing twice.
 func TestListAnswers(t *testing.T) {
-	l := NewList([]Listing{{EP: 1, State: proto.ServerOpen, Addr: "s1", Stamp: 1}, {EP: 2, State: proto.ServerOpen, Addr: "s2", Stamp: 1}})
+	l := NewEndpointService([]Endpoint{{Backend: 1, State: proto.ServerOpen, Addr: "s1", Incarnation: 1}, {Backend: 2, State: proto.ServerOpen, Addr: "s2", Incarnation: 1}})
 	var got []proto.List
 	var r proto.Reader
 	r.Open()
@@ -354,7 +354,7 @@
 
 // A crowd's members are stepped when something is theirs, and keep to themselves.
 func TestCrowd(t *testing.T) {
-	c := NewCrowd()
+	c := NewMultiplexer()
 	for i := range 3 {
 		c.Add(fmt.Sprint("s", i), emulator.NewServer(quick(proto.EP(i+1))), 1)
 	}
--- a/internal/haproxy/proof_test.go
+++ b/internal/haproxy/proof_test.go
@@ -40,7 +40,7 @@
 			after[names[r.EP]]++
 		}
 	}
-	var list []fake.Listing
+	var list []fake.Endpoint
 	numbers := p.Numbers()
 	for _, s := range p.Listed() {
 		ep := numbers[s.Name]
@@ -49,12 +49,14 @@
 		if s.State == Draining {
 			state = proto.ServerDraining
 		}
-		list = append(list, fake.Listing{EP: ep, State: state, Zone: "imported", Weight: float64(max(1, s.Weight)), Addr: s.Name, Stamp: 1})
+		list = append(list, fake.Endpoint{Backend: ep, State: state, Zone: "imported", Weight: float64(max(1, s.Weight)), Addr: s.Name, Incarnation: 1})
 		w.Add(s.Name, "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
 			return emulator.NewServer(emulator.Trade{EP: ep, Zone: "imported", Cores: 64, Speed: 1, Work: []emulator.Work{{Mean: 0.002}}, QueueMost: 1000, Seed: uint64(ep)})
 		}, s.Name)
 	}
-	w.Add("list", "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return fake.NewList(list) }, "list")
+	w.Add("list", "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
+		return fake.NewEndpointService(list)
+	}, "list")
 	w.Add("c0", "imported", func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
 		b := trade.Coordinator(now)
 		b.Seed = 3
@@ -64,7 +66,7 @@
 		}, nil)
 	}, "c0")
 	m := trade.Coordinator(0)
-	methods := fake.Methods(m.Settings.Methods)
+	methods := fake.MethodConfigs(m.Settings.Methods)
 	order := append([]string{"list", "c0"}, func() (all []string) {
 		for _, s := range p.Listed() {
 			all = append(all, s.Name)
@@ -74,9 +76,9 @@
 	for i := range 12 {
 		name := fmt.Sprint("f", i)
 		w.Add(name, "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
-			return fake.NewFrontEnd(fake.FrontTrade{
+			return fake.NewFrontEnd(fake.FrontEndConfig{
 				Name: name, Zone: "imported", Coordinators: []string{"c0"}, Methods: methods, Rate: 60,
-				Pick: m.Settings.Pick, KeepAway: 5, Period: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
+				Policy: m.Settings.Pick, AvoidFor: 5, ReportPeriod: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
 			})
 		})
 		order = append(order, name)
--- a/internal/listing/day_test.go
+++ b/internal/listing/day_test.go
@@ -152,9 +152,9 @@
 	for i := range 8 {
 		name := fmt.Sprint("f", i)
 		w.Add(name, zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
-			return fake.NewFrontEnd(fake.FrontTrade{
+			return fake.NewFrontEnd(fake.FrontEndConfig{
 				Name: name, Zone: zone, Coordinators: []string{fmt.Sprint("c", i%2), fmt.Sprint("c", 1-i%2)},
-				Methods: fake.Methods(m.Settings.Methods), Rate: 15, Pick: m.Settings.Pick, KeepAway: 5, TryWait: 0.8, Period: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
+				Methods: fake.MethodConfigs(m.Settings.Methods), Rate: 15, Policy: m.Settings.Pick, AvoidFor: 5, AttemptTimeout: 0.8, ReportPeriod: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
 			})
 		})
 		w.Start(name)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -22,7 +22,7 @@
 
 // Bootstrap is what a run is started with.
 type Bootstrap struct {
-	Front     fake.FrontTrade // what all proxies are; Name, Rate, Coordinators and Seed are set for each
+	Front     fake.FrontEndConfig // what all proxies are; Name, Rate, Coordinators and Seed are set for each
 	Methods   []invariant.Method
 	Proxies   int
 	Zones     []string // that they are of, by turns
@@ -84,14 +84,14 @@
 	var loops []*eventloop.Loop
 	var err error
 	for k := range n {
-		crowd := fake.NewCrowd()
+		crowd := fake.NewMultiplexer()
 		for i := k; i < b.Proxies; i += n {
 			t := b.Front
 			t.Name = fmt.Sprint("load-", i)
 			t.Rate = b.Rate / float64(b.Proxies) * rates[i]
-			t.Seed = fake.Seed(b.Seed, t.Name)
-			t.Watch, t.Fixed = true, fixed
-			t.Begin = clock.Now()
+			t.Seed = fake.DeriveSeed(b.Seed, t.Name)
+			t.RecordDelay, t.StaticTable = true, fixed
+			t.TrafficStart = clock.Now()
 			if len(b.Zones) > 0 {
 				t.Zone = b.Zones[i%len(b.Zones)]
 			}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -41,9 +41,9 @@
 
 func boot(to []string) Bootstrap {
 	m := []invariant.Method{{Name: "read", Criticality: 1, SoftDeadline: 0.5}}
-	return Bootstrap{Front: fake.FrontTrade{
-		Methods: []fake.MethodTrade{{Name: "read", Criticality: 1, SoftDeadline: 0.5, Deadline: 2, Share: 1}},
-		Pick:    "pair", Period: 0.5, ConnectTimeout: 1,
+	return Bootstrap{Front: fake.FrontEndConfig{
+		Methods: []fake.MethodConfig{{Name: "read", Criticality: 1, SoftDeadline: 0.5, Deadline: 2, Share: 1}},
+		Policy:  "pair", ReportPeriod: 0.5, ConnectTimeout: 1,
 	}, Methods: m, Proxies: 4, Rate: 200, Servers: to, For: 2500 * time.Millisecond, Seed: 3}
 }
 
--- a/internal/measure/emulator.go
+++ b/internal/measure/emulator.go
@@ -73,9 +73,9 @@
 	r, err := load.Run(ctx, load.Bootstrap{
 		Proxies: 4, Rate: rate, Servers: addrs, For: span, Seed: 1,
 		Methods: []invariant.Method{{Name: "read", Criticality: 1, SoftDeadline: 0.5}},
-		Front: fake.FrontTrade{
-			Methods: []fake.MethodTrade{{Name: "read", Criticality: 1, SoftDeadline: 0.5, Deadline: 2, Share: 1}},
-			Pick:    "lottery", Period: 0.5, ConnectTimeout: 2,
+		Front: fake.FrontEndConfig{
+			Methods: []fake.MethodConfig{{Name: "read", Criticality: 1, SoftDeadline: 0.5, Deadline: 2, Share: 1}},
+			Policy:  "lottery", ReportPeriod: 0.5, ConnectTimeout: 2,
 		},
 	})
 	if err != nil {
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -91,12 +91,12 @@
 	if f.dir, err = os.MkdirTemp("", "gingerfork-measure-"); err != nil {
 		return f, err
 	}
-	var all []fake.Listing
-	crowd := fake.NewCrowd()
+	var all []fake.Endpoint
+	crowd := fake.NewMultiplexer()
 	var doors []string
 	for i := range servers {
 		ep := proto.EP(i + 1)
-		all = append(all, fake.Listing{EP: ep, State: proto.ServerOpen, Zone: "a", Weight: 1, Stamp: 1, Addr: "127.0.0.1:1"})
+		all = append(all, fake.Endpoint{Backend: ep, State: proto.ServerOpen, Zone: "a", Weight: 1, Incarnation: 1, Addr: "127.0.0.1:1"})
 		if rate > 0 {
 			crowd.Add(fmt.Sprint("s", i), emulator.NewServer(emulator.Trade{EP: ep, Cores: 8, Speed: 1, Work: []emulator.Work{{Mean: 0.008}}, QueueMost: 100, Seed: uint64(ep)}), 1)
 			doors = append(doors, "127.0.0.1:0")
@@ -110,7 +110,7 @@
 			all[i].Addr = a
 		}
 	}
-	f.list, err = eventloop.Start(ctx, eventloop.Bootstrap{Machine: fake.NewList(all), Listen: []string{"127.0.0.1:0"}, Clock: f.clock, Trace: f.note})
+	f.list, err = eventloop.Start(ctx, eventloop.Bootstrap{Machine: fake.NewEndpointService(all), Listen: []string{"127.0.0.1:0"}, Clock: f.clock, Trace: f.note})
 	if err != nil {
 		return f, err
 	}
@@ -127,11 +127,11 @@
 	if err = f.exec(); err != nil {
 		return f, err
 	}
-	proxies := fake.NewCrowd()
+	proxies := fake.NewMultiplexer()
 	for i := range fronts {
-		proxies.Add(fmt.Sprint("f", i), fake.NewFrontEnd(fake.FrontTrade{
+		proxies.Add(fmt.Sprint("f", i), fake.NewFrontEnd(fake.FrontEndConfig{
 			Name: fmt.Sprint("f", i), Zone: "a", Coordinators: []string{at}, Rate: rate,
-			Methods: fake.Methods(trade.Coordinator(0).Settings.Methods), Pick: "pair", Period: 2, ConnectTimeout: 2, Seed: uint64(i + 1),
+			Methods: fake.MethodConfigs(trade.Coordinator(0).Settings.Methods), Policy: "pair", ReportPeriod: 2, ConnectTimeout: 2, Seed: uint64(i + 1),
 		}), 0)
 	}
 	f.fronts, err = eventloop.Start(ctx, eventloop.Bootstrap{Machine: proxies, Clock: f.clock, Trace: f.note})
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -637,8 +637,8 @@
 }
 
 // methods are the methods as the front ends know them.
-func (d *Day) methods() []fake.MethodTrade {
-	all := fake.Methods(choice.DecodeSettings(d.Trade.Values).Methods)
+func (d *Day) methods() []fake.MethodConfig {
+	all := fake.MethodConfigs(choice.DecodeSettings(d.Trade.Values).Methods)
 	for i := range all {
 		all[i].Share = d.Mix[i]
 	}
--- a/internal/scenario/emulate.go
+++ b/internal/scenario/emulate.go
@@ -149,7 +149,7 @@
 		}
 	}
 	if e.Part <= 1 {
-		list := fake.NewList(c.listings(func(a *actor) string { return e.Addr(a.at) }))
+		list := fake.NewEndpointService(c.listings(func(a *actor) string { return e.Addr(a.at) }))
 		if s.list, err = eventloop.Start(inner, eventloop.Bootstrap{Machine: list, Listen: []string{e.ListAddr()}, Clock: s.clock}); err != nil {
 			return fmt.Errorf("emulate the list service: %w", err)
 		}
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -99,7 +99,7 @@
 		}
 	}
 	for n, g := range d.Fronts {
-		factors := traffic.Uneven(g.N, g.Uneven, fake.Seed(d.Seed, fmt.Sprint("uneven ", n)))
+		factors := traffic.Uneven(g.N, g.Uneven, fake.DeriveSeed(d.Seed, fmt.Sprint("uneven ", n)))
 		for k := range g.N {
 			i := len(c.fronts)
 			put(&c.fronts, &actor{name: fmt.Sprintf("f%d", i), zone: zone(g.Zone, i), at: i, rate: g.Rate * factors[k], pick: g.Pick})
@@ -112,11 +112,11 @@
 func (c *cast) draw() float64 { return c.dice.Draw() }
 
 // listings is what the list service knows at the beginning; addr tells where servers are reached.
-func (c *cast) listings(addr func(a *actor) string) (all []fake.Listing) {
+func (c *cast) listings(addr func(a *actor) string) (all []fake.Endpoint) {
 	for _, s := range c.servers {
-		all = append(all, fake.Listing{
-			EP: s.ep, State: proto.ServerOpen, Kind: s.kind, Zone: s.zone, Weight: s.group.Weight,
-			Addr: addr(s), Stamp: 1,
+		all = append(all, fake.Endpoint{
+			Backend: s.ep, State: proto.ServerOpen, Kind: s.kind, Zone: s.zone, Weight: s.group.Weight,
+			Addr: addr(s), Incarnation: 1,
 		})
 	}
 	return all
@@ -142,7 +142,7 @@
 		EP: a.ep, Zone: a.zone, Cores: g.Workers, Speed: 1, Work: []emulator.Work{work}, QueueMost: g.Queue,
 		GiveUp: g.GiveUp, ColdShare: b.Settings.ColdShare.Or(0.3), WarmAfter: b.Settings.WarmAfter.Or(10),
 		FallMultiple: b.Settings.FallMultiple.Or(3), FallWindow: b.Settings.FallWindow.Or(1), ProbeWork: work.Mean / 10, ProbesMost: 10,
-		ConnWork: work.Mean / 10, Seed: fake.Seed(c.day.Seed, a.name), Store: store, Ledger: c.ledger,
+		ConnWork: work.Mean / 10, Seed: fake.DeriveSeed(c.day.Seed, a.name), Store: store, Ledger: c.ledger,
 		Cell: g.Cell, Connections: g.Conns, Reports: g.Reports, ReportLate: g.Late, ReportNoise: g.Noise, Keys: g.Memory, KeySaves: g.Saves,
 	}
 }
@@ -158,11 +158,11 @@
 	if a.pick != "" {
 		pick = a.pick
 	}
-	return fake.NewFrontEnd(fake.FrontTrade{
+	return fake.NewFrontEnd(fake.FrontEndConfig{
 		Name: a.name, Zone: a.zone, Coordinators: order, Methods: c.day.methods(),
-		Rate: a.rate, Pick: pick, Begin: c.begin, Shape: c.day.Shape, Keys: c.day.Keys, Strikes: int(b.Settings.Strikes.Or(0)), KeepAway: c.day.KeepAway, TryWait: b.Settings.TryWait.Or(0.8),
-		LineStill: c.day.LineStill, LevelRate: b.Settings.LevelKind == "rate", Period: b.Settings.ReportPeriod.Or(1), Watch: c.glance > 0,
-		ConnectTimeout: c.day.Connect, ComeAgain: c.day.ComeAgain, AgainWait: c.day.AgainWait, AgainMost: c.day.AgainMost, Seed: fake.Seed(c.day.Seed, a.name) + uint64(a.lives),
+		Rate: a.rate, Policy: pick, TrafficStart: c.begin, Shape: c.day.Shape, Keys: c.day.Keys, FailureLimit: int(b.Settings.Strikes.Or(0)), AvoidFor: c.day.KeepAway, AttemptTimeout: b.Settings.TryWait.Or(0.8),
+		ApplyTimePerEntry: c.day.LineStill, AdmissionIsRate: b.Settings.LevelKind == "rate", ReportPeriod: b.Settings.ReportPeriod.Or(1), RecordDelay: c.glance > 0,
+		ConnectTimeout: c.day.Connect, ClientRetryChance: c.day.ComeAgain, ClientRetryBackoff: c.day.AgainWait, ClientRetryLimit: c.day.AgainMost, Seed: fake.DeriveSeed(c.day.Seed, a.name) + uint64(a.lives),
 	})
 }
 
@@ -190,7 +190,7 @@
 	values["zone"], values["self"], values["coordinators"] = a.zone, float64(a.at), float64(c.day.Coordinators)
 	b.Settings = choice.DecodeSettings(values)
 	a.lives++
-	b.Seed = fake.Seed(c.day.Seed, a.name) + uint64(a.lives)
+	b.Seed = fake.DeriveSeed(c.day.Seed, a.name) + uint64(a.lives)
 	return coordinator.Bootstrap{
 		Name: a.name, Zone: a.zone, ListAddr: list, Module: b, Handshake: t.Num("handshake"),
 		Silence: t.Num("stream-silence"), ListSilence: t.Num("list-silence"), ProbeTimeout: t.Num("probe-timeout"),
@@ -564,9 +564,9 @@
 	w.Trace, w.Log = c.record, o.Log
 	self := func(a *actor) string { return a.name }
 	store := c.store()
-	frost := &fake.Frost{After: epoch + Settled}
+	frost := &fake.TableFreezer{FreezeAt: epoch + Settled}
 	w.Add("list", c.all["list"].zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
-		return fake.NewList(c.listings(self))
+		return fake.NewEndpointService(c.listings(self))
 	}, "list")
 	for _, a := range c.servers {
 		w.Add(a.name, a.zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return c.server(a, store) }, a.name)
@@ -577,7 +577,7 @@
 		w.Add(a.name, a.zone, func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
 			b := c.coordinator(a, now, "list")
 			if o.Way == AllServers {
-				return fake.NewPlain(a.name, "list", d.Trade.Methods, b.Module.Settings.ReportPeriod.Or(1))
+				return fake.NewBaselineCoordinator(a.name, "list", d.Trade.Methods, b.Module.Settings.ReportPeriod.Or(1))
 			}
 			kept, err := keptBy(w, a.name)
 			if err != nil {
--- a/internal/scenario/sockets.go
+++ b/internal/scenario/sockets.go
@@ -151,8 +151,8 @@
 	}
 	list := add(c.all["list"], next(), nil)
 	list.make = func() statemachine.Machine {
-		l := fake.NewList(c.listings(func(a *actor) string { return s.nodes[a.name].addr }))
-		l.Via = func(watcher, addr string) string {
+		l := fake.NewEndpointService(c.listings(func(a *actor) string { return s.nodes[a.name].addr }))
+		l.RewriteAddr = func(watcher, addr string) string {
 			if r := s.relays[watcher]; r != nil {
 				return r.door(names[addr])
 			}
@@ -436,7 +436,7 @@
 func (d *Day) instance(a *actor, listen, list, state string, life int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "instance %s\n  zone %s\n  listen %s\n  list-service %s\n  state %s\n  seed %d\n  coordinators %d\n  self %d\n",
-		a.name, a.zone, listen, list, state, (fake.Seed(d.Seed, a.name)+uint64(life))%(1<<50), d.Coordinators, a.at)
+		a.name, a.zone, listen, list, state, (fake.DeriveSeed(d.Seed, a.name)+uint64(life))%(1<<50), d.Coordinators, a.at)
 	in := ""
 	own := []string{"zone", "listen", "list-service", "state", "seed", "coordinators", "self", "peer"}
 	for _, l := range d.lines {
