--- a/cmd/gingerfork/emulate.go
+++ b/cmd/gingerfork/emulate.go
@@ -58,10 +58,10 @@
 	line := newLive(p.out)
 	var mu sync.Mutex
 	var late report.Behind
-	e.Figures = func(t emulator.Tally) {
+	e.Figures = func(t emulator.FleetStats) {
 		mu.Lock()
 		defer mu.Unlock()
-		late.Look(t.Late)
+		late.Look(t.MaxDelay)
 		if c.JSON {
 			_ = json.NewEncoder(p.out).Encode(t)
 			return
--- a/cmd/gingerfork/standin.go
+++ b/cmd/gingerfork/standin.go
@@ -80,9 +80,9 @@
 	if err != nil {
 		return err
 	}
-	t := emulator.Trade{
-		EP: c.EP, Cores: c.Workers, Speed: 1, Work: []emulator.Work{work}, QueueMost: c.Queue, GiveUp: emulator.SkipsWait,
-		Cold: c.Cold, ProbeWork: work.Mean / 10, ConnWork: work.Mean / 10, Seed: c.Seed, Store: &emulator.Store{},
+	t := emulator.Config{
+		Backend: c.EP, Cores: c.Workers, Speed: 1, Work: []emulator.Work{work}, QueueLimit: c.Queue, CancelPolicy: emulator.DropQueued,
+		StartsCold: c.Cold, ProbeWork: work.Mean / 10, ConnWork: work.Mean / 10, Seed: c.Seed, KeyStore: &emulator.KeyStore{},
 	}
 	if c.Settings != "" {
 		s, err := bootstrap.Read(c.Settings)
@@ -90,10 +90,10 @@
 			return badError{err}
 		}
 		b := s.Coordinator(0)
-		t.ColdShare, t.WarmAfter = b.Settings.ColdShare.Or(1), b.Settings.WarmAfter.Or(0)
-		t.FallMultiple, t.FallWindow = b.Settings.FallMultiple.Or(0), b.Settings.FallWindow.Or(0)
+		t.ColdSpeed, t.WarmupTime = b.Settings.ColdShare.Or(1), b.Settings.WarmAfter.Or(0)
+		t.OverloadMultiple, t.OverloadWindow = b.Settings.FallMultiple.Or(0), b.Settings.FallWindow.Or(0)
 	}
-	return c.run(ctx, p, fmt.Sprint("server-", c.EP), emulator.NewServer(t), c.Listen)
+	return c.run(ctx, p, fmt.Sprint("server-", c.EP), emulator.NewBackend(t), c.Listen)
 }
 
 type listCmd struct {
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -19,27 +19,27 @@
 	of      map[statemachine.Conn]*member
 	due     fleetDue
 	began   statemachine.Seconds
-	tally   Tally
+	tally   FleetStats
 	second  statemachine.Seconds
-	figures func(Tally)
+	figures func(FleetStats)
 }
 
 // Tally is what a fleet did in about a second, and how it is.
-type Tally struct {
-	T                       statemachine.Seconds // since its start
-	Servers, Up, Cold, Down int                  // Down: fallen, of those that are up
-	Able, Busy              float64              // RPCs a second that it could do, cores' share that is busy
-	Waiting                 int                  // RPCs
-	Ran                     int                  // RPCs begun
-	Near                    float64              // the nearest that a cold server came to falling, of its bound
-	Late                    statemachine.Seconds // the most that anything was done after it was due
+type FleetStats struct {
+	Elapsed                                 statemachine.Seconds // since its start
+	Backends, Running, WarmingUp, Collapsed int                  // Down: fallen, of those that are up
+	Capacity, CoreUsage                     float64              // RPCs a second that it could do, cores' share that is busy
+	Queued                                  int                  // RPCs
+	Executed                                int                  // RPCs begun
+	OverloadRatio                           float64              // the nearest that a cold server came to falling, of its bound
+	MaxDelay                                statemachine.Seconds // the most that anything was done after it was due
 }
 
 type member struct {
 	name  string
-	trade Trade
+	trade Config
 	lives int
-	s     *Server // nil: down
+	s     *Backend // nil: down
 	conns map[statemachine.Conn]bool
 	wake  statemachine.Seconds
 	at    int
@@ -55,13 +55,13 @@
 func (d *fleetDue) Pop() any          { old := *d; x := old[len(old)-1]; *d = old[:len(old)-1]; return x }
 
 // NewFleet makes an empty one; figures, if not nil, is given what it did each second, by the goroutine that steps it.
-func NewFleet(figures func(Tally)) *Fleet {
+func NewFleet(figures func(FleetStats)) *Fleet {
 	return &Fleet{byName: map[string]*member{}, of: map[statemachine.Conn]*member{}, figures: figures, second: statemachine.Never}
 }
 
 // Add adds a server before the fleet is first stepped; its door is the number of those added before it. Its processes
 // after the first start cold.
-func (f *Fleet) Add(name string, t Trade) {
+func (f *Fleet) AddBackend(name string, t Config) {
 	m := &member{name: name, trade: t, conns: map[statemachine.Conn]bool{}, wake: 0}
 	f.members = append(f.members, m)
 	f.byName[name] = m
@@ -71,10 +71,10 @@
 
 func (f *Fleet) start(m *member) {
 	t := m.trade
-	t.Cold = t.Cold || m.lives > 0
+	t.StartsCold = t.StartsCold || m.lives > 0
 	t.Seed += uint64(m.lives)
 	m.lives++
-	m.s = NewServer(t)
+	m.s = NewBackend(t)
 }
 
 // Step implements machine.Machine.
@@ -138,8 +138,8 @@
 		return
 	}
 	if m.s.model != nil {
-		if at := m.s.model.Wake(); !math.IsInf(at, 1) {
-			f.tally.Late = max(f.tally.Late, now-at)
+		if at := m.s.model.NextTimer(); !math.IsInf(at, 1) {
+			f.tally.MaxDelay = max(f.tally.MaxDelay, now-at)
 		}
 	}
 	acts, records := len(out.Actions), len(out.Trace)
@@ -154,9 +154,9 @@
 	for _, r := range out.Trace[records:] {
 		switch r.Kind {
 		case trace.Run:
-			f.tally.Ran++
+			f.tally.Executed++
 		case trace.Offer:
-			f.tally.Near = max(f.tally.Near, r.X)
+			f.tally.OverloadRatio = max(f.tally.OverloadRatio, r.X)
 		}
 	}
 	m.wake = max(out.WakeAt, now+1e-6)
@@ -178,7 +178,7 @@
 		switch {
 		case word == "kill" && m.s != nil:
 			m.s, m.in = nil, nil
-			out.Record(trace.Record{T: now, Kind: trace.Gone, EP: m.trade.EP})
+			out.Record(trace.Record{T: now, Kind: trace.Gone, EP: m.trade.Backend})
 			var conns []statemachine.Conn
 			for c := range m.conns {
 				conns = append(conns, c)
@@ -203,49 +203,49 @@
 // tell reckons the second's figures.
 func (f *Fleet) tell(now statemachine.Seconds) {
 	t := f.tally
-	t.T, t.Servers = now-f.began, len(f.members)
+	t.Elapsed, t.Backends = now-f.began, len(f.members)
 	cores, used := 0, 0.0
 	for _, m := range f.members {
 		if m.s == nil || m.s.model == nil {
 			continue
 		}
-		t.Up++
+		t.Running++
 		if m.s.model.fallen {
-			t.Down++
+			t.Collapsed++
 			continue
 		}
-		if m.s.model.Warmth(now) < 1 {
-			t.Cold++
+		if m.s.model.WarmupFactor(now) < 1 {
+			t.WarmingUp++
 		}
-		t.Able += m.s.model.Able(now, 0)
+		t.Capacity += m.s.model.Capacity(now, 0)
 		_, waiting, share := m.s.model.Load()
-		t.Waiting += waiting
+		t.Queued += waiting
 		cores += m.trade.Cores
 		used += share * float64(m.trade.Cores)
 	}
 	if cores > 0 {
-		t.Busy = used / float64(cores)
+		t.CoreUsage = used / float64(cores)
 	}
-	f.tally = Tally{}
+	f.tally = FleetStats{}
 	if f.figures != nil {
 		f.figures(t)
 	}
 }
 
-func (t Tally) String() string {
+func (t FleetStats) String() string {
 	return fmt.Sprintf("%4.0f s: %d of %d servers up, %d cold, %d fallen; able %.0f RPCs/s, ran %d; cores %.0f%% busy, %d waiting; late %.1f ms",
-		t.T, t.Up, t.Servers, t.Cold, t.Down, t.Able, t.Ran, 100*t.Busy, t.Waiting, 1e3*t.Late)
+		t.Elapsed, t.Running, t.Backends, t.WarmingUp, t.Collapsed, t.Capacity, t.Executed, 100*t.CoreUsage, t.Queued, 1e3*t.MaxDelay)
 }
 
 // Sum adds the figures of another part of the fleet for the same second.
-func (t Tally) Sum(o Tally) Tally {
-	if t.Servers+o.Servers > 0 {
-		t.Busy = (t.Busy*float64(t.Servers) + o.Busy*float64(o.Servers)) / float64(t.Servers+o.Servers)
-	}
-	t.T = max(t.T, o.T)
-	t.Servers, t.Up, t.Cold, t.Down = t.Servers+o.Servers, t.Up+o.Up, t.Cold+o.Cold, t.Down+o.Down
-	t.Able, t.Waiting, t.Ran = t.Able+o.Able, t.Waiting+o.Waiting, t.Ran+o.Ran
-	t.Near, t.Late = max(t.Near, o.Near), max(t.Late, o.Late)
+func (t FleetStats) Add(o FleetStats) FleetStats {
+	if t.Backends+o.Backends > 0 {
+		t.CoreUsage = (t.CoreUsage*float64(t.Backends) + o.CoreUsage*float64(o.Backends)) / float64(t.Backends+o.Backends)
+	}
+	t.Elapsed = max(t.Elapsed, o.Elapsed)
+	t.Backends, t.Running, t.WarmingUp, t.Collapsed = t.Backends+o.Backends, t.Running+o.Running, t.WarmingUp+o.WarmingUp, t.Collapsed+o.Collapsed
+	t.Capacity, t.Queued, t.Executed = t.Capacity+o.Capacity, t.Queued+o.Queued, t.Executed+o.Executed
+	t.OverloadRatio, t.MaxDelay = max(t.OverloadRatio, o.OverloadRatio), max(t.MaxDelay, o.MaxDelay)
 	return t
 }
 
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -14,12 +14,12 @@
 // Reports tell the load as it was a while ago, and not quite; a server that makes none says so.
 func TestLoadReports(t *testing.T) {
 	play := func(late, noise float64, reports bool) (loads []float64) {
-		trade := plain(1, Work{Mean: 0.1, Shape: Fixed})
-		trade.Reports, trade.ReportLate, trade.ReportNoise = reports, late, noise
-		m := New(trade, 0)
+		trade := plain(1, Work{Mean: 0.1, Family: Constant})
+		trade.ReportsLoad, trade.ReportDelay, trade.ReportNoise = reports, late, noise
+		m := NewModel(trade, 0)
 		m.Connect(1, "")
 		for i := range uint64(20) { // twenty at once: the k-th answer leaves 20-k behind
-			m.Ask(1, RPC{ID: i, Left: 100})
+			m.Submit(1, RPC{ID: i, TimeLeft: 100})
 		}
 		for now := 0.0; now < 3; now += 0.05 {
 			for _, e := range m.Advance(now) {
@@ -105,12 +105,12 @@
 // Members of a fleet live and die by themselves: one's end resets its own connections, a new life starts cold, and its
 // door answers nobody meanwhile; bad words are said and change nothing.
 func TestFleet(t *testing.T) {
-	var last Tally
-	f := NewFleet(func(x Tally) { last = x })
+	var last FleetStats
+	f := NewFleet(func(x FleetStats) { last = x })
 	for i := range 3 {
-		trade := plain(2, Work{Mean: 0.02, Shape: Fixed})
-		trade.EP, trade.ColdShare, trade.WarmAfter, trade.FallMultiple, trade.FallWindow = uint32(i+1), 0.3, 5, 50, 1
-		f.Add(fmt.Sprint("s", i), trade)
+		trade := plain(2, Work{Mean: 0.02, Family: Constant})
+		trade.Backend, trade.ColdSpeed, trade.WarmupTime, trade.OverloadMultiple, trade.OverloadWindow = uint32(i+1), 0.3, 5, 50, 1
+		f.AddBackend(fmt.Sprint("s", i), trade)
 	}
 	w := &wire{f: f, now: 100, killed: map[statemachine.Conn]bool{}}
 	hello := proto.Append(nil, proto.Hello{Version: proto.Version, Role: proto.RoleCaller, Name: "x"})
@@ -126,7 +126,7 @@
 		ask(c+1, uint64(c)+1)
 	}
 	w.run(101.5)
-	if w.ok != 3 || last.Up != 3 || last.Ran != 3 || last.Able < 299 || last.Able > 301 {
+	if w.ok != 3 || last.Running != 3 || last.Executed != 3 || last.Capacity < 299 || last.Capacity > 301 {
 		t.Fatalf("%d answered; %v", w.ok, last)
 	}
 	told("s1 kill")
@@ -141,14 +141,14 @@
 	ask(2, 50)
 	ask(1, 51)
 	w.run(103.5)
-	if w.ok != 4 || last.Up != 2 {
+	if w.ok != 4 || last.Running != 2 {
 		t.Errorf("%d answered, %v", w.ok, last)
 	}
 	told("s1 start")
 	open(8, 1)
 	ask(8, 60)
 	w.run(105.6)
-	if w.ok != 5 || last.Up != 3 || last.Cold != 1 || last.Able > 290 {
+	if w.ok != 5 || last.Running != 3 || last.WarmingUp != 1 || last.Capacity > 290 {
 		t.Errorf("%d answered after its return, %v", w.ok, last)
 	}
 	told("s9 hang")
@@ -156,7 +156,7 @@
 	told("* hang")
 	ask(1, 70)
 	w.run(107)
-	if len(w.notes) != 2 || !strings.Contains(w.notes[0], "s9") || last.Able != 0 || w.ok != 5 {
+	if len(w.notes) != 2 || !strings.Contains(w.notes[0], "s9") || last.Capacity != 0 || w.ok != 5 {
 		t.Errorf("notes %q, %v, %d answered", w.notes, last, w.ok)
 	}
 	told("* heal hang")
@@ -170,7 +170,7 @@
 			gone++
 		}
 	}
-	if sum := last.Sum(Tally{T: 3, Servers: 1, Up: 1, Busy: 1, Ran: 2}); gone != 1 || sum.Servers != 4 || sum.Ran != last.Ran+2 {
+	if sum := last.Add(FleetStats{Elapsed: 3, Backends: 1, Running: 1, CoreUsage: 1, Executed: 2}); gone != 1 || sum.Backends != 4 || sum.Executed != last.Executed+2 {
 		t.Errorf("%d ends told, sum %+v", gone, sum)
 	}
 }
@@ -178,8 +178,8 @@
 // What falls behind says so: a fleet that is stepped late tells how late.
 func TestFleetTellsThatItIsLate(t *testing.T) {
 	worst := 0.0
-	f := NewFleet(func(x Tally) { worst = max(worst, x.Late) })
-	f.Add("s0", plain(1, Work{Mean: 0.01, Shape: Fixed}))
+	f := NewFleet(func(x FleetStats) { worst = max(worst, x.MaxDelay) })
+	f.AddBackend("s0", plain(1, Work{Mean: 0.01, Family: Constant}))
 	w := &wire{f: f, now: 10, killed: map[statemachine.Conn]bool{}}
 	w.step(statemachine.Input{Kind: statemachine.ConnOpened, Conn: 1}, statemachine.Input{Kind: statemachine.ConnData, Conn: 1, Data: proto.Append(
 		proto.Append(nil, proto.Hello{Version: proto.Version, Role: proto.RoleCaller, Name: "x"}), proto.RPC{ID: 1, Left: 5})})
@@ -194,18 +194,18 @@
 
 // The chance that an RPC's work fits into a time is the share of draws that do.
 func TestWithin(t *testing.T) {
-	for _, w := range []Work{{Mean: 0.1}, {Mean: 0.1, Shape: Fixed}, {Mean: 0.1, Shape: Lognormal, Param: 1.5}, {Mean: 0.1, Shape: Pareto, Param: 2.5}} {
-		d := NewDice(5)
+	for _, w := range []Work{{Mean: 0.1}, {Mean: 0.1, Family: Constant}, {Mean: 0.1, Family: Lognormal, Param: 1.5}, {Mean: 0.1, Family: Pareto, Param: 2.5}} {
+		d := NewRandom(5)
 		for _, most := range []float64{0.05, 0.09, 0.2, 0.6} {
 			fit := 0.0
 			const n = 50000
 			for range n {
-				if w.Draw(&d) <= most {
+				if w.Sample(&d) <= most {
 					fit++
 				}
 			}
-			if math.Abs(fit/n-w.Within(most)) > 0.012 {
-				t.Errorf("%+v within %v: %.3f of draws, %.3f reckoned", w, most, fit/n, w.Within(most))
+			if math.Abs(fit/n-w.CDF(most)) > 0.012 {
+				t.Errorf("%+v within %v: %.3f of draws, %.3f reckoned", w, most, fit/n, w.CDF(most))
 			}
 		}
 	}
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -11,65 +11,65 @@
 
 // How a try may end.
 const (
-	OK         Status = iota
-	PushedBack        // it never ran
-	Aborted           // it may have run
+	StatusOK       Status = iota
+	StatusRejected        // it never ran
+	StatusAborted         // it may have run
 )
 
 // GiveUp tells what a server does with work whose client has given up, at its deadline or by closing the connection.
-type GiveUp uint8
+type CancelPolicy uint8
 
 // What a server may do with work that was given up.
 const (
-	RunsOn    GiveUp = iota // it neither knows nor cares
-	SkipsWait               // what still waits is dropped when its turn comes
-	Stops                   // what waits is dropped at once, what runs is stopped
+	IgnoreCancel  CancelPolicy = iota // it neither knows nor cares
+	DropQueued                        // what still waits is dropped when its turn comes
+	CancelRunning                     // what waits is dropped at once, what runs is stopped
 )
 
 // Caller is a connection, by the number that whoever drives the model gives it.
-type Caller uint64
+type ConnID uint64
 
 // RPC is one try as it reaches the server.
 type RPC struct {
-	ID     uint64
-	Method int
-	Token  uint64 // 0: none
-	Key    uint64 // 0: none
-	Left   Seconds
+	ID             uint64
+	Method         int
+	IdempotencyKey uint64 // 0: none
+	CacheKey       uint64 // 0: none
+	TimeLeft       Seconds
 }
 
 // Trade says what a server is.
-type Trade struct {
-	EP           uint32
-	Zone         string
-	Cell         int
-	Cores        int
-	Speed        float64 // of a core: seconds of work a second
-	Work         []Work  // by method; the last serves for all beyond
-	QueueMost    int     // RPCs that may wait for a core
-	GiveUp       GiveUp
-	Cold         bool // its process starts now, else long ago
-	ColdShare    float64
-	WarmAfter    Seconds
-	FallMultiple float64
-	FallWindow   Seconds // 0: it never falls
-	Connections  int     // 0: any number
-	ConnWork     Seconds // that a new connection costs
-	ProbeWork    Seconds
-	ProbesMost   int     // at once; 0: any number
-	Reports      bool    // it reports its load with each answer,
-	ReportLate   Seconds // as it was so long ago,
-	ReportNoise  float64 // off by a factor of this coefficient of variation
-	Keys         int     // that it remembers; 0: none
-	KeySaves     float64
-	Glance       Seconds // it tells of itself so often, for whoever watches the rehearsal; 0: never
-	Seed         uint64
-	Store        *Store
-	Ledger       *Ledger
+type Config struct {
+	Backend          uint32
+	Zone             string
+	Cell             int
+	Cores            int
+	Speed            float64 // of a core: seconds of work a second
+	Work             []Work  // by method; the last serves for all beyond
+	QueueLimit       int     // RPCs that may wait for a core
+	CancelPolicy     CancelPolicy
+	StartsCold       bool // its process starts now, else long ago
+	ColdSpeed        float64
+	WarmupTime       Seconds
+	OverloadMultiple float64
+	OverloadWindow   Seconds // 0: it never falls
+	ConnLimit        int     // 0: any number
+	ConnWork         Seconds // that a new connection costs
+	ProbeWork        Seconds
+	ProbeLimit       int     // at once; 0: any number
+	ReportsLoad      bool    // it reports its load with each answer,
+	ReportDelay      Seconds // as it was so long ago,
+	ReportNoise      float64 // off by a factor of this coefficient of variation
+	CacheSize        int     // that it remembers; 0: none
+	CacheSavings     float64
+	SampleInterval   Seconds // it tells of itself so often, for whoever watches the rehearsal; 0: never
+	Seed             uint64
+	KeyStore         *KeyStore
+	Executions       *ExecutionLog
 }
 
 // Capacity is the RPCs a second that it carries when warm, for a mix of methods.
-func (t Trade) Capacity(mix []float64) float64 {
+func (t Config) Capacity(mix []float64) float64 {
 	mean, sum := 0.0, 0.0
 	for m, share := range mix {
 		mean += share * t.work(m).Mean
@@ -78,7 +78,7 @@
 	return float64(t.Cores) * t.Speed * sum / mean
 }
 
-func (t Trade) work(m int) Work { return t.Work[min(m, len(t.Work)-1)] }
+func (t Config) work(m int) Work { return t.Work[min(m, len(t.Work)-1)] }
 
 // Effect is one thing that the model did, for whoever drives it to carry out or record.
 type Effect any
@@ -86,37 +86,37 @@
 type (
 	// Reply ends a try.
 	Reply struct {
-		To     Caller
+		Conn   ConnID
 		ID     uint64
 		Status Status
 		Load   float64 // reported; below 0: nothing is
 	}
 	// Ran tells that an RPC's effect began to take place.
-	Ran struct{ RPC RPC }
+	Executed struct{ RPC RPC }
 	// Probed answers a probe.
-	Probed struct {
-		To     Caller
+	ProbeReply struct {
+		Conn   ConnID
 		ID     uint64
 		Status Status
 	}
 	// Near tells that while cold it was brought so much of what topples it, more than ever before.
-	Near struct {
-		Part float64
-		RPCs int
+	OverloadApproached struct {
+		Ratio float64
+		RPCs  int
 	}
 	// Fell tells that it was brought too much while cold; it is down for good.
-	Fell struct{}
+	Collapsed struct{}
 	// Shut closes a connection without a word.
-	Shut struct{ To Caller }
+	ConnRejected struct{ Conn ConnID }
 )
 
 // Model is one server.
 type Model struct {
-	t       Trade
+	t       Config
 	start   Seconds
 	now     Seconds
-	dice    Dice
-	callers map[Caller]*caller
+	dice    Random
+	callers map[ConnID]*caller
 	queue   []*job
 	running []*job // in the order in which they began
 	timers  timers
@@ -159,7 +159,7 @@
 }
 
 type job struct {
-	from  Caller
+	from  ConnID
 	rpc   RPC
 	end   Seconds // when its client gives up
 	left  Seconds // work still to do
@@ -171,33 +171,33 @@
 }
 
 // New makes a server whose process starts now.
-func New(t Trade, now Seconds) *Model {
-	m := &Model{t: t, start: now, now: now, dice: NewDice(t.Seed), callers: map[Caller]*caller{}, slow: 1, method: -1}
-	if !t.Cold {
-		m.start = now - t.WarmAfter
+func NewModel(t Config, now Seconds) *Model {
+	m := &Model{t: t, start: now, now: now, dice: NewRandom(t.Seed), callers: map[ConnID]*caller{}, slow: 1, method: -1}
+	if !t.StartsCold {
+		m.start = now - t.WarmupTime
 	}
-	m.memory.most = t.Keys
+	m.memory.most = t.CacheSize
 	return m
 }
 
 // Warmth is the share of its speed that it has: it grows evenly from the cold share.
-func (m *Model) Warmth(now Seconds) float64 {
-	if age := now - m.start; age < m.t.WarmAfter {
-		return m.t.ColdShare + (1-m.t.ColdShare)*max(age, 0)/m.t.WarmAfter
+func (m *Model) WarmupFactor(now Seconds) float64 {
+	if age := now - m.start; age < m.t.WarmupTime {
+		return m.t.ColdSpeed + (1-m.t.ColdSpeed)*max(age, 0)/m.t.WarmupTime
 	}
 	return 1
 }
 
 // Fallen tells whether it is down for good.
-func (m *Model) Fallen() bool { return m.fallen }
+func (m *Model) HasCollapsed() bool { return m.fallen }
 
 // done is the work that a core does from a time to another, if nothing hinders it.
 func (m *Model) done(from, to Seconds) Seconds {
-	warm := m.start + m.t.WarmAfter
+	warm := m.start + m.t.WarmupTime
 	sum := 0.0
 	if from < warm {
 		until := min(to, warm)
-		sum = (m.Warmth(from) + m.Warmth(math.Nextafter(until, from))) / 2 * (until - from)
+		sum = (m.WarmupFactor(from) + m.WarmupFactor(math.Nextafter(until, from))) / 2 * (until - from)
 		from = until
 	}
 	if to > from {
@@ -208,10 +208,10 @@
 
 // finish is when a core that begins at a time has done some work: the warming makes it a quadratic.
 func (m *Model) finish(from, work Seconds) Seconds {
-	warm := m.start + m.t.WarmAfter
+	warm := m.start + m.t.WarmupTime
 	need := work * m.slow / m.t.Speed
 	if from < warm {
-		w, slope := m.Warmth(from), (1-m.t.ColdShare)/m.t.WarmAfter
+		w, slope := m.WarmupFactor(from), (1-m.t.ColdSpeed)/m.t.WarmupTime
 		var takes float64
 		if slope < 1e-12 {
 			takes = need / w
@@ -241,7 +241,7 @@
 }
 
 // Wake is when the next thing happens by itself; +Inf: nothing will.
-func (m *Model) Wake() Seconds {
+func (m *Model) NextTimer() Seconds {
 	if len(m.timers) == 0 {
 		return math.Inf(1)
 	}
@@ -256,13 +256,13 @@
 func (m *Model) tell(e Effect) { m.out = append(m.out, e) }
 
 // Connect opens a connection; it is told whose orders its RPCs follow. It may be shut at once.
-func (m *Model) Connect(c Caller, of string) {
-	most := m.t.Connections
+func (m *Model) Connect(c ConnID, of string) {
+	most := m.t.ConnLimit
 	if m.most > 0 {
 		most = m.most
 	}
 	if m.fallen || most > 0 && len(m.callers) >= most {
-		m.tell(Shut{c})
+		m.tell(ConnRejected{c})
 		return
 	}
 	x := &caller{of: of, shaking: m.shake > 0}
@@ -274,7 +274,7 @@
 		m.at(m.now+m.shake, func() {
 			x.shaking = false
 			for _, r := range x.waiting {
-				m.Ask(c, r)
+				m.Submit(c, r)
 			}
 			x.waiting = nil
 		})
@@ -282,22 +282,22 @@
 }
 
 // Follow tells whose orders a connection's RPCs follow from now on.
-func (m *Model) Follow(c Caller, of string) {
+func (m *Model) SetCoordinator(c ConnID, of string) {
 	if x := m.callers[c]; x != nil {
 		x.of = of
 	}
 }
 
 // Disconnect ends a connection: its clients have given up.
-func (m *Model) Disconnect(c Caller) {
+func (m *Model) Disconnect(c ConnID) {
 	delete(m.callers, c)
-	if m.t.GiveUp == RunsOn {
+	if m.t.CancelPolicy == IgnoreCancel {
 		return
 	}
 	for _, j := range m.queue {
 		j.gone = j.gone || j.from == c
 	}
-	if m.t.GiveUp == Stops {
+	if m.t.CancelPolicy == CancelRunning {
 		m.stop(func(j *job) bool { return j.from == c })
 	}
 }
@@ -327,26 +327,26 @@
 // do at present, over the window, and a little more for chance.
 func (m *Model) topple(work Seconds) bool {
 	t := m.t
-	if t.FallWindow <= 0 || m.Warmth(m.now) >= 1 {
+	if t.OverloadWindow <= 0 || m.WarmupFactor(m.now) >= 1 {
 		return false
 	}
 	m.arrived = append(m.arrived, arrival{m.now, work})
 	m.brought += work
-	for m.arrived[0].at < m.now-t.FallWindow {
+	for m.arrived[0].at < m.now-t.OverloadWindow {
 		m.brought -= m.arrived[0].work
 		m.arrived = m.arrived[1:]
 	}
 	mean := t.work(0).Mean
-	bound := t.FallMultiple*m.Warmth(m.now)*t.Speed*float64(t.Cores)/m.slow*t.FallWindow + 2*mean
+	bound := t.OverloadMultiple*m.WarmupFactor(m.now)*t.Speed*float64(t.Cores)/m.slow*t.OverloadWindow + 2*mean
 	if part := m.brought / bound; part > m.worst+0.05 {
 		m.worst = part
-		m.tell(Near{part, len(m.arrived)})
+		m.tell(OverloadApproached{part, len(m.arrived)})
 	}
 	return m.brought > bound
 }
 
 // Ask brings a try.
-func (m *Model) Ask(c Caller, r RPC) {
+func (m *Model) Submit(c ConnID, r RPC) {
 	x := m.callers[c]
 	if x == nil || m.fallen {
 		return
@@ -355,8 +355,8 @@
 		x.waiting = append(x.waiting, r)
 		return
 	}
-	work := m.t.work(r.Method).Draw(&m.dice)
-	if m.dear > 0 && m.dice.Draw() < 0.1 {
+	work := m.t.work(r.Method).Sample(&m.dice)
+	if m.dear > 0 && m.dice.Uniform() < 0.1 {
 		work *= m.dear
 	}
 	if m.topple(work) {
@@ -364,19 +364,19 @@
 		return
 	}
 	switch {
-	case m.hung > 0 && len(m.queue) >= m.t.QueueMost:
+	case m.hung > 0 && len(m.queue) >= m.t.QueueLimit:
 		// It hangs and does not even push back.
-	case m.fast, m.method == r.Method, m.from != "" && m.from == x.of, m.part > 0 && m.dice.Draw() < m.part:
-		m.at(m.now+0.002, func() { m.answer(c, r.ID, Aborted) })
-	case m.draining, len(m.queue) >= m.t.QueueMost && len(m.running) >= m.t.Cores:
-		m.answer(c, r.ID, PushedBack)
+	case m.fast, m.method == r.Method, m.from != "" && m.from == x.of, m.part > 0 && m.dice.Uniform() < m.part:
+		m.at(m.now+0.002, func() { m.answer(c, r.ID, StatusAborted) })
+	case m.draining, len(m.queue) >= m.t.QueueLimit && len(m.running) >= m.t.Cores:
+		m.answer(c, r.ID, StatusRejected)
 	default:
-		if m.t.Keys > 0 && r.Key != 0 && m.memory.seen(r.Key) {
-			work *= 1 - m.t.KeySaves
+		if m.t.CacheSize > 0 && r.CacheKey != 0 && m.memory.seen(r.CacheKey) {
+			work *= 1 - m.t.CacheSavings
 		}
-		j := &job{from: c, rpc: r, end: m.now + r.Left, left: work}
+		j := &job{from: c, rpc: r, end: m.now + r.TimeLeft, left: work}
 		m.queue = append(m.queue, j)
-		if m.t.GiveUp == Stops {
+		if m.t.CancelPolicy == CancelRunning {
 			m.at(j.end, func() {
 				j.gone = true
 				m.stop(func(x *job) bool { return x == j })
@@ -386,7 +386,7 @@
 	}
 }
 
-func (m *Model) answer(c Caller, id uint64, s Status) {
+func (m *Model) answer(c ConnID, id uint64, s Status) {
 	if m.callers[c] != nil {
 		m.tell(Reply{c, id, s, m.report()})
 	}
@@ -394,7 +394,7 @@
 
 func (m *Model) fall() {
 	m.fallen = true
-	m.tell(Fell{})
+	m.tell(Collapsed{})
 	m.queue, m.running, m.timers = nil, nil, nil
 	clear(m.callers)
 }
@@ -405,13 +405,13 @@
 		j := m.queue[0]
 		m.queue[0] = nil
 		m.queue = m.queue[1:]
-		if m.t.GiveUp != RunsOn && (j.gone || m.now > j.end) {
+		if m.t.CancelPolicy != IgnoreCancel && (j.gone || m.now > j.end) {
 			continue
 		}
-		if !j.probe && (j.rpc.Token == 0 || m.t.Store == nil || m.t.Store.First(j.rpc.Token, m.t, m.now)) {
-			m.tell(Ran{j.rpc})
-			if m.t.Ledger != nil {
-				m.t.Ledger.Note(j.rpc, m.t.EP, m.now)
+		if !j.probe && (j.rpc.IdempotencyKey == 0 || m.t.KeyStore == nil || m.t.KeyStore.FirstUse(j.rpc.IdempotencyKey, m.t, m.now)) {
+			m.tell(Executed{j.rpc})
+			if m.t.Executions != nil {
+				m.t.Executions.Record(j.rpc, m.t.Backend, m.now)
 			}
 		}
 		j.began, j.since = m.now, m.now
@@ -439,7 +439,7 @@
 		}
 	}
 	if !j.probe {
-		m.answer(j.from, j.rpc.ID, OK)
+		m.answer(j.from, j.rpc.ID, StatusOK)
 	}
 	m.dispatch()
 }
@@ -466,12 +466,12 @@
 func (m *Model) Drain() { m.draining = true }
 
 // Probe asks whether it answers. A probe waits its turn like any work.
-func (m *Model) Probe(c Caller, id uint64) {
+func (m *Model) Probe(c ConnID, id uint64) {
 	if m.callers[c] == nil || m.fallen || m.hung > 0 {
 		return
 	}
-	if m.draining || m.t.ProbesMost > 0 && m.probes >= m.t.ProbesMost {
-		m.tell(Probed{c, id, PushedBack})
+	if m.draining || m.t.ProbeLimit > 0 && m.probes >= m.t.ProbeLimit {
+		m.tell(ProbeReply{c, id, StatusRejected})
 		return
 	}
 	m.probes++
@@ -483,20 +483,20 @@
 	m.at(m.finish(m.now, ahead/float64(m.t.Cores)+m.t.ProbeWork), func() {
 		m.probes--
 		if m.callers[c] != nil && m.hung == 0 {
-			m.tell(Probed{c, id, OK})
+			m.tell(ProbeReply{c, id, StatusOK})
 		}
 	})
 }
 
 // report is the load as it is reported with an answer: late, and not quite true.
 func (m *Model) report() float64 {
-	if !m.t.Reports {
+	if !m.t.ReportsLoad {
 		return -1
 	}
 	load := m.underWay()
-	if m.t.ReportLate > 0 {
+	if m.t.ReportDelay > 0 {
 		m.loads = append(m.loads, loadAt{m.now, load})
-		then := m.now - m.t.ReportLate
+		then := m.now - m.t.ReportDelay
 		for len(m.loads) > 1 && m.loads[1].at <= then {
 			m.loads = m.loads[1:]
 		}
@@ -518,7 +518,7 @@
 
 // Able is the RPCs a second of a method that it could do at present, all work of its troubles counted; callers that are
 // refused or hear nothing are not its matter.
-func (m *Model) Able(now Seconds, method int) float64 {
+func (m *Model) Capacity(now Seconds, method int) float64 {
 	if m.fallen || m.hung > 0 || m.fast || m.method == method {
 		return 0
 	}
@@ -526,7 +526,7 @@
 	if m.dear > 0 {
 		mean *= 0.9 + 0.1*m.dear
 	}
-	return float64(m.t.Cores) * m.t.Speed * m.Warmth(now) / m.slow / mean * (1 - m.part)
+	return float64(m.t.Cores) * m.t.Speed * m.WarmupFactor(now) / m.slow / mean * (1 - m.part)
 }
 
 // Load is what a load report says: RPCs under way, waiting, and the share of its cores that are busy.
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -13,8 +13,8 @@
 )
 
 // Server is an emulated server with its protocol. It is a machine.
-type Server struct {
-	trade   Trade
+type Backend struct {
+	trade   Config
 	model   *Model
 	readers map[statemachine.Conn]*proto.Reader
 	out     *statemachine.Effects
@@ -23,31 +23,31 @@
 }
 
 // NewServer makes one, whose process starts at its first step.
-func NewServer(t Trade) *Server {
-	return &Server{trade: t, readers: map[statemachine.Conn]*proto.Reader{}}
+func NewBackend(t Config) *Backend {
+	return &Backend{trade: t, readers: map[statemachine.Conn]*proto.Reader{}}
 }
 
 // Step implements machine.Machine.
-func (s *Server) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
+func (s *Backend) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	s.out = out
 	if s.model == nil {
-		s.model = New(s.trade, now)
-		if s.trade.Cold {
-			out.Record(trace.Record{T: now, Kind: trace.Start, EP: s.trade.EP, X: s.trade.Capacity([]float64{1})})
+		s.model = NewModel(s.trade, now)
+		if s.trade.StartsCold {
+			out.Record(trace.Record{T: now, Kind: trace.Start, EP: s.trade.Backend, X: s.trade.Capacity([]float64{1})})
 		}
 	}
-	s.late = max(s.late, now-s.model.Wake())
+	s.late = max(s.late, now-s.model.NextTimer())
 	s.do(now, s.model.Advance(now))
 	for _, i := range in {
 		switch i.Kind {
 		case statemachine.ConnOpened:
 			s.readers[i.Conn] = &proto.Reader{}
-			s.model.Connect(Caller(i.Conn), "")
+			s.model.Connect(ConnID(i.Conn), "")
 		case statemachine.ConnClosed:
 			delete(s.readers, i.Conn)
-			s.model.Disconnect(Caller(i.Conn))
+			s.model.Disconnect(ConnID(i.Conn))
 		case statemachine.OperatorCommand:
-			if err := s.Tell(i.Text); err != nil {
+			if err := s.Command(i.Text); err != nil {
 				out.Log(2, "word not taken", "word", i.Text, "cause", err.Error())
 			}
 		case statemachine.ConnData:
@@ -58,10 +58,10 @@
 		}
 		s.do(now, s.model.Advance(now))
 	}
-	if at := s.model.Wake(); !math.IsInf(at, 1) {
+	if at := s.model.NextTimer(); !math.IsInf(at, 1) {
 		out.WakeBy(at)
 	}
-	if every := s.trade.Glance; every > 0 {
+	if every := s.trade.SampleInterval; every > 0 {
 		if now >= s.glance {
 			s.glance = now + every
 			s.look(now)
@@ -71,21 +71,21 @@
 }
 
 // look tells how it is, and how late it did what was due.
-func (s *Server) look(now statemachine.Seconds) {
+func (s *Backend) look(now statemachine.Seconds) {
 	_, waiting, busy := s.model.Load()
-	s.out.Record(trace.Record{T: now, Kind: trace.Glance, EP: s.trade.EP, X: s.model.Able(now, 0), N: int64(waiting), Text: strconv.FormatFloat(busy, 'g', 3, 64)})
-	s.out.Record(trace.Record{T: now, Kind: trace.Late, EP: s.trade.EP, X: max(0, s.late)})
+	s.out.Record(trace.Record{T: now, Kind: trace.Glance, EP: s.trade.Backend, X: s.model.Capacity(now, 0), N: int64(waiting), Text: strconv.FormatFloat(busy, 'g', 3, 64)})
+	s.out.Record(trace.Record{T: now, Kind: trace.Late, EP: s.trade.Backend, X: max(0, s.late)})
 	s.late = 0
 }
 
-func (s *Server) read(c statemachine.Conn, r *proto.Reader) {
+func (s *Backend) read(c statemachine.Conn, r *proto.Reader) {
 	for s.readers[c] == r {
 		msg, err := r.Next()
 		if err != nil {
 			s.out.Write(c, proto.Append(nil, proto.Refuse{Reason: err.Error()}))
 			s.out.Close(c)
 			delete(s.readers, c)
-			s.model.Disconnect(Caller(c))
+			s.model.Disconnect(ConnID(c))
 			return
 		}
 		switch m := msg.(type) {
@@ -93,27 +93,27 @@
 			return
 		case proto.Hello:
 			r.Open()
-			s.model.Follow(Caller(c), m.Holds)
-			s.out.Write(c, proto.Append(nil, proto.Welcome{Version: proto.Version, Name: fmt.Sprint("server-", s.trade.EP)}))
+			s.model.SetCoordinator(ConnID(c), m.Holds)
+			s.out.Write(c, proto.Append(nil, proto.Welcome{Version: proto.Version, Name: fmt.Sprint("server-", s.trade.Backend)}))
 		case proto.Probe:
-			s.model.Probe(Caller(c), m.ID)
+			s.model.Probe(ConnID(c), m.ID)
 		case proto.RPC:
-			s.model.Ask(Caller(c), RPC{ID: m.ID, Method: int(m.Method), Token: m.Token, Key: m.Key, Left: m.Left})
+			s.model.Submit(ConnID(c), RPC{ID: m.ID, Method: int(m.Method), IdempotencyKey: m.Token, CacheKey: m.Key, TimeLeft: m.Left})
 		}
 	}
 }
 
 // Able tells what it could do at present of a method, RPCs a second; Load how many RPCs are under way and waiting, and the
 // share of its cores that are busy. Whoever watches a rehearsal asks; nobody who takes part in it does.
-func (s *Server) Able(now statemachine.Seconds, method int) float64 {
+func (s *Backend) Capacity(now statemachine.Seconds, method int) float64 {
 	if s.model == nil {
 		return 0
 	}
-	return s.model.Able(now, method)
+	return s.model.Capacity(now, method)
 }
 
 // Load is Model's.
-func (s *Server) Load() (underWay, waiting int, busy float64) {
+func (s *Backend) Load() (underWay, waiting int, busy float64) {
 	if s.model == nil {
 		return 0, 0, 0
 	}
@@ -121,23 +121,23 @@
 }
 
 // do carries out what the model did.
-func (s *Server) do(now statemachine.Seconds, effects []Effect) {
+func (s *Backend) do(now statemachine.Seconds, effects []Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case Reply:
-			s.write(statemachine.Conn(e.To), proto.Reply{ID: e.ID, Status: proto.Status(e.Status), Reports: e.Load >= 0, Load: max(0, e.Load)})
-		case Probed:
-			s.write(statemachine.Conn(e.To), proto.ProbeReply{ID: e.ID, Status: proto.Status(e.Status)})
-		case Ran:
-			r := trace.Record{T: now, Kind: trace.Run, EP: s.trade.EP, RPC: e.RPC.ID, Method: e.RPC.Method}
-			if e.RPC.Token != 0 {
-				r.Text = strconv.FormatUint(e.RPC.Token, 10)
+			s.write(statemachine.Conn(e.Conn), proto.Reply{ID: e.ID, Status: proto.Status(e.Status), Reports: e.Load >= 0, Load: max(0, e.Load)})
+		case ProbeReply:
+			s.write(statemachine.Conn(e.Conn), proto.ProbeReply{ID: e.ID, Status: proto.Status(e.Status)})
+		case Executed:
+			r := trace.Record{T: now, Kind: trace.Run, EP: s.trade.Backend, RPC: e.RPC.ID, Method: e.RPC.Method}
+			if e.RPC.IdempotencyKey != 0 {
+				r.Text = strconv.FormatUint(e.RPC.IdempotencyKey, 10)
 			}
 			s.out.Record(r)
-		case Near:
-			s.out.Record(trace.Record{T: now, Kind: trace.Offer, EP: s.trade.EP, X: e.Part, N: int64(e.RPCs)})
-		case Fell:
-			s.out.Record(trace.Record{T: now, Kind: trace.Fall, EP: s.trade.EP})
+		case OverloadApproached:
+			s.out.Record(trace.Record{T: now, Kind: trace.Offer, EP: s.trade.Backend, X: e.Ratio, N: int64(e.RPCs)})
+		case Collapsed:
+			s.out.Record(trace.Record{T: now, Kind: trace.Fall, EP: s.trade.Backend})
 			all := make([]statemachine.Conn, 0, len(s.readers))
 			for c := range s.readers {
 				all = append(all, c)
@@ -147,43 +147,43 @@
 				s.out.Abort(c)
 			}
 			clear(s.readers)
-		case Shut:
-			s.out.Abort(statemachine.Conn(e.To))
-			delete(s.readers, statemachine.Conn(e.To))
+		case ConnRejected:
+			s.out.Abort(statemachine.Conn(e.Conn))
+			delete(s.readers, statemachine.Conn(e.Conn))
 		}
 	}
 }
 
-func (s *Server) write(c statemachine.Conn, m proto.Message) {
+func (s *Backend) write(c statemachine.Conn, m proto.Message) {
 	if s.readers[c] != nil {
 		s.out.Write(c, proto.Append(nil, m))
 	}
 }
 
 // Words are the troubles that a server can be told, with what each takes.
-var Words = map[string]string{
+var FaultArguments = map[string]string{
 	"hang": "", "fast": "", "drain": "", "part": "SHARE", "method": "NUMBER", "from": "COORDINATOR", "slow": "FACTOR",
 	"dear": "FACTOR", "shake": "SECONDS", "conns": "NUMBER",
 }
 
 // Tell tells the server a trouble, or `heal` with one of them, or alone for all. Hangs add up: each needs its own heal.
-func (s *Server) Tell(text string) error {
+func (s *Backend) Command(text string) error {
 	word, arg, _ := strings.Cut(text, " ")
 	m := s.model
 	if word == "heal" {
 		if arg != "" {
-			if _, known := Words[arg]; !known {
+			if _, known := FaultArguments[arg]; !known {
 				return fmt.Errorf("there is no trouble %q to heal", arg)
 			}
 		}
-		for w := range Words {
+		for w := range FaultArguments {
 			if arg == "" || arg == w {
 				m.heal(w, arg == "")
 			}
 		}
 		return nil
 	}
-	want, known := Words[word]
+	want, known := FaultArguments[word]
 	if !known {
 		return fmt.Errorf("there is no trouble %q", word)
 	}
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -1,19 +1,19 @@
 package emulator
 
 // Group tells which servers share what they know of tokens.
-type Group uint8
+type KeyScope uint8
 
 // Which servers may share their tokens: all, those of a zone, those of a cell, or none.
 const (
-	All Group = iota
-	ByZone
-	ByCell
-	Each
+	AllBackends KeyScope = iota
+	PerZone
+	PerCell
+	PerBackend
 )
 
 // Store is where servers note tokens: it drops a repeat within the window, in the group to which it comes.
-type Store struct {
-	Group  Group
+type KeyStore struct {
+	Scope  KeyScope
 	Window Seconds
 	seen   map[noted]Seconds
 	sweep  Seconds
@@ -25,7 +25,7 @@
 }
 
 // First tells whether a token is new to a server's group, and notes it.
-func (s *Store) First(token uint64, t Trade, now Seconds) bool {
+func (s *KeyStore) FirstUse(token uint64, t Config, now Seconds) bool {
 	if s.seen == nil {
 		s.seen = map[noted]Seconds{}
 	}
@@ -38,13 +38,13 @@
 		}
 	}
 	k := noted{token: token}
-	switch s.Group {
-	case ByZone:
+	switch s.Scope {
+	case PerZone:
 		k.group = t.Zone
-	case ByCell:
+	case PerCell:
 		k.group = t.Cell
-	case Each:
-		k.group = t.EP
+	case PerBackend:
+		k.group = t.Backend
 	}
 	at, known := s.seen[k]
 	if !known || now > at+s.Window {
@@ -55,37 +55,37 @@
 }
 
 // Ledger notes where RPCs took effect, whatever path they came by, so that a second effect is found.
-type Ledger struct {
-	first map[uint64]Took
-	Twice []Twice // at most 1,000 are kept
-	Many  int     // how many there were
+type ExecutionLog struct {
+	first       map[uint64]Execution
+	Repeated    []RepeatedExecution // at most 1,000 are kept
+	RepeatCount int                 // how many there were
 }
 
 // Took is an effect: where and when.
-type Took struct {
-	EP uint32
-	At Seconds
+type Execution struct {
+	Backend uint32
+	At      Seconds
 }
 
 // Twice is an RPC that took effect again.
-type Twice struct {
+type RepeatedExecution struct {
 	RPC          uint64
 	Method       int
-	First, Again Took
+	First, Again Execution
 }
 
 // Note notes an effect.
-func (l *Ledger) Note(r RPC, ep uint32, now Seconds) {
+func (l *ExecutionLog) Record(r RPC, ep uint32, now Seconds) {
 	if l.first == nil {
-		l.first = map[uint64]Took{}
+		l.first = map[uint64]Execution{}
 	}
-	took := Took{ep, now}
+	took := Execution{ep, now}
 	was, again := l.first[r.ID]
 	if !again {
 		l.first[r.ID] = took
 		return
 	}
-	if l.Many++; len(l.Twice) < 1000 {
-		l.Twice = append(l.Twice, Twice{r.ID, r.Method, was, took})
+	if l.RepeatCount++; len(l.Repeated) < 1000 {
+		l.Repeated = append(l.Repeated, RepeatedExecution{r.ID, r.Method, was, took})
 	}
 }
--- a/internal/emulator/work.go
+++ b/internal/emulator/work.go
@@ -18,16 +18,16 @@
 // Dice draw numbers that depend on a seed alone. A checksum over a counter will not do here: its neighbours hang together,
 // and arrivals drawn from it come too evenly, so that queues look shorter than they are (a test against the textbook
 // found it).
-type Dice struct{ r *rand.Rand }
+type Random struct{ r *rand.Rand }
 
 // NewDice makes dice.
-func NewDice(seed uint64) Dice { return Dice{rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15))} }
+func NewRandom(seed uint64) Random { return Random{rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15))} }
 
 // Draw gives a number from 0 to 1, 1 excluded.
-func (d *Dice) Draw() float64 { return d.r.Float64() }
+func (d *Random) Uniform() float64 { return d.r.Float64() }
 
 // Wait draws the time to the next of events that come at random at a rate.
-func (d *Dice) Wait(rate float64) Seconds {
+func (d *Random) Interarrival(rate float64) Seconds {
 	if rate <= 0 {
 		return math.Inf(1)
 	}
@@ -35,26 +35,26 @@
 }
 
 // normal draws from the standard normal distribution.
-func (d *Dice) normal() float64 {
+func (d *Random) normal() float64 {
 	return d.r.NormFloat64()
 }
 
 // Shape is a family of distributions.
-type Shape uint8
+type Family uint8
 
 // The families that there are.
 const (
-	Exponential Shape = iota
-	Fixed
+	Exponential Family = iota
+	Constant
 	Lognormal // Param: the coefficient of variation
 	Pareto    // Param: the tail's exponent, above 2 so that waits have a mean; the heavier the nearer 2
 )
 
 // Work is how much work RPCs of a method bring, in seconds on one core of speed 1.
 type Work struct {
-	Mean  Seconds
-	Shape Shape
-	Param float64
+	Mean   Seconds
+	Family Family
+	Param  float64
 }
 
 // ParseWork reads exponential, fixed, lognormal:CV or pareto:EXPONENT, for a mean.
@@ -70,11 +70,11 @@
 	switch {
 	case name == "exponential" && !has:
 	case name == "fixed" && !has:
-		w.Shape = Fixed
+		w.Family = Constant
 	case name == "lognormal" && has:
-		w.Shape = Lognormal
+		w.Family = Lognormal
 	case name == "pareto" && has && w.Param > 2:
-		w.Shape = Pareto
+		w.Family = Pareto
 	case name == "pareto" && has:
 		return w, fmt.Errorf("work %q: an exponent of %v has no mean wait, above 2 expected", word, w.Param)
 	default:
@@ -84,24 +84,24 @@
 }
 
 // Draw gives one RPC's work.
-func (w Work) Draw(d *Dice) Seconds {
-	switch w.Shape {
-	case Fixed:
+func (w Work) Sample(d *Random) Seconds {
+	switch w.Family {
+	case Constant:
 		return w.Mean
 	case Lognormal:
 		s2 := math.Log(1 + w.Param*w.Param)
 		return w.Mean * math.Exp(math.Sqrt(s2)*d.normal()-s2/2)
 	case Pareto:
 		least := w.Mean * (w.Param - 1) / w.Param
-		return least * math.Pow(1-d.Draw(), -1/w.Param)
+		return least * math.Pow(1-d.Uniform(), -1/w.Param)
 	}
 	return d.r.ExpFloat64() * w.Mean
 }
 
 // Within is the chance that an RPC's work is no more than some.
-func (w Work) Within(most Seconds) float64 {
-	switch w.Shape {
-	case Fixed:
+func (w Work) CDF(most Seconds) float64 {
+	switch w.Family {
+	case Constant:
 		if w.Mean <= most {
 			return 1
 		}
@@ -117,9 +117,9 @@
 }
 
 // Square is the mean of the work's square, which the wait in a queue goes by.
-func (w Work) Square() float64 {
-	switch w.Shape {
-	case Fixed:
+func (w Work) SecondMoment() float64 {
+	switch w.Family {
+	case Constant:
 		return w.Mean * w.Mean
 	case Lognormal:
 		return w.Mean * w.Mean * (1 + w.Param*w.Param)
--- a/internal/fake/frontend.go
+++ b/internal/fake/frontend.go
@@ -78,7 +78,7 @@
 // FrontEnd follows the tables of one coordinator, and sends the RPCs that come to it to servers.
 type FrontEnd struct {
 	trade  FrontEndConfig
-	dice   emulator.Dice
+	dice   emulator.Random
 	source *traffic.Source
 	late   statemachine.Seconds // the most that an arrival was late, since the last report
 	due    uint64               // counts the arrivals that were put on the clock
@@ -182,7 +182,7 @@
 // NewFrontEnd makes one.
 func NewFrontEnd(t FrontEndConfig) *FrontEnd {
 	return &FrontEnd{
-		trade: t, dice: emulator.NewDice(t.Seed), conns: statemachine.Dialed, rate: t.Rate, tables: map[uint64]*sheet{},
+		trade: t, dice: emulator.NewRandom(t.Seed), conns: statemachine.Dialed, rate: t.Rate, tables: map[uint64]*sheet{},
 		methods: make([]*sheet, len(t.Methods)), withdrawn: map[proto.EP]bool{}, links: map[proto.EP]*link{},
 		health: map[proto.EP]health{}, byID: map[statemachine.Conn]*link{}, rpcs: map[uint64]*rpc{}, usage: make([]proto.Usage, len(t.Methods)),
 		sums: map[proto.EP]*met{},
@@ -202,7 +202,7 @@
 		} else {
 			f.do(proto.Op{Kind: proto.OpBind, Lines: f.trade.StaticTable}, &strings.Builder{})
 		}
-		f.timers.at(now+f.trade.ReportPeriod*(0.5+f.dice.Draw()), f.report)
+		f.timers.at(now+f.trade.ReportPeriod*(0.5+f.dice.Uniform()), f.report)
 		f.self = DeriveSeed(0, fmt.Sprint(f.trade.Name, f.trade.Seed)) << 32
 		begin := f.trade.TrafficStart
 		if begin == 0 {
@@ -299,7 +299,7 @@
 	if f.failed++; f.failed > 1 {
 		f.at++
 	}
-	f.timers.at(now+min(0.1*float64(f.failed), 2)*(0.5+f.dice.Draw()), func(now statemachine.Seconds) {
+	f.timers.at(now+min(0.1*float64(f.failed), 2)*(0.5+f.dice.Uniform()), func(now statemachine.Seconds) {
 		if f.stream == 0 {
 			f.dial(now)
 		}
@@ -566,7 +566,7 @@
 		return true
 	}
 	if !f.trade.AdmissionIsRate {
-		return l.level >= 1 || f.dice.Draw() < l.level
+		return l.level >= 1 || f.dice.Uniform() < l.level
 	}
 	l.room = min(l.room+(now-l.last)*l.level, max(1, l.level))
 	l.last = now
@@ -606,7 +606,7 @@
 		for _, x := range open {
 			sum += x.weight
 		}
-		at := f.dice.Draw() * sum
+		at := f.dice.Uniform() * sum
 		for _, x := range open {
 			if at -= x.weight; at < 0 {
 				return x
@@ -807,10 +807,10 @@
 // comeAgain has the client of an RPC that failed ask once more, as a new RPC with the token of the first.
 func (f *FrontEnd) comeAgain(now statemachine.Seconds, r *rpc, status proto.Status) {
 	safe := f.trade.Methods[r.method].Repeatability != NonIdempotent || status == proto.PushedBack
-	if status == proto.OK || !safe || r.came >= f.trade.ClientRetryLimit || f.dice.Draw() >= f.trade.ClientRetryChance {
+	if status == proto.OK || !safe || r.came >= f.trade.ClientRetryLimit || f.dice.Uniform() >= f.trade.ClientRetryChance {
 		return
 	}
-	wait := f.trade.ClientRetryBackoff * float64(int(1)<<min(r.came, 10)) * (0.5 + f.dice.Draw())
+	wait := f.trade.ClientRetryBackoff * float64(int(1)<<min(r.came, 10)) * (0.5 + f.dice.Uniform())
 	f.timers.at(now+wait, func(now statemachine.Seconds) {
 		f.count++
 		f.begin(now, &rpc{id: f.self | f.count, method: r.method, asked: now, token: r.token, key: r.key, came: r.came + 1})
--- a/internal/fake/standin_test.go
+++ b/internal/fake/standin_test.go
@@ -51,7 +51,7 @@
 }
 
 // play runs a front end under one table with servers, and counts tries by server and ends by kind.
-func play(t *testing.T, span float64, trade FrontEndConfig, h *herald, servers ...emulator.Trade) (tries map[uint32]int, ends map[string]int, all []trace.Record) {
+func play(t *testing.T, span float64, trade FrontEndConfig, h *herald, servers ...emulator.Config) (tries map[uint32]int, ends map[string]int, all []trace.Record) {
 	t.Helper()
 	w := simnet.New(1, 1e6, 0.0003, 0.0006)
 	tries, ends = map[uint32]int{}, map[string]int{}
@@ -68,8 +68,8 @@
 	w.Add("c0", "a", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return h }, "c0")
 	w.Start("c0")
 	for _, s := range servers {
-		name := fmt.Sprint("s", s.EP)
-		w.Add(name, "a", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return emulator.NewServer(s) }, name)
+		name := fmt.Sprint("s", s.Backend)
+		w.Add(name, "a", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return emulator.NewBackend(s) }, name)
 		w.Start(name)
 	}
 	trade.Name, trade.Zone, trade.Coordinators, trade.ReportPeriod, trade.ConnectTimeout, trade.Seed = "f0", "a", []string{"c0"}, 1, 0.2, 3
@@ -94,14 +94,14 @@
 }
 
 // server is one that carries so many RPCs a second on so many cores.
-func server(ep proto.EP, capacity float64, cores, queue int) emulator.Trade {
-	return emulator.Trade{
-		EP: ep, Cores: cores, Speed: 1, Work: []emulator.Work{{Mean: float64(cores) / capacity}}, QueueMost: queue, Seed: uint64(ep),
-		GiveUp: emulator.SkipsWait,
+func server(ep proto.EP, capacity float64, cores, queue int) emulator.Config {
+	return emulator.Config{
+		Backend: ep, Cores: cores, Speed: 1, Work: []emulator.Work{{Mean: float64(cores) / capacity}}, QueueLimit: queue, Seed: uint64(ep),
+		CancelPolicy: emulator.DropQueued,
 	}
 }
 
-func quick(ep proto.EP) emulator.Trade {
+func quick(ep proto.EP) emulator.Config {
 	return server(ep, 5000, 50, 100)
 }
 
@@ -130,7 +130,7 @@
 	full := server(1, 1, 0, 0)           // pushes all back: proof
 	hangs := server(1, 0.001, 100000, 9) // takes it and does not answer
 	for name, c := range map[string]struct {
-		first emulator.Trade
+		first emulator.Config
 		tries uint64
 		again bool
 	}{
@@ -178,7 +178,7 @@
 func TestClientsComeAgain(t *testing.T) {
 	for name, c := range map[string]struct {
 		effect Repeatability
-		first  emulator.Trade
+		first  emulator.Config
 		again  bool
 	}{
 		"idempotent, hangs":      {Idempotent, server(1, 0.001, 100000, 9), true},
@@ -203,7 +203,7 @@
 		falls bool
 	}{{20, false}, {60, true}} {
 		cold := server(1, 60, 10, 200)
-		cold.Cold, cold.ColdShare, cold.WarmAfter, cold.FallMultiple, cold.FallWindow = true, 0.25, 20, 2.5, 1
+		cold.StartsCold, cold.ColdSpeed, cold.WarmupTime, cold.OverloadMultiple, cold.OverloadWindow = true, 0.25, 20, 2.5, 1
 		_, ends, all := play(t, 10, FrontEndConfig{Rate: c.rate, Policy: "even"}, bind(nil, 1), cold)
 		fell := 0
 		for _, r := range all {
@@ -215,7 +215,7 @@
 			t.Errorf("at %v RPCs a second, %d falls, %v", c.rate, fell, ends)
 		}
 		warm := cold
-		warm.Cold = false
+		warm.StartsCold = false
 		if _, ends, _ = play(t, 10, FrontEndConfig{Rate: c.rate, Policy: "even"}, bind(nil, 1), warm); ends["aborted"] > 0 {
 			t.Errorf("a warm one fell at %v: %v", c.rate, ends)
 		}
@@ -224,11 +224,11 @@
 
 // Repeats of a token run once, wherever they come.
 func TestStoreDropsRepeats(t *testing.T) {
-	store := &emulator.Store{Window: 5}
+	store := &emulator.KeyStore{Window: 5}
 	hangs := server(1, 2, 50, 100)
-	hangs.Store = store
+	hangs.KeyStore = store
 	other := quick(2)
-	other.Store = store
+	other.KeyStore = store
 	methods := []MethodConfig{{Name: "save", Repeatability: IdempotentWithKey, Criticality: 1, SoftDeadline: 0.3, Deadline: 2, Share: 1}}
 	_, _, all := play(t, 20, FrontEndConfig{Rate: 20, Policy: "lottery", AttemptTimeout: 0.8, Methods: methods}, bind(&proto.Level{Level: 1, Tries: 2}, 1, 1), hangs, other)
 	runs, again := map[uint64]int{}, 0
@@ -356,7 +356,7 @@
 func TestCrowd(t *testing.T) {
 	c := NewMultiplexer()
 	for i := range 3 {
-		c.Add(fmt.Sprint("s", i), emulator.NewServer(quick(proto.EP(i+1))), 1)
+		c.Add(fmt.Sprint("s", i), emulator.NewBackend(quick(proto.EP(i+1))), 1)
 	}
 	var out statemachine.Effects
 	out.Reset()
--- a/internal/haproxy/proof_test.go
+++ b/internal/haproxy/proof_test.go
@@ -51,7 +51,7 @@
 		}
 		list = append(list, fake.Endpoint{Backend: ep, State: state, Zone: "imported", Weight: float64(max(1, s.Weight)), Addr: s.Name, Incarnation: 1})
 		w.Add(s.Name, "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
-			return emulator.NewServer(emulator.Trade{EP: ep, Zone: "imported", Cores: 64, Speed: 1, Work: []emulator.Work{{Mean: 0.002}}, QueueMost: 1000, Seed: uint64(ep)})
+			return emulator.NewBackend(emulator.Config{Backend: ep, Zone: "imported", Cores: 64, Speed: 1, Work: []emulator.Work{{Mean: 0.002}}, QueueLimit: 1000, Seed: uint64(ep)})
 		}, s.Name)
 	}
 	w.Add("list", "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
--- a/internal/listing/day_test.go
+++ b/internal/listing/day_test.go
@@ -118,7 +118,7 @@
 	offer(servers(6, 1))
 	for i, s := range servers(6, 1) {
 		w.Add(s.Addr, zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
-			return emulator.NewServer(emulator.Trade{EP: s.Number, Zone: zone, Cores: 4, Speed: 1, Work: []emulator.Work{{Mean: 0.02}}, QueueMost: 100, Seed: uint64(i)})
+			return emulator.NewBackend(emulator.Config{Backend: s.Number, Zone: zone, Cores: 4, Speed: 1, Work: []emulator.Work{{Mean: 0.02}}, QueueLimit: 100, Seed: uint64(i)})
 		}, s.Addr)
 		w.Start(s.Addr)
 	}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -14,16 +14,16 @@
 	"gingerfork/internal/report"
 )
 
-func start(t *testing.T, servers int, more func(*emulator.Trade)) (addrs []string, l *eventloop.Loop) {
+func start(t *testing.T, servers int, more func(*emulator.Config)) (addrs []string, l *eventloop.Loop) {
 	t.Helper()
 	fleet := emulator.NewFleet(nil)
 	var listen []string
 	for i := range servers {
-		trade := emulator.Trade{EP: uint32(i + 1), Cores: 4, Speed: 1, Work: []emulator.Work{{Mean: 0.002, Shape: emulator.Fixed}}, QueueMost: 1000, Seed: uint64(i)}
+		trade := emulator.Config{Backend: uint32(i + 1), Cores: 4, Speed: 1, Work: []emulator.Work{{Mean: 0.002, Family: emulator.Constant}}, QueueLimit: 1000, Seed: uint64(i)}
 		if more != nil {
 			more(&trade)
 		}
-		fleet.Add(fmt.Sprint("s", i), trade)
+		fleet.AddBackend(fmt.Sprint("s", i), trade)
 		listen = append(listen, "127.0.0.1:0")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/measure/emulator.go
+++ b/internal/measure/emulator.go
@@ -48,17 +48,17 @@
 	var addrs []string
 	behind := make([]report.Behind, loops)
 	for k := range loops {
-		fleet := emulator.NewFleet(func(t emulator.Tally) {
-			if t.T < 1.5 { // connections are opened in the first second
+		fleet := emulator.NewFleet(func(t emulator.FleetStats) {
+			if t.Elapsed < 1.5 { // connections are opened in the first second
 				return
 			}
-			behind[k].Look(t.Late)
+			behind[k].Look(t.MaxDelay)
 		})
 		var listen []string
 		for i := k; i < servers; i += loops {
-			fleet.Add(fmt.Sprint("s", i), emulator.Trade{
-				EP: uint32(i + 1), Cores: 8, Speed: 1, QueueMost: 1000, Seed: uint64(i),
-				Work: []emulator.Work{{Mean: 0.002, Shape: emulator.Exponential}},
+			fleet.AddBackend(fmt.Sprint("s", i), emulator.Config{
+				Backend: uint32(i + 1), Cores: 8, Speed: 1, QueueLimit: 1000, Seed: uint64(i),
+				Work: []emulator.Work{{Mean: 0.002, Family: emulator.Exponential}},
 			})
 			listen = append(listen, "127.0.0.1:0")
 		}
@@ -149,23 +149,23 @@
 
 // alone is how many RPCs a second of real time the model does, without sockets, at a load.
 func alone(busy float64) float64 {
-	t := emulator.Trade{EP: 1, Cores: 4, Speed: 1, Work: []emulator.Work{{Mean: 0.02}}, QueueMost: 1000, GiveUp: emulator.SkipsWait, Seed: 1}
-	m := emulator.New(t, 0)
+	t := emulator.Config{Backend: 1, Cores: 4, Speed: 1, Work: []emulator.Work{{Mean: 0.02}}, QueueLimit: 1000, CancelPolicy: emulator.DropQueued, Seed: 1}
+	m := emulator.NewModel(t, 0)
 	m.Connect(1, "")
-	d := emulator.NewDice(2)
+	d := emulator.NewRandom(2)
 	rate := busy * t.Capacity([]float64{1})
 	begin, now, n := time.Now(), 0.0, 0
 	for time.Since(begin) < time.Second {
 		for range 1000 {
-			next := now + d.Wait(rate)
-			for m.Wake() <= next {
-				now = m.Wake()
+			next := now + d.Interarrival(rate)
+			for m.NextTimer() <= next {
+				now = m.NextTimer()
 				m.Advance(now)
 			}
 			now = next
 			n++
 			m.Advance(now)
-			m.Ask(1, emulator.RPC{ID: uint64(n), Left: 2})
+			m.Submit(1, emulator.RPC{ID: uint64(n), TimeLeft: 2})
 			m.Advance(now)
 		}
 	}
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -98,7 +98,7 @@
 		ep := proto.EP(i + 1)
 		all = append(all, fake.Endpoint{Backend: ep, State: proto.ServerOpen, Zone: "a", Weight: 1, Incarnation: 1, Addr: "127.0.0.1:1"})
 		if rate > 0 {
-			crowd.Add(fmt.Sprint("s", i), emulator.NewServer(emulator.Trade{EP: ep, Cores: 8, Speed: 1, Work: []emulator.Work{{Mean: 0.008}}, QueueMost: 100, Seed: uint64(ep)}), 1)
+			crowd.Add(fmt.Sprint("s", i), emulator.NewBackend(emulator.Config{Backend: ep, Cores: 8, Speed: 1, Work: []emulator.Work{{Mean: 0.008}}, QueueLimit: 100, Seed: uint64(ep)}), 1)
 			doors = append(doors, "127.0.0.1:0")
 		}
 	}
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -86,7 +86,7 @@
 	AgainMost    int     // and how often at most
 	Shape        traffic.Shape
 	Keys         *traffic.Zipf
-	Tokens       emulator.Group // who shares what it knows of tokens
+	Tokens       emulator.KeyScope // who shares what it knows of tokens
 	Acts         []Act
 	lines        []bootstrap.Line // of the settings
 }
@@ -101,7 +101,7 @@
 	Queue    int
 	Weight   float64
 	Work     emulator.Work
-	GiveUp   emulator.GiveUp
+	GiveUp   emulator.CancelPolicy
 	Cell     int
 	Conns    int
 	Reports  bool
@@ -242,7 +242,7 @@
 		case "traffic":
 			err = d.readTraffic(w[1:])
 		case "tokens":
-			how, known := map[string]emulator.Group{"all": emulator.All, "zone": emulator.ByZone, "cell": emulator.ByCell, "server": emulator.Each}[w[1]]
+			how, known := map[string]emulator.KeyScope{"all": emulator.AllBackends, "zone": emulator.PerZone, "cell": emulator.PerCell, "server": emulator.PerBackend}[w[1]]
 			if d.Tokens = how; !known {
 				err = fmt.Errorf("%q is none of all, zone, cell, server", w[1])
 			}
@@ -406,7 +406,7 @@
 }
 
 func readServers(w []string) (g ServerGroup, err error) {
-	g = ServerGroup{Kind: "std", Workers: 2, Queue: 30, Weight: 1, Capacity: 20, GiveUp: emulator.SkipsWait}
+	g = ServerGroup{Kind: "std", Workers: 2, Queue: 30, Weight: 1, Capacity: 20, GiveUp: emulator.DropQueued}
 	if len(w) < 2 {
 		return g, fmt.Errorf("servers takes their number")
 	}
@@ -430,7 +430,7 @@
 		case "work":
 			g.Work, err = emulator.ParseWork(v, 1)
 		case "give-up":
-			how, known := map[string]emulator.GiveUp{"runs-on": emulator.RunsOn, "skips-wait": emulator.SkipsWait, "stops": emulator.Stops}[v]
+			how, known := map[string]emulator.CancelPolicy{"runs-on": emulator.IgnoreCancel, "skips-wait": emulator.DropQueued, "stops": emulator.CancelRunning}[v]
 			if g.GiveUp = how; !known {
 				err = fmt.Errorf("%q is none of runs-on, skips-wait, stops", v)
 			}
--- a/internal/scenario/emulate.go
+++ b/internal/scenario/emulate.go
@@ -22,11 +22,11 @@
 // may be spread over processes: each plays its part of the servers, the first one the list service, too.
 type Emulation struct {
 	Day         *Day
-	Port        int                  // of the list service; servers have those behind it
-	Part, Parts int                  // from 1; 0: all in this process
-	Loops       int                  // that carry the servers; 0: one
-	Figures     func(emulator.Tally) // of each second
-	Event       func(text string)    // what the script does
+	Port        int                       // of the list service; servers have those behind it
+	Part, Parts int                       // from 1; 0: all in this process
+	Loops       int                       // that carry the servers; 0: one
+	Figures     func(emulator.FleetStats) // of each second
+	Event       func(text string)         // what the script does
 	Trace       func([]trace.Record)
 }
 
@@ -81,7 +81,7 @@
 	list    *eventloop.Loop
 	due     []timed
 	mu      sync.Mutex
-	seconds map[int]emulator.Tally
+	seconds map[int]emulator.FleetStats
 	parts   map[int]int
 }
 
@@ -91,7 +91,7 @@
 		return err
 	}
 	c := newCast(e.Day)
-	s := &emulation{Emulation: e, cast: c, clock: eventloop.NewClock(), owner: map[string]*eventloop.Loop{}, seconds: map[int]emulator.Tally{}, parts: map[int]int{}}
+	s := &emulation{Emulation: e, cast: c, clock: eventloop.NewClock(), owner: map[string]*eventloop.Loop{}, seconds: map[int]emulator.FleetStats{}, parts: map[int]int{}}
 	c.stage = s
 	c.record = func(r trace.Record) {
 		if e.Trace != nil {
@@ -120,7 +120,7 @@
 	n := min(max(1, e.Loops), max(1, len(mine)))
 	store := c.store()
 	for k := range n {
-		fleet := emulator.NewFleet(func(t emulator.Tally) { s.tally(n, t) })
+		fleet := emulator.NewFleet(func(t emulator.FleetStats) { s.tally(n, t) })
 		b := eventloop.Bootstrap{Machine: fleet, Clock: s.clock, Trace: e.Trace}
 		var names []string
 		for i, a := range mine {
@@ -129,10 +129,10 @@
 			}
 			t := c.trade(a, store)
 			if n > 1 || e.Parts > 1 {
-				t.Ledger = nil
-				t.Store = &emulator.Store{Group: e.Day.Tokens, Window: store.Window} // what one loop or process owns, another can't see
+				t.Executions = nil
+				t.KeyStore = &emulator.KeyStore{Scope: e.Day.Tokens, Window: store.Window} // what one loop or process owns, another can't see
 			}
-			fleet.Add(a.name, t)
+			fleet.AddBackend(a.name, t)
 			b.Listen = append(b.Listen, e.Addr(a.at))
 			names = append(names, a.name)
 		}
@@ -166,15 +166,15 @@
 }
 
 // tally gathers the loops' figures of a second.
-func (s *emulation) tally(n int, t emulator.Tally) {
+func (s *emulation) tally(n int, t emulator.FleetStats) {
 	if s.Figures == nil {
 		return
 	}
 	s.mu.Lock()
-	at := int(t.T + 0.5)
+	at := int(t.Elapsed + 0.5)
 	sum := t
 	if s.parts[at] > 0 {
-		sum = s.seconds[at].Sum(t)
+		sum = s.seconds[at].Add(t)
 	}
 	s.seconds[at] = sum
 	s.parts[at]++
--- a/internal/scenario/hard_test.go
+++ b/internal/scenario/hard_test.go
@@ -164,31 +164,31 @@
 
 // A server that falls over during its drain ends what it had with a reset, and what still comes is refused.
 func TestFallDuringADrain(t *testing.T) {
-	m := emulator.New(emulator.Trade{
-		EP: 1, Cores: 1, Speed: 1, Work: []emulator.Work{{Mean: 0.1, Shape: emulator.Fixed}}, QueueMost: 1000, Cold: true,
-		ColdShare: 0.3, WarmAfter: 10, FallMultiple: 2, FallWindow: 1, Seed: 1,
+	m := emulator.NewModel(emulator.Config{
+		Backend: 1, Cores: 1, Speed: 1, Work: []emulator.Work{{Mean: 0.1, Family: emulator.Constant}}, QueueLimit: 1000, StartsCold: true,
+		ColdSpeed: 0.3, WarmupTime: 10, OverloadMultiple: 2, OverloadWindow: 1, Seed: 1,
 	}, 0)
 	m.Connect(1, "")
 	for i := range uint64(4) {
-		m.Ask(1, emulator.RPC{ID: i + 1, Left: 5})
+		m.Submit(1, emulator.RPC{ID: i + 1, TimeLeft: 5})
 	}
 	m.Advance(0.1)
 	m.Drain()
 	fell, refused := false, 0
 	for i := range uint64(40) {
-		m.Ask(1, emulator.RPC{ID: 100 + i, Left: 5})
+		m.Submit(1, emulator.RPC{ID: 100 + i, TimeLeft: 5})
 		for _, e := range m.Advance(0.1 + float64(i)*0.01) {
 			switch e := e.(type) {
-			case emulator.Fell:
+			case emulator.Collapsed:
 				fell = true
 			case emulator.Reply:
-				if e.Status == emulator.PushedBack && !fell {
+				if e.Status == emulator.StatusRejected && !fell {
 					refused++
 				}
 			}
 		}
 	}
-	if !fell || refused == 0 || !m.Fallen() || len(m.Advance(50)) > 0 {
+	if !fell || refused == 0 || !m.HasCollapsed() || len(m.Advance(50)) > 0 {
 		t.Errorf("fell %v after %d were refused, and it still speaks", fell, refused)
 	}
 }
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -38,8 +38,8 @@
 	Records []trace.Record
 	Fails   []string // of machines that failed: a defect of the program, whatever the rules say
 	Steps   int
-	Truth   *Truth           // nil unless it was asked for
-	Twice   []emulator.Twice // RPCs that took effect twice, by the servers' own ledger
+	Truth   *Truth                       // nil unless it was asked for
+	Twice   []emulator.RepeatedExecution // RPCs that took effect twice, by the servers' own ledger
 }
 
 // cast is who plays in a day.
@@ -51,12 +51,12 @@
 	fronts  []*actor
 	coords  []*actor
 	all     map[string]*actor
-	dice    emulator.Dice
+	dice    emulator.Random
 	count   int
 	begin   statemachine.Seconds
 	spoil   map[string]any // values given to coordinators in place of the settings'
 	zoneCut map[string]int // how many cuts part a zone from the others
-	ledger  *emulator.Ledger
+	ledger  *emulator.ExecutionLog
 	glance  float64 // servers tell of themselves so often; 0: they don't
 }
 
@@ -77,7 +77,7 @@
 }
 
 func newCast(d *Day) *cast {
-	c := &cast{day: d, all: map[string]*actor{}, zoneCut: map[string]int{}, ledger: &emulator.Ledger{}, dice: emulator.NewDice(d.Seed)}
+	c := &cast{day: d, all: map[string]*actor{}, zoneCut: map[string]int{}, ledger: &emulator.ExecutionLog{}, dice: emulator.NewRandom(d.Seed)}
 	zones := d.Zones()
 	zone := func(z string, i int) string {
 		if z == "" {
@@ -109,7 +109,7 @@
 	return c
 }
 
-func (c *cast) draw() float64 { return c.dice.Draw() }
+func (c *cast) draw() float64 { return c.dice.Uniform() }
 
 // listings is what the list service knows at the beginning; addr tells where servers are reached.
 func (c *cast) listings(addr func(a *actor) string) (all []fake.Endpoint) {
@@ -123,27 +123,27 @@
 }
 
 // server makes an emulated server for its next life.
-func (c *cast) server(a *actor, store *emulator.Store) *emulator.Server {
+func (c *cast) server(a *actor, store *emulator.KeyStore) *emulator.Backend {
 	a.lives++
 	t := c.trade(a, store)
-	t.Cold = a.lives > 1
+	t.StartsCold = a.lives > 1
 	t.Seed += uint64(a.lives)
-	t.Glance = c.glance
-	return emulator.NewServer(t)
+	t.SampleInterval = c.glance
+	return emulator.NewBackend(t)
 }
 
 // trade is what a server of its group is.
-func (c *cast) trade(a *actor, store *emulator.Store) emulator.Trade {
+func (c *cast) trade(a *actor, store *emulator.KeyStore) emulator.Config {
 	b := choice.Config{Settings: choice.DecodeSettings(c.day.Trade.Values)}
 	g := a.group
 	work := g.Work
 	work.Mean = float64(g.Workers) / g.Capacity
-	return emulator.Trade{
-		EP: a.ep, Zone: a.zone, Cores: g.Workers, Speed: 1, Work: []emulator.Work{work}, QueueMost: g.Queue,
-		GiveUp: g.GiveUp, ColdShare: b.Settings.ColdShare.Or(0.3), WarmAfter: b.Settings.WarmAfter.Or(10),
-		FallMultiple: b.Settings.FallMultiple.Or(3), FallWindow: b.Settings.FallWindow.Or(1), ProbeWork: work.Mean / 10, ProbesMost: 10,
-		ConnWork: work.Mean / 10, Seed: fake.DeriveSeed(c.day.Seed, a.name), Store: store, Ledger: c.ledger,
-		Cell: g.Cell, Connections: g.Conns, Reports: g.Reports, ReportLate: g.Late, ReportNoise: g.Noise, Keys: g.Memory, KeySaves: g.Saves,
+	return emulator.Config{
+		Backend: a.ep, Zone: a.zone, Cores: g.Workers, Speed: 1, Work: []emulator.Work{work}, QueueLimit: g.Queue,
+		CancelPolicy: g.GiveUp, ColdSpeed: b.Settings.ColdShare.Or(0.3), WarmupTime: b.Settings.WarmAfter.Or(10),
+		OverloadMultiple: b.Settings.FallMultiple.Or(3), OverloadWindow: b.Settings.FallWindow.Or(1), ProbeWork: work.Mean / 10, ProbeLimit: 10,
+		ConnWork: work.Mean / 10, Seed: fake.DeriveSeed(c.day.Seed, a.name), KeyStore: store, Executions: c.ledger,
+		Cell: g.Cell, ConnLimit: g.Conns, ReportsLoad: g.Reports, ReportDelay: g.Late, ReportNoise: g.Noise, CacheSize: g.Memory, CacheSavings: g.Saves,
 	}
 }
 
@@ -167,9 +167,9 @@
 }
 
 // store is what servers share for tokens, as the settings' groups allow.
-func (c *cast) store() *emulator.Store {
+func (c *cast) store() *emulator.KeyStore {
 	b := choice.Config{Settings: choice.DecodeSettings(c.day.Trade.Values)}
-	s := &emulator.Store{Group: c.day.Tokens}
+	s := &emulator.KeyStore{Scope: c.day.Tokens}
 	for _, method := range b.Settings.Methods {
 		s.Window = max(s.Window, method.Window.Or(0))
 	}
@@ -604,7 +604,7 @@
 	}
 	w.Run(epoch + d.Length)
 	r, err := finish(d, records, w.Fails)
-	r.Truth, r.Twice = truth, c.ledger.Twice
+	r.Truth, r.Twice = truth, c.ledger.Repeated
 	r.Steps = w.Steps
 	return r, err
 }
--- a/internal/scenario/truth.go
+++ b/internal/scenario/truth.go
@@ -38,14 +38,14 @@
 		sums := map[pool]float64{}
 		able, busy, waits := make([]float32, len(c.servers)), make([]float32, len(c.servers)), make([]float32, len(c.servers))
 		for i, s := range c.servers {
-			m, up := w.Machine(s.name).(*emulator.Server)
+			m, up := w.Machine(s.name).(*emulator.Backend)
 			if !up || s.cutOff > 0 {
 				continue
 			}
 			p := pool{zone: s.zone}
 			most := 0.0
 			for k := range methods {
-				if x := m.Able(w.Now(), k); x > 0 {
+				if x := m.Capacity(w.Now(), k); x > 0 {
 					most = max(most, x)
 				} else {
 					p.fails |= 1 << k
@@ -98,7 +98,7 @@
 		for _, g := range d.Servers {
 			work := g.Work
 			work.Mean = float64(g.Workers) / g.Capacity
-			fit = max(fit, work.Within(soft))
+			fit = max(fit, work.CDF(soft))
 		}
 		methods = append(methods, optimum.Method{
 			Criticality: limits.Methods[i].Criticality, Fit: fit,
