--- a/cmd/gingerfork/emulate.go
+++ b/cmd/gingerfork/emulate.go
@@ -160,7 +160,7 @@
 		return badError{err}
 	}
 	m := s.Coordinator(0)
-	b := load.Bootstrap{Proxies: c.Proxies, Rate: c.Rate, Uneven: c.Uneven, To: c.Coordinator, Servers: c.Server, Seed: c.Seed}
+	b := load.Config{Proxies: c.Proxies, Rate: c.Rate, RateVariation: c.Uneven, Coordinators: c.Coordinator, Backends: c.Server, Seed: c.Seed}
 	t := fake.FrontEndConfig{
 		Methods: fake.MethodConfigs(m.Settings.Methods), Policy: m.Settings.Pick, FailureLimit: int(m.Settings.Strikes.Or(0)), AvoidFor: 5,
 		AttemptTimeout: m.Settings.TryWait.Or(0.8), ApplyTimePerEntry: 0.0002, AdmissionIsRate: m.Settings.LevelKind == "rate", ReportPeriod: m.Settings.ReportPeriod.Or(1),
@@ -209,10 +209,10 @@
 	if err != nil {
 		return err
 	}
-	b.Front, b.For = t, time.Duration(length*1e9)
+	b.FrontEnd, b.Duration = t, time.Duration(length*1e9)
 	line := newLive(p.out)
 	if !c.JSON {
-		b.EachAbout = func(second int, s report.Second) {
+		b.OnSecond = func(second int, s report.Second) {
 			line.show(fmt.Sprintf("%4d s: %d in time, %d late, %d pushed back, %d aborted; service %.3f", second+1, s.InTime, s.Late, s.PushedBack, s.Aborted, s.Service()), second%5 == 0)
 		}
 	}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -21,39 +21,39 @@
 )
 
 // Bootstrap is what a run is started with.
-type Bootstrap struct {
-	Front     fake.FrontEndConfig // what all proxies are; Name, Rate, Coordinators and Seed are set for each
-	Methods   []invariant.Method
-	Proxies   int
-	Zones     []string // that they are of, by turns
-	Rate      float64  // RPCs a second of all together
-	Uneven    float64  // coefficient of variation of the proxies' rates
-	To        []string // coordinators, or
-	Servers   []string // servers of one table
-	For       time.Duration
-	Loops     int // 0: one a core
-	Seed      uint64
-	EachAbout func(second int, s report.Second) // each second's figures once it is over
+type Config struct {
+	FrontEnd      fake.FrontEndConfig // what all proxies are; Name, Rate, Coordinators and Seed are set for each
+	Methods       []invariant.Method
+	Proxies       int
+	Zones         []string // that they are of, by turns
+	Rate          float64  // RPCs a second of all together
+	RateVariation float64  // coefficient of variation of the proxies' rates
+	Coordinators  []string // coordinators, or
+	Backends      []string // servers of one table
+	Duration      time.Duration
+	EventLoops    int // 0: one a core
+	Seed          uint64
+	OnSecond      func(second int, s report.Second) // each second's figures once it is over
 }
 
 // Check tells what can't be done.
-func (b Bootstrap) Check() error {
+func (b Config) Validate() error {
 	switch {
 	case b.Proxies < 1 || b.Proxies > 10000:
 		return fmt.Errorf("%d proxies: 1 to 10000 go", b.Proxies)
 	case !(b.Rate > 0):
 		return fmt.Errorf("a rate of %v RPCs a second: above 0 wanted", b.Rate)
-	case b.For <= 0:
+	case b.Duration <= 0:
 		return errors.New("no time to run for")
-	case len(b.To) == 0 == (len(b.Servers) == 0):
+	case len(b.Coordinators) == 0 == (len(b.Backends) == 0):
 		return errors.New("either coordinators or servers must be given, not both")
 	}
-	return b.Front.Shape.Check()
+	return b.FrontEnd.Shape.Check()
 }
 
 // Run asks until the time is over or ctx ends, and gives what came of it.
-func Run(ctx context.Context, b Bootstrap) (*report.Report, error) {
-	if err := b.Check(); err != nil {
+func Run(ctx context.Context, b Config) (*report.Report, error) {
+	if err := b.Validate(); err != nil {
 		return nil, err
 	}
 	var mu sync.Mutex
@@ -69,16 +69,16 @@
 		}
 	}
 	clock := eventloop.NewClock()
-	rates := traffic.Uneven(b.Proxies, b.Uneven, b.Seed)
+	rates := traffic.Uneven(b.Proxies, b.RateVariation, b.Seed)
 	inner, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	n := b.Loops
+	n := b.EventLoops
 	if n <= 0 {
 		n = runtime.GOMAXPROCS(0)
 	}
 	n = min(n, b.Proxies)
 	var fixed []proto.Line
-	for i, addr := range b.Servers {
+	for i, addr := range b.Backends {
 		fixed = append(fixed, proto.Line{EP: proto.EP(i + 1), Weight: 1, Addr: addr})
 	}
 	var loops []*eventloop.Loop
@@ -86,7 +86,7 @@
 	for k := range n {
 		crowd := fake.NewMultiplexer()
 		for i := k; i < b.Proxies; i += n {
-			t := b.Front
+			t := b.FrontEnd
 			t.Name = fmt.Sprint("load-", i)
 			t.Rate = b.Rate / float64(b.Proxies) * rates[i]
 			t.Seed = fake.DeriveSeed(b.Seed, t.Name)
@@ -95,8 +95,8 @@
 			if len(b.Zones) > 0 {
 				t.Zone = b.Zones[i%len(b.Zones)]
 			}
-			for j := range b.To {
-				t.Coordinators = append(t.Coordinators, b.To[(i+j)%len(b.To)])
+			for j := range b.Coordinators {
+				t.Coordinators = append(t.Coordinators, b.Coordinators[(i+j)%len(b.Coordinators)])
 			}
 			crowd.Add(t.Name, fake.NewFrontEnd(t), 0)
 		}
@@ -131,8 +131,8 @@
 	return maker.Done(), err
 }
 
-func wait(ctx context.Context, b Bootstrap, loops []*eventloop.Loop, look func(int) (report.Second, bool)) error {
-	over := time.NewTimer(b.For)
+func wait(ctx context.Context, b Config, loops []*eventloop.Loop, look func(int) (report.Second, bool)) error {
+	over := time.NewTimer(b.Duration)
 	defer over.Stop()
 	beat := time.NewTicker(time.Second)
 	defer beat.Stop()
@@ -144,8 +144,8 @@
 		case <-over.C:
 			return nil
 		case <-beat.C:
-			if s, ok := look(second); ok && b.EachAbout != nil {
-				b.EachAbout(second, s)
+			if s, ok := look(second); ok && b.OnSecond != nil {
+				b.OnSecond(second, s)
 			}
 			second++
 			for _, l := range loops {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -39,12 +39,12 @@
 	return l.Addrs(), l
 }
 
-func boot(to []string) Bootstrap {
+func boot(to []string) Config {
 	m := []invariant.Method{{Name: "read", Criticality: 1, SoftDeadline: 0.5}}
-	return Bootstrap{Front: fake.FrontEndConfig{
+	return Config{FrontEnd: fake.FrontEndConfig{
 		Methods: []fake.MethodConfig{{Name: "read", Criticality: 1, SoftDeadline: 0.5, Deadline: 2, Share: 1}},
 		Policy:  "pair", ReportPeriod: 0.5, ConnectTimeout: 1,
-	}, Methods: m, Proxies: 4, Rate: 200, Servers: to, For: 2500 * time.Millisecond, Seed: 3}
+	}, Methods: m, Proxies: 4, Rate: 200, Backends: to, Duration: 2500 * time.Millisecond, Seed: 3}
 }
 
 // The asking goes on at its rate while all servers stand still, and what waited counts from when it was due.
@@ -72,13 +72,13 @@
 }
 
 func TestBadRunsAreRefused(t *testing.T) {
-	for name, spoil := range map[string]func(*Bootstrap){
-		"no proxies":             func(b *Bootstrap) { b.Proxies = 0 },
-		"no rate":                func(b *Bootstrap) { b.Rate = 0 },
-		"no time":                func(b *Bootstrap) { b.For = 0 },
-		"nobody to ask":          func(b *Bootstrap) { b.Servers = nil },
-		"both":                   func(b *Bootstrap) { b.To = []string{"x"} },
-		"a wave without its day": func(b *Bootstrap) { b.Front.Shape.Swing = 0.5 },
+	for name, spoil := range map[string]func(*Config){
+		"no proxies":             func(b *Config) { b.Proxies = 0 },
+		"no rate":                func(b *Config) { b.Rate = 0 },
+		"no time":                func(b *Config) { b.Duration = 0 },
+		"nobody to ask":          func(b *Config) { b.Backends = nil },
+		"both":                   func(b *Config) { b.Coordinators = []string{"x"} },
+		"a wave without its day": func(b *Config) { b.FrontEnd.Shape.Swing = 0.5 },
 	} {
 		b := boot([]string{"127.0.0.1:1"})
 		spoil(&b)
@@ -87,7 +87,7 @@
 		}
 	}
 	b := boot([]string{"127.0.0.1:1"}) // nobody listens there: all is pushed back, none is lost
-	b.For = 600 * time.Millisecond
+	b.Duration = 600 * time.Millisecond
 	r, err := Run(context.Background(), b)
 	if err != nil || r.Service > 0 || len(r.Seconds) == 0 || r.Seconds[0].PushedBack == 0 {
 		t.Errorf("without servers: %v, %+v", err, r)
--- a/internal/measure/emulator.go
+++ b/internal/measure/emulator.go
@@ -70,10 +70,10 @@
 		addrs = append(addrs, l.Addrs()...)
 	}
 	before := cpu()
-	r, err := load.Run(ctx, load.Bootstrap{
-		Proxies: 4, Rate: rate, Servers: addrs, For: span, Seed: 1,
+	r, err := load.Run(ctx, load.Config{
+		Proxies: 4, Rate: rate, Backends: addrs, Duration: span, Seed: 1,
 		Methods: []invariant.Method{{Name: "read", Criticality: 1, SoftDeadline: 0.5}},
-		Front: fake.FrontEndConfig{
+		FrontEnd: fake.FrontEndConfig{
 			Methods: []fake.MethodConfig{{Name: "read", Criticality: 1, SoftDeadline: 0.5, Deadline: 2, Share: 1}},
 			Policy:  "lottery", ReportPeriod: 0.5, ConnectTimeout: 2,
 		},
