--- a/cmd/gingerfork/emulate.go
+++ b/cmd/gingerfork/emulate.go
@@ -194,14 +194,14 @@
 	}
 	var length float64
 	span("for", c.For, &length)
-	share("wave", c.Wave, &t.Shape.Swing)
-	span("over", c.Over, &t.Shape.Day)
+	share("wave", c.Wave, &t.Shape.DailySwing)
+	span("over", c.Over, &t.Shape.DayLength)
 	share("again", c.Again, &t.ClientRetryChance)
 	span("after", c.After, &t.ClientRetryBackoff)
 	if c.Bursts != "" {
-		share("bursts", c.Bursts, &t.Shape.Height)
-		span("every", c.Every, &t.Shape.Every)
-		span("lasting", c.Lasting, &t.Shape.Lasts)
+		share("bursts", c.Bursts, &t.Shape.BurstFactor)
+		span("every", c.Every, &t.Shape.BurstInterval)
+		span("lasting", c.Lasting, &t.Shape.BurstLength)
 	}
 	if err == nil && c.Keys > 0 {
 		t.Keys, err = traffic.NewZipf(c.Keys, c.Zipf)
--- a/internal/fake/frontend.go
+++ b/internal/fake/frontend.go
@@ -530,7 +530,7 @@
 }
 
 // arrive: a client's RPC comes.
-func (f *FrontEnd) arrive(now statemachine.Seconds, d traffic.Due) {
+func (f *FrontEnd) arrive(now statemachine.Seconds, d traffic.Arrival) {
 	f.count++
 	r := &rpc{id: f.self | f.count, asked: d.At, method: d.Method, key: d.Key}
 	if f.trade.Methods[r.method].Repeatability == IdempotentWithKey {
@@ -897,7 +897,7 @@
 	switch word {
 	case "rate":
 		f.rate = v
-		f.source.Rate(v)
+		f.source.SetRate(v)
 		f.await(now)
 	case "still":
 		f.still = max(f.still, now+v)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -48,7 +48,7 @@
 	case len(b.Coordinators) == 0 == (len(b.Backends) == 0):
 		return errors.New("either coordinators or servers must be given, not both")
 	}
-	return b.FrontEnd.Shape.Check()
+	return b.FrontEnd.Shape.Validate()
 }
 
 // Run asks until the time is over or ctx ends, and gives what came of it.
@@ -69,7 +69,7 @@
 		}
 	}
 	clock := eventloop.NewClock()
-	rates := traffic.Uneven(b.Proxies, b.RateVariation, b.Seed)
+	rates := traffic.LognormalFactors(b.Proxies, b.RateVariation, b.Seed)
 	inner, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	n := b.EventLoops
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -78,7 +78,7 @@
 		"no time":                func(b *Config) { b.Duration = 0 },
 		"nobody to ask":          func(b *Config) { b.Backends = nil },
 		"both":                   func(b *Config) { b.Coordinators = []string{"x"} },
-		"a wave without its day": func(b *Config) { b.FrontEnd.Shape.Swing = 0.5 },
+		"a wave without its day": func(b *Config) { b.FrontEnd.Shape.DailySwing = 0.5 },
 	} {
 		b := boot([]string{"127.0.0.1:1"})
 		spoil(&b)
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -375,15 +375,15 @@
 	err := pairs(w, func(name, v string) (err error) {
 		switch name {
 		case "wave":
-			d.Shape.Swing, err = bootstrap.Share(v)
+			d.Shape.DailySwing, err = bootstrap.Share(v)
 		case "over":
-			d.Shape.Day, err = bootstrap.Duration(v)
+			d.Shape.DayLength, err = bootstrap.Duration(v)
 		case "bursts":
-			d.Shape.Height, err = Percent(v)
+			d.Shape.BurstFactor, err = Percent(v)
 		case "every":
-			d.Shape.Every, err = bootstrap.Duration(v)
+			d.Shape.BurstInterval, err = bootstrap.Duration(v)
 		case "lasting":
-			d.Shape.Lasts, err = bootstrap.Duration(v)
+			d.Shape.BurstLength, err = bootstrap.Duration(v)
 		case "keys":
 			keys, err = bootstrap.Whole(v, 1, 1e6)
 		case "zipf":
@@ -396,11 +396,11 @@
 	if err == nil && keys > 0 {
 		d.Keys, err = traffic.NewZipf(keys, exponent)
 	}
-	if err == nil && d.Shape.Height > 0 && d.Shape.Every == 0 {
+	if err == nil && d.Shape.BurstFactor > 0 && d.Shape.BurstInterval == 0 {
 		err = fmt.Errorf("bursts need every and a time")
 	}
 	if err == nil {
-		err = d.Shape.Check()
+		err = d.Shape.Validate()
 	}
 	return err
 }
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -99,7 +99,7 @@
 		}
 	}
 	for n, g := range d.Fronts {
-		factors := traffic.Uneven(g.N, g.Uneven, fake.DeriveSeed(d.Seed, fmt.Sprint("uneven ", n)))
+		factors := traffic.LognormalFactors(g.N, g.Uneven, fake.DeriveSeed(d.Seed, fmt.Sprint("uneven ", n)))
 		for k := range g.N {
 			i := len(c.fronts)
 			put(&c.fronts, &actor{name: fmt.Sprintf("f%d", i), zone: zone(g.Zone, i), at: i, rate: g.Rate * factors[k], pick: g.Pick})
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -35,7 +35,7 @@
 }
 
 func TestShapes(t *testing.T) {
-	s := NewSource(2, 100, Shape{Swing: 0.5, Day: 40, Every: 10, Lasts: 1, Height: 4}, []float64{1}, nil, 0)
+	s := NewSource(2, 100, Shape{DailySwing: 0.5, DayLength: 40, BurstInterval: 10, BurstLength: 1, BurstFactor: 4}, []float64{1}, nil, 0)
 	counts := make([]float64, 4000)
 	for at := 0.0; ; {
 		d, _ := s.Next(at)
@@ -52,8 +52,8 @@
 			t.Errorf("second %d: %.1f RPCs, %.1f wanted", c.at, counts[c.at], c.want)
 		}
 	}
-	for _, bad := range []Shape{{Swing: 2}, {Swing: 0.1}, {Every: 1, Lasts: 2, Height: 1}, {Every: 1, Lasts: 0.5, Height: -1}} {
-		if bad.Check() == nil {
+	for _, bad := range []Shape{{DailySwing: 2}, {DailySwing: 0.1}, {BurstInterval: 1, BurstLength: 2, BurstFactor: 1}, {BurstInterval: 1, BurstLength: 0.5, BurstFactor: -1}} {
+		if bad.Validate() == nil {
 			t.Errorf("%+v was taken", bad)
 		}
 	}
@@ -85,7 +85,7 @@
 		t.Error("no keys at all were taken")
 	}
 	sum, square := 0.0, 0.0
-	all := Uneven(20000, 0.8, 4)
+	all := LognormalFactors(20000, 0.8, 4)
 	for _, x := range all {
 		sum += x
 		square += x * x
@@ -107,7 +107,7 @@
 		}
 		at = x.At
 	}
-	a.Rate(0)
+	a.SetRate(0)
 	if d, ok := a.Next(0); ok {
 		t.Errorf("a source at no rate gave %v", d)
 	}
