--- /dev/null
+++ b/internal/fake/freezer.go
@@ -0,0 +1,168 @@
+package fake
+
+import (
+	"maps"
+	"slices"
+
+	"gingerfork/internal/proto"
+	"gingerfork/internal/statemachine"
+)
+
+// TableFreezer freezes what coordinators push, to compare with: from FreezeAt on, every proxy keeps the tables that it had
+// then. A coordinator process that starts later gives them to the proxies that join again.
+type TableFreezer struct {
+	FreezeAt statemachine.Seconds
+	byProxy  map[string]map[uint64]*frozenTable // by name of the proxy and number of the table
+	welcome  []byte                             // the encoded welcome of the last coordinator that sent one
+}
+
+type frozenTable struct {
+	methods uint64
+	entries map[proto.EP]proto.Line
+}
+
+// Wrap gives a machine that behaves as the coordinator until FreezeAt, and from then on repeats the frozen tables.
+func (t *TableFreezer) Wrap(coordinator statemachine.Machine) statemachine.Machine {
+	if t.byProxy == nil {
+		t.byProxy = map[string]map[uint64]*frozenTable{}
+	}
+	return &frozenCoordinator{freezer: t, inner: coordinator, streams: map[statemachine.Conn]*observedStream{}}
+}
+
+// frozenCoordinator is a coordinator whose streams are observed until it is frozen.
+type frozenCoordinator struct {
+	freezer *TableFreezer
+	inner   statemachine.Machine
+	streams map[statemachine.Conn]*observedStream
+}
+
+// observedStream decodes both directions of a stream that the coordinator accepted.
+type observedStream struct {
+	received, sent proto.Reader
+	proxy          string // name; empty before its hello, and if the peer is none
+}
+
+// Step implements statemachine.Machine.
+func (c *frozenCoordinator) Step(now statemachine.Seconds, inputs []statemachine.Input, out *statemachine.Effects) {
+	frozen := now >= c.freezer.FreezeAt
+	for _, input := range inputs {
+		switch {
+		case input.Kind == statemachine.ConnOpened && input.Conn&statemachine.Dialed == 0:
+			stream := &observedStream{}
+			stream.received.Open()
+			stream.sent.Open()
+			c.streams[input.Conn] = stream
+		case input.Kind == statemachine.ConnClosed:
+			delete(c.streams, input.Conn)
+		case input.Kind == statemachine.ConnData && c.streams[input.Conn] != nil:
+			stream := c.streams[input.Conn]
+			stream.received.Feed(input.Data)
+			c.readReceived(input.Conn, stream, frozen, out)
+		}
+	}
+	if frozen {
+		return
+	}
+	c.inner.Step(now, inputs, out)
+	for _, action := range out.Actions {
+		if stream := c.streams[action.Conn]; stream != nil && action.Kind == statemachine.ActionWrite {
+			stream.sent.Feed(action.Data)
+			c.recordSent(stream)
+		}
+	}
+	out.WakeBy(c.freezer.FreezeAt)
+}
+
+// readReceived learns the names of proxies, and answers proxies in the place of a frozen coordinator.
+func (c *frozenCoordinator) readReceived(conn statemachine.Conn, stream *observedStream, frozen bool, out *statemachine.Effects) {
+	for {
+		message, err := stream.received.Next()
+		if err != nil || message == nil {
+			return
+		}
+		switch message := message.(type) {
+		case proto.Hello:
+			if message.Role != proto.RoleProxy {
+				continue
+			}
+			stream.proxy = message.Name
+			if frozen && c.freezer.welcome != nil {
+				out.Write(conn, slices.Clone(c.freezer.welcome))
+				out.Write(conn, proto.Append(nil, proto.Push{Seq: 1, Ops: c.freezer.bindOps(message.Name)}))
+			}
+		case proto.Sums:
+			if frozen {
+				out.Write(conn, proto.Append(nil, proto.Heard{}))
+			}
+		}
+	}
+}
+
+// recordSent records the tables that the coordinator pushes to a proxy.
+func (c *frozenCoordinator) recordSent(stream *observedStream) {
+	for {
+		message, err := stream.sent.Next()
+		if err != nil || message == nil {
+			return
+		}
+		switch message := message.(type) {
+		case proto.Welcome:
+			c.freezer.welcome = proto.Append(nil, message)
+		case proto.Push:
+			for _, operation := range message.Ops {
+				c.freezer.applyOp(stream.proxy, operation)
+			}
+		}
+	}
+}
+
+func (t *TableFreezer) applyOp(proxy string, operation proto.Op) {
+	tables := t.byProxy[proxy]
+	if tables == nil {
+		tables = map[uint64]*frozenTable{}
+		t.byProxy[proxy] = tables
+	}
+	target := tables[operation.Table]
+	switch operation.Kind {
+	case proto.OpBind:
+		target = &frozenTable{methods: operation.Methods, entries: map[proto.EP]proto.Line{}}
+		tables[operation.Table] = target
+		for _, entry := range operation.Lines {
+			target.set(entry)
+		}
+	case proto.OpLine:
+		if target != nil {
+			target.set(operation.Lines[0])
+		}
+	case proto.OpClear:
+		if target != nil {
+			clear(target.entries)
+		}
+	}
+}
+
+func (t *frozenTable) set(entry proto.Line) {
+	if entry.Weight == 0 {
+		delete(t.entries, entry.EP)
+		return
+	}
+	t.entries[entry.EP] = entry
+}
+
+// bindOps are the operations that give a proxy its frozen tables. Exclusions and admission levels are not kept, as nobody
+// would lift them again.
+func (t *TableFreezer) bindOps(proxy string) []proto.Op {
+	tables := t.byProxy[proxy]
+	ops := make([]proto.Op, 0, len(tables))
+	for _, number := range slices.Sorted(maps.Keys(tables)) {
+		table := tables[number]
+		bind := proto.Op{Kind: proto.OpBind, Table: number, Methods: table.methods}
+		for _, backend := range slices.Sorted(maps.Keys(table.entries)) {
+			entry := table.entries[backend]
+			entry.Shut = false
+			bind.Lines = append(bind.Lines, entry)
+		}
+		ops = append(ops, bind)
+	}
+	return ops
+}
--- /dev/null
+++ b/internal/fake/method.go
@@ -0,0 +1,58 @@
+package fake
+
+import (
+	"gingerfork/choice"
+	"gingerfork/internal/statemachine"
+)
+
+// Repeatability tells what a second execution of an RPC does.
+type Repeatability uint8
+
+// The kinds of methods by what a second execution does.
+const (
+	// Idempotent methods may be executed any number of times.
+	Idempotent Repeatability = iota
+	// IdempotentWithKey methods carry an idempotency key by which backends drop a second execution.
+	IdempotentWithKey
+	// NonIdempotent methods must not be repeated unless the first attempt was never executed.
+	NonIdempotent
+)
+
+// MethodConfig describes one RPC method.
+type MethodConfig struct {
+	Name          string
+	Repeatability Repeatability
+	Criticality   float64
+	SoftDeadline  statemachine.Seconds
+	Deadline      statemachine.Seconds
+	Share         float64 // of the RPCs, 0 to 1
+}
+
+// Defaults of a method's settings, as the coordinator has them.
+const (
+	defaultCriticality  = 1
+	defaultSoftDeadline = 1 // seconds
+	defaultDeadline     = 2 // seconds
+)
+
+var repeatabilityByName = map[string]Repeatability{
+	"idempotent":     Idempotent,
+	"tokened":        IdempotentWithKey,
+	"non-idempotent": NonIdempotent,
+}
+
+// MethodConfigs converts the methods of a fleet's settings; each gets an equal share of the RPCs.
+func MethodConfigs(methods []choice.MethodSettings) []MethodConfig {
+	configs := make([]MethodConfig, 0, len(methods))
+	for _, method := range methods {
+		configs = append(configs, MethodConfig{
+			Name:          method.Name,
+			Repeatability: repeatabilityByName[method.Effect],
+			Criticality:   method.Criticality.Or(defaultCriticality),
+			SoftDeadline:  method.SoftDeadline.Or(defaultSoftDeadline),
+			Deadline:      method.Deadline.Or(defaultDeadline),
+			Share:         1 / float64(len(methods)),
+		})
+	}
+	return configs
+}
--- /dev/null
+++ b/internal/fake/multiplexer.go
@@ -0,0 +1,188 @@
+package fake
+
+import (
+	"container/heap"
+	"strings"
+
+	"gingerfork/internal/statemachine"
+)
+
+// minWakeDelay is the least time between two steps of a member that asks to be stepped at once, in seconds.
+const minWakeDelay = 1e-6
+
+// allMembers addresses a command to every member.
+const allMembers = "*"
+
+// Multiplexer runs many machines as one, so that a single event loop can drive thousands of fakes. Each member has as many
+// listeners as it asks for, in the order of the members. The first word of a command is the name of the member that gets
+// the rest, or * for all. It implements statemachine.Machine.
+type Multiplexer struct {
+	members       []*member
+	byName        map[string]*member
+	listeners     []*member // by listener of the multiplexer
+	firstListener map[*member]int
+	conns         map[statemachine.Conn]memberConn
+	lastDialed    statemachine.Conn
+	wakeups       wakeupHeap
+	memberOut     statemachine.Effects
+}
+
+type member struct {
+	name         string
+	machine      statemachine.Machine
+	conns        map[statemachine.Conn]statemachine.Conn // the multiplexer's number of each of its connections
+	inputs       []statemachine.Input
+	lastAccepted statemachine.Conn
+	wakeAt       statemachine.Seconds
+	heapIndex    int
+}
+
+// memberConn is a connection by the number that its member knows.
+type memberConn struct {
+	owner *member
+	conn  statemachine.Conn
+}
+
+// NewMultiplexer makes a multiplexer without members.
+func NewMultiplexer() *Multiplexer {
+	return &Multiplexer{
+		byName: map[string]*member{}, firstListener: map[*member]int{}, conns: map[statemachine.Conn]memberConn{},
+		lastDialed: statemachine.Dialed,
+	}
+}
+
+// Add adds a member with a number of listeners. It must not be called after the first step.
+func (m *Multiplexer) Add(name string, machine statemachine.Machine, listeners int) {
+	added := &member{name: name, machine: machine, conns: map[statemachine.Conn]statemachine.Conn{}}
+	m.members = append(m.members, added)
+	m.byName[name] = added
+	m.firstListener[added] = len(m.listeners)
+	for range listeners {
+		m.listeners = append(m.listeners, added)
+	}
+	heap.Push(&m.wakeups, added)
+}
+
+// Step implements statemachine.Machine. It steps only the members that have an input or whose wake-up time has come.
+func (m *Multiplexer) Step(now statemachine.Seconds, inputs []statemachine.Input, out *statemachine.Effects) {
+	var receivers []*member
+	deliver := func(receiver *member, input statemachine.Input) {
+		if len(receiver.inputs) == 0 {
+			receivers = append(receivers, receiver)
+		}
+		receiver.inputs = append(receiver.inputs, input)
+	}
+	for _, input := range inputs {
+		if input.Kind == statemachine.OperatorCommand {
+			m.routeCommand(input.Text, deliver)
+		} else {
+			m.routeConnInput(input, deliver)
+		}
+	}
+	for len(m.wakeups) > 0 && m.wakeups[0].wakeAt <= now {
+		m.stepMember(now, m.wakeups[0], out)
+	}
+	for _, receiver := range receivers {
+		if len(receiver.inputs) > 0 {
+			m.stepMember(now, receiver, out)
+		}
+	}
+	if len(m.wakeups) > 0 {
+		out.WakeBy(m.wakeups[0].wakeAt)
+	}
+}
+
+func (m *Multiplexer) routeCommand(text string, deliver func(*member, statemachine.Input)) {
+	name, command, _ := strings.Cut(text, " ")
+	input := statemachine.Input{Kind: statemachine.OperatorCommand, Text: command}
+	if receiver := m.byName[name]; receiver != nil {
+		deliver(receiver, input)
+	} else if name == allMembers {
+		for _, receiver := range m.members {
+			deliver(receiver, input)
+		}
+	}
+}
+
+// routeConnInput gives an input to the owner of its connection, under the number and the listener that the owner knows.
+func (m *Multiplexer) routeConnInput(input statemachine.Input, deliver func(*member, statemachine.Input)) {
+	local, known := m.conns[input.Conn]
+	switch {
+	case !known && input.Kind == statemachine.ConnOpened && input.Conn&statemachine.Dialed == 0:
+		owner := m.listeners[input.Listener]
+		owner.lastAccepted++
+		local = memberConn{owner, owner.lastAccepted}
+		m.conns[input.Conn] = local
+		owner.conns[local.conn] = input.Conn
+		input.Listener -= m.firstListener[owner]
+	case !known:
+		return
+	case input.Kind == statemachine.ConnClosed:
+		delete(m.conns, input.Conn)
+		delete(local.owner.conns, local.conn)
+	}
+	input.Conn = local.conn
+	deliver(local.owner, input)
+}
+
+func (m *Multiplexer) stepMember(now statemachine.Seconds, stepped *member, out *statemachine.Effects) {
+	inputs := stepped.inputs
+	stepped.inputs = nil
+	m.memberOut.Reset()
+	stepped.machine.Step(now, inputs, &m.memberOut)
+	for _, action := range m.memberOut.Actions {
+		m.forwardAction(stepped, action, out)
+	}
+	out.LogEntries = append(out.LogEntries, m.memberOut.LogEntries...)
+	out.Trace = append(out.Trace, m.memberOut.Trace...)
+	if m.memberOut.Failure != "" {
+		out.Failure = stepped.name + ": " + m.memberOut.Failure
+	}
+	stepped.wakeAt = max(m.memberOut.WakeAt, now+minWakeDelay)
+	heap.Fix(&m.wakeups, stepped.heapIndex)
+}
+
+// forwardAction passes a member's action on under the multiplexer's number of the connection.
+func (m *Multiplexer) forwardAction(from *member, action statemachine.Action, out *statemachine.Effects) {
+	if action.Kind == statemachine.ActionDial {
+		m.lastDialed++
+		m.conns[m.lastDialed] = memberConn{from, action.Conn}
+		from.conns[action.Conn] = m.lastDialed
+		out.Dial(m.lastDialed, action.Addr)
+		return
+	}
+	conn, known := from.conns[action.Conn]
+	if !known {
+		return
+	}
+	if action.Kind != statemachine.ActionWrite {
+		delete(from.conns, action.Conn)
+		delete(m.conns, conn)
+	}
+	action.Conn = conn
+	out.Actions = append(out.Actions, action)
+}
+
+// wakeupHeap orders members by wake-up time, for container/heap.
+type wakeupHeap []*member
+
+func (h wakeupHeap) Len() int           { return len(h) }
+func (h wakeupHeap) Less(i, j int) bool { return h[i].wakeAt < h[j].wakeAt }
+
+func (h wakeupHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].heapIndex, h[j].heapIndex = i, j
+}
+
+func (h *wakeupHeap) Push(x any) {
+	added := x.(*member)
+	added.heapIndex = len(*h)
+	*h = append(*h, added)
+}
+
+func (h *wakeupHeap) Pop() any {
+	last := len(*h) - 1
+	removed := (*h)[last]
+	*h = (*h)[:last]
+	return removed
+}
--- /dev/null
+++ b/internal/fake/pool.go
@@ -0,0 +1,129 @@
+package fake
+
+import (
+	"maps"
+	"slices"
+
+	"gingerfork/internal/proto"
+	"gingerfork/internal/statemachine"
+)
+
+// connPool has the connections to backends, at most one to each.
+type connPool struct {
+	byBackend map[proto.EP]*backendConn
+	byConn    map[statemachine.Conn]*backendConn
+}
+
+// backendConn is a connection to a backend.
+type backendConn struct {
+	backend        proto.EP
+	addr           string
+	conn           statemachine.Conn
+	established    bool
+	reader         proto.Reader
+	attempts       map[uint64]*rpc // in flight, by attempt ID
+	queued         []uint64        // attempts to be written once the connection is established
+	reportedLoad   float64
+	loadReportedAt statemachine.Seconds // 0: never
+}
+
+func (p *connPool) add(conn *backendConn) {
+	p.byBackend[conn.backend] = conn
+	p.byConn[conn.conn] = conn
+}
+
+func (p *connPool) remove(conn *backendConn) {
+	delete(p.byConn, conn.conn)
+	if p.byBackend[conn.backend] == conn {
+		delete(p.byBackend, conn.backend)
+	}
+}
+
+// connTo gives the connection to a backend's address and dials it if there is none.
+func (f *FrontEnd) connTo(now statemachine.Seconds, backend proto.EP, addr string) *backendConn {
+	existing := f.pool.byBackend[backend]
+	if existing != nil && existing.addr == addr {
+		return existing
+	}
+	if existing != nil {
+		f.out.Close(existing.conn)
+		f.connLost(now, existing)
+	}
+	f.conns++
+	dialed := &backendConn{backend: backend, addr: addr, conn: f.conns, attempts: map[uint64]*rpc{}}
+	f.pool.add(dialed)
+	f.out.Dial(dialed.conn, addr)
+	f.timers.schedule(now+f.config.ConnectTimeout, func(now statemachine.Seconds) {
+		if !dialed.established && f.pool.byConn[dialed.conn] == dialed {
+			f.out.Abort(dialed.conn)
+			f.connLost(now, dialed)
+		}
+	})
+	return dialed
+}
+
+// closeUnusedConns closes the idle connections to addresses that no table has any more.
+func (f *FrontEnd) closeUnusedConns() {
+	addresses := f.usableAddresses()
+	for _, id := range sortedConns(f.pool.byConn) {
+		conn := f.pool.byConn[id]
+		used := addresses[conn.backend] != "" && addresses[conn.backend] == conn.addr
+		if !used && len(conn.attempts) == 0 {
+			f.out.Close(id)
+			f.pool.remove(conn)
+		}
+	}
+}
+
+func (f *FrontEnd) handleBackendInput(now statemachine.Seconds, conn *backendConn, input statemachine.Input) {
+	switch input.Kind {
+	case statemachine.ConnOpened:
+		f.connEstablished(now, conn)
+	case statemachine.ConnClosed:
+		f.connLost(now, conn)
+	case statemachine.ConnData:
+		conn.reader.Feed(input.Data)
+		f.readReplies(now, conn)
+	}
+}
+
+// connEstablished starts the protocol and writes the attempts that waited for the connection.
+func (f *FrontEnd) connEstablished(now statemachine.Seconds, conn *backendConn) {
+	conn.established = true
+	conn.reader.Open()
+	f.out.Write(conn.conn, proto.Append(nil, proto.Hello{
+		Version: proto.Version, Role: proto.RoleCaller, Name: f.config.Name, Zone: f.config.Zone, Holds: f.session.tablesOf,
+	}))
+	for _, attempt := range conn.queued {
+		if call := conn.attempts[attempt]; call != nil && !call.finished {
+			f.writeAttempt(now, conn, call)
+		}
+	}
+	conn.queued = nil
+}
+
+func (f *FrontEnd) readReplies(now statemachine.Seconds, conn *backendConn) {
+	for f.pool.byConn[conn.conn] == conn {
+		message, err := conn.reader.Next()
+		if err != nil {
+			f.out.Close(conn.conn)
+			f.connLost(now, conn)
+			return
+		}
+		if message == nil {
+			return
+		}
+		if reply, ok := message.(proto.Reply); ok {
+			f.handleReply(now, conn, reply)
+		}
+	}
+}
+
+// connLost fails the attempts of a connection that is gone. Those that were written may have been executed; on a
+// connection that was never established none was.
+func (f *FrontEnd) connLost(now statemachine.Seconds, conn *backendConn) {
+	f.pool.remove(conn)
+	for _, attempt := range slices.Sorted(maps.Keys(conn.attempts)) {
+		f.attemptFailed(now, conn.attempts[attempt], conn.established)
+	}
+}
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -7,193 +7,220 @@
 	"gingerfork/internal/statemachine"
 )
 
-// Relay passes bytes between who dials it and a target, a door for each target, and hinders them on command, each door
-// by itself.
+// Relay forwards bytes between clients and targets, with a listener for each target, and injects network faults on
+// command, into each listener's traffic by itself. It implements statemachine.Machine.
 type Relay struct {
-	targets []string
-	hinder  []hindrance
-	pairs   map[statemachine.Conn]*pipe
-	dialled statemachine.Conn
-	timers  timers
-	out     *statemachine.Effects
+	targets    []string    // by listener
+	faults     []linkFault // by listener
+	tunnels    map[statemachine.Conn]*tunnel
+	lastDialed statemachine.Conn
+	timers     timers
+	out        *statemachine.Effects
 }
 
-type hindrance struct {
-	cut   bool // holds what comes, as a network does that may come back
-	drop  bool // resets who dials
-	delay statemachine.Seconds
-	pace  float64 // bytes a second of each pipe and way; 0: unbounded
+// linkFault is what hinders the traffic of one listener.
+type linkFault struct {
+	partitioned bool // holds the traffic back until the partition ends, as a network that comes back does
+	reset       bool // resets existing and new connections
+	latency     statemachine.Seconds
+	bandwidth   float64 // bytes a second of each tunnel and direction; 0: unbounded
 }
 
-// pipe is two connections: from who dialled, and to the target.
-type pipe struct {
-	door int
-	ends [2]statemachine.Conn
-	open bool
-	wait [][]byte // of the dialler, until the target is reached
-	held []piece  // while the door is cut
-	n    int
-	free [2]statemachine.Seconds // when the next bytes of that way may leave
+// The two ends of a tunnel.
+const (
+	clientEnd = 0
+	targetEnd = 1
+)
+
+// tunnel is a client's connection and the one to the target.
+type tunnel struct {
+	listener    int
+	ends        [2]statemachine.Conn
+	established bool
+	beforeDial  [][]byte  // from the client, until the target is connected
+	held        []segment // during a partition
+	lastNumber  int
+	freeAt      [2]statemachine.Seconds // by sending end, when the next bytes may leave
 }
 
-// piece is bytes of one way, or the end of a pipe.
-type piece struct {
-	n    int // its place among the pipe's
-	from int
-	data []byte
-	end  bool
+// segment is bytes from one end, or that end's close.
+type segment struct {
+	number int // the order within its tunnel, from 1 on
+	from   int // the sending end
+	data   []byte
+	closed bool
 }
 
-// NewRelay makes one.
+// NewRelay makes a relay with a listener for each target address.
 func NewRelay(targets ...string) *Relay {
 	return &Relay{
-		targets: targets, hinder: make([]hindrance, len(targets)), pairs: map[statemachine.Conn]*pipe{},
-		dialled: statemachine.Dialed,
+		targets: targets, faults: make([]linkFault, len(targets)), tunnels: map[statemachine.Conn]*tunnel{},
+		lastDialed: statemachine.Dialed,
 	}
 }
 
-// Step implements machine.Machine.
-func (r *Relay) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
+// Step implements statemachine.Machine.
+func (r *Relay) Step(now statemachine.Seconds, inputs []statemachine.Input, out *statemachine.Effects) {
 	r.out = out
-	r.timers.ring(now)
-	for _, i := range in {
-		p := r.pairs[i.Conn]
+	r.timers.runDue(now)
+	for _, input := range inputs {
+		existing := r.tunnels[input.Conn]
 		switch {
-		case i.Kind == statemachine.OperatorCommand:
-			r.told(now, i.Text)
-		case i.Kind == statemachine.ConnOpened && p == nil:
-			if r.hinder[i.Listener].drop {
-				out.Abort(i.Conn)
-				continue
-			}
-			r.dialled++
-			p = &pipe{door: i.Listener, ends: [2]statemachine.Conn{i.Conn, r.dialled}}
-			r.pairs[i.Conn], r.pairs[r.dialled] = p, p
-			out.Dial(r.dialled, r.targets[i.Listener])
-		case p == nil:
-		case i.Kind == statemachine.ConnOpened:
-			p.open = true
-			for _, b := range p.wait {
-				r.pass(now, p, piece{data: b})
-			}
-			p.wait = nil
-		case i.Kind == statemachine.ConnData:
-			from := 0
-			if i.Conn == p.ends[1] {
-				from = 1
-			}
-			if from == 0 && !p.open {
-				p.wait = append(p.wait, i.Data)
-			} else {
-				r.pass(now, p, piece{from: from, data: i.Data})
-			}
-		case i.Kind == statemachine.ConnClosed:
-			from := 0
-			if i.Conn == p.ends[1] {
-				from = 1
-			}
-			delete(r.pairs, i.Conn)
-			r.pass(now, p, piece{from: from, end: true})
+		case input.Kind == statemachine.OperatorCommand:
+			r.handleCommand(now, input.Text)
+		case input.Kind == statemachine.ConnOpened && existing == nil:
+			r.accept(input)
+		case existing != nil:
+			r.handleTunnelInput(now, existing, input)
+		}
+	}
+	r.timers.requestWakeup(out)
+}
+
+func (r *Relay) accept(input statemachine.Input) {
+	if r.faults[input.Listener].reset {
+		r.out.Abort(input.Conn)
+		return
+	}
+	r.lastDialed++
+	opened := &tunnel{listener: input.Listener, ends: [2]statemachine.Conn{input.Conn, r.lastDialed}}
+	r.tunnels[input.Conn] = opened
+	r.tunnels[r.lastDialed] = opened
+	r.out.Dial(r.lastDialed, r.targets[input.Listener])
+}
+
+func (r *Relay) handleTunnelInput(now statemachine.Seconds, through *tunnel, input statemachine.Input) {
+	from := clientEnd
+	if input.Conn == through.ends[targetEnd] {
+		from = targetEnd
+	}
+	switch input.Kind {
+	case statemachine.ConnOpened:
+		through.established = true
+		for _, data := range through.beforeDial {
+			r.forward(now, through, segment{data: data})
+		}
+		through.beforeDial = nil
+	case statemachine.ConnData:
+		if from == clientEnd && !through.established {
+			through.beforeDial = append(through.beforeDial, input.Data)
+		} else {
+			r.forward(now, through, segment{from: from, data: input.Data})
 		}
+	case statemachine.ConnClosed:
+		delete(r.tunnels, input.Conn)
+		r.forward(now, through, segment{from: from, closed: true})
 	}
-	r.timers.wake(out)
 }
 
-// pass sends a piece on, as late as the door makes it, and never before what came earlier.
-func (r *Relay) pass(now statemachine.Seconds, p *pipe, x piece) {
-	if x.n == 0 {
-		p.n++
-		x.n = p.n
+// forward sends a segment on with the listener's latency and bandwidth, and never before an earlier one.
+func (r *Relay) forward(now statemachine.Seconds, through *tunnel, sent segment) {
+	if sent.number == 0 {
+		through.lastNumber++
+		sent.number = through.lastNumber
 	}
-	h := r.hinder[p.door]
-	if h.cut || len(p.held) > 0 {
-		p.hold(x)
+	if r.holdsBack(through) {
+		through.hold(sent)
 		return
 	}
-	at := max(now+h.delay, p.free[x.from])
-	if h.pace > 0 {
-		at += float64(len(x.data)) / h.pace
+	fault := r.faults[through.listener]
+	sendAt := max(now+fault.latency, through.freeAt[sent.from])
+	if fault.bandwidth > 0 {
+		sendAt += float64(len(sent.data)) / fault.bandwidth
 	}
-	p.free[x.from] = at
-	if at <= now {
-		r.deliver(p, x)
+	through.freeAt[sent.from] = sendAt
+	if sendAt <= now {
+		r.deliver(through, sent)
 		return
 	}
-	r.timers.at(at, func(statemachine.Seconds) {
-		if r.hinder[p.door].cut || len(p.held) > 0 {
-			p.hold(x)
+	r.timers.schedule(sendAt, func(statemachine.Seconds) {
+		if r.holdsBack(through) {
+			through.hold(sent)
 			return
 		}
-		r.deliver(p, x)
+		r.deliver(through, sent)
 	})
 }
 
-// hold keeps a piece for later. What was under way when a cut began was sent before what came during it.
-func (p *pipe) hold(x piece) {
-	at := len(p.held)
-	for at > 0 && p.held[at-1].n > x.n {
-		at--
+// holdsBack tells whether a tunnel's traffic must wait for the end of a partition.
+func (r *Relay) holdsBack(through *tunnel) bool {
+	return r.faults[through.listener].partitioned || len(through.held) > 0
+}
+
+// hold keeps a segment for later. One that was delayed when a partition began goes before those that came during it.
+func (t *tunnel) hold(sent segment) {
+	index := len(t.held)
+	for index > 0 && t.held[index-1].number > sent.number {
+		index--
 	}
-	p.held = slices.Insert(p.held, at, x)
+	t.held = slices.Insert(t.held, index, sent)
 }
 
-func (r *Relay) deliver(p *pipe, x piece) {
-	to := p.ends[1-x.from]
-	if r.pairs[to] != p {
+func (r *Relay) deliver(through *tunnel, sent segment) {
+	receiver := through.ends[1-sent.from]
+	if r.tunnels[receiver] != through {
 		return
 	}
-	if x.end {
-		r.out.Close(to)
-		delete(r.pairs, to)
+	if sent.closed {
+		r.out.Close(receiver)
+		delete(r.tunnels, receiver)
 		return
 	}
-	r.out.Write(to, x.data)
+	r.out.Write(receiver, sent.data)
 }
 
-// told takes a script's word: set DOOR CUT DROP DELAY PACE (flags as 0 and 1), or reset DOOR.
-func (r *Relay) told(now statemachine.Seconds, text string) {
-	var door, cut, drop int
-	var h hindrance
-	if n, _ := fmt.Sscanf(text, "set %d %d %d %g %g", &door, &cut, &drop, &h.delay, &h.pace); n == 5 && door < len(r.targets) {
-		h.cut, h.drop = cut == 1, drop == 1
-		r.hinder[door] = h
-		if h.drop {
-			r.reset(door)
-		}
-		if !h.cut {
-			r.release(now, door)
-		}
+// handleCommand carries out a scenario's command: set LISTENER PARTITIONED RESET LATENCY BANDWIDTH (flags as 0 and 1), or
+// reset LISTENER.
+func (r *Relay) handleCommand(now statemachine.Seconds, text string) {
+	var listener, partitioned, reset int
+	var fault linkFault
+	// A text that does not fit the format is tried as the next one: the count of fields says so as well as the error.
+	fields, _ := fmt.Sscanf(text, "set %d %d %d %g %g", &listener, &partitioned, &reset, &fault.latency, &fault.bandwidth)
+	if fields == 5 && listener < len(r.targets) {
+		fault.partitioned = partitioned == 1
+		fault.reset = reset == 1
+		r.setFault(now, listener, fault)
 		return
 	}
-	if n, _ := fmt.Sscanf(text, "reset %d", &door); n == 1 {
-		r.reset(door)
+	if fields, _ := fmt.Sscanf(text, "reset %d", &listener); fields == 1 {
+		r.resetConns(listener)
 		return
 	}
-	r.out.Log(2, "unknown word", "word", text)
+	logUnknownCommand(r.out, text)
+}
+
+func (r *Relay) setFault(now statemachine.Seconds, listener int, fault linkFault) {
+	r.faults[listener] = fault
+	if fault.reset {
+		r.resetConns(listener)
+	}
+	if !fault.partitioned {
+		r.release(now, listener)
+	}
 }
 
-// release lets go what a cut held.
-func (r *Relay) release(now statemachine.Seconds, door int) {
-	done := map[*pipe]bool{}
-	for _, c := range sortedConns(r.pairs) {
-		p := r.pairs[c]
-		if p == nil || p.door != door || done[p] {
+// release forwards what a partition held back.
+func (r *Relay) release(now statemachine.Seconds, listener int) {
+	released := map[*tunnel]bool{}
+	for _, conn := range sortedConns(r.tunnels) {
+		through := r.tunnels[conn]
+		if through == nil || through.listener != listener || released[through] {
 			continue
 		}
-		done[p] = true
-		held := p.held
-		p.held = nil
-		for _, x := range held {
-			r.pass(now, p, x)
+		released[through] = true
+		held := through.held
+		through.held = nil
+		for _, sent := range held {
+			r.forward(now, through, sent)
 		}
 	}
 }
 
-func (r *Relay) reset(door int) {
-	for _, c := range sortedConns(r.pairs) {
-		if r.pairs[c].door == door {
-			r.out.Abort(c)
-			delete(r.pairs, c)
+func (r *Relay) resetConns(listener int) {
+	for _, conn := range sortedConns(r.tunnels) {
+		if r.tunnels[conn].listener == listener {
+			r.out.Abort(conn)
+			delete(r.tunnels, conn)
 		}
 	}
 }
