--- /dev/null
+++ b/internal/emulator/backend.go
@@ -0,0 +1,187 @@
+package emulator
+
+import (
+	"fmt"
+	"maps"
+	"math"
+	"slices"
+	"strconv"
+
+	"gingerfork/internal/proto"
+	"gingerfork/internal/statemachine"
+	"gingerfork/internal/trace"
+)
+
+const logWarning = 2
+
+// Backend is an emulated backend with its wire protocol. It implements statemachine.Machine.
+type Backend struct {
+	config       Config
+	model        *Model // nil before the first step
+	readers      map[statemachine.Conn]*proto.Reader
+	out          *statemachine.Effects
+	nextSampleAt Seconds
+	maxDelay     Seconds // of timers, since the last sample
+}
+
+// NewBackend makes a backend whose process starts at its first step.
+func NewBackend(config Config) *Backend {
+	return &Backend{config: config, readers: map[statemachine.Conn]*proto.Reader{}}
+}
+
+// Step implements statemachine.Machine.
+func (b *Backend) Step(now statemachine.Seconds, inputs []statemachine.Input, out *statemachine.Effects) {
+	b.out = out
+	if b.model == nil {
+		b.model = NewModel(b.config, now)
+		if b.config.StartsCold {
+			capacity := b.config.Capacity([]float64{1})
+			out.Record(trace.Record{T: now, Kind: trace.Start, EP: b.config.Backend, X: capacity})
+		}
+	}
+	b.maxDelay = max(b.maxDelay, now-b.model.NextTimer())
+	b.advance(now)
+	for _, input := range inputs {
+		b.handleInput(input)
+		b.advance(now)
+	}
+	if at := b.model.NextTimer(); !math.IsInf(at, 1) {
+		out.WakeBy(at)
+	}
+	if b.config.SampleInterval > 0 {
+		if now >= b.nextSampleAt {
+			b.nextSampleAt = now + b.config.SampleInterval
+			b.recordSample(now)
+		}
+		out.WakeBy(b.nextSampleAt)
+	}
+}
+
+func (b *Backend) handleInput(input statemachine.Input) {
+	switch input.Kind {
+	case statemachine.ConnOpened:
+		b.readers[input.Conn] = &proto.Reader{}
+		b.model.Connect(ConnID(input.Conn), "") // the hello tells the coordinator
+	case statemachine.ConnClosed:
+		delete(b.readers, input.Conn)
+		b.model.Disconnect(ConnID(input.Conn))
+	case statemachine.OperatorCommand:
+		if err := b.model.command(input.Text); err != nil {
+			logRejectedCommand(b.out, input.Text, err)
+		}
+	case statemachine.ConnData:
+		if reader := b.readers[input.Conn]; reader != nil {
+			reader.Feed(input.Data)
+			b.readMessages(input.Conn, reader)
+		}
+	}
+}
+
+func logRejectedCommand(out *statemachine.Effects, text string, err error) {
+	out.Log(logWarning, "command rejected", "command", text, "error", err.Error())
+}
+
+// recordSample records the backend's state and how late it handled its timers.
+func (b *Backend) recordSample(now statemachine.Seconds) {
+	_, queued, coreUsage := b.model.Load()
+	b.out.Record(trace.Record{
+		T: now, Kind: trace.Glance, EP: b.config.Backend, X: b.model.Capacity(now, 0), N: int64(queued),
+		Text: strconv.FormatFloat(coreUsage, 'g', 3, 64),
+	})
+	b.out.Record(trace.Record{T: now, Kind: trace.Late, EP: b.config.Backend, X: max(0, b.maxDelay)})
+	b.maxDelay = 0
+}
+
+func (b *Backend) readMessages(conn statemachine.Conn, reader *proto.Reader) {
+	connID := ConnID(conn)
+	for b.readers[conn] == reader {
+		message, err := reader.Next()
+		if err != nil {
+			b.out.Write(conn, proto.Append(nil, proto.Refuse{Reason: err.Error()}))
+			b.out.Close(conn)
+			delete(b.readers, conn)
+			b.model.Disconnect(connID)
+			return
+		}
+		switch message := message.(type) {
+		case nil:
+			return
+		case proto.Hello:
+			reader.Open()
+			b.model.SetCoordinator(connID, message.Holds)
+			name := fmt.Sprint("server-", b.config.Backend)
+			b.out.Write(conn, proto.Append(nil, proto.Welcome{Version: proto.Version, Name: name}))
+		case proto.Probe:
+			b.model.Probe(connID, message.ID)
+		case proto.RPC:
+			b.model.Submit(connID, RPC{
+				ID: message.ID, Method: int(message.Method), IdempotencyKey: message.Token, CacheKey: message.Key,
+				TimeLeft: message.Left,
+			})
+		}
+	}
+}
+
+// Capacity is the RPCs a second of a method that the backend can execute at present; 0 before the first step. It is for
+// those who watch a scenario from outside.
+func (b *Backend) Capacity(now statemachine.Seconds, method int) float64 {
+	if b.model == nil {
+		return 0
+	}
+	return b.model.Capacity(now, method)
+}
+
+// Load gives the RPCs in flight, those of them that are queued, and the share of the cores that are busy; zeros before the
+// first step. It is for those who watch a scenario from outside.
+func (b *Backend) Load() (inFlight, queued int, coreUsage float64) {
+	if b.model == nil {
+		return 0, 0, 0
+	}
+	return b.model.Load()
+}
+
+// advance brings the model to the present and carries out its effects.
+func (b *Backend) advance(now statemachine.Seconds) {
+	for _, effect := range b.model.Advance(now) {
+		b.apply(now, effect)
+	}
+}
+
+func (b *Backend) apply(now statemachine.Seconds, effect Effect) {
+	switch effect := effect.(type) {
+	case Reply:
+		b.write(effect.Conn, proto.Reply{
+			ID: effect.ID, Status: proto.Status(effect.Status), Reports: effect.Load >= 0, Load: max(0, effect.Load),
+		})
+	case ProbeReply:
+		b.write(effect.Conn, proto.ProbeReply{ID: effect.ID, Status: proto.Status(effect.Status)})
+	case Executed:
+		b.recordExecution(now, effect.RPC)
+	case OverloadApproached:
+		b.out.Record(trace.Record{T: now, Kind: trace.Offer, EP: b.config.Backend, X: effect.Ratio, N: int64(effect.RPCs)})
+	case Collapsed:
+		b.out.Record(trace.Record{T: now, Kind: trace.Fall, EP: b.config.Backend})
+		for _, conn := range slices.Sorted(maps.Keys(b.readers)) {
+			b.out.Abort(conn)
+		}
+		clear(b.readers)
+	case ConnRejected:
+		b.out.Abort(statemachine.Conn(effect.Conn))
+		delete(b.readers, statemachine.Conn(effect.Conn))
+	}
+}
+
+func (b *Backend) recordExecution(now statemachine.Seconds, call RPC) {
+	record := trace.Record{T: now, Kind: trace.Run, EP: b.config.Backend, RPC: call.ID, Method: call.Method}
+	if call.IdempotencyKey != 0 {
+		record.Text = strconv.FormatUint(call.IdempotencyKey, 10)
+	}
+	b.out.Record(record)
+}
+
+func (b *Backend) write(connID ConnID, message proto.Message) {
+	conn := statemachine.Conn(connID)
+	if b.readers[conn] != nil {
+		b.out.Write(conn, proto.Append(nil, message))
+	}
+}
--- /dev/null
+++ b/internal/emulator/faults_test.go
@@ -0,0 +1,85 @@
+package emulator
+
+import (
+	"errors"
+	"testing"
+)
+
+func mustCommand(t *testing.T, model *Model, commands ...string) {
+	t.Helper()
+	for _, command := range commands {
+		if err := model.command(command); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// A fault has its effect until it is healed.
+func TestFaults(t *testing.T) {
+	for command, want := range map[string]Status{
+		"fast": StatusAborted, "part 1": StatusAborted, "method 0": StatusAborted, "from c1": StatusAborted, "drain": StatusRejected,
+		"method 1": StatusOK, "from c2": StatusOK, "dear 3": StatusOK, "slow 2": StatusOK,
+	} {
+		model := NewModel(testConfig(1, Work{Mean: 0.1, Family: Constant}), 0)
+		model.Connect(1, "c1")
+		mustCommand(t, model, command)
+		model.Submit(1, RPC{ID: 1, TimeLeft: 9})
+		if statuses, _ := advanceUntil(model, 1); statuses[1] != want || len(statuses) != 1 {
+			t.Errorf("%s: %v", command, statuses)
+		}
+		mustCommand(t, model, "heal")
+		model.Submit(1, RPC{ID: 2, TimeLeft: 9})
+		if statuses, _ := advanceUntil(model, 1.11); statuses[2] != StatusOK || len(statuses) != 1 {
+			t.Errorf("after %s was healed: %v", command, statuses)
+		}
+	}
+}
+
+func TestInvalidCommands(t *testing.T) {
+	model := NewModel(testConfig(1, Work{Mean: 0.1, Family: Constant}), 0)
+	for command, want := range map[string]error{
+		"": errUnknownFault, "hangs": errUnknownFault, "heal x": errUnknownFault,
+		"slow": errFaultArgument, "slow 0": errFaultArgument, "slow x": errFaultArgument, "hang 3": errFaultArgument,
+		"part -1": errFaultArgument, "conns NaN": errFaultArgument, "from": errFaultArgument,
+	} {
+		if err := model.command(command); !errors.Is(err, want) {
+			t.Errorf("%q: got %v, want %v", command, err, want)
+		}
+	}
+}
+
+// Two hangs that overlap end with the later.
+func TestHangsAddUp(t *testing.T) {
+	model := connectedModel(testConfig(1, Work{Mean: 0.1, Family: Constant}))
+	mustCommand(t, model, "hang", "hang")
+	model.Submit(1, RPC{ID: 1, TimeLeft: 9})
+	model.Probe(1, 5)
+	mustCommand(t, model, "heal hang")
+	if statuses, _ := advanceUntil(model, 5); len(statuses) != 0 {
+		t.Error("replies during a hang:", statuses)
+	}
+	mustCommand(t, model, "heal hang")
+	if statuses, _ := advanceUntil(model, 6); statuses[1] != StatusOK {
+		t.Error("no reply after the hang:", statuses)
+	}
+}
+
+func TestConnectionFaults(t *testing.T) {
+	model := connectedModel(testConfig(1, Work{Mean: 0.1, Family: Constant}))
+	model.Advance(6)
+	mustCommand(t, model, "conns 2", "shake 0.5")
+	model.Connect(2, "")
+	model.Connect(3, "")
+	rejected := 0
+	for _, effect := range model.Advance(6) {
+		if rejection, ok := effect.(ConnRejected); ok && rejection.Conn == 3 {
+			rejected++
+		}
+	}
+	model.Submit(2, RPC{ID: 2, TimeLeft: 9})
+	early, _ := advanceUntil(model, 6.55)
+	late, _ := advanceUntil(model, 6.65)
+	if rejected != 1 || len(early) != 0 || late[2] != StatusOK {
+		t.Error(rejected, early, late)
+	}
+}
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -2,7 +2,9 @@
 
 import (
 	"container/heap"
+	"errors"
 	"fmt"
+	"maps"
 	"math"
 	"slices"
 	"strings"
@@ -11,242 +13,246 @@
 	"gingerfork/internal/trace"
 )
 
-// Fleet is many emulated servers in one machine, each behind a door of its own, so that one loop carries hundreds. What
-// happens to whole processes happens to members: words are NAME kill, NAME start, or NAME and a server's word; * is all.
+const (
+	statsInterval Seconds = 1
+	// minWakeDelay is the least time between two steps of a backend that asks to be stepped at once.
+	minWakeDelay Seconds = 1e-6
+	// allBackends addresses a command to every backend.
+	allBackends = "*"
+)
+
+var errUnknownBackend = errors.New("unknown backend")
+
+// Fleet runs many emulated backends as one machine, each with a listener of its own, so that one event loop carries
+// hundreds. Commands are NAME kill and NAME start, for the backend's process, or NAME and one that injects or heals a fault of the backend; the name *
+// stands for all. It implements statemachine.Machine.
 type Fleet struct {
-	members []*member
-	byName  map[string]*member
-	of      map[statemachine.Conn]*member
-	due     fleetDue
-	began   statemachine.Seconds
-	tally   FleetStats
-	second  statemachine.Seconds
-	figures func(FleetStats)
-}
-
-// Tally is what a fleet did in about a second, and how it is.
-type FleetStats struct {
-	Elapsed                                 statemachine.Seconds // since its start
-	Backends, Running, WarmingUp, Collapsed int                  // Down: fallen, of those that are up
-	Capacity, CoreUsage                     float64              // RPCs a second that it could do, cores' share that is busy
-	Queued                                  int                  // RPCs
-	Executed                                int                  // RPCs begun
-	OverloadRatio                           float64              // the nearest that a cold server came to falling, of its bound
-	MaxDelay                                statemachine.Seconds // the most that anything was done after it was due
-}
-
-type member struct {
-	name  string
-	trade Config
-	lives int
-	s     *Backend // nil: down
-	conns map[statemachine.Conn]bool
-	wake  statemachine.Seconds
-	at    int
-	in    []statemachine.Input
-}
-
-type fleetDue []*member
-
-func (d fleetDue) Len() int           { return len(d) }
-func (d fleetDue) Less(i, j int) bool { return d[i].wake < d[j].wake }
-func (d fleetDue) Swap(i, j int)      { d[i], d[j] = d[j], d[i]; d[i].at, d[j].at = i, j }
-func (d *fleetDue) Push(x any)        { m := x.(*member); m.at = len(*d); *d = append(*d, m) }
-func (d *fleetDue) Pop() any          { old := *d; x := old[len(old)-1]; *d = old[:len(old)-1]; return x }
-
-// NewFleet makes an empty one; figures, if not nil, is given what it did each second, by the goroutine that steps it.
-func NewFleet(figures func(FleetStats)) *Fleet {
-	return &Fleet{byName: map[string]*member{}, of: map[statemachine.Conn]*member{}, figures: figures, second: statemachine.Never}
-}
-
-// Add adds a server before the fleet is first stepped; its door is the number of those added before it. Its processes
-// after the first start cold.
-func (f *Fleet) AddBackend(name string, t Config) {
-	m := &member{name: name, trade: t, conns: map[statemachine.Conn]bool{}, wake: 0}
-	f.members = append(f.members, m)
-	f.byName[name] = m
-	f.start(m)
-	heap.Push(&f.due, m)
-}
-
-func (f *Fleet) start(m *member) {
-	t := m.trade
-	t.StartsCold = t.StartsCold || m.lives > 0
-	t.Seed += uint64(m.lives)
-	m.lives++
-	m.s = NewBackend(t)
-}
-
-// Step implements machine.Machine.
-func (f *Fleet) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
-	if f.began == 0 {
-		f.began, f.second = now, now+1
-	}
-	var busy []*member
-	give := func(m *member, i statemachine.Input) {
-		if len(m.in) == 0 {
-			busy = append(busy, m)
-		}
-		m.in = append(m.in, i)
-	}
-	for _, i := range in {
-		switch i.Kind {
-		case statemachine.OperatorCommand:
-			f.told(now, i.Text, give, out)
-		case statemachine.ConnOpened:
-			m := f.members[i.Listener]
-			if m.s == nil { // nobody listens there; a door can't be refused, so it is opened and shut
-				out.Abort(i.Conn)
-				continue
-			}
-			f.of[i.Conn], m.conns[i.Conn] = m, true
-			i.Listener = 0
-			give(m, i)
-		default:
-			m := f.of[i.Conn]
-			if m == nil {
-				continue
-			}
-			if i.Kind == statemachine.ConnClosed {
-				delete(f.of, i.Conn)
-				delete(m.conns, i.Conn)
-			}
-			give(m, i)
+	processes   []*process // by listener
+	byName      map[string]*process
+	byConn      map[statemachine.Conn]*process
+	wakeups     wakeupHeap
+	startedAt   statemachine.Seconds
+	stats       FleetStats // of the present interval
+	nextStatsAt statemachine.Seconds
+	onStats     func(FleetStats)
+}
+
+// process is a backend's process, which can be killed and started again.
+type process struct {
+	name      string
+	config    Config
+	starts    int
+	backend   *Backend // nil: killed
+	conns     map[statemachine.Conn]bool
+	inputs    []statemachine.Input
+	wakeAt    statemachine.Seconds
+	heapIndex int
+}
+
+var _ statemachine.Machine = (*Fleet)(nil)
+
+// NewFleet makes a fleet without backends. If onStats is not nil, it gets the figures of each second, in the goroutine
+// that steps the fleet.
+func NewFleet(onStats func(FleetStats)) *Fleet {
+	return &Fleet{
+		byName: map[string]*process{}, byConn: map[statemachine.Conn]*process{}, onStats: onStats,
+		nextStatsAt: statemachine.Never,
+	}
+}
+
+// AddBackend adds a backend on the next listener. Its processes after the first start cold. It must not be called after
+// the first step.
+func (f *Fleet) AddBackend(name string, config Config) {
+	added := &process{name: name, config: config, conns: map[statemachine.Conn]bool{}}
+	f.processes = append(f.processes, added)
+	f.byName[name] = added
+	added.start()
+	heap.Push(&f.wakeups, added)
+}
+
+func (p *process) start() {
+	config := p.config
+	config.StartsCold = config.StartsCold || p.starts > 0
+	config.Seed += uint64(p.starts)
+	p.starts++
+	p.backend = NewBackend(config)
+}
+
+// Step implements statemachine.Machine. It steps only the backends that have an input or whose wake-up time has come.
+func (f *Fleet) Step(now statemachine.Seconds, inputs []statemachine.Input, out *statemachine.Effects) {
+	if f.startedAt == 0 {
+		f.startedAt = now
+		f.nextStatsAt = now + statsInterval
+	}
+	var receivers []*process
+	deliver := func(receiver *process, input statemachine.Input) {
+		if len(receiver.inputs) == 0 {
+			receivers = append(receivers, receiver)
 		}
+		receiver.inputs = append(receiver.inputs, input)
 	}
-	for len(f.due) > 0 && f.due[0].wake <= now {
-		f.step(now, f.due[0], out)
+	for _, input := range inputs {
+		f.route(now, input, deliver, out)
 	}
-	for _, m := range busy {
-		if len(m.in) > 0 {
-			f.step(now, m, out)
+	for len(f.wakeups) > 0 && f.wakeups[0].wakeAt <= now {
+		f.stepProcess(now, f.wakeups[0], out)
+	}
+	for _, receiver := range receivers {
+		if len(receiver.inputs) > 0 {
+			f.stepProcess(now, receiver, out)
 		}
 	}
-	if now >= f.second {
-		f.second = now + 1
-		f.tell(now)
+	if now >= f.nextStatsAt {
+		f.nextStatsAt = now + statsInterval
+		f.reportStats(now)
 	}
-	out.WakeAt = min(f.second, f.due[0].wake)
+	out.WakeAt = min(f.nextStatsAt, f.wakeups[0].wakeAt)
 }
 
-func (f *Fleet) step(now statemachine.Seconds, m *member, out *statemachine.Effects) {
-	in := m.in
-	m.in = nil
-	if m.s == nil {
-		m.wake = statemachine.Never
-		heap.Fix(&f.due, m.at)
+// route gives an input to the process that it is for.
+func (f *Fleet) route(now statemachine.Seconds, input statemachine.Input, deliver func(*process, statemachine.Input), out *statemachine.Effects) {
+	switch input.Kind {
+	case statemachine.OperatorCommand:
+		if err := f.handleCommand(now, input.Text, deliver, out); err != nil {
+			logRejectedCommand(out, input.Text, err)
+		}
+	case statemachine.ConnOpened:
+		owner := f.processes[input.Listener]
+		if owner.backend == nil { // the listener stays open while the process is killed
+			out.Abort(input.Conn)
+			return
+		}
+		f.byConn[input.Conn] = owner
+		owner.conns[input.Conn] = true
+		input.Listener = 0
+		deliver(owner, input)
+	default:
+		owner := f.byConn[input.Conn]
+		if owner == nil {
+			return
+		}
+		if input.Kind == statemachine.ConnClosed {
+			f.forgetConn(owner, input.Conn)
+		}
+		deliver(owner, input)
+	}
+}
+
+func (f *Fleet) forgetConn(owner *process, conn statemachine.Conn) {
+	delete(f.byConn, conn)
+	delete(owner.conns, conn)
+}
+
+func (f *Fleet) stepProcess(now statemachine.Seconds, stepped *process, out *statemachine.Effects) {
+	inputs := stepped.inputs
+	stepped.inputs = nil
+	if stepped.backend == nil {
+		f.setWakeup(stepped, statemachine.Never)
 		return
 	}
-	if m.s.model != nil {
-		if at := m.s.model.NextTimer(); !math.IsInf(at, 1) {
-			f.tally.MaxDelay = max(f.tally.MaxDelay, now-at)
+	if model := stepped.backend.model; model != nil {
+		if at := model.NextTimer(); !math.IsInf(at, 1) {
+			f.stats.MaxDelay = max(f.stats.MaxDelay, now-at)
 		}
 	}
-	acts, records := len(out.Actions), len(out.Trace)
+	actionsBefore, recordsBefore := len(out.Actions), len(out.Trace)
 	out.WakeAt = statemachine.Never
-	m.s.Step(now, in, out)
-	for _, a := range out.Actions[acts:] {
-		if a.Kind == statemachine.ActionClose || a.Kind == statemachine.ActionAbort {
-			delete(f.of, a.Conn)
-			delete(m.conns, a.Conn)
+	stepped.backend.Step(now, inputs, out)
+	for _, action := range out.Actions[actionsBefore:] {
+		if action.Kind == statemachine.ActionClose || action.Kind == statemachine.ActionAbort {
+			f.forgetConn(stepped, action.Conn)
+		}
+	}
+	f.stats.addTrace(out.Trace[recordsBefore:])
+	f.setWakeup(stepped, max(out.WakeAt, now+minWakeDelay))
+}
+
+func (f *Fleet) setWakeup(of *process, at statemachine.Seconds) {
+	of.wakeAt = at
+	heap.Fix(&f.wakeups, of.heapIndex)
+}
+
+func (f *Fleet) handleCommand(now statemachine.Seconds, text string, deliver func(*process, statemachine.Input), out *statemachine.Effects) error {
+	name, command, _ := strings.Cut(text, " ")
+	addressed := f.processes
+	if name != allBackends {
+		named := f.byName[name]
+		if named == nil {
+			return fmt.Errorf("%w %q", errUnknownBackend, name)
 		}
+		addressed = []*process{named}
 	}
-	for _, r := range out.Trace[records:] {
-		switch r.Kind {
-		case trace.Run:
-			f.tally.Executed++
-		case trace.Offer:
-			f.tally.OverloadRatio = max(f.tally.OverloadRatio, r.X)
+	for _, target := range addressed {
+		switch {
+		case command == "kill":
+			f.kill(now, target, out)
+		case command == "start" && target.backend == nil:
+			target.start()
+			f.setWakeup(target, now)
+		case command != "start" && target.backend != nil:
+			deliver(target, statemachine.Input{Kind: statemachine.OperatorCommand, Text: command})
 		}
 	}
-	m.wake = max(out.WakeAt, now+1e-6)
-	heap.Fix(&f.due, m.at)
+	return nil
 }
 
-func (f *Fleet) told(now statemachine.Seconds, text string, give func(*member, statemachine.Input), out *statemachine.Effects) {
-	name, word, _ := strings.Cut(text, " ")
-	var all []*member
-	if name == "*" {
-		all = f.members
-	} else if m := f.byName[name]; m != nil {
-		all = []*member{m}
-	} else {
-		out.Log(2, "word not taken", "word", text, "cause", "there is no server "+name)
+// kill ends a process, which resets its connections.
+func (f *Fleet) kill(now statemachine.Seconds, killed *process, out *statemachine.Effects) {
+	if killed.backend == nil {
 		return
 	}
-	for _, m := range all {
-		switch {
-		case word == "kill" && m.s != nil:
-			m.s, m.in = nil, nil
-			out.Record(trace.Record{T: now, Kind: trace.Gone, EP: m.trade.Backend})
-			var conns []statemachine.Conn
-			for c := range m.conns {
-				conns = append(conns, c)
-			}
-			slices.Sort(conns)
-			for _, c := range conns {
-				out.Abort(c)
-				delete(f.of, c)
-			}
-			clear(m.conns)
-		case word == "start" && m.s == nil:
-			f.start(m)
-			m.wake = now
-			heap.Fix(&f.due, m.at)
-		case word == "kill" || word == "start":
-		case m.s != nil:
-			give(m, statemachine.Input{Kind: statemachine.OperatorCommand, Text: word})
-		}
+	killed.backend = nil
+	killed.inputs = nil
+	out.Record(trace.Record{T: now, Kind: trace.Gone, EP: killed.config.Backend})
+	for _, conn := range slices.Sorted(maps.Keys(killed.conns)) {
+		out.Abort(conn)
+		f.forgetConn(killed, conn)
 	}
 }
 
-// tell reckons the second's figures.
-func (f *Fleet) tell(now statemachine.Seconds) {
-	t := f.tally
-	t.Elapsed, t.Backends = now-f.began, len(f.members)
-	cores, used := 0, 0.0
-	for _, m := range f.members {
-		if m.s == nil || m.s.model == nil {
+// reportStats completes the figures of an interval and begins the next.
+func (f *Fleet) reportStats(now statemachine.Seconds) {
+	stats := f.stats
+	f.stats = FleetStats{}
+	stats.Elapsed = now - f.startedAt
+	stats.Backends = len(f.processes)
+	cores, busyCores := 0.0, 0.0
+	for _, reported := range f.processes {
+		if reported.backend == nil || reported.backend.model == nil {
 			continue
 		}
-		t.Running++
-		if m.s.model.fallen {
-			t.Collapsed++
-			continue
-		}
-		if m.s.model.WarmupFactor(now) < 1 {
-			t.WarmingUp++
-		}
-		t.Capacity += m.s.model.Capacity(now, 0)
-		_, waiting, share := m.s.model.Load()
-		t.Queued += waiting
-		cores += m.trade.Cores
-		used += share * float64(m.trade.Cores)
+		ownCores, ownBusyCores := stats.addState(reported.backend.model, now)
+		cores += ownCores
+		busyCores += ownBusyCores
 	}
 	if cores > 0 {
-		t.CoreUsage = used / float64(cores)
+		stats.CoreUsage = busyCores / cores
 	}
-	f.tally = FleetStats{}
-	if f.figures != nil {
-		f.figures(t)
+	if f.onStats != nil {
+		f.onStats(stats)
 	}
 }
 
-func (t FleetStats) String() string {
-	return fmt.Sprintf("%4.0f s: %d of %d servers up, %d cold, %d fallen; able %.0f RPCs/s, ran %d; cores %.0f%% busy, %d waiting; late %.1f ms",
-		t.Elapsed, t.Running, t.Backends, t.WarmingUp, t.Collapsed, t.Capacity, t.Executed, 100*t.CoreUsage, t.Queued, 1e3*t.MaxDelay)
+// wakeupHeap orders processes by wake-up time, for container/heap.
+type wakeupHeap []*process
+
+func (h wakeupHeap) Len() int           { return len(h) }
+func (h wakeupHeap) Less(i, j int) bool { return h[i].wakeAt < h[j].wakeAt }
+
+func (h wakeupHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
-// Sum adds the figures of another part of the fleet for the same second.
-func (t FleetStats) Add(o FleetStats) FleetStats {
-	if t.Backends+o.Backends > 0 {
-		t.CoreUsage = (t.CoreUsage*float64(t.Backends) + o.CoreUsage*float64(o.Backends)) / float64(t.Backends+o.Backends)
-	}
-	t.Elapsed = max(t.Elapsed, o.Elapsed)
-	t.Backends, t.Running, t.WarmingUp, t.Collapsed = t.Backends+o.Backends, t.Running+o.Running, t.WarmingUp+o.WarmingUp, t.Collapsed+o.Collapsed
-	t.Capacity, t.Queued, t.Executed = t.Capacity+o.Capacity, t.Queued+o.Queued, t.Executed+o.Executed
-	t.OverloadRatio, t.MaxDelay = max(t.OverloadRatio, o.OverloadRatio), max(t.MaxDelay, o.MaxDelay)
-	return t
+func (h *wakeupHeap) Push(x any) {
+	added := x.(*process)
+	added.heapIndex = len(*h)
+	*h = append(*h, added)
 }
 
-var _ statemachine.Machine = (*Fleet)(nil)
+func (h *wakeupHeap) Pop() any {
+	last := len(*h) - 1
+	removed := (*h)[last]
+	*h = (*h)[:last]
+	return removed
+}
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -11,202 +11,171 @@
 	"gingerfork/internal/trace"
 )
 
-// Reports tell the load as it was a while ago, and not quite; a server that makes none says so.
-func TestLoadReports(t *testing.T) {
-	play := func(late, noise float64, reports bool) (loads []float64) {
-		trade := plain(1, Work{Mean: 0.1, Family: Constant})
-		trade.ReportsLoad, trade.ReportDelay, trade.ReportNoise = reports, late, noise
-		m := NewModel(trade, 0)
-		m.Connect(1, "")
-		for i := range uint64(20) { // twenty at once: the k-th answer leaves 20-k behind
-			m.Submit(1, RPC{ID: i, TimeLeft: 100})
-		}
-		for now := 0.0; now < 3; now += 0.05 {
-			for _, e := range m.Advance(now) {
-				if r, ok := e.(Reply); ok {
-					loads = append(loads, r.Load)
-				}
-			}
-		}
-		return loads
-	}
-	if l := play(0, 0, false); len(l) != 20 || l[0] >= 0 {
-		t.Errorf("a server that reports nothing reported %v", l)
-	}
-	truth := play(0, 0, true)
-	for k, x := range truth {
-		if x != float64(19-k) {
-			t.Fatalf("answer %d reported %v", k+1, x)
-		}
-	}
-	late := play(0.5, 0, true)
-	for k := 8; k < 20; k++ { // half a second is five answers ago
-		if late[k] < truth[k]+4 || late[k] > truth[k]+6 {
-			t.Errorf("answer %d reported %v; it was %v then and %v half a second before", k+1, late[k], truth[k], truth[k-5])
-		}
-	}
-	off, same := 0.0, 0
-	for k, x := range play(0, 0.5, true) {
-		if off += x - truth[k]; x == truth[k] {
-			same++
-		}
-	}
-	if same > 2 || math.Abs(off) > 150 {
-		t.Errorf("noise left %d of 20 as they were, and moved the sum of 190 by %.0f", same, off)
-	}
+// fleetRun drives a fleet as an event loop does and keeps what it did.
+type fleetRun struct {
+	fleet    *Fleet
+	now      Seconds
+	wakeAt   Seconds
+	aborted  map[statemachine.Conn]bool
+	answered int // RPCs with the status OK
+	trace    []trace.Record
+	logs     []string
+	stats    FleetStats // the last
+	maxDelay Seconds
 }
 
-// wire drives a fleet as a loop does, and keeps what it did.
-type wire struct {
-	f      *Fleet
-	now    float64
-	wake   float64
-	killed map[statemachine.Conn]bool
-	ok     int
-	trace  []trace.Record
-	notes  []string
+func newFleetRun(now Seconds) *fleetRun {
+	run := &fleetRun{now: now, aborted: map[statemachine.Conn]bool{}}
+	run.fleet = NewFleet(func(stats FleetStats) {
+		run.stats = stats
+		run.maxDelay = max(run.maxDelay, stats.MaxDelay)
+	})
+	return run
 }
 
-func (w *wire) step(in ...statemachine.Input) {
+func (r *fleetRun) step(inputs ...statemachine.Input) {
 	out := &statemachine.Effects{}
 	out.Reset()
-	w.f.Step(w.now, in, out)
-	w.wake = out.WakeAt
-	for _, a := range out.Actions {
-		if a.Kind == statemachine.ActionAbort {
-			w.killed[a.Conn] = true
-		}
-		if a.Kind != statemachine.ActionWrite {
-			continue
-		}
-		var r proto.Reader
-		r.Open()
-		r.Feed(a.Data)
-		for m, _ := r.Next(); m != nil; m, _ = r.Next() {
-			if x, is := m.(proto.Reply); is && x.Status == proto.OK {
-				w.ok++
-			}
+	r.fleet.Step(r.now, inputs, out)
+	r.wakeAt = out.WakeAt
+	for _, action := range out.Actions {
+		switch action.Kind {
+		case statemachine.ActionAbort:
+			r.aborted[action.Conn] = true
+		case statemachine.ActionWrite:
+			r.countAnswers(action.Data)
 		}
 	}
-	w.trace = append(w.trace, out.Trace...)
-	for _, n := range out.LogEntries {
-		w.notes = append(w.notes, fmt.Sprint(n.Message, n.Attributes))
+	r.trace = append(r.trace, out.Trace...)
+	for _, entry := range out.LogEntries {
+		r.logs = append(r.logs, fmt.Sprint(entry.Message, entry.Attributes))
 	}
 }
 
-func (w *wire) run(until float64) {
-	for w.wake < until {
-		w.now = max(w.now, w.wake)
-		w.step()
+func (r *fleetRun) countAnswers(data []byte) {
+	var reader proto.Reader
+	reader.Open()
+	reader.Feed(data)
+	for message, _ := reader.Next(); message != nil; message, _ = reader.Next() {
+		if reply, ok := message.(proto.Reply); ok && reply.Status == proto.OK {
+			r.answered++
+		}
 	}
-	w.now = until
 }
 
-// Members of a fleet live and die by themselves: one's end resets its own connections, a new life starts cold, and its
-// door answers nobody meanwhile; bad words are said and change nothing.
-func TestFleet(t *testing.T) {
-	var last FleetStats
-	f := NewFleet(func(x FleetStats) { last = x })
-	for i := range 3 {
-		trade := plain(2, Work{Mean: 0.02, Family: Constant})
-		trade.Backend, trade.ColdSpeed, trade.WarmupTime, trade.OverloadMultiple, trade.OverloadWindow = uint32(i+1), 0.3, 5, 50, 1
-		f.AddBackend(fmt.Sprint("s", i), trade)
+func (r *fleetRun) runUntil(until Seconds) {
+	for r.wakeAt < until {
+		r.now = max(r.now, r.wakeAt)
+		r.step()
 	}
-	w := &wire{f: f, now: 100, killed: map[statemachine.Conn]bool{}}
+	r.now = until
+}
+
+func (r *fleetRun) connect(conn statemachine.Conn, listener int) {
 	hello := proto.Append(nil, proto.Hello{Version: proto.Version, Role: proto.RoleCaller, Name: "x"})
-	open := func(c statemachine.Conn, door int) {
-		w.step(statemachine.Input{Kind: statemachine.ConnOpened, Conn: c, Listener: door}, statemachine.Input{Kind: statemachine.ConnData, Conn: c, Data: hello})
-	}
-	ask := func(c statemachine.Conn, id uint64) {
-		w.step(statemachine.Input{Kind: statemachine.ConnData, Conn: c, Data: proto.Append(nil, proto.RPC{ID: id, Left: 5})})
-	}
-	told := func(text string) { w.step(statemachine.Input{Kind: statemachine.OperatorCommand, Text: text}) }
-	for c := range statemachine.Conn(3) {
-		open(c+1, int(c))
-		ask(c+1, uint64(c)+1)
-	}
-	w.run(101.5)
-	if w.ok != 3 || last.Running != 3 || last.Executed != 3 || last.Capacity < 299 || last.Capacity > 301 {
-		t.Fatalf("%d answered; %v", w.ok, last)
-	}
-	told("s1 kill")
-	told("s1 kill") // twice is once
-	if !w.killed[2] || w.killed[1] || w.killed[3] {
-		t.Fatalf("the end of the second reset %v", w.killed)
-	}
-	open(7, 1)
-	if !w.killed[7] {
-		t.Error("a server that is down took a connection")
-	}
-	ask(2, 50)
-	ask(1, 51)
-	w.run(103.5)
-	if w.ok != 4 || last.Running != 2 {
-		t.Errorf("%d answered, %v", w.ok, last)
-	}
-	told("s1 start")
-	open(8, 1)
-	ask(8, 60)
-	w.run(105.6)
-	if w.ok != 5 || last.Running != 3 || last.WarmingUp != 1 || last.Capacity > 290 {
-		t.Errorf("%d answered after its return, %v", w.ok, last)
-	}
-	told("s9 hang")
-	told("s0 hung")
-	told("* hang")
-	ask(1, 70)
-	w.run(107)
-	if len(w.notes) != 2 || !strings.Contains(w.notes[0], "s9") || last.Capacity != 0 || w.ok != 5 {
-		t.Errorf("notes %q, %v, %d answered", w.notes, last, w.ok)
-	}
-	told("* heal hang")
-	w.run(108)
-	if w.ok != 6 {
-		t.Errorf("%d answered after the hang", w.ok)
-	}
-	gone := 0
-	for _, r := range w.trace {
-		if r.Kind == trace.Gone {
-			gone++
+	r.step(
+		statemachine.Input{Kind: statemachine.ConnOpened, Conn: conn, Listener: listener},
+		statemachine.Input{Kind: statemachine.ConnData, Conn: conn, Data: hello},
+	)
+}
+
+func (r *fleetRun) submit(conn statemachine.Conn, id uint64) {
+	data := proto.Append(nil, proto.RPC{ID: id, Left: 5})
+	r.step(statemachine.Input{Kind: statemachine.ConnData, Conn: conn, Data: data})
+}
+
+func (r *fleetRun) command(text string) {
+	r.step(statemachine.Input{Kind: statemachine.OperatorCommand, Text: text})
+}
+
+// startThree starts backends s0 to s2, connects to them as 1 to 3 and lets each answer an RPC.
+func startThree(t *testing.T) *fleetRun {
+	t.Helper()
+	run := newFleetRun(100)
+	for i := range 3 {
+		config := testConfig(2, Work{Mean: 0.02, Family: Constant})
+		config.Backend, config.ColdSpeed, config.WarmupTime, config.OverloadMultiple, config.OverloadWindow = uint32(i+1), 0.3, 5, 50, 1
+		run.fleet.AddBackend(fmt.Sprint("s", i), config)
+	}
+	for i := range 3 {
+		conn := statemachine.Conn(i + 1)
+		run.connect(conn, i)
+		run.submit(conn, uint64(conn))
+	}
+	run.runUntil(101.5)
+	stats := run.stats
+	if run.answered != 3 || stats.Running != 3 || stats.Executed != 3 || stats.Capacity < 299 || stats.Capacity > 301 {
+		t.Fatalf("%d answered; %v", run.answered, stats)
+	}
+	return run
+}
+
+// A killed backend resets its own connections and takes none, and its next process starts cold.
+func TestFleetKillAndStart(t *testing.T) {
+	run := startThree(t)
+	run.command("s1 kill")
+	run.command("s1 kill") // the second changes nothing
+	if !run.aborted[2] || run.aborted[1] || run.aborted[3] {
+		t.Fatalf("killing the second backend reset %v", run.aborted)
+	}
+	run.connect(7, 1)
+	if !run.aborted[7] {
+		t.Error("a killed backend took a connection")
+	}
+	run.submit(2, 50)
+	run.submit(1, 51)
+	run.runUntil(103.5)
+	if run.answered != 4 || run.stats.Running != 2 {
+		t.Errorf("%d answered, %v", run.answered, run.stats)
+	}
+	run.command("s1 start")
+	run.connect(8, 1)
+	run.submit(8, 60)
+	run.runUntil(105.6)
+	if run.answered != 5 || run.stats.Running != 3 || run.stats.WarmingUp != 1 || run.stats.Capacity > 290 {
+		t.Errorf("%d answered after the restart, %v", run.answered, run.stats)
+	}
+	stops := 0
+	for _, record := range run.trace {
+		if record.Kind == trace.Gone {
+			stops++
 		}
 	}
-	if sum := last.Add(FleetStats{Elapsed: 3, Backends: 1, Running: 1, CoreUsage: 1, Executed: 2}); gone != 1 || sum.Backends != 4 || sum.Executed != last.Executed+2 {
-		t.Errorf("%d ends told, sum %+v", gone, sum)
+	sum := run.stats.Add(FleetStats{Elapsed: 3, Backends: 1, Running: 1, CoreUsage: 1, Executed: 2})
+	if stops != 1 || sum.Backends != 4 || sum.Executed != run.stats.Executed+2 {
+		t.Errorf("%d stops in the trace, sum %+v", stops, sum)
 	}
 }
 
-// What falls behind says so: a fleet that is stepped late tells how late.
-func TestFleetTellsThatItIsLate(t *testing.T) {
-	worst := 0.0
-	f := NewFleet(func(x FleetStats) { worst = max(worst, x.MaxDelay) })
-	f.AddBackend("s0", plain(1, Work{Mean: 0.01, Family: Constant}))
-	w := &wire{f: f, now: 10, killed: map[statemachine.Conn]bool{}}
-	w.step(statemachine.Input{Kind: statemachine.ConnOpened, Conn: 1}, statemachine.Input{Kind: statemachine.ConnData, Conn: 1, Data: proto.Append(
-		proto.Append(nil, proto.Hello{Version: proto.Version, Role: proto.RoleCaller, Name: "x"}), proto.RPC{ID: 1, Left: 5})})
-	w.now = 10.31 // due at 10.01
-	w.step()
-	w.now = 11.5
-	w.step()
-	if math.Abs(worst-0.3) > 0.01 {
-		t.Errorf("it was 0.3 s late and says %.3f", worst)
+// Faults reach the backends that a command names, and invalid commands are logged and change nothing.
+func TestFleetCommands(t *testing.T) {
+	run := startThree(t)
+	run.command("s9 hang")
+	run.command("s0 hung")
+	run.command("* hang")
+	run.submit(1, 70)
+	run.runUntil(103)
+	if len(run.logs) != 2 || !strings.Contains(run.logs[0], "s9") || run.stats.Capacity != 0 || run.answered != 3 {
+		t.Errorf("logs %q, %v, %d answered", run.logs, run.stats, run.answered)
+	}
+	run.command("* heal hang")
+	run.runUntil(104)
+	if run.answered != 4 {
+		t.Errorf("%d answered after the hang", run.answered)
 	}
 }
 
-// The chance that an RPC's work fits into a time is the share of draws that do.
-func TestWithin(t *testing.T) {
-	for _, w := range []Work{{Mean: 0.1}, {Mean: 0.1, Family: Constant}, {Mean: 0.1, Family: Lognormal, Param: 1.5}, {Mean: 0.1, Family: Pareto, Param: 2.5}} {
-		d := NewRandom(5)
-		for _, most := range []float64{0.05, 0.09, 0.2, 0.6} {
-			fit := 0.0
-			const n = 50000
-			for range n {
-				if w.Sample(&d) <= most {
-					fit++
-				}
-			}
-			if math.Abs(fit/n-w.CDF(most)) > 0.012 {
-				t.Errorf("%+v within %v: %.3f of draws, %.3f reckoned", w, most, fit/n, w.CDF(most))
-			}
-		}
+// A fleet that is stepped late reports by how much.
+func TestFleetReportsDelay(t *testing.T) {
+	run := newFleetRun(10)
+	run.fleet.AddBackend("s0", testConfig(1, Work{Mean: 0.01, Family: Constant}))
+	run.connect(1, 0)
+	run.submit(1, 1)
+	run.now = 10.31 // due at 10.01
+	run.step()
+	run.now = 11.5
+	run.step()
+	if math.Abs(run.maxDelay-0.3) > 0.01 {
+		t.Errorf("a delay of 0.3 s is reported as %.3f s", run.maxDelay)
 	}
 }
--- /dev/null
+++ b/internal/emulator/fleetstats.go
@@ -0,0 +1,76 @@
+package emulator
+
+import (
+	"fmt"
+
+	"gingerfork/internal/trace"
+)
+
+// FleetStats is what a fleet did in about a second, and its state at the end.
+type FleetStats struct {
+	Elapsed       Seconds // since the fleet's start
+	Backends      int
+	Running       int     // backends whose processes run
+	WarmingUp     int     // of the running ones
+	Collapsed     int     // of the running ones
+	Capacity      float64 // RPCs a second that it can execute at present
+	CoreUsage     float64 // share of the cores that are busy
+	Queued        int     // RPCs
+	Executed      int     // RPCs whose execution began
+	OverloadRatio float64 // the most that a backend came near to its collapse, 1 being the collapse
+	MaxDelay      Seconds // the most that a timer was handled late
+}
+
+// String describes the figures in a line for people.
+func (s FleetStats) String() string {
+	const percent, msPerSecond = 100, 1e3
+	return fmt.Sprintf("%4.0f s: %d of %d servers up, %d cold, %d fallen; able %.0f RPCs/s, ran %d; cores %.0f%% busy, %d waiting; late %.1f ms",
+		s.Elapsed, s.Running, s.Backends, s.WarmingUp, s.Collapsed, s.Capacity, s.Executed, percent*s.CoreUsage, s.Queued, msPerSecond*s.MaxDelay)
+}
+
+// Add adds the figures of another part of the fleet for the same second.
+func (s FleetStats) Add(other FleetStats) FleetStats {
+	if backends := s.Backends + other.Backends; backends > 0 {
+		s.CoreUsage = (s.CoreUsage*float64(s.Backends) + other.CoreUsage*float64(other.Backends)) / float64(backends)
+	}
+	s.Elapsed = max(s.Elapsed, other.Elapsed)
+	s.Backends += other.Backends
+	s.Running += other.Running
+	s.WarmingUp += other.WarmingUp
+	s.Collapsed += other.Collapsed
+	s.Capacity += other.Capacity
+	s.Queued += other.Queued
+	s.Executed += other.Executed
+	s.OverloadRatio = max(s.OverloadRatio, other.OverloadRatio)
+	s.MaxDelay = max(s.MaxDelay, other.MaxDelay)
+	return s
+}
+
+// addTrace counts what trace records say of a second.
+func (s *FleetStats) addTrace(records []trace.Record) {
+	for _, record := range records {
+		switch record.Kind {
+		case trace.Run:
+			s.Executed++
+		case trace.Offer:
+			s.OverloadRatio = max(s.OverloadRatio, record.X)
+		}
+	}
+}
+
+// addState adds the state of a running backend and gives its cores and how many of them are busy.
+func (s *FleetStats) addState(model *Model, now Seconds) (cores, busyCores float64) {
+	s.Running++
+	if model.collapsed {
+		s.Collapsed++
+		return 0, 0
+	}
+	if model.WarmupFactor(now) < 1 {
+		s.WarmingUp++
+	}
+	s.Capacity += model.Capacity(now, 0)
+	_, queued, coreUsage := model.Load()
+	s.Queued += queued
+	cores = float64(model.config.Cores)
+	return cores, coreUsage * cores
+}
--- /dev/null
+++ b/internal/emulator/probes.go
@@ -0,0 +1,24 @@
+package emulator
+
+// Probe is a health check. It waits for a core like any work.
+func (m *Model) Probe(connID ConnID, probeID uint64) {
+	if m.conns[connID] == nil || m.collapsed || m.faults.hangs > 0 {
+		return
+	}
+	if m.draining || m.config.ProbeLimit > 0 && m.probes >= m.config.ProbeLimit {
+		m.emit(ProbeReply{connID, probeID, StatusRejected})
+		return
+	}
+	m.probes++
+	m.addOverhead(m.config.ProbeWork)
+	queuedWork := 0.0
+	for _, queued := range m.queue {
+		queuedWork += queued.workLeft
+	}
+	m.schedule(m.finishTime(m.now, queuedWork/float64(m.config.Cores)+m.config.ProbeWork), func() {
+		m.probes--
+		if m.conns[connID] != nil && m.faults.hangs == 0 {
+			m.emit(ProbeReply{connID, probeID, StatusOK})
+		}
+	})
+}
