--- /dev/null
+++ b/internal/traffic/shape.go
@@ -0,0 +1,55 @@
+package traffic
+
+import (
+	"errors"
+	"fmt"
+	"math"
+)
+
+// ErrShape is wrapped by the errors of Shape.Validate.
+var ErrShape = errors.New("invalid traffic shape")
+
+// Shape is how the rate changes over time, as a factor of the mean rate. The zero value is a constant rate.
+type Shape struct {
+	DailySwing    float64 // amplitude of the daily wave: with 0.2 the factor goes from 0.8 to 1.2
+	DayLength     Seconds
+	BurstInterval Seconds // between the ends of bursts; 0: there are none
+	BurstLength   Seconds
+	BurstFactor   float64 // of the rate during a burst
+}
+
+// Validate tells what is wrong with a shape.
+func (s Shape) Validate() error {
+	switch {
+	case !(s.DailySwing >= 0 && s.DailySwing <= 1):
+		return fmt.Errorf("%w: want a daily swing from 0 to 1, got %v", ErrShape, s.DailySwing)
+	case s.DailySwing > 0 && !(s.DayLength > 0):
+		return fmt.Errorf("%w: want a day length above 0 with a daily swing, got %v s", ErrShape, s.DayLength)
+	case s.BurstInterval > 0 && !(s.BurstLength > 0 && s.BurstLength <= s.BurstInterval):
+		return fmt.Errorf("%w: want a burst length above 0 and up to the interval of %v s, got %v s", ErrShape, s.BurstInterval, s.BurstLength)
+	case s.BurstInterval > 0 && !(s.BurstFactor >= 0):
+		return fmt.Errorf("%w: want a burst factor of 0 or more, got %v", ErrShape, s.BurstFactor)
+	}
+	return nil
+}
+
+// Factor is the factor of the rate at a time since the beginning. Bursts are at the end of their intervals.
+func (s Shape) Factor(elapsed Seconds) float64 {
+	factor := 1.0
+	if s.DailySwing > 0 {
+		factor += s.DailySwing * math.Sin(2*math.Pi*elapsed/s.DayLength)
+	}
+	if s.BurstInterval > 0 && math.Mod(elapsed, s.BurstInterval) >= s.BurstInterval-s.BurstLength {
+		factor *= s.BurstFactor
+	}
+	return factor
+}
+
+// MaxFactor is an upper bound of Factor.
+func (s Shape) MaxFactor() float64 {
+	factor := 1 + s.DailySwing
+	if s.BurstInterval > 0 {
+		factor *= max(1, s.BurstFactor)
+	}
+	return factor
+}
