--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,160 +1,136 @@
-// Package load asks for RPCs, open loop: when each is due is drawn beforehand, whatever became of those before, and its
-// time counts from then. It plays the clients of so many proxies, which follow a coordinator's tables or have one fixed
-// table, and says so when it falls behind itself.
+// Package load is an open-loop load generator: when each RPC is due is drawn beforehand, whatever became of earlier ones,
+// and its latency counts from then, so that a slow service does not slow down its own measurement. It plays the proxies of
+// a fleet, which follow a coordinator's tables or have a static table, and reports when it could not keep up itself.
 package load
 
 import (
 	"context"
 	"errors"
 	"fmt"
-	"runtime"
 	"sync"
 	"time"
 
 	"gingerfork/internal/eventloop"
 	"gingerfork/internal/fake"
-	"gingerfork/internal/invariant"
-	"gingerfork/internal/proto"
 	"gingerfork/internal/report"
 	"gingerfork/internal/trace"
 	"gingerfork/internal/traffic"
 )
 
-// Bootstrap is what a run is started with.
-type Config struct {
-	FrontEnd      fake.FrontEndConfig // what all proxies are; Name, Rate, Coordinators and Seed are set for each
-	Methods       []invariant.Method
-	Proxies       int
-	Zones         []string // that they are of, by turns
-	Rate          float64  // RPCs a second of all together
-	RateVariation float64  // coefficient of variation of the proxies' rates
-	Coordinators  []string // coordinators, or
-	Backends      []string // servers of one table
-	Duration      time.Duration
-	EventLoops    int // 0: one a core
-	Seed          uint64
-	OnSecond      func(second int, s report.Second) // each second's figures once it is over
-}
+var errLoopEnded = errors.New("an event loop of the proxies ended during the run")
 
-// Check tells what can't be done.
-func (b Config) Validate() error {
-	switch {
-	case b.Proxies < 1 || b.Proxies > 10000:
-		return fmt.Errorf("%d proxies: 1 to 10000 go", b.Proxies)
-	case !(b.Rate > 0):
-		return fmt.Errorf("a rate of %v RPCs a second: above 0 wanted", b.Rate)
-	case b.Duration <= 0:
-		return errors.New("no time to run for")
-	case len(b.Coordinators) == 0 == (len(b.Backends) == 0):
-		return errors.New("either coordinators or servers must be given, not both")
-	}
-	return b.FrontEnd.Shape.Validate()
-}
-
-// Run asks until the time is over or ctx ends, and gives what came of it.
-func Run(ctx context.Context, b Config) (*report.Report, error) {
-	if err := b.Validate(); err != nil {
+// Run generates load until the duration is over or ctx ends, and reports what came of it, also after an error.
+func Run(ctx context.Context, config Config) (*report.Report, error) {
+	if err := config.Validate(); err != nil {
 		return nil, err
 	}
-	var mu sync.Mutex
-	maker := report.NewMaker(b.Methods)
-	var bad error
-	take := func(all []trace.Record) {
-		mu.Lock()
-		defer mu.Unlock()
-		for _, r := range all {
-			if err := maker.Add(r); err != nil && bad == nil {
-				bad = err
-			}
-		}
-	}
-	clock := eventloop.NewClock()
-	rates := traffic.LognormalFactors(b.Proxies, b.RateVariation, b.Seed)
-	inner, cancel := context.WithCancel(context.Background())
+	results := &collector{maker: report.NewMaker(config.Methods)}
+	// The loops don't end with ctx: else an interrupted run looked like one whose loops failed.
+	loopCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	n := b.EventLoops
-	if n <= 0 {
-		n = runtime.GOMAXPROCS(0)
-	}
-	n = min(n, b.Proxies)
-	var fixed []proto.Line
-	for i, addr := range b.Backends {
-		fixed = append(fixed, proto.Line{EP: proto.EP(i + 1), Weight: 1, Addr: addr})
-	}
-	var loops []*eventloop.Loop
-	var err error
-	for k := range n {
-		crowd := fake.NewMultiplexer()
-		for i := k; i < b.Proxies; i += n {
-			t := b.FrontEnd
-			t.Name = fmt.Sprint("load-", i)
-			t.Rate = b.Rate / float64(b.Proxies) * rates[i]
-			t.Seed = fake.DeriveSeed(b.Seed, t.Name)
-			t.RecordDelay, t.StaticTable = true, fixed
-			t.TrafficStart = clock.Now()
-			if len(b.Zones) > 0 {
-				t.Zone = b.Zones[i%len(b.Zones)]
-			}
-			for j := range b.Coordinators {
-				t.Coordinators = append(t.Coordinators, b.Coordinators[(i+j)%len(b.Coordinators)])
-			}
-			crowd.Add(t.Name, fake.NewFrontEnd(t), 0)
-		}
-		var l *eventloop.Loop
-		if l, err = eventloop.Start(inner, eventloop.Bootstrap{Machine: crowd, Clock: clock, Trace: take}); err != nil {
-			err = fmt.Errorf("start the proxies: %w", err)
-			break
-		}
-		loops = append(loops, l)
-	}
+	loops, err := startProxies(loopCtx, config, results.add)
 	if err == nil {
-		err = wait(ctx, b, loops, func(second int) (report.Second, bool) {
-			mu.Lock()
-			defer mu.Unlock()
-			if second < len(maker.Report.Seconds) {
-				return maker.Report.Seconds[second], true
-			}
-			return report.Second{}, false
-		})
+		err = waitForEnd(ctx, config, loops, results)
 	}
 	cancel()
-	for _, l := range loops {
-		if e := l.Wait(); err == nil && e != nil {
-			err = fmt.Errorf("the proxies: %w", e)
+	for _, loop := range loops {
+		if loopErr := loop.Wait(); err == nil && loopErr != nil {
+			err = fmt.Errorf("run the proxies: %w", loopErr)
 		}
 	}
-	mu.Lock()
-	defer mu.Unlock()
+	done, traceErr := results.done()
 	if err == nil {
-		err = bad
+		err = traceErr
+	}
+	return done, err
+}
+
+// startProxies starts event loops with the proxies. After an error it gives those that were started, too.
+func startProxies(ctx context.Context, config Config, collect func([]trace.Record)) ([]*eventloop.Loop, error) {
+	clock := eventloop.NewClock()
+	rateFactors := traffic.LognormalFactors(config.Proxies, config.RateVariation, config.Seed)
+	count := config.eventLoopCount()
+	loops := make([]*eventloop.Loop, 0, count)
+	for first := range count {
+		proxies := fake.NewMultiplexer()
+		for index := first; index < config.Proxies; index += count {
+			proxy := config.proxy(index, rateFactors[index])
+			proxy.TrafficStart = clock.Now()
+			proxies.Add(proxy.Name, fake.NewFrontEnd(proxy), 0)
+		}
+		loop, err := eventloop.Start(ctx, eventloop.Bootstrap{Machine: proxies, Clock: clock, Trace: collect})
+		if err != nil {
+			return loops, fmt.Errorf("start the proxies: %w", err)
+		}
+		loops = append(loops, loop)
 	}
-	return maker.Done(), err
+	return loops, nil
 }
 
-func wait(ctx context.Context, b Config, loops []*eventloop.Loop, look func(int) (report.Second, bool)) error {
-	over := time.NewTimer(b.Duration)
-	defer over.Stop()
-	beat := time.NewTicker(time.Second)
-	defer beat.Stop()
-	second := 0
-	for {
+// waitForEnd waits until the run is over, gives the figures of each second to the configuration's OnSecond, and fails if a
+// loop ends before.
+func waitForEnd(ctx context.Context, config Config, loops []*eventloop.Loop, results *collector) error {
+	end := time.NewTimer(config.Duration)
+	defer end.Stop()
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
+	for second := 0; ; second++ {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-over.C:
+		case <-end.C:
 			return nil
-		case <-beat.C:
-			if s, ok := look(second); ok && b.OnSecond != nil {
-				b.OnSecond(second, s)
-			}
-			second++
-			for _, l := range loops {
-				select {
-				case <-l.Done():
-					return errors.New("proxies ended by themselves")
-				default:
-				}
-			}
+		case <-ticker.C:
+		}
+		if figures, ok := results.second(second); ok && config.OnSecond != nil {
+			config.OnSecond(second, figures)
+		}
+		if anyEnded(loops) {
+			return errLoopEnded
+		}
+	}
+}
+
+func anyEnded(loops []*eventloop.Loop) bool {
+	for _, loop := range loops {
+		select {
+		case <-loop.Done():
+			return true
+		default:
+		}
+	}
+	return false
+}
+
+// collector makes the report of the trace records of all event loops.
+type collector struct {
+	mutex sync.Mutex
+	maker *report.Maker
+	err   error // the first
+}
+
+func (c *collector) add(records []trace.Record) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for _, record := range records {
+		if err := c.maker.Add(record); err != nil && c.err == nil {
+			c.err = err
 		}
 	}
 }
+
+// second gives the figures of a second; false if nothing happened in it or later yet.
+func (c *collector) second(second int) (figures report.Second, ok bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if second >= len(c.maker.Report.Seconds) {
+		return report.Second{}, false
+	}
+	return c.maker.Report.Seconds[second], true
+}
+
+func (c *collector) done() (*report.Report, error) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.maker.Done(), c.err
+}
