--- a/compare/compare_test.go
+++ b/compare/compare_test.go
@@ -67,9 +67,9 @@
 		"level_kind": "none", "report_period": 2.0, "zone": "a", "zones.n": 1.0, "zones.0": "a", "method.n": 1.0, "method.0.name": "read",
 		"method.0.effect": "idempotent", "method.0.soft_deadline": 1.0, "method.0.criticality": 1.0}
 	clock := eventloop.NewClock()
-	var all []fake.Listing
+	var all []fake.Endpoint
 	for i := range servers {
-		all = append(all, fake.Listing{EP: proto.EP(i + 1), State: proto.ServerOpen, Zone: "a", Weight: 1, Stamp: 1, Addr: "127.0.0.1:1"})
+		all = append(all, fake.Endpoint{Backend: proto.EP(i + 1), State: proto.ServerOpen, Zone: "a", Weight: 1, Incarnation: 1, Addr: "127.0.0.1:1"})
 	}
 	must := func(l *eventloop.Loop, err error) *eventloop.Loop {
 		if err != nil {
@@ -78,14 +78,14 @@
 		b.Cleanup(func() { l.Stop(); _ = l.Wait() })
 		return l
 	}
-	list := must(eventloop.Start(ctx, eventloop.Bootstrap{Machine: fake.NewList(all), Listen: []string{"127.0.0.1:0"}, Clock: clock}))
+	list := must(eventloop.Start(ctx, eventloop.Bootstrap{Machine: fake.NewEndpointService(all), Listen: []string{"127.0.0.1:0"}, Clock: clock}))
 	m := coordinator.NewMachine(coordinator.Bootstrap{Name: "c0", Zone: "a", ListAddr: list.Addrs()[0], Module: choice.Config{Seed: 1, Now: clock.Now(), Settings: choice.DecodeSettings(values)},
 		Handshake: 30, Silence: 60, ListSilence: 30, ProbeTimeout: 5, MostStreams: 20000, MostProbes: 4}, nil)
 	c := must(eventloop.Start(ctx, eventloop.Bootstrap{Machine: m, Listen: []string{"127.0.0.1:0"}, Clock: clock}))
-	crowd := fake.NewCrowd()
+	proxies := fake.NewMultiplexer()
 	for i := range n {
-		crowd.Add(fmt.Sprint("f", i), fake.NewFrontEnd(fake.FrontTrade{Name: fmt.Sprint("f", i), Zone: "a", Coordinators: c.Addrs(),
-			Methods: []fake.MethodTrade{{Name: "read", Share: 1, SoftDeadline: 1, Deadline: 2}}, Pick: "even", Period: 2, ConnectTimeout: 1, Seed: uint64(i)}), 0)
+		proxies.Add(fmt.Sprint("f", i), fake.NewFrontEnd(fake.FrontEndConfig{Name: fmt.Sprint("f", i), Zone: "a", Coordinators: c.Addrs(),
+			Methods: []fake.MethodConfig{{Name: "read", Share: 1, SoftDeadline: 1, Deadline: 2}}, Policy: "even", ReportPeriod: 2, ConnectTimeout: 1, Seed: uint64(i)}), 0)
 	}
 	var mu sync.Mutex
 	held := map[uint32]map[string]bool{} // who has a line, by server
@@ -93,7 +93,7 @@
 	var want int
 	var changing uint32
 	reached := make(chan struct{}, 1)
-	must(eventloop.Start(ctx, eventloop.Bootstrap{Machine: crowd, Clock: clock, Trace: func(records []trace.Record) {
+	must(eventloop.Start(ctx, eventloop.Bootstrap{Machine: proxies, Clock: clock, Trace: func(records []trace.Record) {
 		mu.Lock()
 		defer mu.Unlock()
 		for _, r := range records {
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -24,7 +24,7 @@
 // faults are the faults in force.
 type faults struct {
 	hangs           int     // reasons why no work proceeds
-	slowdown        float64 // factor by which work takes longer
+	slowdown        float64 // factor on the time that work needs
 	failAll         bool
 	failShare       float64
 	failMethod      int     // noMethod: none
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -1,7 +1,6 @@
 package emulator
 
 import (
-	"container/heap"
 	"errors"
 	"fmt"
 	"maps"
@@ -11,6 +10,7 @@
 
 	"gingerfork/internal/statemachine"
 	"gingerfork/internal/trace"
+	"gingerfork/internal/wakeup"
 )
 
 const (
@@ -30,7 +30,7 @@
 	processes   []*process // by listener
 	byName      map[string]*process
 	byConn      map[statemachine.Conn]*process
-	wakeups     wakeupHeap
+	wakeups     wakeup.Queue[*process]
 	startedAt   statemachine.Seconds
 	stats       FleetStats // of the present interval
 	nextStatsAt statemachine.Seconds
@@ -39,14 +39,13 @@
 
 // process is a backend's process, which can be killed and started again.
 type process struct {
-	name      string
-	config    Config
-	starts    int
-	backend   *Backend // nil: killed
-	conns     map[statemachine.Conn]bool
-	inputs    []statemachine.Input
-	wakeAt    statemachine.Seconds
-	heapIndex int
+	name    string
+	config  Config
+	starts  int
+	backend *Backend // nil: killed
+	conns   map[statemachine.Conn]bool
+	inputs  []statemachine.Input
+	wakeup  *wakeup.Entry[*process]
 }
 
 var _ statemachine.Machine = (*Fleet)(nil)
@@ -67,7 +66,7 @@
 	f.processes = append(f.processes, added)
 	f.byName[name] = added
 	added.start()
-	heap.Push(&f.wakeups, added)
+	added.wakeup = f.wakeups.Add(added)
 }
 
 func (p *process) start() {
@@ -94,8 +93,8 @@
 	for _, input := range inputs {
 		f.route(now, input, deliver, out)
 	}
-	for len(f.wakeups) > 0 && f.wakeups[0].wakeAt <= now {
-		f.stepProcess(now, f.wakeups[0], out)
+	for due, at, ok := f.wakeups.Next(); ok && at <= now; due, at, ok = f.wakeups.Next() {
+		f.stepProcess(now, due, out)
 	}
 	for _, receiver := range receivers {
 		if len(receiver.inputs) > 0 {
@@ -106,7 +105,10 @@
 		f.nextStatsAt = now + statsInterval
 		f.reportStats(now)
 	}
-	out.WakeAt = min(f.nextStatsAt, f.wakeups[0].wakeAt)
+	out.WakeAt = f.nextStatsAt
+	if _, at, ok := f.wakeups.Next(); ok {
+		out.WakeBy(at)
+	}
 }
 
 // route gives an input to the process that it is for.
@@ -147,7 +149,7 @@
 	inputs := stepped.inputs
 	stepped.inputs = nil
 	if stepped.backend == nil {
-		f.setWakeup(stepped, statemachine.Never)
+		f.wakeups.Reschedule(stepped.wakeup, statemachine.Never)
 		return
 	}
 	if model := stepped.backend.model; model != nil {
@@ -164,12 +166,7 @@
 		}
 	}
 	f.stats.addTrace(out.Trace[recordsBefore:])
-	f.setWakeup(stepped, max(out.WakeAt, now+minWakeDelay))
-}
-
-func (f *Fleet) setWakeup(of *process, at statemachine.Seconds) {
-	of.wakeAt = at
-	heap.Fix(&f.wakeups, of.heapIndex)
+	f.wakeups.Reschedule(stepped.wakeup, max(out.WakeAt, now+minWakeDelay))
 }
 
 func (f *Fleet) handleCommand(now statemachine.Seconds, text string, deliver func(*process, statemachine.Input), out *statemachine.Effects) error {
@@ -188,7 +185,7 @@
 			f.kill(now, target, out)
 		case command == "start" && target.backend == nil:
 			target.start()
-			f.setWakeup(target, now)
+			f.wakeups.Reschedule(target.wakeup, now)
 		case command != "start" && target.backend != nil:
 			deliver(target, statemachine.Input{Kind: statemachine.OperatorCommand, Text: command})
 		}
@@ -232,27 +229,3 @@
 		f.onStats(stats)
 	}
 }
-
-// wakeupHeap orders processes by wake-up time, for container/heap.
-type wakeupHeap []*process
-
-func (h wakeupHeap) Len() int           { return len(h) }
-func (h wakeupHeap) Less(i, j int) bool { return h[i].wakeAt < h[j].wakeAt }
-
-func (h wakeupHeap) Swap(i, j int) {
-	h[i], h[j] = h[j], h[i]
-	h[i].heapIndex, h[j].heapIndex = i, j
-}
-
-func (h *wakeupHeap) Push(x any) {
-	added := x.(*process)
-	added.heapIndex = len(*h)
-	*h = append(*h, added)
-}
-
-func (h *wakeupHeap) Pop() any {
-	last := len(*h) - 1
-	removed := (*h)[last]
-	*h = (*h)[:last]
-	return removed
-}
--- a/internal/emulator/fleetstats.go
+++ b/internal/emulator/fleetstats.go
@@ -21,7 +21,7 @@
 	MaxDelay      Seconds // the most that a timer was handled late
 }
 
-// String describes the figures in a line for people.
+// String describes the figures as text for people.
 func (s FleetStats) String() string {
 	const percent, msPerSecond = 100, 1e3
 	return fmt.Sprintf("%4.0f s: %d of %d servers up, %d cold, %d fallen; able %.0f RPCs/s, ran %d; cores %.0f%% busy, %d waiting; late %.1f ms",
--- a/internal/emulator/warmup.go
+++ b/internal/emulator/warmup.go
@@ -5,7 +5,7 @@
 const (
 	// overloadSlack is how many RPCs of mean work the arrivals may exceed the overload bound by, as chance brings them.
 	overloadSlack = 2
-	// overloadRatioStep is by how much the overload ratio must grow to be told again.
+	// overloadRatioStep is by how much the overload ratio must grow to be reported again.
 	overloadRatioStep = 0.05
 	// minWarmupSlope is below which the warm-up is taken as constant, as the quadratic would divide by almost nothing.
 	minWarmupSlope = 1e-12
@@ -62,7 +62,7 @@
 type overloadWindow struct {
 	arrivals []arrivedWork // oldest first
 	total    Seconds
-	maxRatio float64 // of those that were told
+	maxRatio float64 // of those that were reported
 }
 
 type arrivedWork struct {
--- a/internal/fake/multiplexer.go
+++ b/internal/fake/multiplexer.go
@@ -1,10 +1,10 @@
 package fake
 
 import (
-	"container/heap"
 	"strings"
 
 	"gingerfork/internal/statemachine"
+	"gingerfork/internal/wakeup"
 )
 
 // minWakeDelay is the least time between two steps of a member that asks to be stepped at once, in seconds.
@@ -23,7 +23,7 @@
 	firstListener map[*member]int
 	conns         map[statemachine.Conn]memberConn
 	lastDialed    statemachine.Conn
-	wakeups       wakeupHeap
+	wakeups       wakeup.Queue[*member]
 	memberOut     statemachine.Effects
 }
 
@@ -33,8 +33,7 @@
 	conns        map[statemachine.Conn]statemachine.Conn // the multiplexer's number of each of its connections
 	inputs       []statemachine.Input
 	lastAccepted statemachine.Conn
-	wakeAt       statemachine.Seconds
-	heapIndex    int
+	wakeup       *wakeup.Entry[*member]
 }
 
 // memberConn is a connection by the number that its member knows.
@@ -60,7 +59,7 @@
 	for range listeners {
 		m.listeners = append(m.listeners, added)
 	}
-	heap.Push(&m.wakeups, added)
+	added.wakeup = m.wakeups.Add(added)
 }
 
 // Step implements statemachine.Machine. It steps only the members that have an input or whose wake-up time has come.
@@ -79,16 +78,16 @@
 			m.routeConnInput(input, deliver)
 		}
 	}
-	for len(m.wakeups) > 0 && m.wakeups[0].wakeAt <= now {
-		m.stepMember(now, m.wakeups[0], out)
+	for due, at, ok := m.wakeups.Next(); ok && at <= now; due, at, ok = m.wakeups.Next() {
+		m.stepMember(now, due, out)
 	}
 	for _, receiver := range receivers {
 		if len(receiver.inputs) > 0 {
 			m.stepMember(now, receiver, out)
 		}
 	}
-	if len(m.wakeups) > 0 {
-		out.WakeBy(m.wakeups[0].wakeAt)
+	if _, at, ok := m.wakeups.Next(); ok {
+		out.WakeBy(at)
 	}
 }
 
@@ -138,8 +137,7 @@
 	if m.memberOut.Failure != "" {
 		out.Failure = stepped.name + ": " + m.memberOut.Failure
 	}
-	stepped.wakeAt = max(m.memberOut.WakeAt, now+minWakeDelay)
-	heap.Fix(&m.wakeups, stepped.heapIndex)
+	m.wakeups.Reschedule(stepped.wakeup, max(m.memberOut.WakeAt, now+minWakeDelay))
 }
 
 // forwardAction passes a member's action on under the multiplexer's number of the connection.
@@ -162,27 +160,3 @@
 	action.Conn = conn
 	out.Actions = append(out.Actions, action)
 }
-
-// wakeupHeap orders members by wake-up time, for container/heap.
-type wakeupHeap []*member
-
-func (h wakeupHeap) Len() int           { return len(h) }
-func (h wakeupHeap) Less(i, j int) bool { return h[i].wakeAt < h[j].wakeAt }
-
-func (h wakeupHeap) Swap(i, j int) {
-	h[i], h[j] = h[j], h[i]
-	h[i].heapIndex, h[j].heapIndex = i, j
-}
-
-func (h *wakeupHeap) Push(x any) {
-	added := x.(*member)
-	added.heapIndex = len(*h)
-	*h = append(*h, added)
-}
-
-func (h *wakeupHeap) Pop() any {
-	last := len(*h) - 1
-	removed := (*h)[last]
-	*h = (*h)[:last]
-	return removed
-}
--- a/internal/fake/multiplexer_test.go
+++ b/internal/fake/multiplexer_test.go
@@ -41,7 +41,7 @@
 			t.Fatalf("no %q in %q", want, got)
 		}
 	}
-	if idle := multiplexer.members[1]; idle.wakeAt < statemachine.Never && idle.lastAccepted != 0 {
+	if idle := multiplexer.members[1]; idle.lastAccepted != 0 {
 		t.Fatal("a member without an input accepted a connection")
 	}
 }
--- a/internal/fake/session.go
+++ b/internal/fake/session.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// readCoordinatorMessages handles the complete messages that the stream brought. An invalid one ends the session, and the
-// coordinator is told why.
+// readCoordinatorMessages handles the complete messages that the stream brought. An invalid one ends the session, with
+// the reason sent to the coordinator.
 func (f *FrontEnd) readCoordinatorMessages(now statemachine.Seconds) {
 	stream := f.session.stream
 	for f.session.stream == stream {
