--- a/compare/compare_test.go
+++ b/compare/compare_test.go
@@ -69,9 +69,9 @@
 		"method.0.effect": "idempotent", "method.0.soft_deadline": 1.0, "method.0.criticality": 1.0,
 	}
 	clock := eventloop.NewClock()
-	var all []fake.Listing
+	var all []fake.Endpoint
 	for i := range servers {
-		all = append(all, fake.Listing{EP: proto.EP(i + 1), State: proto.ServerOpen, Zone: "a", Weight: 1, Stamp: 1, Addr: "127.0.0.1:1"})
+		all = append(all, fake.Endpoint{Backend: proto.BackendID(i + 1), State: proto.BackendOpen, Zone: "a", Weight: 1, Incarnation: 1, Addr: "127.0.0.1:1"})
 	}
 	must := func(l *eventloop.Loop, err error) *eventloop.Loop {
 		if err != nil {
@@ -80,17 +80,17 @@
 		b.Cleanup(func() { l.Stop(); _ = l.Wait() })
 		return l
 	}
-	list := must(eventloop.Start(ctx, eventloop.Bootstrap{Machine: fake.NewList(all), Listen: []string{"127.0.0.1:0"}, Clock: clock}))
+	list := must(eventloop.Start(ctx, eventloop.Bootstrap{Machine: fake.NewEndpointService(all), Listen: []string{"127.0.0.1:0"}, Clock: clock}))
 	m := coordinator.NewMachine(coordinator.Bootstrap{
 		Name: "c0", Zone: "a", EndpointListAddr: list.Addrs()[0], ModuleConfig: choice.Config{Seed: 1, Now: clock.Now(), Settings: choice.DecodeSettings(values)},
 		HandshakeTimeout: 30, ProxyIdleTimeout: 60, EndpointListIdleTimeout: 30, ProbeTimeout: 5, MaxStreams: 20000, MaxProbes: 4,
 	}, nil)
 	c := must(eventloop.Start(ctx, eventloop.Bootstrap{Machine: m, Listen: []string{"127.0.0.1:0"}, Clock: clock}))
-	crowd := fake.NewCrowd()
+	proxies := fake.NewMultiplexer()
 	for i := range n {
-		crowd.Add(fmt.Sprint("f", i), fake.NewFrontEnd(fake.FrontTrade{
+		proxies.Add(fmt.Sprint("f", i), fake.NewFrontEnd(fake.FrontEndConfig{
 			Name: fmt.Sprint("f", i), Zone: "a", Coordinators: c.Addrs(),
-			Methods: []fake.MethodTrade{{Name: "read", Share: 1, SoftDeadline: 1, Deadline: 2}}, Pick: "even", Period: 2, ConnectTimeout: 1, Seed: uint64(i),
+			Methods: []fake.MethodConfig{{Name: "read", Share: 1, SoftDeadline: 1, Deadline: 2}}, Policy: "even", ReportPeriod: 2, ConnectTimeout: 1, Seed: uint64(i),
 		}), 0)
 	}
 	var mu sync.Mutex
@@ -99,11 +99,11 @@
 	var want int
 	var changing uint32
 	reached := make(chan struct{}, 1)
-	must(eventloop.Start(ctx, eventloop.Bootstrap{Machine: crowd, Clock: clock, Trace: func(records []trace.Record) {
+	must(eventloop.Start(ctx, eventloop.Bootstrap{Machine: proxies, Clock: clock, Trace: func(records []trace.Record) {
 		mu.Lock()
 		defer mu.Unlock()
 		for _, r := range records {
-			if r.Kind != trace.Apply {
+			if r.Kind != trace.PushApplied {
 				continue
 			}
 			for _, op := range strings.Split(r.Text, ";") {
@@ -119,14 +119,14 @@
 						if held[uint32(ep)] == nil {
 							held[uint32(ep)] = map[string]bool{}
 						}
-						held[uint32(ep)][r.Who] = !strings.HasPrefix(weight, "0") || weight != "0"
+						held[uint32(ep)][r.Party] = !strings.HasPrefix(weight, "0") || weight != "0"
 						if weight == "0" || weight == "0!" {
-							delete(held[uint32(ep)], r.Who)
+							delete(held[uint32(ep)], r.Party)
 						}
 					}
 				}
 			}
-			joined[r.Who] = true
+			joined[r.Party] = true
 		}
 	}}))
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
@@ -143,7 +143,7 @@
 	time.Sleep(500 * time.Millisecond)
 	bytes := func() int {
 		got := make(chan int)
-		c.Between(func() { got <- m.Stats().Bytes })
+		c.RunBetweenSteps(func() { got <- m.Stats().Bytes })
 		return <-got
 	}
 	before := bytes()
@@ -157,14 +157,14 @@
 		total += want
 		mu.Unlock()
 		begin := time.Now()
-		list.Tell(fmt.Sprintf("state %d draining", changing))
+		list.SendCommand(fmt.Sprintf("state %d draining", changing))
 		select {
 		case <-reached:
 		case <-time.After(20 * time.Second):
 			b.Fatal("a change did not reach all")
 		}
 		spent += time.Since(begin)
-		list.Tell(fmt.Sprintf("state %d open", changing))
+		list.SendCommand(fmt.Sprintf("state %d open", changing))
 		time.Sleep(60 * time.Millisecond)
 	}
 	b.StopTimer()
