--- a/choice/exclusion.go
+++ b/choice/exclusion.go
@@ -6,10 +6,8 @@
 	"slices"
 )
 
-const (
-	informPart       = 0.25 // of the grace, what a first table may take before a list of exclusions goes ahead
-	restoreTolerance = 1.05 // of its warm weight, what a table may still give a backend that is restored
-)
+// restoreTolerance is what a table may still give a backend that is restored, of its warm weight.
+const restoreTolerance = 1.05
 
 // sendExclusions sends the exclusions that are due, ahead of tables. Where proxies have had many messages of
 // late they are gathered for part of the grace, against a list that drops its backends one by one.
@@ -48,22 +46,17 @@
 	}
 }
 
-// informExclusions notifies a proxy of all exclusions, if it may still use a table of an earlier stream. A
-// table of ours implies them in fewer lines and goes first if it goes soon: many lists overflow the channel.
+// informExclusions notifies a proxy of all exclusions, if it uses a table of an earlier stream, as there is
+// nothing to give it. A table of ours implies them in fewer lines: many lists overflow the channel.
 func (p *proxyActor) informExclusions() {
 	if p.informed || p.bound && !p.lacksTable() {
 		return
 	}
-	plan, lines := p.plan, 0
-	for _, excluded := range plan.excluded {
-		if excluded {
-			lines++
-		}
-	}
+	plan, lines := p.plan, p.plan.excludedCount()
 	p.waiting = true
 	empty := func(table *proxyTable) bool { return len(table.sent)+len(table.desired) == 0 }
-	soon := plan.now < p.joinedAt+informPart*plan.settings.DrainGrace && !slices.ContainsFunc(p.tables, empty)
-	if soon || float64(plan.channel.waitingLines()+lines) > urgentPart*plan.settings.ChannelRoom {
+	fits := float64(plan.channel.waitingLines()+lines) <= urgentPart*plan.settings.ChannelRoom
+	if !fits || !slices.ContainsFunc(p.tables, empty) {
 		return
 	}
 	p.informed = true
--- a/choice/planner.go
+++ b/choice/planner.go
@@ -78,7 +78,7 @@
 	plan.excluded[i] = excluded
 	plan.commands = append(plan.commands, SetExclusion{plan.id[i], excluded})
 	for _, proxy := range plan.proxies {
-		if proxy.joined && (!proxy.bound || proxy.heaviestWeight(i) > 0 || proxy.lacksTable()) {
+		if proxy.joined && proxy.mayUse(i) {
 			proxy.pendingLines++
 			plan.markDirty(proxy)
 		} else if proxy.waiting {
@@ -87,6 +87,16 @@
 	}
 }
 
+// excludedCount is the number of excluded backends.
+func (plan *Planner) excludedCount() (count int) {
+	for _, excluded := range plan.excluded {
+		if excluded {
+			count++
+		}
+	}
+	return count
+}
+
 // ownShare is the share of all proxies that are joined to this coordinator.
 func (plan *Planner) ownShare() float64 {
 	return float64(plan.ring.joined) / max(plan.settings.Proxies, float64(plan.ring.joined), 1)
--- a/choice/proxies.go
+++ b/choice/proxies.go
@@ -191,6 +191,16 @@
 	return heaviest
 }
 
+// mayUse tells whether a proxy may send requests to a backend, as far as it was notified: its table holds the backend, or it uses
+// a table of an earlier stream and knows of all exclusions so far. A proxy that waits for its first table, or for the list of
+// exclusions, learns of a new exclusion by that.
+func (p *proxyActor) mayUse(i int) bool {
+	if p.bound && p.heaviestWeight(i) > 0 {
+		return true
+	}
+	return p.informed && (!p.bound || p.lacksTable())
+}
+
 // lacksTable tells whether some methods have no table of ours yet, so that one of an earlier stream may be in use.
 func (p *proxyActor) lacksTable() bool {
 	return slices.ContainsFunc(p.tables, func(table *proxyTable) bool { return len(table.sent) == 0 })
--- a/choice/push.go
+++ b/choice/push.go
@@ -13,7 +13,9 @@
 	levelTolerance = 0.15 // relative change below which an admission level is not sent again
 	coldTolerance  = 1.3  // of its warmth, what a sent entry may hold before a push is urgent
 	ordinaryPart   = 0.6  // of the messages and lines that the limits allow, what ordinary pushes may use
-	urgentPart     = 0.9  // and what urgent ones may; the rest is for exclusions
+	firstPart      = 0.4  // and what first tables may, so that a storm of joins leaves the channel short
+	lateFirst      = 0.25 // of the grace, after which a first table may use what ordinary pushes may
+	urgentPart     = 0.9  // what urgent pushes may use; the rest is for exclusions
 	ackTimeGain    = 0.1  // of each deviation, by how much the usual acknowledgement time follows
 	lostAfter      = 10.0 // seconds after which a message counts as lost with its stream
 )
@@ -75,6 +77,10 @@
 
 // hasRoom tells whether an ordinary push fits. One that goes with an exclusion is no message more.
 func (h *channel) hasRoom(proxy *proxyActor) bool {
-	fits := float64(h.waitingLines()+proxy.lineCost()) < ordinaryPart*h.plan.settings.ChannelRoom
+	part, late := ordinaryPart, proxy.joinedAt+lateFirst*h.plan.settings.DrainGrace
+	if !proxy.bound && h.plan.now < late {
+		part = firstPart
+	}
+	fits := float64(h.waitingLines()+proxy.lineCost()) < part*h.plan.settings.ChannelRoom
 	return fits && (!proxy.bound || proxy.pendingLines > 0 || h.withinMessageLimit(proxy, ordinaryPart))
 }
--- a/internal/fanout/commands.go
+++ b/internal/fanout/commands.go
@@ -22,6 +22,7 @@
 		d.setExclusion(command)
 	case choice.NotifyExclusions:
 		if subscriber := d.subscriber(command.Proxy); subscriber != nil {
+			subscriber.informed = true
 			d.uninformed = append(d.uninformed, subscriber)
 		}
 	default:
--- a/internal/fanout/distributor.go
+++ b/internal/fanout/distributor.go
@@ -58,6 +58,7 @@
 // Subscriber is a joined proxy.
 type Subscriber struct {
 	Proxy         choice.ProxyID
+	informed      bool                      // it was notified of all exclusions
 	excluded      map[choice.BackendID]bool // the backends that the proxy was sent as excluded
 	subscriptions []subscription
 	pending       *Message // the message of the current step, nil if there is none yet
--- a/internal/fanout/exclusions.go
+++ b/internal/fanout/exclusions.go
@@ -6,8 +6,8 @@
 	"gingerfork/choice"
 )
 
-// setExclusion excludes a backend at every proxy whose tables contain it or that may still use a table of an earlier
-// stream, or restores it at the proxies whose tables contain it. Other proxies need no operation, since each table entry
+// setExclusion excludes a backend at every proxy whose tables contain it or that uses a table of an earlier stream and was
+// notified of the exclusions so far, or restores it at the proxies whose tables contain it. Other proxies need no operation, since each table entry
 // says whether its backend is excluded.
 func (d *Distributor) setExclusion(command choice.SetExclusion) {
 	if command.Excluded {
@@ -28,7 +28,8 @@
 func (d *Distributor) sendExclusion(subscriber *Subscriber, command choice.SetExclusion) bool {
 	uses := d.uses(subscriber, command.Backend)
 	if command.Excluded {
-		if !uses && !d.partiallyBound(subscriber) {
+		usesEarlierTable := subscriber.informed && d.partiallyBound(subscriber)
+		if !uses && !usesEarlierTable {
 			return false
 		}
 		d.exclude(subscriber, command.Backend)
--- /dev/null
+++ b/internal/fanout/exclusions_test.go
@@ -0,0 +1,65 @@
+package fanout
+
+import (
+	"slices"
+	"testing"
+
+	"gingerfork/choice"
+)
+
+// excludedIn returns the backends that the messages of a step exclude at their proxies.
+func excludedIn(messages []*Message) (backends []choice.BackendID) {
+	for _, message := range messages {
+		for _, operation := range message.Ops {
+			if operation.Kind == OpExclude || operation.Kind == OpBind {
+				backends = append(backends, operation.Backends...)
+			}
+		}
+	}
+	slices.Sort(backends)
+	return backends
+}
+
+// A proxy that waits for its first table learns of the exclusions by that table or by NotifyExclusions, not one by one: its
+// earlier tables stay in use, and thousands of waiting proxies would fill the channel with each exclusion.
+func TestExclusionsOfWaitingProxies(t *testing.T) {
+	distributor := New()
+	distributor.Join(1)
+	for _, step := range []struct {
+		command choice.Command
+		want    []choice.BackendID
+	}{
+		{choice.SetExclusion{Backend: 7, Excluded: true}, nil},
+		{choice.NotifyExclusions{Proxy: 1}, []choice.BackendID{7}},
+		{choice.NotifyExclusions{Proxy: 1}, nil},
+		{choice.SetExclusion{Backend: 8, Excluded: true}, []choice.BackendID{8}},
+		{choice.NotifyExclusions{Proxy: 2}, nil},
+	} {
+		if !distributor.Apply(step.command) {
+			t.Fatalf("%+v is not applied", step.command)
+		}
+		messages, _ := distributor.Flush(nil)
+		if got := excludedIn(messages); !slices.Equal(got, step.want) {
+			t.Errorf("%+v excludes %v at the proxy, want %v", step.command, got, step.want)
+		}
+	}
+}
+
+// A first table carries the exclusions of its backends.
+func TestFirstTableCarriesExclusions(t *testing.T) {
+	distributor := New()
+	distributor.Join(1)
+	for _, command := range []choice.Command{
+		choice.SetExclusion{Backend: 7, Excluded: true},
+		choice.SetExclusion{Backend: 9, Excluded: true},
+		choice.SetTableEntry{Table: 3, Backend: 7, Weight: 1},
+		choice.SetTableEntry{Table: 3, Backend: 8, Weight: 1},
+		choice.BindTable{Proxy: 1, Table: 3},
+	} {
+		distributor.Apply(command)
+	}
+	messages, _ := distributor.Flush(nil)
+	if got := excludedIn(messages); !slices.Equal(got, []choice.BackendID{7}) {
+		t.Errorf("the first table excludes %v", got)
+	}
+}
