--- a/cmd/gingerfork/rehearse.go
+++ b/cmd/gingerfork/rehearse.go
@@ -84,7 +84,7 @@
 		if err != nil {
 			return err
 		}
-		if r.Report.Broken() || len(r.Fails) > 0 {
+		if r.Report.Violated() || len(r.Fails) > 0 {
 			broken = append(broken, d.Name)
 		}
 		if ctx.Err() != nil {
@@ -130,7 +130,7 @@
 		for w, r := range v.Ways {
 			var rules []string
 			for _, x := range r.Report.Rules {
-				if x.Broken > 0 {
+				if x.Violations > 0 {
 					rules = append(rules, fmt.Sprint(x.Rule))
 				}
 			}
@@ -146,7 +146,7 @@
 			return json.NewEncoder(p.out).Encode(map[string]any{
 				"day": v.Day.Name, "seed": v.Day.Seed, "coordinator": v.Ways[0].Report.Service.Share(),
 				"all_servers": v.Ways[1].Report.Service.Share(), "frozen": v.Ways[2].Report.Service.Share(), "bound": v.Bound.Share(),
-				"rules_broken": broke, "rpcs": v.Ways[0].Report.Service.RPCs, "messages": v.Ways[0].Report.Pushes, "lines": v.Ways[0].Report.Lines,
+				"rules_broken": broke, "rpcs": v.Ways[0].Report.Service.RPCs, "messages": v.Ways[0].Report.Pushes, "lines": v.Ways[0].Report.Entries,
 			})
 		}
 		fmt.Fprintf(p.out, "%-28s %11.3f %11.3f %11.3f %11.3f  %s\n", v.Day.Name, v.Ways[0].Report.Service.Share(), v.Ways[1].Report.Service.Share(),
@@ -168,8 +168,8 @@
 		n++
 		fmt.Fprintf(p.out, "seed %d: %s\n", f.Seed, f.What)
 		for _, v := range f.Result.Report.Rules {
-			if v.Broken > 0 {
-				fmt.Fprintf(p.out, "  at %.3f, %s: %s\n", v.T, v.Who, v.Why)
+			if v.Violations > 0 {
+				fmt.Fprintf(p.out, "  at %.3f, %s: %s\n", v.FirstTime, v.Party, v.Reason)
 			}
 		}
 		for _, x := range f.Result.Fails {
@@ -273,26 +273,26 @@
 	if virtual {
 		where = "in virtual time"
 	}
-	fmt.Fprintf(out, "\nday %s, seed %d, %s: %.1f s, %d troubles\n\n", r.Day.Name, r.Day.Seed, where, r.Report.Length, r.Report.Troubles)
+	fmt.Fprintf(out, "\nday %s, seed %d, %s: %.1f s, %d troubles\n\n", r.Day.Name, r.Day.Seed, where, r.Report.Duration, r.Report.Faults)
 	t := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "rule\t\tresult\tnearest to its limit\t")
 	for _, v := range r.Report.Rules {
 		result := "kept"
-		if v.Broken > 0 {
-			result = fmt.Sprintf("BROKEN %d times", v.Broken)
+		if v.Violations > 0 {
+			result = fmt.Sprintf("BROKEN %d times", v.Violations)
 		}
-		fmt.Fprintf(t, "%d\t%s\t%s\t%.0f%% at %.1f s  %s\n", v.Rule, v.Name, result, 100*v.Nearest, v.At, v.Note)
+		fmt.Fprintf(t, "%d\t%s\t%s\t%.0f%% at %.1f s  %s\n", v.Rule, v.Name, result, 100*v.Closest, v.ClosestTime, v.ClosestNote)
 	}
 	_ = t.Flush() // as with all that is printed: who closed the pipe does not read the error either
 	for _, v := range r.Report.Rules {
-		if v.Broken > 0 {
-			fmt.Fprintf(out, "\nrule %d first broke at %.3f (record %d of the trace), %s: %s\n", v.Rule, v.T, v.Record, v.Who, v.Why)
+		if v.Violations > 0 {
+			fmt.Fprintf(out, "\nrule %d first broke at %.3f (record %d of the trace), %s: %s\n", v.Rule, v.FirstTime, v.Record, v.Party, v.Reason)
 		}
 	}
 	s := r.Report.Service
 	fmt.Fprintf(out, "\nservice %.3f (criticality answered within the soft deadline over criticality asked for)\n", s.Share())
-	fmt.Fprintf(out, "RPCs %d: ok %d (%d of them late), pushed back %d, aborted %d, open at the end %d\n", s.RPCs, s.OK, s.Late, s.PushedBack, s.Aborted, s.Open)
-	fmt.Fprintf(out, "tries %d, messages to proxies %d with %d lines, cold servers fallen %d\n", r.Report.Tries, r.Report.Pushes, r.Report.Lines, r.Report.Falls)
+	fmt.Fprintf(out, "RPCs %d: ok %d (%d of them late), pushed back %d, aborted %d, open at the end %d\n", s.RPCs, s.OK, s.Late, s.Rejected, s.Aborted, s.Unfinished)
+	fmt.Fprintf(out, "tries %d, messages to proxies %d with %d lines, cold servers fallen %d\n", r.Report.Attempts, r.Report.Pushes, r.Report.Entries, r.Report.Collapses)
 	for _, f := range r.Fails {
 		fmt.Fprintf(out, "DEFECT: %s\n", f)
 	}
@@ -313,12 +313,12 @@
 	}
 	rules := make([]rule, 0, len(r.Report.Rules))
 	for _, v := range r.Report.Rules {
-		rules = append(rules, rule{v.Rule, v.Name, v.Broken, v.T, v.Who, v.Record, v.Why, v.Nearest, v.At, v.Note})
+		rules = append(rules, rule{v.Rule, v.Name, v.Violations, v.FirstTime, v.Party, v.Record, v.Reason, v.Closest, v.ClosestTime, v.ClosestNote})
 	}
 	s := r.Report.Service
 	return json.NewEncoder(out).Encode(map[string]any{
-		"day": r.Day.Name, "seed": r.Day.Seed, "length": r.Report.Length, "rules": rules,
-		"service": s.Share(), "rpcs": s.RPCs, "ok": s.OK, "late": s.Late, "pushed_back": s.PushedBack, "aborted": s.Aborted,
-		"tries": r.Report.Tries, "messages": r.Report.Pushes, "lines": r.Report.Lines, "falls": r.Report.Falls, "defects": r.Fails, "figures": figures,
+		"day": r.Day.Name, "seed": r.Day.Seed, "length": r.Report.Duration, "rules": rules,
+		"service": s.Share(), "rpcs": s.RPCs, "ok": s.OK, "late": s.Late, "pushed_back": s.Rejected, "aborted": s.Aborted,
+		"tries": r.Report.Attempts, "messages": r.Report.Pushes, "lines": r.Report.Entries, "falls": r.Report.Collapses, "defects": r.Fails, "figures": figures,
 	})
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -42,9 +42,9 @@
 	"service":  {1, "", func(r scenario.Result, _ *report.Report) float64 { return r.Report.Service.Share() }},
 	"worst10":  {1, "", func(_ scenario.Result, f *report.Report) float64 { return f.Worst10 }},
 	"messages": {-1, "", func(r scenario.Result, _ *report.Report) float64 { return float64(r.Report.Pushes) }},
-	"lines":    {-1, "", func(r scenario.Result, _ *report.Report) float64 { return float64(r.Report.Lines) }},
-	"tries":    {-1, "", func(r scenario.Result, _ *report.Report) float64 { return float64(r.Report.Tries) }},
-	"falls":    {-1, "", func(r scenario.Result, _ *report.Report) float64 { return float64(r.Report.Falls) }},
+	"lines":    {-1, "", func(r scenario.Result, _ *report.Report) float64 { return float64(r.Report.Entries) }},
+	"tries":    {-1, "", func(r scenario.Result, _ *report.Report) float64 { return float64(r.Report.Attempts) }},
+	"falls":    {-1, "", func(r scenario.Result, _ *report.Report) float64 { return float64(r.Report.Collapses) }},
 	"margin":   {-1, "of the limit", func(r scenario.Result, _ *report.Report) float64 { return nearest(r, 1, 2, 3, 4, 5) }},
 	"margin1":  {-1, "of the limit", func(r scenario.Result, _ *report.Report) float64 { return nearest(r, 1) }},
 	"margin3":  {-1, "of the limit", func(r scenario.Result, _ *report.Report) float64 { return nearest(r, 3) }},
@@ -64,7 +64,7 @@
 func nearest(r scenario.Result, rules ...int) (most float64) {
 	for _, v := range r.Report.Rules {
 		if slices.Contains(rules, v.Rule) {
-			most = max(most, v.Nearest)
+			most = max(most, v.Closest)
 		}
 	}
 	return most
@@ -101,7 +101,7 @@
 		r.Figures[m] = measures[m].of(got, f)
 	}
 	for _, v := range got.Report.Rules {
-		if v.Broken > 0 {
+		if v.Violations > 0 {
 			r.Broken = append(r.Broken, v.Rule)
 		}
 	}
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -15,72 +15,72 @@
 
 // Method is what the checker needs to know of a method.
 type Method struct {
-	Name          string
-	NonIdempotent bool
-	Tokened       bool
-	Window        float64 // seconds in which repeats are dropped
-	Criticality   float64
-	SoftDeadline  float64
+	Name              string
+	NonIdempotent     bool
+	HasIdempotencyKey bool
+	DedupWindow       float64 // seconds in which repeats are dropped
+	Criticality       float64
+	SoftDeadline      float64
 }
 
 // Limits are the rules' figures.
 type Limits struct {
-	Bare         float64 // seconds without a line
-	Grace        float64 // seconds to a server that drains or is gone
-	WarmAfter    float64
-	FallWindow   float64
-	Room         int // lines that may wait
-	Messages     int // to a proxy within Span; 0: any number
-	Span         float64
-	OnlyDraining bool
-	ListSilence  float64 // after which a coordinator gives up a stream of the list service
-	AskWithin    float64 // a coordinator that is not told must have asked within this
-	Methods      []Method
+	NoBackendLimit        float64 // seconds without a line
+	DrainGrace            float64 // seconds to a server that drains or is gone
+	WarmAfter             float64
+	CollapseWindow        float64
+	MaxQueuedEntries      int // lines that may wait
+	MaxMessages           int // to a proxy within Span; 0: any number
+	MessageWindow         float64
+	OnlyDraining          bool
+	EndpointStreamTimeout float64 // after which a coordinator gives up a stream of the list service
+	PollInterval          float64 // a coordinator that is not told must have asked within this
+	Methods               []Method
 }
 
 // Verdict is what became of one rule.
 type Verdict struct {
-	Rule    int
-	Name    string
-	Broken  int     // times
-	T       float64 // of the first
-	Who     string
-	Record  int // its place in the trace, from 1
-	Why     string
-	Nearest float64 // how near it came, as a part of the limit; 1 and above: reached
-	At      float64 // when that was, in seconds of the run
-	Note    string
+	Rule        int
+	Name        string
+	Violations  int     // times
+	FirstTime   float64 // of the first
+	Party       string
+	Record      int // its place in the trace, from 1
+	Reason      string
+	Closest     float64 // how near it came, as a part of the limit; 1 and above: reached
+	ClosestTime float64 // when that was, in seconds of the run
+	ClosestNote string
 }
 
 // Service is what the clients had of it.
 type Service struct {
-	Asked, InTime                             float64 // criticality
-	RPCs, OK, Late, PushedBack, Aborted, Open int
+	Offered, InTime                               float64 // criticality
+	RPCs, OK, Late, Rejected, Aborted, Unfinished int
 }
 
 // Share is the criticality answered within the soft deadline over the criticality asked for.
 func (s Service) Share() float64 {
-	if s.Asked == 0 {
+	if s.Offered == 0 {
 		return 1
 	}
-	return s.InTime / s.Asked
+	return s.InTime / s.Offered
 }
 
 // Report is the whole result.
 type Report struct {
-	Rules    [5]Verdict
-	Service  Service
-	Pushes   int
-	Lines    int
-	Tries    int
-	Falls    int
-	Troubles int
-	Length   float64
+	Rules     [5]Verdict
+	Service   Service
+	Pushes    int
+	Entries   int
+	Attempts  int
+	Collapses int
+	Faults    int
+	Duration  float64
 }
 
 // Broken tells whether any rule broke.
-func (r Report) Broken() bool {
-	return slices.ContainsFunc(r.Rules[:], func(v Verdict) bool { return v.Broken > 0 })
+func (r Report) Violated() bool {
+	return slices.ContainsFunc(r.Rules[:], func(v Verdict) bool { return v.Violations > 0 })
 }
 
 type told struct {
@@ -193,23 +193,23 @@
 	if len(records) > 0 {
 		c.glanced = 0
 		c.pass(c.now)
-		c.report.Length = c.now - records[0].T
+		c.report.Duration = c.now - records[0].T
 	}
-	c.report.Service.Open = len(c.open)
+	c.report.Service.Unfinished = len(c.open)
 	return c.report, nil
 }
 
 // near notes how near a rule came.
 func (c *checker) near(rule int, part float64, note string, args ...any) {
-	if v := &c.report.Rules[rule-1]; part > v.Nearest {
-		v.Nearest, v.At, v.Note = part, c.now-c.begin, fmt.Sprintf(note, args...)
+	if v := &c.report.Rules[rule-1]; part > v.Closest {
+		v.Closest, v.ClosestTime, v.ClosestNote = part, c.now-c.begin, fmt.Sprintf(note, args...)
 	}
 }
 
 func (c *checker) broke(rule int, who, why string, args ...any) {
 	v := &c.report.Rules[rule-1]
-	if v.Broken++; v.Broken == 1 {
-		v.T, v.Who, v.Record, v.Why = c.now, who, c.at, fmt.Sprintf(why, args...)
+	if v.Violations++; v.Violations == 1 {
+		v.FirstTime, v.Party, v.Record, v.Reason = c.now, who, c.at, fmt.Sprintf(why, args...)
 	}
 }
 
@@ -261,8 +261,8 @@
 			if math.IsInf(from, 1) || t <= from {
 				continue
 			}
-			c.near(1, (t-from)/c.l.Bare, "%s had no line for %s for %.2f s", name, c.l.Methods[m].Name, t-from)
-			if t-from > c.l.Bare && !p.struck[m] {
+			c.near(1, (t-from)/c.l.NoBackendLimit, "%s had no line for %s for %.2f s", name, c.l.Methods[m].Name, t-from)
+			if t-from > c.l.NoBackendLimit && !p.struck[m] {
 				p.struck[m] = true
 				c.broke(1, name, "no line for %s since %.3f, while %s lists an open warm server", c.l.Methods[m].Name, from, p.of)
 			}
@@ -367,7 +367,7 @@
 	case trace.End:
 		c.end(r)
 	case trace.Trouble:
-		c.report.Troubles++
+		c.report.Faults++
 	case trace.Gone, trace.Glance, trace.Late:
 	default:
 		return fmt.Errorf("unknown kind")
@@ -398,20 +398,20 @@
 
 func (c *checker) push(r trace.Record) {
 	c.report.Pushes++
-	c.report.Lines += int(r.X)
-	c.near(5, float64(r.N)/float64(c.l.Room), "%d lines waited at %s", r.N, r.Of)
-	if r.N > int64(c.l.Room) {
-		c.broke(5, r.Of, "%d lines waited, %d allowed", r.N, c.l.Room)
+	c.report.Entries += int(r.X)
+	c.near(5, float64(r.N)/float64(c.l.MaxQueuedEntries), "%d lines waited at %s", r.N, r.Of)
+	if r.N > int64(c.l.MaxQueuedEntries) {
+		c.broke(5, r.Of, "%d lines waited, %d allowed", r.N, c.l.MaxQueuedEntries)
 	}
 	p := c.proxy(r.Who)
 	p.pushes = append(p.pushes, r.T)
-	for p.pushes[0] < r.T-c.l.Span {
+	for p.pushes[0] < r.T-c.l.MessageWindow {
 		p.pushes = p.pushes[1:]
 	}
-	if c.l.Messages > 0 {
-		c.near(5, float64(len(p.pushes))/float64(c.l.Messages), "%s had %d messages within %g s", r.Who, len(p.pushes), c.l.Span)
-		if len(p.pushes) > c.l.Messages {
-			c.broke(5, r.Who, "%d messages within %g s, %d allowed", len(p.pushes), c.l.Span, c.l.Messages)
+	if c.l.MaxMessages > 0 {
+		c.near(5, float64(len(p.pushes))/float64(c.l.MaxMessages), "%s had %d messages within %g s", r.Who, len(p.pushes), c.l.MessageWindow)
+		if len(p.pushes) > c.l.MaxMessages {
+			c.broke(5, r.Who, "%d messages within %g s, %d allowed", len(p.pushes), c.l.MessageWindow, c.l.MaxMessages)
 		}
 	}
 }
@@ -531,7 +531,7 @@
 	}
 	wait := x.wait
 	x.wait = nil
-	if r.T-x.off > c.l.ListSilence-1.5 {
+	if r.T-x.off > c.l.EndpointStreamTimeout-1.5 {
 		// Or it just lived on: then the next news comes without a call, and these came before it.
 		x.behind, x.asked, x.perhaps, x.wait = true, max(x.asked, r.T), map[uint32]bool{}, wait
 		if len(wait) > 0 {
@@ -629,7 +629,7 @@
 }
 
 func (c *checker) try(r trace.Record) {
-	c.report.Tries++
+	c.report.Attempts++
 	c.open[r.RPC] = r.Method
 	p := c.proxy(r.Who)
 	if p.follows() != "" {
@@ -637,16 +637,16 @@
 		binds := known && (e.state == 'd' || e.state == 'g' && !c.l.OnlyDraining)
 		x := c.coordinator(p.of)
 		binds = binds && (!x.behind || !x.perhaps[r.EP])
-		if !binds && x.behind && r.T > x.asked+c.l.AskWithin {
+		if !binds && x.behind && r.T > x.asked+c.l.PollInterval {
 			// It does not ask, and so counts as told of what was listed that long ago.
 			if e, known = c.truth[r.EP]; known && e.state != 'o' {
 				binds = e.state == 'd' || !c.l.OnlyDraining
-				e.at += c.l.AskWithin
+				e.at += c.l.PollInterval
 			}
 		}
 		if from := max(e.at, p.joined); binds {
-			c.near(3, (r.T-from)/c.l.Grace, "%s sent to server %d %.2f s after %s was told", r.Who, r.EP, r.T-from, p.of)
-			if r.T-from > c.l.Grace {
+			c.near(3, (r.T-from)/c.l.DrainGrace, "%s sent to server %d %.2f s after %s was told", r.Who, r.EP, r.T-from, p.of)
+			if r.T-from > c.l.DrainGrace {
 				c.broke(3, r.Who, "sent to server %d %.3f s after %s was told that it drains or is gone", r.EP, r.T-from, p.of)
 			}
 		}
@@ -657,9 +657,9 @@
 			c.first[r.RPC] = r.T
 		} else if m.NonIdempotent && r.Text != "after proof" {
 			c.broke(2, r.Who, "%s sent again (%s): RPC %d", m.Name, r.Text, r.RPC)
-		} else if m.Tokened && r.Text != "after proof" {
-			c.near(2, (r.T-at)/m.Window, "%s was sent again after %.2f s, within its window", m.Name, r.T-at)
-			if r.T-at > m.Window {
+		} else if m.HasIdempotencyKey && r.Text != "after proof" {
+			c.near(2, (r.T-at)/m.DedupWindow, "%s was sent again after %.2f s, within its window", m.Name, r.T-at)
+			if r.T-at > m.DedupWindow {
 				c.broke(2, r.Who, "%s sent again %.2f s after the first, outside its window: RPC %d", m.Name, r.T-at, r.RPC)
 			}
 		}
@@ -668,11 +668,11 @@
 		known := false
 		if p.of != "" {
 			e := c.coordinator(p.of).list[r.EP]
-			known = e.start >= start-1 && e.state == 'o' && (r.T > e.known+c.l.Grace || p.applied > e.known)
+			known = e.start >= start-1 && e.state == 'o' && (r.T > e.known+c.l.DrainGrace || p.applied > e.known)
 		}
 		all := c.tries[r.EP]
 		all = append(all, try{r.T, r.Who, known})
-		for len(all) > 0 && all[0].t < r.T-c.l.FallWindow-0.1 {
+		for len(all) > 0 && all[0].t < r.T-c.l.CollapseWindow-0.1 {
 			all = all[1:]
 		}
 		c.tries[r.EP] = all
@@ -685,7 +685,7 @@
 	}
 	m := c.l.Methods[r.Method]
 	was, again := c.runs[r.RPC]
-	if again && (m.NonIdempotent || m.Tokened) {
+	if again && (m.NonIdempotent || m.HasIdempotencyKey) {
 		c.broke(2, fmt.Sprintf("server %d", r.EP), "%s ran twice: RPC %d, first at %.3f on server %d", m.Name, r.RPC, was.t, was.ep)
 	}
 	c.runs[r.RPC] = ran{r.T, r.EP}
@@ -694,7 +694,7 @@
 // fall: a cold server fell over. It is the coordinators' doing where two thirds of what came was sent with knowledge of
 // the start.
 func (c *checker) fall(r trace.Record) {
-	c.report.Falls++
+	c.report.Collapses++
 	all, known := c.tries[r.EP], 0
 	by := map[string]int{}
 	for _, t := range all {
@@ -721,7 +721,7 @@
 	}
 	m, s := c.l.Methods[r.Method], &c.report.Service
 	s.RPCs++
-	s.Asked += m.Criticality
+	s.Offered += m.Criticality
 	switch r.Text {
 	case "ok":
 		if s.OK++; r.X <= m.SoftDeadline {
@@ -730,7 +730,7 @@
 			s.Late++
 		}
 	case "pushed back":
-		s.PushedBack++
+		s.Rejected++
 	default:
 		s.Aborted++
 	}
--- a/internal/invariant/rules_test.go
+++ b/internal/invariant/rules_test.go
@@ -7,11 +7,11 @@
 )
 
 var limits = Limits{
-	Bare: 3, Grace: 2, WarmAfter: 10, FallWindow: 1, Room: 100, Messages: 3, Span: 10, ListSilence: 5, AskWithin: 10,
+	NoBackendLimit: 3, DrainGrace: 2, WarmAfter: 10, CollapseWindow: 1, MaxQueuedEntries: 100, MaxMessages: 3, MessageWindow: 10, EndpointStreamTimeout: 5, PollInterval: 10,
 	Methods: []Method{
 		{Name: "read", Criticality: 1, SoftDeadline: 1},
 		{Name: "submit", NonIdempotent: true, Criticality: 2, SoftDeadline: 1},
-		{Name: "save", Tokened: true, Window: 5, Criticality: 1, SoftDeadline: 1},
+		{Name: "save", HasIdempotencyKey: true, DedupWindow: 5, Criticality: 1, SoftDeadline: 1},
 	},
 }
 
@@ -100,10 +100,10 @@
 			continue
 		}
 		for _, v := range r.Rules {
-			if (v.Broken > 0) != (v.Rule == c.rule) {
-				t.Errorf("%s: rule %d broke %d times: %s", name, v.Rule, v.Broken, v.Why)
+			if (v.Violations > 0) != (v.Rule == c.rule) {
+				t.Errorf("%s: rule %d broke %d times: %s", name, v.Rule, v.Violations, v.Reason)
 			}
-			if v.Broken > 0 && (v.Record == 0 || v.Who == "" || v.Why == "") {
+			if v.Violations > 0 && (v.Record == 0 || v.Party == "" || v.Reason == "") {
 				t.Errorf("%s: rule %d does not say where: %+v", name, v.Rule, v)
 			}
 		}
@@ -116,7 +116,7 @@
 	}
 	r, err := Check(begin(send(2, 1, 1, 0, ""), send(2, 1, 2, 1, ""), send(2, 1, 9, 1, ""), done(1, 0, "ok", 0.5), done(2, 1, "ok", 1.5), done(3, 1, "ok", 1),
 		done(4, 0, "pushed back", 0), done(5, 0, "aborted", 2)), limits)
-	if s := r.Service; err != nil || s.Asked != 7 || s.InTime != 3 || s.OK != 3 || s.Late != 1 || s.PushedBack != 1 || s.Aborted != 1 || s.Open != 1 || s.Share() != 3.0/7 {
+	if s := r.Service; err != nil || s.Offered != 7 || s.InTime != 3 || s.OK != 3 || s.Late != 1 || s.Rejected != 1 || s.Aborted != 1 || s.Unfinished != 1 || s.Share() != 3.0/7 {
 		t.Fatalf("%+v %v", r.Service, err)
 	}
 }
--- a/internal/listing/day_test.go
+++ b/internal/listing/day_test.go
@@ -171,8 +171,8 @@
 		t.Fatal(err)
 	}
 	for _, v := range report.Rules {
-		if v.Broken > 0 {
-			t.Errorf("rule %d at %.3f, %s: %s", v.Rule, v.T-epoch, v.Who, v.Why)
+		if v.Violations > 0 {
+			t.Errorf("rule %d at %.3f, %s: %s", v.Rule, v.FirstTime-epoch, v.Party, v.Reason)
 		}
 	}
 	return report, held, records
--- a/internal/measure/storm.go
+++ b/internal/measure/storm.go
@@ -87,7 +87,7 @@
 	s.Came, s.Good, s.Tries = s.Came/span, s.Good/span, s.Tries/span
 	s.Service = r.Report.Service.Share()
 	for _, v := range r.Report.Rules {
-		s.Broken += v.Broken
+		s.Broken += v.Violations
 	}
 	return s, nil
 }
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -621,15 +621,15 @@
 func (d *Day) Limits() invariant.Limits {
 	b := choice.Config{Settings: choice.DecodeSettings(d.Trade.Values)}
 	l := invariant.Limits{
-		Bare: b.Settings.BareLimit.Or(1), Grace: b.Settings.DrainGrace.Or(1), WarmAfter: b.Settings.WarmAfter.Or(1),
-		FallWindow: b.Settings.FallWindow.Or(1), Room: int(b.Settings.ChannelRoom.Or(0)), Messages: int(b.Settings.Messages.Or(0)),
-		Span: b.Settings.MessagesSpan.Or(10), ListSilence: d.Trade.Num("list-silence"), AskWithin: b.Settings.AskWithin.Or(10), OnlyDraining: b.Settings.OnlyDrainingBinds,
+		NoBackendLimit: b.Settings.BareLimit.Or(1), DrainGrace: b.Settings.DrainGrace.Or(1), WarmAfter: b.Settings.WarmAfter.Or(1),
+		CollapseWindow: b.Settings.FallWindow.Or(1), MaxQueuedEntries: int(b.Settings.ChannelRoom.Or(0)), MaxMessages: int(b.Settings.Messages.Or(0)),
+		MessageWindow: b.Settings.MessagesSpan.Or(10), EndpointStreamTimeout: d.Trade.Num("list-silence"), PollInterval: b.Settings.AskWithin.Or(10), OnlyDraining: b.Settings.OnlyDrainingBinds,
 	}
 	for i, name := range d.Trade.Methods {
 		method := b.Settings.Methods[i]
 		l.Methods = append(l.Methods, invariant.Method{
 			Name: name, NonIdempotent: method.Effect == "non-idempotent",
-			Tokened: method.Effect == "tokened", Window: method.Window.Or(0), Criticality: method.Criticality.Or(1),
+			HasIdempotencyKey: method.Effect == "tokened", DedupWindow: method.Window.Or(0), Criticality: method.Criticality.Or(1),
 			SoftDeadline: method.SoftDeadline.Or(1),
 		})
 	}
--- a/internal/scenario/hard_test.go
+++ b/internal/scenario/hard_test.go
@@ -20,8 +20,8 @@
 		t.Fatal(name, err)
 	}
 	for _, v := range r.Report.Rules {
-		if v.Broken > 0 {
-			t.Errorf("%s: rule %d at %.3f, %s: %s", name, v.Rule, v.T, v.Who, v.Why)
+		if v.Violations > 0 {
+			t.Errorf("%s: rule %d at %.3f, %s: %s", name, v.Rule, v.FirstTime, v.Party, v.Reason)
 		}
 	}
 	for _, f := range r.Fails {
@@ -38,8 +38,8 @@
 		d.Scale(0.3)
 		d.Seed = seed + 1
 		r := kept(t, fmt.Sprint("seed ", seed+1), d, Options{})
-		if r.Report.Falls > 0 || r.Report.Service.Share() < 0.8 {
-			t.Errorf("seed %d: %d fell, service %.3f", seed+1, r.Report.Falls, r.Report.Service.Share())
+		if r.Report.Collapses > 0 || r.Report.Service.Share() < 0.8 {
+			t.Errorf("seed %d: %d fell, service %.3f", seed+1, r.Report.Collapses, r.Report.Service.Share())
 		}
 	}
 }
@@ -154,11 +154,11 @@
 		}
 		return r
 	}
-	if r := play("all", "server"); r.Report.Rules[1].Broken == 0 {
+	if r := play("all", "server"); r.Report.Rules[1].Violations == 0 {
 		t.Error("settings that lie about who drops repeats broke nothing")
 	}
-	if r := play("all", "all"); r.Report.Rules[1].Broken > 0 {
-		t.Errorf("with one store for all: %s", r.Report.Rules[1].Why)
+	if r := play("all", "all"); r.Report.Rules[1].Violations > 0 {
+		t.Errorf("with one store for all: %s", r.Report.Rules[1].Reason)
 	}
 }
 
--- a/internal/scenario/kills_test.go
+++ b/internal/scenario/kills_test.go
@@ -13,7 +13,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.Report.Broken() || len(r.Fails) > 0 {
+		if r.Report.Violated() || len(r.Fails) > 0 {
 			t.Errorf("seed %d: %v %v", d.Seed, r.Report, r.Fails)
 		}
 	}
--- a/internal/scenario/rehearse_test.go
+++ b/internal/scenario/rehearse_test.go
@@ -42,12 +42,12 @@
 			t.Fatal(name, err)
 		}
 		for _, v := range r.Report.Rules {
-			if v.Broken > 0 {
-				t.Errorf("%s: rule %d broke %d times, first at %.3f, %s: %s", name, v.Rule, v.Broken, v.T, v.Who, v.Why)
+			if v.Violations > 0 {
+				t.Errorf("%s: rule %d broke %d times, first at %.3f, %s: %s", name, v.Rule, v.Violations, v.FirstTime, v.Party, v.Reason)
 			}
 		}
-		if len(r.Fails) > 0 || r.Report.Service.Share() < 0.85 || r.Report.Troubles == 0 {
-			t.Errorf("%s: service %.3f, troubles %d, defects %v", name, r.Report.Service.Share(), r.Report.Troubles, r.Fails)
+		if len(r.Fails) > 0 || r.Report.Service.Share() < 0.85 || r.Report.Faults == 0 {
+			t.Errorf("%s: service %.3f, troubles %d, defects %v", name, r.Report.Service.Share(), r.Report.Faults, r.Fails)
 		}
 		t.Logf("%s: service %.3f of %d RPCs", name, r.Report.Service.Share(), r.Report.Service.RPCs)
 	}
@@ -181,10 +181,10 @@
 			t.Fatal(name, err)
 		}
 		for _, v := range r.Report.Rules {
-			if (v.Broken > 0) != (v.Rule == c.rule) {
-				t.Errorf("%s: rule %d broke %d times: %s", name, v.Rule, v.Broken, v.Why)
+			if (v.Violations > 0) != (v.Rule == c.rule) {
+				t.Errorf("%s: rule %d broke %d times: %s", name, v.Rule, v.Violations, v.Reason)
 			}
-			if v.Rule == c.rule && (v.Record < 1 || v.Who == "" || r.Records[v.Record-1].T != v.T) {
+			if v.Rule == c.rule && (v.Record < 1 || v.Party == "" || r.Records[v.Record-1].T != v.FirstTime) {
 				t.Errorf("%s: rule %d names no record: %+v", name, v.Rule, v)
 			}
 		}
@@ -209,8 +209,8 @@
 			t.Fatal(err)
 		}
 		for _, v := range r.Report.Rules {
-			if (v.Broken > 0) != (cold && v.Rule == 4) {
-				t.Errorf("cold servers taken for warm: %v, rule %d broke %d times: %s", cold, v.Rule, v.Broken, v.Why)
+			if (v.Violations > 0) != (cold && v.Rule == 4) {
+				t.Errorf("cold servers taken for warm: %v, rule %d broke %d times: %s", cold, v.Rule, v.Violations, v.Reason)
 			}
 		}
 	}
@@ -239,7 +239,7 @@
 	for seed, what := range known {
 		text := Random(seed)
 		short, res := Shrink(text, what, Result{})
-		if len(short) > len(text) || !res.Report.Broken() {
+		if len(short) > len(text) || !res.Report.Violated() {
 			t.Errorf("seed %d: shrunk to %s", seed, short)
 		}
 		again, _, err := judge(short)
@@ -292,7 +292,7 @@
 at 3s kill coordinators 1 for 875ms
 at 4s empty list for 2750ms
 `), Options{})
-	if err != nil || r.Report.Broken() {
+	if err != nil || r.Report.Violated() {
 		t.Fatal(err, r.Report.Rules)
 	}
 	late := slices.ContainsFunc(r.Records, func(x trace.Record) bool {
--- a/internal/scenario/search.go
+++ b/internal/scenario/search.go
@@ -94,7 +94,7 @@
 		return "defect", r, nil
 	}
 	for _, v := range r.Report.Rules {
-		if v.Broken > 0 {
+		if v.Violations > 0 {
 			return fmt.Sprintf("rule %d", v.Rule), r, nil
 		}
 	}
@@ -226,7 +226,7 @@
 		}
 		for _, v := range r.Report.Rules {
 			if what == fmt.Sprintf("rule %d", v.Rule) && len(r.Records) > 0 {
-				change(i, "length", fmt.Sprintf("%ds", int(v.T-r.Records[0].T)+2))
+				change(i, "length", fmt.Sprintf("%ds", int(v.FirstTime-r.Records[0].T)+2))
 			}
 		}
 	}
--- a/internal/scenario/versus_test.go
+++ b/internal/scenario/versus_test.go
@@ -31,8 +31,8 @@
 			}
 		}
 		for _, x := range v.Ways[Coordinated].Report.Rules {
-			if x.Broken > 0 {
-				t.Errorf("%s: rule %d at %.3f, %s: %s", v.Day.Name, x.Rule, x.T, x.Who, x.Why)
+			if x.Violations > 0 {
+				t.Errorf("%s: rule %d at %.3f, %s: %s", v.Day.Name, x.Rule, x.FirstTime, x.Party, x.Reason)
 			}
 		}
 		ours += v.Ways[Coordinated].Report.Service.Share()
@@ -52,7 +52,7 @@
 	}
 }
 
-func broke(r invariant.Report, rule int) bool { return r.Rules[rule-1].Broken > 0 }
+func broke(r invariant.Report, rule int) bool { return r.Rules[rule-1].Violations > 0 }
 
 // The bound of a quiet day is all that can be answered in time; of one whose servers all hang half the time, about half;
 // of one cut in two, what each side can do.
