--- a/internal/optimum/bound.go
+++ b/internal/optimum/bound.go
@@ -21,51 +21,51 @@
 	Slot   int // which stretch
 	Zone   string
 	Method int
-	N      float64
+	RPCs   float64
 }
 
 // Supply is what some servers could do within one stretch.
 type Supply struct {
-	Slot  int
-	Fails uint64   // bits of the methods that they can't do
-	Only  []string // the zones that reach them; none: all
-	N     float64  // RPCs
+	Slot          int
+	Unsupported   uint64   // bits of the methods that they can't do
+	ReachableFrom []string // the zones that reach them; none: all
+	RPCs          float64  // RPCs
 }
 
 // Method is what a method's RPCs are worth, and how long their answer is of use.
 type Method struct {
-	Criticality float64
-	Slots       int     // stretches after its own in which an RPC may still be answered in time
-	Fit         float64 // the share that can be done in time at all, on an idle server at full speed
+	Criticality   float64
+	ExtraSlots    int     // stretches after its own in which an RPC may still be answered in time
+	FeasibleShare float64 // the share that can be done in time at all, on an idle server at full speed
 }
 
 // Bound is the result.
 type Bound struct {
-	Asked float64 // criticality
-	Most  float64 // of it that could be answered in time
+	Offered    float64 // criticality
+	Achievable float64 // of it that could be answered in time
 }
 
 // Share is the service that the bound allows.
 func (b Bound) Share() float64 {
-	if b.Asked == 0 {
+	if b.Offered == 0 {
 		return 1
 	}
-	return b.Most / b.Asked
+	return b.Achievable / b.Offered
 }
 
 // unit is the RPCs that one step of the flow carries: it works on whole numbers, so that it ends.
 const unit = 1e-3
 
 // Most reckons the bound.
-func Most(demand []Demand, supply []Supply, methods []Method) (Bound, error) {
+func Solve(demand []Demand, supply []Supply, methods []Method) (Bound, error) {
 	var b Bound
 	var levels []float64
 	for _, d := range demand {
-		if d.Method < 0 || d.Method >= len(methods) || d.N < 0 || d.Slot < 0 {
-			return b, fmt.Errorf("a demand for %v RPCs of method %d in stretch %d, of %d methods", d.N, d.Method, d.Slot, len(methods))
+		if d.Method < 0 || d.Method >= len(methods) || d.RPCs < 0 || d.Slot < 0 {
+			return b, fmt.Errorf("a demand for %v RPCs of method %d in stretch %d, of %d methods", d.RPCs, d.Method, d.Slot, len(methods))
 		}
 		c := methods[d.Method].Criticality
-		b.Asked += c * d.N
+		b.Offered += c * d.RPCs
 		if !slices.Contains(levels, c) {
 			levels = append(levels, c)
 		}
@@ -77,7 +77,7 @@
 		if i+1 < len(levels) {
 			step -= levels[i+1]
 		}
-		b.Most += step * flow(demand, supply, methods, c)
+		b.Achievable += step * flow(demand, supply, methods, c)
 	}
 	return b, nil
 }
@@ -90,23 +90,23 @@
 	bySlot := map[int][]int{} // supplies
 	node := make([]int, len(supply))
 	for i, s := range supply {
-		if s.N <= 0 {
+		if s.RPCs <= 0 {
 			continue
 		}
 		node[i] = g.grow(1)
-		g.edge(node[i], sink, int64(math.Round(s.N/unit)))
+		g.edge(node[i], sink, int64(math.Round(s.RPCs/unit)))
 		bySlot[s.Slot] = append(bySlot[s.Slot], i)
 	}
 	for _, d := range demand {
 		m := methods[d.Method]
-		if m.Criticality < least || d.N <= 0 {
+		if m.Criticality < least || d.RPCs <= 0 {
 			continue
 		}
 		from := g.grow(1)
-		g.edge(source, from, int64(math.Round(d.N*m.Fit/unit)))
-		for slot := d.Slot; slot <= d.Slot+m.Slots; slot++ {
+		g.edge(source, from, int64(math.Round(d.RPCs*m.FeasibleShare/unit)))
+		for slot := d.Slot; slot <= d.Slot+m.ExtraSlots; slot++ {
 			for _, i := range bySlot[slot] {
-				if s := supply[i]; s.Fails>>d.Method&1 == 0 && (len(s.Only) == 0 || slices.Contains(s.Only, d.Zone)) {
+				if s := supply[i]; s.Unsupported>>d.Method&1 == 0 && (len(s.ReachableFrom) == 0 || slices.Contains(s.ReachableFrom, d.Zone)) {
 					g.edge(from, node[i], math.MaxInt64)
 				}
 			}
--- a/internal/optimum/bound_test.go
+++ b/internal/optimum/bound_test.go
@@ -17,7 +17,7 @@
 
 func most(t *testing.T, d []Demand, s []Supply, m []Method) Bound {
 	t.Helper()
-	b, err := Most(d, s, m)
+	b, err := Solve(d, s, m)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,20 +25,20 @@
 }
 
 func TestPlainCases(t *testing.T) {
-	m := []Method{{Criticality: 1, Slots: 1, Fit: 1}, {Criticality: 3, Slots: 0, Fit: 1}}
-	b := most(t, []Demand{{0, "a", 0, 10}, {0, "a", 1, 5}}, []Supply{{Slot: 0, N: 8}}, m)
-	near(t, "the dear ones first", b.Most, 5*3+3)
-	near(t, "asked", b.Asked, 25)
-	b = most(t, []Demand{{0, "a", 0, 10}, {0, "a", 1, 5}}, []Supply{{Slot: 0, N: 8}, {Slot: 1, N: 4}, {Slot: 2, N: 9}}, m)
-	near(t, "what may wait waits, not longer than it may", b.Most, 5*3+7)
-	b = most(t, []Demand{{0, "b", 0, 10}}, []Supply{{Slot: 0, Only: []string{"a"}, N: 8}, {Slot: 0, Only: []string{"b"}, N: 2}}, m)
-	near(t, "a zone that is cut off", b.Most, 2)
-	b = most(t, []Demand{{0, "a", 0, 10}}, []Supply{{Slot: 0, Fails: 1, N: 8}, {Slot: 0, Fails: 2, N: 3}}, m)
-	near(t, "a method that fails", b.Most, 3)
-	m[0].Fit = 0.5
-	b = most(t, []Demand{{0, "a", 0, 10}}, []Supply{{Slot: 0, N: 80}}, m)
-	near(t, "what no server does in time", b.Most, 5)
-	if _, err := Most([]Demand{{0, "a", 2, 1}}, nil, m); err == nil {
+	m := []Method{{Criticality: 1, ExtraSlots: 1, FeasibleShare: 1}, {Criticality: 3, ExtraSlots: 0, FeasibleShare: 1}}
+	b := most(t, []Demand{{0, "a", 0, 10}, {0, "a", 1, 5}}, []Supply{{Slot: 0, RPCs: 8}}, m)
+	near(t, "the dear ones first", b.Achievable, 5*3+3)
+	near(t, "asked", b.Offered, 25)
+	b = most(t, []Demand{{0, "a", 0, 10}, {0, "a", 1, 5}}, []Supply{{Slot: 0, RPCs: 8}, {Slot: 1, RPCs: 4}, {Slot: 2, RPCs: 9}}, m)
+	near(t, "what may wait waits, not longer than it may", b.Achievable, 5*3+7)
+	b = most(t, []Demand{{0, "b", 0, 10}}, []Supply{{Slot: 0, ReachableFrom: []string{"a"}, RPCs: 8}, {Slot: 0, ReachableFrom: []string{"b"}, RPCs: 2}}, m)
+	near(t, "a zone that is cut off", b.Achievable, 2)
+	b = most(t, []Demand{{0, "a", 0, 10}}, []Supply{{Slot: 0, Unsupported: 1, RPCs: 8}, {Slot: 0, Unsupported: 2, RPCs: 3}}, m)
+	near(t, "a method that fails", b.Achievable, 3)
+	m[0].FeasibleShare = 0.5
+	b = most(t, []Demand{{0, "a", 0, 10}}, []Supply{{Slot: 0, RPCs: 80}}, m)
+	near(t, "what no server does in time", b.Achievable, 5)
+	if _, err := Solve([]Demand{{0, "a", 2, 1}}, nil, m); err == nil {
 		t.Error("a method that does not exist was taken")
 	}
 }
@@ -64,7 +64,7 @@
 		}
 		left := make([]float64, len(s))
 		for i := range s {
-			left[i] = s[i].N
+			left[i] = s[i].RPCs
 		}
 		var best func(i int) float64
 		best = func(i int) float64 {
@@ -74,7 +74,7 @@
 			top := best(i + 1)
 			m := methods[d[i].Method]
 			for k, x := range s {
-				if left[k] >= 1 && x.Slot >= d[i].Slot && x.Slot <= d[i].Slot+m.Slots && x.Fails>>d[i].Method&1 == 0 && (len(x.Only) == 0 || slices.Contains(x.Only, d[i].Zone)) {
+				if left[k] >= 1 && x.Slot >= d[i].Slot && x.Slot <= d[i].Slot+m.ExtraSlots && x.Unsupported>>d[i].Method&1 == 0 && (len(x.ReachableFrom) == 0 || slices.Contains(x.ReachableFrom, d[i].Zone)) {
 					left[k]--
 					top = max(top, m.Criticality+best(i+1))
 					left[k]++
@@ -82,9 +82,9 @@
 			}
 			return top
 		}
-		got, err := Most(d, s, methods)
-		if want := best(0); err != nil || math.Abs(got.Most-want) > 0.01 {
-			rt.Fatalf("%v found, %v by search, %v", got.Most, want, err)
+		got, err := Solve(d, s, methods)
+		if want := best(0); err != nil || math.Abs(got.Achievable-want) > 0.01 {
+			rt.Fatalf("%v found, %v by search, %v", got.Achievable, want, err)
 		}
 	})
 }
--- a/internal/scenario/truth.go
+++ b/internal/scenario/truth.go
@@ -62,11 +62,11 @@
 				if n <= 0 {
 					continue
 				}
-				s := optimum.Supply{Slot: slot, Fails: fails, N: n}
+				s := optimum.Supply{Slot: slot, Unsupported: fails, RPCs: n}
 				if c.apart() {
 					for _, z := range zones {
 						if z == zone || c.zoneCut[z] == 0 && c.zoneCut[zone] == 0 {
-							s.Only = append(s.Only, z)
+							s.ReachableFrom = append(s.ReachableFrom, z)
 						}
 					}
 				}
@@ -101,8 +101,8 @@
 			fit = max(fit, work.Within(soft))
 		}
 		methods = append(methods, optimum.Method{
-			Criticality: limits.Methods[i].Criticality, Fit: fit,
-			Slots: int(math.Ceil(soft / Glance)),
+			Criticality: limits.Methods[i].Criticality, FeasibleShare: fit,
+			ExtraSlots: int(math.Ceil(soft / Glance)),
 		})
 	}
 	zone := map[string]string{}
@@ -126,8 +126,8 @@
 	}
 	demand := make([]optimum.Demand, 0, len(keys))
 	for _, k := range keys {
-		demand = append(demand, optimum.Demand{Slot: k.slot, Zone: k.zone, Method: k.method, N: count[k]})
+		demand = append(demand, optimum.Demand{Slot: k.slot, Zone: k.zone, Method: k.method, RPCs: count[k]})
 	}
 	slices.SortStableFunc(demand, func(x, y optimum.Demand) int { return x.Slot - y.Slot })
-	return optimum.Most(demand, truth.Supply, methods)
+	return optimum.Solve(demand, truth.Supply, methods)
 }
