--- a/cmd/gingerfork/check.go
+++ b/cmd/gingerfork/check.go
@@ -26,7 +26,7 @@
 		}
 		fmt.Fprintf(p.out, "%s: good\n", f)
 		if t, err := bootstrap.Read(f); err == nil {
-			for _, h := range configcheck.Of(t.Coordinator(0)) {
+			for _, h := range configcheck.Warnings(t.Coordinator(0)) {
 				fmt.Fprintf(p.err, "%s: a doubt: %s\n", f, h)
 			}
 		}
--- a/internal/configcheck/doubts.go
+++ b/internal/configcheck/doubts.go
@@ -16,7 +16,7 @@
 )
 
 // Of gives the doubts about a coordinator's settings.
-func Of(b choice.Config) (all []string) {
+func Warnings(b choice.Config) (all []string) {
 	proxies := b.Settings.Proxies.Or(0) / max(1, b.Settings.Coordinators.Or(1))
 	pace, limit := b.Settings.ChannelPace.Or(0), b.Settings.BareLimit.Or(0)
 	if pace <= 0 || limit <= 0 {
