--- a/cmd/gingerfork/check.go
+++ b/cmd/gingerfork/check.go
@@ -51,7 +51,7 @@
 }
 
 // readDay reads a day from a file, or one that comes with the program by its name.
-func readDay(name string) (*scenario.Day, error) {
+func readDay(name string) (*scenario.Scenario, error) {
 	text, err := os.ReadFile(name)
 	if err == nil {
 		return scenario.Read(name, string(text), func(file string) ([]byte, error) {
@@ -71,7 +71,7 @@
 		if errors.As(err, &p) {
 			err = p.Err
 		}
-		return nil, fmt.Errorf("%s: %w, and no day of that name comes with the program (those that do: %s)", name, err, strings.Join(scenario.Shipped(), ", "))
+		return nil, fmt.Errorf("%s: %w, and no day of that name comes with the program (those that do: %s)", name, err, strings.Join(scenario.Builtin(), ", "))
 	}
 	return scenario.Read(name+".day", string(text), scenario.File)
 }
--- a/cmd/gingerfork/emulate.go
+++ b/cmd/gingerfork/emulate.go
@@ -39,7 +39,7 @@
 	if c.Scale != 1 && c.Scale > 0 {
 		d.Scale(c.Scale)
 	}
-	e := scenario.Emulation{Day: d, Port: c.Port, Loops: c.Loops}
+	e := scenario.Emulation{Scenario: d, Port: c.Port, EventLoops: c.Loops}
 	if c.Part != "" {
 		k, n, _ := strings.Cut(c.Part, "/")
 		e.Part, err = strconv.Atoi(k)
@@ -51,14 +51,14 @@
 		}
 	}
 	if c.For != "" {
-		if d.Length, err = bootstrap.Duration(c.For); err != nil {
+		if d.Duration, err = bootstrap.Duration(c.For); err != nil {
 			return fmt.Errorf("for %w", err)
 		}
 	}
 	line := newLive(p.out)
 	var mu sync.Mutex
 	var late report.Behind
-	e.Figures = func(t emulator.Tally) {
+	e.OnTally = func(t emulator.Tally) {
 		mu.Lock()
 		defer mu.Unlock()
 		late.Look(t.Late)
@@ -68,7 +68,7 @@
 		}
 		line.show(t.String(), late.Looks%5 == 1)
 	}
-	e.Event = func(text string) {
+	e.OnStep = func(text string) {
 		mu.Lock()
 		defer mu.Unlock()
 		if !c.JSON {
@@ -76,7 +76,7 @@
 		}
 	}
 	if !c.JSON {
-		fmt.Fprintf(p.out, "%s: list service at %s, servers from %s on, %.0f s\n", d.Name, e.ListAddr(), e.Addr(0), d.Length)
+		fmt.Fprintf(p.out, "%s: list service at %s, servers from %s on, %.0f s\n", d.Name, e.ListAddr(), e.Addr(0), d.Duration)
 	}
 	if err := e.Run(ctx); err != nil {
 		return badError{err}
@@ -187,7 +187,7 @@
 	}
 	share := func(name, text string, into *float64) {
 		if err == nil && text != "" {
-			if *into, err = scenario.Percent(text); err != nil {
+			if *into, err = scenario.ParsePercent(text); err != nil {
 				err = fmt.Errorf("%s: %w", name, err)
 			}
 		}
--- a/cmd/gingerfork/rehearse.go
+++ b/cmd/gingerfork/rehearse.go
@@ -63,7 +63,7 @@
 			return fmt.Errorf("reckon the report: %w", err)
 		}
 		if r.Truth != nil {
-			figures.Fleet = &report.Fleet{Step: scenario.Glance, Able: r.Truth.Able, Busy: r.Truth.Busy, Waits: r.Truth.Waits}
+			figures.Fleet = &report.Fleet{Step: scenario.SampleInterval, Able: r.Truth.Capacity, Busy: r.Truth.Utilization, Waits: r.Truth.Queued}
 			b, err := d.Bound(r.Truth, r.Records)
 			if err != nil {
 				return fmt.Errorf("reckon the bound: %w", err)
@@ -84,7 +84,7 @@
 		if err != nil {
 			return err
 		}
-		if r.Report.Violated() || len(r.Fails) > 0 {
+		if r.Report.Violated() || len(r.Failures) > 0 {
 			broken = append(broken, d.Name)
 		}
 		if ctx.Err() != nil {
@@ -98,7 +98,7 @@
 }
 
 // alter makes of a day what the flags say.
-func (c rehearseCmd) alter(d *scenario.Day) {
+func (c rehearseCmd) alter(d *scenario.Scenario) {
 	if c.Seed > 0 {
 		d.Seed = c.Seed
 	}
@@ -106,13 +106,13 @@
 		d.Scale(c.Scale)
 	}
 	if c.Kills > 0 {
-		d.Kills(c.Kills)
+		d.AddCoordinatorKills(c.Kills)
 	}
 }
 
 // beside prints a line for each day: its service in each way, the bound, and what broke.
 func (c rehearseCmd) beside(ctx context.Context, p *program) error {
-	var days []*scenario.Day
+	var days []*scenario.Scenario
 	for _, name := range c.Days {
 		d, err := readDay(name)
 		if err != nil {
@@ -125,9 +125,9 @@
 	if !c.JSON {
 		fmt.Fprintf(p.out, "%-28s %11s %11s %11s %11s  %s\n", "day", "coordinator", "all servers", "frozen", "bound", "rules broken (coordinator; all servers; frozen)")
 	}
-	err := scenario.Compare(ctx, days, func(v scenario.Versus) error {
-		broke := make([]string, 0, len(v.Ways))
-		for w, r := range v.Ways {
+	err := scenario.Compare(ctx, days, func(v scenario.Comparison) error {
+		broke := make([]string, 0, len(v.Results))
+		for w, r := range v.Results {
 			var rules []string
 			for _, x := range r.Report.Rules {
 				if x.Violations > 0 {
@@ -139,18 +139,18 @@
 			} else if w == 0 {
 				bad++
 			}
-			bad += len(r.Fails)
+			bad += len(r.Failures)
 			broke = append(broke, strings.Join(rules, ","))
 		}
 		if c.JSON {
 			return json.NewEncoder(p.out).Encode(map[string]any{
-				"day": v.Day.Name, "seed": v.Day.Seed, "coordinator": v.Ways[0].Report.Service.Share(),
-				"all_servers": v.Ways[1].Report.Service.Share(), "frozen": v.Ways[2].Report.Service.Share(), "bound": v.Bound.Share(),
-				"rules_broken": broke, "rpcs": v.Ways[0].Report.Service.RPCs, "messages": v.Ways[0].Report.Pushes, "lines": v.Ways[0].Report.Entries,
+				"day": v.Scenario.Name, "seed": v.Scenario.Seed, "coordinator": v.Results[0].Report.Service.Share(),
+				"all_servers": v.Results[1].Report.Service.Share(), "frozen": v.Results[2].Report.Service.Share(), "bound": v.Bound.Share(),
+				"rules_broken": broke, "rpcs": v.Results[0].Report.Service.RPCs, "messages": v.Results[0].Report.Pushes, "lines": v.Results[0].Report.Entries,
 			})
 		}
-		fmt.Fprintf(p.out, "%-28s %11.3f %11.3f %11.3f %11.3f  %s\n", v.Day.Name, v.Ways[0].Report.Service.Share(), v.Ways[1].Report.Service.Share(),
-			v.Ways[2].Report.Service.Share(), v.Bound.Share(), strings.Join(broke, "; "))
+		fmt.Fprintf(p.out, "%-28s %11.3f %11.3f %11.3f %11.3f  %s\n", v.Scenario.Name, v.Results[0].Report.Service.Share(), v.Results[1].Report.Service.Share(),
+			v.Results[2].Report.Service.Share(), v.Bound.Share(), strings.Join(broke, "; "))
 		return nil
 	})
 	if err != nil {
@@ -164,15 +164,15 @@
 
 func (c rehearseCmd) search(ctx context.Context, p *program) error {
 	n := 0
-	err := scenario.Search(ctx, max(c.Seed, 1), c.Search, func(f scenario.Found) {
+	err := scenario.Search(ctx, max(c.Seed, 1), c.Search, func(f scenario.Finding) {
 		n++
-		fmt.Fprintf(p.out, "seed %d: %s\n", f.Seed, f.What)
+		fmt.Fprintf(p.out, "seed %d: %s\n", f.Seed, f.Violation)
 		for _, v := range f.Result.Report.Rules {
 			if v.Violations > 0 {
 				fmt.Fprintf(p.out, "  at %.3f, %s: %s\n", v.FirstTime, v.Party, v.Reason)
 			}
 		}
-		for _, x := range f.Result.Fails {
+		for _, x := range f.Result.Failures {
 			fmt.Fprintf(p.out, "  %s\n", x)
 		}
 		fmt.Fprintf(p.out, "%s\n", f.Script)
@@ -191,9 +191,9 @@
 	return nil
 }
 
-func (c rehearseCmd) play(ctx context.Context, p *program, d *scenario.Day) (scenario.Result, error) {
+func (c rehearseCmd) play(ctx context.Context, p *program, d *scenario.Scenario) (scenario.Result, error) {
 	if c.Virtual {
-		return scenario.Virtual(d, scenario.Options{Truth: true})
+		return scenario.PlayVirtual(d, scenario.Options{SampleTruth: true})
 	}
 	dir := c.Keep
 	if dir == "" {
@@ -212,9 +212,9 @@
 	}
 	if !c.JSON {
 		fmt.Fprintf(p.out, "%s: %d coordinators, %d servers, %d front ends on loopback sockets, %.0f s\n", d.Name, d.Coordinators,
-			count(d.Servers, func(g scenario.ServerGroup) int { return g.N }), count(d.Fronts, func(g scenario.FrontGroup) int { return g.N }), d.Length)
+			count(d.Backends, func(g scenario.BackendGroup) int { return g.Count }), count(d.Proxies, func(g scenario.ProxyGroup) int { return g.Count }), d.Duration)
 	}
-	return scenario.Sockets(ctx, d, scenario.Serving{Command: []string{exe, "--log-format", "json", "serve"}, Env: serveEnv, Dir: dir})
+	return scenario.PlaySockets(ctx, d, scenario.CoordinatorCommand{Command: []string{exe, "--log-format", "json", "serve"}, Env: serveEnv, Dir: dir})
 }
 
 // serveEnv is added to a coordinator's environment; the tests, whose program is another, need it.
@@ -273,7 +273,7 @@
 	if virtual {
 		where = "in virtual time"
 	}
-	fmt.Fprintf(out, "\nday %s, seed %d, %s: %.1f s, %d troubles\n\n", r.Day.Name, r.Day.Seed, where, r.Report.Duration, r.Report.Faults)
+	fmt.Fprintf(out, "\nday %s, seed %d, %s: %.1f s, %d troubles\n\n", r.Scenario.Name, r.Scenario.Seed, where, r.Report.Duration, r.Report.Faults)
 	t := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "rule\t\tresult\tnearest to its limit\t")
 	for _, v := range r.Report.Rules {
@@ -293,7 +293,7 @@
 	fmt.Fprintf(out, "\nservice %.3f (criticality answered within the soft deadline over criticality asked for)\n", s.Share())
 	fmt.Fprintf(out, "RPCs %d: ok %d (%d of them late), pushed back %d, aborted %d, open at the end %d\n", s.RPCs, s.OK, s.Late, s.Rejected, s.Aborted, s.Unfinished)
 	fmt.Fprintf(out, "tries %d, messages to proxies %d with %d lines, cold servers fallen %d\n", r.Report.Attempts, r.Report.Pushes, r.Report.Entries, r.Report.Collapses)
-	for _, f := range r.Fails {
+	for _, f := range r.Failures {
 		fmt.Fprintf(out, "DEFECT: %s\n", f)
 	}
 }
@@ -317,8 +317,8 @@
 	}
 	s := r.Report.Service
 	return json.NewEncoder(out).Encode(map[string]any{
-		"day": r.Day.Name, "seed": r.Day.Seed, "length": r.Report.Duration, "rules": rules,
+		"day": r.Scenario.Name, "seed": r.Scenario.Seed, "length": r.Report.Duration, "rules": rules,
 		"service": s.Share(), "rpcs": s.RPCs, "ok": s.OK, "late": s.Late, "pushed_back": s.Rejected, "aborted": s.Aborted,
-		"tries": r.Report.Attempts, "messages": r.Report.Pushes, "lines": r.Report.Entries, "falls": r.Report.Collapses, "defects": r.Fails, "figures": figures,
+		"tries": r.Report.Attempts, "messages": r.Report.Pushes, "lines": r.Report.Entries, "falls": r.Report.Collapses, "defects": r.Failures, "figures": figures,
 	})
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -88,7 +88,7 @@
 		t.Error("one core and four differ")
 	}
 	d, err := p.Make(Arm{"2", "lottery"}, 9)
-	if err != nil || d.Coordinators != 2 || d.Seed != 9 || d.Trade.Values["pick"] != "lottery" || d.Length != 12 {
+	if err != nil || d.Coordinators != 2 || d.Seed != 9 || d.Settings.Values["pick"] != "lottery" || d.Duration != 12 {
 		t.Errorf("%+v %v", d, err)
 	}
 }
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -227,7 +227,7 @@
 }
 
 // Make makes the day that an arm plays on a seed.
-func (p *Plan) Make(a Arm, seed uint64) (*scenario.Day, error) {
+func (p *Plan) Make(a Arm, seed uint64) (*scenario.Scenario, error) {
 	name := p.fill(a, p.Day)
 	text, err := p.openFiles(name + ".day")
 	if err != nil {
@@ -285,10 +285,10 @@
 	if scale != 1 {
 		d.Scale(scale)
 	}
-	for i := range d.Fronts {
-		d.Fronts[i].Rate *= load
+	for i := range d.Proxies {
+		d.Proxies[i].Rate *= load
 	}
-	d.Kills(kills)
+	d.AddCoordinatorKills(kills)
 	return d, nil
 }
 
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -85,12 +85,12 @@
 	if err != nil {
 		return Run{}, err
 	}
-	got, err := scenario.Virtual(d, scenario.Options{})
+	got, err := scenario.PlayVirtual(d, scenario.Options{})
 	if err != nil {
 		return Run{}, err
 	}
-	if len(got.Fails) > 0 {
-		return Run{}, fmt.Errorf("the program failed: %s", got.Fails[0])
+	if len(got.Failures) > 0 {
+		return Run{}, fmt.Errorf("the program failed: %s", got.Failures[0])
 	}
 	f, err := report.Make(got.Records, d.Limits().Methods)
 	if err != nil {
--- a/internal/listing/day_test.go
+++ b/internal/listing/day_test.go
@@ -166,7 +166,7 @@
 	if len(w.Fails) > 0 {
 		t.Fatal(w.Fails)
 	}
-	report, err := invariant.Check(records, (&scenario.Day{Trade: trade}).Limits())
+	report, err := invariant.Check(records, (&scenario.Scenario{Settings: trade}).Limits())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/measure/emulator.go
+++ b/internal/measure/emulator.go
@@ -137,12 +137,12 @@
 			return err
 		}
 		begin := time.Now()
-		r, err := scenario.Virtual(d, scenario.Options{})
+		r, err := scenario.PlayVirtual(d, scenario.Options{})
 		if err != nil {
 			return err
 		}
 		took := time.Since(begin).Seconds()
-		fmt.Fprintf(out, "| %d / %d | %.0f | %.2f | %.0f |\n", size.servers, size.fronts, float64(size.fronts)*size.rate, d.Length/took, float64(r.Steps)/took)
+		fmt.Fprintf(out, "| %d / %d | %.0f | %.2f | %.0f |\n", size.servers, size.fronts, float64(size.fronts)*size.rate, d.Duration/took, float64(r.MachineSteps)/took)
 	}
 	return nil
 }
--- a/internal/measure/storm.go
+++ b/internal/measure/storm.go
@@ -35,7 +35,7 @@
 }
 
 // storm is the day of it: 100 servers, 300 proxies.
-func (s Storm) day() (*scenario.Day, error) {
+func (s Storm) day() (*scenario.Scenario, error) {
 	const servers, fronts, each = 100, 300, 30.0
 	b := &strings.Builder{}
 	fmt.Fprintf(b, "day storm\nsettings storm.conf\nlength 40s\nseed %d\ncoordinators 2\nservers %d capacity %g\nfrontends %d rate %g uneven 0.5\nmix 70%% 30%%\n",
@@ -61,7 +61,7 @@
 		return s, err
 	}
 	s.Capacity = 3000
-	r, err := scenario.Virtual(d, scenario.Options{})
+	r, err := scenario.PlayVirtual(d, scenario.Options{})
 	if err != nil {
 		return s, err
 	}
@@ -83,7 +83,7 @@
 			}
 		}
 	}
-	span := d.Length - settle
+	span := d.Duration - settle
 	s.Came, s.Good, s.Tries = s.Came/span, s.Good/span, s.Tries/span
 	s.Service = r.Report.Service.Share()
 	for _, v := range r.Report.Rules {
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -23,7 +23,7 @@
 var shipped embed.FS
 
 // Shipped gives the names of the days that come with the program.
-func Shipped() (all []string) {
+func Builtin() (all []string) {
 	return within("days")
 }
 
@@ -50,97 +50,97 @@
 }
 
 // Scale changes the fleet's size, servers and front ends alike; each group keeps one at least. A deploy takes as long.
-func (d *Day) Scale(by float64) {
-	for i := range d.Servers {
-		d.Servers[i].N = max(1, int(float64(d.Servers[i].N)*by+0.5))
+func (d *Scenario) Scale(by float64) {
+	for i := range d.Backends {
+		d.Backends[i].Count = max(1, int(float64(d.Backends[i].Count)*by+0.5))
 	}
-	for i := range d.Fronts {
-		d.Fronts[i].N = max(1, int(float64(d.Fronts[i].N)*by+0.5))
+	for i := range d.Proxies {
+		d.Proxies[i].Count = max(1, int(float64(d.Proxies[i].Count)*by+0.5))
 	}
-	for i := range d.Acts {
-		d.Acts[i].Pick.N = int(math.Ceil(float64(d.Acts[i].Pick.N) * by))
-		if every, has := d.Acts[i].More["every"]; has {
-			d.Acts[i].More["every"] = every / by
+	for i := range d.Steps {
+		d.Steps[i].Selector.Count = int(math.Ceil(float64(d.Steps[i].Selector.Count) * by))
+		if every, has := d.Steps[i].More["every"]; has {
+			d.Steps[i].More["every"] = every / by
 		}
 	}
 }
 
 // Day is a script that was read.
-type Day struct {
-	Name         string
-	Settings     string // the file, as the script names it
-	Trade        *bootstrap.Trade
-	Length       float64
-	Seed         uint64
-	Coordinators int
-	Servers      []ServerGroup
-	Fronts       []FrontGroup
-	LineStill    float64
-	Connect      float64
-	KeepAway     float64
-	Notice       float64 // until the list service knows that a server's process ended
-	Same, Cross  float64 // latencies within and between zones, in virtual time
-	Mix          []float64
-	ComeAgain    float64 // chance that a client whose RPC failed comes again,
-	AgainWait    float64 // after about this, doubled each time,
-	AgainMost    int     // and how often at most
-	Shape        traffic.Shape
-	Keys         *traffic.Zipf
-	Tokens       emulator.Group // who shares what it knows of tokens
-	Acts         []Act
-	lines        []bootstrap.Line // of the settings
+type Scenario struct {
+	Name                          string
+	SettingsFile                  string // the file, as the script names it
+	Settings                      *bootstrap.Trade
+	Duration                      float64
+	Seed                          uint64
+	Coordinators                  int
+	Backends                      []BackendGroup
+	Proxies                       []ProxyGroup
+	EntryApplyTime                float64
+	ConnectTimeout                float64
+	EjectionTime                  float64
+	ExitDetectionDelay            float64 // until the list service knows that a server's process ended
+	ZoneLatency, CrossZoneLatency float64 // latencies within and between zones, in virtual time
+	MethodMix                     []float64
+	ClientRetryShare              float64 // chance that a client whose RPC failed comes again,
+	ClientRetryDelay              float64 // after about this, doubled each time,
+	ClientRetryMax                int     // and how often at most
+	Shape                         traffic.Shape
+	Keys                          *traffic.Zipf
+	IdempotencyScope              emulator.Group // who shares what it knows of tokens
+	Steps                         []Step
+	lines                         []bootstrap.Line // of the settings
 }
 
 // ServerGroup is so many equal servers.
-type ServerGroup struct {
-	N        int
-	Zone     string
-	Kind     string
-	Capacity float64
-	Workers  int
-	Queue    int
-	Weight   float64
-	Work     emulator.Work
-	GiveUp   emulator.GiveUp
-	Cell     int
-	Conns    int
-	Reports  bool
-	Late     float64 // reports
-	Noise    float64
-	Memory   int // keys
-	Saves    float64
+type BackendGroup struct {
+	Count          int
+	Zone           string
+	Kind           string
+	Capacity       float64
+	Workers        int
+	Queue          int
+	Weight         float64
+	Work           emulator.Work
+	CancelMode     emulator.GiveUp
+	Cell           int
+	MaxConnections int
+	Reports        bool
+	ReportDelay    float64 // reports
+	ReportNoise    float64
+	CacheKeys      int // keys
+	CacheSaving    float64
 }
 
 // FrontGroup is so many equal front ends.
-type FrontGroup struct {
-	N      int
-	Zone   string
-	Rate   float64
-	Uneven float64 // coefficient of variation of their rates
-	Pick   string  // "": as the settings say
+type ProxyGroup struct {
+	Count         int
+	Zone          string
+	Rate          float64
+	RateVariation float64 // coefficient of variation of their rates
+	BackendPolicy string  // "": as the settings say
 }
 
 // Act is a line of the script: what happens when, to whom, for how long.
-type Act struct {
-	Line bootstrap.Line
-	At   float64
-	Verb string
-	Of   string // whom: servers, frontends, coordinators, list, zone, links, load
-	Pick Pick
-	By   string
-	For  float64 // 0: for good
-	With string  // how a flap goes down
-	More map[string]float64
+type Step struct {
+	Source   bootstrap.Line
+	At       float64
+	Verb     string
+	Target   string // whom: servers, frontends, coordinators, list, zone, links, load
+	Selector Selector
+	Argument string
+	Duration float64 // 0: for good
+	FlapMode string  // how a flap goes down
+	More     map[string]float64
 }
 
 // Pick says which of a kind are meant.
-type Pick struct {
-	All   bool
-	N     int
-	Part  float64
-	Zone  string
-	Kind  string
-	Index []int
+type Selector struct {
+	All     bool
+	Count   int
+	Share   float64
+	Zone    string
+	Kind    string
+	Indexes []int
 }
 
 // verbs say whom each may happen to, and whether it takes a `by`.
@@ -176,7 +176,7 @@
 }
 
 // Words gives the verbs, for messages and documentation.
-func Words() (all []string) {
+func Verbs() (all []string) {
 	for v := range verbs {
 		all = append(all, v)
 	}
@@ -188,12 +188,12 @@
 var single = []string{"day", "settings", "length", "seed", "coordinators", "line-still", "connect-timeout", "keep-away", "notice", "tokens"}
 
 // Settings gives the text of the settings file that a day names.
-type Settings func(name string) ([]byte, error)
+type SettingsLoader func(name string) ([]byte, error)
 
 // Read reads a script. Every fault is reported.
-func Read(file, text string, settings Settings) (*Day, error) {
+func Read(file, text string, settings SettingsLoader) (*Scenario, error) {
 	lines, faults := bootstrap.Lex(file, text)
-	d := &Day{Seed: 1, Coordinators: 1, LineStill: 0.0002, Connect: 0.25, KeepAway: 5, Notice: 1, Same: 0.0003, Cross: 0.0006}
+	d := &Scenario{Seed: 1, Coordinators: 1, EntryApplyTime: 0.0002, ConnectTimeout: 0.25, EjectionTime: 5, ExitDetectionDelay: 1, ZoneLatency: 0.0003, CrossZoneLatency: 0.0006}
 	fault := func(l bootstrap.Line, format string, args ...any) { faults = append(faults, l.Fault(format, args...)) }
 	for _, l := range lines {
 		w := l.Words
@@ -209,41 +209,41 @@
 		case "day":
 			d.Name = w[1]
 		case "settings":
-			d.Settings = w[1]
+			d.SettingsFile = w[1]
 			var data []byte
 			if data, err = settings(w[1]); err == nil {
 				own, bad := bootstrap.Lex(w[1], string(data))
 				trade, more := bootstrap.Parse(w[1], own)
 				faults = append(append(faults, bad...), more...)
-				d.Trade, d.lines = trade, own
+				d.Settings, d.lines = trade, own
 			}
 		case "length":
-			time(&d.Length)
+			time(&d.Duration)
 		case "seed":
 			d.Seed, err = strconv.ParseUint(w[1], 10, 63)
 		case "coordinators":
 			d.Coordinators, err = bootstrap.Whole(w[1], 1, 100)
 		case "line-still":
-			time(&d.LineStill)
+			time(&d.EntryApplyTime)
 		case "connect-timeout":
-			time(&d.Connect)
+			time(&d.ConnectTimeout)
 		case "keep-away":
-			time(&d.KeepAway)
+			time(&d.EjectionTime)
 		case "notice":
-			time(&d.Notice)
+			time(&d.ExitDetectionDelay)
 		case "latency":
 			if len(w) != 3 {
 				err = fmt.Errorf("latency takes two times, within and between zones")
 				break
 			}
-			if d.Same, err = bootstrap.Duration(w[1]); err == nil {
-				d.Cross, err = bootstrap.Duration(w[2])
+			if d.ZoneLatency, err = bootstrap.Duration(w[1]); err == nil {
+				d.CrossZoneLatency, err = bootstrap.Duration(w[2])
 			}
 		case "traffic":
 			err = d.readTraffic(w[1:])
 		case "tokens":
 			how, known := map[string]emulator.Group{"all": emulator.All, "zone": emulator.ByZone, "cell": emulator.ByCell, "server": emulator.Each}[w[1]]
-			if d.Tokens = how; !known {
+			if d.IdempotencyScope = how; !known {
 				err = fmt.Errorf("%q is none of all, zone, cell, server", w[1])
 			}
 		case "clients":
@@ -254,22 +254,22 @@
 				if v, err = bootstrap.Share(x); err != nil {
 					break
 				}
-				d.Mix = append(d.Mix, v)
+				d.MethodMix = append(d.MethodMix, v)
 			}
 		case "servers":
-			var g ServerGroup
+			var g BackendGroup
 			if g, err = readServers(w); err == nil {
-				d.Servers = append(d.Servers, g)
+				d.Backends = append(d.Backends, g)
 			}
 		case "frontends":
-			var g FrontGroup
+			var g ProxyGroup
 			if g, err = readFronts(w); err == nil {
-				d.Fronts = append(d.Fronts, g)
+				d.Proxies = append(d.Proxies, g)
 			}
 		case "at":
-			var a Act
+			var a Step
 			if a, err = readAct(l); err == nil {
-				d.Acts = append(d.Acts, a)
+				d.Steps = append(d.Steps, a)
 			}
 		default:
 			known := []string{
@@ -284,10 +284,10 @@
 	}
 	whole := bootstrap.Fault{File: file, Line: 1}
 	lack := func(what string) { whole.What = what; faults = append(faults, whole) }
-	if d.Trade == nil {
+	if d.Settings == nil {
 		lack("it names no settings (such as: settings perth.conf)")
 	}
-	if d.Length <= 0 || d.Length > 86400 {
+	if d.Duration <= 0 || d.Duration > 86400 {
 		lack("it has no length of up to 24h (such as: length 60s)")
 	}
 	has := func(word string) bool { // also where the line is at fault, which was said
@@ -296,7 +296,7 @@
 	if !has("servers") || !has("frontends") {
 		lack("it has no servers, or no frontends")
 	}
-	if d.Trade != nil {
+	if d.Settings != nil {
 		d.together(fault, lines)
 	}
 	faults.Sort()
@@ -311,7 +311,7 @@
 }
 
 // together checks what only shows when the script and its settings stand side by side.
-func (d *Day) together(fault func(bootstrap.Line, string, ...any), lines []bootstrap.Line) {
+func (d *Scenario) together(fault func(bootstrap.Line, string, ...any), lines []bootstrap.Line) {
 	zones := d.Zones()
 	for _, l := range lines {
 		for i, w := range l.Words[:len(l.Words)-1] {
@@ -319,23 +319,23 @@
 				fault(l, "zone %s is not in the settings%s", l.Words[i+1], like(l.Words[i+1], zones))
 			}
 		}
-		if l.Words[0] == "mix" && len(l.Words)-1 != len(d.Trade.Methods) {
-			fault(l, "mix has %d shares, the settings have %d methods", len(l.Words)-1, len(d.Trade.Methods))
+		if l.Words[0] == "mix" && len(l.Words)-1 != len(d.Settings.Methods) {
+			fault(l, "mix has %d shares, the settings have %d methods", len(l.Words)-1, len(d.Settings.Methods))
 		}
 	}
-	for _, a := range d.Acts {
-		if a.Verb == "method" && !slices.Contains(d.Trade.Methods, a.By) {
-			fault(a.Line, "the settings have no method %s%s", a.By, like(a.By, d.Trade.Methods))
+	for _, a := range d.Steps {
+		if a.Verb == "method" && !slices.Contains(d.Settings.Methods, a.Argument) {
+			fault(a.Source, "the settings have no method %s%s", a.Argument, like(a.Argument, d.Settings.Methods))
 		}
 	}
-	for len(d.Mix) < len(d.Trade.Methods) {
-		d.Mix = append(d.Mix, 1/float64(len(d.Trade.Methods)))
+	for len(d.MethodMix) < len(d.Settings.Methods) {
+		d.MethodMix = append(d.MethodMix, 1/float64(len(d.Settings.Methods)))
 	}
 }
 
 // Zones are the zones of the settings.
-func (d *Day) Zones() []string {
-	return choice.DecodeSettings(d.Trade.Values).Zones
+func (d *Scenario) Zones() []string {
+	return choice.DecodeSettings(d.Settings.Values).Zones
 }
 
 // pairs reads the rest of a line as pairs of name and value.
@@ -352,16 +352,16 @@
 }
 
 // readClients reads: clients again SHARE after TIME at-most N.
-func (d *Day) readClients(w []string) error {
-	d.AgainWait, d.AgainMost = 0.1, 2
+func (d *Scenario) readClients(w []string) error {
+	d.ClientRetryDelay, d.ClientRetryMax = 0.1, 2
 	return pairs(w, func(name, v string) (err error) {
 		switch name {
 		case "again":
-			d.ComeAgain, err = bootstrap.Share(v)
+			d.ClientRetryShare, err = bootstrap.Share(v)
 		case "after":
-			d.AgainWait, err = bootstrap.Duration(v)
+			d.ClientRetryDelay, err = bootstrap.Duration(v)
 		case "at-most":
-			d.AgainMost, err = bootstrap.Whole(v, 1, 100)
+			d.ClientRetryMax, err = bootstrap.Whole(v, 1, 100)
 		default:
 			err = fmt.Errorf("unknown%s", like(name, []string{"again", "after", "at-most"}))
 		}
@@ -370,7 +370,7 @@
 }
 
 // readTraffic reads: traffic wave SHARE over TIME bursts SHARE every TIME lasting TIME keys N zipf X.
-func (d *Day) readTraffic(w []string) error {
+func (d *Scenario) readTraffic(w []string) error {
 	keys, exponent := 0, 1.0
 	err := pairs(w, func(name, v string) (err error) {
 		switch name {
@@ -379,7 +379,7 @@
 		case "over":
 			d.Shape.Day, err = bootstrap.Duration(v)
 		case "bursts":
-			d.Shape.Height, err = Percent(v)
+			d.Shape.Height, err = ParsePercent(v)
 		case "every":
 			d.Shape.Every, err = bootstrap.Duration(v)
 		case "lasting":
@@ -405,12 +405,12 @@
 	return err
 }
 
-func readServers(w []string) (g ServerGroup, err error) {
-	g = ServerGroup{Kind: "std", Workers: 2, Queue: 30, Weight: 1, Capacity: 20, GiveUp: emulator.SkipsWait}
+func readServers(w []string) (g BackendGroup, err error) {
+	g = BackendGroup{Kind: "std", Workers: 2, Queue: 30, Weight: 1, Capacity: 20, CancelMode: emulator.SkipsWait}
 	if len(w) < 2 {
 		return g, fmt.Errorf("servers takes their number")
 	}
-	if g.N, err = bootstrap.Whole(w[1], 1, 100000); err != nil {
+	if g.Count, err = bootstrap.Whole(w[1], 1, 100000); err != nil {
 		return g, err
 	}
 	err = pairs(w[2:], func(name, v string) (err error) {
@@ -431,22 +431,22 @@
 			g.Work, err = emulator.ParseWork(v, 1)
 		case "give-up":
 			how, known := map[string]emulator.GiveUp{"runs-on": emulator.RunsOn, "skips-wait": emulator.SkipsWait, "stops": emulator.Stops}[v]
-			if g.GiveUp = how; !known {
+			if g.CancelMode = how; !known {
 				err = fmt.Errorf("%q is none of runs-on, skips-wait, stops", v)
 			}
 		case "cell":
 			g.Cell, err = bootstrap.Whole(v, 0, 1e6)
 		case "connections":
-			g.Conns, err = bootstrap.Whole(v, 0, 1e6)
+			g.MaxConnections, err = bootstrap.Whole(v, 0, 1e6)
 		case "reports":
 			g.Reports = true
-			g.Late, err = bootstrap.Duration(v)
+			g.ReportDelay, err = bootstrap.Duration(v)
 		case "noise":
-			g.Noise, err = bootstrap.Share(v)
+			g.ReportNoise, err = bootstrap.Share(v)
 		case "memory":
-			g.Memory, err = bootstrap.Whole(v, 0, 1e6)
+			g.CacheKeys, err = bootstrap.Whole(v, 0, 1e6)
 		case "saves":
-			g.Saves, err = bootstrap.Share(v)
+			g.CacheSaving, err = bootstrap.Share(v)
 		default:
 			err = fmt.Errorf("unknown%s", like(name, []string{
 				"zone", "kind", "capacity", "workers", "queue", "weight", "work", "give-up", "cell",
@@ -458,12 +458,12 @@
 	return g, err
 }
 
-func readFronts(w []string) (g FrontGroup, err error) {
-	g = FrontGroup{Rate: 10}
+func readFronts(w []string) (g ProxyGroup, err error) {
+	g = ProxyGroup{Rate: 10}
 	if len(w) < 2 {
 		return g, fmt.Errorf("frontends takes their number")
 	}
-	if g.N, err = bootstrap.Whole(w[1], 1, 100000); err != nil {
+	if g.Count, err = bootstrap.Whole(w[1], 1, 100000); err != nil {
 		return g, err
 	}
 	err = pairs(w[2:], func(name, v string) (err error) {
@@ -473,11 +473,11 @@
 		case "rate":
 			g.Rate, err = bootstrap.Number(v)
 		case "uneven":
-			if g.Uneven, err = bootstrap.Number(v); err == nil && g.Uneven > 10 {
-				err = fmt.Errorf("%v is more than 10", g.Uneven)
+			if g.RateVariation, err = bootstrap.Number(v); err == nil && g.RateVariation > 10 {
+				err = fmt.Errorf("%v is more than 10", g.RateVariation)
 			}
 		case "pick":
-			if g.Pick = v; !slices.Contains([]string{"even", "lottery", "pair", "report"}, v) {
+			if g.BackendPolicy = v; !slices.Contains([]string{"even", "lottery", "pair", "report"}, v) {
 				err = fmt.Errorf("%q is none of even, lottery, pair, report", v)
 			}
 		default:
@@ -489,22 +489,22 @@
 }
 
 // readAct reads: at TIME VERB OF [PICK] [by X] [for TIME] [drain TIME] [down TIME] [every TIME].
-func readAct(l bootstrap.Line) (a Act, err error) {
+func readAct(l bootstrap.Line) (a Step, err error) {
 	w := l.Words
-	a = Act{Line: l, More: map[string]float64{}}
+	a = Step{Source: l, More: map[string]float64{}}
 	if len(w) < 4 {
 		return a, fmt.Errorf("at takes a time, what happens and to whom (such as: at 10s kill servers 2 for 5s)")
 	}
 	if a.At, err = bootstrap.Duration(w[1]); err != nil {
 		return a, err
 	}
-	a.Verb, a.Of = w[2], w[3]
+	a.Verb, a.Target = w[2], w[3]
 	v, known := verbs[a.Verb]
 	if !known {
-		return a, fmt.Errorf("%s is nothing that can happen%s", a.Verb, like(a.Verb, Words()))
+		return a, fmt.Errorf("%s is nothing that can happen%s", a.Verb, like(a.Verb, Verbs()))
 	}
-	if !slices.Contains(v.of, a.Of) {
-		return a, fmt.Errorf("%s happens to %s, not to %s", a.Verb, strings.Join(v.of, " or "), a.Of)
+	if !slices.Contains(v.of, a.Target) {
+		return a, fmt.Errorf("%s happens to %s, not to %s", a.Verb, strings.Join(v.of, " or "), a.Target)
 	}
 	rest := w[4:]
 	picked := false
@@ -515,16 +515,16 @@
 		}
 		switch word {
 		case "by":
-			a.By = rest[1]
+			a.Argument = rest[1]
 			rest = rest[2:]
 		case "with":
-			a.With = rest[1]
-			if a.Verb != "flap" || !slices.Contains([]string{"crash", "silence", "hang", "fast"}, a.With) {
-				return a, fmt.Errorf("with %s: only a flap takes with, and one of crash, silence, hang, fast", a.With)
+			a.FlapMode = rest[1]
+			if a.Verb != "flap" || !slices.Contains([]string{"crash", "silence", "hang", "fast"}, a.FlapMode) {
+				return a, fmt.Errorf("with %s: only a flap takes with, and one of crash, silence, hang, fast", a.FlapMode)
 			}
 			rest = rest[2:]
 		case "for":
-			if a.For, err = bootstrap.Duration(rest[1]); err != nil {
+			if a.Duration, err = bootstrap.Duration(rest[1]); err != nil {
 				return a, err
 			}
 			rest = rest[2:]
@@ -536,10 +536,10 @@
 			a.More[word] = t
 			rest = rest[2:]
 		case "zone":
-			a.Pick.Zone, picked = rest[1], true
+			a.Selector.Zone, picked = rest[1], true
 			rest = rest[2:]
 		case "kind":
-			a.Pick.Kind, picked = rest[1], true
+			a.Selector.Kind, picked = rest[1], true
 			rest = rest[2:]
 		case "number":
 			for _, x := range strings.Split(rest[1], ",") {
@@ -547,21 +547,21 @@
 				if n, err = bootstrap.Whole(x, 0, 1e6); err != nil {
 					return a, err
 				}
-				a.Pick.Index = append(a.Pick.Index, n)
+				a.Selector.Indexes = append(a.Selector.Indexes, n)
 			}
 			picked = true
 			rest = rest[2:]
 		case "all":
-			a.Pick.All, picked = true, true
+			a.Selector.All, picked = true, true
 			rest = rest[1:]
 		default:
 			switch {
 			case strings.HasSuffix(word, "%"):
-				a.Pick.Part, err = bootstrap.Share(word)
-			case a.Of == "zone":
-				a.Pick.Zone = word
+				a.Selector.Share, err = bootstrap.Share(word)
+			case a.Target == "zone":
+				a.Selector.Zone = word
 			default:
-				a.Pick.N, err = bootstrap.Whole(word, 1, 1e6)
+				a.Selector.Count, err = bootstrap.Whole(word, 1, 1e6)
 			}
 			if err != nil {
 				return a, err
@@ -571,44 +571,44 @@
 		}
 	}
 	if !picked {
-		a.Pick.All = true
+		a.Selector.All = true
 	}
-	if v.by != "" && a.By == "" {
+	if v.by != "" && a.Argument == "" {
 		return a, fmt.Errorf("%s needs by and a %s", a.Verb, v.by)
 	}
 	switch v.by {
 	case "":
-		if a.By != "" {
+		if a.Argument != "" {
 			err = fmt.Errorf("%s takes no by", a.Verb)
 		}
 	case "share":
 		var x float64
 		if a.Verb == "load" {
-			x, err = Percent(a.By)
+			x, err = ParsePercent(a.Argument)
 		} else {
-			x, err = bootstrap.Share(a.By)
+			x, err = bootstrap.Share(a.Argument)
 		}
-		a.By = strconv.FormatFloat(x, 'g', -1, 64)
+		a.Argument = strconv.FormatFloat(x, 'g', -1, 64)
 	case "time":
 		var x float64
-		x, err = bootstrap.Duration(a.By)
-		a.By = strconv.FormatFloat(x, 'g', -1, 64)
+		x, err = bootstrap.Duration(a.Argument)
+		a.Argument = strconv.FormatFloat(x, 'g', -1, 64)
 	case "factor":
 		var x float64
-		if x, err = bootstrap.Number(a.By); err == nil && x <= 0 {
-			err = fmt.Errorf("by %s is no factor above 0", a.By)
+		if x, err = bootstrap.Number(a.Argument); err == nil && x <= 0 {
+			err = fmt.Errorf("by %s is no factor above 0", a.Argument)
 		}
 	case "whole":
-		_, err = bootstrap.Whole(a.By, 0, 1e6)
+		_, err = bootstrap.Whole(a.Argument, 0, 1e6)
 	}
-	if a.For == 0 && slices.Contains([]string{"stall", "flap", "pauses", "stale", "empty", "one"}, a.Verb) {
+	if a.Duration == 0 && slices.Contains([]string{"stall", "flap", "pauses", "stale", "empty", "one"}, a.Verb) {
 		err = fmt.Errorf("%s needs for and a time", a.Verb)
 	}
 	return a, err
 }
 
 // Percent reads a percentage that may be above 100%.
-func Percent(w string) (float64, error) {
+func ParsePercent(w string) (float64, error) {
 	num, ok := strings.CutSuffix(w, "%")
 	v, err := bootstrap.Number(num)
 	if !ok || err != nil {
@@ -618,14 +618,14 @@
 }
 
 // Limits are the figures of the rules, from the settings.
-func (d *Day) Limits() invariant.Limits {
-	b := choice.Config{Settings: choice.DecodeSettings(d.Trade.Values)}
+func (d *Scenario) Limits() invariant.Limits {
+	b := choice.Config{Settings: choice.DecodeSettings(d.Settings.Values)}
 	l := invariant.Limits{
 		NoBackendLimit: b.Settings.BareLimit.Or(1), DrainGrace: b.Settings.DrainGrace.Or(1), WarmAfter: b.Settings.WarmAfter.Or(1),
 		CollapseWindow: b.Settings.FallWindow.Or(1), MaxQueuedEntries: int(b.Settings.ChannelRoom.Or(0)), MaxMessages: int(b.Settings.Messages.Or(0)),
-		MessageWindow: b.Settings.MessagesSpan.Or(10), EndpointStreamTimeout: d.Trade.Num("list-silence"), PollInterval: b.Settings.AskWithin.Or(10), OnlyDraining: b.Settings.OnlyDrainingBinds,
+		MessageWindow: b.Settings.MessagesSpan.Or(10), EndpointStreamTimeout: d.Settings.Num("list-silence"), PollInterval: b.Settings.AskWithin.Or(10), OnlyDraining: b.Settings.OnlyDrainingBinds,
 	}
-	for i, name := range d.Trade.Methods {
+	for i, name := range d.Settings.Methods {
 		method := b.Settings.Methods[i]
 		l.Methods = append(l.Methods, invariant.Method{
 			Name: name, NonIdempotent: method.Effect == "non-idempotent",
@@ -637,10 +637,10 @@
 }
 
 // methods are the methods as the front ends know them.
-func (d *Day) methods() []fake.MethodTrade {
-	all := fake.Methods(choice.DecodeSettings(d.Trade.Values).Methods)
+func (d *Scenario) methods() []fake.MethodTrade {
+	all := fake.Methods(choice.DecodeSettings(d.Settings.Values).Methods)
 	for i := range all {
-		all[i].Share = d.Mix[i]
+		all[i].Share = d.MethodMix[i]
 	}
 	return all
 }
--- a/internal/scenario/emulate.go
+++ b/internal/scenario/emulate.go
@@ -21,12 +21,12 @@
 // Emulation is a day's servers and list service on the loopback address, for coordinators and proxies of one's own. It
 // may be spread over processes: each plays its part of the servers, the first one the list service, too.
 type Emulation struct {
-	Day         *Day
+	Scenario    *Scenario
 	Port        int                  // of the list service; servers have those behind it
 	Part, Parts int                  // from 1; 0: all in this process
-	Loops       int                  // that carry the servers; 0: one
-	Figures     func(emulator.Tally) // of each second
-	Event       func(text string)    // what the script does
+	EventLoops  int                  // that carry the servers; 0: one
+	OnTally     func(emulator.Tally) // of each second
+	OnStep      func(text string)    // what the script does
 	Trace       func([]trace.Record)
 }
 
@@ -37,10 +37,10 @@
 func (e Emulation) Addr(server int) string { return fmt.Sprintf("127.0.0.1:%d", e.Port+1+server) }
 
 // elsewhere are the verbs that need more than servers and a list: links, coordinators, front ends.
-func elsewhere(a Act) bool {
-	switch a.Of {
+func elsewhere(a Step) bool {
+	switch a.Target {
 	case "servers":
-		return a.Verb == "cut" || a.Verb == "silence" || a.With == "silence"
+		return a.Verb == "cut" || a.Verb == "silence" || a.FlapMode == "silence"
 	case "zone":
 		return a.Verb != "lose"
 	case "list":
@@ -52,14 +52,14 @@
 // Check tells which lines of a day can't be emulated without the rest of it, and what else is wrong.
 func (e Emulation) Check() error {
 	var faults bootstrap.Faults
-	for _, a := range e.Day.Acts {
+	for _, a := range e.Scenario.Steps {
 		if elsewhere(a) {
-			faults = append(faults, a.Line.Fault("%s %s is not in an emulated fleet's hands: play the day by rehearse, or take the line out", a.Verb, a.Of))
+			faults = append(faults, a.Source.Fault("%s %s is not in an emulated fleet's hands: play the day by rehearse, or take the line out", a.Verb, a.Target))
 		}
 	}
 	n := 0
-	for _, g := range e.Day.Servers {
-		n += g.N
+	for _, g := range e.Scenario.Backends {
+		n += g.Count
 	}
 	switch {
 	case len(faults) > 0:
@@ -90,15 +90,15 @@
 	if err := e.Check(); err != nil {
 		return err
 	}
-	c := newCast(e.Day)
+	c := newCast(e.Scenario)
 	s := &emulation{Emulation: e, cast: c, clock: eventloop.NewClock(), owner: map[string]*eventloop.Loop{}, seconds: map[int]emulator.Tally{}, parts: map[int]int{}}
 	c.stage = s
 	c.record = func(r trace.Record) {
 		if e.Trace != nil {
 			e.Trace([]trace.Record{r})
 		}
-		if r.Kind == trace.Trouble && e.Event != nil {
-			e.Event(r.Text)
+		if r.Kind == trace.Trouble && e.OnStep != nil {
+			e.OnStep(r.Text)
 		}
 	}
 	inner, cancel := context.WithCancel(context.Background())
@@ -117,7 +117,7 @@
 			mine = append(mine, a)
 		}
 	}
-	n := min(max(1, e.Loops), max(1, len(mine)))
+	n := min(max(1, e.EventLoops), max(1, len(mine)))
 	store := c.store()
 	for k := range n {
 		fleet := emulator.NewFleet(func(t emulator.Tally) { s.tally(n, t) })
@@ -130,7 +130,7 @@
 			t := c.trade(a, store)
 			if n > 1 || e.Parts > 1 {
 				t.Ledger = nil
-				t.Store = &emulator.Store{Group: e.Day.Tokens, Window: store.Window} // what one loop or process owns, another can't see
+				t.Store = &emulator.Store{Group: e.Scenario.IdempotencyScope, Window: store.Window} // what one loop or process owns, another can't see
 			}
 			fleet.Add(a.name, t)
 			b.Listen = append(b.Listen, e.Addr(a.at))
@@ -159,15 +159,15 @@
 	for _, a := range c.servers {
 		a.up, a.lives = true, 1
 	}
-	for _, a := range e.Day.Acts {
+	for _, a := range e.Scenario.Steps {
 		s.At(c.begin+a.At, func() { c.act(a) })
 	}
-	return s.run(ctx, c.begin+e.Day.Length, loops)
+	return s.run(ctx, c.begin+e.Scenario.Duration, loops)
 }
 
 // tally gathers the loops' figures of a second.
 func (s *emulation) tally(n int, t emulator.Tally) {
-	if s.Figures == nil {
+	if s.OnTally == nil {
 		return
 	}
 	s.mu.Lock()
@@ -185,7 +185,7 @@
 	}
 	s.mu.Unlock()
 	if whole {
-		s.Figures(sum)
+		s.OnTally(sum)
 	}
 }
 
--- a/internal/scenario/hard_test.go
+++ b/internal/scenario/hard_test.go
@@ -13,9 +13,9 @@
 	"frontends 6 zone dc-kewdale rate 12\nfrontends 6 zone dc-malaga rate 12\nmix 70% 30%\n"
 
 // kept plays a day and fails the test for every rule that broke.
-func kept(t *testing.T, name string, d *Day, o Options) Result {
+func kept(t *testing.T, name string, d *Scenario, o Options) Result {
 	t.Helper()
-	r, err := Virtual(d, o)
+	r, err := PlayVirtual(d, o)
 	if err != nil {
 		t.Fatal(name, err)
 	}
@@ -24,7 +24,7 @@
 			t.Errorf("%s: rule %d at %.3f, %s: %s", name, v.Rule, v.FirstTime, v.Party, v.Reason)
 		}
 	}
-	for _, f := range r.Fails {
+	for _, f := range r.Failures {
 		t.Errorf("%s: %s", name, f)
 	}
 	return r
@@ -148,7 +148,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r, err := Virtual(d, Options{})
+		r, err := PlayVirtual(d, Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scenario/kills_test.go
+++ b/internal/scenario/kills_test.go
@@ -8,13 +8,13 @@
 	for seed := range uint64(4) {
 		d := day(t, "deploy")
 		d.Seed = seed + 1
-		d.Kills(20)
-		r, err := Virtual(d, Options{})
+		d.AddCoordinatorKills(20)
+		r, err := PlayVirtual(d, Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.Report.Violated() || len(r.Fails) > 0 {
-			t.Errorf("seed %d: %v %v", d.Seed, r.Report, r.Fails)
+		if r.Report.Violated() || len(r.Failures) > 0 {
+			t.Errorf("seed %d: %v %v", d.Seed, r.Report, r.Failures)
 		}
 	}
 }
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -19,7 +19,7 @@
 )
 
 // Stage is where a day plays: sockets, or virtual time.
-type Stage interface {
+type Environment interface {
 	Now() statemachine.Seconds
 	At(at statemachine.Seconds, do func())
 	Start(name string)
@@ -33,19 +33,19 @@
 
 // Result is what a day came to.
 type Result struct {
-	Day     *Day
-	Report  invariant.Report
-	Records []trace.Record
-	Fails   []string // of machines that failed: a defect of the program, whatever the rules say
-	Steps   int
-	Truth   *Truth           // nil unless it was asked for
-	Twice   []emulator.Twice // RPCs that took effect twice, by the servers' own ledger
+	Scenario         *Scenario
+	Report           invariant.Report
+	Records          []trace.Record
+	Failures         []string // of machines that failed: a defect of the program, whatever the rules say
+	MachineSteps     int
+	Truth            *GroundTruth     // nil unless it was asked for
+	DuplicateEffects []emulator.Twice // RPCs that took effect twice, by the servers' own ledger
 }
 
 // cast is who plays in a day.
 type cast struct {
-	day     *Day
-	stage   Stage
+	day     *Scenario
+	stage   Environment
 	record  func(trace.Record)
 	servers []*actor
 	fronts  []*actor
@@ -67,7 +67,7 @@
 	ep    proto.EP
 	at    int
 	rate  float64
-	group ServerGroup
+	group BackendGroup
 	up    bool
 	lives int
 	pick  string
@@ -76,7 +76,7 @@
 	cutOff int
 }
 
-func newCast(d *Day) *cast {
+func newCast(d *Scenario) *cast {
 	c := &cast{day: d, all: map[string]*actor{}, zoneCut: map[string]int{}, ledger: &emulator.Ledger{}, dice: emulator.NewDice(d.Seed)}
 	zones := d.Zones()
 	zone := func(z string, i int) string {
@@ -92,17 +92,17 @@
 	for i := range d.Coordinators {
 		put(&c.coords, &actor{name: fmt.Sprintf("c%d", i), zone: zones[i%len(zones)], at: i})
 	}
-	for _, g := range d.Servers {
-		for range g.N {
+	for _, g := range d.Backends {
+		for range g.Count {
 			i := len(c.servers)
 			put(&c.servers, &actor{name: fmt.Sprintf("s%d", i), zone: zone(g.Zone, i), kind: g.Kind, ep: proto.EP(i + 1), at: i, group: g})
 		}
 	}
-	for n, g := range d.Fronts {
-		factors := traffic.Uneven(g.N, g.Uneven, fake.Seed(d.Seed, fmt.Sprint("uneven ", n)))
-		for k := range g.N {
+	for n, g := range d.Proxies {
+		factors := traffic.Uneven(g.Count, g.RateVariation, fake.Seed(d.Seed, fmt.Sprint("uneven ", n)))
+		for k := range g.Count {
 			i := len(c.fronts)
-			put(&c.fronts, &actor{name: fmt.Sprintf("f%d", i), zone: zone(g.Zone, i), at: i, rate: g.Rate * factors[k], pick: g.Pick})
+			put(&c.fronts, &actor{name: fmt.Sprintf("f%d", i), zone: zone(g.Zone, i), at: i, rate: g.Rate * factors[k], pick: g.BackendPolicy})
 		}
 	}
 	c.all["list"] = &actor{name: "list", zone: zones[0]}
@@ -134,21 +134,21 @@
 
 // trade is what a server of its group is.
 func (c *cast) trade(a *actor, store *emulator.Store) emulator.Trade {
-	b := choice.Config{Settings: choice.DecodeSettings(c.day.Trade.Values)}
+	b := choice.Config{Settings: choice.DecodeSettings(c.day.Settings.Values)}
 	g := a.group
 	work := g.Work
 	work.Mean = float64(g.Workers) / g.Capacity
 	return emulator.Trade{
 		EP: a.ep, Zone: a.zone, Cores: g.Workers, Speed: 1, Work: []emulator.Work{work}, QueueMost: g.Queue,
-		GiveUp: g.GiveUp, ColdShare: b.Settings.ColdShare.Or(0.3), WarmAfter: b.Settings.WarmAfter.Or(10),
+		GiveUp: g.CancelMode, ColdShare: b.Settings.ColdShare.Or(0.3), WarmAfter: b.Settings.WarmAfter.Or(10),
 		FallMultiple: b.Settings.FallMultiple.Or(3), FallWindow: b.Settings.FallWindow.Or(1), ProbeWork: work.Mean / 10, ProbesMost: 10,
 		ConnWork: work.Mean / 10, Seed: fake.Seed(c.day.Seed, a.name), Store: store, Ledger: c.ledger,
-		Cell: g.Cell, Connections: g.Conns, Reports: g.Reports, ReportLate: g.Late, ReportNoise: g.Noise, Keys: g.Memory, KeySaves: g.Saves,
+		Cell: g.Cell, Connections: g.MaxConnections, Reports: g.Reports, ReportLate: g.ReportDelay, ReportNoise: g.ReportNoise, Keys: g.CacheKeys, KeySaves: g.CacheSaving,
 	}
 }
 
 func (c *cast) front(a *actor, coords []string) *fake.FrontEnd {
-	b := choice.Config{Settings: choice.DecodeSettings(c.day.Trade.Values)}
+	b := choice.Config{Settings: choice.DecodeSettings(c.day.Settings.Values)}
 	order := make([]string, 0, len(coords))
 	for i := range coords {
 		order = append(order, coords[(a.at+i)%len(coords)])
@@ -160,16 +160,16 @@
 	}
 	return fake.NewFrontEnd(fake.FrontTrade{
 		Name: a.name, Zone: a.zone, Coordinators: order, Methods: c.day.methods(),
-		Rate: a.rate, Pick: pick, Begin: c.begin, Shape: c.day.Shape, Keys: c.day.Keys, Strikes: int(b.Settings.Strikes.Or(0)), KeepAway: c.day.KeepAway, TryWait: b.Settings.TryWait.Or(0.8),
-		LineStill: c.day.LineStill, LevelRate: b.Settings.LevelKind == "rate", Period: b.Settings.ReportPeriod.Or(1), Watch: c.glance > 0,
-		ConnectTimeout: c.day.Connect, ComeAgain: c.day.ComeAgain, AgainWait: c.day.AgainWait, AgainMost: c.day.AgainMost, Seed: fake.Seed(c.day.Seed, a.name) + uint64(a.lives),
+		Rate: a.rate, Pick: pick, Begin: c.begin, Shape: c.day.Shape, Keys: c.day.Keys, Strikes: int(b.Settings.Strikes.Or(0)), KeepAway: c.day.EjectionTime, TryWait: b.Settings.TryWait.Or(0.8),
+		LineStill: c.day.EntryApplyTime, LevelRate: b.Settings.LevelKind == "rate", Period: b.Settings.ReportPeriod.Or(1), Watch: c.glance > 0,
+		ConnectTimeout: c.day.ConnectTimeout, ComeAgain: c.day.ClientRetryShare, AgainWait: c.day.ClientRetryDelay, AgainMost: c.day.ClientRetryMax, Seed: fake.Seed(c.day.Seed, a.name) + uint64(a.lives),
 	})
 }
 
 // store is what servers share for tokens, as the settings' groups allow.
 func (c *cast) store() *emulator.Store {
-	b := choice.Config{Settings: choice.DecodeSettings(c.day.Trade.Values)}
-	s := &emulator.Store{Group: c.day.Tokens}
+	b := choice.Config{Settings: choice.DecodeSettings(c.day.Settings.Values)}
+	s := &emulator.Store{Group: c.day.IdempotencyScope}
 	for _, method := range b.Settings.Methods {
 		s.Window = max(s.Window, method.Window.Or(0))
 	}
@@ -178,7 +178,7 @@
 
 // coordinator is what a coordinator is started with.
 func (c *cast) coordinator(a *actor, now statemachine.Seconds, list string) coordinator.Bootstrap {
-	t := c.day.Trade
+	t := c.day.Settings
 	b := t.Coordinator(now)
 	values := make(map[string]any, len(t.Values))
 	for k, v := range t.Values {
@@ -211,7 +211,7 @@
 	for _, f := range c.fronts {
 		c.up(f)
 	}
-	for _, a := range c.day.Acts {
+	for _, a := range c.day.Steps {
 		c.stage.At(c.begin+a.At, func() { c.act(a) })
 	}
 }
@@ -253,24 +253,24 @@
 func (c *cast) after(span statemachine.Seconds, do func()) { c.stage.At(c.stage.Now()+span, do) }
 
 // then does something at the end of an act that has one.
-func (c *cast) then(a Act, do func()) {
-	if a.For > 0 {
-		c.after(a.For, do)
+func (c *cast) then(a Step, do func()) {
+	if a.Duration > 0 {
+		c.after(a.Duration, do)
 	}
 }
 
 // pick chooses whom an act hits: at random by the day's seed, where only a number or a part is given.
-func (c *cast) pick(from []*actor, p Pick) (hit []*actor) {
+func (c *cast) pick(from []*actor, p Selector) (hit []*actor) {
 	for _, a := range from {
-		if (p.Zone == "" || a.zone == p.Zone) && (p.Kind == "" || a.kind == p.Kind) && (len(p.Index) == 0 || slices.Contains(p.Index, a.at)) {
+		if (p.Zone == "" || a.zone == p.Zone) && (p.Kind == "" || a.kind == p.Kind) && (len(p.Indexes) == 0 || slices.Contains(p.Indexes, a.at)) {
 			hit = append(hit, a)
 		}
 	}
 	n := len(hit)
-	if p.Part > 0 {
-		n = int(p.Part*float64(len(hit)) + 0.5)
-	} else if p.N > 0 {
-		n = min(p.N, n)
+	if p.Share > 0 {
+		n = int(p.Share*float64(len(hit)) + 0.5)
+	} else if p.Count > 0 {
+		n = min(p.Count, n)
 	}
 	for i := range n {
 		j := i + int(c.draw()*float64(len(hit)-i))
@@ -279,33 +279,33 @@
 	return hit[:n]
 }
 
-func (c *cast) act(a Act) {
+func (c *cast) act(a Step) {
 	c.count++
 	id := strconv.Itoa(c.count)
 	text := ""
-	for i, w := range a.Line.Words[2:] {
+	for i, w := range a.Source.Words[2:] {
 		if i > 0 {
 			text += " "
 		}
 		text += w
 	}
 	var hit []*actor
-	switch a.Of {
+	switch a.Target {
 	case "servers":
-		hit = c.pick(c.servers, a.Pick)
+		hit = c.pick(c.servers, a.Selector)
 	case "frontends", "streams":
-		hit = c.pick(c.fronts, a.Pick)
+		hit = c.pick(c.fronts, a.Selector)
 	case "coordinators":
-		hit = c.pick(c.coords, a.Pick)
+		hit = c.pick(c.coords, a.Selector)
 	case "zone":
-		hit = c.pick(c.servers, a.Pick)
+		hit = c.pick(c.servers, a.Selector)
 	}
 	c.record(trace.Record{T: c.stage.Now(), Kind: trace.Trouble, Text: text, X: c.lasts(a, len(hit))})
 	in := map[string]bool{}
 	for _, x := range hit {
 		in[x.name] = true
 	}
-	by, _ := strconv.ParseFloat(a.By, 64)
+	by, _ := strconv.ParseFloat(a.Argument, 64)
 	switch a.Verb {
 	case "kill", "vanish", "lose":
 		for _, x := range hit {
@@ -314,14 +314,14 @@
 		}
 	case "stall":
 		for _, x := range hit {
-			c.stage.Stall(x.name, a.For)
-			c.record(trace.Record{T: c.stage.Now(), Kind: trace.Stall, Who: x.name, X: a.For})
+			c.stage.Stall(x.name, a.Duration)
+			c.record(trace.Record{T: c.stage.Now(), Kind: trace.Stall, Who: x.name, X: a.Duration})
 		}
 	case "hang", "fast", "part", "method", "from", "dear", "shake", "conns":
 		c.afflict(a, hit)
 	case "pauses":
 		for _, x := range hit {
-			for t := 0.0; t < a.For; t++ {
+			for t := 0.0; t < a.Duration; t++ {
 				c.after(t+c.draw()*0.5, func() { c.stage.Tell(x.name, "hang") })
 				c.after(t+0.5+min(by, 0.5), func() { c.stage.Tell(x.name, "heal hang") })
 			}
@@ -333,15 +333,15 @@
 		}
 	case "flap":
 		for i, x := range hit {
-			for t := 0.0; t < a.For; t += 2 * max(by, 0.1) {
+			for t := 0.0; t < a.Duration; t += 2 * max(by, 0.1) {
 				c.after(t, func() {
 					up := func() { c.raise(x) }
-					switch a.With {
+					switch a.FlapMode {
 					case "silence":
 						up = c.hush(x, id+"."+strconv.Itoa(i))
 					case "hang", "fast":
-						c.stage.Tell(x.name, a.With)
-						up = func() { c.stage.Tell(x.name, "heal "+a.With) }
+						c.stage.Tell(x.name, a.FlapMode)
+						up = func() { c.stage.Tell(x.name, "heal "+a.FlapMode) }
 					default:
 						c.fall(x, true)
 					}
@@ -352,14 +352,14 @@
 	case "deploy":
 		c.deploy(a, hit)
 	case "slow":
-		if a.Of == "servers" {
+		if a.Target == "servers" {
 			c.afflict(a, hit)
 			break
 		}
-		usual := choice.Config{Settings: choice.DecodeSettings(c.day.Trade.Values)}.Settings.PushTime.Or(0.1)
+		usual := choice.Config{Settings: choice.DecodeSettings(c.day.Settings.Values)}.Settings.PushTime.Or(0.1)
 		c.hinder(a, id, simnet.Hindrance{Delay: (by - 1) * usual}, c.streams(in))
 	case "late":
-		if a.Of == "list" {
+		if a.Target == "list" {
 			c.list("late %g", by)
 			c.then(a, func() { c.list("late 0") })
 			break
@@ -380,9 +380,9 @@
 	case "cut":
 		c.hinder(a, id, simnet.Hindrance{Cut: true}, c.across(a, in))
 		mark := func(n int) {
-			switch a.Of {
+			switch a.Target {
 			case "zone":
-				c.zoneCut[a.Pick.Zone] += n
+				c.zoneCut[a.Selector.Zone] += n
 			case "servers":
 				for _, x := range hit {
 					x.cutOff += n
@@ -400,11 +400,11 @@
 }
 
 // lasts tells how long an act's trouble lasts, in seconds.
-func (c *cast) lasts(a Act, hit int) statemachine.Seconds {
-	rest := c.day.Length - a.At
+func (c *cast) lasts(a Step, hit int) statemachine.Seconds {
+	rest := c.day.Duration - a.At
 	switch {
-	case a.For > 0:
-		return min(a.For, rest)
+	case a.Duration > 0:
+		return min(a.Duration, rest)
 	case a.Verb == "break":
 		return 0
 	case a.Verb == "deploy":
@@ -415,7 +415,7 @@
 }
 
 // deploy is how a deploy goes: how long servers drain, how long each is down, and when the next one's turn is.
-func (a Act) deploy() (drain, down, every statemachine.Seconds) {
+func (a Step) deploy() (drain, down, every statemachine.Seconds) {
 	value := func(name string, def float64) float64 {
 		if v, ok := a.More[name]; ok {
 			return v
@@ -440,7 +440,7 @@
 func (c *cast) fall(x *actor, listed bool) {
 	c.kill(x)
 	if x.ep > 0 && listed {
-		c.after(c.day.Notice, func() {
+		c.after(c.day.ExitDetectionDelay, func() {
 			if !x.up {
 				c.list("state %d gone", x.ep)
 			}
@@ -448,14 +448,14 @@
 	}
 }
 
-func (c *cast) afflict(a Act, hit []*actor) {
+func (c *cast) afflict(a Step, hit []*actor) {
 	word := a.Verb
-	by := a.By
+	by := a.Argument
 	switch a.Verb {
 	case "method":
-		by = strconv.Itoa(slices.Index(c.day.Trade.Methods, a.By))
+		by = strconv.Itoa(slices.Index(c.day.Settings.Methods, a.Argument))
 	case "from":
-		by = "c" + a.By
+		by = "c" + a.Argument
 	}
 	if by != "" {
 		word += " " + by
@@ -466,7 +466,7 @@
 	}
 }
 
-func (c *cast) hinder(a Act, id string, h simnet.Hindrance, match func(x, y string) bool) {
+func (c *cast) hinder(a Step, id string, h simnet.Hindrance, match func(x, y string) bool) {
 	c.stage.Hinder(id, h, match)
 	mark := func(kind string) {
 		for _, f := range c.fronts {
@@ -494,8 +494,8 @@
 	return func(a, b string) bool { return hit[a] && b[0] == 'c' || hit[b] && a[0] == 'c' }
 }
 
-func (c *cast) across(a Act, hit map[string]bool) func(x, y string) bool {
-	switch a.Of {
+func (c *cast) across(a Step, hit map[string]bool) func(x, y string) bool {
+	switch a.Target {
 	case "list":
 		return func(x, y string) bool { return x == "list" || y == "list" }
 	case "servers":
@@ -507,11 +507,11 @@
 		}
 		return ""
 	}
-	return func(x, y string) bool { return (zone(x) == a.Pick.Zone) != (zone(y) == a.Pick.Zone) }
+	return func(x, y string) bool { return (zone(x) == a.Selector.Zone) != (zone(y) == a.Selector.Zone) }
 }
 
 // deploy takes servers out one after another, with a drain announced, and brings them back cold.
-func (c *cast) deploy(a Act, hit []*actor) {
+func (c *cast) deploy(a Step, hit []*actor) {
 	drain, down, every := a.deploy()
 	for i, x := range hit {
 		c.after(float64(i)*every, func() {
@@ -528,7 +528,7 @@
 }
 
 // finish sorts what was recorded and checks it.
-func finish(d *Day, records []trace.Record, fails []string) (Result, error) {
+func finish(d *Scenario, records []trace.Record, fails []string) (Result, error) {
 	slices.SortStableFunc(records, func(a, b trace.Record) int {
 		switch {
 		case a.T < b.T:
@@ -539,7 +539,7 @@
 		return 0
 	})
 	report, err := invariant.Check(records, d.Limits())
-	return Result{Day: d, Report: report, Records: records, Fails: fails}, err
+	return Result{Scenario: d, Report: report, Records: records, Failures: fails}, err
 }
 
 // Options of a day in virtual time; the zero value is a plain day.
@@ -548,23 +548,23 @@
 	// Wrap may put another machine in a coordinator's place: one that is spoiled on purpose, to see that it is caught.
 	Wrap func(name string, m statemachine.Machine) statemachine.Machine
 	// Values are given to coordinators in place of the settings' own, to the same end.
-	Values map[string]any
-	Way    Way  // how proxies get their tables
-	Truth  bool // the servers' true state is looked at, too
+	Overrides   map[string]any
+	Tables      TableSource // how proxies get their tables
+	SampleTruth bool        // the servers' true state is looked at, too
 }
 
 // Virtual plays a day in virtual time.
-func Virtual(d *Day, o Options) (Result, error) {
+func PlayVirtual(d *Scenario, o Options) (Result, error) {
 	var records []trace.Record
 	c := newCast(d)
-	c.spoil = o.Values
+	c.spoil = o.Overrides
 	const epoch = 1e6 // any time will do; one that is not 0 shows what takes 0 for "never"
-	w := simnet.New(d.Seed, epoch, d.Same, d.Cross)
+	w := simnet.New(d.Seed, epoch, d.ZoneLatency, d.CrossZoneLatency)
 	c.stage, c.record = w, func(r trace.Record) { records = append(records, r) }
 	w.Trace, w.Log = c.record, o.Log
 	self := func(a *actor) string { return a.name }
 	store := c.store()
-	frost := &fake.Frost{After: epoch + Settled}
+	frost := &fake.Frost{After: epoch + FreezeDelay}
 	w.Add("list", c.all["list"].zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
 		return fake.NewList(c.listings(self))
 	}, "list")
@@ -576,15 +576,15 @@
 		coords = append(coords, a.name)
 		w.Add(a.name, a.zone, func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
 			b := c.coordinator(a, now, "list")
-			if o.Way == AllServers {
-				return fake.NewPlain(a.name, "list", d.Trade.Methods, b.Module.Settings.ReportPeriod.Or(1))
+			if o.Tables == AllBackends {
+				return fake.NewPlain(a.name, "list", d.Settings.Methods, b.Module.Settings.ReportPeriod.Or(1))
 			}
 			kept, err := keptBy(w, a.name)
 			if err != nil {
 				w.Fails = append(w.Fails, fmt.Sprintf("%s: %v", a.name, err))
 			}
 			m := statemachine.Machine(coordinator.NewMachine(b, kept))
-			if o.Way == FrozenStart {
+			if o.Tables == FrozenTables {
 				m = frost.Wrap(m)
 			}
 			if o.Wrap != nil {
@@ -597,15 +597,15 @@
 		w.Add(a.name, a.zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return c.front(a, coords) })
 	}
 	c.start()
-	var truth *Truth
-	if o.Truth {
-		truth = &Truth{}
+	var truth *GroundTruth
+	if o.SampleTruth {
+		truth = &GroundTruth{}
 		c.watch(w, truth)
 	}
-	w.Run(epoch + d.Length)
+	w.Run(epoch + d.Duration)
 	r, err := finish(d, records, w.Fails)
-	r.Truth, r.Twice = truth, c.ledger.Twice
-	r.Steps = w.Steps
+	r.Truth, r.DuplicateEffects = truth, c.ledger.Twice
+	r.MachineSteps = w.Steps
 	return r, err
 }
 
--- a/internal/scenario/rehearse_test.go
+++ b/internal/scenario/rehearse_test.go
@@ -12,7 +12,7 @@
 	"gingerfork/internal/trace"
 )
 
-func day(t *testing.T, name string) *Day {
+func day(t *testing.T, name string) *Scenario {
 	t.Helper()
 	text, err := File(name + ".day")
 	if err != nil {
@@ -25,7 +25,7 @@
 	return d
 }
 
-func script(t *testing.T, text string) *Day {
+func script(t *testing.T, text string) *Scenario {
 	t.Helper()
 	d, err := Read("test.day", text, File)
 	if err != nil {
@@ -36,8 +36,8 @@
 
 // Each shipped day keeps all rules, with a service that a build that forgets a trouble would not reach.
 func TestShippedDays(t *testing.T) {
-	for _, name := range Shipped() {
-		r, err := Virtual(day(t, name), Options{})
+	for _, name := range Builtin() {
+		r, err := PlayVirtual(day(t, name), Options{})
 		if err != nil {
 			t.Fatal(name, err)
 		}
@@ -46,8 +46,8 @@
 				t.Errorf("%s: rule %d broke %d times, first at %.3f, %s: %s", name, v.Rule, v.Violations, v.FirstTime, v.Party, v.Reason)
 			}
 		}
-		if len(r.Fails) > 0 || r.Report.Service.Share() < 0.85 || r.Report.Faults == 0 {
-			t.Errorf("%s: service %.3f, troubles %d, defects %v", name, r.Report.Service.Share(), r.Report.Faults, r.Fails)
+		if len(r.Failures) > 0 || r.Report.Service.Share() < 0.85 || r.Report.Faults == 0 {
+			t.Errorf("%s: service %.3f, troubles %d, defects %v", name, r.Report.Service.Share(), r.Report.Faults, r.Failures)
 		}
 		t.Logf("%s: service %.3f of %d RPCs", name, r.Report.Service.Share(), r.Report.Service.RPCs)
 	}
@@ -56,9 +56,9 @@
 // Same seed, same trace, to the byte; another seed, another.
 func TestVirtualDaysRepeat(t *testing.T) {
 	play := func(seed uint64) []byte {
-		d := script(t, Random(11))
+		d := script(t, RandomScript(11))
 		d.Seed = seed
-		r, err := Virtual(d, Options{})
+		r, err := PlayVirtual(d, Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -86,9 +86,9 @@
 	if testing.Short() {
 		n = 50
 	}
-	err := Search(context.Background(), 1, n, func(f Found) {
-		if known[f.Seed] != f.What {
-			t.Errorf("seed %d: %s %v\n%s", f.Seed, f.What, f.Result.Fails, f.Script)
+	err := Search(context.Background(), 1, n, func(f Finding) {
+		if known[f.Seed] != f.Violation {
+			t.Errorf("seed %d: %s %v\n%s", f.Seed, f.Violation, f.Result.Failures, f.Script)
 		}
 	}, func(int) {})
 	if err != nil {
@@ -174,7 +174,7 @@
 		}},
 		"a burst of messages": {5, func(*proto.Push) int { return 35 }},
 	} {
-		r, err := Virtual(script(t, spoilDay), Options{Wrap: func(_ string, m statemachine.Machine) statemachine.Machine {
+		r, err := PlayVirtual(script(t, spoilDay), Options{Wrap: func(_ string, m statemachine.Machine) statemachine.Machine {
 			return &spoiled{m, c.edit, map[statemachine.Conn]uint64{}}
 		}})
 		if err != nil {
@@ -194,7 +194,7 @@
 // So is one that takes cold servers for warm.
 func TestColdServerAtFullWeightIsCaught(t *testing.T) {
 	for cold, values := range map[bool]map[string]any{false: nil, true: {"warm_after": 0.001}} {
-		r, err := Virtual(script(t, `
+		r, err := PlayVirtual(script(t, `
 settings perth.conf
 length 20s
 seed 5
@@ -204,7 +204,7 @@
 frontends 3 zone dc-malaga rate 26
 mix 70% 30%
 at 5s deploy servers 4 drain 1s down 1s every 300ms
-`), Options{Values: values})
+`), Options{Overrides: values})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -232,13 +232,13 @@
 
 // A machine that fails is reported, and shrinking keeps what it shrinks.
 func TestFailuresAndShrinking(t *testing.T) {
-	r, err := Virtual(script(t, spoilDay), Options{Wrap: func(_ string, m statemachine.Machine) statemachine.Machine { return &failing{inner: m} }})
-	if err != nil || len(r.Fails) == 0 || !strings.Contains(r.Fails[0], "c0: the module failed") {
-		t.Fatal(err, r.Fails)
+	r, err := PlayVirtual(script(t, spoilDay), Options{Wrap: func(_ string, m statemachine.Machine) statemachine.Machine { return &failing{inner: m} }})
+	if err != nil || len(r.Failures) == 0 || !strings.Contains(r.Failures[0], "c0: the module failed") {
+		t.Fatal(err, r.Failures)
 	}
 	for seed, what := range known {
-		text := Random(seed)
-		short, res := Shrink(text, what, Result{})
+		text := RandomScript(seed)
+		short, res := Minimize(text, what, Result{})
 		if len(short) > len(text) || !res.Report.Violated() {
 			t.Errorf("seed %d: shrunk to %s", seed, short)
 		}
@@ -281,7 +281,7 @@
 // A proxy that joins while all servers are withdrawn holds tables of an earlier stream; it must be told.
 // Found by search (seed 5480): it went on sending.
 func TestProxyThatJoinsAfterTheListEmptied(t *testing.T) {
-	r, err := Virtual(script(t, `
+	r, err := PlayVirtual(script(t, `
 settings perth.conf
 length 8s
 seed 481
--- a/internal/scenario/search.go
+++ b/internal/scenario/search.go
@@ -11,11 +11,11 @@
 )
 
 // Found is a script on which something broke.
-type Found struct {
-	Seed   uint64
-	What   string // rule N, or defect
-	Script string // as short as it could be made
-	Result Result
+type Finding struct {
+	Seed      uint64
+	Violation string // rule N, or defect
+	Script    string // as short as it could be made
+	Result    Result
 }
 
 // trouble is a kind of line that a search draws; %s stands for a length of time.
@@ -64,7 +64,7 @@
 }
 
 // Random writes a script of two to four troubles, by seed alone.
-func Random(seed uint64) string {
+func RandomScript(seed uint64) string {
 	r := rand.New(rand.NewPCG(seed, 1))
 	var b strings.Builder
 	fmt.Fprintf(&b, "day search-%d\nsettings perth.conf\nlength 30s\nseed %d\ncoordinators %d\n", seed, seed%1000+1, 1+r.IntN(3))
@@ -86,11 +86,11 @@
 	if err != nil {
 		return "", r, err
 	}
-	r, err = Virtual(d, Options{})
+	r, err = PlayVirtual(d, Options{})
 	if err != nil {
 		return "", r, err
 	}
-	if len(r.Fails) > 0 {
+	if len(r.Failures) > 0 {
 		return "defect", r, nil
 	}
 	for _, v := range r.Report.Rules {
@@ -103,9 +103,9 @@
 
 // Search plays random scripts from a first seed on, on all cores, and shrinks what breaks anything. It calls found in
 // the order of seeds; the same seeds find the same.
-func Search(ctx context.Context, first uint64, n int, found func(Found), played func(int)) error {
+func Search(ctx context.Context, first uint64, n int, found func(Finding), played func(int)) error {
 	type outcome struct {
-		found *Found
+		found *Finding
 		err   error
 	}
 	results := make([]chan outcome, n)
@@ -154,19 +154,19 @@
 	return failed
 }
 
-func try(seed uint64) (*Found, error) {
-	script := Random(seed)
+func try(seed uint64) (*Finding, error) {
+	script := RandomScript(seed)
 	what, r, err := judge(script)
 	if err != nil || what == "" {
 		return nil, err
 	}
-	script, r = Shrink(script, what, r)
-	return &Found{seed, what, script, r}, nil
+	script, r = Minimize(script, what, r)
+	return &Finding{seed, what, script, r}, nil
 }
 
 // Shrink makes a script shorter as long as the same thing still breaks on it: troubles go first, then what each needs
 // of its time, then servers and front ends, then the end of the day.
-func Shrink(script, what string, r Result) (string, Result) {
+func Minimize(script, what string, r Result) (string, Result) {
 	lines := strings.Split(strings.TrimSpace(script), "\n")
 	try := func(with []string) bool {
 		text := strings.Join(with, "\n") + "\n"
--- a/internal/scenario/sockets.go
+++ b/internal/scenario/sockets.go
@@ -23,7 +23,7 @@
 )
 
 // Serving tells how a coordinator's process is started: a command to which the settings file is added.
-type Serving struct {
+type CoordinatorCommand struct {
 	Command []string
 	Env     []string
 	Dir     string // for settings, kept lists and logs; it must exist
@@ -33,7 +33,7 @@
 // loops of this one; between any two of them stands a relay that can hinder what passes.
 type sockets struct {
 	cast    *cast
-	serving Serving
+	serving CoordinatorCommand
 	clock   *eventloop.Clock
 	ctx     context.Context
 	nodes   map[string]*node
@@ -103,7 +103,7 @@
 }
 
 // Sockets plays a day on sockets, in real time. It ends early, with what was seen so far, when ctx does.
-func Sockets(ctx context.Context, d *Day, serving Serving) (Result, error) {
+func PlaySockets(ctx context.Context, d *Scenario, serving CoordinatorCommand) (Result, error) {
 	c := newCast(d)
 	c.glance, c.ledger = 1, nil // its servers are on loops of their own; the checker finds effects by the trace
 	s := &sockets{cast: c, serving: serving, clock: eventloop.NewClock(), nodes: map[string]*node{}, relays: map[string]*relay{}}
@@ -120,7 +120,7 @@
 		return Result{}, err
 	}
 	c.start()
-	s.run(ctx, c.begin+d.Length)
+	s.run(ctx, c.begin+d.Duration)
 	s.end()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -433,7 +433,7 @@
 }
 
 // instance writes the settings of one coordinator of the day.
-func (d *Day) instance(a *actor, listen, list, state string, life int) string {
+func (d *Scenario) instance(a *actor, listen, list, state string, life int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "instance %s\n  zone %s\n  listen %s\n  list-service %s\n  state %s\n  seed %d\n  coordinators %d\n  self %d\n",
 		a.name, a.zone, listen, list, state, (fake.Seed(d.Seed, a.name)+uint64(life))%(1<<50), d.Coordinators, a.at)
--- a/internal/scenario/truth.go
+++ b/internal/scenario/truth.go
@@ -12,21 +12,21 @@
 )
 
 // Glance is how often the emulated servers' true state is looked at, in seconds.
-const Glance = 0.25
+const SampleInterval = 0.25
 
 // Truth is what the servers were really able to do, and did, by stretches of Glance seconds. Nobody who plays knows it.
-type Truth struct {
-	Begin  statemachine.Seconds
-	Supply []optimum.Supply
-	Able   [][]float32 // by stretch and server: RPCs a second of the first method that it can do
-	Busy   [][]float32 // and the share of its cores that is busy
-	Waits  [][]float32 // and RPCs that wait there
+type GroundTruth struct {
+	Start       statemachine.Seconds
+	Supply      []optimum.Supply
+	Capacity    [][]float32 // by stretch and server: RPCs a second of the first method that it can do
+	Utilization [][]float32 // and the share of its cores that is busy
+	Queued      [][]float32 // and RPCs that wait there
 }
 
 // watch has the true state looked at until the day ends.
-func (c *cast) watch(w *simnet.World, truth *Truth) {
-	truth.Begin = w.Now()
-	methods := len(c.day.Trade.Methods)
+func (c *cast) watch(w *simnet.World, truth *GroundTruth) {
+	truth.Start = w.Now()
+	methods := len(c.day.Settings.Methods)
 	zones := c.day.Zones()
 	slot := 0
 	var look func()
@@ -51,11 +51,11 @@
 					p.fails |= 1 << k
 				}
 			}
-			sums[p] += most * Glance
+			sums[p] += most * SampleInterval
 			_, waiting, share := m.Load()
 			able[i], busy[i], waits[i] = float32(most), float32(share), float32(waiting)
 		}
-		truth.Able, truth.Busy, truth.Waits = append(truth.Able, able), append(truth.Busy, busy), append(truth.Waits, waits)
+		truth.Capacity, truth.Utilization, truth.Queued = append(truth.Capacity, able), append(truth.Utilization, busy), append(truth.Queued, waits)
 		for _, zone := range zones { // in this order, as sums over a map would differ from run to run
 			for fails := range uint64(1) << min(methods, 8) {
 				n := sums[pool{zone, fails}]
@@ -74,9 +74,9 @@
 			}
 		}
 		slot++
-		c.after(Glance, look)
+		c.after(SampleInterval, look)
 	}
-	c.stage.At(truth.Begin+Glance/2, look)
+	c.stage.At(truth.Start+SampleInterval/2, look)
 }
 
 func (c *cast) apart() bool {
@@ -89,20 +89,20 @@
 }
 
 // Bound reckons the most service that the day allowed, from the servers' true state and from what was asked in a run.
-func (d *Day) Bound(truth *Truth, records []trace.Record) (optimum.Bound, error) {
+func (d *Scenario) Bound(truth *GroundTruth, records []trace.Record) (optimum.Bound, error) {
 	limits := d.Limits()
 	methods := make([]optimum.Method, 0, len(limits.Methods))
 	for i := range limits.Methods {
 		soft := limits.Methods[i].SoftDeadline
 		fit := 0.0
-		for _, g := range d.Servers {
+		for _, g := range d.Backends {
 			work := g.Work
 			work.Mean = float64(g.Workers) / g.Capacity
 			fit = max(fit, work.Within(soft))
 		}
 		methods = append(methods, optimum.Method{
 			Criticality: limits.Methods[i].Criticality, FeasibleShare: fit,
-			ExtraSlots: int(math.Ceil(soft / Glance)),
+			ExtraSlots: int(math.Ceil(soft / SampleInterval)),
 		})
 	}
 	zone := map[string]string{}
@@ -119,7 +119,7 @@
 		if r.Kind != trace.End {
 			continue
 		}
-		k := key{max(0, int((r.T-r.X-truth.Begin)/Glance)), r.Method, zone[r.Who]}
+		k := key{max(0, int((r.T-r.X-truth.Start)/SampleInterval)), r.Method, zone[r.Who]}
 		if count[k]++; count[k] == 1 {
 			keys = append(keys, k)
 		}
--- a/internal/scenario/versus.go
+++ b/internal/scenario/versus.go
@@ -10,45 +10,45 @@
 )
 
 // Way is how proxies get their tables in a run.
-type Way uint8
+type TableSource uint8
 
 // The ways.
 const (
-	Coordinated Way = iota // by coordinators, as in service
-	AllServers             // one table of all servers that the list shows
-	FrozenStart            // the coordinators' tables as they were Settled seconds after the start
+	Coordinated  TableSource = iota // by coordinators, as in service
+	AllBackends                     // one table of all servers that the list shows
+	FrozenTables                    // the coordinators' tables as they were Settled seconds after the start
 	ways
 )
 
-func (w Way) String() string {
+func (w TableSource) String() string {
 	return [...]string{"coordinator", "all servers", "frozen", "?"}[min(w, ways)]
 }
 
 // Settled is when the tables of FrozenStart are frozen, in seconds after the start.
-const Settled = 4.0
+const FreezeDelay = 4.0
 
 // Versus is a day played in each way on the same seed, beside what could have been reached.
-type Versus struct {
-	Day   *Day
-	Ways  [3]Result
-	Bound optimum.Bound
+type Comparison struct {
+	Scenario *Scenario
+	Results  [3]Result
+	Bound    optimum.Bound
 }
 
 // Compare plays days in virtual time in each way, on so many cores; done is called with each day in order.
-func Compare(ctx context.Context, days []*Day, done func(Versus) error) error {
-	all := make([]Versus, len(days))
+func Compare(ctx context.Context, days []*Scenario, done func(Comparison) error) error {
+	all := make([]Comparison, len(days))
 	errs := make([]error, len(days)*int(ways))
 	ready := make([]chan struct{}, len(days))
 	type job struct {
 		day int
-		way Way
+		way TableSource
 	}
 	jobs := make(chan job)
 	left := make([]sync.WaitGroup, len(days))
 	var work sync.WaitGroup
 	for i := range days {
 		ready[i] = make(chan struct{})
-		all[i].Day = days[i]
+		all[i].Scenario = days[i]
 		left[i].Add(int(ways))
 		work.Add(1)
 		go func() {
@@ -62,7 +62,7 @@
 		go func() {
 			defer work.Done()
 			for j := range jobs {
-				r, err := Virtual(days[j.day], Options{Way: j.way, Truth: j.way == Coordinated})
+				r, err := PlayVirtual(days[j.day], Options{Tables: j.way, SampleTruth: j.way == Coordinated})
 				if err == nil && j.way == Coordinated {
 					all[j.day].Bound, err = days[j.day].Bound(r.Truth, r.Records)
 				}
@@ -70,7 +70,7 @@
 					errs[j.day*int(ways)+int(j.way)] = fmt.Errorf("play %s, %v: %w", days[j.day].Name, j.way, err)
 				}
 				r.Records = nil // some hundred thousand each
-				all[j.day].Ways[j.way] = r
+				all[j.day].Results[j.way] = r
 				left[j.day].Done()
 			}
 		}()
--- a/internal/scenario/versus_test.go
+++ b/internal/scenario/versus_test.go
@@ -10,7 +10,7 @@
 // The incidents, at a tenth of their size: the coordinator keeps all rules, no way of serving gets past the bound, and
 // the comparison sees what it is there to see: a frozen table is sent to servers that are gone.
 func TestIncidentsBesideBaselines(t *testing.T) {
-	var days []*Day
+	var days []*Scenario
 	for i, name := range Incidents() {
 		if testing.Short() && i%3 > 0 {
 			continue
@@ -20,24 +20,24 @@
 		days = append(days, d)
 	}
 	ours, plain, frozenBroke := 0.0, 0.0, 0
-	err := Compare(context.Background(), days, func(v Versus) error {
-		for w, r := range v.Ways {
-			if len(r.Fails) > 0 {
-				t.Errorf("%s, %v: %v", v.Day.Name, Way(w), r.Fails)
+	err := Compare(context.Background(), days, func(v Comparison) error {
+		for w, r := range v.Results {
+			if len(r.Failures) > 0 {
+				t.Errorf("%s, %v: %v", v.Scenario.Name, TableSource(w), r.Failures)
 			}
 			// The bound knows the servers' state, not how long each RPC will run: chance may favour a run by a little.
-			if Way(w) == Coordinated && r.Report.Service.Share() > v.Bound.Share()+0.005 {
-				t.Errorf("%s: service %.3f, above the bound of %.3f", v.Day.Name, r.Report.Service.Share(), v.Bound.Share())
+			if TableSource(w) == Coordinated && r.Report.Service.Share() > v.Bound.Share()+0.005 {
+				t.Errorf("%s: service %.3f, above the bound of %.3f", v.Scenario.Name, r.Report.Service.Share(), v.Bound.Share())
 			}
 		}
-		for _, x := range v.Ways[Coordinated].Report.Rules {
+		for _, x := range v.Results[Coordinated].Report.Rules {
 			if x.Violations > 0 {
-				t.Errorf("%s: rule %d at %.3f, %s: %s", v.Day.Name, x.Rule, x.FirstTime, x.Party, x.Reason)
+				t.Errorf("%s: rule %d at %.3f, %s: %s", v.Scenario.Name, x.Rule, x.FirstTime, x.Party, x.Reason)
 			}
 		}
-		ours += v.Ways[Coordinated].Report.Service.Share()
-		plain += v.Ways[AllServers].Report.Service.Share()
-		if broke(v.Ways[FrozenStart].Report, 3) {
+		ours += v.Results[Coordinated].Report.Service.Share()
+		plain += v.Results[AllBackends].Report.Service.Share()
+		if broke(v.Results[FrozenTables].Report, 3) {
 			frozenBroke++
 		}
 		return nil
@@ -60,7 +60,7 @@
 	share := func(acts string, rate string) float64 {
 		d := script(t, "day bound\nsettings perth.conf\nlength 20s\nseed 5\nservers 4 zone dc-kewdale capacity 30\nservers 4 zone dc-malaga capacity 30\n"+
 			"frontends 3 zone dc-kewdale rate "+rate+"\nfrontends 3 zone dc-malaga rate 5\nmix 70% 30%\n"+acts)
-		r, err := Virtual(d, Options{Truth: true})
+		r, err := PlayVirtual(d, Options{SampleTruth: true})
 		if err != nil {
 			t.Fatal(err)
 		}
