--- /dev/null
+++ b/internal/invariant/checker_test.go
@@ -0,0 +1,143 @@
+package invariant
+
+import (
+	"errors"
+	"testing"
+
+	"gingerfork/internal/trace"
+)
+
+var limits = Limits{
+	NoBackendLimit: 3, DrainGrace: 2, WarmAfter: 10, CollapseWindow: 1, MaxQueuedEntries: 100, MaxMessages: 3, MessageWindow: 10, EndpointStreamTimeout: 5, PollInterval: 10,
+	Methods: []Method{
+		{Name: "read", Criticality: 1, SoftDeadline: 1},
+		{Name: "submit", NonIdempotent: true, Criticality: 2, SoftDeadline: 1},
+		{Name: "save", HasIdempotencyKey: true, DedupWindow: 5, Criticality: 1, SoftDeadline: 1},
+	},
+}
+
+// joinedProxy is the trace of a proxy that joined a coordinator, with backends 1 and 2 listed and in its table, and more.
+func joinedProxy(more ...trace.Record) []trace.Record {
+	return append([]trace.Record{
+		{T: 0, Kind: trace.Boot, Who: "c0"},
+		{T: 0, Kind: trace.List, N: 1, Text: "full 1:o:0:a 2:o:0:a"},
+		{T: 0, Kind: trace.List, Of: "c0", N: 1, Text: "full 1:o:0:a 2:o:0:a"},
+		{T: 1, Kind: trace.Join, Who: "f0", Of: "c0", Zone: "a"},
+		{T: 1, Kind: trace.Push, Who: "f0", Of: "c0", Mark: 1, X: 3},
+		{T: 1, Kind: trace.Apply, Who: "f0", Of: "c0", Mark: 1, Text: "bind 0 0 1:1 2:1"},
+	}, more...)
+}
+
+func apply(t float64, text string) trace.Record {
+	return trace.Record{T: t, Kind: trace.Apply, Who: "f0", Of: "c0", Text: text}
+}
+
+func endpointUpdate(t float64, text string) trace.Record {
+	return trace.Record{T: t, Kind: trace.List, Of: "c0", N: int64(t), Text: text}
+}
+
+func attempt(t float64, ep uint32, rpc uint64, method int, why string) trace.Record {
+	return trace.Record{T: t, Kind: trace.Try, Who: "f0", Of: "c0", EP: ep, RPC: rpc, Method: method, Text: why}
+}
+
+func runEffect(t float64, ep uint32, rpc uint64, method int) trace.Record {
+	return trace.Record{T: t, Kind: trace.Run, EP: ep, RPC: rpc, Method: method}
+}
+
+func linkChange(t float64, kind, who string) trace.Record {
+	return trace.Record{T: t, Kind: kind, Who: who, Of: "c0"}
+}
+func endOfRun(t float64) trace.Record { return trace.Record{T: t, Kind: trace.Trouble} }
+
+func TestRulesAreChecked(t *testing.T) {
+	for name, test := range map[string]struct {
+		rule    int // that is violated; 0: none
+		records []trace.Record
+	}{
+		"no violation":                             {0, joinedProxy(attempt(2, 1, 7, 1, ""), runEffect(2, 1, 7, 1), endOfRun(20))},
+		"no backend beyond the limit":              {1, joinedProxy(apply(2, "clear 0"), endOfRun(5.2))},
+		"no backend within the limit":              {0, joinedProxy(apply(2, "clear 0"), apply(4.9, "line 0 1:1"), endOfRun(20))},
+		"all backends excluded":                    {1, joinedProxy(apply(2, "withdraw 1;withdraw 2"), endOfRun(5.2))},
+		"only entries of weight zero":              {1, joinedProxy(apply(2, "line 0 1:0;line 0 2:0"), endOfRun(5.2))},
+		"the only entry arrives excluded":          {1, joinedProxy(apply(2, "line 0 1:0;line 0 2:1!"), endOfRun(5.2))},
+		"no backend, empty endpoint list":          {0, joinedProxy(endpointUpdate(2, "full "), apply(2, "clear 0"), endOfRun(20))},
+		"no backend, all listed ones cold":         {0, joinedProxy(endpointUpdate(2, "full 1:o:2:a"), apply(2, "clear 0"), endOfRun(12))},
+		"no backend, a listed one becomes warm":    {1, joinedProxy(endpointUpdate(2, "full 1:o:2:a"), apply(2, "clear 0"), endOfRun(15.5))},
+		"no backend without a stream":              {0, joinedProxy(apply(2, "clear 0"), trace.Record{T: 2, Kind: trace.Leave, Who: "f0", Of: "c0"}, endOfRun(20))},
+		"no backend during a partition":            {0, joinedProxy(linkChange(2, trace.Cut, "f0"), apply(2, "clear 0"), endOfRun(20))},
+		"no backend after a rejoin":                {1, joinedProxy(apply(2, "clear 0"), trace.Record{T: 2, Kind: trace.Leave, Who: "f0", Of: "c0"}, trace.Record{T: 9, Kind: trace.Join, Who: "f0", Of: "c0"}, endOfRun(12.1))},
+		"retry after proof":                        {0, joinedProxy(attempt(2, 1, 7, 1, ""), attempt(3, 2, 7, 1, "after proof"), runEffect(3, 2, 7, 1))},
+		"retry without proof":                      {2, joinedProxy(attempt(2, 1, 7, 1, ""), attempt(3, 2, 7, 1, "it may have run"))},
+		"two effects":                              {2, joinedProxy(runEffect(2, 1, 7, 1), runEffect(3, 2, 7, 1))},
+		"two effects of an idempotent RPC":         {0, joinedProxy(attempt(2, 1, 7, 0, ""), runEffect(2, 1, 7, 0), attempt(3, 2, 7, 0, "it may have run"), runEffect(3, 2, 7, 0))},
+		"keyed retry within the window":            {0, joinedProxy(attempt(2, 1, 7, 2, ""), runEffect(2, 1, 7, 2), attempt(3, 2, 7, 2, "it may have run"))},
+		"keyed retry after the window":             {2, joinedProxy(attempt(2, 1, 7, 2, ""), attempt(7.5, 2, 7, 2, "it may have run"))},
+		"attempt within the drain grace":           {0, joinedProxy(endpointUpdate(2, "changes 1:d:0:a"), attempt(3.9, 1, 7, 0, ""))},
+		"attempt after the drain grace":            {3, joinedProxy(endpointUpdate(2, "changes 1:d:0:a"), attempt(4.1, 1, 7, 0, ""))},
+		"attempt to a removed backend":             {3, joinedProxy(endpointUpdate(2, "full 2:o:0:a"), attempt(4.1, 1, 7, 0, ""))},
+		"draining, then removed":                   {3, joinedProxy(endpointUpdate(2, "changes 1:d:0:a"), endpointUpdate(3, "changes 1:g:0:a"), attempt(4.1, 1, 7, 0, ""))},
+		"draining, then restarted":                 {0, joinedProxy(endpointUpdate(2, "changes 1:d:0:a"), endpointUpdate(3, "changes 1:o:3:a"), attempt(6, 1, 7, 0, ""))},
+		"proxy joined after the drain":             {0, joinedProxy(endpointUpdate(2, "changes 1:d:0:a"), trace.Record{T: 4, Kind: trace.Join, Who: "f0", Of: "c0"}, attempt(5.9, 1, 7, 0, ""))},
+		"coordinator restarted after the drain":    {0, joinedProxy(endpointUpdate(2, "changes 1:d:0:a"), trace.Record{T: 4, Kind: trace.Boot, Who: "c0"}, attempt(5.9, 1, 7, 0, ""))},
+		"update during a pause of the coordinator": {0, joinedProxy(trace.Record{T: 1.5, Kind: trace.Stall, Who: "c0", X: 3}, endpointUpdate(2, "changes 1:d:0:a"), attempt(6.4, 1, 7, 0, ""))},
+		"no action after the pause":                {3, joinedProxy(trace.Record{T: 1.5, Kind: trace.Stall, Who: "c0", X: 3}, endpointUpdate(2, "changes 1:d:0:a"), attempt(6.6, 1, 7, 0, ""))},
+		"update delivered after a short partition": {3, joinedProxy(linkChange(2, trace.Cut, "list"), endpointUpdate(2.1, "changes 1:d:0:a"), linkChange(4, trace.Heal, "list"), attempt(6.1, 1, 7, 0, ""))},
+		"update held back by a partition":          {0, joinedProxy(linkChange(2, trace.Cut, "list"), endpointUpdate(2.1, "changes 1:d:0:a"), attempt(9, 1, 7, 0, ""))},
+		"list emptied during a long partition":     {0, joinedProxy(linkChange(2, trace.Cut, "list"), endpointUpdate(3, "full "), linkChange(6.5, trace.Heal, "list"), apply(6.6, "withdraw 1;withdraw 2"), endOfRun(11))},
+		"no poll after a partition": {3, joinedProxy(linkChange(2, trace.Cut, "list"), trace.Record{T: 3, Kind: trace.List, N: 2, Text: "changes 2:d:0:a"}, linkChange(12, trace.Heal, "list"),
+			attempt(23, 2, 7, 0, ""))},
+		"collapse with knowledge of the start": {4, joinedProxy(trace.Record{T: 2, Kind: trace.Start, EP: 1, X: 5}, endpointUpdate(2, "changes 1:o:2:a"), apply(3, "line 0 1:1"), attempt(5, 1, 7, 0, ""), attempt(5, 1, 8, 0, ""),
+			attempt(5, 1, 9, 0, ""), trace.Record{T: 5.1, Kind: trace.Fall, EP: 1})},
+		"collapse before the start was known": {0, joinedProxy(trace.Record{T: 2, Kind: trace.Start, EP: 1, X: 5}, attempt(3, 1, 7, 0, ""), attempt(3, 1, 8, 0, ""), trace.Record{T: 3.1, Kind: trace.Fall, EP: 1})},
+		"messages above the bound": {5, joinedProxy(trace.Record{T: 2, Kind: trace.Push, Who: "f0", Of: "c0"}, trace.Record{T: 3, Kind: trace.Push, Who: "f0", Of: "c0"},
+			trace.Record{T: 4, Kind: trace.Push, Who: "f0", Of: "c0"})},
+		"messages at the bound": {0, joinedProxy(trace.Record{T: 2, Kind: trace.Push, Who: "f0", Of: "c0"}, trace.Record{T: 3, Kind: trace.Push, Who: "f0", Of: "c0"},
+			trace.Record{T: 11.5, Kind: trace.Push, Who: "f0", Of: "c0"})},
+		"queued entries above the bound": {5, joinedProxy(trace.Record{T: 2, Kind: trace.Push, Who: "f0", Of: "c0", N: 101})},
+	} {
+		r, err := Check(test.records, limits)
+		if err != nil {
+			t.Errorf("%s: %v", name, err)
+			continue
+		}
+		for _, v := range r.Rules {
+			if (v.Violations > 0) != (v.Rule == test.rule) {
+				t.Errorf("%s: rule %d violated %d times: %s", name, v.Rule, v.Violations, v.Reason)
+			}
+			if v.Violations > 0 && (v.Record == 0 || v.Party == "" || v.Reason == "") {
+				t.Errorf("%s: rule %d has no details: %+v", name, v.Rule, v)
+			}
+		}
+	}
+}
+
+func TestServiceFigures(t *testing.T) {
+	done := func(rpc uint64, method int, text string, x float64) trace.Record {
+		return trace.Record{T: 5, Kind: trace.End, Who: "f0", RPC: rpc, Method: method, Text: text, X: x}
+	}
+	r, err := Check(joinedProxy(attempt(2, 1, 1, 0, ""), attempt(2, 1, 2, 1, ""), attempt(2, 1, 9, 1, ""), done(1, 0, "ok", 0.5), done(2, 1, "ok", 1.5), done(3, 1, "ok", 1),
+		done(4, 0, "pushed back", 0), done(5, 0, "aborted", 2)), limits)
+	if s := r.Service; err != nil || s.Offered != 7 || s.InTime != 3 || s.OK != 3 || s.Late != 1 || s.Rejected != 1 || s.Aborted != 1 || s.Unfinished != 1 || s.Share() != 3.0/7 {
+		t.Fatalf("%+v %v", r.Service, err)
+	}
+}
+
+func TestMalformedTracesAreRejected(t *testing.T) {
+	for name, test := range map[string]struct {
+		want    error
+		records []trace.Record
+	}{
+		"time runs back":     {ErrTimeOrder, []trace.Record{endOfRun(5), endOfRun(4)}},
+		"unknown kind":       {ErrUnknownKind, []trace.Record{{T: 1, Kind: "x"}}},
+		"malformed endpoint": {ErrBadEndpoint, []trace.Record{endpointUpdate(1, "full 1:o")}},
+		"unknown operation":  {ErrBadOperation, []trace.Record{apply(1, "bend 0 1")}},
+		"no number":          {ErrBadOperation, []trace.Record{apply(1, "bind x")}},
+		"no methods":         {ErrBadOperation, []trace.Record{apply(1, "bind 0")}},
+		"malformed methods":  {ErrBadOperation, []trace.Record{apply(1, "bind 0 x")}},
+		"malformed weight":   {ErrBadOperation, []trace.Record{apply(1, "bind 0 0 1:x")}},
+	} {
+		if _, err := Check(test.records, limits); !errors.Is(err, test.want) {
+			t.Errorf("%s: got error %v, want %v", name, err, test.want)
+		}
+	}
+}
