--- /dev/null
+++ b/internal/scenario/coordinator_kills.go
@@ -0,0 +1,41 @@
+package scenario
+
+import (
+	"cmp"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+
+	"gingerfork/internal/bootstrap"
+)
+
+// killStream separates the random numbers of added kills from others of the same seed.
+const killStream = 3
+
+// Bounds of the added kills, in seconds.
+const (
+	killMargin = 3.0 // from the start and the end of the scenario
+	minDown    = 0.5
+	downRange  = 1.0
+)
+
+// AddCoordinatorKills adds kills of coordinators at times drawn from the scenario's seed. Each coordinator starts again after
+// half a second to one and a half, from what its store had kept.
+func (s *Scenario) AddCoordinatorKills(count int) {
+	if s.Coordinators == 0 {
+		return
+	}
+	random := rand.New(rand.NewPCG(s.Seed, killStream))
+	for range count {
+		at := killMargin + random.Float64()*max(0, s.Duration-2*killMargin)
+		index := random.IntN(s.Coordinators)
+		down := minDown + downRange*random.Float64()
+		words := strings.Fields(fmt.Sprintf("at %.0fms kill coordinators number %d for %.0fms", 1e3*at, index, 1e3*down))
+		s.Steps = append(s.Steps, Step{
+			Source: bootstrap.Line{File: "kills", No: 1, Words: words}, At: at, Verb: VerbKill, Target: TargetCoordinators,
+			Selector: Selector{Indexes: []int{index}}, Duration: down, Deploy: defaultDeploy,
+		})
+	}
+	slices.SortStableFunc(s.Steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
+}
--- a/internal/scenario/kills_test.go
+++ b/internal/scenario/coordinator_kills_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// Coordinators die outright twenty times in a deploy, with what their stores had not synced there or not by the sector: every
-// one opens its store again, and the rules are kept.
-func TestDeployWithKills(t *testing.T) {
+// Coordinators are killed twenty times during a deploy, each time with any part of the unsynced sectors of their stores lost:
+// every one opens its store again, and the rules are kept.
+func TestDeployWithCoordinatorKills(t *testing.T) {
 	for seed := range uint64(4) {
-		d := day(t, "deploy")
+		d := builtinScenario(t, "deploy")
 		d.Seed = seed + 1
 		d.AddCoordinatorKills(20)
 		r, err := PlayVirtual(d, Options{})
--- a/internal/scenario/emulate.go
+++ b/internal/scenario/emulate.go
@@ -4,257 +4,213 @@
 	"context"
 	"errors"
 	"fmt"
-	"slices"
-	"strings"
-	"sync"
-	"time"
 
 	"gingerfork/internal/bootstrap"
 	"gingerfork/internal/emulator"
 	"gingerfork/internal/eventloop"
 	"gingerfork/internal/fake"
-	"gingerfork/internal/simnet"
-	"gingerfork/internal/statemachine"
 	"gingerfork/internal/trace"
 )
 
-// Emulation is a day's servers and list service on the loopback address, for coordinators and proxies of one's own. It
-// may be spread over processes: each plays its part of the servers, the first one the list service, too.
+// Ports that an emulated fleet may use.
+const (
+	minPort = 1024
+	maxPort = 65535
+)
+
+// ErrLoopEnded is returned by Emulation.Run when an event loop ended by itself.
+var ErrLoopEnded = errors.New("a part of the fleet ended by itself")
+
+// PortRangeError is returned by Emulation.Check when the fleet's ports would leave the permitted range.
+type PortRangeError struct {
+	Port     int // of the endpoint list service
+	Backends int
+}
+
+func (e *PortRangeError) Error() string {
+	return fmt.Sprintf("ports from %d on do not hold a list service and %d servers", e.Port, e.Backends)
+}
+
+// NoPartError is returned by Emulation.Check when the part to play is not one of the parts.
+type NoPartError struct {
+	Part, Parts int
+}
+
+func (e *NoPartError) Error() string {
+	return fmt.Sprintf("part %d of %d does not exist", e.Part, e.Parts)
+}
+
+// Emulation is a scenario's backends and endpoint list service on the loopback address, for coordinators and proxies that the
+// user runs. It may be spread over processes: each plays a part of the backends, the first one the endpoint list service, too.
 type Emulation struct {
 	Scenario    *Scenario
-	Port        int                  // of the list service; servers have those behind it
+	Port        int                  // of the endpoint list service; backends have those behind it
 	Part, Parts int                  // from 1; 0: all in this process
-	EventLoops  int                  // that carry the servers; 0: one
-	OnTally     func(emulator.Tally) // of each second
-	OnStep      func(text string)    // what the script does
+	EventLoops  int                  // that the backends are spread over; 0: one
+	OnTally     func(emulator.Tally) // is called with the figures of each second
+	OnStep      func(text string)    // is called with each step
 	Trace       func([]trace.Record)
 }
 
-// ListAddr is where the list service listens.
-func (e Emulation) ListAddr() string { return fmt.Sprintf("127.0.0.1:%d", e.Port) }
+// ListAddr is where the endpoint list service listens.
+func (e Emulation) ListAddr() string { return loopbackAddress(e.Port) }
 
-// Addr is where a server listens.
-func (e Emulation) Addr(server int) string { return fmt.Sprintf("127.0.0.1:%d", e.Port+1+server) }
+// Addr is where a backend listens.
+func (e Emulation) Addr(backend int) string { return loopbackAddress(e.Port + 1 + backend) }
 
-// elsewhere are the verbs that need more than servers and a list: links, coordinators, front ends.
-func elsewhere(a Step) bool {
-	switch a.Target {
-	case "servers":
-		return a.Verb == "cut" || a.Verb == "silence" || a.FlapMode == "silence"
-	case "zone":
-		return a.Verb != "lose"
-	case "list":
-		return a.Verb == "cut"
+// needsMoreThanFleet tells whether a step needs links, coordinators or proxies, which an emulated fleet does not have.
+func needsMoreThanFleet(step Step) bool {
+	switch step.Target {
+	case TargetBackends:
+		return step.Verb == VerbPartition || step.Verb == VerbIsolate || step.FlapMode == FlapIsolate
+	case TargetZone:
+		return step.Verb != VerbLoseZone
+	case TargetList:
+		return step.Verb == VerbPartition
 	}
 	return true
 }
 
-// Check tells which lines of a day can't be emulated without the rest of it, and what else is wrong.
+// Check returns a bootstrap.Faults with the steps that cannot be emulated, a *PortRangeError or a *NoPartError.
 func (e Emulation) Check() error {
 	var faults bootstrap.Faults
-	for _, a := range e.Scenario.Steps {
-		if elsewhere(a) {
-			faults = append(faults, a.Source.Fault("%s %s is not in an emulated fleet's hands: play the day by rehearse, or take the line out", a.Verb, a.Target))
+	for _, step := range e.Scenario.Steps {
+		if needsMoreThanFleet(step) {
+			faults = append(faults, step.Source.Fault(
+				"%s %s is not in an emulated fleet's hands: play the day by rehearse, or take the line out", step.Verb, step.Target))
 		}
 	}
-	n := 0
-	for _, g := range e.Scenario.Backends {
-		n += g.Count
-	}
-	switch {
-	case len(faults) > 0:
+	if len(faults) > 0 {
 		return faults.Err()
-	case e.Port < 1024 || e.Port+n > 65535:
-		return fmt.Errorf("ports from %d on do not hold a list service and %d servers", e.Port, n)
-	case e.Parts < 0 || e.Part > e.Parts || e.Parts > 0 && e.Part < 1:
-		return fmt.Errorf("part %d of %d does not exist", e.Part, e.Parts)
+	}
+	backends := 0
+	for _, group := range e.Scenario.Backends {
+		backends += group.Count
+	}
+	if e.Port < minPort || e.Port+backends > maxPort {
+		return &PortRangeError{Port: e.Port, Backends: backends}
+	}
+	if e.Parts < 0 || e.Part > e.Parts || e.Parts > 0 && e.Part < 1 {
+		return &NoPartError{Part: e.Part, Parts: e.Parts}
 	}
 	return nil
 }
 
-// emulation is the stage on which it plays.
-type emulation struct {
-	Emulation
-	cast    *cast
-	clock   *eventloop.Clock
-	owner   map[string]*eventloop.Loop // by server
-	list    *eventloop.Loop
-	due     []timed
-	mu      sync.Mutex
-	seconds map[int]emulator.Tally
-	parts   map[int]int
-}
-
-// Run plays it until the day or ctx ends.
+// Run plays the emulation until the scenario or ctx ends.
 func (e Emulation) Run(ctx context.Context) (err error) {
 	if err := e.Check(); err != nil {
 		return err
 	}
-	c := newCast(e.Scenario)
-	s := &emulation{Emulation: e, cast: c, clock: eventloop.NewClock(), owner: map[string]*eventloop.Loop{}, seconds: map[int]emulator.Tally{}, parts: map[int]int{}}
-	c.stage = s
-	c.record = func(r trace.Record) {
-		if e.Trace != nil {
-			e.Trace([]trace.Record{r})
-		}
-		if r.Kind == trace.Trouble && e.OnStep != nil {
-			e.OnStep(r.Text)
-		}
-	}
-	inner, cancel := context.WithCancel(context.Background())
-	var loops []*eventloop.Loop
+	running := newEmulation(e)
+	loopContext, cancel := context.WithCancel(context.Background())
 	defer func() {
 		cancel()
-		for _, l := range loops {
-			if bad := l.Wait(); err == nil && bad != nil {
-				err = fmt.Errorf("emulate: %w", bad)
+		for _, loop := range running.loops {
+			if waitErr := loop.Wait(); err == nil && waitErr != nil {
+				err = fmt.Errorf("emulate: %w", waitErr)
 			}
 		}
 	}()
-	var mine []*actor
-	for i, a := range c.servers {
-		if e.Parts == 0 || i%e.Parts == e.Part-1 {
-			mine = append(mine, a)
-		}
-	}
-	n := min(max(1, e.EventLoops), max(1, len(mine)))
-	store := c.store()
-	for k := range n {
-		fleet := emulator.NewFleet(func(t emulator.Tally) { s.tally(n, t) })
-		b := eventloop.Bootstrap{Machine: fleet, Clock: s.clock, Trace: e.Trace}
-		var names []string
-		for i, a := range mine {
-			if i%n != k {
-				continue
-			}
-			t := c.trade(a, store)
-			if n > 1 || e.Parts > 1 {
-				t.Ledger = nil
-				t.Store = &emulator.Store{Group: e.Scenario.IdempotencyScope, Window: store.Window} // what one loop or process owns, another can't see
-			}
-			fleet.Add(a.name, t)
-			b.Listen = append(b.Listen, e.Addr(a.at))
-			names = append(names, a.name)
-		}
-		if len(names) == 0 {
-			continue
-		}
-		l, err := eventloop.Start(inner, b)
-		if err != nil {
-			return fmt.Errorf("emulate servers: %w", err)
-		}
-		loops = append(loops, l)
-		for _, name := range names {
-			s.owner[name] = l
-		}
-	}
-	if e.Part <= 1 {
-		list := fake.NewList(c.listings(func(a *actor) string { return e.Addr(a.at) }))
-		if s.list, err = eventloop.Start(inner, eventloop.Bootstrap{Machine: list, Listen: []string{e.ListAddr()}, Clock: s.clock}); err != nil {
-			return fmt.Errorf("emulate the list service: %w", err)
-		}
-		loops = append(loops, s.list)
+	if err := running.startBackends(loopContext); err != nil {
+		return err
 	}
-	c.begin = s.clock.Now()
-	for _, a := range c.servers {
-		a.up, a.lives = true, 1
+	if err := running.startEndpointService(loopContext); err != nil {
+		return err
 	}
-	for _, a := range e.Scenario.Steps {
-		s.At(c.begin+a.At, func() { c.act(a) })
+	p := running.player
+	p.startTime = running.clock.Now()
+	for _, backend := range p.backends {
+		backend.up, backend.incarnations = true, 1
 	}
-	return s.run(ctx, c.begin+e.Scenario.Duration, loops)
+	p.scheduleSteps()
+	return running.run(ctx, p.startTime+e.Scenario.Duration)
 }
 
-// tally gathers the loops' figures of a second.
-func (s *emulation) tally(n int, t emulator.Tally) {
-	if s.OnTally == nil {
-		return
+func newEmulation(e Emulation) *emulation {
+	running := &emulation{
+		Emulation: e, player: newPlayer(e.Scenario), clock: eventloop.NewClock(), owner: map[string]*eventloop.Loop{},
+		tallies: map[int]pendingTally{},
 	}
-	s.mu.Lock()
-	at := int(t.T + 0.5)
-	sum := t
-	if s.parts[at] > 0 {
-		sum = s.seconds[at].Sum(t)
-	}
-	s.seconds[at] = sum
-	s.parts[at]++
-	whole := s.parts[at] == n
-	if whole {
-		delete(s.seconds, at)
-		delete(s.parts, at)
+	running.player.env, running.player.record = running, running.addRecord
+	return running
+}
+
+func (e *emulation) addRecord(record trace.Record) {
+	if e.Trace != nil {
+		e.Trace([]trace.Record{record})
 	}
-	s.mu.Unlock()
-	if whole {
-		s.OnTally(sum)
+	if record.Kind == trace.Trouble && e.OnStep != nil {
+		e.OnStep(record.Text)
 	}
 }
 
-func (s *emulation) run(ctx context.Context, until statemachine.Seconds, loops []*eventloop.Loop) error {
-	failed := make(chan struct{})
-	var once sync.Once
-	var watch sync.WaitGroup
-	over := make(chan struct{})
-	defer watch.Wait()
-	defer close(over)
-	for _, l := range loops {
-		watch.Add(1)
-		go func() {
-			defer watch.Done()
-			select {
-			case <-l.Done():
-				once.Do(func() { close(failed) })
-			case <-over:
-			}
-		}()
-	}
-	for {
-		now := s.clock.Now()
-		if now >= until {
-			return nil
+// ownBackends are the backends of this process's part.
+func (e *emulation) ownBackends() []*participant {
+	var own []*participant
+	for i, backend := range e.player.backends {
+		if e.Parts == 0 || i%e.Parts == e.Part-1 {
+			own = append(own, backend)
 		}
-		next, at := until, -1
-		for i, t := range s.due {
-			if t.at < next {
-				next, at = t.at, i
-			}
+	}
+	return own
+}
+
+// startBackends spreads the backends of this part over event loops.
+func (e *emulation) startBackends(ctx context.Context) error {
+	own := e.ownBackends()
+	e.loopCount = min(max(1, e.EventLoops), max(1, len(own)))
+	store := e.player.newIdempotencyStore()
+	for number := range e.loopCount {
+		var share []*participant
+		for i := number; i < len(own); i += e.loopCount {
+			share = append(share, own[i])
 		}
-		if at >= 0 && next <= now {
-			do := s.due[at].do
-			s.due = slices.Delete(s.due, at, at+1)
-			do()
+		if len(share) == 0 {
 			continue
 		}
-		select {
-		case <-ctx.Done():
-			return nil
-		case <-failed:
-			return errors.New("a part of the fleet ended by itself")
-		case <-time.After(time.Duration(max(0, next-now) * 1e9)):
+		if err := e.startLoop(ctx, share, store); err != nil {
+			return err
 		}
 	}
+	return nil
 }
 
-func (s *emulation) Now() statemachine.Seconds { return s.clock.Now() }
-
-func (s *emulation) At(at statemachine.Seconds, do func()) { s.due = append(s.due, timed{at, do}) }
-
-func (s *emulation) Start(name string) { s.Tell(name, "start") }
-
-func (s *emulation) Kill(name string) { s.Tell(name, "kill") }
-
-func (s *emulation) Stall(string, statemachine.Seconds) {}
-
-func (s *emulation) Hinder(string, simnet.Hindrance, func(a, b string) bool) {}
-
-func (s *emulation) Clear(string) {}
-
-func (s *emulation) Reset(func(a, b string) bool) {}
+// startLoop starts an event loop with some backends.
+func (e *emulation) startLoop(ctx context.Context, backends []*participant, store *emulator.Store) error {
+	fleet := emulator.NewFleet(e.addTally)
+	config := eventloop.Bootstrap{Machine: fleet, Clock: e.clock, Trace: e.Trace}
+	for _, backend := range backends {
+		backendConfig := e.player.backendConfig(backend, store)
+		if e.loopCount > 1 || e.Parts > 1 {
+			// What belongs to one loop or process cannot be seen by another.
+			backendConfig.Ledger = nil
+			backendConfig.Store = &emulator.Store{Group: e.Scenario.IdempotencyScope, Window: store.Window}
+		}
+		fleet.Add(backend.name, backendConfig)
+		config.Listen = append(config.Listen, e.Addr(backend.index))
+	}
+	loop, err := eventloop.Start(ctx, config)
+	if err != nil {
+		return fmt.Errorf("emulate servers: %w", err)
+	}
+	e.loops = append(e.loops, loop)
+	for _, backend := range backends {
+		e.owner[backend.name] = loop
+	}
+	return nil
+}
 
-func (s *emulation) Tell(name, text string) {
-	switch l := s.owner[name]; {
-	case name == "list" && s.list != nil:
-		s.list.Tell(text)
-	case l != nil:
-		l.Tell(name + " " + strings.TrimSpace(text))
+// startEndpointService starts the endpoint list service, in the first part.
+func (e *emulation) startEndpointService(ctx context.Context) error {
+	if e.Part > 1 {
+		return nil
+	}
+	list := fake.NewList(e.player.initialEndpoints(func(backend *participant) string { return e.Addr(backend.index) }))
+	loop, err := eventloop.Start(ctx, eventloop.Bootstrap{Machine: list, Listen: []string{e.ListAddr()}, Clock: e.clock})
+	if err != nil {
+		return fmt.Errorf("emulate the list service: %w", err)
 	}
+	e.endpointService = loop
+	e.loops = append(e.loops, loop)
+	return nil
 }
--- /dev/null
+++ b/internal/scenario/read_groups.go
@@ -0,0 +1,167 @@
+package scenario
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+
+	"gingerfork/internal/bootstrap"
+	"gingerfork/internal/emulator"
+	"gingerfork/internal/traffic"
+)
+
+// Bounds of numbers in scripts.
+const (
+	maxGroupSize     = 100000
+	maxCount         = 1e6
+	maxWorkers       = 10000
+	maxRateVariation = 10
+	maxClientRetries = 100
+)
+
+// backendPolicies are the ways in which proxies choose among the backends of a table.
+var backendPolicies = []string{"even", "lottery", "pair", "report"}
+
+var cancelModes = []namedValue[emulator.GiveUp]{
+	{"runs-on", emulator.RunsOn}, {"skips-wait", emulator.SkipsWait}, {"stops", emulator.Stops},
+}
+
+var idempotencyScopes = []namedValue[emulator.Group]{
+	{"all", emulator.All}, {"zone", emulator.ByZone}, {"cell", emulator.ByCell}, {"server", emulator.Each},
+}
+
+// readClients reads: clients again SHARE after TIME at-most N.
+func (s *Scenario) readClients(words []string) error {
+	s.ClientRetryDelay, s.ClientRetryMax = 0.1, 2
+	return parseOptions(words,
+		shareOption("again", &s.ClientRetryShare),
+		durationOption("after", &s.ClientRetryDelay),
+		integerOption("at-most", &s.ClientRetryMax, 1, maxClientRetries),
+	)
+}
+
+// readTraffic reads: traffic wave SHARE over TIME bursts SHARE every TIME lasting TIME keys N zipf X.
+func (s *Scenario) readTraffic(words []string) error {
+	keys, exponent := 0, 1.0
+	err := parseOptions(words,
+		shareOption("wave", &s.Shape.Swing),
+		durationOption("over", &s.Shape.Day),
+		valueOption("bursts", &s.Shape.Height, ParsePercent),
+		durationOption("every", &s.Shape.Every),
+		durationOption("lasting", &s.Shape.Lasts),
+		integerOption("keys", &keys, 1, maxCount),
+		numberOption("zipf", &exponent),
+	)
+	if err != nil {
+		return err
+	}
+	if keys > 0 {
+		if s.Keys, err = traffic.NewZipf(keys, exponent); err != nil {
+			return err
+		}
+	}
+	if s.Shape.Height > 0 && s.Shape.Every == 0 {
+		return errors.New("bursts need every and a time")
+	}
+	return s.Shape.Check()
+}
+
+// readBackends reads: servers N and the group's options.
+func (s *Scenario) readBackends(words []string) error {
+	group := BackendGroup{Kind: "std", Workers: 2, Queue: 30, Weight: 1, Capacity: 20, CancelMode: emulator.SkipsWait}
+	if len(words) == 0 {
+		return errors.New("servers takes their number")
+	}
+	var err error
+	if group.Count, err = bootstrap.Whole(words[0], 1, maxGroupSize); err != nil {
+		return err
+	}
+	err = parseOptions(words[1:],
+		textOption("zone", &group.Zone),
+		textOption("kind", &group.Kind),
+		numberOption("capacity", &group.Capacity),
+		integerOption("workers", &group.Workers, 1, maxWorkers),
+		integerOption("queue", &group.Queue, 0, maxCount),
+		numberOption("weight", &group.Weight),
+		valueOption("work", &group.Work, func(value string) (emulator.Work, error) { return emulator.ParseWork(value, 1) }),
+		valueOption("give-up", &group.CancelMode, func(value string) (emulator.GiveUp, error) { return parseChoice(value, cancelModes) }),
+		integerOption("cell", &group.Cell, 0, maxCount),
+		integerOption("connections", &group.MaxConnections, 0, maxCount),
+		option{"reports", func(value string) (err error) {
+			group.Reports = true
+			group.ReportDelay, err = bootstrap.Duration(value)
+			return err
+		}},
+		shareOption("noise", &group.ReportNoise),
+		integerOption("memory", &group.CacheKeys, 0, maxCount),
+		shareOption("saves", &group.CacheSaving),
+	)
+	if err != nil {
+		return err
+	}
+	s.Backends = append(s.Backends, group)
+	return nil
+}
+
+// readProxies reads: frontends N and the group's options.
+func (s *Scenario) readProxies(words []string) error {
+	group := ProxyGroup{Rate: 10}
+	if len(words) == 0 {
+		return errors.New("frontends takes their number")
+	}
+	var err error
+	if group.Count, err = bootstrap.Whole(words[0], 1, maxGroupSize); err != nil {
+		return err
+	}
+	err = parseOptions(words[1:],
+		textOption("zone", &group.Zone),
+		numberOption("rate", &group.Rate),
+		valueOption("uneven", &group.RateVariation, parseRateVariation),
+		valueOption("pick", &group.BackendPolicy, parseBackendPolicy),
+	)
+	if err != nil {
+		return err
+	}
+	s.Proxies = append(s.Proxies, group)
+	return nil
+}
+
+func parseRateVariation(value string) (float64, error) {
+	variation, err := bootstrap.Number(value)
+	if err == nil && variation > maxRateVariation {
+		err = fmt.Errorf("%v is more than %d", variation, maxRateVariation)
+	}
+	return variation, err
+}
+
+func parseBackendPolicy(value string) (string, error) {
+	if !slices.Contains(backendPolicies, value) {
+		return "", fmt.Errorf("%q is none of even, lottery, pair, report", value)
+	}
+	return value, nil
+}
+
+// readMethodMix reads: mix SHARE..., one share for each method of the settings.
+func (s *Scenario) readMethodMix(words []string) error {
+	for _, word := range words {
+		share, err := bootstrap.Share(word)
+		if err != nil {
+			return err
+		}
+		s.MethodMix = append(s.MethodMix, share)
+	}
+	return nil
+}
+
+// readLatency reads: latency TIME TIME.
+func (s *Scenario) readLatency(words []string) error {
+	if len(words) != 2 {
+		return errors.New("latency takes two times, within and between zones")
+	}
+	var err error
+	if s.ZoneLatency, err = bootstrap.Duration(words[0]); err != nil {
+		return err
+	}
+	s.CrossZoneLatency, err = bootstrap.Duration(words[1])
+	return err
+}
--- /dev/null
+++ b/internal/scenario/read_step.go
@@ -0,0 +1,176 @@
+package scenario
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+
+	"gingerfork/internal/bootstrap"
+)
+
+// stepOptions are the words of a step that take a value.
+var stepOptions = map[string]func(step *Step, value string) error{
+	"by":     textOf(func(step *Step) *string { return &step.Argument }),
+	"with":   (*Step).readFlapMode,
+	"for":    durationOf(func(step *Step) *float64 { return &step.Duration }),
+	"drain":  durationOf(func(step *Step) *float64 { return &step.Deploy.Drain }),
+	"down":   durationOf(func(step *Step) *float64 { return &step.Deploy.Down }),
+	"every":  (*Step).readDeployInterval,
+	"zone":   textOf(func(step *Step) *string { return &step.Selector.Zone }),
+	"kind":   textOf(func(step *Step) *string { return &step.Selector.Kind }),
+	"number": (*Step).readIndexes,
+}
+
+// textOf reads an option as the text of a field.
+func textOf(field func(*Step) *string) func(*Step, string) error {
+	return func(step *Step, value string) error {
+		*field(step) = value
+		return nil
+	}
+}
+
+// durationOf reads an option as a time, into a field.
+func durationOf(field func(*Step) *float64) func(*Step, string) error {
+	return func(step *Step, value string) error { return readDuration(field(step), value) }
+}
+
+// readStep reads: at TIME VERB TARGET [SELECTOR] [by X] [for TIME] [with MODE] [drain TIME] [down TIME] [every TIME].
+func readStep(line bootstrap.Line) (Step, error) {
+	step := Step{Source: line, Deploy: defaultDeploy}
+	words := line.Words
+	if len(words) < 4 {
+		return step, errors.New("at takes a time, what happens and to whom (such as: at 10s kill servers 2 for 5s)")
+	}
+	if err := readDuration(&step.At, words[1]); err != nil {
+		return step, err
+	}
+	step.Verb, step.Target = Verb(words[2]), Target(words[3])
+	spec, known := verbSpecs[step.Verb]
+	if !known {
+		return step, fmt.Errorf("%s is nothing that can happen%s", step.Verb, suggestion(words[2], Verbs()))
+	}
+	if !slices.Contains(spec.targets, step.Target) {
+		return step, fmt.Errorf("%s happens to %s, not to %s", step.Verb, joinTargets(spec.targets), step.Target)
+	}
+	if err := step.readOptions(words[4:]); err != nil {
+		return step, err
+	}
+	return step, step.complete(spec)
+}
+
+func joinTargets(targets []Target) string {
+	names := make([]string, 0, len(targets))
+	for _, target := range targets {
+		names = append(names, string(target))
+	}
+	return strings.Join(names, " or ")
+}
+
+func readDuration(into *float64, value string) (err error) {
+	*into, err = bootstrap.Duration(value)
+	return err
+}
+
+func (s *Step) readOptions(words []string) error {
+	for len(words) > 0 {
+		read, takesValue := stepOptions[words[0]]
+		if !takesValue {
+			if err := s.readSelector(words[0]); err != nil {
+				return err
+			}
+			words = words[1:]
+			continue
+		}
+		if len(words) < 2 {
+			return fmt.Errorf("%s has no value", words[0])
+		}
+		if err := read(s, words[1]); err != nil {
+			return err
+		}
+		words = words[2:]
+	}
+	return nil
+}
+
+// readSelector reads a word that says which parties are meant: all, a share, a zone or a number.
+func (s *Step) readSelector(word string) (err error) {
+	switch {
+	case word == "all": // as without any selector
+	case strings.HasSuffix(word, "%"):
+		s.Selector.Share, err = bootstrap.Share(word)
+	case s.Target == TargetZone:
+		s.Selector.Zone = word
+	default:
+		s.Selector.Count, err = bootstrap.Whole(word, 1, maxCount)
+	}
+	return err
+}
+
+func (s *Step) readFlapMode(value string) error {
+	s.FlapMode = FlapMode(value)
+	if s.Verb != VerbFlap || !slices.Contains(flapModes, s.FlapMode) {
+		return fmt.Errorf("with %s: only a flap takes with, and one of crash, silence, hang, fast", value)
+	}
+	return nil
+}
+
+func (s *Step) readDeployInterval(value string) error {
+	s.Deploy.IntervalGiven = true
+	return readDuration(&s.Deploy.Interval, value)
+}
+
+func (s *Step) readIndexes(value string) error {
+	for _, word := range strings.Split(value, ",") {
+		index, err := bootstrap.Whole(word, 0, maxCount)
+		if err != nil {
+			return err
+		}
+		s.Selector.Indexes = append(s.Selector.Indexes, index)
+	}
+	return nil
+}
+
+// complete checks the argument and the duration against what the verb needs.
+func (s *Step) complete(spec verbSpec) error {
+	if spec.argument != noArgument && s.Argument == "" {
+		return fmt.Errorf("%s needs by and a %s", s.Verb, spec.argument)
+	}
+	err := s.readArgument(spec.argument)
+	if spec.needsDuration && s.Duration == 0 {
+		return fmt.Errorf("%s needs for and a time", s.Verb)
+	}
+	return err
+}
+
+// readArgument reads the argument as the number that its kind says, if it is one.
+func (s *Step) readArgument(kind argumentKind) (err error) {
+	switch kind {
+	case noArgument:
+		if s.Argument != "" {
+			return fmt.Errorf("%s takes no by", s.Verb)
+		}
+	case shareArgument:
+		parse := bootstrap.Share
+		if s.Verb == VerbLoad {
+			parse = ParsePercent
+		}
+		s.Value, err = parse(s.Argument)
+		s.Argument = formatNumber(s.Value)
+	case timeArgument:
+		s.Value, err = bootstrap.Duration(s.Argument)
+		s.Argument = formatNumber(s.Value)
+	case factorArgument:
+		s.Value, err = bootstrap.Number(s.Argument)
+		if err == nil && s.Value <= 0 {
+			return fmt.Errorf("by %s is no factor above 0", s.Argument)
+		}
+	case integerArgument:
+		_, err = bootstrap.Whole(s.Argument, 0, maxCount)
+	case methodArgument, coordinatorArgument: // names; the method is compared with the settings later
+	}
+	return err
+}
+
+func formatNumber(value float64) string { return strconv.FormatFloat(value, 'g', -1, 64) }
--- /dev/null
+++ b/internal/scenario/relay.go
@@ -0,0 +1,119 @@
+package scenario
+
+import (
+	"fmt"
+	"slices"
+
+	"gingerfork/internal/eventloop"
+	"gingerfork/internal/fake"
+	"gingerfork/internal/simnet"
+)
+
+// unreachableAddress is an address on which nothing listens.
+const unreachableAddress = "127.0.0.1:1"
+
+// linkFault is a fault of the links that match.
+type linkFault struct {
+	name  string
+	fault simnet.Hindrance
+	match linkMatch
+}
+
+// matches tells whether the fault is one of a link, in either direction.
+func (f linkFault) matches(a, b string) bool { return f.match(a, b) || f.match(b, a) }
+
+// relay takes the connections of one participant to all others, on an address for each.
+type relay struct {
+	loop         *eventloop.Loop
+	targets      []string // names
+	addresses    []string // by target
+	lastCommands []string // by target
+}
+
+// address is where the relay takes connections to a target.
+func (r *relay) address(target string) string {
+	if i := slices.Index(r.targets, target); i >= 0 {
+		return r.addresses[i]
+	}
+	return unreachableAddress
+}
+
+// startRelay starts the relay of a participant.
+func (s *sockets) startRelay(name string, targets []string) (*relay, error) {
+	started := &relay{targets: targets, lastCommands: make([]string, len(targets))}
+	to, listen := make([]string, 0, len(targets)), make([]string, 0, len(targets))
+	for _, target := range targets {
+		to = append(to, s.nodes[target].addr)
+		listen = append(listen, loopbackAddress(0))
+	}
+	loop, err := eventloop.Start(s.ctx, eventloop.Bootstrap{Machine: fake.NewRelay(to...), Listen: listen, Clock: s.clock})
+	if err != nil {
+		return nil, fmt.Errorf("start the relay of %s: %w", name, err)
+	}
+	started.loop, started.addresses = loop, loop.Addrs()
+	s.relays[name] = started
+	return started, nil
+}
+
+// Clear removes the link faults of a name.
+func (s *sockets) Clear(name string) {
+	s.linkFaults = slices.DeleteFunc(s.linkFaults, func(f linkFault) bool { return f.name == name })
+	s.applyLinkFaults()
+}
+
+// Reset closes the connections on the links that match.
+func (s *sockets) Reset(match linkMatch) {
+	all := linkFault{match: match}
+	for of, r := range s.relays {
+		for i, to := range r.targets {
+			if all.matches(of, to) {
+				r.loop.Tell(fmt.Sprintf("reset %d", i))
+			}
+		}
+	}
+}
+
+// applyLinkFaults tells each relay the faults of its links, where they changed.
+func (s *sockets) applyLinkFaults() {
+	for of, r := range s.relays {
+		for i, to := range r.targets {
+			r.setFault(i, s.combinedFault(of, to))
+		}
+	}
+}
+
+// combinedFault is the sum of all faults of a link.
+func (s *sockets) combinedFault(a, b string) simnet.Hindrance {
+	var sum simnet.Hindrance
+	for _, f := range s.linkFaults {
+		if !f.matches(a, b) {
+			continue
+		}
+		sum.Cut = sum.Cut || f.fault.Cut
+		sum.Drop = sum.Drop || f.fault.Drop
+		sum.Delay += f.fault.Delay
+		if f.fault.Pace > 0 && (sum.Pace == 0 || f.fault.Pace < sum.Pace) {
+			sum.Pace = f.fault.Pace
+		}
+	}
+	return sum
+}
+
+// setFault tells the relay the fault of a link, unless it stands already. A relay starts without faults.
+func (r *relay) setFault(target int, fault simnet.Hindrance) {
+	command := fmt.Sprintf("set %d %d %d %g %g", target, digit(fault.Cut), digit(fault.Drop), fault.Delay, fault.Pace)
+	isFirst := r.lastCommands[target] == ""
+	if r.lastCommands[target] == command || isFirst && fault == (simnet.Hindrance{}) {
+		return
+	}
+	r.lastCommands[target] = command
+	r.loop.Tell(command)
+}
+
+// digit writes a flag as relays read it.
+func digit(flag bool) int {
+	if flag {
+		return 1
+	}
+	return 0
+}
