--- a/internal/invariant/coordinator.go
+++ b/internal/invariant/coordinator.go
@@ -49,7 +49,7 @@
 	uncertain map[uint32]bool // backends in updates that may or may not have arrived before that
 }
 
-// restartCoordinator applies the start of a new process: what its predecessor was told does not bind it from earlier on.
+// restartCoordinator applies the start of a new process: what its predecessor was notified of does not bind it from earlier on.
 func (c *checker) restartCoordinator(coord *coordinator, now float64) {
 	coord.pausedUntil, coord.delayed = 0, nil
 	for backend, e := range coord.endpoints {
@@ -200,7 +200,7 @@
 	}
 }
 
-// removeUnnamed marks the endpoints as gone that a full update does not name.
+// removeUnnamed sets the endpoints to gone that a full update does not name.
 func (v endpointView) removeUnnamed(named map[uint32]bool, now float64, onlyDraining bool) {
 	for backend, e := range v {
 		if named[backend] || e.state == stateGone {
--- a/internal/invariant/proxy.go
+++ b/internal/invariant/proxy.go
@@ -75,7 +75,7 @@
 
 // applyPush follows the table operations that a proxy put into effect. They stand in the trace as "bind TABLE METHODS
 // EP:W[!]... -EP...", "line TABLE EP:W[!]", "clear TABLE", "level TABLE METHODS LEVEL TRIES", "withdraw EP" and "readmit EP";
-// ! and - mark a backend that is excluded.
+// ! and - stand for a backend that is excluded.
 func (c *checker) applyPush(record trace.Record) error {
 	p := c.proxy(record.Who)
 	c.checkAvailability(record.Who, p, record.T)
--- a/internal/optimum/optimum_test.go
+++ b/internal/optimum/optimum_test.go
@@ -77,7 +77,7 @@
 	return demand, supply, methods
 }
 
-// bestBySearch tries all assignments of single RPCs to supplies.
+// bestBySearch searches all assignments of single RPCs to supplies.
 func bestBySearch(demand []Demand, supply []Supply, methods []Method) float64 {
 	left := make([]float64, len(supply))
 	for i := range supply {
--- a/internal/scenario/processes.go
+++ b/internal/scenario/processes.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// newProxy makes the next incarnation of a proxy. It tries the coordinators from its own index on.
+// newProxy makes the next incarnation of a proxy. It contacts the coordinators in order, from its own index on.
 func (p *player) newProxy(proxy *participant, coordinators []string) *fake.FrontEnd {
 	scenario, settings := p.scenario, p.scenario.decodedSettings()
 	order := make([]string, 0, len(coordinators))
--- a/internal/scenario/sockets_build.go
+++ b/internal/scenario/sockets_build.go
@@ -94,7 +94,7 @@
 	t.nameOf[address] = of.name
 }
 
-// newEndpointService makes the endpoint list service; each coordinator is told the addresses of its own relay.
+// newEndpointService makes the endpoint list service; each coordinator learns the addresses of its own relay.
 func (t *topology) newEndpointService() statemachine.Machine {
 	list := fake.NewList(t.player.initialEndpoints(func(backend *participant) string { return t.nodes[backend.name].addr }))
 	list.Via = func(watcher, address string) string {
