--- a/choice/backends.go
+++ b/choice/backends.go
@@ -83,8 +83,8 @@
 }
 
 // slot returns the index of a backend; one that is not known yet gets a free one.
-func (plan *Planner) slot(id BackendID) int {
-	i, known := plan.indexOf[id]
+func (plan *Planner) slot(backend BackendID) int {
+	i, known := plan.indexOf[backend]
 	if known {
 		return i
 	}
@@ -94,7 +94,7 @@
 		i = len(plan.id)
 		plan.addSlot()
 	}
-	plan.resetSlot(i, id)
+	plan.resetSlot(i, backend)
 	return i
 }
 
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -132,46 +132,46 @@
 
 // DecodeSettings decodes the flat form: names to numbers (float64, times in seconds), flags and words.
 func DecodeSettings(values map[string]any) Settings {
-	f := flatSettings(values)
-	s := Settings{
-		AskWithin:         f.number("ask_within"),
-		BareLimit:         f.number("bare_limit"),
-		ChannelPace:       f.number("channel_pace"),
-		ChannelRoom:       f.number("channel_room"),
-		ColdShare:         f.number("cold_share"),
-		Coordinators:      f.number("coordinators"),
-		CrossingPrice:     f.number("price.crossing"),
-		DrainGrace:        f.number("drain_grace"),
-		FallMultiple:      f.number("fall_multiple"),
-		FallWindow:        f.number("fall_window"),
-		FeedbackColumns:   f.words("Feedback.Columns"),
-		FeedbackSource:    f.word("Feedback.Source"),
-		Intake:            f.number("intake"),
-		LevelKind:         f.word("level_kind"),
-		Listing:           f.word("listing"),
-		MessageLines:      f.number("message_lines"),
-		Messages:          f.number("messages"),
-		MessagesSpan:      f.number("messages_span"),
-		OnlyDrainingBinds: f.flag("only_draining_binds"),
-		Pick:              f.word("pick"),
-		Probes:            f.flag("probes"),
-		Proxies:           f.number("proxies"),
-		PushTime:          f.number("push_time"),
-		PushTimeWorst:     f.number("push_time_worst"),
-		ReportPeriod:      f.number("report_period"),
-		Self:              f.number("self"),
-		Slices:            f.number("slices"),
-		Strikes:           f.number("strikes"),
-		Tick:              f.number("tick"),
-		TryWait:           f.number("try_wait"),
-		WarmAfter:         f.number("warm_after"),
-		Zone:              f.word("zone"),
-		Zones:             f.zones(),
+	flat := flatSettings(values)
+	settings := Settings{
+		AskWithin:         flat.number("ask_within"),
+		BareLimit:         flat.number("bare_limit"),
+		ChannelPace:       flat.number("channel_pace"),
+		ChannelRoom:       flat.number("channel_room"),
+		ColdShare:         flat.number("cold_share"),
+		Coordinators:      flat.number("coordinators"),
+		CrossingPrice:     flat.number("price.crossing"),
+		DrainGrace:        flat.number("drain_grace"),
+		FallMultiple:      flat.number("fall_multiple"),
+		FallWindow:        flat.number("fall_window"),
+		FeedbackColumns:   flat.words("Feedback.Columns"),
+		FeedbackSource:    flat.word("Feedback.Source"),
+		Intake:            flat.number("intake"),
+		LevelKind:         flat.word("level_kind"),
+		Listing:           flat.word("listing"),
+		MessageLines:      flat.number("message_lines"),
+		Messages:          flat.number("messages"),
+		MessagesSpan:      flat.number("messages_span"),
+		OnlyDrainingBinds: flat.flag("only_draining_binds"),
+		Pick:              flat.word("pick"),
+		Probes:            flat.flag("probes"),
+		Proxies:           flat.number("proxies"),
+		PushTime:          flat.number("push_time"),
+		PushTimeWorst:     flat.number("push_time_worst"),
+		ReportPeriod:      flat.number("report_period"),
+		Self:              flat.number("self"),
+		Slices:            flat.number("slices"),
+		Strikes:           flat.number("strikes"),
+		Tick:              flat.number("tick"),
+		TryWait:           flat.number("try_wait"),
+		WarmAfter:         flat.number("warm_after"),
+		Zone:              flat.word("zone"),
+		Zones:             flat.zones(),
 	}
-	for i := range int(f.number("method.n").Or(defaultMethods)) {
-		s.Methods = append(s.Methods, f.method(i))
+	for i := range int(flat.number("method.n").Or(defaultMethods)) {
+		settings.Methods = append(settings.Methods, flat.method(i))
 	}
-	return s
+	return settings
 }
 
 // Values of settings that a site's file leaves out.
@@ -221,31 +221,31 @@
 	WarmAfter         float64
 }
 
-func planSettingsOf(s Settings) planSettings {
+func planSettingsOf(settings Settings) planSettings {
 	return planSettings{
-		AskWithin:         s.AskWithin.Or(defaultAskWithin),
-		ChannelPace:       s.ChannelPace.Or(defaultChannelPace),
-		ChannelRoom:       s.ChannelRoom.Or(math.Inf(1)),
-		ColdShare:         s.ColdShare.Or(defaultColdShare),
-		CrossingPrice:     s.CrossingPrice.Or(0),
-		DrainGrace:        s.DrainGrace.Or(defaultDrainGrace),
-		FallMultiple:      s.FallMultiple.Or(defaultFallMultiple),
-		LevelKind:         s.LevelKind,
-		Listing:           s.Listing,
-		MessageLines:      s.MessageLines.Or(defaultMessageLines),
-		Messages:          s.Messages.Or(0),
-		MessagesSpan:      s.MessagesSpan.Or(defaultMessagesSpan),
-		Methods:           s.Methods,
-		OnlyDrainingBinds: s.OnlyDrainingBinds,
-		Pick:              s.Pick,
-		Probes:            s.Probes,
-		Proxies:           s.Proxies.Or(defaultProxies),
-		PushTime:          s.PushTime.Or(defaultPushTime),
-		PushTimeWorst:     s.PushTimeWorst.Or(defaultPushTimeWorst),
-		ReportPeriod:      s.ReportPeriod.Or(defaultReportPeriod),
-		Slices:            s.Slices.Or(0),
-		Strikes:           s.Strikes.Or(0),
-		TryWait:           s.TryWait.Or(defaultTryWait),
-		WarmAfter:         s.WarmAfter.Or(defaultWarmAfter),
+		AskWithin:         settings.AskWithin.Or(defaultAskWithin),
+		ChannelPace:       settings.ChannelPace.Or(defaultChannelPace),
+		ChannelRoom:       settings.ChannelRoom.Or(math.Inf(1)),
+		ColdShare:         settings.ColdShare.Or(defaultColdShare),
+		CrossingPrice:     settings.CrossingPrice.Or(0),
+		DrainGrace:        settings.DrainGrace.Or(defaultDrainGrace),
+		FallMultiple:      settings.FallMultiple.Or(defaultFallMultiple),
+		LevelKind:         settings.LevelKind,
+		Listing:           settings.Listing,
+		MessageLines:      settings.MessageLines.Or(defaultMessageLines),
+		Messages:          settings.Messages.Or(0),
+		MessagesSpan:      settings.MessagesSpan.Or(defaultMessagesSpan),
+		Methods:           settings.Methods,
+		OnlyDrainingBinds: settings.OnlyDrainingBinds,
+		Pick:              settings.Pick,
+		Probes:            settings.Probes,
+		Proxies:           settings.Proxies.Or(defaultProxies),
+		PushTime:          settings.PushTime.Or(defaultPushTime),
+		PushTimeWorst:     settings.PushTimeWorst.Or(defaultPushTimeWorst),
+		ReportPeriod:      settings.ReportPeriod.Or(defaultReportPeriod),
+		Slices:            settings.Slices.Or(0),
+		Strikes:           settings.Strikes.Or(0),
+		TryWait:           settings.TryWait.Or(defaultTryWait),
+		WarmAfter:         settings.WarmAfter.Or(defaultWarmAfter),
 	}
 }
--- a/cmd/gingerfork/standin.go
+++ b/cmd/gingerfork/standin.go
@@ -57,7 +57,7 @@
 	log.Info("stand-in started", "listen", strings.Join(l.Addrs(), " "))
 	go func() { // it ends with the process: nothing interrupts a read of standard input
 		for in := bufio.NewScanner(os.Stdin); in.Scan(); {
-			l.Tell(in.Text())
+			l.SendCommand(in.Text())
 		}
 	}()
 	return l.Wait()
@@ -80,20 +80,20 @@
 	if err != nil {
 		return err
 	}
-	t := emulator.Trade{
-		EP: c.EP, Cores: c.Workers, Speed: 1, Work: []emulator.Work{work}, QueueMost: c.Queue, GiveUp: emulator.SkipsWait,
-		Cold: c.Cold, ProbeWork: work.Mean / 10, ConnWork: work.Mean / 10, Seed: c.Seed, Store: &emulator.Store{},
+	t := emulator.Config{
+		Backend: c.EP, Cores: c.Workers, Speed: 1, Work: []emulator.Work{work}, QueueLimit: c.Queue, CancelPolicy: emulator.DropQueued,
+		StartsCold: c.Cold, ProbeWork: work.Mean / 10, ConnWork: work.Mean / 10, Seed: c.Seed, KeyStore: &emulator.KeyStore{},
 	}
 	if c.Settings != "" {
 		s, err := bootstrap.Read(c.Settings)
 		if err != nil {
 			return badError{err}
 		}
-		b := s.Coordinator(0)
-		t.ColdShare, t.WarmAfter = b.Settings.ColdShare.Or(1), b.Settings.WarmAfter.Or(0)
-		t.FallMultiple, t.FallWindow = b.Settings.FallMultiple.Or(0), b.Settings.FallWindow.Or(0)
+		b := s.CoordinatorConfig(0)
+		t.ColdSpeed, t.WarmupTime = b.Settings.ColdShare.Or(1), b.Settings.WarmAfter.Or(0)
+		t.OverloadMultiple, t.OverloadWindow = b.Settings.FallMultiple.Or(0), b.Settings.FallWindow.Or(0)
 	}
-	return c.run(ctx, p, fmt.Sprint("server-", c.EP), emulator.NewServer(t), c.Listen)
+	return c.run(ctx, p, fmt.Sprint("server-", c.EP), emulator.NewBackend(t), c.Listen)
 }
 
 type listCmd struct {
@@ -103,7 +103,7 @@
 }
 
 func (c listCmd) Run(ctx context.Context, p *program) error {
-	var all []fake.Listing
+	var all []fake.Endpoint
 	for _, s := range c.Servers {
 		f := strings.Split(s, ",")
 		if len(f) != 4 {
@@ -113,13 +113,13 @@
 		if err != nil {
 			return fmt.Errorf("server %q: %w", s, err)
 		}
-		w, err := bootstrap.Number(f[2])
+		w, err := bootstrap.ParseNumber(f[2])
 		if err != nil {
 			return fmt.Errorf("server %q: weight %w", s, err)
 		}
-		all = append(all, fake.Listing{EP: proto.EP(ep), State: proto.ServerOpen, Zone: f[1], Weight: w, Addr: f[3], Stamp: 1})
+		all = append(all, fake.Endpoint{Backend: proto.BackendID(ep), State: proto.BackendOpen, Zone: f[1], Weight: w, Addr: f[3], Incarnation: 1})
 	}
-	return c.run(ctx, p, "list", fake.NewList(all), c.Listen)
+	return c.run(ctx, p, "list", fake.NewEndpointService(all), c.Listen)
 }
 
 type frontendCmd struct {
@@ -136,17 +136,17 @@
 	if err != nil {
 		return badError{err}
 	}
-	b := s.Coordinator(0)
+	b := s.CoordinatorConfig(0)
 	if c.Zone == "" {
 		if zones := b.Settings.Zones; len(zones) > 0 {
 			c.Zone = zones[0]
 		}
 	}
-	t := fake.FrontTrade{
-		Name: c.Name, Zone: c.Zone, Coordinators: c.Coordinator, Rate: c.Rate, Pick: b.Settings.Pick,
-		Strikes: int(b.Settings.Strikes.Or(0)), KeepAway: 5, TryWait: b.Settings.TryWait.Or(0.8), LineStill: 0.0002,
-		LevelRate: b.Settings.LevelKind == "rate", Period: b.Settings.ReportPeriod.Or(1), ConnectTimeout: 0.25, Seed: c.Seed,
-		Methods: fake.Methods(b.Settings.Methods),
+	t := fake.FrontEndConfig{
+		Name: c.Name, Zone: c.Zone, Coordinators: c.Coordinator, Rate: c.Rate, Policy: b.Settings.Pick,
+		FailureLimit: int(b.Settings.Strikes.Or(0)), AvoidFor: 5, AttemptTimeout: b.Settings.TryWait.Or(0.8), ApplyTimePerEntry: 0.0002,
+		AdmissionIsRate: b.Settings.LevelKind == "rate", ReportPeriod: b.Settings.ReportPeriod.Or(1), ConnectTimeout: 0.25, Seed: c.Seed,
+		Methods: fake.MethodConfigs(b.Settings.Methods),
 	}
 	return c.run(ctx, p, c.Name, fake.NewFrontEnd(t))
 }
--- a/internal/coordinator/bench_test.go
+++ b/internal/coordinator/bench_test.go
@@ -9,81 +9,89 @@
 	"gingerfork/internal/proto"
 )
 
-// fleet is a core with so many servers and joined proxies, all of whose pushes were answered.
-func fleet(b testing.TB, servers, proxies int) (c *Core, now float64, version uint64) {
+// fleetSize is how many backends and proxies a benchmark has.
+type fleetSize struct{ backends, proxies int }
+
+func (s fleetSize) String() string { return fmt.Sprintf("%dx%d", s.backends, s.proxies) }
+
+var fleetSizes = []fleetSize{{100, 300}, {300, 800}, {600, 2000}}
+
+// newFleet returns a controller with backends and joined proxies that acknowledged all pushes, and the time.
+func newFleet(tb testing.TB, size fleetSize) (controller *controller, now float64) {
+	tb.Helper()
 	now = 1000
-	c = New(choice.Config{Now: now, Settings: choice.DecodeSettings(values(map[string]any{"proxies": float64(proxies), "channel_room": 1e9, "channel_pace": 1e9,
-		"messages": 0.0, "tick": 0.0, "probes": false}))}, nil)
-	l := proto.List{Kind: proto.ListFull, Version: 1}
-	for i := range servers {
-		l.Entries = append(l.Entries, entry(i+1, proto.ServerOpen))
-	}
-	events := []Event{News{l}}
-	for i := range proxies {
-		events = append(events, Join{StreamID(i + 1), hello(fmt.Sprint("f", i))})
+	settings := testSettings(map[string]any{
+		"proxies": float64(size.proxies), "channel_room": 1e9, "channel_pace": 1e9, "messages": 0.0, "tick": 0.0,
+		"probes": false,
+	})
+	controller = newController(choice.Config{Now: now, Settings: settings}, nil)
+	events := []event{endpointListReceived{fullList(1, size.backends)}}
+	for i := range size.proxies {
+		events = append(events, proxyJoined{streamID(i + 1), hello(fmt.Sprint("f", i))})
 	}
-	answerAll(c, now, c.Step(now, events))
-	return c, now + 1, 1
+	acknowledgePushes(tb, controller, now, mustHandle(tb, controller, now, events...))
+	return controller, now + 1
 }
 
-func answerAll(c *Core, now float64, o Orders) (lines, bytes int) {
-	var events []Event
-	for _, s := range o.Sends {
-		bytes += len(proto.Append(nil, s.Push))
-		lines += len(s.Push.Ops)
-		for _, op := range s.Push.Ops {
-			lines += len(op.Lines) + len(op.Levels)
+// acknowledgePushes acknowledges all pushes of a step and returns their size, in operations with their entries and in bytes.
+func acknowledgePushes(tb testing.TB, controller *controller, now float64, result stepResult) (entries, bytes int) {
+	tb.Helper()
+	var events []event
+	for _, outgoing := range result.pushes {
+		bytes += len(proto.Append(nil, outgoing.push))
+		entries += len(outgoing.push.Ops)
+		for _, op := range outgoing.push.Ops {
+			entries += len(op.Entries) + len(op.Admissions)
 		}
-		events = append(events, Answer{s.Stream, s.Push.Mark})
+		events = append(events, pushAcknowledged{outgoing.stream, outgoing.push.Nonce})
 	}
-	c.Step(now+0.001, events)
-	return lines, bytes
+	mustHandle(tb, controller, now+0.001, events...)
+	return entries, bytes
 }
 
-var sizes = [][2]int{{100, 300}, {300, 800}, {600, 2000}}
-
-// One server drains and comes back: what that costs in bytes and lines, beside full tables to all, and which share of
-// the time the module takes.
-func BenchmarkOneServersChange(b *testing.B) {
-	for _, size := range sizes {
-		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
-			c, now, version := fleet(b, size[0], size[1])
-			full := 0
-			for f := range c.book.Subscribers() {
-				full += len(proto.Append(nil, proto.Push{Ops: c.ops(c.book.BoundTables(f))}))
+// BenchmarkOneBackendChanges drains a backend and takes it back: the size of the pushes, beside full tables to all proxies.
+func BenchmarkOneBackendChanges(b *testing.B) {
+	for _, size := range fleetSizes {
+		b.Run(size.String(), func(b *testing.B) {
+			controller, now := newFleet(b, size)
+			fullBytes := 0
+			for subscriber := range controller.distributor.Subscribers() {
+				fullBytes += len(proto.Append(nil, proto.Push{Ops: controller.wireOps(controller.distributor.BoundTables(subscriber))}))
 			}
-			lines, bytes := 0, 0
-			var within time.Duration
+			entries, bytes := 0, 0
+			version := uint64(1)
 			b.ResetTimer()
 			for i := range b.N {
 				now += 3
-				e := entry(1+i%size[0], proto.ServerDraining)
-				for range 2 {
+				for _, state := range []proto.BackendState{proto.BackendDraining, proto.BackendOpen} {
 					version++
-					o := c.Step(now, []Event{News{proto.List{Kind: proto.ListChanges, Base: version - 1, Version: version, Entries: []proto.Entry{e}}}})
-					begin := time.Now()
-					n, m := answerAll(c, now, o)
-					within += time.Since(begin)
-					lines, bytes = lines+n, bytes+m
-					e.State = proto.ServerOpen
+					list := proto.EndpointUpdate{
+						Kind: proto.UpdateDelta, BaseVersion: version - 1, Version: version,
+						Endpoints: []proto.Endpoint{listEntry(1+i%size.backends, state)},
+					}
+					result := mustHandle(b, controller, now, endpointListReceived{list})
+					addedEntries, addedBytes := acknowledgePushes(b, controller, now, result)
+					entries += addedEntries
+					bytes += addedBytes
 					now += 0.5
 				}
 			}
-			b.ReportMetric(float64(bytes)/float64(2*b.N), "bytes/change")
-			b.ReportMetric(float64(lines)/float64(2*b.N), "lines/change")
-			b.ReportMetric(float64(full), "bytes/full-push")
-			b.ReportMetric(float64(full)/(float64(bytes)/float64(2*b.N)), "full/change")
+			changes := float64(2 * b.N)
+			b.ReportMetric(float64(bytes)/changes, "bytes/change")
+			b.ReportMetric(float64(entries)/changes, "entries/change")
+			b.ReportMetric(float64(fullBytes), "bytes/full-push")
+			b.ReportMetric(float64(fullBytes)/(float64(bytes)/changes), "full/change")
 		})
 	}
 }
 
-// A step in which nothing came, and which part of it is the module's: the same steps of the same fleet without what is
-// around it.
+// BenchmarkQuietStep takes steps without events, and measures the decision module's share: the same steps of an equal fleet
+// without the controller.
 func BenchmarkQuietStep(b *testing.B) {
-	for _, size := range sizes {
-		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
-			whole, now, _ := fleet(b, size[0], size[1])
-			alone, _, _ := fleet(b, size[0], size[1])
+	for _, size := range fleetSizes {
+		b.Run(size.String(), func(b *testing.B) {
+			full, now := newFleet(b, size)
+			alone, _ := newFleet(b, size)
 			begin := time.Now()
 			for i := range b.N {
 				alone.planner.Step(now+0.25*float64(i+1), nil)
@@ -91,36 +99,42 @@
 			module := time.Since(begin)
 			b.ResetTimer()
 			for i := range b.N {
-				whole.alarm = now + 0.25*float64(i+1)
-				whole.Step(whole.alarm, nil)
+				full.timerAt = now + 0.25*float64(i+1)
+				mustHandle(b, full, full.timerAt)
 			}
 			b.ReportMetric(100*float64(module)/float64(b.Elapsed()), "module-%")
 		})
 	}
 }
 
-// A storm of joins: six in each step of 4 ms, as when the other coordinators have died. The time a join must follow the
-// proxy's arc, not the number of proxies that joined before it.
-func BenchmarkStormOfJoins(b *testing.B) {
-	const joinsPerStep, stepSeconds = 6, 0.004
-	for _, servers := range []int{200, 600} {
+// BenchmarkManyJoins joins six proxies in each step of 4 ms, as when the other coordinators have crashed. The time per join must
+// follow the size of the proxy's arc and not the number of proxies that joined before it.
+func BenchmarkManyJoins(b *testing.B) {
+	for _, backends := range []int{200, 600} {
 		for _, proxies := range []int{300, 1000, 2600} {
-			b.Run(fmt.Sprintf("%dx%d", servers, proxies), func(b *testing.B) {
+			size := fleetSize{backends, proxies}
+			b.Run(size.String(), func(b *testing.B) {
 				for range b.N {
 					b.StopTimer()
-					core, now, _ := fleet(b, servers, 0)
+					controller, now := newFleet(b, fleetSize{backends: backends})
 					b.StartTimer()
-					for joined := 0; joined < proxies; now += stepSeconds {
-						var events []Event
-						for range min(joinsPerStep, proxies-joined) {
-							joined++
-							events = append(events, Join{StreamID(joined), hello(fmt.Sprint("f", joined))})
-						}
-						answerAll(core, now, core.Step(now, events))
-					}
+					joinInSteps(b, controller, now, proxies)
 				}
 				b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/float64(proxies), "us/join")
 			})
 		}
 	}
 }
+
+func joinInSteps(b *testing.B, controller *controller, now float64, proxies int) {
+	b.Helper()
+	const joinsPerStep, stepSeconds = 6, 0.004
+	for joined := 0; joined < proxies; now += stepSeconds {
+		var events []event
+		for range min(joinsPerStep, proxies-joined) {
+			joined++
+			events = append(events, proxyJoined{streamID(joined), hello(fmt.Sprint("f", joined))})
+		}
+		acknowledgePushes(b, controller, now, mustHandle(b, controller, now, events...))
+	}
+}
--- a/internal/haproxy/proof_test.go
+++ b/internal/haproxy/proof_test.go
@@ -30,41 +30,43 @@
 	before, after = map[string]int{}, map[string]int{}
 	names := map[uint32]string{}
 	w.Trace = func(r trace.Record) {
-		if r.Kind != trace.Try || r.N != 1 || r.T < epoch+3 {
+		if r.Kind != trace.AttemptSent || r.Count != 1 || r.Time < epoch+3 {
 			return
 		}
 		switch half := epoch + 3 + (seconds-3)/2; {
-		case r.T < half:
-			before[names[r.EP]]++
-		case r.T > half+1: // what the drain's grace allows is neither
-			after[names[r.EP]]++
+		case r.Time < half:
+			before[names[r.Backend]]++
+		case r.Time > half+1: // what the drain's grace allows is neither
+			after[names[r.Backend]]++
 		}
 	}
-	var list []fake.Listing
+	var list []fake.Endpoint
 	numbers := p.Numbers()
 	for _, s := range p.Listed() {
 		ep := numbers[s.Name]
 		names[ep] = s.Name
-		state := proto.ServerOpen
+		state := proto.BackendOpen
 		if s.State == Draining {
-			state = proto.ServerDraining
+			state = proto.BackendDraining
 		}
-		list = append(list, fake.Listing{EP: ep, State: state, Zone: "imported", Weight: float64(max(1, s.Weight)), Addr: s.Name, Stamp: 1})
-		w.Add(s.Name, "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
-			return emulator.NewServer(emulator.Trade{EP: ep, Zone: "imported", Cores: 64, Speed: 1, Work: []emulator.Work{{Mean: 0.002}}, QueueMost: 1000, Seed: uint64(ep)})
+		list = append(list, fake.Endpoint{Backend: ep, State: state, Zone: "imported", Weight: float64(max(1, s.Weight)), Addr: s.Name, Incarnation: 1})
+		w.AddNode(s.Name, "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
+			return emulator.NewBackend(emulator.Config{Backend: ep, Zone: "imported", Cores: 64, Speed: 1, Work: []emulator.Work{{Mean: 0.002}}, QueueLimit: 1000, Seed: uint64(ep)})
 		}, s.Name)
 	}
-	w.Add("list", "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine { return fake.NewList(list) }, "list")
-	w.Add("c0", "imported", func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
-		b := trade.Coordinator(now)
+	w.AddNode("list", "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
+		return fake.NewEndpointService(list)
+	}, "list")
+	w.AddNode("c0", "imported", func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
+		b := trade.CoordinatorConfig(now)
 		b.Seed = 3
 		return coordinator.NewMachine(coordinator.Bootstrap{
-			Name: "c0", Zone: "imported", ListAddr: "list", Module: b, Handshake: 1, Silence: 10, ListSilence: 5,
-			ProbeTimeout: 1, MostStreams: 100, MostProbes: 10,
+			Name: "c0", Zone: "imported", EndpointListAddr: "list", ModuleConfig: b, HandshakeTimeout: 1, ProxyIdleTimeout: 10, EndpointListIdleTimeout: 5,
+			ProbeTimeout: 1, MaxStreams: 100, MaxProbes: 10,
 		}, nil)
 	}, "c0")
-	m := trade.Coordinator(0)
-	methods := fake.Methods(m.Settings.Methods)
+	m := trade.CoordinatorConfig(0)
+	methods := fake.MethodConfigs(m.Settings.Methods)
 	order := append([]string{"list", "c0"}, func() (all []string) {
 		for _, s := range p.Listed() {
 			all = append(all, s.Name)
@@ -73,10 +75,10 @@
 	}()...)
 	for i := range 12 {
 		name := fmt.Sprint("f", i)
-		w.Add(name, "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
-			return fake.NewFrontEnd(fake.FrontTrade{
+		w.AddNode(name, "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
+			return fake.NewFrontEnd(fake.FrontEndConfig{
 				Name: name, Zone: "imported", Coordinators: []string{"c0"}, Methods: methods, Rate: 60,
-				Pick: m.Settings.Pick, KeepAway: 5, Period: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
+				Policy: m.Settings.Pick, AvoidFor: 5, ReportPeriod: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
 			})
 		})
 		order = append(order, name)
@@ -84,13 +86,13 @@
 	for _, name := range order {
 		w.Start(name)
 	}
-	w.Run(epoch + 3 + (seconds-3)/2)
+	w.RunUntil(epoch + 3 + (seconds-3)/2)
 	for _, x := range words {
-		w.Tell("list", x)
+		w.SendCommand("list", x)
 	}
-	w.Run(epoch + seconds)
-	if len(w.Fails) > 0 {
-		t.Fatal(w.Fails)
+	w.RunUntil(epoch + seconds)
+	if len(w.Failures) > 0 {
+		t.Fatal(w.Failures)
 	}
 	return before, after
 }
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -61,14 +61,14 @@
 func Check(records []trace.Record, limits Limits) (Report, error) {
 	checker := newChecker(limits)
 	if len(records) > 0 {
-		checker.begin = records[0].T
+		checker.begin = records[0].Time
 	}
 	for i, record := range records {
-		if record.T < checker.now {
-			return checker.report, fmt.Errorf("record %d: %w from %.6f to %.6f", i+1, ErrTimeOrder, checker.now, record.T)
+		if record.Time < checker.now {
+			return checker.report, fmt.Errorf("record %d: %w from %.6f to %.6f", i+1, ErrTimeOrder, checker.now, record.Time)
 		}
-		checker.advance(record.T)
-		checker.now, checker.record = record.T, i+1
+		checker.advance(record.Time)
+		checker.now, checker.record = record.Time, i+1
 		if err := checker.handle(record); err != nil {
 			return checker.report, fmt.Errorf("record %d (%s): %w", i+1, record.Kind, err)
 		}
@@ -76,7 +76,7 @@
 	if len(records) > 0 {
 		checker.availabilityTime = 0 // the end of the run is always examined
 		checker.advance(checker.now)
-		checker.report.Duration = checker.now - records[0].T
+		checker.report.Duration = checker.now - records[0].Time
 	}
 	checker.report.Service.Unfinished = len(checker.unfinished)
 	return checker.report, nil
@@ -118,35 +118,35 @@
 // handle applies one record.
 func (c *checker) handle(record trace.Record) error {
 	switch record.Kind {
-	case trace.Boot, trace.Ask, trace.List:
+	case trace.CoordinatorStarted, trace.EndpointsRequested, trace.EndpointsDelivered:
 		return c.handleCoordinator(record)
-	case trace.Kill, trace.Join, trace.Leave, trace.Apply:
+	case trace.ProcessKilled, trace.ProxyJoined, trace.ProxyLeft, trace.PushApplied:
 		return c.handleProxy(record)
-	case trace.Stall:
+	case trace.ProcessPaused:
 		c.handlePause(record)
-	case trace.Cut, trace.Heal:
-		if record.Who == endpointService {
+	case trace.LinkCut, trace.LinkRestored:
+		if record.Party == endpointService {
 			return c.handleEndpointLink(record)
 		}
 		c.handleProxyLink(record)
-	case trace.Push:
+	case trace.PushSent:
 		c.checkPush(record)
-	case trace.Try:
+	case trace.AttemptSent:
 		c.handleAttempt(record)
-	case trace.Run:
+	case trace.EffectExecuted:
 		c.checkEffect(record)
-	case trace.Start:
-		c.startTimes[record.EP] = record.T
-		delete(c.coldAttempts, record.EP)
-	case trace.Offer:
-		c.measure(ruleColdBackend, record.X, "server %d, cold, was sent %d RPCs in the window", record.EP, record.N)
-	case trace.Fall:
+	case trace.BackendStarted:
+		c.startTimes[record.Backend] = record.Time
+		delete(c.coldAttempts, record.Backend)
+	case trace.LoadOffered:
+		c.measure(ruleColdBackend, record.Value, "server %d, cold, was sent %d RPCs in the window", record.Backend, record.Count)
+	case trace.BackendCollapsed:
 		c.checkCollapse(record)
-	case trace.End:
+	case trace.RPCFinished:
 		c.countService(record)
-	case trace.Trouble:
+	case trace.FaultInjected:
 		c.report.Faults++
-	case trace.Gone, trace.Glance, trace.Late:
+	case trace.BackendStopped, trace.BackendSampled, trace.ScheduleDelay:
 	default:
 		return ErrUnknownKind
 	}
@@ -155,11 +155,11 @@
 
 func (c *checker) handleCoordinator(record trace.Record) error {
 	switch record.Kind {
-	case trace.Boot:
-		c.restartCoordinator(c.coordinator(record.Who), record.T)
-	case trace.Ask:
-		c.coordinator(record.Of).polled(record.T)
-	case trace.List:
+	case trace.CoordinatorStarted:
+		c.restartCoordinator(c.coordinator(record.Party), record.Time)
+	case trace.EndpointsRequested:
+		c.coordinator(record.Coordinator).polled(record.Time)
+	case trace.EndpointsDelivered:
 		return c.handleEndpoints(record)
 	}
 	return nil
@@ -167,18 +167,18 @@
 
 func (c *checker) handleProxy(record trace.Record) error {
 	switch record.Kind {
-	case trace.Kill:
-		c.killProxy(record.Who)
-	case trace.Join:
-		p := c.proxy(record.Who)
-		p.coordinator, p.joinTime, p.pushTimes = record.Of, record.T, nil
+	case trace.ProcessKilled:
+		c.killProxy(record.Party)
+	case trace.ProxyJoined:
+		p := c.proxy(record.Party)
+		p.coordinator, p.joinTime, p.pushTimes = record.Coordinator, record.Time, nil
 		p.updateCoverage(c.now)
-	case trace.Leave:
-		if p := c.proxies[record.Who]; p != nil {
-			c.checkAvailability(record.Who, p, record.T)
+	case trace.ProxyLeft:
+		if p := c.proxies[record.Party]; p != nil {
+			c.checkAvailability(record.Party, p, record.Time)
 			p.coordinator = ""
 		}
-	case trace.Apply:
+	case trace.PushApplied:
 		return c.applyPush(record)
 	}
 	return nil
@@ -197,37 +197,37 @@
 
 // handlePause notes until when a process does not run.
 func (c *checker) handlePause(record trace.Record) {
-	if p := c.proxies[record.Who]; p != nil {
-		p.pausedUntil = max(p.pausedUntil, record.T+record.X)
+	if p := c.proxies[record.Party]; p != nil {
+		p.pausedUntil = max(p.pausedUntil, record.Time+record.Value)
 		return
 	}
-	coord := c.coordinator(record.Who)
-	coord.pausedUntil = max(coord.pausedUntil, record.T+record.X)
+	coord := c.coordinator(record.Party)
+	coord.pausedUntil = max(coord.pausedUntil, record.Time+record.Value)
 }
 
 // handleProxyLink follows partitions between a proxy and a coordinator.
 func (c *checker) handleProxyLink(record trace.Record) {
-	linked := c.proxy(record.Who)
-	c.checkAvailability(record.Who, linked, record.T)
-	if record.Kind == trace.Cut {
-		linked.partitions[record.Of]++
+	linked := c.proxy(record.Party)
+	c.checkAvailability(record.Party, linked, record.Time)
+	if record.Kind == trace.LinkCut {
+		linked.partitions[record.Coordinator]++
 		return
 	}
-	linked.partitions[record.Of]--
-	if linked.partitions[record.Of] > 0 {
+	linked.partitions[record.Coordinator]--
+	if linked.partitions[record.Coordinator] > 0 {
 		return
 	}
-	delete(linked.partitions, record.Of)
-	if linked.coordinator == record.Of {
-		linked.joinTime = record.T // what was held back arrives now
+	delete(linked.partitions, record.Coordinator)
+	if linked.coordinator == record.Coordinator {
+		linked.joinTime = record.Time // what was held back arrives now
 	}
 }
 
 // handleAttempt applies the rules for attempts to one that a proxy sent.
 func (c *checker) handleAttempt(record trace.Record) {
 	c.report.Attempts++
-	c.unfinished[record.RPC] = record.Method
-	p := c.proxy(record.Who)
+	c.unfinished[record.RPCID] = record.Method
+	p := c.proxy(record.Party)
 	c.checkDrain(record, p)
 	c.checkRetry(record)
 	c.recordColdAttempt(record, p)
--- a/internal/invariant/coordinator.go
+++ b/internal/invariant/coordinator.go
@@ -92,11 +92,11 @@
 
 // handleEndpointLink follows partitions between a coordinator and the endpoint list service.
 func (c *checker) handleEndpointLink(record trace.Record) error {
-	coord := c.coordinator(record.Of)
-	if record.Kind == trace.Cut {
+	coord := c.coordinator(record.Coordinator)
+	if record.Kind == trace.LinkCut {
 		coord.partitions++
 		if coord.partitions == 1 {
-			coord.partitionTime = record.T
+			coord.partitionTime = record.Time
 		}
 		return nil
 	}
@@ -104,11 +104,11 @@
 	if coord.partitions > 0 {
 		return nil
 	}
-	if record.T-coord.partitionTime > c.limits.EndpointStreamTimeout-streamTimeoutMargin {
-		coord.loseStream(record.T)
+	if record.Time-coord.partitionTime > c.limits.EndpointStreamTimeout-streamTimeoutMargin {
+		coord.loseStream(record.Time)
 		return nil
 	}
-	return c.deliverDelayed(coord, record.T)
+	return c.deliverDelayed(coord, record.Time)
 }
 
 // loseStream applies the end of a partition that was long enough for the stream to be given up. The stream may also have
@@ -133,7 +133,7 @@
 	delayed := coord.delayed
 	coord.delayed = nil
 	for _, update := range delayed {
-		update.T = now
+		update.Time = now
 		if err := c.handleEndpoints(update); err != nil {
 			return err
 		}
@@ -144,23 +144,23 @@
 // handleEndpoints applies an endpoint update that a coordinator received; without a coordinator it is what the endpoint
 // list service publishes.
 func (c *checker) handleEndpoints(record trace.Record) error {
-	if record.Of == "" {
+	if record.Coordinator == "" {
 		return c.endpoints.update(record, c.limits.OnlyDraining)
 	}
-	coord := c.coordinator(record.Of)
+	coord := c.coordinator(record.Coordinator)
 	if coord.partitions > 0 {
 		coord.delayed = append(coord.delayed, record)
 		return nil
 	}
 	coord.mustPoll = false
-	record.T = max(record.T, coord.pausedUntil)
-	if err := c.deliverDelayed(coord, record.T); err != nil {
+	record.Time = max(record.Time, coord.pausedUntil)
+	if err := c.deliverDelayed(coord, record.Time); err != nil {
 		return err
 	}
 	if err := coord.endpoints.update(record, c.limits.OnlyDraining); err != nil {
 		return err
 	}
-	coord.updateAvailability(record.T, c.limits.WarmAfter)
+	coord.updateAvailability(record.Time, c.limits.WarmAfter)
 	return nil
 }
 
@@ -175,14 +175,14 @@
 			return err
 		}
 		named[backend] = true
-		e.stateTime, e.startKnownSince = record.T, record.T
+		e.stateTime, e.startKnownSince = record.Time, record.Time
 		if earlier, known := v[backend]; known {
 			e.continueFrom(earlier, onlyDraining)
 		}
 		v[backend] = e
 	}
 	if kind == fullUpdate {
-		v.removeUnnamed(named, record.T, onlyDraining)
+		v.removeUnnamed(named, record.Time, onlyDraining)
 	}
 	return nil
 }
--- a/internal/invariant/proxy.go
+++ b/internal/invariant/proxy.go
@@ -77,12 +77,12 @@
 // EP:W[!]... -EP...", "line TABLE EP:W[!]", "clear TABLE", "level TABLE METHODS LEVEL TRIES", "withdraw EP" and "readmit EP";
 // ! and - stand for a backend that is excluded.
 func (c *checker) applyPush(record trace.Record) error {
-	p := c.proxy(record.Who)
-	c.checkAvailability(record.Who, p, record.T)
-	p.lastApply = record.T
+	p := c.proxy(record.Party)
+	c.checkAvailability(record.Party, p, record.Time)
+	p.lastApply = record.Time
 	if record.Text != "" {
 		for _, operation := range strings.Split(record.Text, ";") {
-			if err := p.applyOperation(record.Of, strings.Fields(operation)); err != nil {
+			if err := p.applyOperation(record.Coordinator, strings.Fields(operation)); err != nil {
 				return fmt.Errorf("operation %q: %w", operation, err)
 			}
 		}
--- a/internal/invariant/rule2_effects.go
+++ b/internal/invariant/rule2_effects.go
@@ -22,9 +22,9 @@
 		return
 	}
 	method := c.limits.Methods[record.Method]
-	first, isRetry := c.firstAttempt[record.RPC]
+	first, isRetry := c.firstAttempt[record.RPCID]
 	if !isRetry {
-		c.firstAttempt[record.RPC] = record.T
+		c.firstAttempt[record.RPCID] = record.Time
 		return
 	}
 	if record.Text == retryAfterProof {
@@ -32,11 +32,11 @@
 	}
 	switch {
 	case method.NonIdempotent:
-		c.violate(ruleEffectOnce, record.Who, "%s sent again (%s): RPC %d", method.Name, record.Text, record.RPC)
+		c.violate(ruleEffectOnce, record.Party, "%s sent again (%s): RPC %d", method.Name, record.Text, record.RPCID)
 	case method.HasIdempotencyKey:
-		c.measure(ruleEffectOnce, (record.T-first)/method.DedupWindow, "%s was sent again after %.2f s, within its window", method.Name, record.T-first)
-		if record.T-first > method.DedupWindow {
-			c.violate(ruleEffectOnce, record.Who, "%s sent again %.2f s after the first, outside its window: RPC %d", method.Name, record.T-first, record.RPC)
+		c.measure(ruleEffectOnce, (record.Time-first)/method.DedupWindow, "%s was sent again after %.2f s, within its window", method.Name, record.Time-first)
+		if record.Time-first > method.DedupWindow {
+			c.violate(ruleEffectOnce, record.Party, "%s sent again %.2f s after the first, outside its window: RPC %d", method.Name, record.Time-first, record.RPCID)
 		}
 	}
 }
@@ -47,10 +47,10 @@
 		return
 	}
 	method := c.limits.Methods[record.Method]
-	earlier, repeated := c.effects[record.RPC]
+	earlier, repeated := c.effects[record.RPCID]
 	if repeated && (method.NonIdempotent || method.HasIdempotencyKey) {
-		c.violate(ruleEffectOnce, fmt.Sprintf("server %d", record.EP), "%s ran twice: RPC %d, first at %.3f on server %d",
-			method.Name, record.RPC, earlier.time, earlier.backend)
+		c.violate(ruleEffectOnce, fmt.Sprintf("server %d", record.Backend), "%s ran twice: RPC %d, first at %.3f on server %d",
+			method.Name, record.RPCID, earlier.time, earlier.backend)
 	}
-	c.effects[record.RPC] = effect{record.T, record.EP}
+	c.effects[record.RPCID] = effect{record.Time, record.Backend}
 }
--- a/internal/invariant/rule3_drain.go
+++ b/internal/invariant/rule3_drain.go
@@ -8,14 +8,14 @@
 	if sender.connectedTo() == "" {
 		return
 	}
-	notifiedTime, binding := c.drainNotified(record.T, c.coordinator(sender.coordinator), record.EP)
+	notifiedTime, binding := c.drainNotified(record.Time, c.coordinator(sender.coordinator), record.Backend)
 	if !binding {
 		return
 	}
-	elapsed := record.T - max(notifiedTime, sender.joinTime)
-	c.measure(ruleDrainRespected, elapsed/c.limits.DrainGrace, "%s sent to server %d %.2f s after %s was told", record.Who, record.EP, elapsed, sender.coordinator)
+	elapsed := record.Time - max(notifiedTime, sender.joinTime)
+	c.measure(ruleDrainRespected, elapsed/c.limits.DrainGrace, "%s sent to server %d %.2f s after %s was told", record.Party, record.Backend, elapsed, sender.coordinator)
 	if elapsed > c.limits.DrainGrace {
-		c.violate(ruleDrainRespected, record.Who, "sent to server %d %.3f s after %s was told that it drains or is gone", record.EP, elapsed, sender.coordinator)
+		c.violate(ruleDrainRespected, record.Party, "sent to server %d %.3f s after %s was told that it drains or is gone", record.Backend, elapsed, sender.coordinator)
 	}
 }
 
--- a/internal/invariant/rule4_coldstart.go
+++ b/internal/invariant/rule4_coldstart.go
@@ -18,29 +18,29 @@
 
 // recordColdAttempt keeps an attempt to a cold backend for the length of the collapse window.
 func (c *checker) recordColdAttempt(record trace.Record, p *proxy) {
-	start, started := c.startTimes[record.EP]
-	if !started || record.T >= start+c.limits.WarmAfter {
+	start, started := c.startTimes[record.Backend]
+	if !started || record.Time >= start+c.limits.WarmAfter {
 		return
 	}
 	knew := false
 	if p.coordinator != "" {
-		e := c.coordinator(p.coordinator).endpoints[record.EP]
-		hadTime := record.T > e.startKnownSince+c.limits.DrainGrace || p.lastApply > e.startKnownSince
+		e := c.coordinator(p.coordinator).endpoints[record.Backend]
+		hadTime := record.Time > e.startKnownSince+c.limits.DrainGrace || p.lastApply > e.startKnownSince
 		knew = e.start >= start-startTolerance && e.state == stateOpen && hadTime
 	}
-	attempts := c.coldAttempts[record.EP]
-	attempts = append(attempts, coldAttempt{record.T, record.Who, knew})
-	for len(attempts) > 0 && attempts[0].time < record.T-c.limits.CollapseWindow-coldAttemptSlack {
+	attempts := c.coldAttempts[record.Backend]
+	attempts = append(attempts, coldAttempt{record.Time, record.Party, knew})
+	for len(attempts) > 0 && attempts[0].time < record.Time-c.limits.CollapseWindow-coldAttemptSlack {
 		attempts = attempts[1:]
 	}
-	c.coldAttempts[record.EP] = attempts
+	c.coldAttempts[record.Backend] = attempts
 }
 
 // checkCollapse applies rule 4 to a cold backend that collapsed. The coordinators caused it if two thirds of the attempts in
 // the window were sent with knowledge of the backend's start.
 func (c *checker) checkCollapse(record trace.Record) {
 	c.report.Collapses++
-	attempts, knowing := c.coldAttempts[record.EP], 0
+	attempts, knowing := c.coldAttempts[record.Backend], 0
 	byProxy := map[string]int{}
 	for _, a := range attempts {
 		if a.knewOfStart {
@@ -58,5 +58,5 @@
 		}
 	}
 	c.violate(ruleColdBackend, largest, "server %d fell over while cold; %d of %d RPCs in the window were sent with knowledge of its start",
-		record.EP, knowing, len(attempts))
+		record.Backend, knowing, len(attempts))
 }
--- a/internal/invariant/service.go
+++ b/internal/invariant/service.go
@@ -10,7 +10,7 @@
 
 // countService adds a finished RPC to the service figures.
 func (c *checker) countService(record trace.Record) {
-	delete(c.unfinished, record.RPC)
+	delete(c.unfinished, record.RPCID)
 	if record.Method >= len(c.limits.Methods) {
 		return
 	}
@@ -20,7 +20,7 @@
 	switch record.Text {
 	case outcomeOK:
 		service.OK++
-		if record.X <= method.SoftDeadline {
+		if record.Value <= method.SoftDeadline {
 			service.InTime += method.Criticality
 		} else {
 			service.Late++
--- a/internal/scenario/coordinator_kills.go
+++ b/internal/scenario/coordinator_kills.go
@@ -33,7 +33,7 @@
 		down := minDown + downRange*random.Float64()
 		words := strings.Fields(fmt.Sprintf("at %.0fms kill coordinators number %d for %.0fms", 1e3*at, index, 1e3*down))
 		s.Steps = append(s.Steps, Step{
-			Source: bootstrap.Line{File: "kills", No: 1, Words: words}, At: at, Verb: VerbKill, Target: TargetCoordinators,
+			Source: bootstrap.Line{File: "kills", Number: 1, Words: words}, At: at, Verb: VerbKill, Target: TargetCoordinators,
 			Selector: Selector{Indexes: []int{index}}, Duration: down, Deploy: defaultDeploy,
 		})
 	}
--- a/internal/scenario/coordinator_process.go
+++ b/internal/scenario/coordinator_process.go
@@ -87,13 +87,13 @@
 // instanceSettings writes the settings of one coordinator: those of the scenario, with an instance section of its own.
 func (s *Scenario) instanceSettings(target *participant, listen, listService, stateFile string) string {
 	var text strings.Builder
-	seed := (fake.Seed(s.Seed, target.name) + uint64(target.incarnations)) % maxSettingsSeed
+	seed := (fake.DeriveSeed(s.Seed, target.name) + uint64(target.incarnations)) % maxSettingsSeed
 	fmt.Fprintf(&text, "instance %s\n  zone %s\n  listen %s\n  list-service %s\n  state %s\n  seed %d\n  coordinators %d\n  self %d\n",
 		target.name, target.zone, listen, listService, stateFile, seed, s.Coordinators, target.index)
 	section := ""
 	for _, line := range s.settingsLines {
 		word := line.Words[0]
-		if isSection(word) {
+		if bootstrap.IsSection(word) {
 			section = word
 		}
 		if word == instanceSection || section == instanceSection && slices.Contains(instanceKeywords, word) {
@@ -107,13 +107,3 @@
 	}
 	return text.String()
 }
-
-// isSection tells whether a word of the settings begins a section.
-func isSection(word string) bool {
-	for _, section := range bootstrap.Sections {
-		if section.Name == word {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/scenario/emulate.go
+++ b/internal/scenario/emulate.go
@@ -44,11 +44,11 @@
 // user runs. It may be spread over processes: each plays a part of the backends, the first one the endpoint list service, too.
 type Emulation struct {
 	Scenario    *Scenario
-	Port        int                  // of the endpoint list service; backends have those behind it
-	Part, Parts int                  // from 1; 0: all in this process
-	EventLoops  int                  // that the backends are spread over; 0: one
-	OnTally     func(emulator.Tally) // is called with the figures of each second
-	OnStep      func(text string)    // is called with each step
+	Port        int                       // of the endpoint list service; backends have those behind it
+	Part, Parts int                       // from 1; 0: all in this process
+	EventLoops  int                       // that the backends are spread over; 0: one
+	OnTally     func(emulator.FleetStats) // is called with the figures of each second
+	OnStep      func(text string)         // is called with each step
 	Trace       func([]trace.Record)
 }
 
@@ -139,7 +139,7 @@
 	if e.Trace != nil {
 		e.Trace([]trace.Record{record})
 	}
-	if record.Kind == trace.Trouble && e.OnStep != nil {
+	if record.Kind == trace.FaultInjected && e.OnStep != nil {
 		e.OnStep(record.Text)
 	}
 }
@@ -176,17 +176,17 @@
 }
 
 // startLoop starts an event loop with some backends.
-func (e *emulation) startLoop(ctx context.Context, backends []*participant, store *emulator.Store) error {
+func (e *emulation) startLoop(ctx context.Context, backends []*participant, store *emulator.KeyStore) error {
 	fleet := emulator.NewFleet(e.addTally)
 	config := eventloop.Bootstrap{Machine: fleet, Clock: e.clock, Trace: e.Trace}
 	for _, backend := range backends {
 		backendConfig := e.player.backendConfig(backend, store)
 		if e.loopCount > 1 || e.Parts > 1 {
 			// What belongs to one loop or process cannot be seen by another.
-			backendConfig.Ledger = nil
-			backendConfig.Store = &emulator.Store{Group: e.Scenario.IdempotencyScope, Window: store.Window}
+			backendConfig.Executions = nil
+			backendConfig.KeyStore = &emulator.KeyStore{Scope: e.Scenario.IdempotencyScope, Window: store.Window}
 		}
-		fleet.Add(backend.name, backendConfig)
+		fleet.AddBackend(backend.name, backendConfig)
 		config.Listen = append(config.Listen, e.Addr(backend.index))
 	}
 	loop, err := eventloop.Start(ctx, config)
@@ -205,7 +205,7 @@
 	if e.Part > 1 {
 		return nil
 	}
-	list := fake.NewList(e.player.initialEndpoints(func(backend *participant) string { return e.Addr(backend.index) }))
+	list := fake.NewEndpointService(e.player.initialEndpoints(func(backend *participant) string { return e.Addr(backend.index) }))
 	loop, err := eventloop.Start(ctx, eventloop.Bootstrap{Machine: list, Listen: []string{e.ListAddr()}, Clock: e.clock})
 	if err != nil {
 		return fmt.Errorf("emulate the list service: %w", err)
--- a/internal/scenario/emulation.go
+++ b/internal/scenario/emulation.go
@@ -29,12 +29,12 @@
 
 // pendingTally is the sum of a second's figures from the loops that have reported so far.
 type pendingTally struct {
-	sum     emulator.Tally
+	sum     emulator.FleetStats
 	reports int
 }
 
 // addTally adds a loop's figures of a second, and passes the sum on once all loops have reported. Loops call it.
-func (e *emulation) addTally(tally emulator.Tally) {
+func (e *emulation) addTally(tally emulator.FleetStats) {
 	if e.OnTally == nil {
 		return
 	}
@@ -43,15 +43,15 @@
 	}
 }
 
-func (e *emulation) sumTally(tally emulator.Tally) (emulator.Tally, bool) {
+func (e *emulation) sumTally(tally emulator.FleetStats) (emulator.FleetStats, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	second := int(tally.T + 0.5)
+	second := int(tally.Elapsed + 0.5)
 	pending := e.tallies[second]
 	if pending.reports == 0 {
 		pending.sum = tally
 	} else {
-		pending.sum = pending.sum.Sum(tally)
+		pending.sum = pending.sum.Add(tally)
 	}
 	pending.reports++
 	if pending.reports == e.loopCount {
@@ -101,36 +101,36 @@
 // Now is the time of the event loops' common clock.
 func (e *emulation) Now() statemachine.Seconds { return e.clock.Now() }
 
-// At schedules a function.
-func (e *emulation) At(at statemachine.Seconds, do func()) { e.schedule.add(at, do) }
+// Schedule schedules a function.
+func (e *emulation) Schedule(at statemachine.Seconds, do func()) { e.schedule.add(at, do) }
 
 // Start starts an emulated backend.
-func (e *emulation) Start(name string) { e.Tell(name, "start") }
+func (e *emulation) Start(name string) { e.SendCommand(name, "start") }
 
 // Kill ends an emulated backend.
-func (e *emulation) Kill(name string) { e.Tell(name, "kill") }
+func (e *emulation) Kill(name string) { e.SendCommand(name, "kill") }
 
-// Stall does nothing: Emulation.Check rejects the steps that need it, as it does for links.
-func (e *emulation) Stall(string, statemachine.Seconds) {}
+// Pause does nothing: Emulation.Check rejects the steps that need it, as it does for links.
+func (e *emulation) Pause(string, statemachine.Seconds) {}
 
-// Hinder does nothing.
-func (e *emulation) Hinder(string, simnet.Hindrance, linkMatch) {}
+// AddLinkFault does nothing.
+func (e *emulation) AddLinkFault(string, simnet.LinkFault, linkMatch) {}
 
-// Clear does nothing.
-func (e *emulation) Clear(string) {}
+// RemoveLinkFault does nothing.
+func (e *emulation) RemoveLinkFault(string) {}
 
-// Reset does nothing.
-func (e *emulation) Reset(linkMatch) {}
+// ResetConnections does nothing.
+func (e *emulation) ResetConnections(linkMatch) {}
 
-// Tell passes a command to the endpoint list service or to a backend.
-func (e *emulation) Tell(name, text string) {
+// SendCommand passes a command to the endpoint list service or to a backend.
+func (e *emulation) SendCommand(name, text string) {
 	if name == endpointService {
 		if e.endpointService != nil {
-			e.endpointService.Tell(text)
+			e.endpointService.SendCommand(text)
 		}
 		return
 	}
 	if loop := e.owner[name]; loop != nil {
-		loop.Tell(name + " " + strings.TrimSpace(text))
+		loop.SendCommand(name + " " + strings.TrimSpace(text))
 	}
 }
--- a/internal/scenario/environment.go
+++ b/internal/scenario/environment.go
@@ -16,18 +16,18 @@
 type Environment interface {
 	// Now returns the environment's time in seconds.
 	Now() statemachine.Seconds
-	// At runs a function at a time.
-	At(at statemachine.Seconds, do func())
+	// Schedule runs a function at a time.
+	Schedule(at statemachine.Seconds, do func())
 	// Start starts a participant's process, Kill ends it without warning.
 	Start(name string)
 	Kill(name string)
-	// Stall keeps a participant's process from running for a time.
-	Stall(name string, span statemachine.Seconds)
-	// Tell passes a command to a fake or emulated participant.
-	Tell(name, text string)
-	// Hinder adds a fault to the links that match, under a name by which Clear removes it.
-	Hinder(name string, fault simnet.Hindrance, match linkMatch)
-	Clear(name string)
-	// Reset closes the connections on the links that match.
-	Reset(match linkMatch)
+	// Pause keeps a participant's process from running for a time.
+	Pause(name string, span statemachine.Seconds)
+	// SendCommand passes a command to a fake or emulated participant.
+	SendCommand(name, text string)
+	// AddLinkFault adds a fault to the links that match, under a name by which RemoveLinkFault removes it.
+	AddLinkFault(name string, fault simnet.LinkFault, match linkMatch)
+	RemoveLinkFault(name string)
+	// ResetConnections closes the connections on the links that match.
+	ResetConnections(match linkMatch)
 }
--- a/internal/scenario/faults_test.go
+++ b/internal/scenario/faults_test.go
@@ -52,9 +52,9 @@
 func restartedInPlace(result Result) string {
 	starts, after := 0, 0
 	for _, record := range result.Records {
-		if record.Kind == trace.Start && record.EP == 4 {
+		if record.Kind == trace.BackendStarted && record.Backend == 4 {
 			starts++
-		} else if record.Kind == trace.Run && record.EP == 4 && starts > 0 {
+		} else if record.Kind == trace.EffectExecuted && record.Backend == 4 && starts > 0 {
 			after++
 		}
 	}
@@ -68,7 +68,7 @@
 func drainedDuringHang(result Result) string {
 	gone := 0
 	for _, record := range result.Records {
-		if record.Kind == trace.Gone && (record.EP == 3 || record.EP == 4) {
+		if record.Kind == trace.BackendStopped && (record.Backend == 3 || record.Backend == 4) {
 			gone++
 		}
 	}
@@ -82,9 +82,9 @@
 func endedAtDeadline(result Result) string {
 	late, worst := 0, 0.0
 	for _, record := range result.Records {
-		if record.Kind == trace.End && record.Text == "aborted" {
+		if record.Kind == trace.RPCFinished && record.Text == "aborted" {
 			late++
-			worst = max(worst, record.X)
+			worst = max(worst, record.Value)
 		}
 	}
 	if late == 0 || worst > 2.5+0.01 {
@@ -97,7 +97,7 @@
 func proxiesMovedAway(result Result) string {
 	joins := 0
 	for _, record := range result.Records {
-		if record.Kind == trace.Join {
+		if record.Kind == trace.ProxyJoined {
 			joins++
 		}
 	}
@@ -110,7 +110,7 @@
 // silenceIsNoReset tells whether an RPC waited until its deadline, as no reset came.
 func silenceIsNoReset(result Result) string {
 	for _, record := range result.Records {
-		if record.Kind == trace.End && record.Text == "aborted" && record.X > 1.9 {
+		if record.Kind == trace.RPCFinished && record.Text == "aborted" && record.Value > 1.9 {
 			return ""
 		}
 	}
@@ -121,8 +121,8 @@
 func flappedInEachMode(result Result) string {
 	starts := map[uint32]int{}
 	for _, record := range result.Records {
-		if record.Kind == trace.Start {
-			starts[record.EP]++
+		if record.Kind == trace.BackendStarted {
+			starts[record.Backend]++
 		}
 	}
 	if starts[1] != 4 || starts[2] != 4 || starts[3]+starts[4] != 0 {
@@ -161,31 +161,31 @@
 
 // A backend that collapses during its drain resets its connections; before that it rejects new RPCs.
 func TestCollapseDuringADrain(t *testing.T) {
-	model := emulator.New(emulator.Trade{
-		EP: 1, Cores: 1, Speed: 1, Work: []emulator.Work{{Mean: 0.1, Shape: emulator.Fixed}}, QueueMost: 1000, Cold: true,
-		ColdShare: 0.3, WarmAfter: 10, FallMultiple: 2, FallWindow: 1, Seed: 1,
+	model := emulator.NewModel(emulator.Config{
+		Backend: 1, Cores: 1, Speed: 1, Work: []emulator.Work{{Mean: 0.1, Family: emulator.Constant}}, QueueLimit: 1000, StartsCold: true,
+		ColdSpeed: 0.3, WarmupTime: 10, OverloadMultiple: 2, OverloadWindow: 1, Seed: 1,
 	}, 0)
 	model.Connect(1, "")
 	for i := range uint64(4) {
-		model.Ask(1, emulator.RPC{ID: i + 1, Left: 5})
+		model.Submit(1, emulator.RPC{ID: i + 1, TimeLeft: 5})
 	}
 	model.Advance(0.1)
 	model.Drain()
 	collapsed, rejected := false, 0
 	for i := range uint64(40) {
-		model.Ask(1, emulator.RPC{ID: 100 + i, Left: 5})
+		model.Submit(1, emulator.RPC{ID: 100 + i, TimeLeft: 5})
 		for _, e := range model.Advance(0.1 + float64(i)*0.01) {
 			switch e := e.(type) {
-			case emulator.Fell:
+			case emulator.Collapsed:
 				collapsed = true
 			case emulator.Reply:
-				if e.Status == emulator.PushedBack && !collapsed {
+				if e.Status == emulator.StatusRejected && !collapsed {
 					rejected++
 				}
 			}
 		}
 	}
-	if !collapsed || rejected == 0 || !model.Fallen() || len(model.Advance(50)) > 0 {
+	if !collapsed || rejected == 0 || !model.HasCollapsed() || len(model.Advance(50)) > 0 {
 		t.Errorf("collapsed: %v, %d rejected before, fallen or silent afterwards: no", collapsed, rejected)
 	}
 }
@@ -197,8 +197,8 @@
 			"frontends 6 zone dc-kewdale rate 20 pick "+pick+"\nmix 70% 30%\nat 0s slow servers number 0,1 by 3\n"), Options{})
 		slow, all := 0.0, 0.0
 		for _, x := range r.Records {
-			if x.Kind == trace.Try && x.T > r.Records[0].T+3 {
-				if all++; x.EP <= 2 {
+			if x.Kind == trace.AttemptSent && x.Time > r.Records[0].Time+3 {
+				if all++; x.Backend <= 2 {
 					slow++
 				}
 			}
--- a/internal/scenario/groundtruth.go
+++ b/internal/scenario/groundtruth.go
@@ -35,16 +35,16 @@
 // sampler samples the backends' true state in a simulated network.
 type sampler struct {
 	*player
-	network *simnet.World
+	network *simnet.Network
 	truth   *GroundTruth
 	slot    int
 }
 
 // sampleBackends samples the backends until the scenario ends, from the middle of the first slot on.
-func (p *player) sampleBackends(network *simnet.World, truth *GroundTruth) {
+func (p *player) sampleBackends(network *simnet.Network, truth *GroundTruth) {
 	truth.Start = network.Now()
 	s := &sampler{player: p, network: network, truth: truth}
-	p.env.At(truth.Start+SampleInterval/2, s.sample)
+	p.env.Schedule(truth.Start+SampleInterval/2, s.sample)
 }
 
 func (s *sampler) sample() {
@@ -52,7 +52,7 @@
 	capacity, utilization, queued := make([]float32, count), make([]float32, count), make([]float32, count)
 	pools := map[supplyPool]float64{}
 	for i, backend := range s.backends {
-		server, running := s.network.Machine(backend.name).(*emulator.Server)
+		server, running := s.network.Machine(backend.name).(*emulator.Backend)
 		if !running || backend.partitions > 0 {
 			continue
 		}
@@ -71,9 +71,9 @@
 }
 
 // backendCapacity is the RPCs a second that a backend can do of its fastest method, and the set of those that it fails.
-func (s *sampler) backendCapacity(server *emulator.Server) (largest float64, unsupported uint64) {
+func (s *sampler) backendCapacity(server *emulator.Backend) (largest float64, unsupported uint64) {
 	for method := range s.scenario.Settings.Methods {
-		if able := server.Able(s.network.Now(), method); able > 0 {
+		if able := server.Capacity(s.network.Now(), method); able > 0 {
 			largest = max(largest, able)
 		} else {
 			unsupported |= 1 << method
@@ -136,7 +136,7 @@
 		for _, group := range s.Backends {
 			work := group.Work
 			work.Mean = float64(group.Workers) / group.Capacity
-			feasible = max(feasible, work.Within(method.SoftDeadline))
+			feasible = max(feasible, work.CDF(method.SoftDeadline))
 		}
 		methods = append(methods, optimum.Method{
 			Criticality: method.Criticality, FeasibleShare: feasible,
@@ -158,12 +158,12 @@
 	counts := map[demandKey]float64{}
 	var keys []demandKey
 	for _, record := range records {
-		if record.Kind != trace.End {
+		if record.Kind != trace.RPCFinished {
 			continue
 		}
-		arrival := record.T - record.X
+		arrival := record.Time - record.Value
 		key := demandKey{slot: max(0, int((arrival-start)/SampleInterval)), method: record.Method}
-		if proxy := proxies[record.Who]; proxy != nil {
+		if proxy := proxies[record.Party]; proxy != nil {
 			key.zone = proxy.zone
 		}
 		counts[key]++
--- a/internal/scenario/link_faults.go
+++ b/internal/scenario/link_faults.go
@@ -15,7 +15,7 @@
 		return
 	}
 	pushTime := p.scenario.decodedSettings().PushTime.Or(defaultPushTime)
-	p.addLinkFault(step, simnet.Hindrance{Delay: (step.Value - 1) * pushTime}, step.streams())
+	p.addLinkFault(step, simnet.LinkFault{ExtraLatency: (step.Value - 1) * pushTime}, step.streams())
 }
 
 // runDelay delays endpoint updates, or all that passes on the streams of proxies.
@@ -25,11 +25,11 @@
 		p.atEnd(step, func() { p.commandList("late 0") })
 		return
 	}
-	p.addLinkFault(step, simnet.Hindrance{Delay: step.Value}, step.streams())
+	p.addLinkFault(step, simnet.LinkFault{ExtraLatency: step.Value}, step.streams())
 }
 
 // runBreak resets the streams of proxies.
-func (p *player) runBreak(step *runningStep) { p.env.Reset(step.streams()) }
+func (p *player) runBreak(step *runningStep) { p.env.ResetConnections(step.streams()) }
 
 // runListFault lets the endpoint list service fail, or stop its updates.
 func (p *player) runListFault(step *runningStep) {
@@ -40,7 +40,7 @@
 // runListContent lets the endpoint list service show no backend, or one at random.
 func (p *player) runListContent(step *runningStep) {
 	if step.Verb == VerbOne {
-		p.commandList("show %d", p.backends[int(p.random.Draw()*float64(len(p.backends)))].backend)
+		p.commandList("show %d", p.backends[int(p.random.Uniform()*float64(len(p.backends)))].backend)
 	} else {
 		p.commandList("show none")
 	}
@@ -49,7 +49,7 @@
 
 // runPartition separates a zone, backends or the endpoint list service from all others.
 func (p *player) runPartition(step *runningStep) {
-	p.addLinkFault(step, simnet.Hindrance{Cut: true}, p.partitionedLinks(step))
+	p.addLinkFault(step, simnet.LinkFault{Partitioned: true}, p.partitionedLinks(step))
 	p.countPartition(step, 1)
 	p.atEnd(step, func() { p.countPartition(step, -1) })
 }
@@ -69,24 +69,24 @@
 // isolate lets a backend's machine lose its power: its process ends, and nobody learns of it, not even by a reset. What it
 // returns brings the backend up again.
 func (p *player) isolate(target *participant, faultID string) (restore func()) {
-	p.env.Hinder(faultID, simnet.Hindrance{Cut: true}, func(a, b string) bool { return a == target.name || b == target.name })
+	p.env.AddLinkFault(faultID, simnet.LinkFault{Partitioned: true}, func(a, b string) bool { return a == target.name || b == target.name })
 	p.crash(target)
 	return func() {
-		p.env.Clear(faultID)
+		p.env.RemoveLinkFault(faultID)
 		p.restartProcess(target)
 	}
 }
 
 // addLinkFault adds a fault to links until the step's end, and records partitions.
-func (p *player) addLinkFault(step *runningStep, fault simnet.Hindrance, match linkMatch) {
-	p.env.Hinder(step.id, fault, match)
-	if fault.Cut {
-		p.recordPartitions(trace.Cut, match)
+func (p *player) addLinkFault(step *runningStep, fault simnet.LinkFault, match linkMatch) {
+	p.env.AddLinkFault(step.id, fault, match)
+	if fault.Partitioned {
+		p.recordPartitions(trace.LinkCut, match)
 	}
 	p.atEnd(step, func() {
-		p.env.Clear(step.id)
-		if fault.Cut {
-			p.recordPartitions(trace.Heal, match)
+		p.env.RemoveLinkFault(step.id)
+		if fault.Partitioned {
+			p.recordPartitions(trace.LinkRestored, match)
 		}
 	})
 }
@@ -97,13 +97,13 @@
 	for _, proxy := range p.proxies {
 		for _, coordinator := range p.coordinators {
 			if matches(proxy.name, coordinator.name) {
-				p.emit(trace.Record{Kind: kind, Who: proxy.name, Of: coordinator.name})
+				p.emit(trace.Record{Kind: kind, Party: proxy.name, Coordinator: coordinator.name})
 			}
 		}
 	}
 	for _, coordinator := range p.coordinators {
 		if matches(endpointService, coordinator.name) {
-			p.emit(trace.Record{Kind: kind, Who: endpointService, Of: coordinator.name})
+			p.emit(trace.Record{Kind: kind, Party: endpointService, Coordinator: coordinator.name})
 		}
 	}
 }
--- a/internal/scenario/minimize.go
+++ b/internal/scenario/minimize.go
@@ -118,7 +118,7 @@
 		}
 		for _, verdict := range m.result.Report.Rules {
 			if m.violation == ruleViolation(verdict.Rule) && len(m.result.Records) > 0 {
-				elapsed := int(verdict.FirstTime - m.result.Records[0].T)
+				elapsed := int(verdict.FirstTime - m.result.Records[0].Time)
 				m.keepLineIfViolated(i, []string{"length", fmt.Sprintf("%ds", elapsed+tailTime)})
 			}
 		}
--- a/internal/scenario/participants.go
+++ b/internal/scenario/participants.go
@@ -20,8 +20,8 @@
 	name         string
 	zone         string
 	kind         string
-	index        int      // among those of its kind
-	backend      proto.EP // 0: not a backend
+	index        int             // among those of its kind
+	backend      proto.BackendID // 0: not a backend
 	group        BackendGroup
 	rate         float64 // of a proxy, RPCs a second
 	policy       string  // of a proxy: how it chooses backends, "": as the settings say
@@ -51,12 +51,12 @@
 		for range group.Count {
 			i := len(all.backends)
 			all.add(&all.backends, backendPrefix, &participant{
-				zone: zoneOf(group.Zone, zones, i), kind: group.Kind, backend: proto.EP(i + 1), group: group,
+				zone: zoneOf(group.Zone, zones, i), kind: group.Kind, backend: proto.BackendID(i + 1), group: group,
 			})
 		}
 	}
 	for number, group := range scenario.Proxies {
-		factors := traffic.Uneven(group.Count, group.RateVariation, fake.Seed(scenario.Seed, fmt.Sprint("uneven ", number)))
+		factors := traffic.LognormalFactors(group.Count, group.RateVariation, fake.DeriveSeed(scenario.Seed, fmt.Sprint("uneven ", number)))
 		for _, factor := range factors {
 			all.add(&all.proxies, proxyPrefix, &participant{
 				zone: zoneOf(group.Zone, zones, len(all.proxies)), rate: group.Rate * factor, policy: group.BackendPolicy,
--- a/internal/scenario/player.go
+++ b/internal/scenario/player.go
@@ -17,11 +17,11 @@
 	scenario  *Scenario
 	env       Environment
 	record    func(trace.Record)
-	random    emulator.Dice
+	random    emulator.Random
 	startTime statemachine.Seconds
 	stepCount int
 	overrides map[string]any // values given to coordinators in place of the settings'
-	ledger    *emulator.Ledger
+	ledger    *emulator.ExecutionLog
 	// sampleInterval is how often backends and proxies record their own state, in seconds; 0: they do not.
 	sampleInterval float64
 	zonePartitions map[string]int // partitions that separate a zone from the others
@@ -36,8 +36,8 @@
 
 func newPlayer(scenario *Scenario) *player {
 	return &player{
-		participants: newParticipants(scenario), scenario: scenario, random: emulator.NewDice(scenario.Seed),
-		ledger: &emulator.Ledger{}, zonePartitions: map[string]int{},
+		participants: newParticipants(scenario), scenario: scenario, random: emulator.NewRandom(scenario.Seed),
+		ledger: &emulator.ExecutionLog{}, zonePartitions: map[string]int{},
 	}
 }
 
@@ -55,7 +55,7 @@
 
 func (p *player) scheduleSteps() {
 	for _, step := range p.scenario.Steps {
-		p.env.At(p.startTime+step.At, func() { p.runStep(step) })
+		p.env.Schedule(p.startTime+step.At, func() { p.runStep(step) })
 	}
 }
 
@@ -63,13 +63,13 @@
 func (p *player) runStep(step Step) {
 	p.stepCount++
 	running := &runningStep{Step: step, id: strconv.Itoa(p.stepCount), targets: p.selectTargets(step.Target, step.Selector)}
-	p.emit(trace.Record{Kind: trace.Trouble, Text: strings.Join(step.Source.Words[2:], " "), X: p.faultDuration(running)})
+	p.emit(trace.Record{Kind: trace.FaultInjected, Text: strings.Join(step.Source.Words[2:], " "), Value: p.faultDuration(running)})
 	verbSpecs[step.Verb].run(p, running)
 }
 
 // emit records something that happens now.
 func (p *player) emit(record trace.Record) {
-	record.T = p.env.Now()
+	record.Time = p.env.Now()
 	p.record(record)
 }
 
@@ -90,7 +90,7 @@
 		count = min(selector.Count, count)
 	}
 	for i := range count {
-		j := i + int(p.random.Draw()*float64(len(matching)-i))
+		j := i + int(p.random.Uniform()*float64(len(matching)-i))
 		matching[i], matching[j] = matching[j], matching[i]
 	}
 	return matching[:count]
@@ -132,7 +132,7 @@
 }
 
 // after schedules a function.
-func (p *player) after(delay statemachine.Seconds, do func()) { p.env.At(p.env.Now()+delay, do) }
+func (p *player) after(delay statemachine.Seconds, do func()) { p.env.Schedule(p.env.Now()+delay, do) }
 
 // atEnd schedules a function for the end of a step that has one.
 func (p *player) atEnd(step *runningStep, do func()) {
@@ -143,5 +143,5 @@
 
 // commandList passes a command to the endpoint list service.
 func (p *player) commandList(format string, args ...any) {
-	p.env.Tell(endpointService, fmt.Sprintf(format, args...))
+	p.env.SendCommand(endpointService, fmt.Sprintf(format, args...))
 }
--- a/internal/scenario/process_faults.go
+++ b/internal/scenario/process_faults.go
@@ -21,7 +21,7 @@
 func (p *player) startProcess(target *participant) {
 	target.up = true
 	if target.name[:1] == coordinatorPrefix {
-		p.emit(trace.Record{Kind: trace.Boot, Who: target.name})
+		p.emit(trace.Record{Kind: trace.CoordinatorStarted, Party: target.name})
 	}
 	p.env.Start(target.name)
 }
@@ -36,10 +36,10 @@
 	target.up = false
 	p.env.Kill(target.name)
 	if target.isBackend() {
-		p.emit(trace.Record{Kind: trace.Gone, EP: target.backend})
+		p.emit(trace.Record{Kind: trace.BackendStopped, Backend: target.backend})
 		return
 	}
-	p.emit(trace.Record{Kind: trace.Kill, Who: target.name})
+	p.emit(trace.Record{Kind: trace.ProcessKilled, Party: target.name})
 }
 
 // restartProcess starts a participant again once no fault keeps it down.
@@ -82,8 +82,8 @@
 // runPause keeps processes from running.
 func (p *player) runPause(step *runningStep) {
 	for _, target := range step.targets {
-		p.env.Stall(target.name, step.Duration)
-		p.emit(trace.Record{Kind: trace.Stall, Who: target.name, X: step.Duration})
+		p.env.Pause(target.name, step.Duration)
+		p.emit(trace.Record{Kind: trace.ProcessPaused, Party: target.name, Value: step.Duration})
 	}
 }
 
@@ -105,13 +105,13 @@
 		command += " " + argument
 	}
 	for _, target := range step.targets {
-		p.env.Tell(target.name, command)
+		p.env.SendCommand(target.name, command)
 		p.atEnd(step, func() { p.endBackendFault(target, step.Verb) })
 	}
 }
 
 func (p *player) endBackendFault(target *participant, verb Verb) {
-	p.env.Tell(target.name, "heal "+string(verb))
+	p.env.SendCommand(target.name, "heal "+string(verb))
 }
 
 // backendArgument is a step's argument as emulated backends take it: methods go by number, coordinators by name.
@@ -129,7 +129,7 @@
 func (p *player) runPauses(step *runningStep) {
 	for _, target := range step.targets {
 		for t := 0.0; t < step.Duration; t += pauseInterval {
-			p.after(t+p.random.Draw()*maxPause, func() { p.env.Tell(target.name, string(VerbHang)) })
+			p.after(t+p.random.Uniform()*maxPause, func() { p.env.SendCommand(target.name, string(VerbHang)) })
 			p.after(t+maxPause+min(step.Value, maxPause), func() { p.endBackendFault(target, VerbHang) })
 		}
 	}
@@ -155,7 +155,7 @@
 		return p.isolate(target, step.faultID(index))
 	case FlapHang, FlapFailFast:
 		verb := Verb(step.FlapMode)
-		p.env.Tell(target.name, string(verb))
+		p.env.SendCommand(target.name, string(verb))
 		return func() { p.endBackendFault(target, verb) }
 	}
 	p.crash(target)
@@ -180,7 +180,7 @@
 
 // runLoad changes the request rate of proxies.
 func (p *player) runLoad(step *runningStep) {
-	setRate := func(target *participant, rate float64) { p.env.Tell(target.name, fmt.Sprintf("rate %g", rate)) }
+	setRate := func(target *participant, rate float64) { p.env.SendCommand(target.name, fmt.Sprintf("rate %g", rate)) }
 	for _, target := range step.targets {
 		setRate(target, target.rate*step.Value)
 		p.atEnd(step, func() { setRate(target, target.rate) })
--- a/internal/scenario/processes.go
+++ b/internal/scenario/processes.go
@@ -19,41 +19,41 @@
 )
 
 // initialEndpoints is what the endpoint list service knows at the start; addressOf tells where a backend is reached.
-func (p *player) initialEndpoints(addressOf func(*participant) string) []fake.Listing {
-	endpoints := make([]fake.Listing, 0, len(p.backends))
+func (p *player) initialEndpoints(addressOf func(*participant) string) []fake.Endpoint {
+	endpoints := make([]fake.Endpoint, 0, len(p.backends))
 	for _, backend := range p.backends {
-		endpoints = append(endpoints, fake.Listing{
-			EP: backend.backend, State: proto.ServerOpen, Kind: backend.kind, Zone: backend.zone, Weight: backend.group.Weight,
-			Addr: addressOf(backend), Stamp: 1,
+		endpoints = append(endpoints, fake.Endpoint{
+			Backend: backend.backend, State: proto.BackendOpen, Kind: backend.kind, Zone: backend.zone, Weight: backend.group.Weight,
+			Addr: addressOf(backend), Incarnation: 1,
 		})
 	}
 	return endpoints
 }
 
 // newBackend makes the next incarnation of an emulated backend; all but the first start cold.
-func (p *player) newBackend(backend *participant, store *emulator.Store) *emulator.Server {
+func (p *player) newBackend(backend *participant, store *emulator.KeyStore) *emulator.Backend {
 	backend.incarnations++
 	config := p.backendConfig(backend, store)
-	config.Cold = backend.incarnations > 1
+	config.StartsCold = backend.incarnations > 1
 	config.Seed += uint64(backend.incarnations)
-	config.Glance = p.sampleInterval
-	return emulator.NewServer(config)
+	config.SampleInterval = p.sampleInterval
+	return emulator.NewBackend(config)
 }
 
 // backendConfig is what a backend of its group is.
-func (p *player) backendConfig(backend *participant, store *emulator.Store) emulator.Trade {
+func (p *player) backendConfig(backend *participant, store *emulator.KeyStore) emulator.Config {
 	settings, group := p.scenario.decodedSettings(), backend.group
 	work := group.Work
 	work.Mean = float64(group.Workers) / group.Capacity
-	return emulator.Trade{
-		EP: backend.backend, Zone: backend.zone, Cell: group.Cell, Seed: fake.Seed(p.scenario.Seed, backend.name),
-		Cores: group.Workers, Speed: 1, Work: []emulator.Work{work}, QueueMost: group.Queue, GiveUp: group.CancelMode,
-		ColdShare: settings.ColdShare.Or(0.3), WarmAfter: settings.WarmAfter.Or(10),
-		FallMultiple: settings.FallMultiple.Or(3), FallWindow: settings.FallWindow.Or(1),
-		ProbeWork: work.Mean / auxiliaryWorkDivisor, ProbesMost: maxProbes,
-		ConnWork: work.Mean / auxiliaryWorkDivisor, Connections: group.MaxConnections,
-		Reports: group.Reports, ReportLate: group.ReportDelay, ReportNoise: group.ReportNoise,
-		Keys: group.CacheKeys, KeySaves: group.CacheSaving, Store: store, Ledger: p.ledger,
+	return emulator.Config{
+		Backend: backend.backend, Zone: backend.zone, Cell: group.Cell, Seed: fake.DeriveSeed(p.scenario.Seed, backend.name),
+		Cores: group.Workers, Speed: 1, Work: []emulator.Work{work}, QueueLimit: group.Queue, CancelPolicy: group.CancelMode,
+		ColdSpeed: settings.ColdShare.Or(0.3), WarmupTime: settings.WarmAfter.Or(10),
+		OverloadMultiple: settings.FallMultiple.Or(3), OverloadWindow: settings.FallWindow.Or(1),
+		ProbeWork: work.Mean / auxiliaryWorkDivisor, ProbeLimit: maxProbes,
+		ConnWork: work.Mean / auxiliaryWorkDivisor, ConnLimit: group.MaxConnections,
+		ReportsLoad: group.Reports, ReportDelay: group.ReportDelay, ReportNoise: group.ReportNoise,
+		CacheSize: group.CacheKeys, CacheSavings: group.CacheSaving, KeyStore: store, Executions: p.ledger,
 	}
 }
 
@@ -69,20 +69,20 @@
 	if proxy.policy != "" {
 		policy = proxy.policy
 	}
-	return fake.NewFrontEnd(fake.FrontTrade{
+	return fake.NewFrontEnd(fake.FrontEndConfig{
 		Name: proxy.name, Zone: proxy.zone, Coordinators: order, Methods: scenario.proxyMethods(),
-		Rate: proxy.rate, Pick: policy, Begin: p.startTime, Shape: scenario.Shape, Keys: scenario.Keys,
-		Strikes: int(settings.Strikes.Or(0)), KeepAway: scenario.EjectionTime, TryWait: settings.TryWait.Or(0.8),
-		LineStill: scenario.EntryApplyTime, LevelRate: settings.LevelKind == "rate", Period: settings.ReportPeriod.Or(1),
-		Watch: p.sampleInterval > 0, ConnectTimeout: scenario.ConnectTimeout,
-		ComeAgain: scenario.ClientRetryShare, AgainWait: scenario.ClientRetryDelay, AgainMost: scenario.ClientRetryMax,
-		Seed: fake.Seed(scenario.Seed, proxy.name) + uint64(proxy.incarnations),
+		Rate: proxy.rate, Policy: policy, TrafficStart: p.startTime, Shape: scenario.Shape, Keys: scenario.Keys,
+		FailureLimit: int(settings.Strikes.Or(0)), AvoidFor: scenario.EjectionTime, AttemptTimeout: settings.TryWait.Or(0.8),
+		ApplyTimePerEntry: scenario.EntryApplyTime, AdmissionIsRate: settings.LevelKind == "rate", ReportPeriod: settings.ReportPeriod.Or(1),
+		RecordDelay: p.sampleInterval > 0, ConnectTimeout: scenario.ConnectTimeout,
+		ClientRetryChance: scenario.ClientRetryShare, ClientRetryBackoff: scenario.ClientRetryDelay, ClientRetryLimit: scenario.ClientRetryMax,
+		Seed: fake.DeriveSeed(scenario.Seed, proxy.name) + uint64(proxy.incarnations),
 	})
 }
 
 // newIdempotencyStore makes what backends share of idempotency keys, as the settings' groups allow.
-func (p *player) newIdempotencyStore() *emulator.Store {
-	store := &emulator.Store{Group: p.scenario.IdempotencyScope}
+func (p *player) newIdempotencyStore() *emulator.KeyStore {
+	store := &emulator.KeyStore{Scope: p.scenario.IdempotencyScope}
 	for _, method := range p.scenario.decodedSettings().Methods {
 		store.Window = max(store.Window, method.Window.Or(0))
 	}
@@ -95,13 +95,13 @@
 	values := maps.Clone(settings.Values)
 	maps.Copy(values, p.overrides)
 	values["zone"], values["self"], values["coordinators"] = target.zone, float64(target.index), float64(p.scenario.Coordinators)
-	module := settings.Coordinator(now)
+	module := settings.CoordinatorConfig(now)
 	module.Settings = choice.DecodeSettings(values)
 	target.incarnations++
-	module.Seed = fake.Seed(p.scenario.Seed, target.name) + uint64(target.incarnations)
+	module.Seed = fake.DeriveSeed(p.scenario.Seed, target.name) + uint64(target.incarnations)
 	return coordinator.Bootstrap{
-		Name: target.name, Zone: target.zone, ListAddr: listAddress, Module: module, Handshake: settings.Num("handshake"),
-		Silence: settings.Num("stream-silence"), ListSilence: settings.Num("list-silence"), ProbeTimeout: settings.Num("probe-timeout"),
-		MostStreams: int(settings.Num("streams")), MostProbes: int(settings.Num("probes-at-once")),
+		Name: target.name, Zone: target.zone, EndpointListAddr: listAddress, ModuleConfig: module, HandshakeTimeout: settings.Number("handshake"),
+		ProxyIdleTimeout: settings.Number("stream-silence"), EndpointListIdleTimeout: settings.Number("list-silence"), ProbeTimeout: settings.Number("probe-timeout"),
+		MaxStreams: int(settings.Number("streams")), MaxProbes: int(settings.Number("probes-at-once")),
 	}
 }
--- a/internal/scenario/read.go
+++ b/internal/scenario/read.go
@@ -47,7 +47,7 @@
 		return err
 	}),
 	single("coordinators", func(r *reader, value string) (err error) {
-		r.scenario.Coordinators, err = bootstrap.Whole(value, 1, maxCoordinators)
+		r.scenario.Coordinators, err = bootstrap.ParseInteger(value, 1, maxCoordinators)
 		return err
 	}),
 	singleDuration("line-still", func(s *Scenario) *float64 { return &s.EntryApplyTime }),
@@ -81,7 +81,7 @@
 // singleDuration is a statement with a time.
 func singleDuration(word string, field func(*Scenario) *float64) statement {
 	return single(word, func(r *reader, value string) (err error) {
-		*field(r.scenario), err = bootstrap.Duration(value)
+		*field(r.scenario), err = bootstrap.ParseDuration(value)
 		return err
 	})
 }
@@ -149,7 +149,7 @@
 // checkComplete adds a fault for each statement that every scenario needs and that is missing.
 func (r *reader) checkComplete() {
 	lacks := func(what string) {
-		r.faults = append(r.faults, bootstrap.Fault{File: r.file, Line: 1, What: what})
+		r.faults = append(r.faults, bootstrap.Fault{File: r.file, Line: 1, Message: what})
 	}
 	if r.scenario.Settings == nil {
 		lacks("no settings (such as: settings perth.conf)")
--- a/internal/scenario/read_groups.go
+++ b/internal/scenario/read_groups.go
@@ -22,12 +22,12 @@
 // backendPolicies are the ways in which proxies choose among the backends of a table.
 var backendPolicies = []string{"even", "lottery", "pair", "report"}
 
-var cancelModes = []namedValue[emulator.GiveUp]{
-	{"runs-on", emulator.RunsOn}, {"skips-wait", emulator.SkipsWait}, {"stops", emulator.Stops},
+var cancelModes = []namedValue[emulator.CancelPolicy]{
+	{"runs-on", emulator.IgnoreCancel}, {"skips-wait", emulator.DropQueued}, {"stops", emulator.CancelRunning},
 }
 
-var idempotencyScopes = []namedValue[emulator.Group]{
-	{"all", emulator.All}, {"zone", emulator.ByZone}, {"cell", emulator.ByCell}, {"server", emulator.Each},
+var idempotencyScopes = []namedValue[emulator.KeyScope]{
+	{"all", emulator.AllBackends}, {"zone", emulator.PerZone}, {"cell", emulator.PerCell}, {"server", emulator.PerBackend},
 }
 
 // readClients reads: clients again SHARE after TIME at-most N.
@@ -44,11 +44,11 @@
 func (s *Scenario) readTraffic(words []string) error {
 	keys, exponent := 0, 1.0
 	err := parseOptions(words,
-		shareOption("wave", &s.Shape.Swing),
-		durationOption("over", &s.Shape.Day),
-		valueOption("bursts", &s.Shape.Height, ParsePercent),
-		durationOption("every", &s.Shape.Every),
-		durationOption("lasting", &s.Shape.Lasts),
+		shareOption("wave", &s.Shape.DailySwing),
+		durationOption("over", &s.Shape.DayLength),
+		valueOption("bursts", &s.Shape.BurstFactor, ParsePercent),
+		durationOption("every", &s.Shape.BurstInterval),
+		durationOption("lasting", &s.Shape.BurstLength),
 		integerOption("keys", &keys, 1, maxCount),
 		numberOption("zipf", &exponent),
 	)
@@ -60,20 +60,20 @@
 			return err
 		}
 	}
-	if s.Shape.Height > 0 && s.Shape.Every == 0 {
+	if s.Shape.BurstFactor > 0 && s.Shape.BurstInterval == 0 {
 		return errors.New("bursts need every and a time")
 	}
-	return s.Shape.Check()
+	return s.Shape.Validate()
 }
 
 // readBackends reads: servers N and the group's options.
 func (s *Scenario) readBackends(words []string) error {
-	group := BackendGroup{Kind: "std", Workers: 2, Queue: 30, Weight: 1, Capacity: 20, CancelMode: emulator.SkipsWait}
+	group := BackendGroup{Kind: "std", Workers: 2, Queue: 30, Weight: 1, Capacity: 20, CancelMode: emulator.DropQueued}
 	if len(words) == 0 {
 		return errors.New("servers takes their number")
 	}
 	var err error
-	if group.Count, err = bootstrap.Whole(words[0], 1, maxGroupSize); err != nil {
+	if group.Count, err = bootstrap.ParseInteger(words[0], 1, maxGroupSize); err != nil {
 		return err
 	}
 	err = parseOptions(words[1:],
@@ -84,12 +84,12 @@
 		integerOption("queue", &group.Queue, 0, maxCount),
 		numberOption("weight", &group.Weight),
 		valueOption("work", &group.Work, func(value string) (emulator.Work, error) { return emulator.ParseWork(value, 1) }),
-		valueOption("give-up", &group.CancelMode, func(value string) (emulator.GiveUp, error) { return parseChoice(value, cancelModes) }),
+		valueOption("give-up", &group.CancelMode, func(value string) (emulator.CancelPolicy, error) { return parseChoice(value, cancelModes) }),
 		integerOption("cell", &group.Cell, 0, maxCount),
 		integerOption("connections", &group.MaxConnections, 0, maxCount),
 		option{"reports", func(value string) (err error) {
 			group.Reports = true
-			group.ReportDelay, err = bootstrap.Duration(value)
+			group.ReportDelay, err = bootstrap.ParseDuration(value)
 			return err
 		}},
 		shareOption("noise", &group.ReportNoise),
@@ -110,7 +110,7 @@
 		return errors.New("frontends takes their number")
 	}
 	var err error
-	if group.Count, err = bootstrap.Whole(words[0], 1, maxGroupSize); err != nil {
+	if group.Count, err = bootstrap.ParseInteger(words[0], 1, maxGroupSize); err != nil {
 		return err
 	}
 	err = parseOptions(words[1:],
@@ -127,7 +127,7 @@
 }
 
 func parseRateVariation(value string) (float64, error) {
-	variation, err := bootstrap.Number(value)
+	variation, err := bootstrap.ParseNumber(value)
 	if err == nil && variation > maxRateVariation {
 		err = fmt.Errorf("%v is more than %d", variation, maxRateVariation)
 	}
@@ -144,7 +144,7 @@
 // readMethodMix reads: mix SHARE..., one share for each method of the settings.
 func (s *Scenario) readMethodMix(words []string) error {
 	for _, word := range words {
-		share, err := bootstrap.Share(word)
+		share, err := bootstrap.ParseShare(word)
 		if err != nil {
 			return err
 		}
@@ -159,9 +159,9 @@
 		return errors.New("latency takes two times, within and between zones")
 	}
 	var err error
-	if s.ZoneLatency, err = bootstrap.Duration(words[0]); err != nil {
+	if s.ZoneLatency, err = bootstrap.ParseDuration(words[0]); err != nil {
 		return err
 	}
-	s.CrossZoneLatency, err = bootstrap.Duration(words[1])
+	s.CrossZoneLatency, err = bootstrap.ParseDuration(words[1])
 	return err
 }
--- a/internal/scenario/read_options.go
+++ b/internal/scenario/read_options.go
@@ -44,7 +44,7 @@
 
 // suggestion names the known word that is closest to a misspelt one, in parentheses; "" if none is close.
 func suggestion(word string, known []string) string {
-	if nearest := bootstrap.Nearest(word, known); nearest != "" {
+	if nearest := bootstrap.ClosestWord(word, known); nearest != "" {
 		return " (did you mean " + nearest + "?)"
 	}
 	return ""
@@ -67,19 +67,19 @@
 }
 
 func durationOption(name string, into *float64) option {
-	return valueOption(name, into, bootstrap.Duration)
+	return valueOption(name, into, bootstrap.ParseDuration)
 }
 
 func shareOption(name string, into *float64) option {
-	return valueOption(name, into, bootstrap.Share)
+	return valueOption(name, into, bootstrap.ParseShare)
 }
 
 func numberOption(name string, into *float64) option {
-	return valueOption(name, into, bootstrap.Number)
+	return valueOption(name, into, bootstrap.ParseNumber)
 }
 
 func integerOption(name string, into *int, minimum, maximum int) option {
-	return valueOption(name, into, func(value string) (int, error) { return bootstrap.Whole(value, minimum, maximum) })
+	return valueOption(name, into, func(value string) (int, error) { return bootstrap.ParseInteger(value, minimum, maximum) })
 }
 
 // namedValue is a word of a script with its meaning.
@@ -105,7 +105,7 @@
 // ParsePercent reads a percentage that may exceed 100%, as a share.
 func ParsePercent(word string) (float64, error) {
 	digits, isPercent := strings.CutSuffix(word, "%")
-	value, err := bootstrap.Number(digits)
+	value, err := bootstrap.ParseNumber(digits)
 	if !isPercent || err != nil {
 		return 0, fmt.Errorf("%q is no percentage", word)
 	}
--- a/internal/scenario/read_step.go
+++ b/internal/scenario/read_step.go
@@ -69,7 +69,7 @@
 }
 
 func readDuration(into *float64, value string) (err error) {
-	*into, err = bootstrap.Duration(value)
+	*into, err = bootstrap.ParseDuration(value)
 	return err
 }
 
@@ -99,11 +99,11 @@
 	switch {
 	case word == "all": // as without any selector
 	case strings.HasSuffix(word, "%"):
-		s.Selector.Share, err = bootstrap.Share(word)
+		s.Selector.Share, err = bootstrap.ParseShare(word)
 	case s.Target == TargetZone:
 		s.Selector.Zone = word
 	default:
-		s.Selector.Count, err = bootstrap.Whole(word, 1, maxCount)
+		s.Selector.Count, err = bootstrap.ParseInteger(word, 1, maxCount)
 	}
 	return err
 }
@@ -123,7 +123,7 @@
 
 func (s *Step) readIndexes(value string) error {
 	for _, word := range strings.Split(value, ",") {
-		index, err := bootstrap.Whole(word, 0, maxCount)
+		index, err := bootstrap.ParseInteger(word, 0, maxCount)
 		if err != nil {
 			return err
 		}
@@ -152,22 +152,22 @@
 			return fmt.Errorf("%s takes no by", s.Verb)
 		}
 	case shareArgument:
-		parse := bootstrap.Share
+		parse := bootstrap.ParseShare
 		if s.Verb == VerbLoad {
 			parse = ParsePercent
 		}
 		s.Value, err = parse(s.Argument)
 		s.Argument = formatNumber(s.Value)
 	case timeArgument:
-		s.Value, err = bootstrap.Duration(s.Argument)
+		s.Value, err = bootstrap.ParseDuration(s.Argument)
 		s.Argument = formatNumber(s.Value)
 	case factorArgument:
-		s.Value, err = bootstrap.Number(s.Argument)
+		s.Value, err = bootstrap.ParseNumber(s.Argument)
 		if err == nil && s.Value <= 0 {
 			return fmt.Errorf("by %s is no factor above 0", s.Argument)
 		}
 	case integerArgument:
-		_, err = bootstrap.Whole(s.Argument, 0, maxCount)
+		_, err = bootstrap.ParseInteger(s.Argument, 0, maxCount)
 	case methodArgument, coordinatorArgument: // names; the method is compared with the settings later
 	}
 	return err
--- a/internal/scenario/relay.go
+++ b/internal/scenario/relay.go
@@ -15,7 +15,7 @@
 // linkFault is a fault of the links that match.
 type linkFault struct {
 	name  string
-	fault simnet.Hindrance
+	fault simnet.LinkFault
 	match linkMatch
 }
 
@@ -55,19 +55,19 @@
 	return started, nil
 }
 
-// Clear removes the link faults of a name.
-func (s *sockets) Clear(name string) {
+// RemoveLinkFault removes the link faults of a name.
+func (s *sockets) RemoveLinkFault(name string) {
 	s.linkFaults = slices.DeleteFunc(s.linkFaults, func(f linkFault) bool { return f.name == name })
 	s.applyLinkFaults()
 }
 
-// Reset closes the connections on the links that match.
-func (s *sockets) Reset(match linkMatch) {
+// ResetConnections closes the connections on the links that match.
+func (s *sockets) ResetConnections(match linkMatch) {
 	all := linkFault{match: match}
 	for of, r := range s.relays {
 		for i, to := range r.targets {
 			if all.matches(of, to) {
-				r.loop.Tell(fmt.Sprintf("reset %d", i))
+				r.loop.SendCommand(fmt.Sprintf("reset %d", i))
 			}
 		}
 	}
@@ -83,31 +83,31 @@
 }
 
 // combinedFault is the sum of all faults of a link.
-func (s *sockets) combinedFault(a, b string) simnet.Hindrance {
-	var sum simnet.Hindrance
+func (s *sockets) combinedFault(a, b string) simnet.LinkFault {
+	var sum simnet.LinkFault
 	for _, f := range s.linkFaults {
 		if !f.matches(a, b) {
 			continue
 		}
-		sum.Cut = sum.Cut || f.fault.Cut
-		sum.Drop = sum.Drop || f.fault.Drop
-		sum.Delay += f.fault.Delay
-		if f.fault.Pace > 0 && (sum.Pace == 0 || f.fault.Pace < sum.Pace) {
-			sum.Pace = f.fault.Pace
+		sum.Partitioned = sum.Partitioned || f.fault.Partitioned
+		sum.Reset = sum.Reset || f.fault.Reset
+		sum.ExtraLatency += f.fault.ExtraLatency
+		if f.fault.Bandwidth > 0 && (sum.Bandwidth == 0 || f.fault.Bandwidth < sum.Bandwidth) {
+			sum.Bandwidth = f.fault.Bandwidth
 		}
 	}
 	return sum
 }
 
 // setFault tells the relay the fault of a link, unless it stands already. A relay starts without faults.
-func (r *relay) setFault(target int, fault simnet.Hindrance) {
-	command := fmt.Sprintf("set %d %d %d %g %g", target, digit(fault.Cut), digit(fault.Drop), fault.Delay, fault.Pace)
+func (r *relay) setFault(target int, fault simnet.LinkFault) {
+	command := fmt.Sprintf("set %d %d %d %g %g", target, digit(fault.Partitioned), digit(fault.Reset), fault.ExtraLatency, fault.Bandwidth)
 	isFirst := r.lastCommands[target] == ""
-	if r.lastCommands[target] == command || isFirst && fault == (simnet.Hindrance{}) {
+	if r.lastCommands[target] == command || isFirst && fault == (simnet.LinkFault{}) {
 		return
 	}
 	r.lastCommands[target] = command
-	r.loop.Tell(command)
+	r.loop.SendCommand(command)
 }
 
 // digit writes a flag as relays read it.
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -18,7 +18,7 @@
 type Scenario struct {
 	Name         string
 	SettingsFile string // as the script names it
-	Settings     *bootstrap.Trade
+	Settings     *bootstrap.Settings
 	Duration     float64
 	Seed         uint64
 	Coordinators int
@@ -39,7 +39,7 @@
 	ClientRetryMax   int       // retries of one RPC
 	Shape            traffic.Shape
 	Keys             *traffic.Zipf
-	IdempotencyScope emulator.Group // which backends share their idempotency keys
+	IdempotencyScope emulator.KeyScope // which backends share their idempotency keys
 
 	settingsLines []bootstrap.Line
 }
@@ -54,7 +54,7 @@
 	Queue          int // RPCs that may wait
 	Weight         float64
 	Work           emulator.Work
-	CancelMode     emulator.GiveUp
+	CancelMode     emulator.CancelPolicy
 	Cell           int
 	MaxConnections int
 	Reports        bool    // replies carry load reports,
@@ -107,7 +107,7 @@
 		MaxQueuedEntries:      int(settings.ChannelRoom.Or(0)),
 		MaxMessages:           int(settings.Messages.Or(0)),
 		MessageWindow:         settings.MessagesSpan.Or(10),
-		EndpointStreamTimeout: s.Settings.Num("list-silence"),
+		EndpointStreamTimeout: s.Settings.Number("list-silence"),
 		PollInterval:          settings.AskWithin.Or(10),
 		OnlyDraining:          settings.OnlyDrainingBinds,
 	}
@@ -131,8 +131,8 @@
 }
 
 // proxyMethods returns the methods as the proxies know them.
-func (s *Scenario) proxyMethods() []fake.MethodTrade {
-	methods := fake.Methods(s.decodedSettings().Methods)
+func (s *Scenario) proxyMethods() []fake.MethodConfig {
+	methods := fake.MethodConfigs(s.decodedSettings().Methods)
 	for i := range methods {
 		methods[i].Share = s.MethodMix[i]
 	}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -70,7 +70,7 @@
 		t.Fatal(err, result.Report.Rules)
 	}
 	notified := slices.ContainsFunc(result.Records, func(record trace.Record) bool {
-		return record.Kind == trace.Apply && strings.HasPrefix(record.Text, "withdraw 1;withdraw 2")
+		return record.Kind == trace.PushApplied && strings.HasPrefix(record.Text, "withdraw 1;withdraw 2")
 	})
 	if !notified {
 		t.Fatal("no proxy was notified that all backends are excluded: the scenario no longer covers the case")
--- a/internal/scenario/sockets.go
+++ b/internal/scenario/sockets.go
@@ -169,8 +169,8 @@
 // Now is the time of the event loops' common clock.
 func (s *sockets) Now() statemachine.Seconds { return s.clock.Now() }
 
-// At schedules a function.
-func (s *sockets) At(at statemachine.Seconds, do func()) { s.schedule.add(at, do) }
+// Schedule schedules a function.
+func (s *sockets) Schedule(at statemachine.Seconds, do func()) { s.schedule.add(at, do) }
 
 // Start starts a participant's process or event loop.
 func (s *sockets) Start(name string) {
@@ -183,7 +183,7 @@
 		_ = started.closingLoop.Wait() // it was killed; it holds the port until then
 		started.closingLoop = nil
 	}
-	config := eventloop.Bootstrap{Machine: started.newMachine(), Clock: s.clock, Via: started.translate, Trace: s.addRecords}
+	config := eventloop.Bootstrap{Machine: started.newMachine(), Clock: s.clock, RewriteDialAddress: started.translate, Trace: s.addRecords}
 	if started.addr != "" {
 		config.Listen = []string{started.addr}
 	}
@@ -208,27 +208,27 @@
 	}
 }
 
-// Stall keeps a participant from running for a time.
-func (s *sockets) Stall(name string, span statemachine.Seconds) {
+// Pause keeps a participant from running for a time.
+func (s *sockets) Pause(name string, span statemachine.Seconds) {
 	n := s.nodes[name]
 	if n.cmd == nil {
-		s.Tell(name, fmt.Sprintf("still %g", span))
+		s.SendCommand(name, fmt.Sprintf("still %g", span))
 		return
 	}
 	process := n.cmd.Process
 	_ = process.Signal(syscall.SIGSTOP) // it may have ended by itself, which is reported elsewhere
-	s.At(s.Now()+span, func() { _ = process.Signal(syscall.SIGCONT) })
+	s.Schedule(s.Now()+span, func() { _ = process.Signal(syscall.SIGCONT) })
 }
 
-// Tell passes a command to a participant's event loop.
-func (s *sockets) Tell(name, text string) {
+// SendCommand passes a command to a participant's event loop.
+func (s *sockets) SendCommand(name, text string) {
 	if n := s.nodes[name]; n != nil && n.loop != nil {
-		n.loop.Tell(text)
+		n.loop.SendCommand(text)
 	}
 }
 
-// Hinder adds a link fault.
-func (s *sockets) Hinder(name string, fault simnet.Hindrance, match linkMatch) {
+// AddLinkFault adds a link fault.
+func (s *sockets) AddLinkFault(name string, fault simnet.LinkFault, match linkMatch) {
 	s.linkFaults = append(s.linkFaults, linkFault{name, fault, match})
 	s.applyLinkFaults()
 }
--- a/internal/scenario/sockets_build.go
+++ b/internal/scenario/sockets_build.go
@@ -96,8 +96,8 @@
 
 // newEndpointService makes the endpoint list service; each coordinator learns the addresses of its own relay.
 func (t *topology) newEndpointService() statemachine.Machine {
-	list := fake.NewList(t.player.initialEndpoints(func(backend *participant) string { return t.nodes[backend.name].addr }))
-	list.Via = func(watcher, address string) string {
+	list := fake.NewEndpointService(t.player.initialEndpoints(func(backend *participant) string { return t.nodes[backend.name].addr }))
+	list.RewriteAddr = func(watcher, address string) string {
 		if r := t.relays[watcher]; r != nil {
 			return r.address(t.nameOf[address])
 		}
--- a/internal/scenario/tampering_test.go
+++ b/internal/scenario/tampering_test.go
@@ -20,7 +20,7 @@
 	var actions []statemachine.Action
 	for _, action := range out.Actions {
 		var r proto.Reader
-		r.Open()
+		r.HandshakeDone()
 		r.Feed(action.Data)
 		message, _ := r.Next()
 		push, ok := message.(proto.Push)
@@ -31,8 +31,8 @@
 		extra := s.tamper(&push)
 		for i := range extra + 1 {
 			s.sequences[action.Conn]++
-			if push.Seq = s.sequences[action.Conn]; i > 0 {
-				push.Ops, push.Marked = nil, false
+			if push.Sequence = s.sequences[action.Conn]; i > 0 {
+				push.Ops, push.HasNonce = nil, false
 			}
 			actions = append(actions, statemachine.Action{Kind: statemachine.ActionWrite, Conn: action.Conn, Data: proto.Append(nil, push)})
 		}
@@ -57,8 +57,8 @@
 // clearTables replaces each table entry by the removal of all.
 func clearTables(push *proto.Push) int {
 	for i, operation := range push.Ops {
-		if operation.Kind == proto.OpLine {
-			push.Ops[i] = proto.Op{Kind: proto.OpClear, Table: operation.Table}
+		if operation.Kind == proto.OpSetEntry {
+			push.Ops[i] = proto.TableOp{Kind: proto.OpClear, Table: operation.Table}
 		}
 	}
 	return 0
@@ -67,8 +67,8 @@
 // allowTwoTries permits a second attempt for each method.
 func allowTwoTries(push *proto.Push) int {
 	for _, operation := range push.Ops {
-		for i := range operation.Levels {
-			operation.Levels[i].Tries = 2
+		for i := range operation.Admissions {
+			operation.Admissions[i].Retry = 2
 		}
 	}
 	return 0
@@ -76,9 +76,9 @@
 
 // dropExclusions removes all operations that take a backend out of use.
 func dropExclusions(push *proto.Push) int {
-	push.Ops = slices.DeleteFunc(push.Ops, func(operation proto.Op) bool {
-		return operation.Kind == proto.OpWithdraw ||
-			operation.Kind == proto.OpLine && (operation.Lines[0].Weight == 0 || operation.Lines[0].Shut)
+	push.Ops = slices.DeleteFunc(push.Ops, func(operation proto.TableOp) bool {
+		return operation.Kind == proto.OpExclude ||
+			operation.Kind == proto.OpSetEntry && (operation.Entries[0].Weight == 0 || operation.Entries[0].Excluded)
 	})
 	return 0
 }
@@ -105,7 +105,7 @@
 			if (verdict.Violations > 0) != (verdict.Rule == test.rule) {
 				t.Errorf("%s: rule %d violated %d times: %s", name, verdict.Rule, verdict.Violations, verdict.Reason)
 			}
-			if verdict.Rule == test.rule && (verdict.Record < 1 || verdict.Party == "" || result.Records[verdict.Record-1].T != verdict.FirstTime) {
+			if verdict.Rule == test.rule && (verdict.Record < 1 || verdict.Party == "" || result.Records[verdict.Record-1].Time != verdict.FirstTime) {
 				t.Errorf("%s: rule %d has no details: %+v", name, verdict.Rule, verdict)
 			}
 		}
--- a/internal/scenario/virtual.go
+++ b/internal/scenario/virtual.go
@@ -24,15 +24,15 @@
 	Scenario         *Scenario
 	Report           invariant.Report
 	Records          []trace.Record
-	Failures         []string         // of state machines: defects of the program, whatever the rules say
-	MachineSteps     int              // of all state machines, in virtual time
-	Truth            *GroundTruth     // nil unless Options.SampleTruth
-	DuplicateEffects []emulator.Twice // RPCs that took effect twice, by the backends' own ledger
+	Failures         []string                     // of state machines: defects of the program, whatever the rules say
+	MachineSteps     int                          // of all state machines, in virtual time
+	Truth            *GroundTruth                 // nil unless Options.SampleTruth
+	DuplicateEffects []emulator.RepeatedExecution // RPCs that took effect twice, by the backends' own ledger
 }
 
 // newResult sorts what was recorded by time and checks it.
 func newResult(scenario *Scenario, records []trace.Record, failures []string) (Result, error) {
-	slices.SortStableFunc(records, func(a, b trace.Record) int { return cmp.Compare(a.T, b.T) })
+	slices.SortStableFunc(records, func(a, b trace.Record) int { return cmp.Compare(a.Time, b.Time) })
 	report, err := invariant.Check(records, scenario.Limits())
 	return Result{Scenario: scenario, Report: report, Records: records, Failures: failures}, err
 }
@@ -52,8 +52,8 @@
 type virtualRun struct {
 	*player
 	options Options
-	network *simnet.World
-	frozen  *fake.Frost // of FrozenTables
+	network *simnet.Network
+	frozen  *fake.TableFreezer // of FrozenTables
 	records []trace.Record
 }
 
@@ -61,7 +61,7 @@
 // violations of the rules are in the result.
 func PlayVirtual(scenario *Scenario, options Options) (Result, error) {
 	run := &virtualRun{
-		player: newPlayer(scenario), options: options, frozen: &fake.Frost{After: epoch + FreezeDelay},
+		player: newPlayer(scenario), options: options, frozen: &fake.TableFreezer{FreezeAt: epoch + FreezeDelay},
 		network: simnet.New(scenario.Seed, epoch, scenario.ZoneLatency, scenario.CrossZoneLatency),
 	}
 	run.overrides, run.env = options.Overrides, run.network
@@ -74,9 +74,9 @@
 		truth = &GroundTruth{}
 		run.sampleBackends(run.network, truth)
 	}
-	run.network.Run(epoch + scenario.Duration)
-	result, err := newResult(scenario, run.records, run.network.Fails)
-	result.Truth, result.DuplicateEffects, result.MachineSteps = truth, run.ledger.Twice, run.network.Steps
+	run.network.RunUntil(epoch + scenario.Duration)
+	result, err := newResult(scenario, run.records, run.network.Failures)
+	result.Truth, result.DuplicateEffects, result.MachineSteps = truth, run.ledger.Repeated, run.network.Steps
 	return result, err
 }
 
@@ -84,21 +84,21 @@
 func (r *virtualRun) addNodes() {
 	ownName := func(p *participant) string { return p.name }
 	store, coordinatorNames := r.newIdempotencyStore(), names(r.coordinators)
-	r.network.Add(endpointService, r.byName[endpointService].zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
-		return fake.NewList(r.initialEndpoints(ownName))
+	r.network.AddNode(endpointService, r.byName[endpointService].zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
+		return fake.NewEndpointService(r.initialEndpoints(ownName))
 	}, endpointService)
 	for _, backend := range r.backends {
-		r.network.Add(backend.name, backend.zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
+		r.network.AddNode(backend.name, backend.zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
 			return r.newBackend(backend, store)
 		}, backend.name)
 	}
 	for _, target := range r.coordinators {
-		r.network.Add(target.name, target.zone, func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
+		r.network.AddNode(target.name, target.zone, func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
 			return r.newCoordinator(target, now)
 		}, target.name)
 	}
 	for _, proxy := range r.proxies {
-		r.network.Add(proxy.name, proxy.zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
+		r.network.AddNode(proxy.name, proxy.zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
 			return r.newProxy(proxy, coordinatorNames)
 		})
 	}
@@ -108,11 +108,11 @@
 func (r *virtualRun) newCoordinator(target *participant, now statemachine.Seconds) statemachine.Machine {
 	config := r.coordinatorConfig(target, now, endpointService)
 	if r.options.Tables == AllBackends {
-		return fake.NewPlain(target.name, endpointService, r.scenario.Settings.Methods, config.Module.Settings.ReportPeriod.Or(1))
+		return fake.NewBaselineCoordinator(target.name, endpointService, r.scenario.Settings.Methods, config.ModuleConfig.Settings.ReportPeriod.Or(1))
 	}
 	kept, err := r.checkpoint(target.name)
 	if err != nil {
-		r.network.Fails = append(r.network.Fails, fmt.Sprintf("%s: %v", target.name, err))
+		r.network.Failures = append(r.network.Failures, fmt.Sprintf("%s: %v", target.name, err))
 	}
 	machine := statemachine.Machine(coordinator.NewMachine(config, kept))
 	if r.options.Tables == FrozenTables {
@@ -125,10 +125,10 @@
 }
 
 // checkpoint opens a node's store and reads what its earlier incarnation left.
-func (r *virtualRun) checkpoint(name string) (*checkpoint.Kept, error) {
-	records, err := r.network.Records(name)
+func (r *virtualRun) checkpoint(name string) (*checkpoint.State, error) {
+	records, err := r.network.OpenStore(name)
 	if err != nil {
 		return nil, err
 	}
-	return checkpoint.Read(records)
+	return checkpoint.Decode(records)
 }
