--- a/internal/fake/endpoints.go
+++ b/internal/fake/endpoints.go
@@ -50,10 +50,10 @@
 }
 
 type endpointServiceFaults struct {
-	delay   statemachine.Seconds // of updates
-	failing bool                 // every request fails
-	stale   bool                 // watchers get no updates
-	visible map[proto.BackendID]bool    // the only backends that are shown; nil: all
+	delay   statemachine.Seconds     // of updates
+	failing bool                     // every request fails
+	stale   bool                     // watchers get no updates
+	visible map[proto.BackendID]bool // the only backends that are shown; nil: all
 }
 
 type endpointChange struct {
--- a/internal/fake/frontend.go
+++ b/internal/fake/frontend.go
@@ -30,7 +30,7 @@
 	ApplyTimePerEntry statemachine.Seconds // that it stands still for each entry of a push
 	AdmissionIsRate   bool                 // admission levels are RPCs a second instead of shares
 	ReportPeriod      statemachine.Seconds
-	RecordDelay       bool         // it records in the trace how late it handled arrivals
+	RecordDelay       bool               // it records in the trace how late it handled arrivals
 	StaticTable       []proto.TableEntry // its one table if it follows no coordinator
 	ConnectTimeout    statemachine.Seconds
 	Seed              uint64
