--- a/cmd/gingerfork/follow.go
+++ b/cmd/gingerfork/follow.go
@@ -73,7 +73,7 @@
 		err = errors.New("its last line has no end: it may have been cut short")
 	}
 	if err == nil {
-		servers, err = haproxy.Read([]haproxy.Source{{Name: s.file, Text: string(text)}}, haproxy.Given{}).Servers(s.pool)
+		servers, err = haproxy.Read([]haproxy.Source{{Name: s.file, Text: string(text)}}, haproxy.Environment{}).Servers(s.pool)
 	}
 	if err != nil {
 		s.log.Error("the file of servers is bad; the list stays as it was", "file", s.file, "cause", err.Error())
--- a/cmd/gingerfork/import.go
+++ b/cmd/gingerfork/import.go
@@ -37,12 +37,12 @@
 		}
 		all = append(all, haproxy.Source{Name: f, Text: string(text)})
 	}
-	return haproxy.Read(all, haproxy.Given{Env: c.Env, Version: c.Version, Features: c.Feature}), nil
+	return haproxy.Read(all, haproxy.Environment{Variables: c.Env, Version: c.Version, Features: c.Feature}), nil
 }
 
 func (c haproxyCmd) Run(p *program) error {
 	if c.Keywords {
-		haproxy.Page(p.out)
+		haproxy.WriteKeywords(p.out)
 		return nil
 	}
 	if len(c.Files) == 0 {
@@ -67,10 +67,10 @@
 		}
 		var notes []note
 		for _, x := range got.Notes {
-			notes = append(notes, note{x.Line.File, x.Line.Line, x.Line.Col, x.Text(), x.Class.String(), x.Why})
+			notes = append(notes, note{x.Line.File, x.Line.Line, x.Line.Column, x.Text(), x.Class.String(), x.Reason})
 		}
 		for _, f := range got.Faults {
-			notes = append(notes, note{f.File, f.Line, f.Col, "", "refused", f.What})
+			notes = append(notes, note{f.File, f.Line, f.Column, "", "refused", f.Message})
 		}
 		if err := json.NewEncoder(p.out).Encode(map[string]any{"pools": len(got.Pools), "notes": notes}); err != nil {
 			return err
@@ -78,11 +78,11 @@
 	} else {
 		for _, x := range got.Notes {
 			if x.Class != haproxy.Carried {
-				fmt.Fprintf(p.err, "%s: %s: %s: %s\n", x.Line.Place, x.Class, x.Text(), x.Why)
+				fmt.Fprintf(p.err, "%s: %s: %s: %s\n", x.Line.Position, x.Class, x.Text(), x.Reason)
 			}
 		}
 		for _, f := range got.Faults {
-			fmt.Fprintf(p.err, "%s: refused: %s\n", f.Place, f.What)
+			fmt.Fprintf(p.err, "%s: refused: %s\n", f.Position, f.Message)
 		}
 		fmt.Fprintf(p.err, "%d pools; %d carried, %d with a difference, %d not carried, %d refused\n", len(got.Pools), n[haproxy.Carried],
 			n[haproxy.Differs], n[haproxy.Dropped], len(got.Faults))
@@ -141,7 +141,7 @@
 	}
 	bad := slices.Concat(old.Faults, now.Faults)
 	for _, f := range bad {
-		fmt.Fprintf(p.err, "%s: refused: %s\n", f.Place, f.What)
+		fmt.Fprintf(p.err, "%s: refused: %s\n", f.Position, f.Message)
 	}
 	if len(bad) > 0 {
 		return badError{errors.New("the files are at fault")}
@@ -153,7 +153,7 @@
 		return s
 	}
 	for _, x := range haproxy.Diff(old, now) {
-		fmt.Fprintf(p.out, "%s/%s: %s -> %s\n", x.Pool, x.Server, word(x.Was), word(x.Is))
+		fmt.Fprintf(p.out, "%s/%s: %s -> %s\n", x.Pool, x.Server, word(x.Before), word(x.After))
 	}
 	return nil
 }
--- a/internal/haproxy/bench_test.go
+++ b/internal/haproxy/bench_test.go
@@ -27,7 +27,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if got := Read([]Source{{"a", text}}, Given{}); len(got.Faults) > 0 {
+				if got := Read([]Source{{"a", text}}, Environment{}); len(got.Faults) > 0 {
 					b.Fatal(got.Faults[0])
 				}
 			}
--- a/internal/haproxy/cond.go
+++ b/internal/haproxy/cond.go
@@ -7,8 +7,8 @@
 )
 
 // Given is what the blocks' predicates and variables are answered from; the real environment is never looked at.
-type Given struct {
-	Env      map[string]string
+type Environment struct {
+	Variables      map[string]string
 	Version  string   // for version_atleast and version_before; "": 3.0
 	Features []string // for feature
 }
@@ -16,9 +16,9 @@
 // Choose goes through a file's lines and keeps those that its blocks of .if, .elif, .else and .endif let stand (manual,
 // 2.4). Messages of .notice, .warning and .alert in what stands are given as notes; .alert is a fault, as it stops
 // HAProxy from starting.
-func Choose(f File, g Given) (lines []Line, left []Line, notes []Note, faults []Fault) {
+func Choose(f File, g Environment) (lines []Line, left []Line, notes []Note, faults []Fault) {
 	type block struct {
-		at     Place
+		at     Position
 		on     bool // its lines stand
 		done   bool // one of its branches stood
 		outer  bool // what is around it stands
@@ -29,12 +29,12 @@
 	for _, l := range f.Lines {
 		word := l.Word(0)
 		fault := func(format string, args ...any) {
-			faults = append(faults, Fault{l.Place, fmt.Sprintf(format, args...)})
+			faults = append(faults, Fault{l.Position, fmt.Sprintf(format, args...)})
 		}
 		rest := func() string { return strings.Join(l.Words()[1:], " ") }
 		switch word {
 		case ".if":
-			b := block{at: l.Place, outer: on()}
+			b := block{at: l.Position, outer: on()}
 			if b.outer {
 				v, err := g.holds(rest())
 				if err != nil {
@@ -100,7 +100,7 @@
 }
 
 // holds answers a condition: terms with !, && before ||, parentheses.
-func (g Given) holds(text string) (bool, error) {
+func (g Environment) holds(text string) (bool, error) {
 	p := &condition{g: g, s: text}
 	if strings.TrimSpace(text) == "" {
 		return false, nil // an empty condition is false
@@ -115,7 +115,7 @@
 }
 
 type condition struct {
-	g     Given
+	g     Environment
 	s     string
 	depth int
 }
@@ -193,7 +193,7 @@
 	return p.g.predicate(name, args)
 }
 
-func (g Given) predicate(name string, args []string) (bool, error) {
+func (g Environment) predicate(name string, args []string) (bool, error) {
 	want := map[string]int{"defined": 1, "feature": 1, "streq": 2, "strneq": 2, "strstr": 2, "version_atleast": 1, "version_before": 1}
 	n, known := want[name]
 	switch {
@@ -204,7 +204,7 @@
 	}
 	switch name {
 	case "defined":
-		_, ok := g.Env[args[0]]
+		_, ok := g.Variables[args[0]]
 		return ok, nil
 	case "feature":
 		for _, f := range g.Features {
--- a/internal/haproxy/import.go
+++ b/internal/haproxy/import.go
@@ -31,7 +31,7 @@
 
 // section is a section with what it has of its defaults.
 type section struct {
-	Place
+	Position
 	kind, name string
 	defaults   *section
 	lines      []Line
@@ -47,11 +47,11 @@
 }
 
 // Read imports files in their order, as if they were one. It goes on after faults, so that all are told at once.
-func Read(sources []Source, g Given) Import {
+func Read(sources []Source, g Environment) Import {
 	m := &importer{named: map[string]*section{}, pools: map[string]*section{}}
 	var lines []Line
 	for _, s := range sources {
-		f, faults := Lex(s.Name, s.Text, g.Env)
+		f, faults := Lex(s.Name, s.Text, g.Variables)
 		m.Files, m.Faults = append(m.Files, f), append(m.Faults, faults...)
 		kept, left, notes, more := Choose(f, g)
 		m.Notes, m.Faults = append(m.Notes, notes...), append(m.Faults, more...)
@@ -70,17 +70,17 @@
 	for i, f := range m.Files {
 		order[f.Name] = i
 	}
-	place := func(a, b Place) int {
+	place := func(a, b Position) int {
 		if a.File != b.File {
 			return order[a.File] - order[b.File]
 		}
 		if a.Line != b.Line {
 			return a.Line - b.Line
 		}
-		return a.Col - b.Col
+		return a.Column - b.Column
 	}
-	slices.SortStableFunc(m.Notes, func(a, b Note) int { return place(a.Line.Place, b.Line.Place) })
-	slices.SortStableFunc(m.Faults, func(a, b Fault) int { return place(a.Place, b.Place) })
+	slices.SortStableFunc(m.Notes, func(a, b Note) int { return place(a.Line.Position, b.Line.Position) })
+	slices.SortStableFunc(m.Faults, func(a, b Fault) int { return place(a.Position, b.Position) })
 	return m.Import
 }
 
@@ -88,16 +88,16 @@
 	m.Notes = append(m.Notes, Note{l, c, fmt.Sprintf(why, args...)})
 }
 
-func (m *importer) fault(at Place, what string, args ...any) {
+func (m *importer) fault(at Position, what string, args ...any) {
 	m.Faults = append(m.Faults, Fault{at, fmt.Sprintf(what, args...)})
 }
 
 // words is a line with some of its words only.
 func words(l Line, from, to int) Line {
 	to = min(to, len(l.Tokens))
-	x := Line{l.Place, l.Tokens[min(from, to):to]}
+	x := Line{l.Position, l.Tokens[min(from, to):to]}
 	if len(x.Tokens) > 0 {
-		x.Col = x.Tokens[0].Col
+		x.Column = x.Tokens[0].Col
 	}
 	return x
 }
@@ -115,14 +115,14 @@
 		word := l.Word(0)
 		if !slices.Contains(kinds, word) {
 			if cur == nil {
-				m.fault(l.Place, "%s before any section", word)
+				m.fault(l.Position, "%s before any section", word)
 				m.note(l, Dropped, "it stands before any section")
 				continue
 			}
 			cur.lines = append(cur.lines, l)
 			continue
 		}
-		s := &section{Place: l.Place, kind: word}
+		s := &section{Position: l.Position, kind: word}
 		rest := l.Words()[1:]
 		unnamed := len(rest) == 0 || word == "defaults" && rest[0] == "from"
 		if !unnamed {
@@ -144,33 +144,33 @@
 			if len(rest) >= 2 && rest[0] == "from" {
 				if s.defaults = m.named[rest[1]]; s.defaults == nil {
 					if rest[1] == s.name && word == "defaults" {
-						m.fault(l.Place, "defaults %s follow themselves, in a circle", s.name)
+						m.fault(l.Position, "defaults %s follow themselves, in a circle", s.name)
 					} else {
-						m.fault(l.Place, "from %s: no such defaults before this line", rest[1])
+						m.fault(l.Position, "from %s: no such defaults before this line", rest[1])
 					}
 				}
 			} else if len(rest) > 0 {
-				m.fault(l.Place, "%s after the section's name", strings.Join(rest, " "))
+				m.fault(l.Position, "%s after the section's name", strings.Join(rest, " "))
 			}
 			if word != "defaults" && s.name == "" {
-				m.fault(l.Place, "a %s without a name", word)
+				m.fault(l.Position, "a %s without a name", word)
 			}
 		}
 		if c := strange(s.name); c != "" && slices.Contains([]string{"defaults", "frontend", "backend", "listen"}, word) {
-			m.fault(l.Place, "%q is not permitted in the name of a %s", c, word)
+			m.fault(l.Position, "%q is not permitted in the name of a %s", c, word)
 		}
 		switch word {
 		case "defaults":
 			if s.name != "" {
 				if m.named[s.name] != nil {
-					m.fault(l.Place, "defaults %s once more", s.name)
+					m.fault(l.Position, "defaults %s once more", s.name)
 				}
 				m.named[s.name] = s
 			}
 			defaults = s
 		case "backend", "listen":
 			if was := m.pools[s.name]; was != nil && s.name != "" {
-				m.fault(l.Place, "%s %s is at line %d already", word, s.name, was.Line)
+				m.fault(l.Position, "%s %s is at line %d already", word, s.name, was.Line)
 			} else {
 				m.pools[s.name] = s
 			}
@@ -225,7 +225,7 @@
 }
 
 func (m *importer) pool(s *section) {
-	p := &Pool{at: len(m.Pools), Place: s.Place, Name: s.name, Mode: "tcp", Pick: "lottery", Retries: 3}
+	p := &Pool{at: len(m.Pools), Position: s.Position, Name: s.name, Mode: "tcp", Pick: "lottery", Retries: 3}
 	acls := map[string]bool{}
 	if s.defaults != nil { // what they say holds here; it was noted where it stands
 		quiet := &importer{named: m.named, pools: m.pools}
@@ -247,13 +247,13 @@
 	seen, ids := map[string]Server{}, map[int]Server{}
 	for _, x := range p.Servers {
 		if was, twice := seen[x.Name]; twice {
-			m.fault(x.Place, "server %s is listed twice in %s, first at line %d", x.Name, p.Name, was.Line)
+			m.fault(x.Position, "server %s is listed twice in %s, first at line %d", x.Name, p.Name, was.Line)
 		} else {
 			seen[x.Name] = x
 		}
 		if x.ID > 0 {
 			if was, twice := ids[x.ID]; twice {
-				m.fault(x.Place, "id %d of server %s is that of %s at line %d", x.ID, x.Name, was.Name, was.Line)
+				m.fault(x.Position, "id %d of server %s is that of %s at line %d", x.ID, x.Name, was.Name, was.Line)
 			} else {
 				ids[x.ID] = x
 			}
@@ -273,7 +273,7 @@
 	switch word {
 	case "server", "server-template":
 		if p == nil {
-			m.fault(l.Place, "%s in a %s section", word, s.kind)
+			m.fault(l.Position, "%s in a %s section", word, s.kind)
 			m.note(l, Dropped, "it stands where no servers may")
 			return
 		}
@@ -286,7 +286,7 @@
 		}
 		var x Server
 		m.options(&x, l, 1)
-		if p != nil && !slices.ContainsFunc(s.server, func(k Line) bool { return k.Place == l.Place }) {
+		if p != nil && !slices.ContainsFunc(s.server, func(k Line) bool { return k.Position == l.Position }) {
 			s.server = append(s.server, l)
 		}
 	case "mode":
@@ -303,7 +303,7 @@
 	case "retries":
 		n, err := whole(arg, 0, 1000)
 		if err != nil {
-			m.fault(l.Place, "retries: %v", err)
+			m.fault(l.Position, "retries: %v", err)
 		} else if p != nil {
 			p.Retries = n
 		}
@@ -342,7 +342,7 @@
 	case "use_backend", "default_backend":
 		if !strings.Contains(arg, "%[") {
 			if m.pools[arg] == nil {
-				m.fault(l.Place, "%s %s: there is no such backend", word, arg)
+				m.fault(l.Position, "%s %s: there is no such backend", word, arg)
 			}
 		}
 		if word == "use_backend" {
@@ -373,7 +373,7 @@
 				_, err = Duration(l.Word(i + 1))
 			}
 			if err != nil {
-				m.fault(l.Place, "stick-table %s: %v", l.Word(i), err)
+				m.fault(l.Position, "stick-table %s: %v", l.Word(i), err)
 			}
 		}
 		m.note(l, Dropped, "%s", sticky)
@@ -404,7 +404,7 @@
 			nested = false
 		case nested, name == "", name == "or", name == "||", name == "and":
 		case !acls[name] && !slices.Contains(builtin, name):
-			m.fault(l.Place, "ACL %s is used and not defined in its section", name)
+			m.fault(l.Position, "ACL %s is used and not defined in its section", name)
 		}
 	}
 }
@@ -428,7 +428,7 @@
 	case "first", "source", "uri", "url_param", "hdr", "hash", "rdp-cookie":
 		why = "servers are drawn by weight: nothing is bound to a server by " + name
 	default:
-		m.fault(l.Place, "balance %s is no algorithm", l.Word(1))
+		m.fault(l.Position, "balance %s is no algorithm", l.Word(1))
 		class, why = Dropped, "no such algorithm"
 	}
 	if p != nil {
@@ -440,7 +440,7 @@
 func (m *importer) timeout(p *Pool, l Line) {
 	v, err := Duration(l.Word(2))
 	if err != nil {
-		m.fault(l.Place, "timeout %s: %v", l.Word(1), err)
+		m.fault(l.Position, "timeout %s: %v", l.Word(1), err)
 		m.note(l, Dropped, "no time")
 		return
 	}
@@ -483,12 +483,12 @@
 				}
 				next := find(to, name)
 				if next == nil {
-					m.fault(s.Place, "server %s tracks %s, which does not exist", s.Name, at.Track)
+					m.fault(s.Position, "server %s tracks %s, which does not exist", s.Name, at.Track)
 					break
 				}
 				key := to + "/" + name
 				if seen[key] {
-					m.fault(s.Place, "server %s tracks itself in a circle, by %s", s.Name, key)
+					m.fault(s.Position, "server %s tracks itself in a circle, by %s", s.Name, key)
 					for k := range seen {
 						told[k] = true
 					}
@@ -503,7 +503,7 @@
 
 // server takes a server line or a template.
 func (m *importer) server(s *section, p *Pool, l Line) {
-	x := Server{Place: l.Place, Weight: 1}
+	x := Server{Position: l.Position, Weight: 1}
 	for _, d := range s.server { // what its default-server lines say, noted where they stand
 		quiet := &importer{}
 		quiet.options(&x, d, 1)
@@ -518,7 +518,7 @@
 		a, err := whole(first, 0, 1e6)
 		b, err2 := whole(last, a, 1e6)
 		if err != nil || err2 != nil || b-a >= 10000 {
-			m.fault(l.Place, "server-template %s: %q is no number or range of up to 10000 servers", l.Word(1), l.Word(2))
+			m.fault(l.Position, "server-template %s: %q is no number or range of up to 10000 servers", l.Word(1), l.Word(2))
 			m.note(l, Dropped, "its number is at fault")
 			p.lacks = true
 			return
@@ -548,7 +548,7 @@
 		}
 	}
 	if err != nil {
-		m.fault(l.Place, "server %s: %v", l.Word(1), err)
+		m.fault(l.Position, "server %s: %v", l.Word(1), err)
 		p.lacks = true
 		m.note(l, Dropped, "its address is at fault")
 		return
@@ -598,7 +598,7 @@
 		}
 		n := o.args
 		if i+n >= len(l.Tokens) {
-			m.fault(words(l, i, i+1).Place, "%s needs a value", word)
+			m.fault(words(l, i, i+1).Position, "%s needs a value", word)
 			m.note(words(l, i, len(l.Tokens)), Dropped, "its value is missing")
 			return
 		}
@@ -636,7 +636,7 @@
 			}
 		}
 		if err != nil {
-			m.fault(words(l, i, i+1).Place, "%s: %v", word, err)
+			m.fault(words(l, i, i+1).Position, "%s: %v", word, err)
 		}
 		m.note(words(l, i, i+1+n), o.class, "%s", o.why)
 		i += 1 + n
@@ -647,7 +647,7 @@
 // may have run is not tried again: whether a second run does harm stands in no file of HAProxy's.
 func (m *importer) retryOn(p *Pool, l Line) {
 	if len(l.Tokens) < 2 {
-		m.fault(l.Place, "retry-on without a cause")
+		m.fault(l.Position, "retry-on without a cause")
 	}
 	m.note(words(l, 0, 1), Carried, "")
 	once := true
@@ -657,7 +657,7 @@
 		case w == "none" && len(l.Tokens) == 2:
 			class, why = Carried, "tries once"
 		case w == "none":
-			m.fault(l.Place, "retry-on none beside other causes")
+			m.fault(l.Position, "retry-on none beside other causes")
 		case w == "conn-failure":
 			class, why, once = Carried, "proof that it never ran", false
 		case w == "all-retryable-errors":
@@ -666,7 +666,7 @@
 			class, why, once = Differs, "a push back is proof that an RPC never ran", false
 		case slices.Contains([]string{"empty-response", "junk-response", "response-timeout", "0rtt-rejected", "401", "403", "404", "408", "421", "425", "500", "501", "502", "504"}, w):
 		default:
-			m.fault(l.Place, "retry-on %s is no cause", w)
+			m.fault(l.Position, "retry-on %s is no cause", w)
 			why = "no such cause"
 		}
 		m.note(words(l, i, i+1), class, "%s", why)
--- a/internal/haproxy/import_test.go
+++ b/internal/haproxy/import_test.go
@@ -24,7 +24,7 @@
 }
 
 func read(text string) Import {
-	return Read([]Source{{"a.cfg", text}}, Given{Env: map[string]string{"SITE": "perth", "LIST": "a b  c", "EMPTY": ""}})
+	return Read([]Source{{"a.cfg", text}}, Environment{Variables: map[string]string{"SITE": "perth", "LIST": "a b  c", "EMPTY": ""}})
 }
 
 func texts(l Line) string { return strings.Join(l.Words(), "|") }
@@ -58,7 +58,7 @@
 		`a "b`: "weak quote", `a 'b`: "strong quote", `a "${NO}"`: "variable NO is not given", `a "${SITE"`: "brace is never closed",
 		`a "${}"`: "without a name", strings.Repeat("x ", 65): "65 arguments",
 	} {
-		if _, faults := Lex("a", "fine\n"+in+"\nfine\n", map[string]string{"SITE": "x"}); len(faults) != 1 || !strings.Contains(faults[0].What, want) || faults[0].Line != 2 {
+		if _, faults := Lex("a", "fine\n"+in+"\nfine\n", map[string]string{"SITE": "x"}); len(faults) != 1 || !strings.Contains(faults[0].Message, want) || faults[0].Line != 2 {
 			t.Errorf("%s: %v", in, faults)
 		}
 	}
@@ -202,7 +202,7 @@
 		for _, l := range f.Lines {
 			for _, k := range l.Tokens {
 				if !told[at{f.Name, l.Line, k.Col}] && !told[at{f.Name, l.Line, 0}] {
-					t.Fatalf("%s: nothing is said of %q", l.Place, k.Text)
+					t.Fatalf("%s: nothing is said of %q", l.Position, k.Text)
 				}
 			}
 		}
@@ -300,7 +300,7 @@
 	now := read("backend a\nserver x 1.1.1.1:1 weight 3\nserver z 1.1.1.3:1\nserver n 1.1.1.4:1\nbackend b\nserver z 1.1.1.3:1\n")
 	var all []string
 	for _, c := range Diff(old, now) {
-		all = append(all, fmt.Sprintf("%s/%s %q %q", c.Pool, c.Server, c.Was, c.Is))
+		all = append(all, fmt.Sprintf("%s/%s %q %q", c.Pool, c.Server, c.Before, c.After))
 	}
 	want := `a/n "" "weight 1 addr 1.1.1.4:1 state open"; a/x "weight 2 addr 1.1.1.1:1 state open" "weight 3 addr 1.1.1.1:1 state open"; a/y "weight 1 addr 1.1.1.2:1 state open" ""; b/z "" "weight 1 addr 1.1.1.3:1 state open"`
 	if got := strings.Join(all, "; "); got != want {
--- a/internal/haproxy/lex.go
+++ b/internal/haproxy/lex.go
@@ -9,21 +9,21 @@
 )
 
 // Place is where something stands: a file, a line and a column, both from 1.
-type Place struct {
+type Position struct {
 	File string
 	Line int
-	Col  int
+	Column  int
 }
 
-func (p Place) String() string { return fmt.Sprintf("%s:%d", p.File, p.Line) }
+func (p Position) String() string { return fmt.Sprintf("%s:%d", p.File, p.Line) }
 
 // Fault is what is wrong at a place.
 type Fault struct {
-	Place
-	What string
+	Position
+	Message string
 }
 
-func (f Fault) String() string { return f.Place.String() + ": " + f.What }
+func (f Fault) String() string { return f.Position.String() + ": " + f.Message }
 
 // Token is one argument of a line, after quotes, escapes and variables (manual, 2.2 and 2.3).
 type Token struct {
@@ -34,7 +34,7 @@
 
 // Line is a line that has arguments.
 type Line struct {
-	Place
+	Position
 	Tokens []Token
 }
 
@@ -79,16 +79,16 @@
 		}
 		f.Raw = append(f.Raw, text[:end])
 		text = rest
-		at := Place{name, no, 1}
+		at := Position{name, no, 1}
 		tokens, col, what := lexLine(strings.TrimSuffix(raw, "\r"), env)
 		switch {
 		case what != "":
-			at.Col = col
+			at.Column = col
 			faults = append(faults, Fault{at, what})
 		case len(tokens) > MostArgs:
 			faults = append(faults, Fault{at, fmt.Sprintf("%d arguments, %d at most", len(tokens), MostArgs)})
 		case len(tokens) > 0:
-			at.Col = tokens[0].Col
+			at.Column = tokens[0].Col
 			f.Lines = append(f.Lines, Line{at, tokens})
 		}
 	}
--- a/internal/haproxy/model.go
+++ b/internal/haproxy/model.go
@@ -28,7 +28,7 @@
 type Note struct {
 	Line  Line // with the words that are meant only
 	Class Class
-	Why   string
+	Reason   string
 }
 
 // Text is the words that a note is about.
@@ -36,7 +36,7 @@
 
 // Pool is a backend or listen section as proxies would serve it.
 type Pool struct {
-	Place
+	Position
 	Name     string
 	Mode     string
 	Pick     string // lottery, even or pair
@@ -51,7 +51,7 @@
 
 // Server is a server line, one of a template's, or a listen section's.
 type Server struct {
-	Place
+	Position
 	Name      string
 	Addr      string
 	Weight    int
@@ -103,7 +103,7 @@
 		return nil
 	}
 	if len(p.Servers) == 0 {
-		return []Fault{{p.Place, fmt.Sprintf("%s has no servers", p.Name)}}
+		return []Fault{{p.Position, fmt.Sprintf("%s has no servers", p.Name)}}
 	}
 	if active == 0 {
 		// Backups come in when no other can be used: the first, or all of them.
@@ -126,7 +126,7 @@
 		if weights == 0 {
 			what = fmt.Sprintf("the weights of %s sum to nothing", p.Name)
 		}
-		faults = append(faults, Fault{p.Place, what})
+		faults = append(faults, Fault{p.Position, what})
 	}
 	return faults
 }
--- a/internal/haproxy/page.go
+++ b/internal/haproxy/page.go
@@ -8,7 +8,7 @@
 )
 
 // Page writes what becomes of each keyword, as a page: what the importer itself goes by.
-func Page(out io.Writer) {
+func WriteKeywords(out io.Writer) {
 	fmt.Fprint(out, `# What becomes of HAProxy's keywords
 
 Written by `+"`gingerfork import haproxy --keywords`"+`; a test holds it to the program. docs/haproxy-import.md tells the rest.
--- a/internal/haproxy/recording_test.go
+++ b/internal/haproxy/recording_test.go
@@ -37,7 +37,7 @@
 		}
 		entry("sample "+file.Name(), func(out io.Writer) { recordImport(out, []Source{{"a.cfg", text}}, recordingGiven()) })
 	}
-	entry("page", Page)
+	entry("page", WriteKeywords)
 	entry("values", recordValues)
 	entry("bounds", recordBounds)
 	const groups, perGroup = 20, 200
@@ -84,16 +84,16 @@
 	}
 }
 
-func recordingGiven() Given {
-	return Given{
-		Env:      map[string]string{"SITE": "perth", "LIST": "a b  c", "EMPTY": ""},
+func recordingGiven() Environment {
+	return Environment{
+		Variables:      map[string]string{"SITE": "perth", "LIST": "a b  c", "EMPTY": ""},
 		Version:  "2.8.3",
 		Features: []string{"QUIC", "LUA"},
 	}
 }
 
 // recordImport writes all that callers can see of an import.
-func recordImport(out io.Writer, sources []Source, given Given) {
+func recordImport(out io.Writer, sources []Source, given Environment) {
 	got := Read(sources, given)
 	type report struct {
 		File            string
@@ -102,16 +102,16 @@
 	}
 	var reports []report
 	for _, note := range got.Notes {
-		place := note.Line.Place
-		reports = append(reports, report{place.File, place.Line, place.Col, note.Text(), note.Class.String(), note.Why})
-		fmt.Fprintf(out, "%s: %s: %s: %s\n", place, note.Class, note.Text(), note.Why)
+		place := note.Line.Position
+		reports = append(reports, report{place.File, place.Line, place.Column, note.Text(), note.Class.String(), note.Reason})
+		fmt.Fprintf(out, "%s: %s: %s: %s\n", place, note.Class, note.Text(), note.Reason)
 		for _, token := range note.Line.Tokens {
 			fmt.Fprintf(out, "%d %t %q ", token.Col, token.Quoted, token.Text)
 		}
 	}
 	for _, fault := range got.Faults {
-		reports = append(reports, report{fault.File, fault.Line, fault.Col, "", "refused", fault.What})
-		fmt.Fprintf(out, "%s %d\n", fault.String(), fault.Col)
+		reports = append(reports, report{fault.File, fault.Line, fault.Column, "", "refused", fault.Message})
+		fmt.Fprintf(out, "%s %d\n", fault.String(), fault.Column)
 	}
 	if err := json.NewEncoder(out).Encode(reports); err != nil {
 		fmt.Fprintln(out, err)
@@ -127,14 +127,14 @@
 	}
 	fmt.Fprintln(out, got.Counts())
 	for _, change := range Diff(Read([]Source{{"a.cfg", routed}}, given), got) {
-		fmt.Fprintf(out, "%q %q %q %q\n", change.Pool, change.Server, change.Was, change.Is)
+		fmt.Fprintf(out, "%q %q %q %q\n", change.Pool, change.Server, change.Before, change.After)
 	}
 }
 
 func recordPool(out io.Writer, imported Import, pool Pool) {
-	fmt.Fprintf(out, "%s %d %q %q %q %v %d\n", pool.Place, pool.Col, pool.Name, pool.Mode, pool.Pick, pool.Deadline, pool.Retries)
+	fmt.Fprintf(out, "%s %d %q %q %q %v %d\n", pool.Position, pool.Column, pool.Name, pool.Mode, pool.Pick, pool.Deadline, pool.Retries)
 	for _, server := range pool.Servers {
-		fmt.Fprintf(out, "%s %d %q %q %d %t %t %v %d %q %s\n", server.Place, server.Col, server.Name, server.Addr, server.Weight, server.Backup, server.Disabled,
+		fmt.Fprintf(out, "%s %d %q %q %d %t %t %v %d %q %s\n", server.Position, server.Column, server.Name, server.Addr, server.Weight, server.Backup, server.Disabled,
 			server.SlowStart, server.ID, server.Track, server.State)
 	}
 	io.WriteString(out, pool.List()+pool.Settings(imported.Routes))
@@ -179,9 +179,9 @@
 		text := ".if " + strings.Repeat("!", depth) + "1\nbackend p\nserver a h:1\n.endif\n" + "log " + strings.Repeat("x ", depth-136)
 		recordImport(out, []Source{{"a.cfg", text}}, recordingGiven())
 	}
-	recordImport(out, []Source{{"a.cfg", "backend p\nserver a h:1\n"}}, Given{Version: "x.y"})
-	recordImport(out, []Source{{"a.cfg", ".if version_atleast(3.0)\nbackend p\nserver a h:1\n.endif"}}, Given{Version: "x.y"})
-	recordImport(out, []Source{{"a.cfg", ".if version_atleast(3.0.0.1-dev)\nbackend p\nserver a h:1\n.endif"}}, Given{})
+	recordImport(out, []Source{{"a.cfg", "backend p\nserver a h:1\n"}}, Environment{Version: "x.y"})
+	recordImport(out, []Source{{"a.cfg", ".if version_atleast(3.0)\nbackend p\nserver a h:1\n.endif"}}, Environment{Version: "x.y"})
+	recordImport(out, []Source{{"a.cfg", ".if version_atleast(3.0.0.1-dev)\nbackend p\nserver a h:1\n.endif"}}, Environment{})
 }
 
 var recordingValues = strings.Fields(`0 1 5 -1 256 257 300 65535 65536 5us 5ms 5s 30s 5m 2h 1d 1x 1k 16K 2m 3g 9999999999999g 99999999999
--- a/internal/haproxy/routes_test.go
+++ b/internal/haproxy/routes_test.go
@@ -41,7 +41,7 @@
 	}
 	for _, n := range got.Notes {
 		if n.Class == Dropped {
-			t.Errorf("not carried: %s: %s", n.Text(), n.Why)
+			t.Errorf("not carried: %s: %s", n.Text(), n.Reason)
 		}
 	}
 	table := route.NewTable(got.Routes)
@@ -84,7 +84,7 @@
 		var all []string
 		for _, n := range got.Notes {
 			if n.Class == Dropped {
-				all = append(all, fmt.Sprintf("%d %s", n.Line.Line, n.Why))
+				all = append(all, fmt.Sprintf("%d %s", n.Line.Line, n.Reason))
 			}
 		}
 		text := strings.Join(all, "; ")
--- a/internal/haproxy/write.go
+++ b/internal/haproxy/write.go
@@ -129,7 +129,7 @@
 // Change is what differs for a server between two imports.
 type Change struct {
 	Pool, Server string
-	Was, Is      string // "": not listed
+	Before, After      string // "": not listed
 }
 
 // Diff tells what changes on the list between two imports, by pool and server in the order of names.
