--- /dev/null
+++ b/internal/haproxy/block_condition.go
@@ -0,0 +1,176 @@
+package haproxy
+
+import (
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// defaultVersion is the HAProxy version that conditions are answered for where none is given.
+const defaultVersion = "3.0"
+
+// maxConditionDepth bounds the nesting of a condition, and with it the parser's recursion.
+const maxConditionDepth = 200
+
+// holds evaluates the condition of an .if or .elif: terms with !, && before ||, and parentheses.
+func (e Environment) holds(text string) (bool, error) {
+	if strings.TrimSpace(text) == "" {
+		return false, nil // An empty condition is false.
+	}
+	p := &conditionParser{environment: e, rest: text}
+	value, err := p.disjunction()
+	if err != nil {
+		return value, err
+	}
+	if p.skipBlanks(); p.rest != "" {
+		return value, classify(ErrSyntax, "%q is left over", p.rest)
+	}
+	return value, nil
+}
+
+// conditionParser evaluates a condition while it parses it, by recursive descent.
+type conditionParser struct {
+	environment Environment
+	rest        string
+	depth       int
+}
+
+func (p *conditionParser) skipBlanks() { p.rest = strings.TrimLeft(p.rest, " \t") }
+
+// accept skips the word if it comes next.
+func (p *conditionParser) accept(word string) bool {
+	p.skipBlanks()
+	rest, found := strings.CutPrefix(p.rest, word)
+	if found {
+		p.rest = rest
+	}
+	return found
+}
+
+func (p *conditionParser) disjunction() (bool, error) {
+	value, err := p.conjunction()
+	for err == nil && p.accept("||") {
+		var operand bool
+		operand, err = p.conjunction()
+		value = value || operand
+	}
+	return value, err
+}
+
+func (p *conditionParser) conjunction() (bool, error) {
+	value, err := p.term()
+	for err == nil && p.accept("&&") {
+		var operand bool
+		operand, err = p.term()
+		value = value && operand
+	}
+	return value, err
+}
+
+func (p *conditionParser) term() (bool, error) {
+	p.depth++
+	defer func() { p.depth-- }()
+	if p.depth > maxConditionDepth {
+		return false, classify(ErrSyntax, "a condition that is nested too deep")
+	}
+	switch {
+	case p.accept("!"):
+		value, err := p.term()
+		return !value, err
+	case p.accept("("):
+		value, err := p.disjunction()
+		if err == nil && !p.accept(")") {
+			err = classify(ErrSyntax, "a parenthesis is never closed")
+		}
+		return value, err
+	}
+	return p.numberOrPredicate()
+}
+
+func (p *conditionParser) numberOrPredicate() (bool, error) {
+	p.skipBlanks()
+	end := 0
+	for end < len(p.rest) && isNameByte(p.rest[end]) {
+		end++
+	}
+	name := p.rest[:end]
+	p.rest = p.rest[end:]
+	list, isPredicate := strings.CutPrefix(p.rest, "(")
+	if !isPredicate {
+		number, err := strconv.ParseInt(name, 10, 64)
+		if err != nil {
+			return false, classify(ErrSyntax, "%q is neither a number nor a predicate", name)
+		}
+		return number != 0, nil
+	}
+	list, rest, closed := strings.Cut(list, ")")
+	if !closed {
+		return false, classify(ErrSyntax, "%s( is never closed", name)
+	}
+	p.rest = rest
+	arguments := strings.Split(list, ",")
+	for i := range arguments {
+		arguments[i] = strings.TrimSpace(arguments[i])
+	}
+	return p.environment.predicate(name, arguments)
+}
+
+// predicateArguments are the numbers of arguments of the predicates that can be answered without a running HAProxy.
+var predicateArguments = map[string]int{
+	"defined": 1, "feature": 1, "streq": 2, "strneq": 2, "strstr": 2, "version_atleast": 1, "version_before": 1,
+}
+
+func (e Environment) predicate(name string, arguments []string) (bool, error) {
+	expected, known := predicateArguments[name]
+	switch {
+	case !known:
+		return false, classify(ErrUnsupported, "predicate %s can't be answered at an import", name)
+	case len(arguments) != expected:
+		return false, classify(ErrSyntax, "%s takes %d arguments, has %d", name, expected, len(arguments))
+	}
+	switch name {
+	case "defined":
+		_, defined := e.Variables[arguments[0]]
+		return defined, nil
+	case "feature":
+		return slices.Contains(e.Features, arguments[0]), nil
+	case "streq":
+		return arguments[0] == arguments[1], nil
+	case "strneq":
+		return arguments[0] != arguments[1], nil
+	case "strstr":
+		return strings.Contains(arguments[0], arguments[1]), nil
+	}
+	before, err := e.versionBefore(arguments[0])
+	return before == (name == "version_before"), err
+}
+
+// versionBefore tells whether the environment's version is older than another.
+func (e Environment) versionBefore(other string) (bool, error) {
+	current := e.Version
+	if current == "" {
+		current = defaultVersion
+	}
+	currentParts, err := parseVersion(current)
+	if err != nil {
+		return false, err
+	}
+	otherParts, err := parseVersion(other)
+	if err != nil {
+		return false, err
+	}
+	return slices.Compare(currentParts[:], otherParts[:]) < 0, nil
+}
+
+// parseVersion reads a version such as 3.0.1 or 3.0-dev4; what it lacks is 0.
+func parseVersion(text string) (version [3]int, err error) {
+	text, _, _ = strings.Cut(text, "-")
+	parts := strings.Split(text, ".")
+	parts = parts[:min(len(parts), len(version))]
+	for i, part := range parts {
+		if version[i], err = strconv.Atoi(part); err != nil {
+			return version, classify(ErrValue, "version %q is not as in 3.0.1", text)
+		}
+	}
+	return version, nil
+}
--- /dev/null
+++ b/internal/haproxy/file.go
@@ -0,0 +1,96 @@
+package haproxy
+
+import (
+	"fmt"
+	"strings"
+)
+
+// Position is a position in a file. Line and Column count from 1.
+type Position struct {
+	File   string
+	Line   int
+	Column int
+}
+
+// String is the position as file:line.
+func (p Position) String() string { return fmt.Sprintf("%s:%d", p.File, p.Line) }
+
+// Token is one argument of a line after quotes, escapes and variables were resolved (manual, 2.2 and 2.3).
+type Token struct {
+	Text   string
+	Column int  // where the argument begins, from 1
+	Quoted bool // part of it was quoted or escaped, so that it counts even when it is empty
+}
+
+// Line is a line that has arguments.
+type Line struct {
+	Position
+	Tokens []Token
+}
+
+// Word returns the text of an argument, or "" beyond the last one.
+func (l Line) Word(i int) string {
+	if i < len(l.Tokens) {
+		return l.Tokens[i].Text
+	}
+	return ""
+}
+
+// Words returns the texts of all arguments.
+func (l Line) Words() []string {
+	words := make([]string, len(l.Tokens))
+	for i, token := range l.Tokens {
+		words[i] = token.Text
+	}
+	return words
+}
+
+// part returns the line with the arguments in [from, to) only, positioned at the first of them.
+func (l Line) part(from, to int) Line {
+	to = min(to, len(l.Tokens))
+	part := Line{l.Position, l.Tokens[min(from, to):to]}
+	if len(part.Tokens) > 0 {
+		part.Column = part.Tokens[0].Column
+	}
+	return part
+}
+
+// File is a file as read. Raw holds each line with its line end, so that the file can be written back unchanged.
+type File struct {
+	Name  string
+	Raw   []string
+	Lines []Line
+}
+
+// Text returns the file's text as it was read.
+func (f File) Text() string { return strings.Join(f.Raw, "") }
+
+// maxArguments is the most arguments that a line may have (manual, 2.2).
+const maxArguments = 64
+
+// lexFile splits a file into lines and arguments. A faulty line is reported and left out; the others are still read.
+func lexFile(name, text string, variables map[string]string) (file File, faults []Fault) {
+	file.Name = name
+	for number := 1; text != ""; number++ {
+		raw, rest, _ := strings.Cut(text, "\n")
+		end := len(raw)
+		if end < len(text) {
+			end++ // The line end belongs to the raw line.
+		}
+		file.Raw = append(file.Raw, text[:end])
+		text = rest
+		position := Position{name, number, 1}
+		tokens, err := lexLine(strings.TrimSuffix(raw, "\r"), variables)
+		switch {
+		case err != nil:
+			position.Column = err.column
+			faults = append(faults, newFault(position, err))
+		case len(tokens) > maxArguments:
+			faults = append(faults, newFault(position, classify(ErrSyntax, "%d arguments, %d at most", len(tokens), maxArguments)))
+		case len(tokens) > 0:
+			position.Column = tokens[0].Column
+			file.Lines = append(file.Lines, Line{position, tokens})
+		}
+	}
+	return file, faults
+}
--- a/internal/haproxy/import_test.go
+++ b/internal/haproxy/import_test.go
@@ -45,7 +45,7 @@
 		"  \t# only":                       "",
 		`a "\$SITE" "5$"`:                  "a|$SITE|5$",
 	} {
-		f, faults := Lex("a", in, map[string]string{"SITE": "perth", "LIST": "a b  c", "EMPTY": ""})
+		f, faults := lexFile("a", in, map[string]string{"SITE": "perth", "LIST": "a b  c", "EMPTY": ""})
 		got := ""
 		if len(f.Lines) > 0 {
 			got = texts(f.Lines[0])
@@ -58,7 +58,7 @@
 		`a "b`: "weak quote", `a 'b`: "strong quote", `a "${NO}"`: "variable NO is not given", `a "${SITE"`: "brace is never closed",
 		`a "${}"`: "without a name", strings.Repeat("x ", 65): "65 arguments",
 	} {
-		if _, faults := Lex("a", "fine\n"+in+"\nfine\n", map[string]string{"SITE": "x"}); len(faults) != 1 || !strings.Contains(faults[0].Message, want) || faults[0].Line != 2 {
+		if _, faults := lexFile("a", "fine\n"+in+"\nfine\n", map[string]string{"SITE": "x"}); len(faults) != 1 || !strings.Contains(faults[0].Message, want) || faults[0].Line != 2 {
 			t.Errorf("%s: %v", in, faults)
 		}
 	}
@@ -192,7 +192,7 @@
 	told := map[at]bool{}
 	for _, n := range got.Notes {
 		for _, k := range n.Line.Tokens {
-			told[at{n.Line.File, n.Line.Line, k.Col}] = true
+			told[at{n.Line.File, n.Line.Line, k.Column}] = true
 		}
 	}
 	for _, f := range got.Faults {
@@ -201,7 +201,7 @@
 	for _, f := range got.Files {
 		for _, l := range f.Lines {
 			for _, k := range l.Tokens {
-				if !told[at{f.Name, l.Line, k.Col}] && !told[at{f.Name, l.Line, 0}] {
+				if !told[at{f.Name, l.Line, k.Column}] && !told[at{f.Name, l.Line, 0}] {
 					t.Fatalf("%s: nothing is said of %q", l.Position, k.Text)
 				}
 			}
@@ -337,7 +337,7 @@
 	}
 	env := map[string]string{"SITE": "perth", "LIST": "a b", "EMPTY": ""}
 	f.Fuzz(func(t *testing.T, text string) {
-		file, _ := Lex("a", text, env)
+		file, _ := lexFile("a", text, env)
 		if file.Text() != text {
 			t.Fatal("it is not written back as it was")
 		}
@@ -346,7 +346,7 @@
 			for _, k := range l.Tokens {
 				b.WriteString(` "` + strings.NewReplacer(`\`, `\\`, `"`, `\"`, `$`, `\$`).Replace(k.Text) + `"`)
 			}
-			again, faults := Lex("b", b.String(), env)
+			again, faults := lexFile("b", b.String(), env)
 			if strings.ContainsAny(b.String(), "\n\r") {
 				continue // a line end in an argument can only be written by an escape
 			}
--- a/internal/haproxy/page.go
+++ b/internal/haproxy/keywords_page.go
@@ -7,7 +7,8 @@
 	"slices"
 )
 
-// Page writes what becomes of each keyword, as a page: what the importer itself goes by.
+// WriteKeywords writes the page docs/haproxy-keywords.md, which says what becomes of each keyword, from the importer's own
+// tables.
 func WriteKeywords(out io.Writer) {
 	fmt.Fprint(out, `# What becomes of HAProxy's keywords
 
@@ -21,9 +22,9 @@
 | defaults | holds for the proxies that follow or name it |
 | frontend | told with a difference: our proxies are the front ends |
 `)
-	for _, k := range kinds {
-		if !slices.Contains([]string{"backend", "listen", "defaults", "frontend"}, k) {
-			fmt.Fprintf(out, "| %s | not carried: it concerns HAProxy itself |\n", k)
+	for _, kind := range sectionKinds {
+		if !isProxy(kind) {
+			fmt.Fprintf(out, "| %s | not carried: it concerns HAProxy itself |\n", kind)
 		}
 	}
 	fmt.Fprint(out, `
@@ -50,12 +51,12 @@
 | maxconn, fullconn, rate-limit | not carried | levels are shares of a method's RPCs, not counts of connections |
 | option, others | not carried | no like here |
 `)
-	for _, k := range slices.Sorted(maps.Keys(elsewhere)) {
-		fmt.Fprintf(out, "| %s | not carried | %s |\n", k, elsewhere[k])
+	for _, keyword := range slices.Sorted(maps.Keys(unsupportedKeywords)) {
+		fmt.Fprintf(out, "| %s | not carried | %s |\n", keyword, unsupportedKeywords[keyword])
 	}
 	fmt.Fprint(out, "\n## Options of server lines\n\n| option | values | what becomes of it | why |\n| --- | --- | --- | --- |\n")
-	for _, k := range slices.Sorted(maps.Keys(serverOptions)) {
-		o := serverOptions[k]
-		fmt.Fprintf(out, "| %s | %d | %s | %s |\n", k, o.args, o.class, o.why)
+	for _, word := range slices.Sorted(maps.Keys(serverOptions)) {
+		option := serverOptions[word]
+		fmt.Fprintf(out, "| %s | %d | %s | %s |\n", word, option.values, option.class, option.reason)
 	}
 }
--- /dev/null
+++ b/internal/haproxy/list.go
@@ -0,0 +1,43 @@
+package haproxy
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"strings"
+
+	"github.com/cespare/xxhash/v2"
+
+	"gingerfork/internal/bootstrap"
+)
+
+// Numbers returns the number of each server on the endpoint list. It is a hash of the server's name, so that a server keeps
+// its number when others are added or removed. Where two hashes collide, the server that sorts later takes the next number.
+func (p Pool) Numbers() map[string]uint32 {
+	names := make([]string, 0, len(p.Servers))
+	for _, server := range p.Servers {
+		names = append(names, server.Name)
+	}
+	slices.Sort(names)
+	numbers, taken := map[string]uint32{}, map[uint32]bool{0: true}
+	for _, name := range slices.Compact(names) {
+		number := uint32(xxhash.Sum64String(p.Name+"/"+name)) & math.MaxInt32
+		for taken[number] {
+			number = (number + 1) & math.MaxInt32
+		}
+		numbers[name], taken[number] = number, true
+	}
+	return numbers
+}
+
+// List writes a pool's endpoint list, a line for each server: server NUMBER NAME weight W addr ADDRESS state open|draining.
+func (p Pool) List() string {
+	var list strings.Builder
+	fmt.Fprintf(&list, "# pool %q, from %q line %d\n", p.Name, p.File, p.Line)
+	numbers := p.Numbers()
+	for _, server := range p.Listed() {
+		fmt.Fprintf(&list, "server %d %s weight %d addr %s state %s\n",
+			numbers[server.Name], bootstrap.Quote(server.Name), server.listedWeight(), bootstrap.Quote(server.Addr), server.State)
+	}
+	return list.String()
+}
--- a/internal/haproxy/recording_draw_test.go
+++ b/internal/haproxy/recording_draw_test.go
@@ -67,7 +67,7 @@
 func (d recordingDraw) section() string {
 	switch d.IntN(12) {
 	case 0:
-		return d.of(kinds...) + " " + d.some(2, "a", "from", "x/y")
+		return d.of(sectionKinds...) + " " + d.some(2, "a", "from", "x/y")
 	case 1, 2:
 		return d.of("defaults", "defaults base", "defaults more from base", "defaults from base", "defaults a from a", "defaults from no", "defaults 'a b'")
 	case 3, 4, 5:
@@ -107,7 +107,7 @@
 	case 20:
 		return d.of("mode http", "mode tcp", "mode", "hash-type consistent", "bind :80", "maxconn 5", "fullconn 3", "rate-limit 5", "description a", "id 3", "what now", "")
 	}
-	return d.of(slices.Sorted(maps.Keys(elsewhere))...) + " " + d.some(2, "a", "'b c'")
+	return d.of(slices.Sorted(maps.Keys(unsupportedKeywords))...) + " " + d.some(2, "a", "'b c'")
 }
 
 func (d recordingDraw) serverWords() string {
@@ -140,7 +140,7 @@
 		return "init-state " + d.of("up", "fully-down", "what") + " id " + fmt.Sprint(d.IntN(9))
 	}
 	word := d.of(slices.Sorted(maps.Keys(serverOptions))...)
-	if serverOptions[word].args > 0 {
+	if serverOptions[word].values > 0 {
 		word += " " + d.of("1", "5s", "a", "up", "h:1")
 	}
 	return word
--- a/internal/haproxy/recording_test.go
+++ b/internal/haproxy/recording_test.go
@@ -86,9 +86,9 @@
 
 func recordingGiven() Environment {
 	return Environment{
-		Variables:      map[string]string{"SITE": "perth", "LIST": "a b  c", "EMPTY": ""},
-		Version:  "2.8.3",
-		Features: []string{"QUIC", "LUA"},
+		Variables: map[string]string{"SITE": "perth", "LIST": "a b  c", "EMPTY": ""},
+		Version:   "2.8.3",
+		Features:  []string{"QUIC", "LUA"},
 	}
 }
 
@@ -106,7 +106,7 @@
 		reports = append(reports, report{place.File, place.Line, place.Column, note.Text(), note.Class.String(), note.Reason})
 		fmt.Fprintf(out, "%s: %s: %s: %s\n", place, note.Class, note.Text(), note.Reason)
 		for _, token := range note.Line.Tokens {
-			fmt.Fprintf(out, "%d %t %q ", token.Col, token.Quoted, token.Text)
+			fmt.Fprintf(out, "%d %t %q ", token.Column, token.Quoted, token.Text)
 		}
 	}
 	for _, fault := range got.Faults {
@@ -150,11 +150,11 @@
 // recordValues writes what becomes of single values.
 func recordValues(out io.Writer) {
 	for _, value := range recordingValues {
-		duration, err := Duration(value)
+		duration, err := parseDuration(value)
 		fmt.Fprintln(out, duration, err)
-		size, err := Size(value)
+		size, err := parseSize(value)
 		fmt.Fprintln(out, size, err)
-		address, err := ParseAddress(value)
+		address, err := parseAddress(value)
 		fmt.Fprintln(out, address.Family, address.Host, address.Port, address.Offset, address.Last, address.String(), err)
 	}
 }
--- /dev/null
+++ b/internal/haproxy/retries.go
@@ -0,0 +1,69 @@
+package haproxy
+
+import "slices"
+
+// maxRetries is the highest number of retries that a line may set.
+const maxRetries = 1000
+
+func (m *importer) importRetries(line proxyLine) {
+	retries, err := parseInteger(line.argument(), 0, maxRetries)
+	if err != nil {
+		m.fault(line.Position, ErrValue, "retries: %w", err)
+	} else if line.pool != nil {
+		line.pool.Retries = retries
+	}
+	switch {
+	case err == nil && retries == 0:
+		m.note(line.Line, Carried, "tries once")
+	case retries == 1:
+		m.note(line.Line, Differs, "one more, after proof that an RPC never ran, at another server; none in a jam, where tries feed it")
+	default:
+		m.note(line.Line, Differs, "one more at most, after proof that an RPC never ran, at another server; none in a jam, where tries feed it")
+	}
+}
+
+// importRetryOn imports the causes of retries. Without the line HAProxy has conn-failure. Whatever else the line names, an
+// RPC that may have run is not retried, because no HAProxy configuration says whether it is idempotent.
+func (m *importer) importRetryOn(line proxyLine) {
+	if len(line.Tokens) < 2 {
+		m.fault(line.Position, ErrSyntax, "retry-on without a cause")
+	}
+	m.note(line.part(0, 1), Carried, "")
+	neverRetries := true
+	for i := 1; i < len(line.Tokens); i++ {
+		if m.importRetryCause(line, i) {
+			neverRetries = false
+		}
+	}
+	if line.pool != nil {
+		line.pool.neverRetries = neverRetries
+	}
+}
+
+// unsafeRetryCauses are causes after which an RPC may have run.
+var unsafeRetryCauses = []string{
+	"empty-response", "junk-response", "response-timeout", "0rtt-rejected", "401", "403", "404", "408", "421", "425", "500", "501", "502", "504",
+}
+
+// importRetryCause imports one cause of a retry-on line and tells whether RPCs are retried for it.
+func (m *importer) importRetryCause(line proxyLine, index int) (retries bool) {
+	class, reason := Dropped, "after this an RPC may have run: none is run twice unless its method is marked tokened"
+	switch cause := line.Word(index); {
+	case cause == "none" && len(line.Tokens) == 2:
+		class, reason = Carried, "tries once"
+	case cause == "none":
+		m.fault(line.Position, ErrSyntax, "retry-on none beside other causes")
+	case cause == "conn-failure":
+		class, reason, retries = Carried, "proof that it never ran", true
+	case cause == "all-retryable-errors":
+		class, reason, retries = Differs, "after conn-failure only; after the others an RPC may have run", true
+	case cause == "503" || cause == "429":
+		class, reason, retries = Differs, "a push back is proof that an RPC never ran", true
+	case slices.Contains(unsafeRetryCauses, cause):
+	default:
+		m.fault(line.Position, ErrValue, "retry-on %s is no cause", cause)
+		reason = "no such cause"
+	}
+	m.note(line.part(index, index+1), class, "%s", reason)
+	return retries
+}
--- a/internal/haproxy/routes.go
+++ b/internal/haproxy/routes.go
@@ -2,258 +2,195 @@
 
 import (
 	"fmt"
-	"slices"
 	"strings"
-	"unicode"
 
 	"gingerfork/internal/route"
 )
 
-// criterion reads what an ACL looks at: a fetch with its flags and patterns. Only what can be said exactly is taken.
-func criterion(words []string) (t route.Term, err error) {
-	if len(words) == 0 {
-		return t, fmt.Errorf("it looks at nothing")
-	}
-	name, arg, hasArg := strings.Cut(words[0], "(")
-	if hasArg {
-		if arg, hasArg = strings.CutSuffix(arg, ")"); !hasArg || strings.ContainsAny(arg, "(),") {
-			return t, fmt.Errorf("%s is more than a fetch", words[0])
-		}
-	}
-	base, how, suffixed := strings.Cut(name, "_")
-	t.How = "str"
-	if suffixed {
-		if t.How = how; !slices.Contains([]string{"beg", "end", "sub"}, how) {
-			return t, fmt.Errorf("%s has no like here", name)
+// dynamicName marks the name of a backend that HAProxy computes for each request.
+const dynamicName = "%["
+
+// routeReader reads the routes of a frontend or listen section in their order. After the first that cannot be expressed
+// exactly none is carried over: it comes before the others, which would take requests that are meant for it.
+type routeReader struct {
+	section     *section
+	acls        aclSet
+	problems    map[int]string // by index of a line
+	routes      []route.Route
+	last        *route.Route    // from default_backend
+	takesAll    int             // the line of a route without a condition, which leaves nothing to later ones; 0 if none
+	blocked     string          // why no further route is carried over; "" if they are
+	usedMethods map[string]bool // the method names that are taken
+}
+
+// importRoutes reads the routes of a frontend or listen section. Its lines are reported later, by their keywords.
+func (m *importer) importRoutes(proxy *section) {
+	reader := &routeReader{
+		section:     proxy,
+		acls:        aclSet{matches: map[string][]route.Term{}, problems: map[string]error{}},
+		problems:    map[int]string{},
+		usedMethods: map[string]bool{proxy.name: true},
+	}
+	for i, line := range proxy.lines {
+		switch line.Word(0) {
+		case "acl":
+			reader.readACL(i, line)
+		case "use_backend":
+			reader.readUseBackend(i, line)
+		case "default_backend":
+			reader.last = &route.Route{From: proxy.name, To: line.Word(1), As: proxy.name}
+			if reader.blocked != "" {
+				reader.problems[i] = reader.blocked
+			}
 		}
 	}
+	reader.addLast()
+	m.routes = append(m.routes, reader.routes...)
+	proxy.routeProblems = reader.problems
+}
+
+func (r *routeReader) readACL(index int, line Line) {
+	if len(line.Tokens) < 3 {
+		return
+	}
+	name := line.Word(1)
+	term, err := parseMatch(line.Words()[2:])
+	if err != nil {
+		r.acls.problems[name] = err
+		r.problems[index] = err.Error()
+		return
+	}
+	r.acls.matches[name] = append(r.acls.matches[name], term)
+}
+
+func (r *routeReader) readUseBackend(index int, line Line) {
 	switch {
-	case (base == "path" || base == "method") && !hasArg && (base == "path" || !suffixed):
-		t.Fetch = base
-	case (base == "hdr" || name == "req.hdr") && hasArg && arg != "":
-		t.Fetch, t.Header = "hdr", strings.ToLower(arg)
-	default:
-		return t, fmt.Errorf("%s has no like here", words[0])
-	}
-	rest := words[1:]
-	for len(rest) > 0 && strings.HasPrefix(rest[0], "-") {
-		flag := rest[0]
-		rest = rest[1:]
-		switch flag {
-		case "-i":
-			t.Fold = true
-		case "-n":
-		case "-m":
-			if len(rest) == 0 || !slices.Contains([]string{"str", "beg", "end", "sub", "found"}, rest[0]) {
-				return t, fmt.Errorf("this match has no like here")
-			}
-			t.How, rest = rest[0], rest[1:]
-		case "--":
-			t.Patterns = append(t.Patterns, rest...)
-			rest = nil
-		default:
-			return t, fmt.Errorf("flag %s has no like here", flag)
+	case r.blocked != "":
+		r.problems[index] = r.blocked
+		return
+	case r.takesAll > 0:
+		r.problems[index] = fmt.Sprintf("it is never reached, for line %d takes all", r.takesAll)
+		return
+	}
+	added := route.Route{From: r.section.name, To: line.Word(1), As: r.section.name}
+	if len(line.Tokens) > 2 {
+		if err := r.readCondition(&added, line.Words()[2:]); err != nil {
+			r.problems[index] = err.Error()
+			r.blocked = fmt.Sprintf("the use_backend of line %d stands before it and is not carried", line.Line)
+			return
 		}
 	}
-	t.Patterns = append(t.Patterns, rest...)
-	if len(t.Patterns) == 0 && t.How != "found" {
-		return t, fmt.Errorf("it has no patterns")
+	r.routes = append(r.routes, added)
+	if len(added.Any) == 0 {
+		r.takesAll = line.Line
 	}
-	if t.Fetch == "method" && t.How != "str" {
-		return t, fmt.Errorf("methods are matched whole")
+}
+
+// readCondition reads the condition of a route, which begins with if or unless, and names the route's method after it.
+func (r *routeReader) readCondition(added *route.Route, words []string) (err error) {
+	keyword, condition := words[0], words[1:]
+	added.As = r.methodName(condition)
+	added.Unless = keyword == "unless"
+	switch {
+	case strings.Contains(added.To, dynamicName):
+		return classify(ErrUnsupported, "its pool is reckoned for each request")
+	case keyword != "if" && keyword != "unless":
+		return classify(ErrSyntax, "%s is neither if nor unless", keyword)
 	}
-	if slices.ContainsFunc(t.Patterns, func(p string) bool { return strings.ContainsFunc(p, unicode.IsControl) }) {
-		return t, fmt.Errorf("a pattern has a control character")
+	added.Any, err = parseRouteCondition(condition, r.acls)
+	return err
+}
+
+// addLast adds the route of default_backend. A listen section without one serves the remaining requests itself.
+func (r *routeReader) addLast() {
+	name := r.section.name
+	if r.last == nil && r.section.kind == kindListen && len(r.routes) > 0 {
+		r.last = &route.Route{From: name, To: name, As: name}
 	}
-	// hdr looks at each part of a header that commas divide, which we do not: whether it is there is the same for all, the
-	// rest only for names that hold one value.
-	if t.Fetch == "hdr" && t.How != "found" && !slices.Contains(single, t.Header) {
-		return t, fmt.Errorf("header %s may hold several values, which are not taken apart here", t.Header)
+	if r.last != nil && r.takesAll == 0 && r.blocked == "" {
+		r.routes = append(r.routes, *r.last)
 	}
-	return t, nil
 }
 
-// single are headers that hold one value.
-var single = []string{"host", "authorization", "content-type", "content-length", "origin"}
-
-// methods that ACLs name without a definition (manual, 7.4).
-var methodACL = map[string][]string{
-	"METH_CONNECT": {"CONNECT"}, "METH_DELETE": {"DELETE"}, "METH_GET": {"GET", "HEAD"}, "METH_HEAD": {"HEAD"},
-	"METH_OPTIONS": {"OPTIONS"}, "METH_POST": {"POST"}, "METH_PUT": {"PUT"}, "METH_TRACE": {"TRACE"},
-}
+// maxMethodName is the length in bytes after which nothing more of a condition goes into a method's name.
+const maxMethodName = 50
 
-// rows reads a condition as rows of terms. An ACL of several lines holds if any of them does, which multiplies rows; past
-// a hundred it is not taken.
-func rows(cond []string, acls map[string][]route.Term, bad map[string]error) (all [][]route.Term, err error) {
-	all = [][]route.Term{}
-	row := [][]route.Term{{}} // what the present row may be
-	and := func(choices []route.Term, not bool) error {
-		if not {
-			for i := range row {
-				for _, c := range choices { // none of them
-					c.Not = !c.Not
-					row[i] = append(slices.Clone(row[i]), c)
-				}
-			}
-			return nil
+// methodName names the method of a route's requests after the frontend and the condition, so that the name stays when other
+// routes come and go. The method of requests without a condition has the frontend's name.
+func (r *routeReader) methodName(condition []string) string {
+	var builder strings.Builder
+	builder.WriteString(r.section.name)
+	separate := true
+	for _, c := range strings.Join(condition, " ") {
+		isWord := isLetterOrDigit(c) || c == '_'
+		if isWord && separate {
+			builder.WriteByte('-')
 		}
-		var wider [][]route.Term
-		for _, r := range row {
-			for _, c := range choices {
-				wider = append(wider, append(slices.Clone(r), c))
-			}
-		}
-		if row = wider; len(row) > 100 {
-			return fmt.Errorf("it would take more than 100 rows")
-		}
-		return nil
-	}
-	for i := 0; i < len(cond); i++ {
-		word := cond[i]
-		not := false
-		for strings.HasPrefix(word, "!") {
-			not, word = !not, word[1:]
-			if word == "" && i+1 < len(cond) {
-				i++
-				word = cond[i]
-			}
-		}
-		var choices []route.Term
-		switch {
-		case word == "or" || word == "||":
-			all, row = append(all, row...), [][]route.Term{{}}
-			continue
-		case word == "{":
-			end := slices.Index(cond[i:], "}")
-			if end < 0 {
-				return nil, fmt.Errorf("a brace is never closed")
-			}
-			t, err := criterion(cond[i+1 : i+end])
-			if err != nil {
-				return nil, err
-			}
-			choices = []route.Term{t}
-			i += end
-		case acls[word] != nil && bad[word] == nil:
-			choices = acls[word]
-		case bad[word] != nil:
-			return nil, fmt.Errorf("ACL %s: %w", word, bad[word])
-		case methodACL[word] != nil:
-			choices = []route.Term{{Fetch: "method", How: "str", Patterns: methodACL[word]}}
-		case word == "TRUE" || word == "FALSE":
-			// A header that none has: never found.
-			choices = []route.Term{{Fetch: "hdr", Header: "", How: "found", Not: word == "TRUE"}}
-		default:
-			return nil, fmt.Errorf("ACL %s has no like here", word)
+		if isWord {
+			builder.WriteRune(c)
 		}
-		if err := and(choices, not); err != nil {
-			return nil, err
+		separate = !isWord
+		if builder.Len() > maxMethodName {
+			break
 		}
 	}
-	if all = append(all, row...); slices.ContainsFunc(all, func(r []route.Term) bool { return len(r) == 0 }) {
-		return nil, fmt.Errorf("a part of its condition is empty")
-	}
-	if len(all) > 100 {
-		return nil, fmt.Errorf("it would take more than 100 rows")
+	name := builder.String()
+	for number := 2; r.usedMethods[name]; number++ {
+		name = fmt.Sprintf("%s-%d", builder.String(), number)
 	}
-	return all, nil
+	r.usedMethods[name] = true
+	return name
 }
 
-// routes reads a frontend's routes in their order. From the first that can't be said exactly on none is: it stands before
-// the others, so they would hold where it does.
-func (m *importer) routes(s *section) (all []route.Route, of map[int]string) {
-	acls, bad, of := map[string][]route.Term{}, map[string]error{}, map[int]string{}
-	always := 0 // the line of a route without a condition: what stands behind it is never reached
-	last, used := "", map[string]bool{s.name: true}
-	var deflt *route.Route
-	for i, l := range s.lines {
-		w := l.Words()
-		switch w[0] {
-		case "acl":
-			if len(w) < 3 {
-				continue
-			}
-			t, err := criterion(w[2:])
-			if err != nil {
-				bad[w[1]] = err
-				of[i] = err.Error()
-				continue
-			}
-			acls[w[1]] = append(acls[w[1]], t)
-		case "use_backend":
-			if last == "" && always > 0 {
-				of[i] = fmt.Sprintf("it is never reached, for line %d takes all", always)
-				continue
-			}
-			if last != "" {
-				of[i] = last
-				continue
-			}
-			r := route.Route{From: s.name, To: l.Word(1), As: s.name}
-			if len(w) > 2 {
-				r.As = methodName(s.name, w[3:], used)
-				r.Unless = w[2] == "unless"
-				var err error
-				if w[2] != "if" && w[2] != "unless" {
-					err = fmt.Errorf("%s is neither if nor unless", w[2])
-				} else {
-					r.Any, err = rows(w[3:], acls, bad)
-				}
-				if strings.Contains(r.To, "%[") {
-					err = fmt.Errorf("its pool is reckoned for each request")
-				}
-				if err != nil {
-					of[i] = err.Error()
-					last = fmt.Sprintf("the use_backend of line %d stands before it and is not carried", l.Line)
-					continue
-				}
-			}
-			if all = append(all, r); len(r.Any) == 0 {
-				always = l.Line
-			}
-		case "default_backend":
-			deflt = &route.Route{From: s.name, To: l.Word(1), As: s.name}
-			if last != "" {
-				of[i] = last
-			}
-		}
-	}
-	if deflt == nil && s.kind == "listen" && len(all) > 0 { // what none takes goes to its own servers
-		deflt = &route.Route{From: s.name, To: s.name, As: s.name}
-	}
-	if always > 0 {
-		return all, of
+// importUseBackend reports a use_backend line; importRoutes has read its route.
+func (m *importer) importUseBackend(line proxyLine) {
+	m.checkBackendExists(line)
+	m.checkConditionACLs(line)
+	m.noteRoute(line)
+}
+
+// importDefaultBackend reports a default_backend line; importRoutes has read its route.
+func (m *importer) importDefaultBackend(line proxyLine) {
+	m.checkBackendExists(line)
+	m.noteRoute(line)
+}
+
+func (m *importer) checkBackendExists(line proxyLine) {
+	name := line.argument()
+	if !strings.Contains(name, dynamicName) && m.backends[name] == nil {
+		m.fault(line.Position, ErrUndefined, "%s %s: there is no such backend", line.keyword(), name)
 	}
-	if deflt != nil && last == "" {
-		all = append(all, *deflt)
+}
+
+func (m *importer) noteRoute(line proxyLine) {
+	switch problem := line.section.routeProblems[line.index]; {
+	case line.section.kind == kindDefaults:
+		m.note(line.Line, Dropped, "routes are read where they stand in a frontend, not in defaults")
+	case problem != "":
+		m.note(line.Line, Dropped, "%s: bind methods to pools by hand", problem)
+	default:
+		m.note(line.Line, Carried, "a route")
 	}
-	return all, of
 }
 
-// methodName names the method that a route's requests are: the front and what its condition says, so that it stays when
-// other routes come and go. What a front sends on without a condition is named as the front.
-func methodName(front string, cond []string, used map[string]bool) string {
-	var b strings.Builder
-	b.WriteString(front)
-	gap := true
-	for _, c := range strings.Join(cond, " ") {
-		if c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '_' {
-			if gap {
-				b.WriteByte('-')
-			}
-			b.WriteRune(c)
-			gap = false
-		} else {
-			gap = true
+func (m *importer) importUseServer(line proxyLine) {
+	m.checkConditionACLs(line)
+	m.note(line.Line, Dropped, "a table is a pool's: an RPC bound to one of its servers would have none when that one is gone")
+}
+
+// maxMethods is the most methods that a pool's settings may have.
+const maxMethods = 64
+
+// mergeExcessMethods makes one method of all requests of a pool whose routes would give it more than maxMethods.
+func (m *importer) mergeExcessMethods() {
+	for _, pool := range m.pools {
+		if names, _ := route.Methods(m.routes, pool.Name); len(names) <= maxMethods {
+			continue
 		}
-		if b.Len() > 50 {
-			break
+		for i := range m.routes {
+			if m.routes[i].To == pool.Name {
+				m.routes[i].As = allMethod
+			}
 		}
 	}
-	name := b.String()
-	for n := 2; used[name]; n++ {
-		name = fmt.Sprintf("%s-%d", b.String(), n)
-	}
-	used[name] = true
-	return name
 }
--- /dev/null
+++ b/internal/haproxy/server.go
@@ -0,0 +1,163 @@
+package haproxy
+
+import (
+	"strconv"
+	"strings"
+	"unicode"
+)
+
+// Server is one server of a server or server-template line.
+type Server struct {
+	Position
+	Name      string
+	Addr      string
+	Weight    int
+	Backup    bool
+	Disabled  bool
+	SlowStart float64 // seconds
+	ID        int     // 0 if none is set
+	Track     string  // the server whose health this one shares, as name or pool/name
+	State     State
+}
+
+// State is what proxies send to a server.
+type State uint8
+
+// The states of servers.
+const (
+	Open     State = iota
+	Draining       // weight 0: current sessions go on, new ones do not come
+	Unused         // disabled, or a backup while other servers are used
+)
+
+// String is the state as the endpoint list has it.
+func (s State) String() string { return [...]string{"open", "draining", "unused", "?"}[min(s, 3)] }
+
+// initialState is the state of a server before backups are considered.
+func (s Server) initialState() State {
+	switch {
+	case s.Disabled, s.Backup:
+		return Unused
+	case s.Weight == 0:
+		return Draining
+	}
+	return Open
+}
+
+const (
+	// defaultWeight is HAProxy's weight of a server where none is set (manual, 5.2 weight).
+	defaultWeight = 1
+	// maxTemplateServers is the most servers that a server-template line may stand for.
+	maxTemplateServers = 10000
+	// maxTemplateNumber is the highest number that a server-template line may append to its name.
+	maxTemplateNumber = 1_000_000
+)
+
+// importServer imports a server or server-template line.
+func (m *importer) importServer(line proxyLine) {
+	pool := line.pool
+	if pool == nil {
+		m.fault(line.Position, ErrMisplaced, "%s in a %s section", line.keyword(), line.section.kind)
+		m.note(line.Line, Dropped, "it stands where no servers may")
+		return
+	}
+	isTemplate := line.keyword() == "server-template"
+	names, addressIndex := []string{line.Word(1)}, 2
+	if isTemplate {
+		var err error
+		if names, err = templateNames(line.Word(1), line.Word(2)); err != nil {
+			m.fault(line.Position, ErrValue, "server-template %s: %w", line.Word(1), err)
+			m.note(line.Line, Dropped, "its number is at fault")
+			pool.hasFaultyServer = true
+			return
+		}
+		addressIndex = 3
+	}
+	listed, err := serverAddress(line.Line, addressIndex)
+	if err != nil {
+		m.fault(line.Position, ErrValue, "server %s: %w", line.Word(1), err)
+		m.note(line.Line, Dropped, "its address is at fault")
+		pool.hasFaultyServer = true
+		return
+	}
+	class, reason := Carried, ""
+	if isTemplate {
+		class, reason = Differs, "all its servers are listed at the name's one address; it is not resolved here"
+	}
+	m.note(line.part(0, addressIndex+1), class, "%s", reason)
+	server := defaultServer(line)
+	m.applyOptions(&server, line.Line, addressIndex+1)
+	server.Addr = listed.String()
+	pool.addServers(server, names)
+}
+
+// defaultServer returns a server as the default-server lines before it leave it. The options of those lines were reported
+// where they stand.
+func defaultServer(line proxyLine) Server {
+	server := Server{Position: line.Position, Weight: defaultWeight}
+	silent := &importer{}
+	for _, defaults := range line.section.defaultServers {
+		silent.applyOptions(&server, defaults, 1)
+	}
+	return server
+}
+
+// addServers adds a server under each of the names; their ids count up from the server's.
+func (p *Pool) addServers(server Server, names []string) {
+	for i, name := range names {
+		added := server
+		added.Name = name
+		if added.ID > 0 {
+			added.ID += i
+		}
+		p.Servers = append(p.Servers, added)
+	}
+}
+
+// templateNames returns the names of a server-template line, whose count is a number of servers or a range of numbers.
+func templateNames(prefix, count string) ([]string, error) {
+	first, last, isRange := strings.Cut(count, "-")
+	if !isRange {
+		first, last = "1", first
+	}
+	begin, err := parseInteger(first, 0, maxTemplateNumber)
+	end, endErr := parseInteger(last, begin, maxTemplateNumber)
+	if err != nil || endErr != nil || end-begin >= maxTemplateServers {
+		return nil, &ValueError{count, "number or range of up to 10000 servers"}
+	}
+	names := make([]string, 0, end-begin+1)
+	for number := begin; number <= end; number++ {
+		names = append(names, prefix+strconv.Itoa(number))
+	}
+	return names, nil
+}
+
+// serverAddress returns the address of a server line if the endpoint list can hold it.
+func serverAddress(line Line, index int) (address, error) {
+	word := line.Word(index)
+	switch {
+	case strings.ContainsFunc(word, isASCIIControl):
+		return address{}, classify(ErrValue, "its address has a control character")
+	case len(line.Tokens) <= index:
+		return address{}, classify(ErrSyntax, "a name and an address are needed")
+	}
+	if character := forbiddenCharacter(line.Word(1)); character != "" {
+		return address{}, classify(ErrName, "%q is not permitted in a server's name", character)
+	}
+	parsed, err := parseAddress(word)
+	switch {
+	case err != nil:
+		return address{}, err
+	case parsed.isListedSocket():
+		return parsed, nil
+	case parsed.Offset:
+		return address{}, classify(ErrUnsupported, "a port relative to the client's can't be listed")
+	case parsed.Last > 0:
+		return address{}, classify(ErrValue, "a server has one port, not a range")
+	case parsed.Port == 0:
+		return address{}, classify(ErrValue, "%s has no port", word)
+	}
+	return parsed, nil
+}
+
+func isASCIIControl(c rune) bool { return c <= unicode.MaxASCII && unicode.IsControl(c) }
--- /dev/null
+++ b/internal/haproxy/server_options.go
@@ -0,0 +1,103 @@
+package haproxy
+
+import (
+	"math"
+	"slices"
+	"strings"
+)
+
+// maxWeight is the highest weight of a server (manual, 5.2 weight).
+const maxWeight = 256
+
+// applyOptions applies the options of a server or default-server line, which begin at an index of its words.
+func (m *importer) applyOptions(server *Server, line Line, begin int) {
+	for i := begin; i < len(line.Tokens); {
+		word := line.Word(i)
+		option, known := serverOptions[word]
+		if !known && isNegatedOption(word) {
+			m.negateOption(server, line.part(i, i+1))
+			i++
+			continue
+		}
+		if !known {
+			m.note(line.part(i, len(line.Tokens)), Dropped, "unknown server option %s: what follows it can't be told apart", word)
+			return
+		}
+		end := i + 1 + option.values
+		if end > len(line.Tokens) {
+			m.fault(line.part(i, i+1).Position, ErrSyntax, "%s needs a value", word)
+			m.note(line.part(i, len(line.Tokens)), Dropped, "its value is missing")
+			return
+		}
+		if err := server.setOption(word, line.Word(i+1)); err != nil {
+			m.fault(line.part(i, i+1).Position, ErrValue, "%s: %w", word, err)
+		}
+		m.note(line.part(i, end), option.class, "%s", option.reason)
+		i = end
+	}
+}
+
+const negation = "no-"
+
+func isNegatedOption(word string) bool {
+	option, negated := strings.CutPrefix(word, negation)
+	_, known := serverOptions[option]
+	return negated && known
+}
+
+// negateOption applies an option such as no-backup, which line consists of.
+func (m *importer) negateOption(server *Server, line Line) {
+	class := Dropped
+	switch strings.TrimPrefix(line.Word(0), negation) {
+	case "backup":
+		server.Backup, class = false, Carried
+	case "disabled":
+		server.Disabled, class = false, Carried
+	}
+	m.note(line, class, "turned off")
+}
+
+// setOption sets or checks an option. The value of an option that takes none is ignored.
+func (s *Server) setOption(name, value string) (err error) {
+	switch name {
+	case "weight":
+		var weight int
+		if weight, err = parseInteger(value, 0, maxWeight); err == nil {
+			s.Weight = weight // A faulty one changes nothing, so that it causes no second fault.
+		}
+	case "backup":
+		s.Backup = true
+	case "disabled":
+		s.Disabled = true
+	case "enabled":
+		s.Disabled = false
+	case "slowstart":
+		s.SlowStart, err = parseDuration(value)
+	case "id":
+		s.ID, err = parseInteger(value, 1, math.MaxInt32)
+	case "track":
+		s.Track = value
+	default:
+		err = checkOption(name, value)
+	}
+	return err
+}
+
+// checkOption checks the value of an option that is not carried over.
+func checkOption(name, value string) (err error) {
+	switch name {
+	case "inter", "fastinter", "downinter":
+		_, err = parseDuration(value)
+	case "maxconn", "minconn", "maxqueue", "fall", "rise":
+		_, err = parseInteger(value, 0, math.MaxInt32)
+	case "port":
+		_, err = parseInteger(value, 1, maxPort)
+	case "addr":
+		_, err = parseAddress(value)
+	case "init-state":
+		if !slices.Contains([]string{"up", "down", "fully-up", "fully-down"}, value) {
+			err = classify(ErrValue, "%q is none of up, down, fully-up, fully-down", value)
+		}
+	}
+	return err
+}
