--- a/internal/haproxy/bench_test.go
+++ b/internal/haproxy/bench_test.go
@@ -20,7 +20,7 @@
 	return b.String()
 }
 
-// BenchmarkRead tells whether time and memory grow with the file's length alone.
+// BenchmarkRead measures whether time and memory grow in proportion to the file's length.
 func BenchmarkRead(b *testing.B) {
 	for _, n := range []int{10, 1000, 100000} {
 		text := farm(n)
@@ -36,7 +36,7 @@
 	}
 }
 
-// BenchmarkReload is what a changed weight costs beside 10,000 servers: the reading, and what follows from it.
+// BenchmarkReload measures a changed weight among 10,000 servers.
 func BenchmarkReload(b *testing.B) {
 	var all []follow.Server
 	for i := range 10000 {
--- a/internal/haproxy/routes_test.go
+++ b/internal/haproxy/routes_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 
@@ -34,6 +35,7 @@
     server a h:1
 `
 
+// TestRoutes checks where requests go by the routes of a frontend.
 func TestRoutes(t *testing.T) {
 	got := read(routed)
 	if len(got.Faults) > 0 || len(got.Routes) != 5 {
@@ -52,9 +54,9 @@
 		}
 		return m
 	}
-	for _, c := range []struct {
-		q    route.Request
-		want string
+	for _, test := range []struct {
+		request route.Request
+		want    string
 	}{
 		{route.Request{Method: "GET", Path: "/", Headers: host("www.example")}, "tasks"},
 		{route.Request{Method: "GET", Path: "/a.PNG", Headers: host("www.example")}, "static"},
@@ -68,14 +70,15 @@
 		{route.Request{Method: "GET", Path: "/", Headers: host("ADMIN.example")}, "deny"},
 		{route.Request{Method: "GET", Path: "/Admin", Headers: host("www.example")}, "tasks"},
 	} {
-		if r, _ := table.Pick("www", c.q); r.To != c.want {
-			t.Errorf("%v goes to %q, %q wanted", c.q, r.To, c.want)
+		if picked, _ := table.Pick("www", test.request); picked.To != test.want {
+			t.Errorf("%v goes to %q, %q wanted", test.request, picked.To, test.want)
 		}
 	}
 }
 
-// What can't be said exactly is told, and whatever stands behind it in its frontend, too: it would hold where it must not.
-func TestRoutesThatAreNotExact(t *testing.T) {
+// TestInexactRoutes checks that a route that cannot be expressed exactly is reported, and so is each route after it in its
+// frontend, which would take the requests that are meant for it.
+func TestInexactRoutes(t *testing.T) {
 	for acl, why := range map[string]string{
 		"path_reg ^/a": "path_reg has no like", "src 10.0.0.0/8": "src has no like", "path_beg -f /etc/paths": "flag -f has no like",
 		"hdr(accept) -m sub html": "may hold several values", "path,lower -m beg /a": "has no like", "path -m reg x": "this match has no like", "method": "no patterns",
@@ -94,64 +97,76 @@
 	}
 }
 
-// Rows of terms against the condition reckoned straight from its words.
-func TestRowsAgainstTheWords(t *testing.T) {
-	rapid.Check(t, func(rt *rapid.T) {
-		names := []string{"a", "b", "c"}
-		lines := map[string][]string{}
-		var text strings.Builder
-		text.WriteString("frontend f\n")
-		for _, n := range names {
-			for range rapid.IntRange(1, 3).Draw(rt, "lines") {
-				p := "/" + rapid.StringMatching("[xy]{1,2}").Draw(rt, "path")
-				lines[n] = append(lines[n], p)
-				fmt.Fprintf(&text, "acl %s path_beg %s\n", n, p)
-			}
+// drawnACL is a use of an ACL in a drawn condition.
+type drawnACL struct {
+	name    string
+	negated bool
+}
+
+// drawnCondition is a condition as a disjunction of conjunctions, evaluated straight from the words that it was drawn with.
+type drawnCondition struct {
+	prefixes map[string][]string // of the paths that an ACL matches
+	rows     [][]drawnACL
+}
+
+func (c drawnCondition) holds(path string) bool {
+	return slices.ContainsFunc(c.rows, func(row []drawnACL) bool {
+		return !slices.ContainsFunc(row, func(acl drawnACL) bool { return c.matches(acl.name, path) == acl.negated })
+	})
+}
+
+func (c drawnCondition) matches(acl, path string) bool {
+	return slices.ContainsFunc(c.prefixes[acl], func(prefix string) bool { return strings.HasPrefix(path, prefix) })
+}
+
+// drawFrontend draws a frontend with one use_backend, its condition, and whether that begins with if or unless.
+func drawFrontend(check *rapid.T) (text string, condition drawnCondition, keyword string) {
+	names := []string{"a", "b", "c"}
+	condition.prefixes = map[string][]string{}
+	var frontend strings.Builder
+	frontend.WriteString("frontend f\n")
+	for _, name := range names {
+		for range rapid.IntRange(1, 3).Draw(check, "lines") {
+			prefix := "/" + rapid.StringMatching("[xy]{1,2}").Draw(check, "path")
+			condition.prefixes[name] = append(condition.prefixes[name], prefix)
+			fmt.Fprintf(&frontend, "acl %s path_beg %s\n", name, prefix)
 		}
-		type word struct {
-			name string
-			not  bool
+	}
+	keyword = rapid.SampledFrom([]string{"if", "unless"}).Draw(check, "how")
+	fmt.Fprintf(&frontend, "use_backend p %s", keyword)
+	for i := range rapid.IntRange(1, 3).Draw(check, "rows") {
+		if i > 0 {
+			frontend.WriteString(" ||")
 		}
-		var cond [][]word
-		how := rapid.SampledFrom([]string{"if", "unless"}).Draw(rt, "how")
-		fmt.Fprintf(&text, "use_backend p %s", how)
-		for i := range rapid.IntRange(1, 3).Draw(rt, "rows") {
-			if i > 0 {
-				text.WriteString(" ||")
-			}
-			var row []word
-			for range rapid.IntRange(1, 3).Draw(rt, "terms") {
-				w := word{rapid.SampledFrom(names).Draw(rt, "acl"), rapid.Bool().Draw(rt, "not")}
-				row = append(row, w)
-				text.WriteString(map[bool]string{true: " !", false: " "}[w.not] + w.name)
-			}
-			cond = append(cond, row)
+		var row []drawnACL
+		for range rapid.IntRange(1, 3).Draw(check, "terms") {
+			acl := drawnACL{rapid.SampledFrom(names).Draw(check, "acl"), rapid.Bool().Draw(check, "not")}
+			row = append(row, acl)
+			frontend.WriteString(map[bool]string{true: " !", false: " "}[acl.negated] + acl.name)
 		}
-		text.WriteString("\nbackend p\nserver a h:1\n")
-		got := read(text.String())
+		condition.rows = append(condition.rows, row)
+	}
+	return frontend.String() + "\n", condition, keyword
+}
+
+// TestRouteConditionAgainstReference checks the rows of a route against the condition that they were read from.
+func TestRouteConditionAgainstReference(t *testing.T) {
+	rapid.Check(t, func(check *rapid.T) {
+		frontend, condition, keyword := drawFrontend(check)
+		got := read(frontend + "backend p\nserver a h:1\n")
 		if len(got.Routes) != 1 || len(got.Faults) > 0 {
-			rt.Fatalf("%s: %+v", text.String(), got)
-		}
-		q := route.Request{Path: "/" + rapid.StringMatching("[xyz]{0,3}").Draw(rt, "asked")}
-		want := false
-		for _, row := range cond {
-			all := true
-			for _, w := range row {
-				hit := false
-				for _, p := range lines[w.name] {
-					hit = hit || strings.HasPrefix(q.Path, p)
-				}
-				all = all && hit != w.not
-			}
-			want = want || all
+			check.Fatalf("%s: %+v", frontend, got)
 		}
-		if got.Routes[0].Holds(q) != (want == (how == "if")) {
-			rt.Fatalf("%s for %s: %v", text.String(), q.Path, got.Routes[0])
+		request := route.Request{Path: "/" + rapid.StringMatching("[xyz]{0,3}").Draw(check, "asked")}
+		want := condition.holds(request.Path) == (keyword == "if")
+		if got.Routes[0].Holds(request) != want {
+			check.Fatalf("%s for %s: %v", frontend, request.Path, got.Routes[0])
 		}
 	})
 }
 
-// A pool has the methods that its routes name, and tries as its retries say. Routes that are written are read as they are.
+// TestRoutesBecomeMethods checks that a pool has the methods of its routes, with the attempts that its retries permit, and
+// that written routes are read back unchanged.
 func TestRoutesBecomeMethods(t *testing.T) {
 	got := read(`defaults
     retries 0
@@ -205,7 +220,7 @@
 	}
 }
 
-// More routes to a pool than it may have methods make one method of them.
+// TestTooManyRoutesForMethods checks that more routes to a pool than it may have methods make one method.
 func TestTooManyRoutesForMethods(t *testing.T) {
 	var text strings.Builder
 	text.WriteString("frontend f\n")
