--- a/internal/bootstrap/document.go
+++ b/internal/bootstrap/document.go
@@ -7,12 +7,12 @@
 
 const documentIntroduction = `# Settings
 
-Written by ` + "`gingerfork settings`" + ` from the keywords themselves; a test holds this page against them.
+Written by ` + "`gingerfork settings`" + ` from the keywords themselves; a test compares this page with them.
 
-A file is lines of words. A line that begins with a section's name opens it; the lines after it are its keywords, one a
-line, each at most once. Indents and blank lines mean nothing. ` + "`#`" + ` at a word's start begins a comment. "Double quotes" hold
-blanks, and quotes and backslashes behind a backslash; 'single quotes' hold anything else. ` + "`include FILE`" + ` stands for the
-lines of that file, looked for from the including file's folder; circles are faults. Every fault of a file is reported in
+A file consists of lines of words. A line that begins with a section's name opens the section; the lines after it are its keywords,
+one a line, each at most once. Indentation and blank lines have no meaning. ` + "`#`" + ` at a word's start begins a comment. Words in
+"double quotes" may contain blanks, and quotes and backslashes after a backslash; 'single quotes' may contain anything but themselves. ` + "`include FILE`" + ` stands for the
+lines of that file, relative to the including file's folder; a cycle of includes is an error. Every error of a file is reported in
 one run, as ` + "`file:line: what is wrong, what was expected`" + `; ` + "`gingerfork check FILE`" + ` does nothing else.
 
 | syntax | meaning |
@@ -25,7 +25,7 @@
 
 const tableHead = "| keyword | syntax | range | default | meaning | example |\n| --- | --- | --- | --- | --- | --- |\n"
 
-// Document returns docs/settings.md. It is written from the keywords themselves, so that the two can't differ.
+// Document returns docs/settings.md. It is written from the keywords themselves, so that the two cannot differ.
 func Document() string {
 	var page strings.Builder
 	page.WriteString(documentIntroduction)
