--- a/cmd/gingerfork/check.go
+++ b/cmd/gingerfork/check.go
@@ -1,84 +1,58 @@
 package main
 
 import (
-	"errors"
 	"fmt"
-	"os"
 	"path/filepath"
 	"strings"
 
 	"gingerfork/internal/bootstrap"
 	"gingerfork/internal/configcheck"
-	"gingerfork/internal/scenario"
 )
 
 type checkCmd struct {
-	Files []string `arg:"" help:"Settings files, days (files that end in .day), or routes (files named routes, or that end in .routes)."`
+	Files []string `arg:"" help:"Settings files, scenarios (files that end in .day), or routes (files named routes, or that end in .routes)."`
 }
 
-func (c checkCmd) Run(p *program) error {
+// Run reports the faults of each file on standard error.
+func (c checkCmd) Run(cli *program) error {
 	failed := 0
-	for _, f := range c.Files {
-		if err := check(f); err != nil {
+	for _, file := range c.Files {
+		if err := checkFile(file); err != nil {
 			failed++
-			fmt.Fprintln(p.err, err)
+			fmt.Fprintln(cli.err, err)
 			continue
 		}
-		fmt.Fprintf(p.out, "%s: good\n", f)
-		if t, err := bootstrap.Read(f); err == nil {
-			for _, h := range configcheck.Warnings(t.CoordinatorConfig(0)) {
-				fmt.Fprintf(p.err, "%s: a doubt: %s\n", f, h)
+		fmt.Fprintf(cli.out, "%s: good\n", file)
+		if settings, err := bootstrap.Read(file); err == nil {
+			for _, warning := range configcheck.Warnings(settings.CoordinatorConfig(0)) {
+				fmt.Fprintf(cli.err, "%s: a doubt: %s\n", file, warning)
 			}
 		}
 	}
 	if failed > 0 {
-		return badError{fmt.Errorf("%d of %d files are bad", failed, len(c.Files))}
+		return fmt.Errorf("%d of %d files are bad", failed, len(c.Files))
 	}
 	return nil
 }
 
-func check(file string) error {
-	if filepath.Base(file) == "routes" || strings.HasSuffix(file, ".routes") {
-		_, err := readRoutes(file)
-		return err
+// checkFile returns the faults of a file, whose name tells what it holds.
+func checkFile(file string) error {
+	var err error
+	switch {
+	case filepath.Base(file) == "routes" || strings.HasSuffix(file, ".routes"):
+		_, err = readRoutes(file)
+	case strings.HasSuffix(file, scenarioSuffix):
+		_, err = readScenario(file)
+	default:
+		_, err = bootstrap.Read(file)
 	}
-	if !strings.HasSuffix(file, ".day") {
-		_, err := bootstrap.Read(file)
-		return err
-	}
-	_, err := readDay(file)
 	return err
 }
 
-// readDay reads a day from a file, or one that comes with the program by its name.
-func readDay(name string) (*scenario.Scenario, error) {
-	text, err := os.ReadFile(name)
-	if err == nil {
-		return scenario.Read(name, string(text), func(file string) ([]byte, error) {
-			if data, err := os.ReadFile(filepath.Join(filepath.Dir(name), file)); err == nil {
-				return data, nil
-			}
-			data, err := scenario.File(file)
-			if err != nil {
-				return nil, fmt.Errorf("%s is neither beside the day nor among the settings that come with the program", file)
-			}
-			return data, nil
-		})
-	}
-	text, own := scenario.File(name + ".day")
-	if own != nil {
-		var p *os.PathError
-		if errors.As(err, &p) {
-			err = p.Err
-		}
-		return nil, fmt.Errorf("%s: %w, and no day of that name comes with the program (those that do: %s)", name, err, strings.Join(scenario.Builtin(), ", "))
-	}
-	return scenario.Read(name+".day", string(text), scenario.File)
-}
-
 type settingsCmd struct{}
 
-func (settingsCmd) Run(p *program) error { //nolint:unparam // kong asks for the error
-	fmt.Fprint(p.out, bootstrap.Document())
+// Run prints the documentation of the settings.
+func (settingsCmd) Run(cli *program) error { //nolint:unparam // kong asks for the error
+	fmt.Fprint(cli.out, bootstrap.Document())
 	return nil
 }
--- a/cmd/gingerfork/emulate.go
+++ b/cmd/gingerfork/emulate.go
@@ -3,237 +3,131 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
-	"io"
-	"os"
 	"strconv"
 	"strings"
 	"sync"
-	"time"
 
 	"gingerfork/internal/bootstrap"
 	"gingerfork/internal/emulator"
-	"gingerfork/internal/fake"
-	"gingerfork/internal/invariant"
-	"gingerfork/internal/load"
 	"gingerfork/internal/report"
 	"gingerfork/internal/scenario"
-	"gingerfork/internal/traffic"
+)
+
+// plainProgressInterval is the number of seconds after which a progress line is printed where there is no terminal.
+const plainProgressInterval = 5
+
+var (
+	errPartFormat       = errors.New("is not K/N, such as 1/2")
+	errEmulationTooSlow = errors.New("VOID: the emulation fell behind: its queues were longer than the servers' own")
 )
 
 type emulateCmd struct {
-	Day   string  `arg:"" help:"A day: its servers and list service are emulated, with the troubles that befall them."`
-	Port  int     `help:"Where the list service listens; servers have the ports behind it." default:"20000"`
-	Part  string  `help:"Play only this part of the servers, so that several processes carry the fleet; the first has the list service." placeholder:"K/N"`
-	Loops int     `help:"Loops that carry the servers." default:"1" placeholder:"N"`
-	For   string  `help:"Play so long instead of the day's length." placeholder:"TIME"`
-	Scale float64 `help:"So many times the servers." default:"1" placeholder:"X"`
-	JSON  bool    `help:"Print a JSON line for each second."`
+	Scenario   string  `arg:"" name:"day" help:"A scenario: its backends and endpoint service are emulated, with their faults."`
+	Port       int     `help:"The port of the endpoint service; backends have those behind it." default:"20000"`
+	Part       string  `help:"Emulate only this part of the backends, so that several processes carry the fleet; the first has the endpoint service." placeholder:"K/N"`
+	EventLoops int     `aliases:"loops" help:"Event loops that carry the backends." default:"1" placeholder:"N"`
+	Duration   string  `aliases:"for" help:"Run for this long instead of the scenario's length." placeholder:"TIME"`
+	Scale      float64 `help:"Multiply the number of backends by this." default:"1" placeholder:"X"`
+	JSON       bool    `help:"Print a JSON line for each second."`
 }
 
-func (c emulateCmd) Run(ctx context.Context, p *program) error {
-	d, err := readDay(c.Day)
+// Run emulates the backends until the scenario or ctx ends.
+func (c emulateCmd) Run(ctx context.Context, cli *program) error {
+	emulation, err := c.emulation()
 	if err != nil {
-		return badError{err}
+		return err
 	}
-	if c.Scale != 1 && c.Scale > 0 {
-		d.Scale(c.Scale)
+	progress := &emulationProgress{cli: cli, json: c.JSON, line: newProgressLine(cli.out)}
+	emulation.OnTally, emulation.OnStep = progress.tally, progress.step
+	if !c.JSON {
+		fmt.Fprintf(cli.out, "%s: list service at %s, servers from %s on, %.0f s\n", emulation.Scenario.Name, emulation.ListAddr(), emulation.Addr(0),
+			emulation.Scenario.Duration)
 	}
-	e := scenario.Emulation{Scenario: d, Port: c.Port, EventLoops: c.Loops}
-	if c.Part != "" {
-		k, n, _ := strings.Cut(c.Part, "/")
-		e.Part, err = strconv.Atoi(k)
-		if err == nil {
-			e.Parts, err = strconv.Atoi(n)
-		}
-		if err != nil {
-			return fmt.Errorf("part %q is not K/N, such as 1/2", c.Part)
-		}
+	if err := emulation.Run(ctx); err != nil {
+		return err
 	}
-	if c.For != "" {
-		if d.Duration, err = bootstrap.ParseDuration(c.For); err != nil {
-			return fmt.Errorf("for %w", err)
-		}
+	return progress.finish()
+}
+
+// emulation returns what the flags describe.
+func (c emulateCmd) emulation() (*scenario.Emulation, error) {
+	emulated, err := readScenario(c.Scenario)
+	if err != nil {
+		return nil, err
 	}
-	line := newLive(p.out)
-	var mu sync.Mutex
-	var late report.Behind
-	e.OnTally = func(t emulator.FleetStats) {
-		mu.Lock()
-		defer mu.Unlock()
-		late.Look(t.MaxDelay)
-		if c.JSON {
-			_ = json.NewEncoder(p.out).Encode(t)
-			return
-		}
-		line.show(t.String(), late.Looks%5 == 1)
+	if c.Scale != 1 && c.Scale > 0 {
+		emulated.Scale(c.Scale)
 	}
-	e.OnStep = func(text string) {
-		mu.Lock()
-		defer mu.Unlock()
-		if !c.JSON {
-			line.print(text)
+	emulation := &scenario.Emulation{Scenario: emulated, Port: c.Port, EventLoops: c.EventLoops}
+	if c.Part != "" {
+		if emulation.Part, emulation.Parts, err = parsePart(c.Part); err != nil {
+			return nil, err
 		}
 	}
-	if !c.JSON {
-		fmt.Fprintf(p.out, "%s: list service at %s, servers from %s on, %.0f s\n", d.Name, e.ListAddr(), e.Addr(0), d.Duration)
-	}
-	if err := e.Run(ctx); err != nil {
-		return badError{err}
-	}
-	line.end()
-	mu.Lock()
-	defer mu.Unlock()
-	if !c.JSON {
-		fmt.Fprintf(p.out, "at most %.1f ms late, more than %.0f ms in %d of %d seconds\n", 1e3*late.Worst, 1e3*report.LateMost, late.Late, late.Looks)
-	}
-	if late.Void() {
-		return badError{fmt.Errorf("VOID: the emulation fell behind: its queues were longer than the servers' own")}
+	if c.Duration != "" {
+		if emulated.Duration, err = bootstrap.ParseDuration(c.Duration); err != nil {
+			return nil, fmt.Errorf("duration: %w", err)
+		}
 	}
-	return nil
+	return emulation, nil
 }
 
-// live shows a line that is written over on a terminal, and now and then a plain line elsewhere.
-type live struct {
-	out      io.Writer
-	terminal bool
-	open     bool
-}
-
-func newLive(out io.Writer) *live {
-	l := &live{out: out}
-	if f, ok := out.(*os.File); ok {
-		info, err := f.Stat()
-		l.terminal = err == nil && info.Mode()&os.ModeCharDevice != 0 && os.Getenv("TERM") != "dumb"
+// parsePart reads K/N.
+func parsePart(text string) (part, parts int, err error) {
+	before, after, _ := strings.Cut(text, "/")
+	part, err = strconv.Atoi(before)
+	if err == nil {
+		parts, err = strconv.Atoi(after)
 	}
-	return l
-}
-
-func (l *live) show(text string, plain bool) {
-	if l.terminal {
-		fmt.Fprintf(l.out, "\r\x1b[K%s", text)
-		l.open = true
-	} else if plain {
-		fmt.Fprintln(l.out, text)
+	if err != nil {
+		return 0, 0, fmt.Errorf("part %q %w", text, errPartFormat)
 	}
+	return part, parts, nil
 }
 
-func (l *live) print(text string) {
-	l.end()
-	fmt.Fprintln(l.out, "  "+text)
-}
+// emulationProgress prints what the event loops of an emulation report. It is safe for concurrent use.
+type emulationProgress struct {
+	cli  *program
+	json bool
 
-func (l *live) end() {
-	if l.open {
-		fmt.Fprintln(l.out)
-		l.open = false
-	}
+	mu     sync.Mutex
+	line   *progressLine
+	behind report.Behind
 }
 
-type loadCmd struct {
-	Settings    string   `required:"" help:"The fleet's settings: methods, how proxies pick." placeholder:"FILE"`
-	Coordinator []string `help:"Coordinators whose tables the proxies follow." placeholder:"HOST:PORT"`
-	Server      []string `help:"Instead: servers that all are sent to, by one fixed table." placeholder:"HOST:PORT"`
-	Rate        float64  `help:"RPCs a second, of all proxies together." default:"100"`
-	Proxies     int      `help:"Proxies that the load comes through." default:"10"`
-	Uneven      float64  `help:"How uneven proxies are: coefficient of variation of their rates." default:"0"`
-	For         string   `help:"How long." default:"30s" placeholder:"TIME"`
-	Mix         []string `help:"The methods' shares. None: equal." placeholder:"SHARE"`
-	Wave        string   `help:"The rate swings by this share" placeholder:"SHARE"`
-	Over        string   `help:"over this time." default:"60s" placeholder:"TIME"`
-	Bursts      string   `help:"Bursts of this share of the rate" placeholder:"PERCENT"`
-	Every       string   `help:"every" default:"10s" placeholder:"TIME"`
-	Lasting     string   `help:"for so long." default:"1s" placeholder:"TIME"`
-	Keys        int      `help:"RPCs are about so many keys" placeholder:"N"`
-	Zipf        float64  `help:"with this exponent." default:"1"`
-	Again       string   `help:"Clients whose RPC failed come again with this chance" placeholder:"SHARE"`
-	After       string   `help:"after about this time, doubled each time," default:"100ms" placeholder:"TIME"`
-	AtMost      int      `help:"so many times at most." default:"2" placeholder:"N"`
-	Seed        uint64   `help:"What chance is drawn from." default:"1"`
-	JSON        bool     `help:"Print the result as JSON."`
-	Picture     string   `help:"Draw it to this PNG file." placeholder:"FILE"`
+// tally prints the figures of a second.
+func (p *emulationProgress) tally(stats emulator.FleetStats) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.behind.Look(stats.MaxDelay)
+	if p.json {
+		_ = json.NewEncoder(p.cli.out).Encode(stats) // as with fmt.Fprint: who closed the pipe does not read the error either
+		return
+	}
+	p.line.show(stats.String(), p.behind.Looks%plainProgressInterval == 1)
 }
 
-func (c loadCmd) Run(ctx context.Context, p *program) error {
-	s, err := bootstrap.Read(c.Settings)
-	if err != nil {
-		return badError{err}
-	}
-	m := s.CoordinatorConfig(0)
-	b := load.Config{Proxies: c.Proxies, Rate: c.Rate, RateVariation: c.Uneven, Coordinators: c.Coordinator, Backends: c.Server, Seed: c.Seed}
-	t := fake.FrontEndConfig{
-		Methods: fake.MethodConfigs(m.Settings.Methods), Policy: m.Settings.Pick, FailureLimit: int(m.Settings.Strikes.Or(0)), AvoidFor: 5,
-		AttemptTimeout: m.Settings.TryWait.Or(0.8), ApplyTimePerEntry: 0.0002, AdmissionIsRate: m.Settings.LevelKind == "rate", ReportPeriod: m.Settings.ReportPeriod.Or(1),
-		ConnectTimeout: 0.25, ClientRetryLimit: c.AtMost,
-	}
-	for i, x := range t.Methods {
-		b.Methods = append(b.Methods, invariant.Method{Name: x.Name, Criticality: x.Criticality, SoftDeadline: x.SoftDeadline})
-		if len(c.Mix) > 0 && len(c.Mix) != len(t.Methods) {
-			return fmt.Errorf("mix has %d shares, the settings have %d methods", len(c.Mix), len(t.Methods))
-		}
-		if len(c.Mix) > 0 {
-			if t.Methods[i].Share, err = bootstrap.ParseShare(c.Mix[i]); err != nil {
-				return fmt.Errorf("mix: %w", err)
-			}
-		}
-	}
-	b.Zones = append(b.Zones, m.Settings.Zones...)
-	span := func(name, text string, into *float64) {
-		if err == nil && text != "" {
-			if *into, err = bootstrap.ParseDuration(text); err != nil {
-				err = fmt.Errorf("%s: %w", name, err)
-			}
-		}
-	}
-	share := func(name, text string, into *float64) {
-		if err == nil && text != "" {
-			if *into, err = scenario.ParsePercent(text); err != nil {
-				err = fmt.Errorf("%s: %w", name, err)
-			}
-		}
-	}
-	var length float64
-	span("for", c.For, &length)
-	share("wave", c.Wave, &t.Shape.DailySwing)
-	span("over", c.Over, &t.Shape.DayLength)
-	share("again", c.Again, &t.ClientRetryChance)
-	span("after", c.After, &t.ClientRetryBackoff)
-	if c.Bursts != "" {
-		share("bursts", c.Bursts, &t.Shape.BurstFactor)
-		span("every", c.Every, &t.Shape.BurstInterval)
-		span("lasting", c.Lasting, &t.Shape.BurstLength)
-	}
-	if err == nil && c.Keys > 0 {
-		t.Keys, err = traffic.NewZipf(c.Keys, c.Zipf)
+// step prints a step of the scenario.
+func (p *emulationProgress) step(text string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if !p.json {
+		p.line.print(text)
 	}
-	if err != nil {
-		return err
-	}
-	b.FrontEnd, b.Duration = t, time.Duration(length*1e9)
-	line := newLive(p.out)
-	if !c.JSON {
-		b.OnSecond = func(second int, s report.Second) {
-			line.show(fmt.Sprintf("%4d s: %d in time, %d late, %d pushed back, %d aborted; service %.3f", second+1, s.InTime, s.Late, s.PushedBack, s.Aborted, s.Service()), second%5 == 0)
-		}
-	}
-	r, err := load.Run(ctx, b)
-	line.end()
-	if err != nil {
-		return err
-	}
-	if c.Picture != "" {
-		if err := draw(c.Picture, "load", r); err != nil {
-			return err
-		}
-	}
-	if c.JSON {
-		err = json.NewEncoder(p.out).Encode(r)
-	} else {
-		fmt.Fprintf(p.out, "service %.3f\n", r.Service)
-		r.Text(p.out)
+}
+
+// finish prints how late the emulation ran, and returns errEmulationTooSlow if its figures mean nothing.
+func (p *emulationProgress) finish() error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.line.end()
+	if !p.json {
+		fmt.Fprintf(p.cli.out, "at most %.1f ms late, more than %.0f ms in %d of %d seconds\n", 1e3*p.behind.Worst, 1e3*report.LateMost, p.behind.Late, p.behind.Looks)
 	}
-	if err == nil && r.Behind.Void() {
-		return badError{fmt.Errorf("VOID: the load fell behind itself")}
+	if p.behind.Void() {
+		return errEmulationTooSlow
 	}
-	return err
+	return nil
 }
--- a/cmd/gingerfork/emulate_test.go
+++ b/cmd/gingerfork/emulate_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// freePort finds a port behind which so many more are free.
+// freePort returns a port that is free together with the n ports behind it.
 func freePort(t *testing.T, n int) int {
 	t.Helper()
-	for at := 21000; at < 32000; at += n + 1 {
+	for port := 21000; port < 32000; port += n + 1 {
 		var held []net.Listener
 		for i := range n + 1 {
-			l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", at+i))
+			l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port+i))
 			if err != nil {
 				break
 			}
@@ -25,7 +25,7 @@
 			l.Close()
 		}
 		if len(held) == n+1 {
-			return at
+			return port
 		}
 	}
 	t.Skip("no free ports")
@@ -34,19 +34,19 @@
 
 const emulated = "day quiet\nsettings perth.conf\nlength 5s\nservers 4 capacity 100 reports 50ms noise 10% memory 10 saves 20%\nfrontends 1\nmix 70% 30%\n"
 
-// A fleet in two processes' parts, asked open loop: both tell what they did, and what the script says happens.
+// A fleet emulated in two parts under open-loop load: both parts print their figures and the steps of the scenario.
 func TestEmulateAndLoad(t *testing.T) {
 	port := freePort(t, 4)
-	day := write(t, "quiet.day", emulated+"at 2s hang servers 1 for 1s\n")
+	day := tempFile(t, "quiet.day", emulated+"at 2s hang servers 1 for 1s\n")
 	var work sync.WaitGroup
 	outs := make([]string, 2)
 	for k := range 2 {
 		work.Add(1)
 		go func() {
 			defer work.Done()
-			code, out, err := call("emulate", day, "--port", fmt.Sprint(port), "--part", fmt.Sprintf("%d/2", k+1))
-			if outs[k] = out; code != good {
-				// A machine busy with other tests may make it late; that it says so is right.
+			code, out, err := runCommand("emulate", day, "--port", fmt.Sprint(port), "--part", fmt.Sprintf("%d/2", k+1))
+			if outs[k] = out; code != exitOK {
+				// On a machine that is busy with other tests the emulation may fall behind, and must report it.
 				if !strings.Contains(err, "VOID") {
 					t.Errorf("part %d: %d %s", k+1, code, err)
 				}
@@ -54,13 +54,13 @@
 		}()
 	}
 	args := []string{
-		"load", "--settings", write(t, "perth.conf", perth(t)), "--rate", "60", "--proxies", "4", "--for", "3s", "--json",
-		"--wave", "20%", "--over", "3s", "--bursts", "150%", "--every", "1s", "--lasting", "200ms", "--keys", "50", "--again", "50%", "--mix", "60%", "--mix", "40%",
+		"load", "--settings", tempFile(t, "perth.conf", perthSettings(t)), "--rate", "60", "--proxies", "4", "--duration", "3s", "--json",
+		"--swing", "20%", "--swing-period", "3s", "--burst", "150%", "--burst-interval", "1s", "--burst-duration", "200ms", "--keys", "50", "--retry-chance", "50%", "--mix", "60%", "--mix", "40%",
 	}
 	for i := range 4 {
-		args = append(args, "--server", fmt.Sprintf("127.0.0.1:%d", port+1+i))
+		args = append(args, "--backend", fmt.Sprintf("127.0.0.1:%d", port+1+i))
 	}
-	_, out, errOut := call(args...)
+	_, out, errOut := runCommand(args...)
 	work.Wait()
 	var r struct {
 		Seconds []struct{ InTime, Late, PushedBack, Aborted int }
@@ -83,27 +83,27 @@
 	}
 }
 
-// Bad questions get one clear message.
-func TestEmulateAndLoadRefuse(t *testing.T) {
-	conf := write(t, "perth.conf", perth(t))
-	for _, c := range []struct {
+// Invalid flags and scenarios are rejected with one line that tells the cause.
+func TestEmulateAndLoadRejectInvalidFlags(t *testing.T) {
+	conf := tempFile(t, "perth.conf", perthSettings(t))
+	for _, testCase := range []struct {
 		args []string
 		want string
 	}{
-		{[]string{"emulate", write(t, "cut.day", emulated+"at 1s cut zone dc-malaga for 1s\n")}, "cut.day:7: cut zone is not in an emulated fleet's hands"},
-		{[]string{"emulate", write(t, "s.day", emulated+"at 1s flap servers 1 by 1s for 2s with silence\n")}, "s.day:7: flap servers"},
-		{[]string{"emulate", write(t, "p.day", emulated), "--part", "3/2"}, "part 3 of 2 does not exist"},
-		{[]string{"emulate", write(t, "p.day", emulated), "--part", "one"}, "is not K/N"},
-		{[]string{"emulate", write(t, "p.day", emulated), "--port", "65534"}, "do not hold"},
-		{[]string{"emulate", write(t, "w.day", strings.Replace(emulated, "noise 10%", "noise ten", 1))}, "w.day:4: noise"},
+		{[]string{"emulate", tempFile(t, "cut.day", emulated+"at 1s cut zone dc-malaga for 1s\n")}, "cut.day:7: cut zone is not in an emulated fleet's hands"},
+		{[]string{"emulate", tempFile(t, "s.day", emulated+"at 1s flap servers 1 by 1s for 2s with silence\n")}, "s.day:7: flap servers"},
+		{[]string{"emulate", tempFile(t, "p.day", emulated), "--part", "3/2"}, "part 3 of 2 does not exist"},
+		{[]string{"emulate", tempFile(t, "p.day", emulated), "--part", "one"}, "is not K/N"},
+		{[]string{"emulate", tempFile(t, "p.day", emulated), "--port", "65534"}, "do not hold"},
+		{[]string{"emulate", tempFile(t, "w.day", strings.Replace(emulated, "noise 10%", "noise ten", 1))}, "w.day:4: noise"},
 		{[]string{"load", "--settings", conf}, "either coordinators or servers"},
-		{[]string{"load", "--settings", conf, "--server", "127.0.0.1:1", "--wave", "x"}, "wave"},
-		{[]string{"load", "--settings", conf, "--server", "127.0.0.1:1", "--mix", "50%"}, "mix has 1 shares, the settings have 2 methods"},
-		{[]string{"load", "--settings", conf, "--server", "127.0.0.1:1", "--keys", "5", "--zipf", "99"}, "exponent"},
+		{[]string{"load", "--settings", conf, "--backend", "127.0.0.1:1", "--swing", "x"}, "swing"},
+		{[]string{"load", "--settings", conf, "--backend", "127.0.0.1:1", "--mix", "50%"}, "mix has 1 shares, the settings have 2 methods"},
+		{[]string{"load", "--settings", conf, "--backend", "127.0.0.1:1", "--keys", "5", "--zipf-exponent", "99"}, "exponent"},
 	} {
-		code, out, err := call(c.args...)
-		if code == good || !strings.Contains(err, c.want) || strings.Count(strings.TrimSpace(err), "\n") > 0 {
-			t.Errorf("%v: %d %q %q", c.args, code, out, err)
+		code, out, err := runCommand(testCase.args...)
+		if code == exitOK || !strings.Contains(err, testCase.want) || strings.Count(strings.TrimSpace(err), "\n") > 0 {
+			t.Errorf("%v: %d %q %q", testCase.args, code, out, err)
 		}
 	}
 }
--- /dev/null
+++ b/cmd/gingerfork/endpointsource_test.go
@@ -0,0 +1,110 @@
+package main
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+)
+
+// A coordinator that takes its endpoints from a HAProxy file: a file truncated halfway through a write and one that loses
+// most servers leave the last valid list in force, with the reason in the log; a valid one is applied.
+func TestServeEndpointsFromFile(t *testing.T) {
+	endpointsAddr, coordinatorAddr, backend1, backend2, backend3 := freeAddr(t), freeAddr(t), freeAddr(t), freeAddr(t), freeAddr(t)
+	dir := t.TempDir()
+	web := filepath.Join(dir, "web.cfg")
+	replace := func(text string) {
+		t.Helper()
+		if err := os.WriteFile(web, []byte(text), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	whole := "backend tasks\n    balance leastconn\n    server a " + backend1 + " weight 10\n    server b " + backend2 + " weight 20\n    server c " + backend3 + " weight 20\n"
+	replace(whole)
+	file := filepath.Join(dir, "c.conf")
+	settings := strings.NewReplacer("127.0.0.1:7400", coordinatorAddr, "127.0.0.1:7300", endpointsAddr, "state           -", "state kept\n    list-from web.cfg\n    list-drain 1s").Replace(perthSettings(t))
+	if err := os.WriteFile(file, []byte(settings), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	for _, s := range []string{backend1, backend2, backend3} {
+		startProcess(t, "fake", "backend", "--listen", s, "--id", "1")
+	}
+	coordinator := startProcess(t, "--log-format", "json", "serve", file)
+	reload := func() { _ = coordinator.cmd.Process.Signal(syscall.SIGHUP) }
+	eventually(t, "the file is applied", func() bool { return coordinator.logged(`"changed":3`) })
+	loadProcess := startProcess(t, "load", "--settings", file, "--coordinator", coordinatorAddr, "--rate", "40", "--proxies", "2", "--duration", "4s", "--json")
+
+	replace(whole[:len(whole)-30]) // halfway through a write, within a line: what is left makes sense and lacks a server
+	reload()
+	eventually(t, "a file that is cut short", func() bool { return coordinator.logged("endpoint file invalid") })
+	status := func() string { b, _ := os.ReadFile(filepath.Join(dir, "kept", "list-from.status")); return string(b) }
+	eventually(t, "its status", func() bool {
+		return strings.Contains(status(), "verdict bad") && strings.Contains(status(), "cut short")
+	})
+	replace("backend tasks\n    server a " + backend1 + " weight 10\n")
+	reload()
+	eventually(t, "a file that loses most", func() bool { return coordinator.logged("2 of 3 servers out of use") })
+	replace(strings.Replace(whole, "weight 10", "weight 30", 1))
+	reload()
+	eventually(t, "a changed weight", func() bool { return coordinator.logged(`"changed":1`) })
+	eventually(t, "its status", func() bool { return strings.Contains(status(), `verdict "in force"`) })
+	if err := loadProcess.cmd.Wait(); err != nil {
+		t.Logf("load: %v", err) // a busy machine may make it late, which it says
+	}
+	if !loadProcess.logged(`"Service":`) || loadProcess.logged(`"Service":0,`) {
+		t.Errorf("load through the listed backends: %s", loadProcess.log.String())
+	}
+	eventually(t, "the endpoint list is cached", func() bool { _, err := os.Stat(filepath.Join(dir, "kept", "followed.json")); return err == nil })
+}
+
+// Two pools of one file in one process: each has its own endpoints, and reads the file by itself.
+func TestServeTwoPools(t *testing.T) {
+	backend1, backend2 := freeAddr(t), freeAddr(t)
+	web := tempFile(t, "web.cfg", "frontend www\n    use_backend static if { path_beg /s }\n    default_backend tasks\nbackend tasks\n    server a "+backend1+"\nbackend static\n    server a "+backend2+"\n")
+	dir := filepath.Join(filepath.Dir(web), "imported")
+	if code, _, err := runCommand("import", "haproxy", "-o", dir, web); code != exitOK {
+		t.Fatal(err)
+	}
+	if code, out, err := runCommand("route", filepath.Join(dir, "routes"), "www", "GET", "/s/1", "--header", "Host=x"); code != exitOK || out != "pool static method www-path_beg-s\n" {
+		t.Error(out, err)
+	}
+	if code, _, err := runCommand("check", filepath.Join(dir, "routes"), filepath.Join(dir, "tasks.conf"), filepath.Join(dir, "static.conf")); code != exitOK {
+		t.Error(err)
+	}
+	var files, addrs []string
+	for _, pool := range []string{"tasks", "static"} {
+		file := filepath.Join(dir, pool+".conf")
+		text, _ := os.ReadFile(file)
+		addrs = append(addrs, freeAddr(t))
+		lines := strings.Split(string(text), "\n")
+		for i, l := range lines {
+			switch {
+			case strings.HasPrefix(l, "    listen "):
+				lines[i] = "    listen " + addrs[len(addrs)-1] + "\n    list-from ../web.cfg\n    list-pool " + pool
+			case strings.HasPrefix(l, "    list-service "):
+				lines[i] = "    list-service " + freeAddr(t)
+			}
+		}
+		if err := os.WriteFile(file, []byte(strings.Join(lines, "\n")), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		files = append(files, file)
+	}
+	if code, _, err := runCommand("serve", files[0], files[0]); code != exitFailure || !strings.Contains(err, "is that of") {
+		t.Errorf("one file twice: %d %s", code, err)
+	}
+	startProcess(t, "fake", "backend", "--listen", backend1, "--id", "1")
+	startProcess(t, "fake", "backend", "--listen", backend2, "--id", "1")
+	coordinator := startProcess(t, "--log-format", "json", "serve", files[0], files[1])
+	for i, pool := range []string{"tasks", "static"} {
+		eventually(t, pool+" is applied", func() bool { return coordinator.countLogged(`"changed":1`) >= 2 })
+		loadProcess := startProcess(t, "load", "--settings", files[i], "--coordinator", addrs[i], "--rate", "40", "--proxies", "2", "--duration", "2s", "--json")
+		_ = loadProcess.cmd.Wait()
+		if !loadProcess.logged(`"Service":`) || loadProcess.logged(`"Service":0,`) {
+			t.Errorf("load through %s: %s", pool, loadProcess.log.String())
+		}
+	}
+	_ = coordinator.cmd.Process.Signal(syscall.SIGTERM)
+	eventually(t, "both end", func() bool { return coordinator.countLogged("coordinator ended") == 2 })
+}
--- a/cmd/gingerfork/experiment.go
+++ b/cmd/gingerfork/experiment.go
@@ -19,9 +19,15 @@
 	"gingerfork/internal/scenario"
 )
 
+const (
+	// experimentProgressInterval is the time after which a progress line is printed where there is no terminal.
+	experimentProgressInterval = 10 * time.Second
+	progressBarWidth           = 30
+)
+
 type experimentCmd struct {
-	Run     experimentRunCmd     `cmd:"" help:"Play a plan's grid in virtual time and report. Example: gingerfork experiment run coordinators.plan -o results"`
-	Compare experimentCompareCmd `cmd:"" help:"Play a day with two settings files on the same seeds. Example: gingerfork experiment compare now.conf then.conf --day evening"`
+	Run     experimentRunCmd     `cmd:"" help:"Play a plan's grid of scenarios in virtual time and report. Example: gingerfork experiment run coordinators.plan -o results"`
+	Compare experimentCompareCmd `cmd:"" help:"Play a scenario with two settings files on the same seeds. Example: gingerfork experiment compare now.conf then.conf --scenario evening"`
 }
 
 type experimentRunCmd struct {
@@ -30,91 +36,102 @@
 	Workers int    `help:"Runs at once; 0: one a core." default:"0"`
 }
 
-// files opens what a plan names: beside it, or what comes with the program.
-func files(beside string) func(string) ([]byte, error) {
+// filesBeside returns a function that reads the files that a plan names: from the plan's folder, or else the built-in ones.
+func filesBeside(plan string) func(string) ([]byte, error) {
 	return func(name string) ([]byte, error) {
-		data, err := os.ReadFile(filepath.Join(filepath.Dir(beside), name))
-		if err != nil {
-			if own, e := scenario.File(name); e == nil {
-				return own, nil
-			}
-			return nil, fmt.Errorf("%s is neither beside the plan nor among what comes with the program", name)
+		data, err := os.ReadFile(filepath.Join(filepath.Dir(plan), name))
+		if err == nil {
+			return data, nil
 		}
-		return data, nil
+		if builtin, err := scenario.File(name); err == nil {
+			return builtin, nil
+		}
+		return nil, fmt.Errorf("%s is neither beside the plan nor among what comes with the program", name)
 	}
 }
 
-func (c experimentRunCmd) Run(ctx context.Context, p *program) error {
+// Run executes the plan.
+func (c experimentRunCmd) Run(ctx context.Context, cli *program) error {
 	text, err := os.ReadFile(c.Plan)
 	if err != nil {
-		return badError{fmt.Errorf("read the plan: %w", err)}
+		return fmt.Errorf("read the plan: %w", err)
 	}
-	plan, err := experiment.Read(c.Plan, string(text), files(c.Plan))
+	plan, err := experiment.Read(c.Plan, string(text), filesBeside(c.Plan))
 	if err != nil {
-		return badError{err}
+		return err
 	}
-	return play(ctx, p, plan, c.Out, c.Workers)
+	return executePlan(ctx, cli, plan, c.Out, c.Workers)
 }
 
-func play(ctx context.Context, p *program, plan *experiment.Plan, dir string, workers int) error {
+// executePlan plays the runs of a plan that dir does not hold yet, and writes the report there.
+func executePlan(ctx context.Context, cli *program, plan *experiment.Plan, dir string, workers int) error {
 	if workers == 0 {
 		workers = runtime.NumCPU()
 	}
-	commit, err := build()
+	commit, err := buildID()
 	if err != nil {
 		return err
 	}
-	line := newLive(p.out)
-	var mu sync.Mutex
-	shown := time.Time{}
-	runs, err := plan.Execute(ctx, dir, commit, workers, func(x experiment.Progress) {
-		mu.Lock()
-		defer mu.Unlock()
-		plain := time.Since(shown) > 10*time.Second
-		if plain {
-			shown = time.Now()
-		}
-		bar := strings.Repeat("#", 30*x.Done/x.All)
-		line.show(fmt.Sprintf("[%-30s] %d of %d runs, %d from before, about %v left", bar, x.Done, x.All, x.Kept, x.Left.Round(time.Second)), plain)
-	})
-	line.end()
+	progress := &experimentProgress{line: newProgressLine(cli.out)}
+	runs, err := plan.Execute(ctx, dir, commit, workers, progress.show)
+	progress.line.end()
 	if err != nil {
-		return badError{err}
+		return err
 	}
 	if err := plan.Write(dir, runs); err != nil {
 		return err
 	}
-	for _, r := range plan.Rows(runs) {
-		text := fmt.Sprintf("%-40s %-12s %.4g (%.4g to %.4g)", plan.Title(r.Arm), r.Measure, r.Is.Mean, r.Is.Low, r.Is.Top)
-		if r.Verdict != "" {
-			text += fmt.Sprintf("  %+.4g: %s", r.Diff.Mean, r.Verdict)
-			if r.Need > 0 {
-				text += fmt.Sprintf(" (about %d seeds would)", r.Need)
+	for _, row := range plan.Rows(runs) {
+		text := fmt.Sprintf("%-40s %-12s %.4g (%.4g to %.4g)", plan.Title(row.Arm), row.Measure, row.Is.Mean, row.Is.Low, row.Is.Top)
+		if row.Verdict != "" {
+			text += fmt.Sprintf("  %+.4g: %s", row.Diff.Mean, row.Verdict)
+			if row.Need > 0 {
+				text += fmt.Sprintf(" (about %d seeds would)", row.Need)
 			}
 		}
-		if r.Broken > 0 {
-			text += fmt.Sprintf("  a rule broke in %d runs", r.Broken)
+		if row.Broken > 0 {
+			text += fmt.Sprintf("  a rule broke in %d runs", row.Broken)
 		}
-		fmt.Fprintln(p.out, text)
+		fmt.Fprintln(cli.out, text)
 	}
-	fmt.Fprintf(p.out, "%s: report.md, runs.csv and plots\n", dir)
+	fmt.Fprintf(cli.out, "%s: report.md, runs.csv and plots\n", dir)
 	return nil
 }
 
-// build names the program that plays: its commit, or a checksum of itself where it carries none or was built of changed
-// files. Runs of another are not taken for its own.
-func build() (string, error) {
+// experimentProgress shows how many runs are done. It is safe for concurrent use.
+type experimentProgress struct {
+	mu      sync.Mutex
+	line    *progressLine
+	printed time.Time // when the last plain line was printed
+}
+
+func (p *experimentProgress) show(progress experiment.Progress) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	plain := time.Since(p.printed) > experimentProgressInterval
+	if plain {
+		p.printed = time.Now()
+	}
+	bar := strings.Repeat("#", progressBarWidth*progress.Done/progress.All)
+	text := fmt.Sprintf("[%-*s] %d of %d runs, %d from before, about %v left", progressBarWidth, bar, progress.Done, progress.All, progress.Kept,
+		progress.Left.Round(time.Second))
+	p.line.show(text, plain)
+}
+
+// buildID identifies this build: by its commit, or by a checksum of the executable if it has none or was built from modified
+// files. Results of another build are not reused.
+func buildID() (string, error) {
 	if info, ok := debug.ReadBuildInfo(); ok {
-		commit, changed := "", false
+		commit, modified := "", false
 		for _, s := range info.Settings {
 			switch s.Key {
 			case "vcs.revision":
 				commit = s.Value
 			case "vcs.modified":
-				changed = s.Value == "true"
+				modified = s.Value == "true"
 			}
 		}
-		if commit != "" && !changed {
+		if commit != "" && !modified {
 			return commit, nil
 		}
 	}
@@ -135,35 +152,50 @@
 }
 
 type experimentCompareCmd struct {
-	Old     string   `arg:"" help:"The settings as they are."`
-	New     string   `arg:"" help:"The settings to try."`
-	Day     string   `help:"The day." default:"evening"`
-	Seeds   int      `help:"On so many seeds." default:"20"`
-	Measure []string `help:"What to measure." default:"service,worst10,messages,margin"`
-	Out     string   `short:"o" help:"Where runs and report go." default:"results" placeholder:"DIR"`
+	Old      string   `arg:"" help:"The settings as they are."`
+	New      string   `arg:"" help:"The settings to try."`
+	Scenario string   `aliases:"day" help:"The scenario." default:"evening"`
+	Seeds    int      `help:"On so many seeds." default:"20"`
+	Measure  []string `help:"What to measure." default:"service,worst10,messages,margin"`
+	Out      string   `short:"o" help:"Where runs and report go." default:"results" placeholder:"DIR"`
 }
 
-func (c experimentCompareCmd) Run(ctx context.Context, p *program) error {
-	day, err := files(c.Old)(c.Day + ".day")
+// Names by which the plan of a comparison refers to its files.
+const (
+	comparedScenario = "the-day"
+	oldSettings      = "old"
+	newSettings      = "new"
+)
+
+// Run plays the scenario with both settings files.
+func (c experimentCompareCmd) Run(ctx context.Context, cli *program) error {
+	open := filesBeside(c.Old)
+	scenarioText, err := open(c.Scenario + scenarioSuffix)
 	if err != nil {
-		if day, err = os.ReadFile(c.Day); err != nil {
-			return badError{fmt.Errorf("read the day: %w", err)}
+		if scenarioText, err = os.ReadFile(c.Scenario); err != nil {
+			return fmt.Errorf("read the scenario: %w", err)
 		}
 	}
-	open := files(c.Old)
-	texts := map[string]string{"old": c.Old, "new": c.New}
-	text := fmt.Sprintf("experiment %s\nday the-day\nfactor settings old new\nseeds %d\nmeasure %s\nsay settings {settings}\n", bootstrap.Quote(c.Old+" against "+c.New), c.Seeds, strings.Join(c.Measure, " "))
-	plan, err := experiment.Read("compare", text, func(name string) ([]byte, error) {
-		if name == "the-day.day" {
-			return day, nil
+	plan, err := experiment.Read("compare", c.planText(), func(name string) ([]byte, error) {
+		switch name {
+		case comparedScenario + scenarioSuffix:
+			return scenarioText, nil
+		case oldSettings:
+			return os.ReadFile(c.Old)
+		case newSettings:
+			return os.ReadFile(c.New)
+		default:
+			return open(name)
 		}
-		if file, ok := texts[name]; ok {
-			return os.ReadFile(file)
-		}
-		return open(name)
 	})
 	if err != nil {
-		return badError{err}
+		return err
 	}
-	return play(ctx, p, plan, c.Out, 0)
+	return executePlan(ctx, cli, plan, c.Out, 0)
+}
+
+// planText returns the plan of the comparison, as it would stand in a file.
+func (c experimentCompareCmd) planText() string {
+	return fmt.Sprintf("experiment %s\nday %s\nfactor settings %s %s\nseeds %d\nmeasure %s\nsay settings {settings}\n",
+		bootstrap.Quote(c.Old+" against "+c.New), comparedScenario, oldSettings, newSettings, c.Seeds, strings.Join(c.Measure, " "))
 }
--- /dev/null
+++ b/cmd/gingerfork/helpers_test.go
@@ -0,0 +1,132 @@
+package main
+
+import (
+	"bytes"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"gingerfork/internal/scenario"
+	"gingerfork/internal/trace"
+)
+
+// asProgram is the environment variable that makes the test binary the program.
+const asProgram = "GINGERFORK_AS_PROGRAM"
+
+// runCommand runs a command line in this process.
+func runCommand(args ...string) (code int, out, err string) {
+	var stdout, stderr bytes.Buffer
+	code = run(args, &stdout, &stderr)
+	return code, stdout.String(), stderr.String()
+}
+
+// tempFile writes a file to a folder of its own.
+func tempFile(t *testing.T, name, text string) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), name)
+	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// perthSettings returns the built-in settings perth.conf.
+func perthSettings(t *testing.T) string {
+	t.Helper()
+	text, err := scenario.File("perth.conf")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// readTraceFile returns the records of a trace.
+func readTraceFile(t *testing.T, name string) []trace.Record {
+	t.Helper()
+	file, err := os.Open(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	records, err := trace.Read(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return records
+}
+
+// childProcess is a command of the program that runs as a process, with what it wrote.
+type childProcess struct {
+	cmd *exec.Cmd
+	mu  sync.Mutex
+	log bytes.Buffer
+}
+
+// startProcess starts a command of the program. The process ends with the test.
+func startProcess(t *testing.T, args ...string) *childProcess {
+	t.Helper()
+	exe, err := os.Executable()
+	if err != nil {
+		t.Fatal(err)
+	}
+	child := &childProcess{cmd: exec.Command(exe, args...)}
+	child.cmd.Env = append(os.Environ(), asProgram+"=1")
+	child.cmd.Stdout, child.cmd.Stderr = child, child
+	if err := child.cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = child.cmd.Process.Kill(); _ = child.cmd.Wait() })
+	return child
+}
+
+// Write appends to what the process wrote.
+func (c *childProcess) Write(b []byte) (int, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.log.Write(b)
+}
+
+func (c *childProcess) logged(text string) bool { return c.countLogged(text) > 0 }
+
+// countLogged returns how often the process wrote text.
+func (c *childProcess) countLogged(text string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return strings.Count(c.log.String(), text)
+}
+
+// mustTerminate sends SIGTERM and requires exit code 0.
+func (c *childProcess) mustTerminate(t *testing.T) {
+	t.Helper()
+	_ = c.cmd.Process.Signal(syscall.SIGTERM)
+	if err := c.cmd.Wait(); err != nil {
+		t.Fatalf("after SIGTERM: %v\n%s", err, c.log.String())
+	}
+}
+
+// eventually waits for a condition and fails the test after 20 s.
+func eventually(t *testing.T, what string, condition func() bool) {
+	t.Helper()
+	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("never: " + what)
+		}
+	}
+}
+
+// freeAddr returns a loopback address that nothing listens on.
+func freeAddr(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	return listener.Addr().String()
+}
--- a/cmd/gingerfork/import.go
+++ b/cmd/gingerfork/import.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"cmp"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -12,6 +13,17 @@
 	"gingerfork/internal/haproxy"
 )
 
+// notListed is printed for a server that is not on a list.
+const notListed = "not listed"
+
+var (
+	errNoImportFile  = errors.New("no file to import was given")
+	errImportRefused = errors.New("nothing was written: the files are at fault")
+	errImportInexact = errors.New("not all is carried exactly")
+	errDiffFiles     = errors.New("--diff takes the old file and the new one")
+	errFilesAtFault  = errors.New("the files are at fault")
+)
+
 type importCmd struct {
 	Haproxy haproxyCmd `cmd:"" name:"haproxy" help:"Import HAProxy's configuration format. Example: gingerfork import haproxy -o imported web.cfg"`
 }
@@ -28,97 +40,121 @@
 	Diff     bool              `help:"Tell what changes on the list between two files, the old and the new."`
 }
 
+// read parses files as HAProxy would if it were given them in this order.
 func (c haproxyCmd) read(files ...string) (haproxy.Import, error) {
-	var all []haproxy.Source
-	for _, f := range files {
-		text, err := os.ReadFile(f)
+	sources := make([]haproxy.Source, 0, len(files))
+	for _, file := range files {
+		text, err := os.ReadFile(file)
 		if err != nil {
 			return haproxy.Import{}, fmt.Errorf("read what to import: %w", err)
 		}
-		all = append(all, haproxy.Source{Name: f, Text: string(text)})
+		sources = append(sources, haproxy.Source{Name: file, Text: string(text)})
 	}
-	return haproxy.Read(all, haproxy.Given{Env: c.Env, Version: c.Version, Features: c.Feature}), nil
+	return haproxy.Read(sources, haproxy.Given{Env: c.Env, Version: c.Version, Features: c.Feature}), nil
 }
 
-func (c haproxyCmd) Run(p *program) error {
+// Run imports the files, or does what one of the flags asks for instead.
+func (c haproxyCmd) Run(cli *program) error {
 	if c.Keywords {
-		haproxy.Page(p.out)
+		haproxy.Page(cli.out)
 		return nil
 	}
 	if len(c.Files) == 0 {
-		return errors.New("no file to import was given")
+		return errNoImportFile
 	}
 	if c.Diff {
-		return c.diff(p)
+		return c.diff(cli)
 	}
-	got, err := c.read(c.Files...)
+	imported, err := c.read(c.Files...)
 	if err != nil {
 		return err
 	}
-	n := got.Counts()
+	counts := imported.Counts()
 	if c.JSON {
-		type note struct {
-			File string `json:"file"`
-			Line int    `json:"line"`
-			Col  int    `json:"column"`
-			Text string `json:"text"`
-			What string `json:"what"`
-			Why  string `json:"why,omitempty"`
-		}
-		var notes []note
-		for _, x := range got.Notes {
-			notes = append(notes, note{x.Line.File, x.Line.Line, x.Line.Col, x.Text(), x.Class.String(), x.Why})
-		}
-		for _, f := range got.Faults {
-			notes = append(notes, note{f.File, f.Line, f.Col, "", "refused", f.What})
-		}
-		if err := json.NewEncoder(p.out).Encode(map[string]any{"pools": len(got.Pools), "notes": notes}); err != nil {
+		if err := printImportJSON(cli, &imported); err != nil {
 			return err
 		}
 	} else {
-		for _, x := range got.Notes {
-			if x.Class != haproxy.Carried {
-				fmt.Fprintf(p.err, "%s: %s: %s: %s\n", x.Line.Place, x.Class, x.Text(), x.Why)
-			}
-		}
-		for _, f := range got.Faults {
-			fmt.Fprintf(p.err, "%s: refused: %s\n", f.Place, f.What)
-		}
-		fmt.Fprintf(p.err, "%d pools; %d carried, %d with a difference, %d not carried, %d refused\n", len(got.Pools), n[haproxy.Carried],
-			n[haproxy.Differs], n[haproxy.Dropped], len(got.Faults))
+		printImport(cli, &imported)
 	}
-	if len(got.Faults) > 0 {
-		return badError{errors.New("nothing was written: the files are at fault")}
+	if len(imported.Faults) > 0 {
+		return errImportRefused
 	}
 	if c.Out != "" {
-		if err := c.write(got); err != nil {
+		if err := c.write(imported); err != nil {
 			return err
 		}
 	}
-	if c.Strict && n[haproxy.Differs]+n[haproxy.Dropped] > 0 {
-		return badError{errors.New("not all is carried exactly")}
+	if c.Strict && counts[haproxy.Differs]+counts[haproxy.Dropped] > 0 {
+		return errImportInexact
 	}
 	return nil
 }
 
-func (c haproxyCmd) write(got haproxy.Import) error {
+// importNote is what became of one line, in the JSON output.
+type importNote struct {
+	File   string `json:"file"`
+	Line   int    `json:"line"`
+	Column int    `json:"column"`
+	Text   string `json:"text"`
+	Class  string `json:"what"`
+	Reason string `json:"why,omitempty"`
+}
+
+// printImportJSON prints what became of each line as one line of JSON.
+func printImportJSON(cli *program, imported *haproxy.Import) error {
+	// Grow leaves the slice nil, and so null in the output, when there are no notes.
+	notes := slices.Grow([]importNote(nil), len(imported.Notes)+len(imported.Faults))
+	for _, note := range imported.Notes {
+		notes = append(notes, importNote{note.Line.File, note.Line.Line, note.Line.Col, note.Text(), note.Class.String(), note.Why})
+	}
+	for _, fault := range imported.Faults {
+		notes = append(notes, importNote{fault.File, fault.Line, fault.Col, "", "refused", fault.What})
+	}
+	if err := json.NewEncoder(cli.out).Encode(map[string]any{"pools": len(imported.Pools), "notes": notes}); err != nil {
+		return fmt.Errorf("print the result: %w", err)
+	}
+	return nil
+}
+
+// printImport reports on standard error what was not carried exactly.
+func printImport(cli *program, imported *haproxy.Import) {
+	for _, note := range imported.Notes {
+		if note.Class != haproxy.Carried {
+			fmt.Fprintf(cli.err, "%s: %s: %s: %s\n", note.Line.Place, note.Class, note.Text(), note.Why)
+		}
+	}
+	printFaults(cli, imported.Faults)
+	counts := imported.Counts()
+	fmt.Fprintf(cli.err, "%d pools; %d carried, %d with a difference, %d not carried, %d refused\n", len(imported.Pools), counts[haproxy.Carried],
+		counts[haproxy.Differs], counts[haproxy.Dropped], len(imported.Faults))
+}
+
+func printFaults(cli *program, faults []haproxy.Fault) {
+	for _, fault := range faults {
+		fmt.Fprintf(cli.err, "%s: refused: %s\n", fault.Place, fault.What)
+	}
+}
+
+// write writes the routes, and each pool's settings and list.
+func (c haproxyCmd) write(imported haproxy.Import) error {
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
 		return fmt.Errorf("make the folder for what is imported: %w", err)
 	}
-	if len(got.Routes) > 0 {
+	if len(imported.Routes) > 0 {
 		var b strings.Builder
-		for _, r := range got.Routes {
+		for _, r := range imported.Routes {
 			fmt.Fprintln(&b, r)
 		}
 		if err := os.WriteFile(filepath.Join(c.Out, "routes"), []byte(b.String()), 0o644); err != nil {
 			return fmt.Errorf("write what is imported: %w", err)
 		}
 	}
-	for _, pool := range got.Pools {
+	for _, pool := range imported.Pools {
 		if strings.ContainsAny(pool.Name, "/\\") || strings.HasPrefix(pool.Name, ".") {
 			return fmt.Errorf("pool %q can't name a file", pool.Name)
 		}
-		for end, text := range map[string]string{".conf": pool.Settings(got.Routes), ".list": pool.List()} {
+		for end, text := range map[string]string{".conf": pool.Settings(imported.Routes), ".list": pool.List()} {
 			if err := os.WriteFile(filepath.Join(c.Out, pool.Name+end), []byte(text), 0o644); err != nil {
 				return fmt.Errorf("write what is imported: %w", err)
 			}
@@ -127,33 +163,25 @@
 	return nil
 }
 
-func (c haproxyCmd) diff(p *program) error {
+// diff prints how the list of servers differs between two files.
+func (c haproxyCmd) diff(cli *program) error {
 	if len(c.Files) != 2 {
-		return errors.New("--diff takes the old file and the new one")
+		return errDiffFiles
 	}
-	old, err := c.read(c.Files[0])
+	before, err := c.read(c.Files[0])
 	if err != nil {
 		return err
 	}
-	now, err := c.read(c.Files[1])
+	after, err := c.read(c.Files[1])
 	if err != nil {
 		return err
 	}
-	bad := slices.Concat(old.Faults, now.Faults)
-	for _, f := range bad {
-		fmt.Fprintf(p.err, "%s: refused: %s\n", f.Place, f.What)
-	}
-	if len(bad) > 0 {
-		return badError{errors.New("the files are at fault")}
-	}
-	word := func(s string) string {
-		if s == "" {
-			return "not listed"
-		}
-		return s
+	if faults := slices.Concat(before.Faults, after.Faults); len(faults) > 0 {
+		printFaults(cli, faults)
+		return errFilesAtFault
 	}
-	for _, x := range haproxy.Diff(old, now) {
-		fmt.Fprintf(p.out, "%s/%s: %s -> %s\n", x.Pool, x.Server, word(x.Was), word(x.Is))
+	for _, change := range haproxy.Diff(before, after) {
+		fmt.Fprintf(cli.out, "%s/%s: %s -> %s\n", change.Pool, change.Server, cmp.Or(change.Was, notListed), cmp.Or(change.Is, notListed))
 	}
 	return nil
 }
--- a/cmd/gingerfork/import_test.go
+++ b/cmd/gingerfork/import_test.go
@@ -10,47 +10,47 @@
 
 // The command writes what check passes, tells what it could not take, and refuses without writing anything.
 func TestImport(t *testing.T) {
-	web := write(t, "web.cfg", "backend tasks\n    balance leastconn\n    server a 10.0.0.1:80 weight 3 check\n")
+	web := tempFile(t, "web.cfg", "backend tasks\n    balance leastconn\n    server a 10.0.0.1:80 weight 3 check\n")
 	dir := filepath.Join(t.TempDir(), "out")
-	code, _, err := call("import", "haproxy", "-o", dir, web)
-	if code != good || !strings.Contains(err, "web.cfg:3: not carried: check") || !strings.Contains(err, "1 pools;") {
+	code, _, err := runCommand("import", "haproxy", "-o", dir, web)
+	if code != exitOK || !strings.Contains(err, "web.cfg:3: not carried: check") || !strings.Contains(err, "1 pools;") {
 		t.Fatalf("%d %s", code, err)
 	}
-	if code, _, err := call("check", filepath.Join(dir, "tasks.conf")); code != good {
+	if code, _, err := runCommand("check", filepath.Join(dir, "tasks.conf")); code != exitOK {
 		t.Errorf("its settings: %s", err)
 	}
 	before, _ := os.ReadFile(filepath.Join(dir, "tasks.list"))
 	if !strings.Contains(string(before), " a weight 3 addr 10.0.0.1:80 state open\n") {
 		t.Errorf("its list: %s", before)
 	}
-	if code, _, _ := call("import", "haproxy", "--strict", web); code != bad {
+	if code, _, _ := runCommand("import", "haproxy", "--strict", web); code != exitFailure {
 		t.Error("--strict passed what is not carried exactly")
 	}
-	code, out, _ := call("import", "haproxy", "--json", web)
+	code, out, _ := runCommand("import", "haproxy", "--json", web)
 	var r struct {
 		Pools int
 		Notes []struct{ Line int }
 	}
-	if e := json.Unmarshal([]byte(out), &r); e != nil || code != good || r.Pools != 1 || len(r.Notes) < 4 {
+	if e := json.Unmarshal([]byte(out), &r); e != nil || code != exitOK || r.Pools != 1 || len(r.Notes) < 4 {
 		t.Errorf("%d %v %s", code, e, out)
 	}
-	twice := write(t, "twice.cfg", "backend tasks\n    server a 10.0.0.1:80\n    server a 10.0.0.2:80\n")
+	twice := tempFile(t, "twice.cfg", "backend tasks\n    server a 10.0.0.1:80\n    server a 10.0.0.2:80\n")
 	none := filepath.Join(t.TempDir(), "none")
-	if code, _, err := call("import", "haproxy", "-o", none, twice); code != bad || !strings.Contains(err, "twice.cfg:3: refused: server a is listed twice") {
+	if code, _, err := runCommand("import", "haproxy", "-o", none, twice); code != exitFailure || !strings.Contains(err, "twice.cfg:3: refused: server a is listed twice") {
 		t.Errorf("%d %s", code, err)
 	}
 	if _, err := os.Stat(none); err == nil {
 		t.Error("a refused file was written")
 	}
-	changed := write(t, "new.cfg", "backend tasks\n    server a 10.0.0.1:80 weight 4\n    server b 10.0.0.2:80\n")
-	if code, out, _ := call("import", "haproxy", "--diff", web, changed); code != good || strings.Count(out, "\n") != 2 || !strings.Contains(out, "tasks/b: not listed -> weight 1") {
+	changed := tempFile(t, "new.cfg", "backend tasks\n    server a 10.0.0.1:80 weight 4\n    server b 10.0.0.2:80\n")
+	if code, out, _ := runCommand("import", "haproxy", "--diff", web, changed); code != exitOK || strings.Count(out, "\n") != 2 || !strings.Contains(out, "tasks/b: not listed -> weight 1") {
 		t.Errorf("%d %s", code, out)
 	}
-	env := write(t, "env.cfg", "backend \"${SITE}\"\n    server a 10.0.0.1:80\n")
-	if code, _, _ := call("import", "haproxy", env); code != bad {
+	env := tempFile(t, "env.cfg", "backend \"${SITE}\"\n    server a 10.0.0.1:80\n")
+	if code, _, _ := runCommand("import", "haproxy", env); code != exitFailure {
 		t.Error("a variable that was not given was guessed")
 	}
-	if code, _, err := call("import", "haproxy", "--env", "SITE=perth", env); code != good {
+	if code, _, err := runCommand("import", "haproxy", "--env", "SITE=perth", env); code != exitOK {
 		t.Error(err)
 	}
 }
@@ -61,7 +61,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, out, _ := call("import", "haproxy", "--keywords"); out != string(page) {
+	if _, out, _ := runCommand("import", "haproxy", "--keywords"); out != string(page) {
 		t.Error("docs/haproxy-keywords.md is not what gingerfork import haproxy --keywords prints")
 	}
 }
--- a/cmd/gingerfork/measure.go
+++ b/cmd/gingerfork/measure.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -10,27 +11,26 @@
 )
 
 type measureCmd struct {
-	Which   []string `arg:"" optional:"" help:"drains, joins, idle, emulator, retries or store; none: all." enum:"drains,joins,idle,emulator,retries,store"`
-	Picture string   `help:"Draw goodput against offered load (retries) to this PNG file." placeholder:"FILE"`
+	Which []string `arg:"" optional:"" help:"drains, joins, idle, emulator, retries or store; none: all." enum:"drains,joins,idle,emulator,retries,store"`
+	Plot  string   `aliases:"picture" help:"Plot goodput against offered load (retries) to this PNG file." placeholder:"FILE"`
 }
 
-func (c measureCmd) Run(ctx context.Context, p *program) (err error) {
+// Run takes the measurements with coordinators that are processes of this program.
+func (c measureCmd) Run(ctx context.Context, cli *program) error {
 	exe, err := os.Executable()
 	if err != nil {
 		return fmt.Errorf("find this program, to start a coordinator with it: %w", err)
 	}
-	var picture io.Writer
-	if c.Picture != "" {
-		f, err := os.Create(c.Picture)
-		if err != nil {
-			return fmt.Errorf("draw the picture: %w", err)
-		}
-		defer func() {
-			if bad := f.Close(); bad != nil && err == nil {
-				err = fmt.Errorf("draw the picture: %w", bad)
-			}
-		}()
-		picture = f
+	coordinator := []string{exe, "--log-level", "error", "serve"}
+	if c.Plot == "" {
+		return measure.Run(ctx, cli.out, coordinator, c.Which, nil)
 	}
-	return measure.Run(ctx, p.out, []string{exe, "--log-level", "error", "serve"}, c.Which, picture)
+	var measureErr error
+	if err := writeFile(c.Plot, func(w io.Writer) error {
+		measureErr = measure.Run(ctx, cli.out, coordinator, c.Which, w)
+		return nil
+	}); err != nil {
+		return errors.Join(measureErr, fmt.Errorf("draw the plot: %w", err))
+	}
+	return measureErr
 }
--- a/cmd/gingerfork/node.go
+++ b/cmd/gingerfork/node.go
@@ -54,7 +54,7 @@
 	signal.Ignore(syscall.SIGPIPE) // the end of the log's reader must not end the process
 	start, err := readNodeStart()
 	if err != nil {
-		return badError{err}
+		return err
 	}
 	limitRuntime(start)
 	logLines := newAsyncWriter(command.err, maxQueuedLogLines)
@@ -64,10 +64,10 @@
 		return nil // SIGTERM arrived before the coordinator listened
 	}
 	if err != nil {
-		return badError{err}
+		return err
 	}
 	if err := node.serve(reload); err != nil {
-		return badError{err}
+		return err
 	}
 	return nil
 }
--- a/cmd/gingerfork/node_helpers_test.go
+++ b/cmd/gingerfork/node_helpers_test.go
@@ -49,7 +49,7 @@
 func startProgram(t *testing.T, config string, logs *os.File) *exec.Cmd {
 	t.Helper()
 	program := exec.Command(os.Args[0], "node")
-	program.Env = append(append(os.Environ(), serveEnv...), platform.EnvConfigFile+"="+write(t, "config.json", config))
+	program.Env = append(append(os.Environ(), coordinatorEnv...), platform.EnvConfigFile+"="+tempFile(t, "config.json", config))
 	program.Stderr = logs
 	if err := program.Start(); err != nil {
 		t.Fatal(err)
--- a/cmd/gingerfork/node_settings_test.go
+++ b/cmd/gingerfork/node_settings_test.go
@@ -55,7 +55,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			discovery, calls := fakeDiscovery(t)
-			listen := free(t)
+			listen := freeAddr(t)
 			program := startProgram(t, mustReplace(t, configuration(listen, discovery), c.changes), os.Stderr)
 			attach(t, listen, fmt.Sprintf("hb\r\nattach proxy=2 zone=%s weight=5 fresh=1\r\n", c.zone), c.want)
 			mustPoll(t, calls)
--- a/cmd/gingerfork/node_test.go
+++ b/cmd/gingerfork/node_test.go
@@ -97,10 +97,10 @@
 func TestNodeServes(t *testing.T) {
 	oldDiscovery, oldCalls := fakeDiscovery(t)
 	newDiscovery, newCalls := fakeDiscovery(t)
-	listen := free(t)
-	file := write(t, "config.json", configuration(listen, oldDiscovery))
+	listen := freeAddr(t)
+	file := tempFile(t, "config.json", configuration(listen, oldDiscovery))
 	program := exec.Command(os.Args[0], "node")
-	program.Env = append(append(os.Environ(), serveEnv...), platform.EnvConfigFile+"="+file)
+	program.Env = append(append(os.Environ(), coordinatorEnv...), platform.EnvConfigFile+"="+file)
 	stderr, err := program.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -168,7 +168,7 @@
 		{"address in use", configuration(taken.Addr().String(), "127.0.0.1:1"), "address already in use"},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
-			mustRefuseToStart(t, write(t, "config.json", testCase.config), testCase.want)
+			mustRefuseToStart(t, tempFile(t, "config.json", testCase.config), testCase.want)
 		})
 	}
 	t.Run("no file", func(t *testing.T) {
@@ -183,8 +183,8 @@
 func mustRefuseToStart(t *testing.T, file, want string) {
 	t.Helper()
 	t.Setenv(platform.EnvConfigFile, file)
-	code, _, stderr := call("node")
-	if code != bad || !strings.Contains(stderr, want) || strings.Count(strings.TrimSpace(stderr), "\n") > 0 {
+	code, _, stderr := runCommand("node")
+	if code != exitFailure || !strings.Contains(stderr, want) || strings.Count(strings.TrimSpace(stderr), "\n") > 0 {
 		t.Errorf("exit %d, %q; wanted %q", code, stderr, want)
 	}
 }
@@ -198,7 +198,7 @@
 	r.Close()
 	defer w.Close()
 	discovery, _ := fakeDiscovery(t)
-	listen := free(t)
+	listen := freeAddr(t)
 	program := startProgram(t, configuration(listen, discovery), w)
 	attach(t, listen, "hb\r\nattach proxy=2 zone=a weight=5 fresh=1\r\n", "whole=1")
 	terminate(t, program)
--- /dev/null
+++ b/cmd/gingerfork/processes_test.go
@@ -0,0 +1,95 @@
+package main
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"gingerfork/internal/proto"
+	"gingerfork/internal/trace"
+)
+
+// Every part as a process of its own: endpoint service, backends, coordinator and front end; then SIGHUP and SIGTERM.
+func TestProcesses(t *testing.T) {
+	endpointsAddr, coordinatorAddr, backend1, backend2 := freeAddr(t), freeAddr(t), freeAddr(t), freeAddr(t)
+	dir := t.TempDir()
+	file := filepath.Join(dir, "c.conf")
+	settings := strings.NewReplacer("127.0.0.1:7400", coordinatorAddr, "127.0.0.1:7300", endpointsAddr, "state           -", "state kept").Replace(perthSettings(t))
+	replaceFile(t, file, settings)
+	startProcess(t, "fake", "backend", "--listen", backend1, "--id", "1", "--settings", file)
+	startProcess(t, "fake", "backend", "--listen", backend2, "--id", "2")
+	startProcess(t, "fake", "endpoints", "--listen", endpointsAddr, "1,dc-kewdale,1,"+backend1, "2,dc-malaga,1,"+backend2)
+	coordinator := startProcess(t, "--log-format", "json", "serve", file)
+	traceFile := filepath.Join(dir, "trace")
+	frontEnd := startProcess(t, "fake", "frontend", "--settings", file, "--coordinator", coordinatorAddr, "--name", "f0", "--rate", "50", "--trace", traceFile)
+	eventually(t, "the proxy's join in the log", func() bool {
+		return coordinator.logged(`"proxy":"f0"`) && coordinator.logged(`"instance":"perth-0"`)
+	})
+	eventually(t, "the stored endpoints", func() bool {
+		code, out, _ := runCommand("store", "dump", filepath.Join(dir, "kept", "store"), "--from", "server/")
+		return code == exitOK && strings.Count(out, "\n") == 2
+	})
+
+	replaceFile(t, file, settings+"nonsense\n")
+	_ = coordinator.cmd.Process.Signal(syscall.SIGHUP)
+	eventually(t, "invalid settings are rejected", func() bool {
+		return coordinator.logged("the old settings stay in force") && coordinator.logged("nonsense is no keyword")
+	})
+	replaceFile(t, file, strings.Replace(settings, "report-period   2s", "report-period   1s", 1))
+	_ = coordinator.cmd.Process.Signal(syscall.SIGHUP)
+	eventually(t, "valid settings are applied", func() bool { return coordinator.logged("settings reloaded") })
+	eventually(t, "a proxy that joins now gets the new period", func() bool { return welcomedReportPeriod(coordinatorAddr) == 1 })
+	eventually(t, "the proxy joins again", func() bool { return coordinator.countLogged(`"message":"proxy joined"`) >= 3 })
+	coordinator.mustTerminate(t)
+	frontEnd.mustTerminate(t)
+
+	answered := 0
+	for _, record := range readTraceFile(t, traceFile) {
+		if record.Kind == trace.RPCFinished && record.Text == "ok" {
+			answered++
+		}
+	}
+	if answered == 0 {
+		t.Fatal("no RPC was answered")
+	}
+}
+
+// replaceFile writes a file that may exist.
+func replaceFile(t *testing.T, name, text string) {
+	t.Helper()
+	if err := os.WriteFile(name, []byte(text), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// welcomedReportPeriod joins a coordinator and returns the report period of its welcome in seconds; -1 if there was none.
+func welcomedReportPeriod(addr string) float64 {
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		return -1
+	}
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
+	fmt.Fprintf(conn, "%s", proto.Append(nil, proto.Hello{Version: 1, Name: "probe", Zone: "dc-kewdale"}))
+	var reader proto.Reader
+	reader.HandshakeDone()
+	buffer := make([]byte, 4096)
+	for {
+		n, err := conn.Read(buffer)
+		if err != nil {
+			return -1
+		}
+		reader.Feed(buffer[:n])
+		if message, _ := reader.Next(); message != nil {
+			if welcome, ok := message.(proto.Welcome); ok {
+				return welcome.ReportPeriod
+			}
+			return -1
+		}
+	}
+}
--- a/cmd/gingerfork/route.go
+++ b/cmd/gingerfork/route.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"strings"
@@ -17,6 +18,12 @@
 	Headers []string `name:"header" help:"A header of it; may be given many times." placeholder:"NAME=VALUE"`
 }
 
+var (
+	errNoRoute      = errors.New("no route for it")
+	errHeaderFormat = errors.New("is not NAME=VALUE")
+)
+
+// readRoutes reads a file of routes.
 func readRoutes(file string) ([]route.Route, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -26,28 +33,29 @@
 	return routes, faults.Err()
 }
 
-func (c routeCmd) Run(p *program) error {
+// Run prints the route of the request.
+func (c routeCmd) Run(cli *program) error {
 	routes, err := readRoutes(c.File)
 	if err != nil {
-		return badError{err}
+		return err
 	}
-	q := route.Request{Method: c.Method, Path: c.Path, Headers: map[string][]string{}}
-	for _, h := range c.Headers {
-		name, value, ok := strings.Cut(h, "=")
+	request := route.Request{Method: c.Method, Path: c.Path, Headers: map[string][]string{}}
+	for _, header := range c.Headers {
+		name, value, ok := strings.Cut(header, "=")
 		if !ok {
-			return fmt.Errorf("header %q is not NAME=VALUE", h)
+			return fmt.Errorf("header %q %w", header, errHeaderFormat)
 		}
-		q.Headers[strings.ToLower(name)] = append(q.Headers[strings.ToLower(name)], value)
+		name = strings.ToLower(name)
+		request.Headers[name] = append(request.Headers[name], value)
 	}
-	t := route.NewTable(routes)
-	r, ok := t.Pick(c.Front, q)
-	if !ok {
-		known := t.Fronts()
-		if near := bootstrap.ClosestWord(c.Front, known); near != "" && near != c.Front {
-			return badError{fmt.Errorf("no route for it (did you mean the front %s?)", near)}
-		}
-		return badError{fmt.Errorf("no route for it at %s", c.Front)}
+	table := route.NewTable(routes)
+	picked, ok := table.Pick(c.Front, request)
+	if ok {
+		fmt.Fprintf(cli.out, "pool %s method %s\n", picked.To, picked.As)
+		return nil
+	}
+	if closest := bootstrap.ClosestWord(c.Front, table.Fronts()); closest != "" && closest != c.Front {
+		return fmt.Errorf("%w (did you mean the front %s?)", errNoRoute, closest)
 	}
-	fmt.Fprintf(p.out, "pool %s method %s\n", r.To, r.As)
-	return nil
+	return fmt.Errorf("%w at %s", errNoRoute, c.Front)
 }
--- /dev/null
+++ b/cmd/gingerfork/scenario.go
@@ -0,0 +1,190 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"strings"
+
+	"gingerfork/internal/report"
+	"gingerfork/internal/scenario"
+)
+
+// Names that stand for scenarios on the command line.
+const (
+	defaultScenario   = "evening"
+	incidentScenarios = "incidents" // all twelve incidents
+)
+
+var (
+	errInterrupted       = errors.New("ended early")
+	errInvariantViolated = errors.New("a rule broke")
+	errComparisonFailed  = errors.New("the coordinator broke a rule, or a machine failed")
+)
+
+type scenarioCmd struct {
+	Names            []string `arg:"" optional:"" name:"days" help:"Built-in scenarios (evening, deploy, cut, fleet, or incidents for all twelve), or files. None: evening."`
+	Virtual          bool     `help:"In virtual time, over a simulated network: seconds instead of minutes, and deterministic."`
+	JSON             bool     `help:"Print the result as JSON lines."`
+	Trace            string   `help:"Write the trace to this file, one record a line." placeholder:"FILE"`
+	Plot             string   `aliases:"picture" help:"Plot RPCs, service and pushes by second to this PNG file, with the faults shaded." placeholder:"FILE"`
+	Artifacts        string   `aliases:"keep" help:"Write the coordinators' settings and logs to this folder, and leave them there." placeholder:"DIR"`
+	CompareBaselines bool     `aliases:"beside" help:"Play each scenario in virtual time with the coordinator and with two baselines on the same seed, and compute the optimum."`
+	Scale            float64  `help:"Multiply the numbers of backends and proxies by this." default:"1" placeholder:"X"`
+	Search           int      `help:"Play so many random scenarios of two to four faults in virtual time, and minimize those that violate an invariant." placeholder:"N"`
+	Crashes          int      `aliases:"kills" help:"Beside the scenario's own faults, kill a coordinator's process so many times, at moments drawn from the seed; each restarts after about a second." placeholder:"N"`
+	Seed             uint64   `help:"Another seed than the scenario's; for a search, the first." placeholder:"N"`
+}
+
+// Run plays the scenarios one after the other, or searches for scenarios that violate an invariant.
+func (c scenarioCmd) Run(ctx context.Context, cli *program) error {
+	if c.Search > 0 {
+		return c.search(ctx, cli)
+	}
+	names := c.scenarioNames()
+	if c.CompareBaselines {
+		return c.compareBaselines(ctx, cli, names)
+	}
+	var failed []string
+	for _, name := range names {
+		played, err := c.readScenario(name)
+		if err != nil {
+			return err
+		}
+		passed, err := c.playAndReport(ctx, cli, played)
+		if err != nil {
+			return err
+		}
+		if !passed {
+			failed = append(failed, played.Name)
+		}
+		if ctx.Err() != nil {
+			return errInterrupted
+		}
+	}
+	if len(failed) > 0 {
+		return fmt.Errorf("not good: %s", strings.Join(failed, ", "))
+	}
+	return nil
+}
+
+// scenarioNames returns the names of the scenarios to play.
+func (c scenarioCmd) scenarioNames() []string {
+	switch {
+	case len(c.Names) == 0:
+		return []string{defaultScenario}
+	case len(c.Names) == 1 && c.Names[0] == incidentScenarios:
+		return scenario.Incidents()
+	default:
+		return c.Names
+	}
+}
+
+// readScenario reads a scenario and applies the flags to it.
+func (c scenarioCmd) readScenario(name string) (*scenario.Scenario, error) {
+	read, err := readScenario(name)
+	if err != nil {
+		return nil, err
+	}
+	if c.Seed > 0 {
+		read.Seed = c.Seed
+	}
+	if c.Scale != 1 && c.Scale > 0 {
+		read.Scale(c.Scale)
+	}
+	if c.Crashes > 0 {
+		read.AddCoordinatorKills(c.Crashes)
+	}
+	return read, nil
+}
+
+// playAndReport plays a scenario and writes what the flags ask for. It tells whether all invariants held and no machine
+// failed.
+func (c scenarioCmd) playAndReport(ctx context.Context, cli *program, played *scenario.Scenario) (passed bool, err error) {
+	result, err := c.play(ctx, cli, played)
+	if err != nil {
+		return false, err
+	}
+	if c.Trace != "" {
+		if err := writeTrace(c.Trace, result.Records); err != nil {
+			return false, err
+		}
+	}
+	figures, err := scenarioFigures(played, &result)
+	if err != nil {
+		return false, err
+	}
+	if c.Plot != "" {
+		if err := plot(c.Plot, played.Name, figures); err != nil {
+			return false, err
+		}
+	}
+	if c.JSON {
+		if err := printResultJSON(cli.out, &result, figures); err != nil {
+			return false, err
+		}
+	} else {
+		printResult(cli.out, &result, c.Virtual)
+		figures.Text(cli.out)
+	}
+	return !result.Report.Violated() && len(result.Failures) == 0, nil
+}
+
+// scenarioFigures computes the report of a played scenario; with the fleet's state and the optimum if that was sampled.
+func scenarioFigures(played *scenario.Scenario, result *scenario.Result) (*report.Report, error) {
+	figures, err := report.Make(result.Records, played.Limits().Methods)
+	if err != nil {
+		return nil, fmt.Errorf("compute the report: %w", err)
+	}
+	truth := result.Truth
+	if truth == nil {
+		return figures, nil
+	}
+	bound, err := played.Bound(truth, result.Records)
+	if err != nil {
+		return nil, fmt.Errorf("compute the optimum: %w", err)
+	}
+	figures.Fleet = &report.Fleet{Step: scenario.SampleInterval, Able: truth.Capacity, Busy: truth.Utilization, Waits: truth.Queued, Most: bound.Share()}
+	return figures, nil
+}
+
+// play plays a scenario in virtual time, or on sockets with coordinators that are processes of this program.
+func (c scenarioCmd) play(ctx context.Context, cli *program, played *scenario.Scenario) (scenario.Result, error) {
+	if c.Virtual {
+		return scenario.PlayVirtual(played, scenario.Options{SampleTruth: true})
+	}
+	dir := c.Artifacts
+	if dir == "" {
+		temporary, err := os.MkdirTemp("", "gingerfork-scenario-")
+		if err != nil {
+			return scenario.Result{}, fmt.Errorf("make a folder for the coordinators: %w", err)
+		}
+		defer func() { _ = os.RemoveAll(temporary) }() // the system cleans up its folder of temporary files
+		dir = temporary
+	} else if err := os.MkdirAll(dir, 0o755); err != nil {
+		return scenario.Result{}, fmt.Errorf("make the folder for artifacts: %w", err)
+	}
+	exe, err := os.Executable()
+	if err != nil {
+		return scenario.Result{}, fmt.Errorf("find this program, to start coordinators with it: %w", err)
+	}
+	if !c.JSON {
+		fmt.Fprintf(cli.out, "%s: %d coordinators, %d servers, %d front ends on loopback sockets, %.0f s\n", played.Name, played.Coordinators,
+			sum(played.Backends, func(g scenario.BackendGroup) int { return g.Count }), sum(played.Proxies, func(g scenario.ProxyGroup) int { return g.Count }), played.Duration)
+	}
+	command := []string{exe, "--log-format", "json", "serve"}
+	return scenario.PlaySockets(ctx, played, scenario.CoordinatorCommand{Command: command, Env: coordinatorEnv, Dir: dir})
+}
+
+// coordinatorEnv is added to the environment of a coordinator's process. Tests set it, since their executable is not the
+// program itself.
+var coordinatorEnv []string
+
+// sum returns the sum of n over the items.
+func sum[T any](items []T, n func(T) int) (total int) {
+	for _, item := range items {
+		total += n(item)
+	}
+	return total
+}
--- /dev/null
+++ b/cmd/gingerfork/scenario_output.go
@@ -0,0 +1,121 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"text/tabwriter"
+
+	"gingerfork/internal/report"
+	"gingerfork/internal/scenario"
+	"gingerfork/internal/trace"
+)
+
+// traceBufferSize is the number of bytes of a trace that are written at once.
+const traceBufferSize = 1 << 16
+
+// plot draws a report to a PNG file.
+func plot(file, title string, figures *report.Report) error {
+	if err := writeFile(file, func(w io.Writer) error { return figures.Draw(w, title) }); err != nil {
+		return fmt.Errorf("draw the plot: %w", err)
+	}
+	return nil
+}
+
+// writeTrace writes a trace to a file, one record a line.
+func writeTrace(file string, records []trace.Record) error {
+	if err := writeFile(file, func(w io.Writer) error { return writeRecords(w, records) }); err != nil {
+		return fmt.Errorf("write the trace: %w", err)
+	}
+	return nil
+}
+
+func writeRecords(w io.Writer, records []trace.Record) error {
+	var buffer []byte
+	for _, record := range records {
+		buffer = record.Append(buffer)
+		if len(buffer) <= traceBufferSize {
+			continue
+		}
+		if _, err := w.Write(buffer); err != nil {
+			return err
+		}
+		buffer = buffer[:0]
+	}
+	_, err := w.Write(buffer)
+	return err
+}
+
+// printResult prints the outcome of a scenario for people.
+func printResult(out io.Writer, result *scenario.Result, virtual bool) {
+	where := "on sockets"
+	if virtual {
+		where = "in virtual time"
+	}
+	fmt.Fprintf(out, "\nday %s, seed %d, %s: %.1f s, %d troubles\n\n", result.Scenario.Name, result.Scenario.Seed, where, result.Report.Duration, result.Report.Faults)
+	printRules(out, result)
+	service := result.Report.Service
+	fmt.Fprintf(out, "\nservice %.3f (criticality answered within the soft deadline over criticality asked for)\n", service.Share())
+	fmt.Fprintf(out, "RPCs %d: ok %d (%d of them late), pushed back %d, aborted %d, open at the end %d\n", service.RPCs, service.OK, service.Late, service.Rejected,
+		service.Aborted, service.Unfinished)
+	fmt.Fprintf(out, "tries %d, messages to proxies %d with %d lines, cold servers fallen %d\n", result.Report.Attempts, result.Report.Pushes, result.Report.Entries,
+		result.Report.Collapses)
+	for _, failure := range result.Failures {
+		fmt.Fprintf(out, "DEFECT: %s\n", failure)
+	}
+}
+
+// printRules prints a table of the invariants, and where each violated one was violated first.
+func printRules(out io.Writer, result *scenario.Result) {
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(table, "rule\t\tresult\tnearest to its limit\t")
+	for _, rule := range result.Report.Rules {
+		verdict := "kept"
+		if rule.Violations > 0 {
+			verdict = fmt.Sprintf("BROKEN %d times", rule.Violations)
+		}
+		fmt.Fprintf(table, "%d\t%s\t%s\t%.0f%% at %.1f s  %s\n", rule.Rule, rule.Name, verdict, 100*rule.Closest, rule.ClosestTime, rule.ClosestNote)
+	}
+	_ = table.Flush() // a report for people, as with fmt.Fprint: who closed the pipe does not read the error either
+	for _, rule := range result.Report.Rules {
+		if rule.Violations > 0 {
+			fmt.Fprintf(out, "\nrule %d first broke at %.3f (record %d of the trace), %s: %s\n", rule.Rule, rule.FirstTime, rule.Record, rule.Party, rule.Reason)
+		}
+	}
+}
+
+// ruleJSON is the outcome of one invariant in the JSON output.
+type ruleJSON struct {
+	Rule        int     `json:"rule"`
+	Name        string  `json:"name"`
+	Violations  int     `json:"broken"`
+	FirstTime   float64 `json:"at,omitempty"`
+	Party       string  `json:"who,omitempty"`
+	Record      int     `json:"record,omitempty"`
+	Reason      string  `json:"why,omitempty"`
+	Closest     float64 `json:"nearest"`
+	ClosestTime float64 `json:"nearest_at"`
+	ClosestNote string  `json:"note,omitempty"`
+}
+
+// printResultJSON prints the outcome of a scenario as one line of JSON.
+func printResultJSON(out io.Writer, result *scenario.Result, figures *report.Report) error {
+	rules := make([]ruleJSON, 0, len(result.Report.Rules))
+	for _, rule := range result.Report.Rules {
+		rules = append(rules, ruleJSON{
+			Rule: rule.Rule, Name: rule.Name, Violations: rule.Violations, FirstTime: rule.FirstTime, Party: rule.Party, Record: rule.Record,
+			Reason: rule.Reason, Closest: rule.Closest, ClosestTime: rule.ClosestTime, ClosestNote: rule.ClosestNote,
+		})
+	}
+	service := result.Report.Service
+	err := json.NewEncoder(out).Encode(map[string]any{
+		"day": result.Scenario.Name, "seed": result.Scenario.Seed, "length": result.Report.Duration, "rules": rules,
+		"service": service.Share(), "rpcs": service.RPCs, "ok": service.OK, "late": service.Late, "pushed_back": service.Rejected, "aborted": service.Aborted,
+		"tries": result.Report.Attempts, "messages": result.Report.Pushes, "lines": result.Report.Entries, "falls": result.Report.Collapses,
+		"defects": result.Failures, "figures": figures,
+	})
+	if err != nil {
+		return fmt.Errorf("print the result: %w", err)
+	}
+	return nil
+}
--- a/cmd/gingerfork/store.go
+++ b/cmd/gingerfork/store.go
@@ -46,7 +46,7 @@
 func (c storeCheckCmd) Run(cli *program) error {
 	folder, report, err := checkStore(c.Dir)
 	if err != nil {
-		return badError{err}
+		return err
 	}
 	for _, file := range report.Files {
 		fmt.Fprintf(cli.out, "%-16s %10d bytes %6d frames  %s\n", file.Name, file.Bytes, file.Frames, file.State)
@@ -57,11 +57,11 @@
 	}
 	fmt.Fprintln(cli.err, report.Damage)
 	if !c.Repair {
-		return badError{errStoreDamaged}
+		return errStoreDamaged
 	}
 	repaired, err := store.Repair(folder)
 	if err != nil {
-		return badError{err}
+		return err
 	}
 	fmt.Fprintf(cli.out, "repaired: kept %s; the files as they were end in .damaged\n", repaired)
 	return nil
@@ -85,7 +85,7 @@
 func (c storeDumpCmd) Run(cli *program) error {
 	_, report, err := checkStore(c.Dir)
 	if err != nil {
-		return badError{err}
+		return err
 	}
 	report.Each(func(key string, value []byte) {
 		if strings.HasPrefix(key, c.From) {
@@ -93,7 +93,7 @@
 		}
 	})
 	if !report.Intact {
-		return badError{report.Damage}
+		return report.Damage
 	}
 	return nil
 }
@@ -106,18 +106,18 @@
 func (c storeCompactCmd) Run(cli *program) error {
 	folder, _, err := checkStore(c.Dir)
 	if err != nil {
-		return badError{err}
+		return err
 	}
 	opened, _, err := store.Open(store.Options{Folder: folder})
 	if err != nil {
-		return badError{err}
+		return err
 	}
 	for more := true; more && err == nil; {
 		more, err = opened.Compact(true)
 	}
 	stats := opened.Stats()
 	if err := errors.Join(err, opened.Close()); err != nil {
-		return badError{err}
+		return err
 	}
 	fmt.Fprintf(cli.out, "%d keys in %d bytes\n", stats.Keys, stats.SnapshotBytes+stats.LogBytes)
 	return nil
--- a/cmd/gingerfork/store_test.go
+++ b/cmd/gingerfork/store_test.go
@@ -86,8 +86,8 @@
 // checkOutput runs a command that must succeed and print a text, and returns its output.
 func checkOutput(t *testing.T, want string, args ...string) string {
 	t.Helper()
-	code, out, failure := call(args...)
-	if code != good || !strings.Contains(out, want) {
+	code, out, failure := runCommand(args...)
+	if code != exitOK || !strings.Contains(out, want) {
 		t.Errorf("%v: exit code %d, output %q, error %q", args, code, out, failure)
 	}
 	return out
@@ -96,8 +96,8 @@
 // checkFailure runs a command that must fail and say why, and returns what it says.
 func checkFailure(t *testing.T, want string, args ...string) string {
 	t.Helper()
-	code, out, failure := call(args...)
-	if code != bad || !strings.Contains(failure, want) {
+	code, out, failure := runCommand(args...)
+	if code != exitFailure || !strings.Contains(failure, want) {
 		t.Errorf("%v: exit code %d, output %q, error %q", args, code, out, failure)
 	}
 	return failure
