--- a/cmd/gingerfork/node.go
+++ b/cmd/gingerfork/node.go
@@ -66,10 +66,7 @@
 	if err != nil {
 		return err
 	}
-	if err := node.serve(reload); err != nil {
-		return err
-	}
-	return nil
+	return node.serve(reload)
 }
 
 func newNodeLogger(w io.Writer, instance string) *slog.Logger {
