--- a/choice/backends.go
+++ b/choice/backends.go
@@ -148,7 +148,7 @@
 	clear(plan.ejections[i])
 }
 
-// growZones makes room for zones that were met since.
+// growZones makes room for zones that became known since.
 func (plan *Planner) growZones(i int) {
 	for len(plan.attempts[i]) < len(plan.zoneIndex) {
 		plan.attempts[i], plan.failures[i] = append(plan.attempts[i], 0), append(plan.failures[i], 0)
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,6 +1,6 @@
 package choice
 
-// tickInterval is the time, in seconds, between two looks at what depends on time alone.
+// tickInterval is the time, in seconds, between two checks of what depends on time alone.
 const tickInterval = 0.25
 
 // BackendRetention is how long, in seconds, the state of a gone backend or proxy is kept: longer than any
--- a/choice/ejection.go
+++ b/choice/ejection.go
@@ -112,8 +112,8 @@
 		plan.failedProbes[i]++
 		plan.nextProbe[i] = plan.now
 	}
-	heard := func(k int) float64 { return 1 - 2*min(1, float64(plan.failedProbes[k]/2)) }
-	plan.isolated = plan.sumOpen(heard) <= 0
+	reachable := func(k int) float64 { return 1 - 2*min(1, float64(plan.failedProbes[k]/2)) }
+	plan.isolated = plan.sumOpen(reachable) <= 0
 	if wasUnreachable != plan.unreachable(i) || wasIsolated != plan.isolated {
 		plan.send(plan.ring, reassignArcs{})
 	}
--- a/choice/endpoints.go
+++ b/choice/endpoints.go
@@ -33,7 +33,7 @@
 	e.nextPoll = e.plan.now + backoff*(0.5+e.plan.random())
 }
 
-// poll asks for news of the endpoint list where that has to be asked for.
+// poll asks for changes of the endpoint list, where it has to be polled.
 func (e *endpointWatcher) poll() {
 	if e.plan.settings.Listing == "asked" && e.plan.now >= e.nextPoll {
 		e.plan.commands = append(e.plan.commands, WatchEndpoints{true})
--- a/choice/fleetload.go
+++ b/choice/fleetload.go
@@ -15,7 +15,7 @@
 	answerRate       float64       // answers a second for each unit of weight
 	bestAnswerRate   float64       // the highest so far
 	relativeLatency  float64       // mean latency of the answers, in soft deadlines
-	struckShare      float64       // share of attempts at backends that fail as often in a row as proxies bear
+	struckShare      float64       // share of attempts at backends that fail as often in a row as proxies tolerate
 	baselineFailures float64       // share of failures at the best quarter of the backends, from the zone that fares best
 	loadFactor       float64       // of its fair share, what arcs may bring a backend
 	overloaded       bool
@@ -60,7 +60,7 @@
 	answers    float64 // a second
 	latency    float64 // of answers in a second, in soft deadlines, added up
 	attempts   float64
-	struck     float64 // attempts at backends that fail as often in a row as proxies bear
+	struck     float64 // attempts at backends that fail as often in a row as proxies tolerate
 	judged     float64 // open backends with enough attempts
 	overloaded float64 // of those
 }
--- a/choice/planner.go
+++ b/choice/planner.go
@@ -48,7 +48,7 @@
 	return plan
 }
 
-// actors returns those that want to know that time has passed.
+// actors returns those that are sent tickElapsed.
 func (plan *Planner) actors() []actor {
 	all := []actor{plan.watcher, plan.admission, plan.channel}
 	for _, backend := range plan.backends {
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -29,7 +29,7 @@
 type MethodSettings struct {
 	Name         string
 	Effect       string // "idempotent", "tokened" (idempotent with a key) or "non-idempotent"
-	Group        string // which processes know a token: "all" of them, or fewer
+	Group        string // which processes recognize a token: "all" of them, or fewer
 	MostTries    string // the limit on retries: "once", "proven" or none
 	OwnZone      bool   // requests must stay in the proxy's zone
 	Criticality  Number // requests of the lowest one are shed first
--- a/choice/slowstart.go
+++ b/choice/slowstart.go
@@ -48,8 +48,8 @@
 	return arrivals * part / (coldLoadPart * collapse * max(admission.bestAnswerRate, 1e-9))
 }
 
-// overloadsColdBackend tells whether arcs bring a cold backend more load than it stands where no warm one is
-// listed. The best rate of answers is less than a backend can do, so the bound is wider: a fleet that is all
+// overloadsColdBackend tells whether arcs bring a cold backend more load than it can take, where no warm one
+// is listed. The best rate of answers is less than a backend can do, so the bound is wider: a fleet that is all
 // cold at its usual load stays within it. It harms where the best rate was seen at very little traffic.
 func (plan *Planner) overloadsColdBackend(i int) bool {
 	rate := plan.settings.FallMultiple * plan.warmth[i] * plan.weight[i] * plan.admission.bestAnswerRate
@@ -57,7 +57,7 @@
 	if plan.excluded[i] {
 		bound /= 2 // hysteresis
 	}
-	// The listed start counts: a backend that was only unreachable for a while is owed to rule 1.
+	// The listed start counts: a backend that was only unreachable for a while has to stay in the tables.
 	young := func(k int) bool {
 		return plan.startedAt[k] > 0 && plan.now < plan.startedAt[k]+plan.settings.WarmAfter
 	}
--- a/choice/types.go
+++ b/choice/types.go
@@ -82,13 +82,13 @@
 type Event any
 
 type (
-	// EndpointUpdate is news of the endpoint list.
+	// EndpointUpdate is a change of the endpoint list, or the whole list.
 	EndpointUpdate struct {
 		Kind      UpdateKind
 		Version   int64
 		Endpoints []Endpoint
 	}
-	// ProxyJoined tells that a stream to a proxy stands.
+	// ProxyJoined tells that a proxy opened its stream.
 	ProxyJoined struct {
 		Proxy ProxyID
 		Zone  Zone
@@ -103,7 +103,7 @@
 		Nonce Nonce
 		Delay Seconds // from the push to its application
 	}
-	// AttemptReport is what the proxies of a zone met at a backend.
+	// AttemptReport sums up the attempts of a zone's proxies at a backend.
 	AttemptReport struct {
 		Backend     BackendID
 		Zone        Zone
