--- a/choice/slowstart.go
+++ b/choice/slowstart.go
@@ -49,8 +49,8 @@
 }
 
 // overloadsColdBackend tells whether arcs bring a cold backend more load than it can take, where no warm one
-// is listed. The best rate of answers is less than a backend can do, so the bound is wider: a fleet that is all
-// cold at its usual load stays within it. It harms where the best rate was seen at very little traffic.
+// is listed. The best rate of answers is less than a backend can do, so the bound is wider: a fleet that is
+// all cold at its usual load stays within it. It harms where the best rate was seen at very little traffic.
 func (plan *Planner) overloadsColdBackend(i int) bool {
 	rate := plan.settings.FallMultiple * plan.warmth[i] * plan.weight[i] * plan.admission.bestAnswerRate
 	bound := rate / coldLoadPart * plan.ownShare()
