--- a/cmd/gingerfork/follow.go
+++ b/cmd/gingerfork/follow.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"gingerfork/internal/bootstrap"
+	"gingerfork/internal/endpointfile"
 	"gingerfork/internal/eventloop"
-	"gingerfork/internal/follow"
 	"gingerfork/internal/haproxy"
 	"gingerfork/internal/listing"
 )
@@ -41,7 +41,7 @@
 		}
 	}
 	var err error
-	s.service, err = listing.New(t.Name, t.CoordinatorConfig(0).Settings.Zone, follow.Terms{DrainFor: t.Number("list-drain"), MostLost: t.Number("list-most-lost")}, kept,
+	s.service, err = listing.New(t.Name, t.CoordinatorConfig(0).Settings.Zone, endpointfile.Settings{DrainPeriod: t.Number("list-drain"), MaxLossShare: t.Number("list-most-lost")}, kept,
 		func(changed int, err error) {
 			if err != nil {
 				log.Error("the file of servers is held back; the list stays as it was", "file", s.file, "cause", err.Error())
@@ -67,7 +67,7 @@
 		return
 	}
 	text, err := os.ReadFile(s.file)
-	var servers []follow.Server
+	var servers []endpointfile.Backend
 	if err == nil && !strings.HasSuffix(string(text), "\n") {
 		// Cut short within a line, a file may well make sense: a server's line that is no more one.
 		err = errors.New("its last line has no end: it may have been cut short")
--- a/internal/haproxy/bench_test.go
+++ b/internal/haproxy/bench_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"gingerfork/internal/follow"
+	"gingerfork/internal/endpointfile"
 )
 
 func farm(servers int) string {
@@ -38,18 +38,18 @@
 
 // BenchmarkReload is what a changed weight costs beside 10,000 servers: the reading, and what follows from it.
 func BenchmarkReload(b *testing.B) {
-	var all []follow.Server
+	var all []endpointfile.Backend
 	for i := range 10000 {
-		all = append(all, follow.Server{Number: uint32(i + 1), Name: fmt.Sprint("s", i), Addr: "h:1", Weight: 1})
+		all = append(all, endpointfile.Backend{ID: uint32(i + 1), Name: fmt.Sprint("s", i), Addr: "h:1", Weight: 1})
 	}
-	f := follow.New(follow.Terms{DrainFor: 1, MostLost: 0.5})
-	if _, err := f.Offer(0, all); err != nil {
+	f := endpointfile.New(endpointfile.Settings{DrainPeriod: 1, MaxLossShare: 0.5})
+	if _, err := f.Apply(0, all); err != nil {
 		b.Fatal(err)
 	}
 	changed := 0
 	for b.Loop() {
 		all[77].Weight++
-		c, err := f.Offer(1, all)
+		c, err := f.Apply(1, all)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/haproxy/servers.go
+++ b/internal/haproxy/servers.go
@@ -4,11 +4,11 @@
 	"fmt"
 	"strings"
 
-	"gingerfork/internal/follow"
+	"gingerfork/internal/endpointfile"
 )
 
 // Servers are a pool's as a list takes them. Where there is one pool its name may be left out.
-func (i Import) Servers(pool string) ([]follow.Server, error) {
+func (i Import) Servers(pool string) ([]endpointfile.Backend, error) {
 	if len(i.Faults) > 0 {
 		all := make([]string, 0, len(i.Faults))
 		for _, f := range i.Faults {
@@ -22,9 +22,9 @@
 			continue
 		}
 		numbers := p.Numbers()
-		var all []follow.Server
+		var all []endpointfile.Backend
 		for _, s := range p.Listed() {
-			all = append(all, follow.Server{Number: numbers[s.Name], Name: s.Name, Addr: s.Addr, Weight: float64(max(1, s.Weight)), Draining: s.State == Draining})
+			all = append(all, endpointfile.Backend{ID: numbers[s.Name], Name: s.Name, Addr: s.Addr, Weight: float64(max(1, s.Weight)), Draining: s.State == Draining})
 		}
 		return all, nil
 	}
--- a/internal/listing/day_test.go
+++ b/internal/listing/day_test.go
@@ -10,8 +10,8 @@
 	"gingerfork/internal/checkpoint"
 	"gingerfork/internal/coordinator"
 	"gingerfork/internal/emulator"
+	"gingerfork/internal/endpointfile"
 	"gingerfork/internal/fake"
-	"gingerfork/internal/follow"
 	"gingerfork/internal/invariant"
 	"gingerfork/internal/proto"
 	"gingerfork/internal/scenario"
@@ -52,8 +52,8 @@
 	if v := w.f.Version(); v != w.seen { // the truth, whoever hears it
 		w.seen = v
 		text := "full"
-		for _, e := range w.f.Entries() {
-			text += fmt.Sprintf(" %d:%c:%.3f:%s", e.Number, "odg"[e.State], e.Start, w.zone)
+		for _, e := range w.f.Endpoints() {
+			text += fmt.Sprintf(" %d:%c:%.3f:%s", e.ID, "odg"[e.State], e.StartTime, w.zone)
 		}
 		out.Record(trace.Record{Time: now, Kind: trace.EndpointsDelivered, Count: int64(v), Text: text})
 	}
@@ -83,7 +83,7 @@
 
 // followed plays a fleet whose list follows files: what happens at which second. It gives the report, what was held back, and
 // the records.
-func followed(t *testing.T, seconds float64, happens map[float64]func(offer func([]follow.Server), w *simnet.Network)) (invariant.Report, []string, []trace.Record) {
+func followed(t *testing.T, seconds float64, happens map[float64]func(offer func([]endpointfile.Backend), w *simnet.Network)) (invariant.Report, []string, []trace.Record) {
 	t.Helper()
 	conf, err := scenario.File("perth.conf")
 	if err != nil {
@@ -101,7 +101,7 @@
 	var held []string
 	var now *Service
 	w.AddNode("list", zone, func(_ statemachine.Seconds, files map[string][]byte) statemachine.Machine {
-		s, err := New("list", zone, follow.Terms{DrainFor: 4, MostLost: 0.5}, files[Kept], func(_ int, err error) {
+		s, err := New("list", zone, endpointfile.Settings{DrainPeriod: 4, MaxLossShare: 0.5}, files[Kept], func(_ int, err error) {
 			if err != nil {
 				held = append(held, err.Error())
 			}
@@ -113,12 +113,12 @@
 		return &watched{Service: s, out: map[statemachine.Conn]*proto.Reader{}, in: map[statemachine.Conn]*proto.Reader{}, name: map[statemachine.Conn]string{}}
 	}, "list")
 	// An offer is looked at in the next step, as on sockets.
-	offer := func(s []follow.Server) { now.Offer(s); w.SendCommand("list", "look") }
+	offer := func(s []endpointfile.Backend) { now.Offer(s); w.SendCommand("list", "look") }
 	w.Start("list")
 	offer(servers(6, 1))
 	for i, s := range servers(6, 1) {
 		w.AddNode(s.Addr, zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
-			return emulator.NewBackend(emulator.Config{Backend: s.Number, Zone: zone, Cores: 4, Speed: 1, Work: []emulator.Work{{Mean: 0.02}}, QueueLimit: 100, Seed: uint64(i)})
+			return emulator.NewBackend(emulator.Config{Backend: s.ID, Zone: zone, Cores: 4, Speed: 1, Work: []emulator.Work{{Mean: 0.02}}, QueueLimit: 100, Seed: uint64(i)})
 		}, s.Addr)
 		w.Start(s.Addr)
 	}
@@ -182,16 +182,16 @@
 // moves: all rules are kept, and hardly an RPC is lost.
 func TestFollowedListKeepsTheRules(t *testing.T) {
 	five := servers(5, 1)
-	report, held, records := followed(t, 40, map[float64]func(func([]follow.Server), *simnet.Network){
-		5:  func(offer func([]follow.Server), _ *simnet.Network) { offer(five) },
-		7:  func(_ func([]follow.Server), w *simnet.Network) { w.Kill("list") },
-		10: func(offer func([]follow.Server), w *simnet.Network) { w.Start("list"); offer(servers(4, 1)) }, // the last one's drain ended meanwhile
-		16: func(offer func([]follow.Server), _ *simnet.Network) { offer(servers(1, 1)) },                  // cut short
-		18: func(offer func([]follow.Server), _ *simnet.Network) { offer(five) },
-		19: func(offer func([]follow.Server), _ *simnet.Network) { offer(servers(4, 1)) },
-		20: func(offer func([]follow.Server), _ *simnet.Network) { offer(five) },
-		24: func(_ func([]follow.Server), w *simnet.Network) { w.Kill("c0") },
-		25: func(offer func([]follow.Server), w *simnet.Network) { w.Start("c0"); offer(servers(6, 1)) },
+	report, held, records := followed(t, 40, map[float64]func(func([]endpointfile.Backend), *simnet.Network){
+		5:  func(offer func([]endpointfile.Backend), _ *simnet.Network) { offer(five) },
+		7:  func(_ func([]endpointfile.Backend), w *simnet.Network) { w.Kill("list") },
+		10: func(offer func([]endpointfile.Backend), w *simnet.Network) { w.Start("list"); offer(servers(4, 1)) }, // the last one's drain ended meanwhile
+		16: func(offer func([]endpointfile.Backend), _ *simnet.Network) { offer(servers(1, 1)) },                  // cut short
+		18: func(offer func([]endpointfile.Backend), _ *simnet.Network) { offer(five) },
+		19: func(offer func([]endpointfile.Backend), _ *simnet.Network) { offer(servers(4, 1)) },
+		20: func(offer func([]endpointfile.Backend), _ *simnet.Network) { offer(five) },
+		24: func(_ func([]endpointfile.Backend), w *simnet.Network) { w.Kill("c0") },
+		25: func(offer func([]endpointfile.Backend), w *simnet.Network) { w.Start("c0"); offer(servers(6, 1)) },
 	})
 	if len(held) != 1 || !strings.Contains(held[0], "out of use") {
 		t.Errorf("held back: %q", held)
@@ -214,8 +214,8 @@
 func TestChangedWeightIsALine(t *testing.T) {
 	heavier := servers(6, 1)
 	heavier[2].Weight = 1.3
-	_, _, records := followed(t, 20, map[float64]func(func([]follow.Server), *simnet.Network){
-		12: func(offer func([]follow.Server), _ *simnet.Network) { offer(heavier) },
+	_, _, records := followed(t, 20, map[float64]func(func([]endpointfile.Backend), *simnet.Network){
+		12: func(offer func([]endpointfile.Backend), _ *simnet.Network) { offer(heavier) },
 	})
 	lines := map[string]int{}
 	for _, r := range records {
--- a/internal/listing/listing.go
+++ b/internal/listing/listing.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"slices"
 
-	"gingerfork/internal/follow"
+	"gingerfork/internal/endpointfile"
 	"gingerfork/internal/proto"
 	"gingerfork/internal/statemachine"
 )
@@ -22,8 +22,8 @@
 // Service is the list service.
 type Service struct {
 	name, zone string
-	f          *follow.Follow
-	offers     [][]follow.Server
+	f          *endpointfile.List
+	offers     [][]endpointfile.Backend
 	told       func(changed int, err error)
 	watchers   map[statemachine.Conn]*watcher
 	history    []change // oldest first
@@ -33,7 +33,7 @@
 
 type change struct {
 	version uint64
-	entries []follow.Entry
+	entries []endpointfile.Endpoint
 }
 
 type watcher struct {
@@ -45,12 +45,12 @@
 
 // New makes a service whose servers are all of a zone. kept is what its last life kept, nil if none did; what can't be
 // read is an error, and the service starts with an empty list. told is called with what became of each offer.
-func New(name, zone string, t follow.Terms, kept []byte, told func(changed int, err error)) (*Service, error) {
-	s := &Service{name: name, zone: zone, f: follow.New(t), told: told, watchers: map[statemachine.Conn]*watcher{}}
+func New(name, zone string, t endpointfile.Settings, kept []byte, told func(changed int, err error)) (*Service, error) {
+	s := &Service{name: name, zone: zone, f: endpointfile.New(t), told: told, watchers: map[statemachine.Conn]*watcher{}}
 	if kept == nil {
 		return s, nil
 	}
-	f, err := follow.Decode(t, kept)
+	f, err := endpointfile.Decode(t, kept)
 	if err == nil {
 		s.f = f
 	}
@@ -58,14 +58,14 @@
 }
 
 // Offer hands it a file's servers; they are looked at in its next step. Only whoever drives it may call this.
-func (s *Service) Offer(servers []follow.Server) { s.offers = append(s.offers, servers) }
+func (s *Service) Offer(servers []endpointfile.Backend) { s.offers = append(s.offers, servers) }
 
 // Step implements machine.Machine.
 func (s *Service) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	s.out = out
 	changed := false
 	for _, o := range s.offers {
-		entries, err := s.f.Offer(now, o)
+		entries, err := s.f.Apply(now, o)
 		if len(entries) > 0 {
 			s.spread(now, entries)
 			changed = true
@@ -76,7 +76,7 @@
 		}
 	}
 	s.offers = s.offers[:0]
-	if gone := s.f.Due(now); len(gone) > 0 {
+	if gone := s.f.RemoveDrained(now); len(gone) > 0 {
 		s.spread(now, gone)
 		changed = true
 	}
@@ -109,7 +109,7 @@
 		}
 	}
 	out.WakeBy(s.beat)
-	if at, ok := s.f.Wake(); ok {
+	if at, ok := s.f.NextRemoval(); ok {
 		out.WakeBy(at)
 	}
 }
@@ -127,7 +127,7 @@
 	return all
 }
 
-func (s *Service) spread(now statemachine.Seconds, entries []follow.Entry) {
+func (s *Service) spread(now statemachine.Seconds, entries []endpointfile.Endpoint) {
 	s.history = append(s.history, change{s.f.Version(), entries})
 	if len(s.history) > historyMost {
 		s.history = slices.Clone(s.history[len(s.history)-historyMost/2:])
@@ -147,7 +147,7 @@
 	}
 	m := proto.EndpointUpdate{Kind: proto.UpdateDelta, BaseVersion: w.held, Version: version}
 	known := w.held > 0 && (w.held == version || w.held < version && len(s.history) > 0 && s.history[0].version <= w.held+1)
-	var entries []follow.Entry
+	var entries []endpointfile.Endpoint
 	if known {
 		at := map[uint32]int{}
 		for _, c := range s.history {
@@ -155,27 +155,27 @@
 				continue
 			}
 			for _, e := range c.entries {
-				if i, twice := at[e.Number]; twice {
+				if i, twice := at[e.ID]; twice {
 					entries[i] = e
 				} else {
-					at[e.Number] = len(entries)
+					at[e.ID] = len(entries)
 					entries = append(entries, e)
 				}
 			}
 		}
 	} else {
-		m.Kind, entries = proto.UpdateFull, s.f.Entries()
+		m.Kind, entries = proto.UpdateFull, s.f.Endpoints()
 	}
 	for _, e := range entries {
-		x := proto.Endpoint{Backend: e.Number, State: proto.BackendOpen, Kind: "imported", Zone: s.zone, Weight: e.Weight, StartedLongAgo: e.Start == 0, Incarnation: e.Stamp, Addr: e.Addr}
+		x := proto.Endpoint{Backend: e.ID, State: proto.BackendOpen, Kind: "imported", Zone: s.zone, Weight: e.Weight, StartedLongAgo: e.StartTime == 0, Incarnation: e.Incarnation, Addr: e.Addr}
 		switch e.State {
-		case follow.Draining:
+		case endpointfile.Draining:
 			x.State = proto.BackendDraining
-		case follow.Gone:
+		case endpointfile.Gone:
 			x.State = proto.BackendGone
 		}
-		if e.Start > 0 {
-			x.Age = max(0, now-e.Start)
+		if e.StartTime > 0 {
+			x.Age = max(0, now-e.StartTime)
 		}
 		m.Endpoints = append(m.Endpoints, x)
 	}
--- a/internal/listing/listing_test.go
+++ b/internal/listing/listing_test.go
@@ -5,16 +5,16 @@
 	"strings"
 	"testing"
 
-	"gingerfork/internal/follow"
+	"gingerfork/internal/endpointfile"
 	"gingerfork/internal/proto"
 	"gingerfork/internal/statemachine"
 )
 
-var terms = follow.Terms{DrainFor: 10, MostLost: 0.5}
+var terms = endpointfile.Settings{DrainPeriod: 10, MaxLossShare: 0.5}
 
-func servers(n int, weight float64) (all []follow.Server) {
+func servers(n int, weight float64) (all []endpointfile.Backend) {
 	for i := range n {
-		all = append(all, follow.Server{Number: uint32(i + 1), Name: fmt.Sprint("s", i), Addr: fmt.Sprintf("h:%d", i), Weight: weight})
+		all = append(all, endpointfile.Backend{ID: uint32(i + 1), Name: fmt.Sprint("s", i), Addr: fmt.Sprintf("h:%d", i), Weight: weight})
 	}
 	return all
 }
