--- a/cmd/gingerfork/follow.go
+++ b/cmd/gingerfork/follow.go
@@ -13,16 +13,16 @@
 
 	"gingerfork/internal/bootstrap"
 	"gingerfork/internal/endpointfile"
+	"gingerfork/internal/endpointservice"
 	"gingerfork/internal/eventloop"
 	"gingerfork/internal/haproxy"
-	"gingerfork/internal/listing"
 )
 
 // source is the list service that a coordinator's process runs itself, where its settings name a file; nil: it runs none.
 type source struct {
 	file, pool string
 	dir        string // where the status is kept; "": nowhere
-	service    *listing.Service
+	service    *endpointservice.Service
 	loop       *eventloop.Loop
 	log        *slog.Logger
 	writing    sync.Mutex // the status is written by whoever reads the file and by the service's owner
@@ -36,12 +36,12 @@
 	var kept []byte
 	if dir != "" {
 		var err error
-		if kept, err = os.ReadFile(filepath.Join(dir, listing.Kept)); err != nil && !errors.Is(err, os.ErrNotExist) {
+		if kept, err = os.ReadFile(filepath.Join(dir, endpointservice.StateFile)); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return nil, fmt.Errorf("read what was followed: %w", err)
 		}
 	}
 	var err error
-	s.service, err = listing.New(t.Name, t.CoordinatorConfig(0).Settings.Zone, endpointfile.Settings{DrainPeriod: t.Number("list-drain"), MaxLossShare: t.Number("list-most-lost")}, kept,
+	s.service, err = endpointservice.New(t.Name, t.CoordinatorConfig(0).Settings.Zone, endpointfile.Settings{DrainPeriod: t.Number("list-drain"), MaxLossShare: t.Number("list-most-lost")}, kept,
 		func(changed int, err error) {
 			if err != nil {
 				log.Error("the file of servers is held back; the list stays as it was", "file", s.file, "cause", err.Error())
@@ -80,7 +80,7 @@
 		s.status("bad", err.Error())
 		return
 	}
-	s.loop.RunBetweenSteps(func() { s.service.Offer(servers) })
+	s.loop.RunBetweenSteps(func() { s.service.Submit(servers) })
 }
 
 // status says in the state folder what became of the file when it was read last, for whoever has no log at hand. It is
--- a/internal/listing/day_test.go
+++ b/internal/endpointservice/fleet_test.go
@@ -1,4 +1,4 @@
-package listing
+package endpointservice
 
 import (
 	"fmt"
@@ -101,7 +101,7 @@
 	var held []string
 	var now *Service
 	w.AddNode("list", zone, func(_ statemachine.Seconds, files map[string][]byte) statemachine.Machine {
-		s, err := New("list", zone, endpointfile.Settings{DrainPeriod: 4, MaxLossShare: 0.5}, files[Kept], func(_ int, err error) {
+		s, err := New("list", zone, endpointfile.Settings{DrainPeriod: 4, MaxLossShare: 0.5}, files[StateFile], func(_ int, err error) {
 			if err != nil {
 				held = append(held, err.Error())
 			}
@@ -113,7 +113,7 @@
 		return &watched{Service: s, out: map[statemachine.Conn]*proto.Reader{}, in: map[statemachine.Conn]*proto.Reader{}, name: map[statemachine.Conn]string{}}
 	}, "list")
 	// An offer is looked at in the next step, as on sockets.
-	offer := func(s []endpointfile.Backend) { now.Offer(s); w.SendCommand("list", "look") }
+	offer := func(s []endpointfile.Backend) { now.Submit(s); w.SendCommand("list", "look") }
 	w.Start("list")
 	offer(servers(6, 1))
 	for i, s := range servers(6, 1) {
--- a/internal/listing/listing.go
+++ b/internal/endpointservice/service.go
@@ -1,6 +1,6 @@
-// Package listing is a list service that follows files: what package follow decides goes to all who watch, as changes
+// Package endpointservice is a list service that follows files: what package follow decides goes to all who watch, as changes
 // since the version that they hold, or as the whole list. It is a machine; whoever drives it hands it files as read.
-package listing
+package endpointservice
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 )
 
 // Kept is the file that it keeps between starts.
-const Kept = "followed.json"
+const StateFile = "followed.json"
 
 const (
 	beatEvery   = 1.0 // seconds between signs of life, as the protocol has it
@@ -58,7 +58,7 @@
 }
 
 // Offer hands it a file's servers; they are looked at in its next step. Only whoever drives it may call this.
-func (s *Service) Offer(servers []endpointfile.Backend) { s.offers = append(s.offers, servers) }
+func (s *Service) Submit(servers []endpointfile.Backend) { s.offers = append(s.offers, servers) }
 
 // Step implements machine.Machine.
 func (s *Service) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
@@ -84,7 +84,7 @@
 		if data, err := s.f.Encode(); err != nil {
 			out.Log(3, "the list could not be kept", "cause", err.Error())
 		} else {
-			out.SaveFile(Kept, data)
+			out.SaveFile(StateFile, data)
 		}
 	}
 	for _, i := range in {
--- a/internal/listing/listing_test.go
+++ b/internal/endpointservice/service_test.go
@@ -1,4 +1,4 @@
-package listing
+package endpointservice
 
 import (
 	"fmt"
@@ -47,7 +47,7 @@
 	out := &statemachine.Effects{}
 	out.Reset()
 	d.s.Step(d.now, in, out)
-	if data, saved := out.Files[Kept]; saved {
+	if data, saved := out.Files[StateFile]; saved {
 		d.kept = data
 	}
 	for _, a := range out.Actions {
@@ -98,15 +98,15 @@
 	d := drive(t, nil, 100)
 	d.watch(1, 0)
 	d.want(1, "error 0-0")
-	d.s.Offer(servers(3, 1))
+	d.s.Submit(servers(3, 1))
 	d.step(0.1)
 	d.want(1, "full 0-1 1open1 2open1 3open1")
 	s := servers(3, 1)
 	s[1].Weight = 5
-	d.s.Offer(s)
+	d.s.Submit(s)
 	d.step(1)
 	d.want(1, "changes 1-2 2open5")
-	d.s.Offer(s[:2])
+	d.s.Submit(s[:2])
 	d.step(1)
 	d.want(1, "changes 2-3 3draining1")
 	d.watch(2, 1)
@@ -126,18 +126,18 @@
 // a file that was cut short is held back across a restart, too.
 func TestRestartBetweenFiles(t *testing.T) {
 	d := drive(t, nil, 100)
-	d.s.Offer(servers(4, 1))
+	d.s.Submit(servers(4, 1))
 	d.step(0.1)
 	again := drive(t, d.kept, 200)
 	again.watch(1, 1)
 	again.want(1)
-	again.s.Offer(servers(3, 1))
+	again.s.Submit(servers(3, 1))
 	again.step(0.1)
 	again.want(1, "changes 1-2 4draining1")
 	third := drive(t, again.kept, 205)
 	third.watch(1, 0)
 	third.want(1, "full 0-2 1open1 2open1 3open1 4draining1")
-	third.s.Offer(servers(1, 1)) // two of three lost
+	third.s.Submit(servers(1, 1)) // two of three lost
 	third.step(0.1)
 	third.want(1)
 	if len(third.errs) != 1 {
@@ -146,7 +146,7 @@
 	third.step(5.1)
 	third.want(1, "changes 2-3 4gone1")
 	fourth := drive(t, third.kept, 300)
-	fourth.s.Offer(servers(1, 1))
+	fourth.s.Submit(servers(1, 1))
 	fourth.step(0.1)
 	fourth.watch(1, 0)
 	if fourth.want(1, "full 0-4 1open1 2draining1 3draining1"); len(fourth.errs) > 0 {
