--- a/cmd/gingerfork/emulate.go
+++ b/cmd/gingerfork/emulate.go
@@ -57,16 +57,16 @@
 	}
 	line := newLive(p.out)
 	var mu sync.Mutex
-	var late report.Behind
+	var late report.ScheduleLag
 	e.OnTally = func(t emulator.FleetStats) {
 		mu.Lock()
 		defer mu.Unlock()
-		late.Look(t.MaxDelay)
+		late.Observe(t.MaxDelay)
 		if c.JSON {
 			_ = json.NewEncoder(p.out).Encode(t)
 			return
 		}
-		line.show(t.String(), late.Looks%5 == 1)
+		line.show(t.String(), late.Samples%5 == 1)
 	}
 	e.OnStep = func(text string) {
 		mu.Lock()
@@ -85,9 +85,9 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if !c.JSON {
-		fmt.Fprintf(p.out, "at most %.1f ms late, more than %.0f ms in %d of %d seconds\n", 1e3*late.Worst, 1e3*report.LateMost, late.Late, late.Looks)
+		fmt.Fprintf(p.out, "at most %.1f ms late, more than %.0f ms in %d of %d seconds\n", 1e3*late.Max, 1e3*report.MaxLag, late.Late, late.Samples)
 	}
-	if late.Void() {
+	if late.Invalid() {
 		return badError{fmt.Errorf("VOID: the emulation fell behind: its queues were longer than the servers' own")}
 	}
 	return nil
@@ -213,7 +213,7 @@
 	line := newLive(p.out)
 	if !c.JSON {
 		b.OnSecond = func(second int, s report.Second) {
-			line.show(fmt.Sprintf("%4d s: %d in time, %d late, %d pushed back, %d aborted; service %.3f", second+1, s.InTime, s.Late, s.PushedBack, s.Aborted, s.Service()), second%5 == 0)
+			line.show(fmt.Sprintf("%4d s: %d in time, %d late, %d pushed back, %d aborted; service %.3f", second+1, s.InTime, s.Late, s.Rejected, s.Aborted, s.Service()), second%5 == 0)
 		}
 	}
 	r, err := load.Run(ctx, b)
@@ -230,9 +230,9 @@
 		err = json.NewEncoder(p.out).Encode(r)
 	} else {
 		fmt.Fprintf(p.out, "service %.3f\n", r.Service)
-		r.Text(p.out)
+		r.WriteText(p.out)
 	}
-	if err == nil && r.Behind.Void() {
+	if err == nil && r.ScheduleLag.Invalid() {
 		return badError{fmt.Errorf("VOID: the load fell behind itself")}
 	}
 	return err
--- a/cmd/gingerfork/rehearse.go
+++ b/cmd/gingerfork/rehearse.go
@@ -58,17 +58,17 @@
 				return err
 			}
 		}
-		figures, err := report.Make(r.Records, d.Limits().Methods)
+		figures, err := report.Build(r.Records, d.Limits().Methods)
 		if err != nil {
 			return fmt.Errorf("reckon the report: %w", err)
 		}
 		if r.Truth != nil {
-			figures.Fleet = &report.Fleet{Step: scenario.SampleInterval, Able: r.Truth.Capacity, Busy: r.Truth.Utilization, Waits: r.Truth.Queued}
+			figures.Fleet = &report.Fleet{SampleInterval: scenario.SampleInterval, Capacity: r.Truth.Capacity, Utilization: r.Truth.Utilization, Queued: r.Truth.Queued}
 			b, err := d.Bound(r.Truth, r.Records)
 			if err != nil {
 				return fmt.Errorf("reckon the bound: %w", err)
 			}
-			figures.Fleet.Most = b.Share()
+			figures.Fleet.AchievableService = b.Share()
 		}
 		if c.Picture != "" {
 			if err := draw(c.Picture, d.Name, figures); err != nil {
@@ -79,7 +79,7 @@
 			err = printJSON(p.out, r, figures)
 		} else {
 			printResult(p.out, r, c.Virtual)
-			figures.Text(p.out)
+			figures.WriteText(p.out)
 		}
 		if err != nil {
 			return err
@@ -232,7 +232,7 @@
 	if err != nil {
 		return fmt.Errorf("draw the day: %w", err)
 	}
-	err = figures.Draw(f, title)
+	err = figures.WritePNG(f, title)
 	if e := f.Close(); err == nil {
 		err = e
 	}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -40,7 +40,7 @@
 
 var measures = map[string]measure{
 	"service":  {1, "", func(r scenario.Result, _ *report.Report) float64 { return r.Report.Service.Share() }},
-	"worst10":  {1, "", func(_ scenario.Result, f *report.Report) float64 { return f.Worst10 }},
+	"worst10":  {1, "", func(_ scenario.Result, f *report.Report) float64 { return f.WorstTenSeconds }},
 	"messages": {-1, "", func(r scenario.Result, _ *report.Report) float64 { return float64(r.Report.Pushes) }},
 	"lines":    {-1, "", func(r scenario.Result, _ *report.Report) float64 { return float64(r.Report.Entries) }},
 	"tries":    {-1, "", func(r scenario.Result, _ *report.Report) float64 { return float64(r.Report.Attempts) }},
@@ -92,7 +92,7 @@
 	if len(got.Failures) > 0 {
 		return Run{}, fmt.Errorf("the program failed: %s", got.Failures[0])
 	}
-	f, err := report.Make(got.Records, d.Limits().Methods)
+	f, err := report.Build(got.Records, d.Limits().Methods)
 	if err != nil {
 		return Run{}, fmt.Errorf("reckon the report: %w", err)
 	}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -24,7 +24,7 @@
 	if err := config.Validate(); err != nil {
 		return nil, err
 	}
-	results := &collector{maker: report.NewMaker(config.Methods)}
+	results := &collector{maker: report.NewBuilder(config.Methods)}
 	// The loops don't end with ctx: else an interrupted run looked like one whose loops failed.
 	loopCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -105,7 +105,7 @@
 // collector makes the report of the trace records of all event loops.
 type collector struct {
 	mutex sync.Mutex
-	maker *report.Maker
+	maker *report.Builder
 	err   error // the first
 }
 
@@ -132,5 +132,5 @@
 func (c *collector) done() (*report.Report, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.maker.Done(), c.err
+	return c.maker.Finish(), c.err
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -65,14 +65,14 @@
 	}
 	ended, late := 0, 0
 	for _, second := range got.Seconds {
-		ended += second.InTime + second.Late + second.PushedBack + second.Aborted
+		ended += second.InTime + second.Late + second.Rejected + second.Aborted
 		late += second.Late
 	}
 	if math.Abs(float64(ended)-500) > 6*math.Sqrt(500) {
 		t.Errorf("%d RPCs ended, want about 500", ended)
 	}
-	if late == 0 || got.Latencies[0].Worst < 0.5 || got.Service > 0.99 {
-		t.Errorf("with a hang of 700 ms: %d late, the worst after %.3f s, service %.3f", late, got.Latencies[0].Worst, got.Service)
+	if late == 0 || got.Latencies[0].Max < 0.5 || got.Service > 0.99 {
+		t.Errorf("with a hang of 700 ms: %d late, the worst after %.3f s, service %.3f", late, got.Latencies[0].Max, got.Service)
 	}
 }
 
@@ -101,7 +101,7 @@
 	config := testConfig([]string{"127.0.0.1:1"})
 	config.Duration = 600 * time.Millisecond
 	got, err := Run(context.Background(), config)
-	if err != nil || got.Service > 0 || len(got.Seconds) == 0 || got.Seconds[0].PushedBack == 0 {
+	if err != nil || got.Service > 0 || len(got.Seconds) == 0 || got.Seconds[0].Rejected == 0 {
 		t.Errorf("%v, %+v", err, got)
 	}
 }
@@ -109,15 +109,15 @@
 // A run that could not keep up with its own schedule is void.
 func TestVoid(t *testing.T) {
 	for _, test := range []struct {
-		behind report.Behind
+		behind report.ScheduleLag
 		void   bool
 	}{
-		{report.Behind{Looks: 1000, Late: 9, Worst: 0.2}, false},
-		{report.Behind{Looks: 1000, Late: 20, Worst: 0.05}, true},
-		{report.Behind{Worst: 0.3}, true},
-		{report.Behind{}, false},
+		{report.ScheduleLag{Samples: 1000, Late: 9, Max: 0.2}, false},
+		{report.ScheduleLag{Samples: 1000, Late: 20, Max: 0.05}, true},
+		{report.ScheduleLag{Max: 0.3}, true},
+		{report.ScheduleLag{}, false},
 	} {
-		if got := test.behind.Void(); got != test.void {
+		if got := test.behind.Invalid(); got != test.void {
 			t.Errorf("%+v: void %v", test.behind, got)
 		}
 	}
--- a/internal/measure/emulator.go
+++ b/internal/measure/emulator.go
@@ -46,13 +46,13 @@
 		}
 	}()
 	var addrs []string
-	behind := make([]report.Behind, loops)
+	behind := make([]report.ScheduleLag, loops)
 	for k := range loops {
 		fleet := emulator.NewFleet(func(t emulator.FleetStats) {
 			if t.Elapsed < 1.5 { // connections are opened in the first second
 				return
 			}
-			behind[k].Look(t.MaxDelay)
+			behind[k].Observe(t.MaxDelay)
 		})
 		var listen []string
 		for i := k; i < servers; i += loops {
@@ -87,13 +87,13 @@
 		_ = l.Wait()
 	}
 	all = nil
-	var served report.Behind
+	var served report.ScheduleLag
 	for _, b := range behind {
-		served.Add(b)
+		served.Merge(b)
 	}
-	c.Late = served.Worst
-	c.AskedLate = r.Behind.Worst
-	c.Void = r.Behind.Void() || served.Void()
+	c.Late = served.Max
+	c.AskedLate = r.ScheduleLag.Max
+	c.Void = r.ScheduleLag.Invalid() || served.Invalid()
 	answered := 0
 	for _, s := range r.Seconds {
 		answered += s.InTime + s.Late
--- a/internal/report/fleet.go
+++ b/internal/report/fleet.go
@@ -33,20 +33,20 @@
 // grid shows servers' use as a map: a column a look, a row a server.
 type grid struct{ f *Fleet }
 
-func (g grid) Dims() (c, r int) { return len(g.f.Busy), len(g.f.Busy[0]) }
-func (g grid) X(c int) float64  { return (float64(c) + 0.5) * g.f.Step }
+func (g grid) Dims() (c, r int) { return len(g.f.Utilization), len(g.f.Utilization[0]) }
+func (g grid) X(c int) float64  { return (float64(c) + 0.5) * g.f.SampleInterval }
 func (g grid) Y(r int) float64  { return float64(r) + 0.5 }
 
 // Z is 0 for a server that can do nothing, else from 1 (idle) to 2 (all cores busy, ten waiting for each second of work).
 func (g grid) Z(c, r int) float64 {
-	if g.f.Able[c][r] <= 0 {
+	if g.f.Capacity[c][r] <= 0 {
 		return 0
 	}
 	waits := 0.0
-	if w := float64(g.f.Waits[c][r]); w > 0 {
-		waits = min(1, w/max(1, float64(g.f.Able[c][r])))
+	if w := float64(g.f.Queued[c][r]); w > 0 {
+		waits = min(1, w/max(1, float64(g.f.Capacity[c][r])))
 	}
-	return 1 + 0.5*float64(g.f.Busy[c][r]) + 0.5*waits
+	return 1 + 0.5*float64(g.f.Utilization[c][r]) + 0.5*waits
 }
 
 // heat colours the map: grey where nothing can be done, then from white over green and amber to red.
@@ -69,16 +69,16 @@
 
 // panels draw what the servers could do beside what they did, and each server's use.
 func (f *Fleet) panels(panel func(name, unit string, most float64) *plot.Plot) (able, use *plot.Plot, err error) {
-	f.servers = max(f.servers, len(f.Busy[0]))
+	f.servers = max(f.servers, len(f.Utilization[0]))
 	f.even()
-	could, did := make(plotter.XYs, len(f.Able)), make(plotter.XYs, len(f.Able))
+	could, did := make(plotter.XYs, len(f.Capacity)), make(plotter.XYs, len(f.Capacity))
 	top := 1.0
-	for i := range f.Able {
-		for s, a := range f.Able[i] {
+	for i := range f.Capacity {
+		for s, a := range f.Capacity[i] {
 			could[i].Y += float64(a)
-			did[i].Y += float64(a) * float64(f.Busy[i][s])
+			did[i].Y += float64(a) * float64(f.Utilization[i][s])
 		}
-		could[i].X, did[i].X = (float64(i)+0.5)*f.Step, (float64(i)+0.5)*f.Step
+		could[i].X, did[i].X = (float64(i)+0.5)*f.SampleInterval, (float64(i)+0.5)*f.SampleInterval
 		top = max(top, could[i].Y)
 	}
 	able = panel("what the servers could do, and what was used of it", "RPCs a second", 1.25*top)
@@ -107,10 +107,10 @@
 }
 
 // glance takes what a server told of itself in a second.
-func (k *Maker) glance(second int, x trace.Record) {
+func (k *Builder) glance(second int, x trace.Record) {
 	f := k.Report.Fleet
 	if f == nil {
-		f = &Fleet{Step: 1}
+		f = &Fleet{SampleInterval: 1}
 		k.Report.Fleet = f
 	}
 	at := int(x.Backend) - 1
@@ -132,14 +132,14 @@
 		(*row)[at] = float32(v)
 	}
 	f.servers = max(f.servers, at+1)
-	set(&f.Able, x.Value)
-	set(&f.Busy, busy)
-	set(&f.Waits, float64(x.Count))
+	set(&f.Capacity, x.Value)
+	set(&f.Utilization, busy)
+	set(&f.Queued, float64(x.Count))
 }
 
 // even makes all rows as long as the longest: servers tell of themselves one after another.
 func (f *Fleet) even() {
-	for _, rows := range [][][]float32{f.Able, f.Busy, f.Waits} {
+	for _, rows := range [][][]float32{f.Capacity, f.Utilization, f.Queued} {
 		for i := range rows {
 			for len(rows[i]) < f.servers {
 				rows[i] = append(rows[i], 0)
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -21,59 +21,65 @@
 
 // Second is what ended, and what was pushed, within one second of the day.
 type Second struct {
-	InTime, Late, PushedBack, Aborted int
-	Asked, Weighed                    float64 // criticality that ended, and that in time
-	Messages, Lines                   int
+	InTime        int
+	Late          int
+	Rejected      int `json:"PushedBack"`
+	Aborted       int
+	OfferedWeight float64 `json:"Asked"`   // criticality that ended
+	InTimeWeight  float64 `json:"Weighed"` // and that in time
+	Pushes        int     `json:"Messages"`
+	Entries       int     `json:"Lines"`
 }
 
 // Service is the criticality answered within the soft deadline over the criticality that ended; 1 where nothing did.
 func (s Second) Service() float64 {
-	if s.Asked == 0 {
+	if s.OfferedWeight == 0 {
 		return 1
 	}
-	return s.Weighed / s.Asked
+	return s.InTimeWeight / s.OfferedWeight
 }
 
-// Trouble is a line of the script: when it began and ended, in seconds of the day.
-type Trouble struct {
+// Fault is a line of the script: when it began and ended, in seconds of the day.
+type Fault struct {
 	From, To float64
 	Text     string
 }
 
 // Latency is how long a method's ok answers took, from when the RPC was due.
 type Latency struct {
-	Method               string
-	N                    int64
-	P50, P90, P99, Worst float64 // seconds
+	Method        string
+	Count         int64   `json:"N"`
+	P50, P90, P99 float64 // seconds
+	Max           float64 `json:"Worst"`
 }
 
 // Fleet is what the servers were able to do, and did, where somebody looked at them every Step seconds.
 type Fleet struct {
-	Step  float64
-	Able  [][]float32 // by look and server: RPCs a second that it could do
-	Busy  [][]float32 // the share of its cores that was busy
-	Waits [][]float32 // RPCs that waited there
-	Most  float64     // the most service that the day allowed; 0: not known
+	SampleInterval    float64     `json:"Step"`
+	Capacity          [][]float32 `json:"Able"`  // by look and server: RPCs a second that it could do
+	Utilization       [][]float32 `json:"Busy"`  // the share of its cores that was busy
+	Queued            [][]float32 `json:"Waits"` // RPCs that waited there
+	AchievableService float64     `json:"Most"`  // the most service that the day allowed; 0: not known
 
 	servers int
 }
 
 // Report is a day's figures.
 type Report struct {
-	Seconds   []Second
-	Troubles  []Trouble
-	Latencies []Latency
-	Worst10   float64 // the poorest ten seconds' service
-	WorstAt   int     // where they begin
-	Poorest   string  // the method with the least service,
-	PoorestBy float64 // and that
-	Fleet     *Fleet  // nil: nobody looked
-	Service   float64
-	Behind    Behind
+	Seconds              []Second
+	Faults               []Fault `json:"Troubles"`
+	Latencies            []Latency
+	WorstTenSeconds      float64 `json:"Worst10"`   // the poorest ten seconds' service
+	WorstTenSecondsStart int     `json:"WorstAt"`   // where they begin
+	WorstMethod          string  `json:"Poorest"`   // the method with the least service,
+	WorstMethodService   float64 `json:"PoorestBy"` // and that
+	Fleet                *Fleet  // nil: nobody looked
+	Service              float64
+	ScheduleLag          ScheduleLag `json:"Behind"`
 }
 
 // Maker reckons a report while records come, and keeps none of them.
-type Maker struct {
+type Builder struct {
 	Report  *Report
 	methods []invariant.Method
 	begun   bool
@@ -85,8 +91,8 @@
 }
 
 // NewMaker makes one.
-func NewMaker(methods []invariant.Method) *Maker {
-	k := &Maker{Report: &Report{}, methods: methods, asked: make([]float64, len(methods)), weighed: make([]float64, len(methods))}
+func NewBuilder(methods []invariant.Method) *Builder {
+	k := &Builder{Report: &Report{}, methods: methods, asked: make([]float64, len(methods)), weighed: make([]float64, len(methods))}
 	for range methods {
 		k.took = append(k.took, hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3))
 	}
@@ -94,7 +100,7 @@
 }
 
 // Add takes a record; they come about in the order of time.
-func (k *Maker) Add(x trace.Record) error {
+func (k *Builder) Add(x trace.Record) error {
 	r := k.Report
 	if !k.begun {
 		k.begun, k.begin = true, x.Time
@@ -107,20 +113,20 @@
 	s := &r.Seconds[i]
 	switch x.Kind {
 	case trace.PushSent:
-		s.Messages++
-		s.Lines += int(x.Value)
+		s.Pushes++
+		s.Entries += int(x.Value)
 	case trace.FaultInjected:
-		r.Troubles = append(r.Troubles, Trouble{From: x.Time - k.begin, To: x.Time - k.begin + x.Value, Text: x.Text})
+		r.Faults = append(r.Faults, Fault{From: x.Time - k.begin, To: x.Time - k.begin + x.Value, Text: x.Text})
 	case trace.BackendSampled:
 		k.glance(i, x)
 	case trace.ScheduleDelay:
-		r.Behind.Look(x.Value)
+		r.ScheduleLag.Observe(x.Value)
 	case trace.RPCFinished:
 		if x.Method >= len(k.methods) {
 			return fmt.Errorf("a record of method %d, of %d", x.Method, len(k.methods))
 		}
 		m := k.methods[x.Method]
-		s.Asked += m.Criticality
+		s.OfferedWeight += m.Criticality
 		k.asked[x.Method] += m.Criticality
 		switch x.Text {
 		case "ok":
@@ -129,13 +135,13 @@
 			}
 			if x.Value <= m.SoftDeadline {
 				s.InTime++
-				s.Weighed += m.Criticality
+				s.InTimeWeight += m.Criticality
 				k.weighed[x.Method] += m.Criticality
 			} else {
 				s.Late++
 			}
 		case "pushed back":
-			s.PushedBack++
+			s.Rejected++
 		default:
 			s.Aborted++
 		}
@@ -144,19 +150,19 @@
 }
 
 // Done reckons what is of the whole, and gives the report.
-func (k *Maker) Done() *Report {
+func (k *Builder) Finish() *Report {
 	r := k.Report
-	for i := range r.Troubles {
-		r.Troubles[i].To = min(r.Troubles[i].To, k.end)
+	for i := range r.Faults {
+		r.Faults[i].To = min(r.Faults[i].To, k.end)
 	}
-	r.Latencies, r.Poorest, r.PoorestBy = nil, "", math.Inf(1)
+	r.Latencies, r.WorstMethod, r.WorstMethodService = nil, "", math.Inf(1)
 	asked, weighed := 0.0, 0.0
 	for i, m := range k.methods {
 		h := k.took[i]
 		q := func(p float64) float64 { return float64(h.ValueAtQuantile(p)) / 1e6 }
 		r.Latencies = append(r.Latencies, Latency{m.Name, h.TotalCount(), q(50), q(90), q(99), float64(h.Max()) / 1e6})
-		if k.asked[i] > 0 && k.weighed[i]/k.asked[i] < r.PoorestBy {
-			r.Poorest, r.PoorestBy = m.Name, k.weighed[i]/k.asked[i]
+		if k.asked[i] > 0 && k.weighed[i]/k.asked[i] < r.WorstMethodService {
+			r.WorstMethod, r.WorstMethodService = m.Name, k.weighed[i]/k.asked[i]
 		}
 		asked, weighed = asked+k.asked[i], weighed+k.weighed[i]
 	}
@@ -164,75 +170,75 @@
 	if asked > 0 {
 		r.Service = weighed / asked
 	}
-	r.Worst10 = 1
+	r.WorstTenSeconds = 1
 	for i := 0; i+10 <= len(r.Seconds); i++ {
 		var sum Second
 		for _, s := range r.Seconds[i : i+10] {
-			sum.Asked, sum.Weighed = sum.Asked+s.Asked, sum.Weighed+s.Weighed
+			sum.OfferedWeight, sum.InTimeWeight = sum.OfferedWeight+s.OfferedWeight, sum.InTimeWeight+s.InTimeWeight
 		}
-		if sum.Service() < r.Worst10 {
-			r.Worst10, r.WorstAt = sum.Service(), i
+		if sum.Service() < r.WorstTenSeconds {
+			r.WorstTenSeconds, r.WorstTenSecondsStart = sum.Service(), i
 		}
 	}
 	return r
 }
 
 // Make reckons the figures of a trace whose records are in the order of time.
-func Make(records []trace.Record, methods []invariant.Method) (*Report, error) {
-	k := NewMaker(methods)
+func Build(records []trace.Record, methods []invariant.Method) (*Report, error) {
+	k := NewBuilder(methods)
 	for _, x := range records {
 		if err := k.Add(x); err != nil {
 			return nil, err
 		}
 	}
-	return k.Done(), nil
+	return k.Finish(), nil
 }
 
 // LateMost is how late, in seconds, an emulated server or a source of load may do what was due before its figures are
 // in doubt: a fortieth of a soft deadline of 800 ms, less than what chance makes of a mean wait.
-const LateMost = 0.02
+const MaxLag = 0.02
 
 // Behind tells how far those that emulate fell behind real time.
-type Behind struct {
-	Looks int     // about one a second and party
-	Late  int     // of them, those that found something done more than LateMost late
-	Worst float64 // seconds
+type ScheduleLag struct {
+	Samples int     `json:"Looks"` // about one a second and party
+	Late    int     // of them, those that found something done more than LateMost late
+	Max     float64 `json:"Worst"` // seconds
 }
 
 // Look counts a look that found things done so many seconds late at most.
-func (b *Behind) Look(late float64) {
-	if b.Looks++; late > LateMost {
+func (b *ScheduleLag) Observe(late float64) {
+	if b.Samples++; late > MaxLag {
 		b.Late++
 	}
-	b.Worst = max(b.Worst, late)
+	b.Max = max(b.Max, late)
 }
 
 // Add counts another's looks.
-func (b *Behind) Add(o Behind) {
-	b.Looks, b.Late, b.Worst = b.Looks+o.Looks, b.Late+o.Late, max(b.Worst, o.Worst)
+func (b *ScheduleLag) Merge(o ScheduleLag) {
+	b.Samples, b.Late, b.Max = b.Samples+o.Samples, b.Late+o.Late, max(b.Max, o.Max)
 }
 
 // Share is the part of the looks that found something late.
-func (b Behind) Share() float64 { return float64(b.Late) / max(1, float64(b.Looks)) }
+func (b ScheduleLag) LateShare() float64 { return float64(b.Late) / max(1, float64(b.Samples)) }
 
 // Void tells whether the emulation fell so far behind that the figures are its own, not the fleet's: more than one look in
 // a hundred found it late, or it once stood still for a quarter of a second.
-func (b Behind) Void() bool { return b.Share() > 0.01 || b.Worst > 0.25 }
+func (b ScheduleLag) Invalid() bool { return b.LateShare() > 0.01 || b.Max > 0.25 }
 
 // Text writes the figures that a terminal shows.
-func (r *Report) Text(out io.Writer) {
-	if r.Fleet != nil && r.Fleet.Most > 0 {
-		fmt.Fprintf(out, "service %.3f of %.3f that the servers' true state allowed\n", r.Service, r.Fleet.Most)
+func (r *Report) WriteText(out io.Writer) {
+	if r.Fleet != nil && r.Fleet.AchievableService > 0 {
+		fmt.Fprintf(out, "service %.3f of %.3f that the servers' true state allowed\n", r.Service, r.Fleet.AchievableService)
 	}
-	fmt.Fprintf(out, "poorest ten seconds from %d s: service %.3f; poorest method %s: %.3f\n", r.WorstAt, r.Worst10, r.Poorest, r.PoorestBy)
-	if r.Behind.Worst > 0 {
-		fmt.Fprintf(out, "emulation at most %.1f ms late, more than %.0f ms in %.2f%% of looks\n", 1e3*r.Behind.Worst, 1e3*LateMost, 100*r.Behind.Share())
+	fmt.Fprintf(out, "poorest ten seconds from %d s: service %.3f; poorest method %s: %.3f\n", r.WorstTenSecondsStart, r.WorstTenSeconds, r.WorstMethod, r.WorstMethodService)
+	if r.ScheduleLag.Max > 0 {
+		fmt.Fprintf(out, "emulation at most %.1f ms late, more than %.0f ms in %.2f%% of looks\n", 1e3*r.ScheduleLag.Max, 1e3*MaxLag, 100*r.ScheduleLag.LateShare())
 	}
-	if r.Behind.Void() {
+	if r.ScheduleLag.Invalid() {
 		fmt.Fprintln(out, "VOID: the emulation fell behind; ask for less, or give it more cores")
 	}
 	for _, l := range r.Latencies {
-		fmt.Fprintf(out, "%s: %d ok, median %.0f ms, 90th %.0f, 99th %.0f, worst %.0f\n", l.Method, l.N, 1e3*l.P50, 1e3*l.P90, 1e3*l.P99, 1e3*l.Worst)
+		fmt.Fprintf(out, "%s: %d ok, median %.0f ms, 90th %.0f, 99th %.0f, worst %.0f\n", l.Method, l.Count, 1e3*l.P50, 1e3*l.P90, 1e3*l.P99, 1e3*l.Max)
 	}
 }
 
@@ -246,7 +252,7 @@
 
 // Draw writes a PNG: RPCs by second and how they ended, service by second, lines and messages; troubles are shaded, and
 // named in the lowest panel.
-func (r *Report) Draw(out io.Writer, title string) error {
+func (r *Report) WritePNG(out io.Writer, title string) error {
 	length := float64(len(r.Seconds))
 	panel := func(name, unit string, most float64) *plot.Plot {
 		p := plot.New()
@@ -255,7 +261,7 @@
 		p.Legend.Top, p.Legend.Padding, p.Legend.XOffs = true, vg.Points(2), vg.Points(-6)
 		p.X.Tick.Marker = seconds{}
 		p.Add(plotter.NewGrid())
-		for _, t := range r.Troubles {
+		for _, t := range r.Faults {
 			to := max(t.To, t.From+length/300)
 			box, err := plotter.NewPolygon(plotter.XYs{{X: t.From, Y: 0}, {X: to, Y: 0}, {X: to, Y: most}, {X: t.From, Y: most}})
 			if err == nil {
@@ -286,20 +292,20 @@
 		}
 		return 1.25 * top
 	}
-	rpcs := panel(title+": RPCs by second, as they ended", "RPCs", most(func(s Second) float64 { return float64(s.InTime + s.Late + s.PushedBack + s.Aborted) }))
+	rpcs := panel(title+": RPCs by second, as they ended", "RPCs", most(func(s Second) float64 { return float64(s.InTime + s.Late + s.Rejected + s.Aborted) }))
 	service := panel("service by second", "share", 1.25)
-	orders := panel("orders by second", "lines, messages", most(func(s Second) float64 { return float64(max(s.Lines, s.Messages)) }))
-	what := panel("troubles", "", float64(len(r.Troubles))+0.5)
+	orders := panel("orders by second", "lines, messages", most(func(s Second) float64 { return float64(max(s.Entries, s.Pushes)) }))
+	what := panel("troubles", "", float64(len(r.Faults))+0.5)
 	what.Y.Tick.Marker = plot.ConstantTicks(nil)
 	what.X.Label.Text = "seconds of the day"
 	for _, err := range []error{
 		line(rpcs, "ok in time", green, func(s Second) float64 { return float64(s.InTime) }),
 		line(rpcs, "ok, late", amber, func(s Second) float64 { return float64(s.Late) }),
-		line(rpcs, "pushed back", blue, func(s Second) float64 { return float64(s.PushedBack) }),
+		line(rpcs, "pushed back", blue, func(s Second) float64 { return float64(s.Rejected) }),
 		line(rpcs, "aborted", red, func(s Second) float64 { return float64(s.Aborted) }),
 		line(service, "service", green, Second.Service),
-		line(orders, "lines", blue, func(s Second) float64 { return float64(s.Lines) }),
-		line(orders, "messages", amber, func(s Second) float64 { return float64(s.Messages) }),
+		line(orders, "lines", blue, func(s Second) float64 { return float64(s.Entries) }),
+		line(orders, "messages", amber, func(s Second) float64 { return float64(s.Pushes) }),
 	} {
 		if err != nil {
 			return err
@@ -307,10 +313,10 @@
 	}
 	var xy plotter.XYs
 	var names []string
-	for i, t := range r.Troubles {
+	for i, t := range r.Faults {
 		// A name that would run over the right edge begins further left.
 		x := min(t.From, length*(1-0.0085*float64(len(t.Text))))
-		xy, names = append(xy, plotter.XY{X: max(0, x), Y: float64(len(r.Troubles)-i) - 0.6}), append(names, t.Text)
+		xy, names = append(xy, plotter.XY{X: max(0, x), Y: float64(len(r.Faults)-i) - 0.6}), append(names, t.Text)
 	}
 	if len(xy) > 0 {
 		labels, err := plotter.NewLabels(plotter.XYLabels{XYs: xy, Labels: names})
@@ -320,7 +326,7 @@
 		what.Add(labels)
 	}
 	all := [][]*plot.Plot{{rpcs}, {service}, {orders}, {what}}
-	if r.Fleet != nil && len(r.Fleet.Busy) > 0 {
+	if r.Fleet != nil && len(r.Fleet.Utilization) > 0 {
 		able, use, err := r.Fleet.panels(panel)
 		if err != nil {
 			return err
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -29,35 +29,35 @@
 }
 
 func TestFigures(t *testing.T) {
-	r, err := Make(day(), methods)
+	r, err := Build(day(), methods)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(r.Seconds) != 20 || r.Seconds[2].InTime != 20 || r.Seconds[6].Late != 10 || math.Abs(r.Seconds[6].Service()-1.0/3) > 1e-9 || r.Seconds[5].Lines != 7 {
+	if len(r.Seconds) != 20 || r.Seconds[2].InTime != 20 || r.Seconds[6].Late != 10 || math.Abs(r.Seconds[6].Service()-1.0/3) > 1e-9 || r.Seconds[5].Entries != 7 {
 		t.Errorf("%+v", r.Seconds)
 	}
-	if len(r.Troubles) != 1 || r.Troubles[0].From != 5 || r.Troubles[0].To != 10 {
-		t.Errorf("%+v", r.Troubles)
+	if len(r.Faults) != 1 || r.Faults[0].From != 5 || r.Faults[0].To != 10 {
+		t.Errorf("%+v", r.Faults)
 	}
-	if r.Poorest != "submit" || math.Abs(r.PoorestBy-0.75) > 1e-9 || math.Abs(r.Worst10-2.0/3) > 1e-9 || r.WorstAt != 0 {
+	if r.WorstMethod != "submit" || math.Abs(r.WorstMethodService-0.75) > 1e-9 || math.Abs(r.WorstTenSeconds-2.0/3) > 1e-9 || r.WorstTenSecondsStart != 0 {
 		t.Errorf("%+v", r)
 	}
-	if l := r.Latencies[1]; l.N != 200 || math.Abs(l.P50-0.1) > 0.001 || math.Abs(l.P90-0.7) > 0.002 {
+	if l := r.Latencies[1]; l.Count != 200 || math.Abs(l.P50-0.1) > 0.001 || math.Abs(l.P90-0.7) > 0.002 {
 		t.Errorf("%+v", l)
 	}
 	var b strings.Builder
-	if r.Text(&b); !strings.Contains(b.String(), "poorest method submit: 0.750") {
+	if r.WriteText(&b); !strings.Contains(b.String(), "poorest method submit: 0.750") {
 		t.Error(b.String())
 	}
-	if _, err := Make([]trace.Record{{Kind: trace.RPCFinished, Method: 2}}, methods); err == nil {
+	if _, err := Build([]trace.Record{{Kind: trace.RPCFinished, Method: 2}}, methods); err == nil {
 		t.Error("an unknown method was taken")
 	}
 }
 
 func TestPicture(t *testing.T) {
-	r, _ := Make(day(), methods)
+	r, _ := Build(day(), methods)
 	var b bytes.Buffer
-	if err := r.Draw(&b, "a day"); err != nil {
+	if err := r.WritePNG(&b, "a day"); err != nil {
 		t.Fatal(err)
 	}
 	img, err := png.Decode(&b)
