--- a/cmd/gingerfork/experiment.go
+++ b/cmd/gingerfork/experiment.go
@@ -74,26 +74,26 @@
 		if plain {
 			shown = time.Now()
 		}
-		bar := strings.Repeat("#", 30*x.Done/x.All)
-		line.show(fmt.Sprintf("[%-30s] %d of %d runs, %d from before, about %v left", bar, x.Done, x.All, x.Kept, x.Left.Round(time.Second)), plain)
+		bar := strings.Repeat("#", 30*x.Done/x.Total)
+		line.show(fmt.Sprintf("[%-30s] %d of %d runs, %d from before, about %v left", bar, x.Done, x.Total, x.Resumed, x.Remaining.Round(time.Second)), plain)
 	})
 	line.end()
 	if err != nil {
 		return badError{err}
 	}
-	if err := plan.Write(dir, runs); err != nil {
+	if err := plan.WriteReport(dir, runs); err != nil {
 		return err
 	}
 	for _, r := range plan.Rows(runs) {
-		text := fmt.Sprintf("%-40s %-12s %.4g (%.4g to %.4g)", plan.Title(r.Arm), r.Measure, r.Is.Mean, r.Is.Low, r.Is.Top)
+		text := fmt.Sprintf("%-40s %-12s %.4g (%.4g to %.4g)", plan.ArmTitle(r.Arm), r.Measure, r.Mean.Mean, r.Mean.Low, r.Mean.High)
 		if r.Verdict != "" {
-			text += fmt.Sprintf("  %+.4g: %s", r.Diff.Mean, r.Verdict)
-			if r.Need > 0 {
-				text += fmt.Sprintf(" (about %d seeds would)", r.Need)
+			text += fmt.Sprintf("  %+.4g: %s", r.Difference.Mean, r.Verdict)
+			if r.SeedsNeeded > 0 {
+				text += fmt.Sprintf(" (about %d seeds would)", r.SeedsNeeded)
 			}
 		}
-		if r.Broken > 0 {
-			text += fmt.Sprintf("  a rule broke in %d runs", r.Broken)
+		if r.RunsWithViolations > 0 {
+			text += fmt.Sprintf("  a rule broke in %d runs", r.RunsWithViolations)
 		}
 		fmt.Fprintln(p.out, text)
 	}
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -71,7 +71,7 @@
 		if err != nil || len(runs) != 12 {
 			t.Fatal(len(runs), err)
 		}
-		if err := p.Write(dir, runs); err != nil {
+		if err := p.WriteReport(dir, runs); err != nil {
 			t.Fatal(err)
 		}
 		var all string
@@ -87,7 +87,7 @@
 	if texts[0] != texts[1] {
 		t.Error("one core and four differ")
 	}
-	d, err := p.Make(Arm{"2", "lottery"}, 9)
+	d, err := p.Scenario(Arm{"2", "lottery"}, 9)
 	if err != nil || d.Coordinators != 2 || d.Seed != 9 || d.Settings.Values["pick"] != "lottery" || d.Duration != 12 {
 		t.Errorf("%+v %v", d, err)
 	}
@@ -123,7 +123,7 @@
 	first := -1
 	runs, err := p.Execute(context.Background(), dir, "c", 2, func(x Progress) {
 		if first < 0 {
-			first = x.Kept
+			first = x.Resumed
 		}
 	})
 	if err != nil || first != kept-1 {
@@ -207,7 +207,7 @@
 			for i := range all {
 				all[i] = c.draw()
 			}
-			if e := Bootstrap(all); e.Low <= c.mean && c.mean <= e.Top {
+			if e := Bootstrap(all); e.Low <= c.mean && c.mean <= e.High {
 				in++
 			}
 		}
@@ -228,7 +228,7 @@
 			moved[i] = x*by + to
 		}
 		a, b := Bootstrap(all), Bootstrap(moved)
-		if a.Low > a.Mean+1e-9 && !math.IsInf(a.Low, 0) && a.Top < a.Mean {
+		if a.Low > a.Mean+1e-9 && !math.IsInf(a.Low, 0) && a.High < a.Mean {
 			t.Fatalf("%+v", a)
 		}
 		if a.Deviation > 1e-6 && math.Abs(b.Mean-(a.Mean*by+to)) > 1e-6 {
@@ -247,7 +247,7 @@
 	}
 	// One odd run among equal ones makes a wide interval, not an absurd one.
 	odd := append(make([]float64, 19), 1)
-	if e := Bootstrap(odd); e.Low < -0.3 || e.Top > 0.4 || e.Low > 0 {
+	if e := Bootstrap(odd); e.Low < -0.3 || e.High > 0.4 || e.Low > 0 {
 		t.Errorf("%+v", e)
 	}
 	for _, c := range []struct {
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -161,8 +161,8 @@
 		return data, err
 	}
 	for _, arm := range p.Arms() {
-		if _, err := p.Make(arm, p.First); err != nil {
-			return nil, fmt.Errorf("%s: arm %s: %w", file, p.Title(arm), err)
+		if _, err := p.Scenario(arm, p.First); err != nil {
+			return nil, fmt.Errorf("%s: arm %s: %w", file, p.ArmTitle(arm), err)
 		}
 	}
 	p.openFiles = func(name string) ([]byte, error) { // what was read is what is played
@@ -207,7 +207,7 @@
 }
 
 // Title names an arm.
-func (p *Plan) Title(a Arm) string {
+func (p *Plan) ArmTitle(a Arm) string {
 	all := make([]string, 0, len(p.Factors))
 	for i, f := range p.Factors {
 		all = append(all, f.Name+"="+a[i])
@@ -227,7 +227,7 @@
 }
 
 // Make makes the day that an arm plays on a seed.
-func (p *Plan) Make(a Arm, seed uint64) (*scenario.Scenario, error) {
+func (p *Plan) Scenario(a Arm, seed uint64) (*scenario.Scenario, error) {
 	name := p.fill(a, p.Day)
 	text, err := p.openFiles(name + ".day")
 	if err != nil {
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -19,13 +19,13 @@
 
 // Row is what a measure shows of an arm.
 type Row struct {
-	Arm     Arm
-	Measure string
-	Is      Estimate
-	Diff    Estimate // paired with the first arm, seed by seed
-	Verdict string
-	Need    int // seeds it would take to tell
-	Broken  int // runs in which a rule broke
+	Arm                Arm
+	Measure            string
+	Mean               Estimate
+	Difference         Estimate // paired with the first arm, seed by seed
+	Verdict            string
+	SeedsNeeded        int // seeds it would take to tell
+	RunsWithViolations int // runs in which a rule broke
 }
 
 // Rows reckons a plan's runs, arm by arm, each measure of it.
@@ -52,16 +52,16 @@
 				}
 				is = append(is, r.Figures[m])
 				if len(r.Broken) > 0 {
-					row.Broken++
+					row.RunsWithViolations++
 				}
 				if base, there := first[r.Seed]; there && i > 0 {
 					diff = append(diff, r.Figures[m]-base.Figures[m])
 				}
 			}
-			row.Is = Bootstrap(is)
+			row.Mean = Bootstrap(is)
 			if i > 0 {
-				row.Diff = Bootstrap(diff)
-				row.Verdict, row.Need = Verdict(row.Diff, measures[m].sign)
+				row.Difference = Bootstrap(diff)
+				row.Verdict, row.SeedsNeeded = Verdict(row.Difference, measures[m].sign)
 			}
 			rows = append(rows, row)
 		}
@@ -122,12 +122,12 @@
 			}
 			verdict, diff, span := "", "", ""
 			if r.Verdict != "" {
-				diff, span, verdict = fmt.Sprintf("%+.4g", r.Diff.Mean), fmt.Sprintf("%+.4g to %+.4g", r.Diff.Low, r.Diff.Top), r.Verdict
-				if r.Need > 0 {
-					verdict += fmt.Sprintf("; about %d seeds would", r.Need)
+				diff, span, verdict = fmt.Sprintf("%+.4g", r.Difference.Mean), fmt.Sprintf("%+.4g to %+.4g", r.Difference.Low, r.Difference.High), r.Verdict
+				if r.SeedsNeeded > 0 {
+					verdict += fmt.Sprintf("; about %d seeds would", r.SeedsNeeded)
 				}
 			}
-			fmt.Fprintf(out, "| %s | %s | %s to %s | %s | %s | %s | %d |\n", p.Title(r.Arm), short(r.Is.Mean), short(r.Is.Low), short(r.Is.Top), diff, span, verdict, r.Broken)
+			fmt.Fprintf(out, "| %s | %s | %s to %s | %s | %s | %s | %d |\n", p.ArmTitle(r.Arm), short(r.Mean.Mean), short(r.Mean.Low), short(r.Mean.High), diff, span, verdict, r.RunsWithViolations)
 		}
 	}
 	fmt.Fprintf(out, "\n## The plan\n\n```\n%s\n```\n", strings.TrimSpace(p.Text))
@@ -183,10 +183,10 @@
 		return n
 	}
 	for _, r := range p.Rows(runs) {
-		if r.Measure == m && r.Is.N > 0 {
+		if r.Measure == m && r.Mean.Count > 0 {
 			n := of(r.Arm)
-			lines[n] = append(lines[n], plotter.XY{X: at(r.Arm), Y: r.Is.Mean})
-			low, top := r.Is.Mean-r.Is.Low, r.Is.Top-r.Is.Mean
+			lines[n] = append(lines[n], plotter.XY{X: at(r.Arm), Y: r.Mean.Mean})
+			low, top := r.Mean.Mean-r.Mean.Low, r.Mean.High-r.Mean.Mean
 			if math.IsInf(low, 0) || math.IsInf(top, 0) {
 				low, top = 0, 0
 			}
@@ -227,7 +227,7 @@
 }
 
 // Write writes runs.csv, report.md and the plots into a folder. The same runs give the same files.
-func (p *Plan) Write(dir string, runs []Run) error {
+func (p *Plan) WriteReport(dir string, runs []Run) error {
 	var plots []string
 	for _, m := range p.Measures {
 		name := m + ".png"
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -81,7 +81,7 @@
 // Play plays one day.
 func (p *Plan) Play(a Arm, seed uint64) (Run, error) {
 	begin := time.Now()
-	d, err := p.Make(a, seed)
+	d, err := p.Scenario(a, seed)
 	if err != nil {
 		return Run{}, err
 	}
@@ -111,8 +111,8 @@
 
 // Progress tells how far it is.
 type Progress struct {
-	Done, All, Kept int // Kept were there from before
-	Left            time.Duration
+	Done, Total, Resumed int // Kept were there from before
+	Remaining            time.Duration
 }
 
 // RunsName is the file of finished runs, a JSON line each, in the order in which they finished.
@@ -162,7 +162,7 @@
 			for j := range jobs {
 				r, err := p.Play(j.arm, j.seed)
 				if err != nil {
-					stop(fmt.Errorf("%s, seed %d: %w", p.Title(j.arm), j.seed, err))
+					stop(fmt.Errorf("%s, seed %d: %w", p.ArmTitle(j.arm), j.seed, err))
 					continue
 				}
 				r.Commit = commit
--- a/internal/experiment/stat.go
+++ b/internal/experiment/stat.go
@@ -8,9 +8,9 @@
 
 // Estimate is a mean with the interval that holds the true one in 95 of 100 experiments, about.
 type Estimate struct {
-	N              int
-	Mean, Low, Top float64
-	Deviation      float64
+	Count           int
+	Mean, Low, High float64
+	Deviation       float64
 }
 
 // resamples is how many the bootstrap draws.
@@ -20,37 +20,37 @@
 // sample's, each in its own standard error, which bears skewed figures better than the plain percentiles. The draws are
 // always the same, so that the same figures give the same interval.
 func Bootstrap(all []float64) Estimate {
-	e := Estimate{N: len(all)}
-	if e.N == 0 {
+	e := Estimate{Count: len(all)}
+	if e.Count == 0 {
 		return e
 	}
 	e.Mean, e.Deviation = spread(all)
-	e.Low, e.Top = e.Mean, e.Mean
-	if e.N < 2 {
-		e.Low, e.Top = math.Inf(-1), math.Inf(1)
+	e.Low, e.High = e.Mean, e.Mean
+	if e.Count < 2 {
+		e.Low, e.High = math.Inf(-1), math.Inf(1)
 		return e
 	}
 	if e.Deviation == 0 {
 		return e
 	}
-	se := e.Deviation / math.Sqrt(float64(e.N))
-	half := student(e.N-1) * se
-	e.Low, e.Top = e.Mean-half, e.Mean+half
-	if e.N < fewest {
+	se := e.Deviation / math.Sqrt(float64(e.Count))
+	half := student(e.Count-1) * se
+	e.Low, e.High = e.Mean-half, e.Mean+half
+	if e.Count < fewest {
 		return e // so few that a resample is often all one value, whose own error is none
 	}
-	dice := rand.New(rand.NewPCG(1, uint64(e.N)))
+	dice := rand.New(rand.NewPCG(1, uint64(e.Count)))
 	ts := make([]float64, 0, resamples)
-	draw := make([]float64, e.N)
+	draw := make([]float64, e.Count)
 	for range resamples {
 		for i := range draw {
-			draw[i] = all[dice.IntN(e.N)]
+			draw[i] = all[dice.IntN(e.Count)]
 		}
 		m, d := spread(draw)
 		if d == 0 {
 			continue // all the same: it says nothing of its own error
 		}
-		ts = append(ts, (m-e.Mean)/(d/math.Sqrt(float64(e.N))))
+		ts = append(ts, (m-e.Mean)/(d/math.Sqrt(float64(e.Count))))
 	}
 	if len(ts) < resamples*9/10 {
 		return e // few values differ at all
@@ -58,7 +58,7 @@
 	slices.Sort(ts)
 	at := func(q float64) float64 { return ts[min(len(ts)-1, int(q*float64(len(ts))))] }
 	// A tail that the resamples make up out of one odd run is no news: twice Student's half is enough.
-	e.Low, e.Top = e.Mean-min(at(0.975)*se, 2*half), e.Mean-max(at(0.025)*se, -2*half)
+	e.Low, e.High = e.Mean-min(at(0.975)*se, 2*half), e.Mean-max(at(0.025)*se, -2*half)
 	return e
 }
 
@@ -97,13 +97,13 @@
 // seeds it would take to tell, if the difference is what it looks like; 0: it can be told, or there is none.
 func Verdict(diff Estimate, sign float64) (word string, need int) {
 	switch {
-	case diff.N > 0 && diff.Deviation == 0 && diff.Mean == 0:
+	case diff.Count > 0 && diff.Deviation == 0 && diff.Mean == 0:
 		return "the same", 0
-	case diff.N < 2:
+	case diff.Count < 2:
 		return "can't tell", 2
-	case diff.Low > 0 && sign > 0, diff.Top < 0 && sign < 0:
+	case diff.Low > 0 && sign > 0, diff.High < 0 && sign < 0:
 		return "better", 0
-	case diff.Low > 0 || diff.Top < 0:
+	case diff.Low > 0 || diff.High < 0:
 		return "worse", 0
 	}
 	if diff.Mean == 0 {
@@ -111,5 +111,5 @@
 	}
 	ratio := 1.96 * diff.Deviation / diff.Mean
 	n := ratio * ratio
-	return "can't tell", max(diff.N+1, int(min(math.Ceil(n), 1e9)))
+	return "can't tell", max(diff.Count+1, int(min(math.Ceil(n), 1e9)))
 }
