--- a/cmd/gingerfork/route.go
+++ b/cmd/gingerfork/route.go
@@ -40,7 +40,7 @@
 		q.Headers[strings.ToLower(name)] = append(q.Headers[strings.ToLower(name)], value)
 	}
 	t := route.NewTable(routes)
-	r, ok := t.Pick(c.Front, q)
+	r, ok := t.Lookup(c.Front, q)
 	if !ok {
 		known := t.Fronts()
 		if near := bootstrap.ClosestWord(c.Front, known); near != "" && near != c.Front {
@@ -48,6 +48,6 @@
 		}
 		return badError{fmt.Errorf("no route for it at %s", c.Front)}
 	}
-	fmt.Fprintf(p.out, "pool %s method %s\n", r.To, r.As)
+	fmt.Fprintf(p.out, "pool %s method %s\n", r.Pool, r.Method)
 	return nil
 }
--- a/internal/haproxy/import.go
+++ b/internal/haproxy/import.go
@@ -684,8 +684,8 @@
 	for _, p := range m.Pools {
 		if names, _ := route.Methods(m.Routes, p.Name); len(names) > mostMethods {
 			for i := range m.Routes {
-				if m.Routes[i].To == p.Name {
-					m.Routes[i].As = allMethod
+				if m.Routes[i].Pool == p.Name {
+					m.Routes[i].Method = allMethod
 				}
 			}
 		}
--- a/internal/haproxy/routes.go
+++ b/internal/haproxy/routes.go
@@ -21,17 +21,17 @@
 		}
 	}
 	base, how, suffixed := strings.Cut(name, "_")
-	t.How = "str"
+	t.Match = "str"
 	if suffixed {
-		if t.How = how; !slices.Contains([]string{"beg", "end", "sub"}, how) {
+		if t.Match = how; !slices.Contains([]string{"beg", "end", "sub"}, how) {
 			return t, fmt.Errorf("%s has no like here", name)
 		}
 	}
 	switch {
 	case (base == "path" || base == "method") && !hasArg && (base == "path" || !suffixed):
-		t.Fetch = base
+		t.Source = base
 	case (base == "hdr" || name == "req.hdr") && hasArg && arg != "":
-		t.Fetch, t.Header = "hdr", strings.ToLower(arg)
+		t.Source, t.Header = "hdr", strings.ToLower(arg)
 	default:
 		return t, fmt.Errorf("%s has no like here", words[0])
 	}
@@ -41,13 +41,13 @@
 		rest = rest[1:]
 		switch flag {
 		case "-i":
-			t.Fold = true
+			t.IgnoreCase = true
 		case "-n":
 		case "-m":
 			if len(rest) == 0 || !slices.Contains([]string{"str", "beg", "end", "sub", "found"}, rest[0]) {
 				return t, fmt.Errorf("this match has no like here")
 			}
-			t.How, rest = rest[0], rest[1:]
+			t.Match, rest = rest[0], rest[1:]
 		case "--":
 			t.Patterns = append(t.Patterns, rest...)
 			rest = nil
@@ -56,10 +56,10 @@
 		}
 	}
 	t.Patterns = append(t.Patterns, rest...)
-	if len(t.Patterns) == 0 && t.How != "found" {
+	if len(t.Patterns) == 0 && t.Match != "found" {
 		return t, fmt.Errorf("it has no patterns")
 	}
-	if t.Fetch == "method" && t.How != "str" {
+	if t.Source == "method" && t.Match != "str" {
 		return t, fmt.Errorf("methods are matched whole")
 	}
 	if slices.ContainsFunc(t.Patterns, func(p string) bool { return strings.ContainsFunc(p, unicode.IsControl) }) {
@@ -67,7 +67,7 @@
 	}
 	// hdr looks at each part of a header that commas divide, which we do not: whether it is there is the same for all, the
 	// rest only for names that hold one value.
-	if t.Fetch == "hdr" && t.How != "found" && !slices.Contains(single, t.Header) {
+	if t.Source == "hdr" && t.Match != "found" && !slices.Contains(single, t.Header) {
 		return t, fmt.Errorf("header %s may hold several values, which are not taken apart here", t.Header)
 	}
 	return t, nil
@@ -91,7 +91,7 @@
 		if not {
 			for i := range row {
 				for _, c := range choices { // none of them
-					c.Not = !c.Not
+					c.Negate = !c.Negate
 					row[i] = append(slices.Clone(row[i]), c)
 				}
 			}
@@ -139,10 +139,10 @@
 		case bad[word] != nil:
 			return nil, fmt.Errorf("ACL %s: %w", word, bad[word])
 		case methodACL[word] != nil:
-			choices = []route.Term{{Fetch: "method", How: "str", Patterns: methodACL[word]}}
+			choices = []route.Term{{Source: "method", Match: "str", Patterns: methodACL[word]}}
 		case word == "TRUE" || word == "FALSE":
 			// A header that none has: never found.
-			choices = []route.Term{{Fetch: "hdr", Header: "", How: "found", Not: word == "TRUE"}}
+			choices = []route.Term{{Source: "hdr", Header: "", Match: "found", Negate: word == "TRUE"}}
 		default:
 			return nil, fmt.Errorf("ACL %s has no like here", word)
 		}
@@ -189,17 +189,17 @@
 				of[i] = last
 				continue
 			}
-			r := route.Route{From: s.name, To: l.Word(1), As: s.name}
+			r := route.Route{Frontend: s.name, Pool: l.Word(1), Method: s.name}
 			if len(w) > 2 {
-				r.As = methodName(s.name, w[3:], used)
-				r.Unless = w[2] == "unless"
+				r.Method = methodName(s.name, w[3:], used)
+				r.Negate = w[2] == "unless"
 				var err error
 				if w[2] != "if" && w[2] != "unless" {
 					err = fmt.Errorf("%s is neither if nor unless", w[2])
 				} else {
-					r.Any, err = rows(w[3:], acls, bad)
+					r.Alternatives, err = rows(w[3:], acls, bad)
 				}
-				if strings.Contains(r.To, "%[") {
+				if strings.Contains(r.Pool, "%[") {
 					err = fmt.Errorf("its pool is reckoned for each request")
 				}
 				if err != nil {
@@ -208,18 +208,18 @@
 					continue
 				}
 			}
-			if all = append(all, r); len(r.Any) == 0 {
+			if all = append(all, r); len(r.Alternatives) == 0 {
 				always = l.Line
 			}
 		case "default_backend":
-			deflt = &route.Route{From: s.name, To: l.Word(1), As: s.name}
+			deflt = &route.Route{Frontend: s.name, Pool: l.Word(1), Method: s.name}
 			if last != "" {
 				of[i] = last
 			}
 		}
 	}
 	if deflt == nil && s.kind == "listen" && len(all) > 0 { // what none takes goes to its own servers
-		deflt = &route.Route{From: s.name, To: s.name, As: s.name}
+		deflt = &route.Route{Frontend: s.name, Pool: s.name, Method: s.name}
 	}
 	if always > 0 {
 		return all, of
--- a/internal/haproxy/routes_test.go
+++ b/internal/haproxy/routes_test.go
@@ -68,8 +68,8 @@
 		{route.Request{Method: "GET", Path: "/", Headers: host("ADMIN.example")}, "deny"},
 		{route.Request{Method: "GET", Path: "/Admin", Headers: host("www.example")}, "tasks"},
 	} {
-		if r, _ := table.Pick("www", c.q); r.To != c.want {
-			t.Errorf("%v goes to %q, %q wanted", c.q, r.To, c.want)
+		if r, _ := table.Lookup("www", c.q); r.Pool != c.want {
+			t.Errorf("%v goes to %q, %q wanted", c.q, r.Pool, c.want)
 		}
 	}
 }
@@ -145,7 +145,7 @@
 			}
 			want = want || all
 		}
-		if got.Routes[0].Holds(q) != (want == (how == "if")) {
+		if got.Routes[0].Matches(q) != (want == (how == "if")) {
 			rt.Fatalf("%s for %s: %v", text.String(), q.Path, got.Routes[0])
 		}
 	})
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -16,40 +16,40 @@
 
 // Term looks at one thing of a request.
 type Term struct {
-	Not      bool
-	Fetch    string // path, method or hdr
+	Negate      bool
+	Source    string // path, method or hdr
 	Header   string // in lower case, for hdr
-	How      string // str, beg, end, sub or found
-	Fold     bool   // regardless of case
+	Match      string // str, beg, end, sub or found
+	IgnoreCase     bool   // regardless of case
 	Patterns []string
 }
 
 // Route sends requests of a front to a pool, if any of its rows of terms holds (or none does, by Unless). Without rows
 // it holds always. Routes are looked at in their order.
 type Route struct {
-	From, To string
-	As       string // the pool's method that its requests are
-	Unless   bool
-	Any      [][]Term
+	Frontend, Pool string
+	Method       string // the pool's method that its requests are
+	Negate   bool
+	Alternatives      [][]Term
 }
 
 // Holds tells whether a request is the route's.
-func (r Route) Holds(q Request) bool {
-	if len(r.Any) == 0 {
+func (r Route) Matches(q Request) bool {
+	if len(r.Alternatives) == 0 {
 		return true
 	}
-	matched := slices.ContainsFunc(r.Any, func(row []Term) bool {
+	matched := slices.ContainsFunc(r.Alternatives, func(row []Term) bool {
 		return !slices.ContainsFunc(row, func(t Term) bool { return !t.holds(q) })
 	})
-	return matched != r.Unless
+	return matched != r.Negate
 }
 
 // Safe tells whether all of its requests have a method that RFC 9110 (9.2.1) calls safe, so that a second run does no
 // harm. Of others nothing is known: a GET that the route does not ask for may be a POST.
 func (r Route) Safe() bool {
-	return !r.Unless && len(r.Any) > 0 && !slices.ContainsFunc(r.Any, func(row []Term) bool {
+	return !r.Negate && len(r.Alternatives) > 0 && !slices.ContainsFunc(r.Alternatives, func(row []Term) bool {
 		return !slices.ContainsFunc(row, func(t Term) bool {
-			return t.Fetch == "method" && !t.Not && t.How == "str" && !t.Fold && !slices.ContainsFunc(t.Patterns, func(p string) bool {
+			return t.Source == "method" && !t.Negate && t.Match == "str" && !t.IgnoreCase && !slices.ContainsFunc(t.Patterns, func(p string) bool {
 				return !slices.Contains([]string{"GET", "HEAD", "OPTIONS", "TRACE"}, p)
 			})
 		})
@@ -57,7 +57,7 @@
 }
 
 func (t Term) values(q Request) []string {
-	switch t.Fetch {
+	switch t.Source {
 	case "path":
 		return []string{q.Path}
 	case "method":
@@ -68,13 +68,13 @@
 
 func (t Term) holds(q Request) bool {
 	values := t.values(q)
-	hit := t.How == "found" && len(values) > 0
+	hit := t.Match == "found" && len(values) > 0
 	for _, v := range values {
 		for _, p := range t.Patterns {
-			if t.Fold {
+			if t.IgnoreCase {
 				v, p = strings.ToLower(v), strings.ToLower(p)
 			}
-			switch t.How {
+			switch t.Match {
 			case "str":
 				hit = hit || v == p
 			case "beg":
@@ -86,7 +86,7 @@
 			}
 		}
 	}
-	return hit != t.Not
+	return hit != t.Negate
 }
 
 // Table is routes made ready for many lookups. A front with ten thousand routes by host or by path is looked at in a
@@ -106,10 +106,10 @@
 func NewTable(routes []Route) *Table {
 	t := &Table{map[string]*front{}}
 	for _, r := range routes {
-		f := t.fronts[r.From]
+		f := t.fronts[r.Frontend]
 		if f == nil {
 			f = &front{keys: map[string][]int{}}
-			t.fronts[r.From] = f
+			t.fronts[r.Frontend] = f
 		}
 		f.add(r)
 	}
@@ -118,11 +118,11 @@
 
 // whole finds in each row a term by whose whole value the row can be found; false if any row has none.
 func whole(r Route) (all []Term, ok bool) {
-	if r.Unless || len(r.Any) == 0 {
+	if r.Negate || len(r.Alternatives) == 0 {
 		return nil, false
 	}
-	for _, row := range r.Any {
-		at := slices.IndexFunc(row, func(t Term) bool { return t.How == "str" && !t.Not && t.Fetch != "method" })
+	for _, row := range r.Alternatives {
+		at := slices.IndexFunc(row, func(t Term) bool { return t.Match == "str" && !t.Negate && t.Source != "method" })
 		if at < 0 {
 			return nil, false
 		}
@@ -132,7 +132,7 @@
 }
 
 // key is how a value is found. Case is folded for all: which routes hold is asked of them again.
-func (t Term) key(v string) string { return t.Fetch + "\x00" + t.Header + "\x00" + strings.ToLower(v) }
+func (t Term) key(v string) string { return t.Source + "\x00" + t.Header + "\x00" + strings.ToLower(v) }
 
 func (f *front) add(r Route) {
 	n := len(f.routes)
@@ -143,8 +143,8 @@
 		return
 	}
 	for _, t := range terms {
-		if !slices.ContainsFunc(f.looks, func(x Term) bool { return x.Fetch == t.Fetch && x.Header == t.Header }) {
-			f.looks = append(f.looks, Term{Fetch: t.Fetch, Header: t.Header})
+		if !slices.ContainsFunc(f.looks, func(x Term) bool { return x.Source == t.Source && x.Header == t.Header }) {
+			f.looks = append(f.looks, Term{Source: t.Source, Header: t.Header})
 		}
 		for _, p := range t.Patterns {
 			if k := t.key(p); !slices.Contains(f.keys[k], n) {
@@ -155,7 +155,7 @@
 }
 
 // Pick gives the first route of a front that is the request's; false if none is.
-func (t *Table) Pick(from string, q Request) (Route, bool) {
+func (t *Table) Lookup(from string, q Request) (Route, bool) {
 	f := t.fronts[from]
 	if f == nil {
 		return Route{}, false
@@ -164,7 +164,7 @@
 	for _, look := range f.looks {
 		for _, v := range look.values(q) {
 			for _, n := range f.keys[look.key(v)] {
-				if n < best && f.routes[n].Holds(q) {
+				if n < best && f.routes[n].Matches(q) {
 					best = n
 				}
 			}
@@ -174,7 +174,7 @@
 		if n >= best {
 			break
 		}
-		if f.routes[n].Holds(q) {
+		if f.routes[n].Matches(q) {
 			best = n
 		}
 	}
@@ -189,14 +189,14 @@
 func Methods(routes []Route, pool string) (names []string, safe map[string]bool) {
 	safe = map[string]bool{}
 	for _, r := range routes {
-		if r.To != pool {
+		if r.Pool != pool {
 			continue
 		}
-		if was, seen := safe[r.As]; seen {
-			safe[r.As] = was && r.Safe()
+		if was, seen := safe[r.Method]; seen {
+			safe[r.Method] = was && r.Safe()
 			continue
 		}
-		names, safe[r.As] = append(names, r.As), r.Safe()
+		names, safe[r.Method] = append(names, r.Method), r.Safe()
 	}
 	return names, safe
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -12,22 +12,22 @@
 func draw(t *rapid.T) (routes []Route) {
 	text := rapid.StringMatching(`[ab]{1,2}|[ab/"' #=\\]{0,3}`)
 	for i := range rapid.IntRange(1, 12).Draw(t, "routes") {
-		r := Route{From: rapid.SampledFrom([]string{"f", "g"}).Draw(t, "front"), To: fmt.Sprint("p", i), As: fmt.Sprint("m", i%3)}
-		r.Unless = rapid.IntRange(0, 7).Draw(t, "unless") == 7
+		r := Route{Frontend: rapid.SampledFrom([]string{"f", "g"}).Draw(t, "front"), Pool: fmt.Sprint("p", i), Method: fmt.Sprint("m", i%3)}
+		r.Negate = rapid.IntRange(0, 7).Draw(t, "unless") == 7
 		for range rapid.IntRange(1, 3).Draw(t, "rows") {
 			var row []Term
 			for range rapid.IntRange(1, 2).Draw(t, "terms") {
 				x := Term{
-					Not: rapid.IntRange(0, 4).Draw(t, "not") == 4, Fetch: rapid.SampledFrom([]string{"path", "method", "hdr"}).Draw(t, "fetch"),
-					How: rapid.SampledFrom([]string{"str", "str", "str", "str", "beg", "end", "sub", "found"}).Draw(t, "how"), Fold: rapid.Bool().Draw(t, "fold"),
+					Negate: rapid.IntRange(0, 4).Draw(t, "not") == 4, Source: rapid.SampledFrom([]string{"path", "method", "hdr"}).Draw(t, "fetch"),
+					Match: rapid.SampledFrom([]string{"str", "str", "str", "str", "beg", "end", "sub", "found"}).Draw(t, "how"), IgnoreCase: rapid.Bool().Draw(t, "fold"),
 				}
-				if x.Fetch == "hdr" {
+				if x.Source == "hdr" {
 					x.Header = "host"
 				}
 				x.Patterns = rapid.SliceOfN(text, 1, 2).Draw(t, "patterns")
 				row = append(row, x)
 			}
-			r.Any = append(r.Any, row)
+			r.Alternatives = append(r.Alternatives, row)
 		}
 		routes = append(routes, r)
 	}
@@ -55,13 +55,13 @@
 			for _, front := range []string{"f", "g", "none"} {
 				want := ""
 				for _, r := range routes {
-					if r.From == front && r.Holds(q) {
-						want = r.To
+					if r.Frontend == front && r.Matches(q) {
+						want = r.Pool
 						break
 					}
 				}
-				if r, _ := table.Pick(front, q); r.To != want {
-					t.Fatalf("%+v at %s: %q, %q wanted\n%s", q, front, r.To, want, file.String())
+				if r, _ := table.Lookup(front, q); r.Pool != want {
+					t.Fatalf("%+v at %s: %q, %q wanted\n%s", q, front, r.Pool, want, file.String())
 				}
 			}
 		}
@@ -115,13 +115,13 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var routes []Route
 			for i := range n {
-				routes = append(routes, Route{From: "f", To: fmt.Sprint(i), As: "m", Any: [][]Term{{{Fetch: "hdr", Header: "host", How: "str", Fold: true, Patterns: []string{fmt.Sprint("school", i, ".example")}}}}})
+				routes = append(routes, Route{Frontend: "f", Pool: fmt.Sprint(i), Method: "m", Alternatives: [][]Term{{{Source: "hdr", Header: "host", Match: "str", IgnoreCase: true, Patterns: []string{fmt.Sprint("school", i, ".example")}}}}})
 			}
 			table := NewTable(routes)
 			q := Request{Method: "GET", Path: "/", Headers: map[string][]string{"host": {fmt.Sprint("School", n-1, ".example")}}}
 			b.ReportAllocs()
 			for b.Loop() {
-				if r, ok := table.Pick("f", q); !ok || r.To != fmt.Sprint(n-1) {
+				if r, ok := table.Lookup("f", q); !ok || r.Pool != fmt.Sprint(n-1) {
 					b.Fatal(r)
 				}
 			}
