--- /dev/null
+++ b/internal/endpointfile/encoding.go
@@ -0,0 +1,56 @@
+package endpointfile
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"slices"
+)
+
+// storedFormat is the format that Encode writes and Decode accepts.
+const storedFormat = 1
+
+// storedList is a list as it is stored. The JSON keys are part of the stored format.
+type storedList struct {
+	Format    int
+	Version   uint64
+	Endpoints []Endpoint `json:"Entries"`
+	Rejected  string     `json:"Held"`
+}
+
+// Encode returns the state of the list in its stored format.
+func (l *List) Encode() ([]byte, error) {
+	data, err := json.Marshal(storedList{Format: storedFormat, Version: l.version, Endpoints: l.Endpoints(), Rejected: l.rejected})
+	if err != nil {
+		return nil, fmt.Errorf("encode the endpoint list: %w", err)
+	}
+	return data, nil
+}
+
+// Decode returns the list that Encode wrote. The error wraps ErrFormat or ErrCorrupt, or is the JSON decoder's.
+func Decode(settings Settings, data []byte) (*List, error) {
+	var stored storedList
+	if err := json.Unmarshal(data, &stored); err != nil {
+		return nil, fmt.Errorf("decode the endpoint list: %w", err)
+	}
+	if stored.Format != storedFormat {
+		return nil, fmt.Errorf("decode the endpoint list: %w %d, expected %d", ErrFormat, stored.Format, storedFormat)
+	}
+	list := New(settings)
+	list.version, list.rejected = stored.Version, stored.Rejected
+	for _, endpoint := range stored.Endpoints {
+		if list.endpoints[endpoint.ID] != nil || endpoint.State > Draining || !validWeight(endpoint.Weight) {
+			return nil, fmt.Errorf("decode the endpoint list: %w %d", ErrCorrupt, endpoint.ID)
+		}
+		list.endpoints[endpoint.ID] = &endpoint
+	}
+	return list, nil
+}
+
+// fingerprint identifies the content of a file regardless of the order of its backends. It is stored: its form, which is that
+// of fmt.Sprint, is part of the stored format.
+func fingerprint(backends []Backend) string {
+	sorted := slices.Clone(backends)
+	slices.SortFunc(sorted, func(a, b Backend) int { return cmp.Compare(a.ID, b.ID) })
+	return fmt.Sprint(sorted)
+}
--- a/internal/endpointfile/list.go
+++ b/internal/endpointfile/list.go
@@ -1,229 +1,213 @@
-// Package follow decides what becomes of the list when the file that it comes from changes: what is new is listed, what
-// is gone from the file drains first and leaves later, what changed its weight changes its weight alone, and a file that
-// would take most servers out of use is held back until it is offered again. It does no I/O and has no clock; what it
-// knows can be written down and read again, so that a restart between two files drains what the later one dropped.
+// Package endpointfile keeps the endpoint list that follows a file of backends. A backend that is new in the file is added, one
+// that is no longer in the file drains before it is removed, and a change of weight changes nothing else. A file that would take
+// most backends out of use is rejected until the same file is applied a second time. The package does no I/O and reads no clock;
+// its state can be encoded, so that a restart between two files still drains the backends that the later file omits.
 package endpointfile
 
 import (
-	"encoding/json"
-	"fmt"
+	"cmp"
+	"maps"
 	"slices"
+
+	"gingerfork/internal/statemachine"
 )
 
-// Seconds are seconds with fractions.
-type Seconds = float64
+// Seconds is a time or a duration in seconds, as the event loop counts it.
+type Seconds = statemachine.Seconds
 
-// State is a server's on the list.
+// State is the state of an endpoint in the list.
 type State uint8
 
-// The states on the list.
+// The states of an endpoint. Their numbers are stored.
 const (
-	Open State = iota
-	Draining
-	Gone
+	Open     State = iota // gets requests
+	Draining              // gets no new requests
+	Gone                  // removed from the list
 )
 
-// Server is one that a file names.
+// Backend is a backend as a file names it. The JSON keys are those of the stored list.
 type Backend struct {
-	ID       uint32 `json:"Number"` // by which proxies know it; it goes by the name
+	ID       uint32 `json:"Number"` // by which proxies know it; it is derived from the name
 	Name     string
 	Addr     string
 	Weight   float64
-	Draining bool // the file says that it is to get nothing new
+	Draining bool // the file says that it gets no new requests
 }
 
-// Entry is a server on the list.
+// Endpoint is the entry of a backend in the endpoint list. The JSON keys are those of the stored list.
 type Endpoint struct {
 	Backend
 	State       State
-	Incarnation uint64  `json:"Stamp"` // changes when its process is another
-	StartTime   Seconds `json:"Start"` // of its process; 0: long ago, or not known
-	RemovalTime Seconds `json:"Until"` // it left the file, and leaves the list then; 0: it is in the file
+	Incarnation uint64  `json:"Stamp"` // increases when another process takes over the name
+	StartTime   Seconds `json:"Start"` // of the process; 0: long ago, or unknown
+	RemovalTime Seconds `json:"Until"` // when an endpoint that is not in the file leaves the list; 0: it is in the file
 }
 
-// Terms are what an operator sets.
+// Settings are what the operator sets.
 type Settings struct {
-	DrainPeriod  Seconds // from when a server left the file until it leaves the list
-	MaxLossShare float64 // share of the servers in use that one file may take out of use; more must be offered twice
+	DrainPeriod  Seconds // from when a backend is missing in the file until its endpoint is removed
+	MaxLossShare float64 // of the open endpoints, the share that one file may take out of use without being applied twice
 }
 
-// Follow is the list as it follows files.
+// List is the endpoint list that follows a file.
 type List struct {
-	terms   Settings
-	version uint64
-	list    map[uint32]*Endpoint
-	held    string // the offer that was held back last
+	settings  Settings
+	version   uint64
+	endpoints map[uint32]*Endpoint
+	rejected  string // the fingerprint of the file that was rejected last for its losses; empty after a file was applied
 }
 
-// New makes an empty list.
-func New(t Settings) *List { return &List{terms: t, list: map[uint32]*Endpoint{}} }
+// New returns an empty list.
+func New(settings Settings) *List {
+	return &List{settings: settings, endpoints: map[uint32]*Endpoint{}}
+}
 
-// Version counts changes of the list.
-func (f *List) Version() uint64 { return f.version }
+// Version is the number of changes of the list so far.
+func (l *List) Version() uint64 { return l.version }
 
-// Entries are all of the list, by number.
-func (f *List) Endpoints() []Endpoint {
-	numbers := f.numbers()
-	all := slices.Grow([]Endpoint(nil), len(numbers)) // nil for none: it is stored so
-	for _, n := range numbers {
-		all = append(all, *f.list[n])
+// Endpoints returns all endpoints by ID, nil if there are none.
+func (l *List) Endpoints() []Endpoint {
+	ids := l.ids()
+	endpoints := slices.Grow([]Endpoint(nil), len(ids)) // an empty list is stored as null
+	for _, id := range ids {
+		endpoints = append(endpoints, *l.endpoints[id])
 	}
-	return all
+	return endpoints
 }
 
-func (f *List) numbers() (all []uint32) {
-	for n := range f.list {
-		all = append(all, n)
+func (l *List) ids() []uint32 { return slices.Sorted(maps.Keys(l.endpoints)) }
+
+// Apply makes the list follow a file of backends and returns the endpoints that changed, by ID. A file that is rejected changes
+// no endpoint: the error is ErrNoBackends, a *DuplicateError, a *WeightError or a *LossError.
+func (l *List) Apply(now Seconds, backends []Backend) ([]Endpoint, error) {
+	byID, err := index(backends)
+	if err != nil {
+		return nil, err
 	}
-	slices.Sort(all)
-	return all
+	if loss := l.loss(byID); loss != nil {
+		file := fingerprint(backends)
+		if l.rejected != file {
+			l.rejected = file
+			return nil, loss
+		}
+	}
+	l.rejected = ""
+	changed := append(l.update(now, backends), l.drainMissing(now, byID)...)
+	if len(changed) > 0 {
+		l.version++
+	}
+	slices.SortFunc(changed, func(a, b Endpoint) int { return cmp.Compare(a.ID, b.ID) })
+	return changed, nil
 }
 
-// Offer takes a file's servers. It gives the entries that changed; or an error that says why the file is held back, and
-// then nothing has changed.
-func (f *List) Apply(now Seconds, servers []Backend) ([]Endpoint, error) {
-	in := map[uint32]Backend{}
+// index checks the backends of a file and returns them by ID.
+func index(backends []Backend) (map[uint32]Backend, error) {
+	byID := map[uint32]Backend{}
 	used := 0
-	for _, s := range servers {
-		if was, twice := in[s.ID]; twice {
-			return nil, fmt.Errorf("servers %s and %s have the number %d", was.Name, s.Name, s.ID)
+	for _, backend := range backends {
+		if first, duplicate := byID[backend.ID]; duplicate {
+			return nil, &DuplicateError{First: first.Name, Second: backend.Name, ID: backend.ID}
 		}
-		if !(s.Weight > 0) {
-			return nil, fmt.Errorf("server %s has a weight of %v", s.Name, s.Weight)
+		if !validWeight(backend.Weight) {
+			return nil, &WeightError{Name: backend.Name, Weight: backend.Weight}
 		}
-		in[s.ID] = s
-		if !s.Draining {
+		byID[backend.ID] = backend
+		if !backend.Draining {
 			used++
 		}
 	}
 	if used == 0 {
-		return nil, fmt.Errorf("no server would be in use")
+		return nil, ErrNoBackends
 	}
+	return byID, nil
+}
+
+// validWeight reports whether a weight is above zero; NaN is not.
+func validWeight(weight float64) bool { return weight > 0 }
+
+// loss returns an error if a file would take more open endpoints out of use than the settings allow, nil otherwise.
+func (l *List) loss(byID map[uint32]Backend) *LossError {
 	open, lost := 0, 0
-	for _, e := range f.list {
-		if e.State == Open {
-			open++
-			if s, still := in[e.ID]; !still || s.Draining || s.Addr != e.Addr {
-				lost++
-			}
+	for _, endpoint := range l.endpoints {
+		if endpoint.State != Open {
+			continue
 		}
-	}
-	if float64(lost) > f.terms.MaxLossShare*float64(open) {
-		offered := fingerprint(servers)
-		if f.held == offered {
-			return f.take(now, servers, in), nil
+		open++
+		if backend, listed := byID[endpoint.ID]; !listed || backend.Draining || backend.Addr != endpoint.Addr {
+			lost++
 		}
-		f.held = offered
-		return nil, fmt.Errorf("it takes %d of %d servers out of use, more than %.0f%%: reload the same file once more if it is meant", lost, open, 100*f.terms.MaxLossShare)
 	}
-	return f.take(now, servers, in), nil
+	if float64(lost) <= l.settings.MaxLossShare*float64(open) {
+		return nil
+	}
+	return &LossError{Lost: lost, Open: open, MaxShare: l.settings.MaxLossShare}
 }
 
-// take has the list follow a file.
-func (f *List) take(now Seconds, servers []Backend, in map[uint32]Backend) (changed []Endpoint) {
-	f.held = ""
-	for _, s := range servers {
-		e := f.list[s.ID]
+// update adds or updates the endpoint of each backend of a file, and returns those that changed.
+func (l *List) update(now Seconds, backends []Backend) (changed []Endpoint) {
+	for _, backend := range backends {
 		state := Open
-		if s.Draining {
+		if backend.Draining {
 			state = Draining
 		}
+		endpoint := l.endpoints[backend.ID]
 		switch {
-		case e == nil:
-			e = &Endpoint{Backend: s, State: state, Incarnation: 1}
-			if len(f.list) > 0 && f.version > 0 {
-				e.StartTime = now // beside others it may just have started: cold until it has warmed
+		case endpoint == nil:
+			endpoint = &Endpoint{Backend: backend, State: state, Incarnation: 1}
+			if len(l.endpoints) > 0 && l.version > 0 {
+				endpoint.StartTime = now // a backend that joins others may just have started, and has to warm up
 			}
-			f.list[s.ID] = e
-		case e.Addr != s.Addr:
-			// Another process under the same name: what was held against the old one is void, and it is cold.
-			*e = Endpoint{Backend: s, State: state, Incarnation: e.Incarnation + 1, StartTime: now}
-		case e.Backend != s || e.State != state || e.RemovalTime != 0:
-			e.Backend, e.State, e.RemovalTime = s, state, 0
+			l.endpoints[backend.ID] = endpoint
+		case endpoint.Addr != backend.Addr:
+			// Another process has the name now: it is not bound by what its predecessor did, and has to warm up.
+			*endpoint = Endpoint{Backend: backend, State: state, Incarnation: endpoint.Incarnation + 1, StartTime: now}
+		case endpoint.Backend != backend || endpoint.State != state || endpoint.RemovalTime != 0:
+			endpoint.Backend, endpoint.State, endpoint.RemovalTime = backend, state, 0
 		default:
 			continue
 		}
-		changed = append(changed, *e)
-	}
-	for _, n := range f.numbers() {
-		if e := f.list[n]; e.RemovalTime == 0 {
-			if _, still := in[n]; !still {
-				e.State, e.RemovalTime = Draining, now+f.terms.DrainPeriod
-				changed = append(changed, *e)
-			}
-		}
+		changed = append(changed, *endpoint)
 	}
-	if len(changed) > 0 {
-		f.version++
-	}
-	slices.SortFunc(changed, func(a, b Endpoint) int { return int(int64(a.ID) - int64(b.ID)) })
 	return changed
 }
 
-// Due gives the entries whose drain is over: they are gone, and off the list.
-func (f *List) RemoveDrained(now Seconds) (gone []Endpoint) {
-	for _, n := range f.numbers() {
-		if e := f.list[n]; e.RemovalTime > 0 && e.RemovalTime <= now {
-			delete(f.list, n)
-			e.State = Gone
-			gone = append(gone, *e)
+// drainMissing starts the drain of each endpoint that is not in a file, and returns those that changed.
+func (l *List) drainMissing(now Seconds, byID map[uint32]Backend) (changed []Endpoint) {
+	for _, id := range l.ids() {
+		endpoint := l.endpoints[id]
+		if _, listed := byID[id]; listed || endpoint.RemovalTime != 0 {
+			continue
 		}
+		endpoint.State = Draining
+		endpoint.RemovalTime = now + l.settings.DrainPeriod
+		changed = append(changed, *endpoint)
 	}
-	if len(gone) > 0 {
-		f.version++
-	}
-	return gone
+	return changed
 }
 
-// Wake is when Due has something next; false: never by itself.
-func (f *List) NextRemoval() (at Seconds, ok bool) {
-	for _, e := range f.list {
-		if e.RemovalTime > 0 && (!ok || e.RemovalTime < at) {
-			at, ok = e.RemovalTime, true
+// RemoveDrained removes the endpoints whose drain is over and returns them in the state Gone, by ID.
+func (l *List) RemoveDrained(now Seconds) (removed []Endpoint) {
+	for _, id := range l.ids() {
+		endpoint := l.endpoints[id]
+		if endpoint.RemovalTime <= 0 || endpoint.RemovalTime > now {
+			continue
 		}
+		delete(l.endpoints, id)
+		endpoint.State = Gone
+		removed = append(removed, *endpoint)
 	}
-	return at, ok
-}
-
-func fingerprint(servers []Backend) string {
-	all := slices.Clone(servers)
-	slices.SortFunc(all, func(a, b Backend) int { return int(int64(a.ID) - int64(b.ID)) })
-	return fmt.Sprint(all)
-}
-
-// kept is what a restart needs.
-type kept struct {
-	Format  int
-	Version uint64
-	Entries []Endpoint
-	Held    string
-}
-
-// Encode writes down what it knows.
-func (f *List) Encode() ([]byte, error) {
-	data, err := json.Marshal(kept{1, f.version, f.Endpoints(), f.held})
-	if err != nil {
-		return nil, fmt.Errorf("write down the list that follows files: %w", err)
+	if len(removed) > 0 {
+		l.version++
 	}
-	return data, nil
+	return removed
 }
 
-// Decode reads it again.
-func Decode(t Settings, data []byte) (*List, error) {
-	var k kept
-	if err := json.Unmarshal(data, &k); err != nil {
-		return nil, fmt.Errorf("read the list that follows files: %w", err)
-	}
-	if k.Format != 1 {
-		return nil, fmt.Errorf("read the list that follows files: format %d is not known here", k.Format)
-	}
-	f := New(t)
-	f.version, f.held = k.Version, k.Held
-	for _, e := range k.Entries {
-		if f.list[e.ID] != nil || e.State > Draining || !(e.Weight > 0) {
-			return nil, fmt.Errorf("read the list that follows files: server %d is at fault", e.ID)
+// NextRemoval is when RemoveDrained has an endpoint to remove next; ok is false if no endpoint has left the file.
+func (l *List) NextRemoval() (at Seconds, ok bool) {
+	for _, endpoint := range l.endpoints {
+		if endpoint.RemovalTime > 0 && (!ok || endpoint.RemovalTime < at) {
+			at, ok = endpoint.RemovalTime, true
 		}
-		f.list[e.ID] = &e
 	}
-	return f, nil
+	return at, ok
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -16,21 +16,21 @@
 
 // Term looks at one thing of a request.
 type Term struct {
-	Negate      bool
-	Source    string // path, method or hdr
-	Header   string // in lower case, for hdr
+	Negate     bool
+	Source     string // path, method or hdr
+	Header     string // in lower case, for hdr
 	Match      string // str, beg, end, sub or found
-	IgnoreCase     bool   // regardless of case
-	Patterns []string
+	IgnoreCase bool   // regardless of case
+	Patterns   []string
 }
 
 // Route sends requests of a front to a pool, if any of its rows of terms holds (or none does, by Unless). Without rows
 // it holds always. Routes are looked at in their order.
 type Route struct {
 	Frontend, Pool string
-	Method       string // the pool's method that its requests are
-	Negate   bool
-	Alternatives      [][]Term
+	Method         string // the pool's method that its requests are
+	Negate         bool
+	Alternatives   [][]Term
 }
 
 // Holds tells whether a request is the route's.
