--- a/internal/endpointservice/fleet_test.go
+++ b/internal/endpointservice/fleet_test.go
@@ -1,7 +1,9 @@
 package endpointservice
 
 import (
+	"errors"
 	"fmt"
+	"maps"
 	"strings"
 	"testing"
 
@@ -13,228 +15,221 @@
 	"gingerfork/internal/endpointfile"
 	"gingerfork/internal/fake"
 	"gingerfork/internal/invariant"
-	"gingerfork/internal/proto"
 	"gingerfork/internal/scenario"
 	"gingerfork/internal/simnet"
 	"gingerfork/internal/statemachine"
 	"gingerfork/internal/trace"
 )
 
-// watched writes the trace of what a list service says, as the list stand-in does of itself, for the rule checker.
-type watched struct {
-	*Service
-	out  map[statemachine.Conn]*proto.Reader
-	in   map[statemachine.Conn]*proto.Reader
-	name map[statemachine.Conn]string
-	seen uint64
+const (
+	fleetEpoch     = 1e6 // when the simulated time begins, in seconds
+	fleetZone      = "dc-kewdale"
+	coordinators   = 2
+	frontEnds      = 8
+	fleetBackends  = 6
+	endpointServer = "list" // the address of the endpoint service
+)
+
+// fleet is a simulated fleet whose endpoint list follows files.
+type fleet struct {
+	t        *testing.T
+	network  *simnet.Network
+	settings *bootstrap.Settings
+	service  *Service // of the process that runs, or ran last
+	records  []trace.Record
+	rejected []error // of rejected files
 }
 
-func (w *watched) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
-	for _, i := range in {
-		switch i.Kind {
-		case statemachine.ConnOpened:
-			w.in[i.Conn], w.out[i.Conn] = &proto.Reader{}, &proto.Reader{}
-			w.in[i.Conn].HandshakeDone()
-			w.out[i.Conn].HandshakeDone()
-		case statemachine.ConnData:
-			w.in[i.Conn].Feed(i.Data)
-			for m, _ := w.in[i.Conn].Next(); m != nil; m, _ = w.in[i.Conn].Next() {
-				switch m := m.(type) {
-				case proto.Hello:
-					w.name[i.Conn] = m.Name
-				case proto.WatchEndpoints, proto.FetchEndpoints:
-					out.Record(trace.Record{Time: now, Kind: trace.EndpointsRequested, Coordinator: w.name[i.Conn]})
-				}
-			}
-		}
+// event is what happens to a fleet at a time in seconds from its start.
+type event struct {
+	at float64
+	do func(f *fleet)
+}
+
+func fleetSettings(t *testing.T) *bootstrap.Settings {
+	t.Helper()
+	text, err := scenario.File("perth.conf")
+	if err != nil {
+		t.Fatal(err)
 	}
-	w.Service.Step(now, in, out)
-	if v := w.f.Version(); v != w.seen { // the truth, whoever hears it
-		w.seen = v
-		text := "full"
-		for _, e := range w.f.Endpoints() {
-			text += fmt.Sprintf(" %d:%c:%.3f:%s", e.ID, "odg"[e.State], e.StartTime, w.zone)
-		}
-		out.Record(trace.Record{Time: now, Kind: trace.EndpointsDelivered, Count: int64(v), Text: text})
-	}
-	for _, a := range out.Actions {
-		r := w.out[a.Conn]
-		if a.Kind != statemachine.ActionWrite || r == nil {
-			continue
-		}
-		r.Feed(a.Data)
-		for m, _ := r.Next(); m != nil; m, _ = r.Next() {
-			l, is := m.(proto.EndpointUpdate)
-			if !is || l.Kind == proto.UpdateFailed || l.Kind == proto.UpdateDelta && len(l.Endpoints) == 0 {
-				continue
-			}
-			text := []string{"full", "changes"}[l.Kind]
-			for _, e := range l.Endpoints {
-				start := now - e.Age
-				if e.StartedLongAgo {
-					start = 0
-				}
-				text += fmt.Sprintf(" %d:%c:%.3f:%s", e.Backend, "god"[e.State], start, e.Zone)
-			}
-			out.Record(trace.Record{Time: now, Kind: trace.EndpointsDelivered, Coordinator: w.name[a.Conn], Count: int64(l.Version), Text: text})
-		}
+	lines, lexFaults := bootstrap.Lex("perth.conf", string(text))
+	settings, parseFaults := bootstrap.Parse("perth.conf", lines)
+	if len(lexFaults)+len(parseFaults) > 0 {
+		t.Fatal(lexFaults, parseFaults)
 	}
+	return settings
 }
 
-// followed plays a fleet whose list follows files: what happens at which second. It gives the report, what was held back, and
-// the records.
-func followed(t *testing.T, seconds float64, happens map[float64]func(offer func([]endpointfile.Backend), w *simnet.Network)) (invariant.Report, []string, []trace.Record) {
+// runFleet simulates a fleet for a time in seconds and fails the test if an invariant is violated.
+func runFleet(t *testing.T, duration float64, events ...event) (*fleet, invariant.Report) {
 	t.Helper()
-	conf, err := scenario.File("perth.conf")
+	simulated := &fleet{t: t, settings: fleetSettings(t), network: simnet.New(3, fleetEpoch, 0.0003, 0.0006)}
+	simulated.network.Trace = func(record trace.Record) { simulated.records = append(simulated.records, record) }
+	simulated.addEndpointService()
+	simulated.submit(makeBackends(fleetBackends, 1))
+	simulated.addBackends()
+	for i := range coordinators {
+		simulated.addCoordinator(i)
+	}
+	for i := range frontEnds {
+		simulated.addFrontEnd(i)
+	}
+	for _, e := range events {
+		simulated.network.Schedule(fleetEpoch+e.at, func() { e.do(simulated) })
+	}
+	simulated.network.RunUntil(fleetEpoch + duration)
+	if len(simulated.network.Failures) > 0 {
+		t.Fatal(simulated.network.Failures)
+	}
+	report, err := invariant.Check(simulated.records, (&scenario.Scenario{Settings: simulated.settings}).Limits())
 	if err != nil {
 		t.Fatal(err)
 	}
-	lines, faults := bootstrap.Lex("perth.conf", string(conf))
-	trade, more := bootstrap.Parse("perth.conf", lines)
-	if len(faults)+len(more) > 0 {
-		t.Fatal(faults, more)
-	}
-	const epoch, zone = 1e6, "dc-kewdale"
-	w := simnet.New(3, epoch, 0.0003, 0.0006)
-	var records []trace.Record
-	w.Trace = func(r trace.Record) { records = append(records, r) }
-	var held []string
-	var now *Service
-	w.AddNode("list", zone, func(_ statemachine.Seconds, files map[string][]byte) statemachine.Machine {
-		s, err := New("list", zone, endpointfile.Settings{DrainPeriod: 4, MaxLossShare: 0.5}, files[StateFile], func(_ int, err error) {
+	for _, rule := range report.Rules {
+		if rule.Violations > 0 {
+			t.Errorf("rule %d at %.3f, %s: %s", rule.Rule, rule.FirstTime-fleetEpoch, rule.Party, rule.Reason)
+		}
+	}
+	return simulated, report
+}
+
+// submit submits a file; it is applied in the next step, as on sockets.
+func (f *fleet) submit(backends []endpointfile.Backend) {
+	f.service.Submit(backends)
+	f.network.SendCommand(endpointServer, "look")
+}
+
+func (f *fleet) addEndpointService() {
+	f.network.AddNode(endpointServer, fleetZone, func(_ statemachine.Seconds, files map[string][]byte) statemachine.Machine {
+		settings := endpointfile.Settings{DrainPeriod: 4, MaxLossShare: 0.5}
+		service, err := New("list", fleetZone, settings, files[StateFile], func(_ int, err error) {
 			if err != nil {
-				held = append(held, err.Error())
+				f.rejected = append(f.rejected, err)
 			}
 		})
 		if err != nil {
-			t.Fatal(err)
+			f.t.Fatal(err)
 		}
-		now = s
-		return &watched{Service: s, out: map[statemachine.Conn]*proto.Reader{}, in: map[statemachine.Conn]*proto.Reader{}, name: map[statemachine.Conn]string{}}
-	}, "list")
-	// An offer is looked at in the next step, as on sockets.
-	offer := func(s []endpointfile.Backend) { now.Submit(s); w.SendCommand("list", "look") }
-	w.Start("list")
-	offer(servers(6, 1))
-	for i, s := range servers(6, 1) {
-		w.AddNode(s.Addr, zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
-			return emulator.NewBackend(emulator.Config{Backend: s.ID, Zone: zone, Cores: 4, Speed: 1, Work: []emulator.Work{{Mean: 0.02}}, QueueLimit: 100, Seed: uint64(i)})
-		}, s.Addr)
-		w.Start(s.Addr)
-	}
-	for i := range 2 {
-		name := fmt.Sprint("c", i)
-		w.AddNode(name, zone, func(at statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
-			b := trade.CoordinatorConfig(at)
-			values := map[string]any{}
-			for k, v := range trade.Values {
-				values[k] = v
-			}
-			values["self"], values["coordinators"] = float64(i), 2.0
-			b.Settings, b.Seed = choice.DecodeSettings(values), uint64(i)+1
-			records, err := w.OpenStore(name)
-			if err != nil {
-				t.Fatal(err)
-			}
-			kept, err := checkpoint.Decode(records)
-			if err != nil {
-				t.Fatal(err)
-			}
-			return coordinator.NewMachine(coordinator.Bootstrap{
-				Name: name, Zone: zone, EndpointListAddr: "list", ModuleConfig: b, HandshakeTimeout: 1, ProxyIdleTimeout: 10, EndpointListIdleTimeout: 5,
-				ProbeTimeout: 1, MaxStreams: 100, MaxProbes: 10,
-			}, kept)
-		}, name)
-		records = append(records, trace.Record{Time: epoch, Kind: trace.CoordinatorStarted, Party: name})
-		w.Start(name)
-	}
-	m := trade.CoordinatorConfig(0)
-	for i := range 8 {
-		name := fmt.Sprint("f", i)
-		w.AddNode(name, zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
-			return fake.NewFrontEnd(fake.FrontEndConfig{
-				Name: name, Zone: zone, Coordinators: []string{fmt.Sprint("c", i%2), fmt.Sprint("c", 1-i%2)},
-				Methods: fake.MethodConfigs(m.Settings.Methods), Rate: 15, Policy: m.Settings.Pick, AvoidFor: 5, AttemptTimeout: 0.8, ReportPeriod: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
+		f.service = service
+		return newTracedService(service)
+	}, endpointServer)
+	f.network.Start(endpointServer)
+}
+
+func (f *fleet) addBackends() {
+	for i, backend := range makeBackends(fleetBackends, 1) {
+		f.network.AddNode(backend.Addr, fleetZone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
+			return emulator.NewBackend(emulator.Config{
+				Backend: backend.ID, Zone: fleetZone, Cores: 4, Speed: 1, Work: []emulator.Work{{Mean: 0.02}}, QueueLimit: 100, Seed: uint64(i),
 			})
-		})
-		w.Start(name)
-	}
-	for at, do := range happens {
-		w.Schedule(epoch+at, func() { do(offer, w) })
-	}
-	w.RunUntil(epoch + seconds)
-	if len(w.Failures) > 0 {
-		t.Fatal(w.Failures)
-	}
-	report, err := invariant.Check(records, (&scenario.Scenario{Settings: trade}).Limits())
-	if err != nil {
-		t.Fatal(err)
+		}, backend.Addr)
+		f.network.Start(backend.Addr)
 	}
-	for _, v := range report.Rules {
-		if v.Violations > 0 {
-			t.Errorf("rule %d at %.3f, %s: %s", v.Rule, v.FirstTime-epoch, v.Party, v.Reason)
+}
+
+func (f *fleet) addCoordinator(i int) {
+	name := fmt.Sprint("c", i)
+	f.network.AddNode(name, fleetZone, func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
+		config := f.settings.CoordinatorConfig(now)
+		values := maps.Clone(f.settings.Values)
+		values["self"], values["coordinators"] = float64(i), float64(coordinators)
+		config.Settings, config.Seed = choice.DecodeSettings(values), uint64(i)+1
+		records, err := f.network.OpenStore(name)
+		if err != nil {
+			f.t.Fatal(err)
 		}
-	}
-	return report, held, records
+		state, err := checkpoint.Decode(records)
+		if err != nil {
+			f.t.Fatal(err)
+		}
+		return coordinator.NewMachine(coordinator.Bootstrap{
+			Name: name, Zone: fleetZone, EndpointListAddr: endpointServer, ModuleConfig: config, HandshakeTimeout: 1, ProxyIdleTimeout: 10,
+			EndpointListIdleTimeout: 5, ProbeTimeout: 1, MaxStreams: 100, MaxProbes: 10,
+		}, state)
+	}, name)
+	f.records = append(f.records, trace.Record{Time: fleetEpoch, Kind: trace.CoordinatorStarted, Party: name})
+	f.network.Start(name)
 }
 
-// The file loses a server, the service dies and comes back between two files, a file is cut short, another flaps, a server
-// moves: all rules are kept, and hardly an RPC is lost.
-func TestFollowedListKeepsTheRules(t *testing.T) {
-	five := servers(5, 1)
-	report, held, records := followed(t, 40, map[float64]func(func([]endpointfile.Backend), *simnet.Network){
-		5:  func(offer func([]endpointfile.Backend), _ *simnet.Network) { offer(five) },
-		7:  func(_ func([]endpointfile.Backend), w *simnet.Network) { w.Kill("list") },
-		10: func(offer func([]endpointfile.Backend), w *simnet.Network) { w.Start("list"); offer(servers(4, 1)) }, // the last one's drain ended meanwhile
-		16: func(offer func([]endpointfile.Backend), _ *simnet.Network) { offer(servers(1, 1)) },                  // cut short
-		18: func(offer func([]endpointfile.Backend), _ *simnet.Network) { offer(five) },
-		19: func(offer func([]endpointfile.Backend), _ *simnet.Network) { offer(servers(4, 1)) },
-		20: func(offer func([]endpointfile.Backend), _ *simnet.Network) { offer(five) },
-		24: func(_ func([]endpointfile.Backend), w *simnet.Network) { w.Kill("c0") },
-		25: func(offer func([]endpointfile.Backend), w *simnet.Network) { w.Start("c0"); offer(servers(6, 1)) },
+func (f *fleet) addFrontEnd(i int) {
+	settings := f.settings.CoordinatorConfig(0).Settings
+	name := fmt.Sprint("f", i)
+	f.network.AddNode(name, fleetZone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
+		return fake.NewFrontEnd(fake.FrontEndConfig{
+			Name: name, Zone: fleetZone, Coordinators: []string{fmt.Sprint("c", i%coordinators), fmt.Sprint("c", 1-i%coordinators)},
+			Methods: fake.MethodConfigs(settings.Methods), Rate: 15, Policy: settings.Pick, AvoidFor: 5, AttemptTimeout: 0.8,
+			ReportPeriod: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
+		})
 	})
-	if len(held) != 1 || !strings.Contains(held[0], "out of use") {
-		t.Errorf("held back: %q", held)
+	f.network.Start(name)
+}
+
+// The file loses a backend, the service is killed and restarted between two files, a file is truncated, a backend leaves and
+// returns repeatedly, a coordinator is killed: all invariants hold, and hardly an RPC is lost.
+func TestInvariantsHoldWhileFilesChange(t *testing.T) {
+	submit := func(count int) func(*fleet) {
+		return func(f *fleet) { f.submit(makeBackends(count, 1)) }
+	}
+	simulated, report := runFleet(t, 40,
+		event{5, submit(5)},
+		event{7, func(f *fleet) { f.network.Kill(endpointServer) }},
+		event{10, func(f *fleet) { // the drain of the sixth backend ended meanwhile
+			f.network.Start(endpointServer)
+			f.submit(makeBackends(4, 1))
+		}},
+		event{16, submit(1)}, // truncated
+		event{18, submit(5)},
+		event{19, submit(4)},
+		event{20, submit(5)},
+		event{24, func(f *fleet) { f.network.Kill("c0") }},
+		event{25, func(f *fleet) {
+			f.network.Start("c0")
+			f.submit(makeBackends(6, 1))
+		}},
+	)
+	var loss *endpointfile.LossError
+	if len(simulated.rejected) != 1 || !errors.As(simulated.rejected[0], &loss) || !strings.Contains(loss.Error(), "out of use") {
+		t.Errorf("rejected: %v", simulated.rejected)
 	}
 	if report.Service.Share() < 0.97 || report.Service.Aborted > 0 {
 		t.Errorf("service %.3f, %d aborted", report.Service.Share(), report.Service.Aborted)
 	}
 	drained := 0
-	for _, r := range records {
-		if r.Kind == trace.EndpointsDelivered && r.Coordinator != "" && strings.Contains(r.Text, "6:d:") {
+	for _, record := range simulated.records {
+		if record.Kind == trace.EndpointsDelivered && record.Coordinator != "" && strings.Contains(record.Text, "6:d:") {
 			drained++
 		}
 	}
 	if drained == 0 {
-		t.Error("no coordinator was told of the drain")
+		t.Error("no coordinator was notified of the drain")
 	}
 }
 
-// A changed weight goes to proxies as lines, not as new tables.
-func TestChangedWeightIsALine(t *testing.T) {
-	heavier := servers(6, 1)
+// A changed weight is pushed to proxies as changed entries of their tables, not as new tables.
+func TestChangedWeightIsPushedAsEntry(t *testing.T) {
+	const changedAt, until = fleetEpoch + 12, fleetEpoch + 14
+	heavier := makeBackends(6, 1)
 	heavier[2].Weight = 1.3
-	_, _, records := followed(t, 20, map[float64]func(func([]endpointfile.Backend), *simnet.Network){
-		12: func(offer func([]endpointfile.Backend), _ *simnet.Network) { offer(heavier) },
-	})
-	lines := map[string]int{}
-	for _, r := range records {
-		if r.Kind != trace.PushApplied || r.Time < 1e6+12 || r.Time > 1e6+14 {
+	simulated, _ := runFleet(t, 20, event{12, func(f *fleet) { f.submit(heavier) }})
+	pushes := map[string]int{}
+	for _, record := range simulated.records {
+		if record.Kind != trace.PushApplied || record.Time < changedAt || record.Time > until {
 			continue
 		}
-		if strings.Contains(r.Text, "bind") {
-			t.Errorf("%s was given a new table: %s", r.Party, r.Text)
+		if strings.Contains(record.Text, "bind") {
+			t.Errorf("%s got a new table: %s", record.Party, record.Text)
 		}
-		if strings.Contains(r.Text, " 3:1.3") {
-			lines[r.Party]++
+		if strings.Contains(record.Text, " 3:1.3") {
+			pushes[record.Party]++
 		}
 	}
-	if len(lines) == 0 {
-		t.Error("no proxy was told of the weight")
+	if len(pushes) == 0 {
+		t.Error("no proxy got the changed weight")
 	}
-	for who, n := range lines {
-		if n > 2 { // a line for each table
-			t.Errorf("%s was told %d times", who, n)
+	const tables = 2
+	for proxy, count := range pushes {
+		if count > tables { // one entry for each table
+			t.Errorf("%s got the changed weight %d times", proxy, count)
 		}
 	}
 }
--- a/internal/endpointservice/service_test.go
+++ b/internal/endpointservice/service_test.go
@@ -1,6 +1,7 @@
 package endpointservice
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -10,149 +11,178 @@
 	"gingerfork/internal/statemachine"
 )
 
-var terms = endpointfile.Settings{DrainPeriod: 10, MaxLossShare: 0.5}
+var testSettings = endpointfile.Settings{DrainPeriod: 10, MaxLossShare: 0.5}
 
-func servers(n int, weight float64) (all []endpointfile.Backend) {
-	for i := range n {
-		all = append(all, endpointfile.Backend{ID: uint32(i + 1), Name: fmt.Sprint("s", i), Addr: fmt.Sprintf("h:%d", i), Weight: weight})
+func makeBackends(count int, weight float64) (backends []endpointfile.Backend) {
+	for i := range count {
+		backends = append(backends, endpointfile.Backend{ID: uint32(i + 1), Name: fmt.Sprint("s", i), Addr: fmt.Sprintf("h:%d", i), Weight: weight})
 	}
-	return all
+	return backends
 }
 
-// driven is a service with watchers, stepped by hand.
-type driven struct {
-	t     *testing.T
-	s     *Service
-	now   float64
-	kept  []byte
-	heard map[statemachine.Conn][]string
-	errs  []string
+// harness steps a service by hand and collects what its watchers receive, in words.
+type harness struct {
+	t        *testing.T
+	service  *Service
+	now      float64
+	state    []byte // the last saved state file
+	received map[statemachine.Conn][]string
+	errors   []error // of rejected files
 }
 
-func drive(t *testing.T, kept []byte, now float64) *driven {
-	d := &driven{t: t, now: now, heard: map[statemachine.Conn][]string{}, kept: kept}
-	var err error
-	if d.s, err = New("list", "z", terms, kept, func(_ int, err error) {
+func newHarness(t *testing.T, state []byte, now float64) *harness {
+	t.Helper()
+	h := &harness{t: t, now: now, received: map[statemachine.Conn][]string{}, state: state}
+	service, err := New("list", "z", testSettings, state, func(_ int, err error) {
 		if err != nil {
-			d.errs = append(d.errs, err.Error())
+			h.errors = append(h.errors, err)
 		}
-	}); err != nil {
+	})
+	if err != nil {
 		t.Fatal(err)
 	}
-	return d
+	h.service = service
+	return h
 }
 
-func (d *driven) step(after float64, in ...statemachine.Input) {
-	d.now += after
-	out := &statemachine.Effects{}
-	out.Reset()
-	d.s.Step(d.now, in, out)
-	if data, saved := out.Files[StateFile]; saved {
-		d.kept = data
+func (h *harness) step(after float64, inputs ...statemachine.Input) {
+	h.t.Helper()
+	h.now += after
+	effects := &statemachine.Effects{}
+	effects.Reset()
+	h.service.Step(h.now, inputs, effects)
+	if state, saved := effects.Files[StateFile]; saved {
+		h.state = state
 	}
-	for _, a := range out.Actions {
-		if a.Kind != statemachine.ActionWrite {
-			d.heard[a.Conn] = append(d.heard[a.Conn], "closed")
-			continue
-		}
-		var r proto.Reader
-		r.HandshakeDone()
-		r.Feed(a.Data)
-		for m, _ := r.Next(); m != nil; m, _ = r.Next() {
-			switch m := m.(type) {
-			case proto.EndpointUpdate:
-				if m.Kind == proto.UpdateDelta && len(m.Endpoints) == 0 {
-					continue // a sign of life
-				}
-				text := fmt.Sprintf("%s %d-%d", []string{"full", "changes", "error"}[m.Kind], m.BaseVersion, m.Version)
-				for _, e := range m.Endpoints {
-					text += fmt.Sprintf(" %d%s%g", e.Backend, []string{"gone", "open", "draining"}[e.State], e.Weight)
-				}
-				d.heard[a.Conn] = append(d.heard[a.Conn], text)
-			case proto.Reject:
-				d.heard[a.Conn] = append(d.heard[a.Conn], "refused")
+	for _, action := range effects.Actions {
+		h.receive(action)
+	}
+	if effects.WakeAt > h.now+1.01 {
+		h.t.Fatal("the next heartbeat is more than a second away")
+	}
+}
+
+func (h *harness) receive(action statemachine.Action) {
+	if action.Kind != statemachine.ActionWrite {
+		h.received[action.Conn] = append(h.received[action.Conn], "closed")
+		return
+	}
+	var reader proto.Reader
+	reader.HandshakeDone()
+	reader.Feed(action.Data)
+	for message, _ := reader.Next(); message != nil; message, _ = reader.Next() {
+		switch message := message.(type) {
+		case proto.EndpointUpdate:
+			if message.Kind == proto.UpdateDelta && len(message.Endpoints) == 0 {
+				continue // a heartbeat
 			}
+			h.received[action.Conn] = append(h.received[action.Conn], describe(message))
+		case proto.Reject:
+			h.received[action.Conn] = append(h.received[action.Conn], "rejected")
 		}
 	}
-	if out.WakeAt > d.now+1.01 {
-		d.t.Fatal("it would not show a sign of life in a second")
+}
+
+func describe(update proto.EndpointUpdate) string {
+	text := fmt.Sprintf("%s %d-%d", []string{"full", "delta", "failed"}[update.Kind], update.BaseVersion, update.Version)
+	for _, endpoint := range update.Endpoints {
+		text += fmt.Sprintf(" %d%s%g", endpoint.Backend, []string{"gone", "open", "draining"}[endpoint.State], endpoint.Weight)
+	}
+	return text
+}
+
+func data(conn statemachine.Conn, messages ...proto.Message) statemachine.Input {
+	input := statemachine.Input{Kind: statemachine.ConnData, Conn: conn}
+	for _, message := range messages {
+		input.Data = proto.Append(input.Data, message)
 	}
+	return input
 }
 
-func (d *driven) watch(c statemachine.Conn, since uint64) {
-	d.step(0, statemachine.Input{Kind: statemachine.ConnOpened, Conn: c}, statemachine.Input{Kind: statemachine.ConnData, Conn: c, Data: proto.Append(
-		proto.Append(nil, proto.Hello{Version: proto.Version, Role: proto.RoleWatcher, Name: "c0"}), proto.WatchEndpoints{On: true, SinceVersion: since})})
+func (h *harness) watch(conn statemachine.Conn, since uint64) {
+	h.t.Helper()
+	h.step(0, statemachine.Input{Kind: statemachine.ConnOpened, Conn: conn},
+		data(conn, proto.Hello{Version: proto.Version, Role: proto.RoleWatcher, Name: "c0"}, proto.WatchEndpoints{On: true, SinceVersion: since}))
 }
 
-func (d *driven) want(c statemachine.Conn, all ...string) {
-	d.t.Helper()
-	if got, want := strings.Join(d.heard[c], "; "), strings.Join(all, "; "); got != want {
-		d.t.Fatalf("heard %q, %q wanted", got, want)
+// requireReceived fails the test unless a watcher received just these messages since it was called last.
+func (h *harness) requireReceived(conn statemachine.Conn, messages ...string) {
+	h.t.Helper()
+	if got, want := strings.Join(h.received[conn], "; "), strings.Join(messages, "; "); got != want {
+		h.t.Fatalf("received %q, wanted %q", got, want)
 	}
-	d.heard[c] = nil
+	h.received[conn] = nil
 }
 
-// A changed file goes as what changed: one weight is one entry; what left drains, then is gone; a watcher that held an
-// older version hears what it lacks, one of an unknown version all.
-func TestChangesGoAsChanges(t *testing.T) {
-	d := drive(t, nil, 100)
-	d.watch(1, 0)
-	d.want(1, "error 0-0")
-	d.s.Submit(servers(3, 1))
-	d.step(0.1)
-	d.want(1, "full 0-1 1open1 2open1 3open1")
-	s := servers(3, 1)
-	s[1].Weight = 5
-	d.s.Submit(s)
-	d.step(1)
-	d.want(1, "changes 1-2 2open5")
-	d.s.Submit(s[:2])
-	d.step(1)
-	d.want(1, "changes 2-3 3draining1")
-	d.watch(2, 1)
-	d.want(2, "changes 1-3 2open5 3draining1")
-	d.watch(3, 77)
-	d.want(3, "full 77-3 1open1 2open5 3draining1")
-	d.step(9.9)
-	d.want(1)
-	d.step(0.2)
-	d.want(1, "changes 3-4 3gone1")
-	d.step(0, statemachine.Input{Kind: statemachine.ConnData, Conn: 3, Data: proto.Append(nil, proto.FetchEndpoints{})}, statemachine.Input{Kind: statemachine.ConnData, Conn: 2, Data: proto.Append(nil, proto.ReportsReceived{})})
-	d.want(3, "changes 3-4 3gone1", "full 0-4 1open1 2open5")
-	d.want(2, "changes 3-4 3gone1", "refused", "closed")
+// A changed file is sent as a delta: a changed weight is one entry, and a backend that left the file drains and is then gone. A
+// watcher with an older version gets what it lacks, one with an unknown version the whole list.
+func TestWatchersGetDeltas(t *testing.T) {
+	watched := newHarness(t, nil, 100)
+	watched.watch(1, 0)
+	watched.requireReceived(1, "failed 0-0")
+	watched.service.Submit(makeBackends(3, 1))
+	watched.step(0.1)
+	watched.requireReceived(1, "full 0-1 1open1 2open1 3open1")
+	backends := makeBackends(3, 1)
+	backends[1].Weight = 5
+	watched.service.Submit(backends)
+	watched.step(1)
+	watched.requireReceived(1, "delta 1-2 2open5")
+	watched.service.Submit(backends[:2])
+	watched.step(1)
+	watched.requireReceived(1, "delta 2-3 3draining1")
+	watched.watch(2, 1)
+	watched.requireReceived(2, "delta 1-3 2open5 3draining1")
+	watched.watch(3, 77)
+	watched.requireReceived(3, "full 77-3 1open1 2open5 3draining1")
+	watched.step(9.9)
+	watched.requireReceived(1)
+	watched.step(0.2)
+	watched.requireReceived(1, "delta 3-4 3gone1")
+	watched.step(0, data(3, proto.FetchEndpoints{}), data(2, proto.ReportsReceived{}))
+	watched.requireReceived(3, "delta 3-4 3gone1", "full 0-4 1open1 2open5")
+	watched.requireReceived(2, "delta 3-4 3gone1", "rejected", "closed")
 }
 
-// A restart between the old file and the new: what the new one dropped drains, as if the service had never been away; and
-// a file that was cut short is held back across a restart, too.
+// A backend that the file drops while the service is down drains after the restart, and a drain goes on across a restart. A
+// rejected file is remembered across a restart, too.
 func TestRestartBetweenFiles(t *testing.T) {
-	d := drive(t, nil, 100)
-	d.s.Submit(servers(4, 1))
-	d.step(0.1)
-	again := drive(t, d.kept, 200)
-	again.watch(1, 1)
-	again.want(1)
-	again.s.Submit(servers(3, 1))
-	again.step(0.1)
-	again.want(1, "changes 1-2 4draining1")
-	third := drive(t, again.kept, 205)
+	first := newHarness(t, nil, 100)
+	first.service.Submit(makeBackends(4, 1))
+	first.step(0.1)
+
+	second := newHarness(t, first.state, 200)
+	second.watch(1, 1)
+	second.requireReceived(1)
+	second.service.Submit(makeBackends(3, 1))
+	second.step(0.1)
+	second.requireReceived(1, "delta 1-2 4draining1")
+
+	third := newHarness(t, second.state, 205)
 	third.watch(1, 0)
-	third.want(1, "full 0-2 1open1 2open1 3open1 4draining1")
-	third.s.Submit(servers(1, 1)) // two of three lost
+	third.requireReceived(1, "full 0-2 1open1 2open1 3open1 4draining1")
+	third.service.Submit(makeBackends(1, 1)) // loses two of three
 	third.step(0.1)
-	third.want(1)
-	if len(third.errs) != 1 {
-		t.Fatal(third.errs)
+	third.requireReceived(1)
+	var loss *endpointfile.LossError
+	if len(third.errors) != 1 || !errors.As(third.errors[0], &loss) {
+		t.Fatal(third.errors)
 	}
 	third.step(5.1)
-	third.want(1, "changes 2-3 4gone1")
-	fourth := drive(t, third.kept, 300)
-	fourth.s.Submit(servers(1, 1))
+	third.requireReceived(1, "delta 2-3 4gone1")
+
+	fourth := newHarness(t, third.state, 300)
+	fourth.service.Submit(makeBackends(1, 1))
 	fourth.step(0.1)
 	fourth.watch(1, 0)
-	if fourth.want(1, "full 0-4 1open1 2draining1 3draining1"); len(fourth.errs) > 0 {
-		t.Fatal("offered a second time after a restart, it was held back again")
+	fourth.requireReceived(1, "full 0-4 1open1 2draining1 3draining1")
+	if len(fourth.errors) > 0 {
+		t.Fatal("applied a second time after a restart, the file was rejected again")
 	}
-	if s, err := New("x", "z", terms, []byte("{"), nil); err == nil || s == nil {
-		t.Error("a damaged file of what was kept was taken for good")
+}
+
+func TestNewReportsCorruptState(t *testing.T) {
+	if service, err := New("x", "z", testSettings, []byte("{"), nil); err == nil || service == nil {
+		t.Error("a corrupt state file was accepted")
 	}
 }
