--- a/cmd/gingerfork/route.go
+++ b/cmd/gingerfork/route.go
@@ -42,7 +42,7 @@
 	t := route.NewTable(routes)
 	r, ok := t.Lookup(c.Front, q)
 	if !ok {
-		known := t.Fronts()
+		known := t.Frontends()
 		if near := bootstrap.ClosestWord(c.Front, known); near != "" && near != c.Front {
 			return badError{fmt.Errorf("no route for it (did you mean the front %s?)", near)}
 		}
--- a/internal/route/file.go
+++ b/internal/route/file.go
@@ -1,126 +1,90 @@
 package route
 
 import (
-	"slices"
 	"strings"
 
 	"gingerfork/internal/bootstrap"
 )
 
-// A file of routes has a line for each, in the order in which they are tried:
+// The words of a file of routes, which has a line for each route, in the order in which they are tried:
 //
 //	route FRONT to POOL as METHOD [when ROW [or ROW]... | unless ROW [or ROW]...]
 //
 // A ROW is one or more terms, all of which must hold: [not] path|method|hdr(NAME) str|beg|end|sub|found [any-case] =PATTERN...
-// A term holds if any of its patterns does. Patterns begin with =, so that none is taken for a word.
+// A term holds if any of its patterns matches. Patterns begin with =, so that none is taken for a word.
+const (
+	wordRoute      = "route"
+	wordTo         = "to"
+	wordAs         = "as"
+	wordWhen       = "when"
+	wordUnless     = "unless"
+	wordOr         = "or"
+	wordNot        = "not"
+	wordIgnoreCase = "any-case"
+	headerPrefix   = "hdr("
+	headerSuffix   = ")"
+	patternPrefix  = "="
+)
 
-// String is the route's line.
+// String returns the line of the route in a file.
 func (r Route) String() string {
-	words := []string{"route", r.Frontend, "to", r.Pool, "as", r.Method}
-	for i, row := range r.Alternatives {
+	words := []string{wordRoute, r.Frontend, wordTo, r.Pool, wordAs, r.Method}
+	for i, alternative := range r.Alternatives {
 		switch {
 		case i > 0:
-			words = append(words, "or")
+			words = append(words, wordOr)
 		case r.Negate:
-			words = append(words, "unless")
+			words = append(words, wordUnless)
 		default:
-			words = append(words, "when")
+			words = append(words, wordWhen)
 		}
-		for _, t := range row {
-			if t.Negate {
-				words = append(words, "not")
-			}
-			if t.Source == "hdr" {
-				words = append(words, "hdr("+t.Header+")", t.Match)
-			} else {
-				words = append(words, t.Source, t.Match)
-			}
-			if t.IgnoreCase {
-				words = append(words, "any-case")
-			}
-			for _, p := range t.Patterns {
-				words = append(words, "="+p)
-			}
+		for _, term := range alternative {
+			words = append(words, term.words()...)
 		}
 	}
-	for i, w := range words {
-		words[i] = bootstrap.Quote(w)
+	for i, word := range words {
+		words[i] = bootstrap.Quote(word)
 	}
 	return strings.Join(words, " ")
 }
 
-// Read reads a file of routes. All faults are told, each with its line.
-func Read(file, text string) (all []Route, faults bootstrap.Faults) {
-	lines, faults := bootstrap.Lex(file, text)
-	last := map[string]bootstrap.Line{} // by front: a route that holds always, behind which none is reached
-	for _, l := range lines {
-		r, err := parse(l.Words)
-		if err != "" {
-			faults = append(faults, l.Fault("%s", err))
-			continue
-		}
-		if end, ended := last[r.Frontend]; ended {
-			faults = append(faults, l.Fault("it is never reached: the route of line %d takes all that comes to %s", end.Number, r.Frontend))
-			continue
-		}
-		if len(r.Alternatives) == 0 {
-			last[r.Frontend] = l
-		}
-		all = append(all, r)
+func (t Term) words() (words []string) {
+	if t.Negate {
+		words = append(words, wordNot)
 	}
-	faults.Sort()
-	return all, faults
-}
-
-func parse(w []string) (r Route, err string) {
-	if len(w) < 6 || w[0] != "route" || w[2] != "to" || w[4] != "as" {
-		return r, "a route is: route FRONT to POOL as METHOD [when|unless ...]"
+	source := t.Source
+	if source == SourceHeader {
+		source = headerPrefix + t.Header + headerSuffix
 	}
-	r.Frontend, r.Pool, r.Method = w[1], w[3], w[5]
-	if len(w) == 6 {
-		return r, ""
+	words = append(words, source, t.Match)
+	if t.IgnoreCase {
+		words = append(words, wordIgnoreCase)
 	}
-	if r.Negate = w[6] == "unless"; !r.Negate && w[6] != "when" {
-		return r, w[6] + " is neither when nor unless"
+	for _, pattern := range t.Patterns {
+		words = append(words, patternPrefix+pattern)
 	}
-	var row []Term
-	for w = w[7:]; ; {
-		var t Term
-		if t.Negate = len(w) > 0 && w[0] == "not"; t.Negate {
-			w = w[1:]
-		}
-		if len(w) < 2 {
-			return r, "a term is: [not] path|method|hdr(NAME) str|beg|end|sub|found [any-case] =PATTERN..."
-		}
-		t.Source, t.Match = w[0], w[1]
-		if name, ok := strings.CutPrefix(w[0], "hdr("); ok {
-			if t.Header, ok = strings.CutSuffix(name, ")"); !ok || t.Header != strings.ToLower(t.Header) {
-				return r, w[0] + " is no header in lower case, such as hdr(host)"
-			}
-			t.Source = "hdr"
-		} else if t.Source != "path" && t.Source != "method" {
-			return r, w[0] + " is none of path, method, hdr(NAME)"
-		}
-		if !slices.Contains([]string{"str", "beg", "end", "sub", "found"}, t.Match) {
-			return r, t.Match + " is none of str, beg, end, sub, found"
-		}
-		w = w[2:]
-		if t.IgnoreCase = len(w) > 0 && w[0] == "any-case"; t.IgnoreCase {
-			w = w[1:]
-		}
-		for ; len(w) > 0 && strings.HasPrefix(w[0], "="); w = w[1:] {
-			t.Patterns = append(t.Patterns, w[0][1:])
+	return words
+}
+
+// Read reads a file of routes. It returns all faults, each with its line.
+func Read(file, text string) (routes []Route, faults bootstrap.Faults) {
+	lines, faults := bootstrap.Lex(file, text)
+	catchAll := map[string]bootstrap.Line{} // by front end: the route that always matches, behind which none is reached
+	for _, line := range lines {
+		route, err := parse(line.Words)
+		if err != nil {
+			faults = append(faults, line.Fault("%s", err))
+			continue
 		}
-		if len(t.Patterns) == 0 && t.Match != "found" {
-			return r, "a term without a pattern (patterns begin with =)"
+		if earlier, ok := catchAll[route.Frontend]; ok {
+			faults = append(faults, line.Fault("it is never reached: the route of line %d takes all that comes to %s", earlier.Number, route.Frontend))
+			continue
 		}
-		row = append(row, t)
-		if len(w) == 0 || w[0] == "or" {
-			r.Alternatives, row = append(r.Alternatives, row), nil
-			if len(w) == 0 {
-				return r, ""
-			}
-			w = w[1:]
+		if len(route.Alternatives) == 0 {
+			catchAll[route.Frontend] = line
 		}
+		routes = append(routes, route)
 	}
+	faults.Sort()
+	return routes, faults
 }
--- /dev/null
+++ b/internal/route/parse.go
@@ -0,0 +1,111 @@
+package route
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// syntaxError says what a line should look like.
+type syntaxError string
+
+func (e syntaxError) Error() string { return string(e) }
+
+const (
+	errRouteSyntax syntaxError = "a route is: route FRONT to POOL as METHOD [when|unless ...]"
+	errTermSyntax  syntaxError = "a term is: [not] path|method|hdr(NAME) str|beg|end|sub|found [any-case] =PATTERN..."
+	errNoPattern   syntaxError = "a term without a pattern (patterns begin with =)"
+)
+
+// routeWords is the number of words of a route without conditions.
+const routeWords = 6
+
+// parse parses the words of a line.
+func parse(words []string) (Route, error) {
+	if len(words) < routeWords || words[0] != wordRoute || words[2] != wordTo || words[4] != wordAs {
+		return Route{}, errRouteSyntax
+	}
+	route := Route{Frontend: words[1], Pool: words[3], Method: words[5]}
+	if len(words) == routeWords {
+		return route, nil
+	}
+	switch condition := words[routeWords]; condition {
+	case wordWhen:
+	case wordUnless:
+		route.Negate = true
+	default:
+		return Route{}, fmt.Errorf("%s is neither when nor unless", condition)
+	}
+	var err error
+	route.Alternatives, err = parseAlternatives(words[routeWords+1:])
+	if err != nil {
+		return Route{}, err
+	}
+	return route, nil
+}
+
+func parseAlternatives(words []string) (alternatives [][]Term, err error) {
+	var terms []Term
+	for {
+		var term Term
+		term, words, err = parseTerm(words)
+		if err != nil {
+			return nil, err
+		}
+		terms = append(terms, term)
+		if len(words) > 0 && words[0] != wordOr {
+			continue
+		}
+		alternatives, terms = append(alternatives, terms), nil
+		if len(words) == 0 {
+			return alternatives, nil
+		}
+		words = words[1:]
+	}
+}
+
+// parseTerm parses the term that words begin with, and returns the words after it.
+func parseTerm(words []string) (term Term, rest []string, err error) {
+	term.Negate, words = cutWord(words, wordNot)
+	if len(words) < 2 {
+		return term, nil, errTermSyntax
+	}
+	if term.Source, term.Header, err = parseSource(words[0]); err != nil {
+		return term, nil, err
+	}
+	term.Match = words[1]
+	if !slices.Contains([]string{MatchExact, MatchPrefix, MatchSuffix, MatchContains, MatchPresent}, term.Match) {
+		return term, nil, fmt.Errorf("%s is none of str, beg, end, sub, found", term.Match)
+	}
+	term.IgnoreCase, words = cutWord(words[2:], wordIgnoreCase)
+	for len(words) > 0 && strings.HasPrefix(words[0], patternPrefix) {
+		term.Patterns = append(term.Patterns, strings.TrimPrefix(words[0], patternPrefix))
+		words = words[1:]
+	}
+	if len(term.Patterns) == 0 && term.Match != MatchPresent {
+		return term, nil, errNoPattern
+	}
+	return term, words, nil
+}
+
+// cutWord reports whether words begin with a word, and returns the words after it.
+func cutWord(words []string, word string) (found bool, rest []string) {
+	if len(words) > 0 && words[0] == word {
+		return true, words[1:]
+	}
+	return false, words
+}
+
+func parseSource(word string) (source, header string, err error) {
+	if name, ok := strings.CutPrefix(word, headerPrefix); ok {
+		header, ok = strings.CutSuffix(name, headerSuffix)
+		if !ok || header != strings.ToLower(header) {
+			return "", "", fmt.Errorf("%s is no header in lower case, such as hdr(host)", word)
+		}
+		return SourceHeader, header, nil
+	}
+	if word != SourcePath && word != SourceMethod {
+		return "", "", fmt.Errorf("%s is none of path, method, hdr(NAME)", word)
+	}
+	return word, "", nil
+}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,207 +1,147 @@
-// Package route says which pool a request goes to, and as which of the pool's methods: ordered routes on path, HTTP method
-// and headers, in a file that proxies read. Nothing here does I/O.
+// Package route decides which pool a request goes to, and as which of the pool's methods: ordered routes on path, HTTP method and
+// headers, in a file that proxies read. The package does no I/O.
 package route
 
 import (
-	"maps"
 	"slices"
 	"strings"
 )
 
-// Request is what a route looks at.
+// The sources of the values that a Term looks at.
+const (
+	SourcePath   = "path"
+	SourceMethod = "method"
+	SourceHeader = "hdr"
+)
+
+// The ways in which a Term matches a value.
+const (
+	MatchExact    = "str"
+	MatchPrefix   = "beg"
+	MatchSuffix   = "end"
+	MatchContains = "sub"
+	MatchPresent  = "found" // there is a value, whatever it is
+)
+
+// Request is what routes look at.
 type Request struct {
-	Method, Path string
-	Headers      map[string][]string // names in lower case
+	Method  string
+	Path    string
+	Headers map[string][]string // names in lower case
 }
 
-// Term looks at one thing of a request.
+// Term is a condition on one property of a request. It holds if one of the property's values matches one of the patterns.
 type Term struct {
 	Negate     bool
-	Source     string // path, method or hdr
-	Header     string // in lower case, for hdr
-	Match      string // str, beg, end, sub or found
-	IgnoreCase bool   // regardless of case
+	Source     string // one of SourcePath, SourceMethod and SourceHeader
+	Header     string // the name in lower case, for SourceHeader
+	Match      string // one of MatchExact to MatchPresent
+	IgnoreCase bool
 	Patterns   []string
 }
 
-// Route sends requests of a front to a pool, if any of its rows of terms holds (or none does, by Unless). Without rows
-// it holds always. Routes are looked at in their order.
+// Route sends requests of a front end to a pool.
 type Route struct {
-	Frontend, Pool string
-	Method         string // the pool's method that its requests are
-	Negate         bool
-	Alternatives   [][]Term
+	Frontend string
+	Pool     string
+	Method   string // of the pool, as which its requests count
+	// Alternatives are conditions of which one must hold, or none with Negate. Each is a conjunction of terms. A route without
+	// alternatives always matches.
+	Alternatives [][]Term
+	Negate       bool
 }
 
-// Holds tells whether a request is the route's.
-func (r Route) Matches(q Request) bool {
+// Matches reports whether the route takes a request.
+func (r Route) Matches(request Request) bool {
 	if len(r.Alternatives) == 0 {
 		return true
 	}
-	matched := slices.ContainsFunc(r.Alternatives, func(row []Term) bool {
-		return !slices.ContainsFunc(row, func(t Term) bool { return !t.holds(q) })
-	})
-	return matched != r.Negate
+	return slices.ContainsFunc(r.Alternatives, request.meetsAll) != r.Negate
 }
 
-// Safe tells whether all of its requests have a method that RFC 9110 (9.2.1) calls safe, so that a second run does no
-// harm. Of others nothing is known: a GET that the route does not ask for may be a POST.
-func (r Route) Safe() bool {
-	return !r.Negate && len(r.Alternatives) > 0 && !slices.ContainsFunc(r.Alternatives, func(row []Term) bool {
-		return !slices.ContainsFunc(row, func(t Term) bool {
-			return t.Source == "method" && !t.Negate && t.Match == "str" && !t.IgnoreCase && !slices.ContainsFunc(t.Patterns, func(p string) bool {
-				return !slices.Contains([]string{"GET", "HEAD", "OPTIONS", "TRACE"}, p)
-			})
-		})
-	})
+// meetsAll reports whether all terms of a conjunction hold.
+func (q Request) meetsAll(terms []Term) bool {
+	return !slices.ContainsFunc(terms, func(term Term) bool { return !term.holds(q) })
 }
 
-func (t Term) values(q Request) []string {
-	switch t.Source {
-	case "path":
-		return []string{q.Path}
-	case "method":
-		return []string{q.Method}
+// Safe reports whether all requests of the route have a method that RFC 9110 (9.2.1) calls safe, so that a retry does no harm. A
+// route that does not ask for the method may get any.
+func (r Route) Safe() bool {
+	if r.Negate || len(r.Alternatives) == 0 {
+		return false
 	}
-	return q.Headers[t.Header]
-}
-
-func (t Term) holds(q Request) bool {
-	values := t.values(q)
-	hit := t.Match == "found" && len(values) > 0
-	for _, v := range values {
-		for _, p := range t.Patterns {
-			if t.IgnoreCase {
-				v, p = strings.ToLower(v), strings.ToLower(p)
-			}
-			switch t.Match {
-			case "str":
-				hit = hit || v == p
-			case "beg":
-				hit = hit || strings.HasPrefix(v, p)
-			case "end":
-				hit = hit || strings.HasSuffix(v, p)
-			case "sub":
-				hit = hit || strings.Contains(v, p)
-			}
+	for _, terms := range r.Alternatives {
+		if !slices.ContainsFunc(terms, Term.requiresSafeMethod) {
+			return false
 		}
 	}
-	return hit != t.Negate
-}
-
-// Table is routes made ready for many lookups. A front with ten thousand routes by host or by path is looked at in a
-// few steps: only the routes that ask for the request's own value, and those that ask for no whole value, are tried.
-type Table struct {
-	fronts map[string]*front
+	return true
 }
 
-type front struct {
-	routes []Route
-	open   []int            // that can't be told by a whole value
-	keys   map[string][]int // routes by a value that one of their terms asks for as a whole
-	looks  []Term           // the kinds of values that are asked for, without patterns
-}
-
-// NewTable makes a table; routes of a front keep their order.
-func NewTable(routes []Route) *Table {
-	t := &Table{map[string]*front{}}
-	for _, r := range routes {
-		f := t.fronts[r.Frontend]
-		if f == nil {
-			f = &front{keys: map[string][]int{}}
-			t.fronts[r.Frontend] = f
-		}
-		f.add(r)
+func (t Term) requiresSafeMethod() bool {
+	if t.Source != SourceMethod || t.Negate || t.Match != MatchExact || t.IgnoreCase {
+		return false
 	}
-	return t
+	return !slices.ContainsFunc(t.Patterns, func(method string) bool {
+		return !slices.Contains([]string{"GET", "HEAD", "OPTIONS", "TRACE"}, method)
+	})
 }
 
-// whole finds in each row a term by whose whole value the row can be found; false if any row has none.
-func whole(r Route) (all []Term, ok bool) {
-	if r.Negate || len(r.Alternatives) == 0 {
-		return nil, false
-	}
-	for _, row := range r.Alternatives {
-		at := slices.IndexFunc(row, func(t Term) bool { return t.Match == "str" && !t.Negate && t.Source != "method" })
-		if at < 0 {
-			return nil, false
-		}
-		all = append(all, row[at])
+// values returns the values of a request that a term looks at.
+func (t Term) values(request Request) []string {
+	switch t.Source {
+	case SourcePath:
+		return []string{request.Path}
+	case SourceMethod:
+		return []string{request.Method}
 	}
-	return all, true
+	return request.Headers[t.Header]
 }
 
-// key is how a value is found. Case is folded for all: which routes hold is asked of them again.
-func (t Term) key(v string) string { return t.Source + "\x00" + t.Header + "\x00" + strings.ToLower(v) }
-
-func (f *front) add(r Route) {
-	n := len(f.routes)
-	f.routes = append(f.routes, r)
-	terms, ok := whole(r)
-	if !ok {
-		f.open = append(f.open, n)
-		return
-	}
-	for _, t := range terms {
-		if !slices.ContainsFunc(f.looks, func(x Term) bool { return x.Source == t.Source && x.Header == t.Header }) {
-			f.looks = append(f.looks, Term{Source: t.Source, Header: t.Header})
-		}
-		for _, p := range t.Patterns {
-			if k := t.key(p); !slices.Contains(f.keys[k], n) {
-				f.keys[k] = append(f.keys[k], n)
-			}
-		}
-	}
+func (t Term) holds(request Request) bool {
+	return slices.ContainsFunc(t.values(request), t.matches) != t.Negate
 }
 
-// Pick gives the first route of a front that is the request's; false if none is.
-func (t *Table) Lookup(from string, q Request) (Route, bool) {
-	f := t.fronts[from]
-	if f == nil {
-		return Route{}, false
+// matches reports whether a value matches one of the patterns.
+func (t Term) matches(value string) bool {
+	if t.Match == MatchPresent {
+		return true
 	}
-	best := len(f.routes)
-	for _, look := range f.looks {
-		for _, v := range look.values(q) {
-			for _, n := range f.keys[look.key(v)] {
-				if n < best && f.routes[n].Matches(q) {
-					best = n
-				}
-			}
-		}
+	if t.IgnoreCase {
+		value = strings.ToLower(value)
 	}
-	for _, n := range f.open {
-		if n >= best {
-			break
+	return slices.ContainsFunc(t.Patterns, func(pattern string) bool {
+		if t.IgnoreCase {
+			pattern = strings.ToLower(pattern)
 		}
-		if f.routes[n].Matches(q) {
-			best = n
+		switch t.Match {
+		case MatchExact:
+			return value == pattern
+		case MatchPrefix:
+			return strings.HasPrefix(value, pattern)
+		case MatchSuffix:
+			return strings.HasSuffix(value, pattern)
+		case MatchContains:
+			return strings.Contains(value, pattern)
 		}
-	}
-	if best == len(f.routes) {
-		return Route{}, false
-	}
-	return f.routes[best], true
+		return false
+	})
 }
 
-// Methods gives the methods that routes make of a pool's requests, in their order, each once, and whether all of a
-// method's routes are safe.
+// Methods returns the methods that routes define for a pool, each once and in the order of the routes, and whether all routes of
+// a method are safe.
 func Methods(routes []Route, pool string) (names []string, safe map[string]bool) {
 	safe = map[string]bool{}
-	for _, r := range routes {
-		if r.Pool != pool {
+	for _, route := range routes {
+		if route.Pool != pool {
 			continue
 		}
-		if was, seen := safe[r.Method]; seen {
-			safe[r.Method] = was && r.Safe()
-			continue
+		safeSoFar, seen := safe[route.Method]
+		if !seen {
+			names = append(names, route.Method)
+			safeSoFar = true
 		}
-		names, safe[r.Method] = append(names, r.Method), r.Safe()
+		safe[route.Method] = safeSoFar && route.Safe()
 	}
 	return names, safe
 }
-
-// Fronts names a table's fronts, in order.
-func (t *Table) Fronts() []string {
-	return slices.Sorted(maps.Keys(t.fronts))
-}
