--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"image/png"
 	"math"
 	"strings"
@@ -11,67 +12,102 @@
 	"gingerfork/internal/trace"
 )
 
-var methods = []invariant.Method{{Name: "read", Criticality: 1, SoftDeadline: 1}, {Name: "submit", Criticality: 2, SoftDeadline: 0.5}}
+var testMethods = []invariant.Method{{Name: "read", Criticality: 1, SoftDeadline: 1}, {Name: "submit", Criticality: 2, SoftDeadline: 0.5}}
 
-func day() (all []trace.Record) {
+// makeRecords returns a trace of 20 s with a fault from 5 s to 10 s, in which one method is answered late.
+func makeRecords() (records []trace.Record) {
+	const start = 100
 	for i := range 400 {
-		t := 100 + float64(i)/20
-		x := trace.Record{Time: t, Kind: trace.RPCFinished, Method: i % 2, Text: "ok", Value: 0.1}
-		if t >= 105 && t < 110 && i%2 == 1 {
-			x.Value = 0.7 // late for submit
+		at := start + float64(i)/20
+		record := trace.Record{Time: at, Kind: trace.RPCFinished, Method: i % 2, Text: "ok", Value: 0.1}
+		if at >= start+5 && at < start+10 && i%2 == 1 {
+			record.Value = 0.7 // late for submit
 		}
-		all = append(all, x)
+		records = append(records, record)
 		if i == 100 {
-			all = append(all, trace.Record{Time: t, Kind: trace.FaultInjected, Text: "hang servers 1 for 5s", Value: 5}, trace.Record{Time: t, Kind: trace.PushSent, Value: 7})
+			records = append(records,
+				trace.Record{Time: at, Kind: trace.FaultInjected, Text: "hang servers 1 for 5s", Value: 5},
+				trace.Record{Time: at, Kind: trace.PushSent, Value: 7})
 		}
 	}
-	return all
+	return records
 }
 
-func TestFigures(t *testing.T) {
-	r, err := Build(day(), methods)
+func TestBuild(t *testing.T) {
+	report, err := Build(makeRecords(), testMethods)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(r.Seconds) != 20 || r.Seconds[2].InTime != 20 || r.Seconds[6].Late != 10 || math.Abs(r.Seconds[6].Service()-1.0/3) > 1e-9 || r.Seconds[5].Entries != 7 {
-		t.Errorf("%+v", r.Seconds)
+	if len(report.Seconds) != 20 || report.Seconds[2].InTime != 20 || report.Seconds[6].Late != 10 ||
+		math.Abs(report.Seconds[6].Service()-1.0/3) > 1e-9 || report.Seconds[5].Entries != 7 {
+		t.Errorf("seconds %+v", report.Seconds)
 	}
-	if len(r.Faults) != 1 || r.Faults[0].From != 5 || r.Faults[0].To != 10 {
-		t.Errorf("%+v", r.Faults)
+	if len(report.Faults) != 1 || report.Faults[0].From != 5 || report.Faults[0].To != 10 {
+		t.Errorf("faults %+v", report.Faults)
 	}
-	if r.WorstMethod != "submit" || math.Abs(r.WorstMethodService-0.75) > 1e-9 || math.Abs(r.WorstTenSeconds-2.0/3) > 1e-9 || r.WorstTenSecondsStart != 0 {
-		t.Errorf("%+v", r)
+	if report.WorstMethod != "submit" || math.Abs(report.WorstMethodService-0.75) > 1e-9 || math.Abs(report.WorstTenSeconds-2.0/3) > 1e-9 ||
+		report.WorstTenSecondsStart != 0 {
+		t.Errorf("report %+v", report)
 	}
-	if l := r.Latencies[1]; l.Count != 200 || math.Abs(l.P50-0.1) > 0.001 || math.Abs(l.P90-0.7) > 0.002 {
-		t.Errorf("%+v", l)
+	if l := report.Latencies[1]; l.Count != 200 || math.Abs(l.P50-0.1) > 0.001 || math.Abs(l.P90-0.7) > 0.002 {
+		t.Errorf("latency %+v", l)
 	}
-	var b strings.Builder
-	if r.WriteText(&b); !strings.Contains(b.String(), "poorest method submit: 0.750") {
-		t.Error(b.String())
+	var text strings.Builder
+	if report.WriteText(&text); !strings.Contains(text.String(), "poorest method submit: 0.750") {
+		t.Error(text.String())
 	}
-	if _, err := Build([]trace.Record{{Kind: trace.RPCFinished, Method: 2}}, methods); err == nil {
-		t.Error("an unknown method was taken")
+	if _, err := Build([]trace.Record{{Kind: trace.RPCFinished, Method: 2}}, testMethods); err == nil {
+		t.Error("an unknown method was accepted")
 	}
 }
 
-func TestPicture(t *testing.T) {
-	r, _ := Build(day(), methods)
-	var b bytes.Buffer
-	if err := r.WritePNG(&b, "a day"); err != nil {
+// The JSON keys are those that earlier versions wrote.
+func TestJSONKeys(t *testing.T) {
+	report, err := Build([]trace.Record{
+		{Time: 1, Kind: trace.RPCFinished, Text: "ok", Value: 0.25},
+		{Time: 1, Kind: trace.RPCFinished, Text: "pushed back"},
+		{Time: 1, Kind: trace.FaultInjected, Text: "hang", Value: 5},
+		{Time: 1, Kind: trace.BackendSampled, Backend: 1, Value: 30, Text: "0.5", Count: 4},
+		{Time: 1, Kind: trace.ScheduleDelay, Value: 0.5},
+	}, testMethods[:1])
+	if err != nil {
+		t.Fatal(err)
+	}
+	data, err := json.Marshal(report)
+	if err != nil {
+		t.Fatal(err)
+	}
+	const want = `{"Seconds":[{"InTime":1,"Late":0,"PushedBack":1,"Aborted":0,"Asked":2,"Weighed":1,"Messages":0,"Lines":0}],` +
+		`"Troubles":[{"From":0,"To":0,"Text":"hang"}],` +
+		`"Latencies":[{"Method":"read","N":1,"P50":0.250111,"P90":0.250111,"P99":0.250111,"Worst":0.250111}],` +
+		`"Worst10":1,"WorstAt":0,"Poorest":"read","PoorestBy":0.5,` +
+		`"Fleet":{"Step":1,"Able":[[30]],"Busy":[[0.5]],"Waits":[[4]],"Most":0},"Service":0.5,"Behind":{"Looks":1,"Late":1,"Worst":0.5}}`
+	if string(data) != want {
+		t.Errorf("JSON:\n%s\nwanted:\n%s", data, want)
+	}
+}
+
+func TestWritePNG(t *testing.T) {
+	report, err := Build(makeRecords(), testMethods)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var file bytes.Buffer
+	if err := report.WritePNG(&file, "a day"); err != nil {
 		t.Fatal(err)
 	}
-	img, err := png.Decode(&b)
+	picture, err := png.Decode(&file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	colours := map[[3]uint32]int{}
-	for y := range img.Bounds().Dy() {
-		for x := range img.Bounds().Dx() {
-			r, g, b, _ := img.At(x, y).RGBA()
-			colours[[3]uint32{r >> 8, g >> 8, b >> 8}]++
+	pixels := map[[3]uint32]int{} // by colour
+	for y := range picture.Bounds().Dy() {
+		for x := range picture.Bounds().Dx() {
+			r, g, b, _ := picture.At(x, y).RGBA()
+			pixels[[3]uint32{r >> 8, g >> 8, b >> 8}]++
 		}
 	}
-	if colours[[3]uint32{46, 125, 50}] < 500 || len(colours) < 10 {
-		t.Fatalf("hardly anything is drawn: %d colours", len(colours))
+	if pixels[[3]uint32{46, 125, 50}] < 500 || len(pixels) < 10 {
+		t.Fatalf("hardly anything is drawn: %d colours", len(pixels))
 	}
 }
