--- /dev/null
+++ b/internal/experiment/page.go
@@ -0,0 +1,117 @@
+package experiment
+
+import (
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+)
+
+// The names of the files of a report; each measure has a plot, too.
+const (
+	csvName    = "runs.csv"
+	pageName   = "report.md"
+	plotSuffix = ".png"
+)
+
+// WriteReport writes the runs as CSV, the page and the plots into a directory. The same runs give the same files.
+func (p *Plan) WriteReport(dir string, runs []Run) error {
+	plots := make([]string, 0, len(p.Measures))
+	for _, name := range p.Measures {
+		plot := name + plotSuffix
+		if err := p.Plot(filepath.Join(dir, plot), name, runs); err != nil {
+			return err
+		}
+		plots = append(plots, plot)
+	}
+	var csv, page strings.Builder
+	p.CSV(&csv, runs)
+	p.Page(&page, runs, plots)
+	for name, text := range map[string]string{csvName: csv.String(), pageName: page.String()} {
+		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o644); err != nil {
+			return fmt.Errorf("write the results: %w", err)
+		}
+	}
+	return nil
+}
+
+// CSV writes a line for each run, in the order of the plan.
+func (p *Plan) CSV(out io.Writer, runs []Run) {
+	columns := make([]string, 0, len(p.Factors)+len(p.Measures)+4) // plan, commit, seed and broken beside these
+	columns = append(columns, "plan", "commit")
+	for _, factor := range p.Factors {
+		columns = append(columns, factor.Name)
+	}
+	columns = append(columns, "seed")
+	columns = append(columns, p.Measures...)
+	columns = append(columns, "broken")
+	fmt.Fprintln(out, strings.Join(columns, ","))
+	for _, run := range runs {
+		fmt.Fprintln(out, strings.Join(p.csvCells(run), ","))
+	}
+}
+
+func (p *Plan) csvCells(run Run) []string {
+	cells := []string{run.Plan, quoteCSV(run.Commit)}
+	for _, value := range run.Arm {
+		cells = append(cells, quoteCSV(value))
+	}
+	cells = append(cells, strconv.FormatUint(run.Seed, 10))
+	for _, name := range p.Measures {
+		cells = append(cells, strconv.FormatFloat(run.Figures[name], 'g', -1, 64))
+	}
+	rules := make([]string, 0, len(run.Broken))
+	for _, rule := range run.Broken {
+		rules = append(rules, strconv.Itoa(rule))
+	}
+	return append(cells, strings.Join(rules, " "))
+}
+
+func quoteCSV(cell string) string {
+	if !strings.ContainsAny(cell, ",\"\n") {
+		return cell
+	}
+	return `"` + strings.ReplaceAll(cell, `"`, `""`) + `"`
+}
+
+// Page writes the page of the report: for each measure a table, and its plot if there is one.
+func (p *Plan) Page(out io.Writer, runs []Run, plots []string) {
+	fmt.Fprintf(out, "# %s\n\nDay %s, %d arms, %d seeds from %d, %d runs; plan %s. Figures are of simulated servers.\n",
+		p.Name, p.Day, len(p.Arms()), p.Seeds, p.First, len(runs), p.Hash())
+	rows := p.Rows(runs)
+	for i, name := range p.Measures {
+		unit := ""
+		if measures[name].unit != "" {
+			unit = ", " + measures[name].unit
+		}
+		fmt.Fprintf(out, "\n## %s%s\n\n", name, unit)
+		if i < len(plots) {
+			fmt.Fprintf(out, "![%s](%s)\n\n", name, plots[i])
+		}
+		fmt.Fprint(out, "| arm | mean | 95% interval | beside the first, paired | 95% interval | verdict | runs with a rule broken |\n| --- | --- | --- | --- | --- | --- | --- |\n")
+		for _, row := range rows {
+			if row.Measure == name {
+				p.writeRow(out, row)
+			}
+		}
+	}
+	fmt.Fprintf(out, "\n## The plan\n\n```\n%s\n```\n", strings.TrimSpace(p.Text))
+}
+
+func (p *Plan) writeRow(out io.Writer, row Row) {
+	verdict, difference, interval := "", "", ""
+	if row.Verdict != "" {
+		difference = fmt.Sprintf("%+.4g", row.Difference.Mean)
+		interval = fmt.Sprintf("%+.4g to %+.4g", row.Difference.Low, row.Difference.High)
+		verdict = row.Verdict
+		if row.SeedsNeeded > 0 {
+			verdict += fmt.Sprintf("; about %d seeds would", row.SeedsNeeded)
+		}
+	}
+	fmt.Fprintf(out, "| %s | %s | %s to %s | %s | %s | %s | %d |\n", p.ArmTitle(row.Arm), formatFigure(row.Mean.Mean),
+		formatFigure(row.Mean.Low), formatFigure(row.Mean.High), difference, interval, verdict, row.RunsWithViolations)
+}
+
+func formatFigure(value float64) string { return strconv.FormatFloat(value, 'g', 4, 64) }
