--- a/internal/experiment/execute.go
+++ b/internal/experiment/execute.go
@@ -104,7 +104,7 @@
 	arms := e.plan.Arms()
 	for i := range e.plan.Seeds {
 		for _, arm := range arms {
-			next := job{arm: arm, seed: e.plan.First + uint64(i)}
+			next := job{arm: arm, seed: e.plan.FirstSeed + uint64(i)}
 			if _, finished := e.runs[runKey(next.arm, next.seed)]; !finished {
 				jobs = append(jobs, next)
 			}
--- a/internal/experiment/page.go
+++ b/internal/experiment/page.go
@@ -62,8 +62,8 @@
 	for _, name := range p.Measures {
 		cells = append(cells, strconv.FormatFloat(run.Figures[name], 'g', -1, 64))
 	}
-	rules := make([]string, 0, len(run.Broken))
-	for _, rule := range run.Broken {
+	rules := make([]string, 0, len(run.ViolatedRules))
+	for _, rule := range run.ViolatedRules {
 		rules = append(rules, strconv.Itoa(rule))
 	}
 	return append(cells, strings.Join(rules, " "))
@@ -79,7 +79,7 @@
 // Page writes the page of the report: for each measure a table, and its plot if there is one.
 func (p *Plan) Page(out io.Writer, runs []Run, plots []string) {
 	fmt.Fprintf(out, "# %s\n\nDay %s, %d arms, %d seeds from %d, %d runs; plan %s. Figures are of simulated servers.\n",
-		p.Name, p.Day, len(p.Arms()), p.Seeds, p.First, len(runs), p.Hash())
+		p.Name, p.ScenarioName, len(p.Arms()), p.Seeds, p.FirstSeed, len(runs), p.Hash())
 	rows := p.Rows(runs)
 	for i, name := range p.Measures {
 		unit := ""
--- a/internal/experiment/parse.go
+++ b/internal/experiment/parse.go
@@ -37,7 +37,7 @@
 func Read(file, text string, files func(string) ([]byte, error)) (*Plan, error) {
 	lines, faults := bootstrap.Lex(file, text)
 	reader := &parser{
-		plan:   &Plan{First: defaultFirstSeed, Seeds: defaultSeeds, Most: defaultMaxRuns, Text: text},
+		plan:   &Plan{FirstSeed: defaultFirstSeed, Seeds: defaultSeeds, MaxRuns: defaultMaxRuns, Text: text},
 		faults: faults, seen: map[string]bootstrap.Line{},
 	}
 	for _, line := range lines {
@@ -86,13 +86,13 @@
 	case "experiment":
 		plan.Name = value
 	case "day":
-		plan.Day = value
+		plan.ScenarioName = value
 	case "factor":
 		p.parseFactor(line)
 	case "seeds":
 		err = p.parseSeeds(line.Words)
 	case "most":
-		plan.Most, err = bootstrap.ParseInteger(value, 1, maxRunsLimit)
+		plan.MaxRuns, err = bootstrap.ParseInteger(value, 1, maxRunsLimit)
 	case "measure":
 		p.parseMeasures(line)
 	case "set":
@@ -135,7 +135,7 @@
 		return err
 	}
 	if len(words) == 4 && words[2] == "from" {
-		p.plan.First, err = strconv.ParseUint(words[3], 10, firstSeedBits)
+		p.plan.FirstSeed, err = strconv.ParseUint(words[3], 10, firstSeedBits)
 		return err
 	}
 	if len(words) != 2 {
@@ -165,7 +165,7 @@
 // finish fills in what the plan does not say, and checks the plan as a whole.
 func (p *parser) finish(file string) {
 	plan, whole := p.plan, bootstrap.Line{File: file, Number: 1}
-	if plan.Day == "" {
+	if plan.ScenarioName == "" {
 		p.fault(whole, "it names no day (such as: day evening)")
 	}
 	if plan.Name == "" {
@@ -179,8 +179,8 @@
 			p.fault(whole, "nothing uses the factor %s (such as: say coordinators {%s}); it must stand before what uses it", factor.Name, factor.Name)
 		}
 	}
-	if runs := plan.Runs(); runs > plan.Most && len(p.faults) == 0 {
-		p.fault(whole, "%d runs, %d at most: fewer values or seeds, or say most %d and wait", runs, plan.Most, runs)
+	if runs := plan.Runs(); runs > plan.MaxRuns && len(p.faults) == 0 {
+		p.fault(whole, "%d runs, %d at most: fewer values or seeds, or say most %d and wait", runs, plan.MaxRuns, runs)
 	}
 }
 
@@ -196,7 +196,7 @@
 		return data, err
 	}
 	for _, arm := range p.Arms() {
-		if _, err := p.Scenario(arm, p.First); err != nil {
+		if _, err := p.Scenario(arm, p.FirstSeed); err != nil {
 			return fmt.Errorf("%s: arm %s: %w", file, p.ArmTitle(arm), err)
 		}
 	}
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -21,21 +21,21 @@
 
 // Plan is what is to be played: a scenario and changes to it, for all combinations of the factors' values, on each seed.
 type Plan struct {
-	Name      string
-	Day       string // the name of the scenario
-	Factors   []Factor
-	First     uint64 // seed
-	Seeds     int
-	Measures  []string
-	Most      int // runs that the plan may have
-	Text      string
-	overrides []bootstrap.Line // set SECTION KEYWORD VALUE...
-	additions []bootstrap.Line // say WORD...: lines that are appended to the scenario
-	scale     string           // of the fleet's size
-	load      string           // of the front ends' rate
-	kills     string           // of coordinators, at random times
-	readFile  FileReader
-	hash      string
+	Name         string
+	ScenarioName string // the name of the scenario
+	Factors      []Factor
+	FirstSeed    uint64 // seed
+	Seeds        int
+	Measures     []string
+	MaxRuns      int // runs that the plan may have
+	Text         string
+	overrides    []bootstrap.Line // set SECTION KEYWORD VALUE...
+	additions    []bootstrap.Line // say WORD...: lines that are appended to the scenario
+	scale        string           // of the fleet's size
+	load         string           // of the front ends' rate
+	kills        string           // of coordinators, at random times
+	readFile     FileReader
+	hash         string
 }
 
 // Arm is one combination of the factors' values, in the order of the factors.
--- a/internal/experiment/play_bench_test.go
+++ b/internal/experiment/play_bench_test.go
@@ -47,8 +47,8 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				if len(r.Broken) > 0 {
-					b.Errorf("rules broken: %v", r.Broken)
+				if len(r.ViolatedRules) > 0 {
+					b.Errorf("rules broken: %v", r.ViolatedRules)
 				}
 				b.ReportMetric(r.Figures["service"], "service")
 			}
--- a/internal/experiment/rows.go
+++ b/internal/experiment/rows.go
@@ -43,12 +43,12 @@
 	row := Row{Arm: arm, Measure: name}
 	var figures, differences []float64
 	for i := range p.Seeds {
-		run, finished := own[p.First+uint64(i)]
+		run, finished := own[p.FirstSeed+uint64(i)]
 		if !finished {
 			continue
 		}
 		figures = append(figures, run.Figures[name])
-		if len(run.Broken) > 0 {
+		if len(run.ViolatedRules) > 0 {
 			row.RunsWithViolations++
 		}
 		if pair, finished := base[run.Seed]; finished {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -10,13 +10,13 @@
 
 // Run is the outcome of one arm on one seed. The JSON keys are those of the file of finished runs.
 type Run struct {
-	Plan    string             `json:"plan"` // its hash
-	Commit  string             `json:"commit"`
-	Arm     Arm                `json:"arm"`
-	Seed    uint64             `json:"seed"`
-	Figures map[string]float64 `json:"figures"`          // by measure
-	Broken  []int              `json:"broken,omitempty"` // the rules that were violated
-	Seconds float64            `json:"seconds"`          // of real time that the run took
+	Plan          string             `json:"plan"` // its hash
+	Commit        string             `json:"commit"`
+	Arm           Arm                `json:"arm"`
+	Seed          uint64             `json:"seed"`
+	Figures       map[string]float64 `json:"figures"`          // by measure
+	ViolatedRules []int              `json:"broken,omitempty"` // the rules that were violated
+	Seconds       float64            `json:"seconds"`          // of real time that the run took
 }
 
 // Play plays one arm on one seed.
@@ -43,7 +43,7 @@
 	}
 	for _, rule := range result.Report.Rules {
 		if rule.Violations > 0 {
-			run.Broken = append(run.Broken, rule.Rule)
+			run.ViolatedRules = append(run.ViolatedRules, rule.Rule)
 		}
 	}
 	run.Seconds = time.Since(start).Seconds()
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -18,7 +18,7 @@
 
 // Scenario returns the scenario that an arm plays on a seed.
 func (p *Plan) Scenario(arm Arm, seed uint64) (*scenario.Scenario, error) {
-	name := p.substitute(arm, p.Day)
+	name := p.substitute(arm, p.ScenarioName)
 	text, err := p.scenarioText(arm, name)
 	if err != nil {
 		return nil, err
