--- a/internal/measure/store.go
+++ b/internal/measure/store.go
@@ -4,95 +4,81 @@
 	"context"
 	"fmt"
 	"io"
-	"os"
-	"path/filepath"
 	"slices"
 	"time"
+)
 
-	"gingerfork/internal/trace"
+const (
+	storeRounds      = 3
+	storeDrains      = 8 // in each round
+	storeJoinTimeout = 60 * time.Second
 )
 
-// Store measures what keeping costs and gains: the same fleet with and without a store, in turn within one run.
-func Store(ctx context.Context, out io.Writer, serve []string) error {
+// storeFigures are the figures of fleets of one size, with or without a store.
+type storeFigures struct {
+	state    string // the coordinator's folder, or noState
+	drains   []float64
+	restarts []float64 // seconds from the start until all proxies have a table
+	written  int64     // bytes
+	changes  int       // of the state, with which they were written
+}
+
+// store measures what persistence costs and gains: the same fleet with and without a store, alternating within one run.
+func store(ctx context.Context, out io.Writer, serve []string) error {
 	fmt.Fprintln(out, "| servers | front ends | store | drains | median ms | 99th ms | bytes written a change | exec to all tables ms |\n| --- | --- | --- | --- | --- | --- | --- | --- |")
-	for _, size := range [][2]int{{100, 300}, {300, 800}} {
-		times, again := map[string][]float64{}, map[string][]float64{}
-		written, changes := 0.0, 0
-		states := []string{"-", "kept"}
-		for range 3 {
-			for _, state := range states {
-				if err := func() error {
-					f, err := start(ctx, serve, size[0], size[1], 0, state)
-					defer f.Stop()
-					if err != nil {
-						return fmt.Errorf("start %v: %w", size, err)
-					}
-					if _, err = f.Joined(size[1], 60*time.Second); err != nil {
-						return err
-					}
-					before := f.kept()
-					all, _ := f.Drains(8)
-					times[state] = append(times[state], all...)
-					if state != "-" {
-						written += float64(f.kept() - before)
-						changes += 2 * len(all) // each server came back
-					}
-					took, err := f.Again(size[1], 60*time.Second)
-					again[state] = append(again[state], took)
-					return err
-				}(); err != nil {
+	for _, size := range []fleetSize{{100, 300}, {300, 800}} {
+		without, with := &storeFigures{state: noState}, &storeFigures{state: stateName}
+		for range storeRounds {
+			for _, figures := range []*storeFigures{without, with} {
+				if err := figures.take(ctx, serve, size); err != nil {
 					return err
 				}
 			}
 		}
-		for _, state := range states {
-			slices.Sort(times[state])
-			slices.Sort(again[state])
-			name, bytes := "none", "-"
-			if state != "-" {
-				name, bytes = "kept", fmt.Sprintf("%.0f", written/float64(changes))
-			}
-			fmt.Fprintf(out, "| %d | %d | %s | %d | %.1f | %.1f | %s | %.0f |\n", size[0], size[1], name, len(times[state]), 1e3*Quantile(times[state], 0.5),
-				1e3*Quantile(times[state], 0.99), bytes, 1e3*Quantile(again[state], 0.5))
-		}
-		fmt.Fprintf(out, "| %d | %d | kept/none | | %.2f | %.2f | | %.2f |\n", size[0], size[1], Quantile(times["kept"], 0.5)/Quantile(times["-"], 0.5),
-			Quantile(times["kept"], 0.99)/Quantile(times["-"], 0.99), Quantile(again["kept"], 0.5)/Quantile(again["-"], 0.5))
+		without.write(out, size, "none")
+		with.write(out, size, "kept")
+		writeStoreRatios(out, size, with, without)
 	}
 	return nil
 }
 
-// kept is how many bytes the store's files have.
-func (f *Fleet) kept() (n int64) {
-	all, _ := filepath.Glob(filepath.Join(f.dir, "kept", "store", "*"))
-	for _, name := range all {
-		if info, err := os.Stat(name); err == nil {
-			n += info.Size()
-		}
+// take adds the figures of one fleet.
+func (s *storeFigures) take(ctx context.Context, serve []string, size fleetSize) error {
+	fleet, err := startFleetWithState(ctx, serve, size, 0, s.state)
+	if err != nil {
+		return fmt.Errorf("start %v: %w", size, err)
+	}
+	defer fleet.stop()
+	if _, err := fleet.joined(size.frontEnds, storeJoinTimeout); err != nil {
+		return err
 	}
-	return n
+	before := fleet.storeBytes()
+	latencies, _ := fleet.drains(storeDrains)
+	s.drains = append(s.drains, latencies...)
+	if s.state != noState {
+		s.written += fleet.storeBytes() - before
+		s.changes += 2 * len(latencies) // each backend was drained and opened again
+	}
+	seconds, err := fleet.restart(size.frontEnds, storeJoinTimeout)
+	s.restarts = append(s.restarts, seconds)
+	return err
 }
 
-// Again kills the coordinator outright, starts it again, and gives the seconds from its start until so many proxies have
-// applied a table.
-func (f *Fleet) Again(n int, limit time.Duration) (float64, error) {
-	_ = f.cmd.Process.Kill()
-	<-f.ended
-	f.take()
-	began := f.clock.Now()
-	if err := f.exec(); err != nil {
-		return 0, err
+// write writes the row of the figures; it sorts them.
+func (s *storeFigures) write(out io.Writer, size fleetSize, name string) {
+	slices.Sort(s.drains)
+	slices.Sort(s.restarts)
+	written := "-"
+	if s.state != noState {
+		written = fmt.Sprintf("%.0f", float64(s.written)/float64(s.changes))
 	}
-	applied, last := map[string]bool{}, 0.0
-	for end := time.Now().Add(limit); len(applied) < n; time.Sleep(20 * time.Millisecond) {
-		for _, r := range f.take() {
-			if r.Kind == trace.PushApplied && !applied[r.Party] && r.Time > began {
-				applied[r.Party] = true
-				last = max(last, r.Time)
-			}
-		}
-		if time.Now().After(end) {
-			return 0, fmt.Errorf("%d of %d proxies have a table %v after a restart", len(applied), n, limit)
-		}
-	}
-	return last - began, nil
+	fmt.Fprintf(out, "| %d | %d | %s | %d | %.1f | %.1f | %s | %.0f |\n", size.backends, size.frontEnds, name, len(s.drains),
+		milliseconds(s.drains, 0.5), milliseconds(s.drains, 0.99), written, milliseconds(s.restarts, 0.5))
+}
+
+// writeStoreRatios writes the ratios of sorted figures with a store to those without.
+func writeStoreRatios(out io.Writer, size fleetSize, with, without *storeFigures) {
+	fmt.Fprintf(out, "| %d | %d | kept/none | | %.2f | %.2f | | %.2f |\n", size.backends, size.frontEnds,
+		quantile(with.drains, 0.5)/quantile(without.drains, 0.5), quantile(with.drains, 0.99)/quantile(without.drains, 0.99),
+		quantile(with.restarts, 0.5)/quantile(without.restarts, 0.5))
 }
