--- a/cmd/gingerfork/emulate.go
+++ b/cmd/gingerfork/emulate.go
@@ -94,19 +94,19 @@
 
 	mu     sync.Mutex
 	line   *progressLine
-	behind report.Behind
+	behind report.ScheduleLag
 }
 
 // tally prints the figures of a second.
 func (p *emulationProgress) tally(stats emulator.FleetStats) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.behind.Look(stats.MaxDelay)
+	p.behind.Observe(stats.MaxDelay)
 	if p.json {
 		_ = json.NewEncoder(p.cli.out).Encode(stats) // as with fmt.Fprint: who closed the pipe does not read the error either
 		return
 	}
-	p.line.show(stats.String(), p.behind.Looks%plainProgressInterval == 1)
+	p.line.show(stats.String(), p.behind.Samples%plainProgressInterval == 1)
 }
 
 // step prints a step of the scenario.
@@ -124,9 +124,9 @@
 	defer p.mu.Unlock()
 	p.line.end()
 	if !p.json {
-		fmt.Fprintf(p.cli.out, "at most %.1f ms late, more than %.0f ms in %d of %d seconds\n", 1e3*p.behind.Worst, 1e3*report.LateMost, p.behind.Late, p.behind.Looks)
+		fmt.Fprintf(p.cli.out, "at most %.1f ms late, more than %.0f ms in %d of %d seconds\n", 1e3*p.behind.Max, 1e3*report.MaxLag, p.behind.Late, p.behind.Samples)
 	}
-	if p.behind.Void() {
+	if p.behind.Invalid() {
 		return errEmulationTooSlow
 	}
 	return nil
--- a/cmd/gingerfork/endpointsource.go
+++ b/cmd/gingerfork/endpointsource.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"gingerfork/internal/bootstrap"
+	"gingerfork/internal/endpointfile"
+	"gingerfork/internal/endpointservice"
 	"gingerfork/internal/eventloop"
-	"gingerfork/internal/follow"
 	"gingerfork/internal/haproxy"
-	"gingerfork/internal/listing"
 )
 
 // endpointStatusFile is the file in the state folder that tells how the last read of the endpoint file went.
@@ -38,7 +38,7 @@
 	file    string
 	pool    string // the HAProxy backend section
 	dir     string // of the status file; empty: none is written
-	service *listing.Service
+	service *endpointservice.Service
 	loop    *eventloop.Loop
 	log     *slog.Logger
 	mu      sync.Mutex // held while the status file is written: by reload and by the service's event loop
@@ -55,8 +55,8 @@
 	if err != nil {
 		return nil, err
 	}
-	terms := follow.Terms{DrainFor: settings.Number("list-drain"), MostLost: settings.Number("list-most-lost")}
-	source.service, err = listing.New(settings.Name, settings.CoordinatorConfig(0).Settings.Zone, terms, cached, source.applied)
+	terms := endpointfile.Settings{DrainPeriod: settings.Number("list-drain"), MaxLossShare: settings.Number("list-most-lost")}
+	source.service, err = endpointservice.New(settings.Name, settings.CoordinatorConfig(0).Settings.Zone, terms, cached, source.applied)
 	if err != nil {
 		log.Warn("cached endpoint list rejected, starting without it", "cause", err.Error())
 	}
@@ -74,7 +74,7 @@
 	if dir == "" {
 		return nil, nil
 	}
-	cached, err := os.ReadFile(filepath.Join(dir, listing.Kept))
+	cached, err := os.ReadFile(filepath.Join(dir, endpointservice.StateFile))
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("read the cached endpoint list: %w", err)
 	}
@@ -103,11 +103,11 @@
 		s.writeStatus(verdictBad, err.Error())
 		return
 	}
-	s.loop.RunBetweenSteps(func() { s.service.Offer(servers) })
+	s.loop.RunBetweenSteps(func() { s.service.Submit(servers) })
 }
 
 // readServers reads the servers of the pool from the file.
-func (s *endpointSource) readServers() ([]follow.Server, error) {
+func (s *endpointSource) readServers() ([]endpointfile.Backend, error) {
 	text, err := os.ReadFile(s.file)
 	if err != nil {
 		return nil, err
--- a/cmd/gingerfork/experiment.go
+++ b/cmd/gingerfork/experiment.go
@@ -78,19 +78,19 @@
 	if err != nil {
 		return err
 	}
-	if err := plan.Write(dir, runs); err != nil {
+	if err := plan.WriteReport(dir, runs); err != nil {
 		return err
 	}
 	for _, row := range plan.Rows(runs) {
-		text := fmt.Sprintf("%-40s %-12s %.4g (%.4g to %.4g)", plan.Title(row.Arm), row.Measure, row.Is.Mean, row.Is.Low, row.Is.Top)
+		text := fmt.Sprintf("%-40s %-12s %.4g (%.4g to %.4g)", plan.ArmTitle(row.Arm), row.Measure, row.Mean.Mean, row.Mean.Low, row.Mean.High)
 		if row.Verdict != "" {
-			text += fmt.Sprintf("  %+.4g: %s", row.Diff.Mean, row.Verdict)
-			if row.Need > 0 {
-				text += fmt.Sprintf(" (about %d seeds would)", row.Need)
+			text += fmt.Sprintf("  %+.4g: %s", row.Difference.Mean, row.Verdict)
+			if row.SeedsNeeded > 0 {
+				text += fmt.Sprintf(" (about %d seeds would)", row.SeedsNeeded)
 			}
 		}
-		if row.Broken > 0 {
-			text += fmt.Sprintf("  a rule broke in %d runs", row.Broken)
+		if row.RunsWithViolations > 0 {
+			text += fmt.Sprintf("  a rule broke in %d runs", row.RunsWithViolations)
 		}
 		fmt.Fprintln(cli.out, text)
 	}
@@ -112,9 +112,9 @@
 	if plain {
 		p.printed = time.Now()
 	}
-	bar := strings.Repeat("#", progressBarWidth*progress.Done/progress.All)
-	text := fmt.Sprintf("[%-*s] %d of %d runs, %d from before, about %v left", progressBarWidth, bar, progress.Done, progress.All, progress.Kept,
-		progress.Left.Round(time.Second))
+	bar := strings.Repeat("#", progressBarWidth*progress.Done/progress.Total)
+	text := fmt.Sprintf("[%-*s] %d of %d runs, %d from before, about %v left", progressBarWidth, bar, progress.Done, progress.Total, progress.Resumed,
+		progress.Remaining.Round(time.Second))
 	p.line.show(text, plain)
 }
 
--- a/cmd/gingerfork/load.go
+++ b/cmd/gingerfork/load.go
@@ -54,7 +54,7 @@
 	line := newProgressLine(cli.out)
 	if !c.JSON {
 		config.OnSecond = func(second int, figures report.Second) {
-			text := fmt.Sprintf("%4d s: %d in time, %d late, %d pushed back, %d aborted; service %.3f", second+1, figures.InTime, figures.Late, figures.PushedBack,
+			text := fmt.Sprintf("%4d s: %d in time, %d late, %d pushed back, %d aborted; service %.3f", second+1, figures.InTime, figures.Late, figures.Rejected,
 				figures.Aborted, figures.Service())
 			line.show(text, second%plainProgressInterval == 0)
 		}
@@ -75,9 +75,9 @@
 		}
 	} else {
 		fmt.Fprintf(cli.out, "service %.3f\n", result.Service)
-		result.Text(cli.out)
+		result.WriteText(cli.out)
 	}
-	if result.Behind.Void() {
+	if result.ScheduleLag.Invalid() {
 		return errLoadTooSlow
 	}
 	return nil
--- a/cmd/gingerfork/oncall_test.go
+++ b/cmd/gingerfork/oncall_test.go
@@ -24,7 +24,7 @@
 )
 
 // coordinatorPackages are the folders whose code writes a coordinator's log.
-var coordinatorPackages = []string{"../../internal/platform", "../../internal/coordinator", "../../internal/eventloop", "../../internal/listing", "."}
+var coordinatorPackages = []string{"../../internal/platform", "../../internal/coordinator", "../../internal/eventloop", "../../internal/endpointservice", "."}
 
 // forwardingFunctions pass on messages that another function has chosen, each in one call. Every other log call must have a
 // constant message.
@@ -200,7 +200,6 @@
 	if !ok || len(call.Args) == 0 || selector.Sel.Name == "Log" && len(call.Args) == 1 {
 		return nil, "" // among them err.Error() and math.Log(x)
 	}
-	levels := map[string]string{"0": "debug", "1": "info", "2": "warn", "3": "error"}
 	switch method := selector.Sel.Name; method {
 	case "Debug", "Info", "Warn", "Error":
 		return call.Args[0], strings.ToLower(method)
@@ -209,16 +208,29 @@
 	case "LogAttrs":
 		return call.Args[2], ""
 	case "logThrottled":
-		return call.Args[3], levels[p.constant(call.Args[2])]
+		return call.Args[3], p.level(call.Args[2])
 	case "Log":
 		if logger, ok := selector.X.(*ast.SelectorExpr); ok && logger.Sel.Name == "Log" {
 			return call.Args[2], "" // slog's, behind the context and the level
 		}
-		return call.Args[1], levels[p.constant(call.Args[0])]
+		return call.Args[1], p.level(call.Args[0])
 	}
 	return nil, ""
 }
 
+// level returns the name of a level: a number that is constant in the package, or a constant of package statemachine, which the
+// type checker does not import here.
+func (p *parsedPackage) level(expression ast.Expr) string {
+	names := map[string]string{
+		"0": "debug", "1": "info", "2": "warn", "3": "error",
+		"LogDebug": "debug", "LogInfo": "info", "LogWarn": "warn", "LogWarning": "warn", "LogError": "error",
+	}
+	if selector, ok := expression.(*ast.SelectorExpr); ok {
+		return names[selector.Sel.Name]
+	}
+	return names[p.constant(expression)]
+}
+
 // texts returns the constant texts that an expression can have: its own, or those that are assigned to the variable.
 func (p *parsedPackage) texts(function *ast.FuncDecl, expression ast.Expr) (texts []string) {
 	if text := p.constant(expression); text != "" {
--- a/cmd/gingerfork/route.go
+++ b/cmd/gingerfork/route.go
@@ -49,12 +49,12 @@
 		request.Headers[name] = append(request.Headers[name], value)
 	}
 	table := route.NewTable(routes)
-	picked, ok := table.Pick(c.Front, request)
+	picked, ok := table.Lookup(c.Front, request)
 	if ok {
-		fmt.Fprintf(cli.out, "pool %s method %s\n", picked.To, picked.As)
+		fmt.Fprintf(cli.out, "pool %s method %s\n", picked.Pool, picked.Method)
 		return nil
 	}
-	if closest := bootstrap.ClosestWord(c.Front, table.Fronts()); closest != "" && closest != c.Front {
+	if closest := bootstrap.ClosestWord(c.Front, table.Frontends()); closest != "" && closest != c.Front {
 		return fmt.Errorf("%w (did you mean the front %s?)", errNoRoute, closest)
 	}
 	return fmt.Errorf("%w at %s", errNoRoute, c.Front)
--- a/cmd/gingerfork/scenario.go
+++ b/cmd/gingerfork/scenario.go
@@ -126,14 +126,14 @@
 		}
 	} else {
 		printResult(cli.out, &result, c.Virtual)
-		figures.Text(cli.out)
+		figures.WriteText(cli.out)
 	}
 	return !result.Report.Violated() && len(result.Failures) == 0, nil
 }
 
 // scenarioFigures computes the report of a played scenario; with the fleet's state and the optimum if that was sampled.
 func scenarioFigures(played *scenario.Scenario, result *scenario.Result) (*report.Report, error) {
-	figures, err := report.Make(result.Records, played.Limits().Methods)
+	figures, err := report.Build(result.Records, played.Limits().Methods)
 	if err != nil {
 		return nil, fmt.Errorf("compute the report: %w", err)
 	}
@@ -145,7 +145,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("compute the optimum: %w", err)
 	}
-	figures.Fleet = &report.Fleet{Step: scenario.SampleInterval, Able: truth.Capacity, Busy: truth.Utilization, Waits: truth.Queued, Most: bound.Share()}
+	figures.Fleet = &report.Fleet{SampleInterval: scenario.SampleInterval, Capacity: truth.Capacity, Utilization: truth.Utilization, Queued: truth.Queued, AchievableService: bound.Share()}
 	return figures, nil
 }
 
--- a/cmd/gingerfork/scenario_output.go
+++ b/cmd/gingerfork/scenario_output.go
@@ -16,7 +16,7 @@
 
 // plot draws a report to a PNG file.
 func plot(file, title string, figures *report.Report) error {
-	if err := writeFile(file, func(w io.Writer) error { return figures.Draw(w, title) }); err != nil {
+	if err := writeFile(file, func(w io.Writer) error { return figures.WritePNG(w, title) }); err != nil {
 		return fmt.Errorf("draw the plot: %w", err)
 	}
 	return nil
--- /dev/null
+++ b/internal/endpointfile/list_test.go
@@ -0,0 +1,118 @@
+package endpointfile
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+)
+
+var testSettings = Settings{DrainPeriod: 10, MaxLossShare: 0.5}
+
+func makeBackends(count int, weight float64) (backends []Backend) {
+	for i := range count {
+		backends = append(backends, Backend{ID: uint32(i + 1), Name: fmt.Sprint("s", i), Addr: fmt.Sprintf("h:%d", i), Weight: weight})
+	}
+	return backends
+}
+
+func apply(t *testing.T, list *List, now Seconds, backends []Backend) []Endpoint {
+	t.Helper()
+	changed, err := list.Apply(now, backends)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return changed
+}
+
+// Only what differs between two files changes, and each change in its own way.
+func TestApplyChangesOnlyWhatDiffers(t *testing.T) {
+	list := New(testSettings)
+	if changed := apply(t, list, 0, makeBackends(4, 1)); len(changed) != 4 || changed[0].StartTime != 0 {
+		t.Fatalf("the first file changed %v", changed)
+	}
+	if changed := apply(t, list, 1, makeBackends(4, 1)); len(changed) != 0 || list.Version() != 1 {
+		t.Fatalf("the same file again changed %v", changed)
+	}
+	backends := makeBackends(4, 1)
+	backends[2].Weight = 7
+	if changed := apply(t, list, 2, backends); len(changed) != 1 || changed[0].Weight != 7 || changed[0].Incarnation != 1 || changed[0].StartTime != 0 {
+		t.Fatalf("a weight changed %v", changed)
+	}
+	backends[1].Addr = "other:1"
+	if changed := apply(t, list, 3, backends); len(changed) != 1 || changed[0].Incarnation != 2 || changed[0].StartTime != 3 {
+		t.Fatalf("another address changed %v", changed)
+	}
+}
+
+// A backend that leaves the file drains before its endpoint is removed; in between it may return as the same process.
+func TestMissingBackendDrains(t *testing.T) {
+	list := New(testSettings)
+	backends := makeBackends(4, 1)
+	apply(t, list, 3, backends)
+	changed := apply(t, list, 4, backends[:3])
+	if len(changed) != 1 || changed[0].State != Draining || changed[0].RemovalTime != 14 {
+		t.Fatalf("a backend that left the file changed %v", changed)
+	}
+	if at, ok := list.NextRemoval(); !ok || at != 14 || len(list.RemoveDrained(13.9)) != 0 {
+		t.Fatal("the endpoint was removed before its drain was over")
+	}
+	if changed := apply(t, list, 6, backends); len(changed) != 1 || changed[0].State != Open || changed[0].Incarnation != 1 || changed[0].StartTime != 0 {
+		t.Fatalf("a backend that returned to the file changed %v", changed)
+	}
+	apply(t, list, 7, backends[:3])
+	if removed := list.RemoveDrained(17); len(removed) != 1 || removed[0].State != Gone || len(list.Endpoints()) != 3 {
+		t.Fatalf("after its drain: %v", removed)
+	}
+	if changed := apply(t, list, 18, backends); len(changed) != 1 || changed[0].StartTime != 18 {
+		t.Fatalf("a backend that joins others must warm up: %v", changed)
+	}
+}
+
+// A truncated file loses most backends: it is rejected and changes nothing. Applied a second time it is accepted, unless another
+// file was applied in between.
+func TestFileThatLosesMostBackendsIsRejectedOnce(t *testing.T) {
+	list := New(testSettings)
+	apply(t, list, 0, makeBackends(10, 1))
+	for _, count := range []int{0, 4} {
+		if _, err := list.Apply(1, makeBackends(count, 1)); err == nil {
+			t.Fatalf("a file of %d of 10 backends was accepted", count)
+		}
+	}
+	if len(list.RemoveDrained(1e9)) > 0 || list.Version() != 1 {
+		t.Fatal("a rejected file changed the list")
+	}
+	apply(t, list, 2, makeBackends(10, 2))
+	_, err := list.Apply(3, makeBackends(4, 1))
+	if err == nil || !strings.Contains(err.Error(), "6 of 10") {
+		t.Fatalf("after another file: %v", err)
+	}
+	var loss *LossError
+	if !errors.As(err, &loss) || *loss != (LossError{Lost: 6, Open: 10, MaxShare: 0.5}) {
+		t.Errorf("error %#v", err)
+	}
+	if changed := apply(t, list, 4, makeBackends(4, 1)); len(changed) != 10 {
+		t.Fatalf("applied again it changed %v", changed)
+	}
+}
+
+// The errors of files that are rejected however often they are applied, with the texts that operators see.
+func TestInvalidFileIsRejected(t *testing.T) {
+	list := New(testSettings)
+	apply(t, list, 0, makeBackends(4, 1))
+	for range 2 {
+		_, err := list.Apply(5, append(makeBackends(4, 1), Backend{ID: 2, Name: "x", Addr: "h", Weight: 1}))
+		var duplicate *DuplicateError
+		if !errors.As(err, &duplicate) || err.Error() != "servers s1 and x have the number 2" {
+			t.Errorf("an ID that stands twice: %v", err)
+		}
+		_, err = list.Apply(5, makeBackends(4, 0))
+		var weight *WeightError
+		if !errors.As(err, &weight) || err.Error() != "server s0 has a weight of 0" {
+			t.Errorf("a weight of 0: %v", err)
+		}
+		if _, err = list.Apply(5, nil); !errors.Is(err, ErrNoBackends) || err.Error() != "no server would be in use" {
+			t.Errorf("an empty file: %v", err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/endpointservice/service.go
@@ -0,0 +1,133 @@
+// Package endpointservice serves the endpoint list that follows a file of backends: watchers get the changes since the version
+// that they have, or the whole list. It is a state machine and does no I/O; its owner submits the files.
+package endpointservice
+
+import (
+	"gingerfork/internal/endpointfile"
+	"gingerfork/internal/proto"
+	"gingerfork/internal/statemachine"
+)
+
+// StateFile is the name of the file with the state that a restarted service needs.
+const StateFile = "followed.json"
+
+// heartbeatInterval is the time between empty updates in seconds. The protocol asks for one a second.
+const heartbeatInterval statemachine.Seconds = 1
+
+// Service is an endpoint list service whose backends are all in one zone. It implements statemachine.Machine.
+type Service struct {
+	name      string
+	zone      string
+	list      *endpointfile.List
+	submitted [][]endpointfile.Backend
+	onApplied func(changed int, err error)
+	watchers  map[statemachine.Conn]*watcher
+	history   history
+	heartbeat statemachine.Seconds  // when the next one is due
+	effects   *statemachine.Effects // of the step that is running
+}
+
+// New returns a service. state is the StateFile of an earlier process, nil if there is none. If it cannot be decoded, New
+// returns the error together with a service whose list is empty. onApplied, if not nil, is called in a step with the outcome of
+// each submitted file: the number of endpoints that changed, or why the file was rejected.
+func New(name, zone string, settings endpointfile.Settings, state []byte, onApplied func(changed int, err error)) (*Service, error) {
+	service := &Service{
+		name: name, zone: zone, list: endpointfile.New(settings), onApplied: onApplied,
+		watchers: map[statemachine.Conn]*watcher{},
+	}
+	if state == nil {
+		return service, nil
+	}
+	list, err := endpointfile.Decode(settings, state)
+	if err != nil {
+		return service, err
+	}
+	service.list = list
+	return service, nil
+}
+
+// Submit queues the backends of a file for the next step. Only the owner may call it, between two steps.
+func (s *Service) Submit(backends []endpointfile.Backend) {
+	s.submitted = append(s.submitted, backends)
+}
+
+// Step implements statemachine.Machine.
+func (s *Service) Step(now statemachine.Seconds, inputs []statemachine.Input, effects *statemachine.Effects) {
+	s.effects = effects
+	applied := s.applySubmitted(now)
+	removed := s.removeDrained(now)
+	if applied || removed {
+		s.save()
+	}
+	for _, input := range inputs {
+		s.handle(now, input)
+	}
+	s.sendHeartbeats(now)
+	effects.WakeBy(s.heartbeat)
+	if at, ok := s.list.NextRemoval(); ok {
+		effects.WakeBy(at)
+	}
+}
+
+// applySubmitted applies the submitted files, and reports whether the state has to be saved.
+func (s *Service) applySubmitted(now statemachine.Seconds) (changed bool) {
+	for _, backends := range s.submitted {
+		endpoints, err := s.list.Apply(now, backends)
+		if len(endpoints) > 0 {
+			s.publish(now, endpoints)
+		}
+		// A rejected file is part of the state, too: applied again after a restart, it is accepted.
+		changed = changed || len(endpoints) > 0 || err != nil
+		if s.onApplied != nil {
+			s.onApplied(len(endpoints), err)
+		}
+	}
+	s.submitted = s.submitted[:0]
+	return changed
+}
+
+// removeDrained removes the endpoints whose drain is over, and reports whether there were any.
+func (s *Service) removeDrained(now statemachine.Seconds) bool {
+	removed := s.list.RemoveDrained(now)
+	if len(removed) == 0 {
+		return false
+	}
+	s.publish(now, removed)
+	return true
+}
+
+func (s *Service) save() {
+	data, err := s.list.Encode()
+	if err != nil {
+		s.effects.Log(statemachine.LogError, "endpoint list not saved", "cause", err.Error())
+		return
+	}
+	s.effects.SaveFile(StateFile, data)
+}
+
+func (s *Service) handle(now statemachine.Seconds, input statemachine.Input) {
+	switch input.Kind {
+	case statemachine.ConnOpened:
+		s.watchers[input.Conn] = &watcher{conn: input.Conn}
+	case statemachine.ConnClosed:
+		delete(s.watchers, input.Conn)
+	case statemachine.ConnData:
+		if client := s.watchers[input.Conn]; client != nil {
+			client.reader.Feed(input.Data)
+			s.handleMessages(now, client)
+		}
+	}
+}
+
+// sendHeartbeats sends each watcher an empty update when it is due, by which it can tell that the service is alive.
+func (s *Service) sendHeartbeats(now statemachine.Seconds) {
+	if now < s.heartbeat {
+		return
+	}
+	s.heartbeat = now + heartbeatInterval
+	for _, client := range s.watchersByConn() {
+		if client.watching {
+			s.send(client, proto.EndpointUpdate{Kind: proto.UpdateDelta, BaseVersion: client.version, Version: client.version})
+		}
+	}
+}
--- a/internal/haproxy/acl_match.go
+++ b/internal/haproxy/acl_match.go
@@ -53,18 +53,18 @@
 		}
 	}
 	base, match, hasMatch := strings.Cut(name, "_")
-	term.How = matchExact
+	term.Match = matchExact
 	if hasMatch {
 		if !slices.Contains([]string{matchBegin, matchEnd, matchPart}, match) {
 			return term, unsupported(name)
 		}
-		term.How = match
+		term.Match = match
 	}
 	switch {
 	case base == fetchPath && !hasArgument, base == fetchMethod && !hasArgument && !hasMatch:
-		term.Fetch = base
+		term.Source = base
 	case (base == fetchHeader || name == "req.hdr") && hasArgument && argument != "":
-		term.Fetch, term.Header = fetchHeader, strings.ToLower(argument)
+		term.Source, term.Header = fetchHeader, strings.ToLower(argument)
 	default:
 		return term, unsupported(word)
 	}
@@ -80,13 +80,13 @@
 		words = words[1:]
 		switch flag {
 		case "-i":
-			term.Fold = true
+			term.IgnoreCase = true
 		case "-n": // It keeps names from being resolved, which routes never do.
 		case "-m":
 			if len(words) == 0 || !slices.Contains([]string{matchExact, matchBegin, matchEnd, matchPart, matchFound}, words[0]) {
 				return nil, classify(ErrUnsupported, "this match has no like here")
 			}
-			term.How, words = words[0], words[1:]
+			term.Match, words = words[0], words[1:]
 		case "--":
 			return append(patterns, words...), nil
 		default:
@@ -99,13 +99,13 @@
 func checkMatch(term route.Term) error {
 	hasControl := func(pattern string) bool { return strings.ContainsFunc(pattern, unicode.IsControl) }
 	switch {
-	case len(term.Patterns) == 0 && term.How != matchFound:
+	case len(term.Patterns) == 0 && term.Match != matchFound:
 		return classify(ErrSyntax, "it has no patterns")
-	case term.Fetch == fetchMethod && term.How != matchExact:
+	case term.Source == fetchMethod && term.Match != matchExact:
 		return classify(ErrUnsupported, "methods are matched whole")
 	case slices.ContainsFunc(term.Patterns, hasControl):
 		return classify(ErrUnsupported, "a pattern has a control character")
-	case term.Fetch == fetchHeader && term.How != matchFound && !slices.Contains(singleValueHeaders, term.Header):
+	case term.Source == fetchHeader && term.Match != matchFound && !slices.Contains(singleValueHeaders, term.Header):
 		return classify(ErrUnsupported, "header %s may hold several values, which are not taken apart here", term.Header)
 	}
 	return nil
--- a/internal/haproxy/endpoints.go
+++ b/internal/haproxy/endpoints.go
@@ -3,12 +3,12 @@
 import (
 	"strings"
 
-	"gingerfork/internal/follow"
+	"gingerfork/internal/endpointfile"
 )
 
 // Servers returns the servers of a pool as the endpoint list takes them. The pool's name may be empty if there is only one.
 // The error is a FaultsError if the files have faults, and ErrNoPool if there is no such pool.
-func (i Import) Servers(poolName string) ([]follow.Server, error) {
+func (i Import) Servers(poolName string) ([]endpointfile.Backend, error) {
 	if len(i.Faults) > 0 {
 		return nil, FaultsError(i.Faults)
 	}
@@ -22,13 +22,13 @@
 	return nil, classify(ErrNoPool, "no pool %q among %s", poolName, strings.Join(names, ", "))
 }
 
-func (p Pool) listedServers() []follow.Server {
+func (p Pool) listedServers() []endpointfile.Backend {
 	numbers := p.Numbers()
 	listed := p.Listed()
-	servers := make([]follow.Server, 0, len(listed))
+	servers := make([]endpointfile.Backend, 0, len(listed))
 	for _, server := range listed {
-		servers = append(servers, follow.Server{
-			Number:   numbers[server.Name],
+		servers = append(servers, endpointfile.Backend{
+			ID:       numbers[server.Name],
 			Name:     server.Name,
 			Addr:     server.Addr,
 			Weight:   float64(server.listedWeight()),
--- a/internal/haproxy/recording_test.go
+++ b/internal/haproxy/recording_test.go
@@ -120,7 +120,7 @@
 		fmt.Fprintf(out, "%q %d %q\n", file.Name, len(file.Lines), file.Text())
 	}
 	for _, route := range got.Routes {
-		fmt.Fprintf(out, "%s %s %s: %s\n", route.From, route.To, route.As, route)
+		fmt.Fprintf(out, "%s %s %s: %s\n", route.Frontend, route.Pool, route.Method, route)
 	}
 	for _, pool := range got.Pools {
 		recordPool(out, got, pool)
@@ -141,7 +141,7 @@
 	for _, name := range []string{pool.Name, ""} {
 		servers, err := imported.Servers(name)
 		for _, server := range servers {
-			fmt.Fprintf(out, "%d %q %q %v %t\n", server.Number, server.Name, server.Addr, server.Weight, server.Draining)
+			fmt.Fprintf(out, "%d %q %q %v %t\n", server.ID, server.Name, server.Addr, server.Weight, server.Draining)
 		}
 		fmt.Fprintln(out, err)
 	}
--- a/internal/haproxy/route_condition.go
+++ b/internal/haproxy/route_condition.go
@@ -86,10 +86,10 @@
 	case a.matches[name] != nil:
 		return a.matches[name], nil
 	case methodACLs[name] != nil:
-		return []route.Term{{Fetch: fetchMethod, How: matchExact, Patterns: methodACLs[name]}}, nil
+		return []route.Term{{Source: fetchMethod, Match: matchExact, Patterns: methodACLs[name]}}, nil
 	case name == "TRUE" || name == "FALSE":
 		// No request has a header without a name, so that it is never found.
-		return []route.Term{{Fetch: fetchHeader, How: matchFound, Not: name == "TRUE"}}, nil
+		return []route.Term{{Source: fetchHeader, Match: matchFound, Negate: name == "TRUE"}}, nil
 	}
 	return nil, classify(ErrUnsupported, "ACL %s has no like here", name)
 }
@@ -99,7 +99,7 @@
 	if negated {
 		negations := slices.Clone(alternatives)
 		for i := range negations {
-			negations[i].Not = !negations[i].Not
+			negations[i].Negate = !negations[i].Negate
 		}
 		for i := range rows {
 			rows[i] = slices.Concat(rows[i], negations)
--- a/internal/haproxy/routes.go
+++ b/internal/haproxy/routes.go
@@ -38,7 +38,7 @@
 		case "use_backend":
 			reader.readUseBackend(i, line)
 		case "default_backend":
-			reader.last = &route.Route{From: proxy.name, To: line.Word(1), As: proxy.name}
+			reader.last = &route.Route{Frontend: proxy.name, Pool: line.Word(1), Method: proxy.name}
 			if reader.blocked != "" {
 				reader.problems[i] = reader.blocked
 			}
@@ -72,7 +72,7 @@
 		r.problems[index] = fmt.Sprintf("it is never reached, for line %d takes all", r.takesAll)
 		return
 	}
-	added := route.Route{From: r.section.name, To: line.Word(1), As: r.section.name}
+	added := route.Route{Frontend: r.section.name, Pool: line.Word(1), Method: r.section.name}
 	if len(line.Tokens) > 2 {
 		if err := r.readCondition(&added, line.Words()[2:]); err != nil {
 			r.problems[index] = err.Error()
@@ -81,7 +81,7 @@
 		}
 	}
 	r.routes = append(r.routes, added)
-	if len(added.Any) == 0 {
+	if len(added.Alternatives) == 0 {
 		r.takesAll = line.Line
 	}
 }
@@ -89,15 +89,15 @@
 // readCondition reads the condition of a route, which begins with if or unless, and names the route's method after it.
 func (r *routeReader) readCondition(added *route.Route, words []string) (err error) {
 	keyword, condition := words[0], words[1:]
-	added.As = r.methodName(condition)
-	added.Unless = keyword == "unless"
+	added.Method = r.methodName(condition)
+	added.Negate = keyword == "unless"
 	switch {
-	case strings.Contains(added.To, dynamicName):
+	case strings.Contains(added.Pool, dynamicName):
 		return classify(ErrUnsupported, "its pool is reckoned for each request")
 	case keyword != "if" && keyword != "unless":
 		return classify(ErrSyntax, "%s is neither if nor unless", keyword)
 	}
-	added.Any, err = parseRouteCondition(condition, r.acls)
+	added.Alternatives, err = parseRouteCondition(condition, r.acls)
 	return err
 }
 
@@ -105,7 +105,7 @@
 func (r *routeReader) addLast() {
 	name := r.section.name
 	if r.last == nil && r.section.kind == kindListen && len(r.routes) > 0 {
-		r.last = &route.Route{From: name, To: name, As: name}
+		r.last = &route.Route{Frontend: name, Pool: name, Method: name}
 	}
 	if r.last != nil && r.takesAll == 0 && r.blocked == "" {
 		r.routes = append(r.routes, *r.last)
@@ -188,8 +188,8 @@
 			continue
 		}
 		for i := range m.routes {
-			if m.routes[i].To == pool.Name {
-				m.routes[i].As = allMethod
+			if m.routes[i].Pool == pool.Name {
+				m.routes[i].Method = allMethod
 			}
 		}
 	}
--- a/internal/haproxy/routes_test.go
+++ b/internal/haproxy/routes_test.go
@@ -70,8 +70,8 @@
 		{route.Request{Method: "GET", Path: "/", Headers: host("ADMIN.example")}, "deny"},
 		{route.Request{Method: "GET", Path: "/Admin", Headers: host("www.example")}, "tasks"},
 	} {
-		if picked, _ := table.Pick("www", test.request); picked.To != test.want {
-			t.Errorf("%v goes to %q, %q wanted", test.request, picked.To, test.want)
+		if picked, _ := table.Lookup("www", test.request); picked.Pool != test.want {
+			t.Errorf("%v goes to %q, %q wanted", test.request, picked.Pool, test.want)
 		}
 	}
 }
@@ -159,7 +159,7 @@
 		}
 		request := route.Request{Path: "/" + rapid.StringMatching("[xyz]{0,3}").Draw(check, "asked")}
 		want := condition.holds(request.Path) == (keyword == "if")
-		if got.Routes[0].Holds(request) != want {
+		if got.Routes[0].Matches(request) != want {
 			check.Fatalf("%s for %s: %v", frontend, request.Path, got.Routes[0])
 		}
 	})
