--- a/choice/admission.go
+++ b/choice/admission.go
@@ -128,8 +128,8 @@
 func (a *admission) updateCalm(load fleetLoad, capacity float64) {
 	few := load.overloaded < overloadedPart/3*load.judged
 	settled := a.plan.now > max(a.firstReportAt, a.lastDisconnect)+admissionWindow
-	spare := sum(a.arrivals) < a.bestAnswerRate*capacity
-	a.calm = !a.overloaded && few && a.relativeLatency < overloadLatency && settled && spare
+	roomy := sum(a.arrivals) < a.bestAnswerRate*capacity
+	a.calm = !a.overloaded && few && a.relativeLatency < overloadLatency && settled && roomy
 }
 
 // shedLoad returns the admitted share of each method's requests; the lowest criticality is shed first.
