--- a/choice/admission.go
+++ b/choice/admission.go
@@ -12,6 +12,9 @@
 	overloadFailureShare = 0.15 // share of failures, from the zone where it is lowest, of an overloaded backend
 	overloadLatency      = 0.5  // or its mean latency, of the shortest soft deadline
 	overloadedPart       = 0.5  // of the backends, how many are overloaded at once if the fleet is
+	baselineAttempts     = 2.0  // attempts that a backend needs to count in the baseline of failures
+	baselineWindow       = 6.0  // seconds within which it was reported on
+	baselineDivisor      = 4    // the baseline is that of the best backends, one in so many
 	minRateLimit         = 0.8  // of the best rate of answers
 	answeredPart         = 0.85 // of what is answered in an overload, what is admitted, so that queues run off
 	limitGrowth          = 1.1  // factor of the limit's growth in a second after an overload
--- a/choice/fleetload.go
+++ b/choice/fleetload.go
@@ -78,8 +78,8 @@
 func (a *admission) updateBaseline() {
 	a.baselineFailures = 1
 	for zone := range len(a.plan.zoneIndex) {
-		shares := a.plan.failureShares(zone, minAttempts/2, a.plan.now-2*healthWindow)
-		a.baselineFailures = min(a.baselineFailures, shares[len(shares)/4])
+		shares := a.plan.failureShares(zone, baselineAttempts, a.plan.now-baselineWindow)
+		a.baselineFailures = min(a.baselineFailures, shares[len(shares)/baselineDivisor])
 	}
 }
 
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -150,6 +150,8 @@
 // Faults reach the backends that a command names, and invalid commands are logged and change nothing.
 func TestFleetCommands(t *testing.T) {
 	run := startThree(t)
+	run.command("s1 kill") // faults also apply to a backend that restarted
+	run.command("s1 start")
 	run.command("s9 hang")
 	run.command("s0 hung")
 	run.command("* hang")
--- a/internal/fake/endpoints_test.go
+++ b/internal/fake/endpoints_test.go
@@ -101,6 +101,10 @@
 	run := startEndpointService(twoEndpoints())
 	run.watch(0)
 	run.command("state 1 draining")
+	run.command("stale on")
+	run.command("state 1 gone")
+	run.command("restart 1") // the history is that of an endpoint that restarted while the list was stale
+	run.command("stale off")
 	if updates := run.command("show none"); !isOneUpdate(updates, proto.UpdateFull, 0) {
 		t.Fatal(updates)
 	}
