--- a/internal/fanout/commands.go
+++ b/internal/fanout/commands.go
@@ -7,7 +7,7 @@
 	"gingerfork/choice"
 )
 
-// Apply executes one command of the decision module and returns whether the command concerns tables at all.
+// Apply executes a command of the decision module that concerns tables or exclusions. It returns false for all others.
 func (d *Distributor) Apply(command choice.Command) bool {
 	switch command := command.(type) {
 	case choice.SetTableEntry:
@@ -22,8 +22,8 @@
 		d.setExclusion(command)
 	case choice.NotifyExclusions:
 		if subscriber := d.subscriber(command.Proxy); subscriber != nil {
-			subscriber.informed = true
-			d.uninformed = append(d.uninformed, subscriber)
+			subscriber.exclusionsNotified = true
+			d.pendingNotifications = append(d.pendingNotifications, subscriber)
 		}
 	default:
 		return false
@@ -31,8 +31,9 @@
 	return true
 }
 
+// setEntry sets or removes one entry of a table and sends the change to the table's subscribers.
 func (d *Distributor) setEntry(command choice.SetTableEntry) {
-	t := d.table(command.Table)
+	t := d.getOrCreateTable(command.Table)
 	if command.Weight > 0 {
 		t.weights[command.Backend] = command.Weight
 	} else {
@@ -41,37 +42,39 @@
 	entry := TableEntry{Backend: command.Backend, Weight: command.Weight, Excluded: d.excluded[command.Backend]}
 	for _, subscriber := range t.subscribers {
 		if entry.Excluded {
-			subscriber.excluded[command.Backend] = true
+			subscriber.sentExclusions[command.Backend] = true
 		}
-		op := subscriber.op(OpSetEntry, command.Table)
+		op := subscriber.newOp(OpSetEntry, command.Table)
 		op.Entries = []TableEntry{entry}
 		d.enqueue(subscriber, op, 1)
 	}
 }
 
+// clearTable empties a table, also at its subscribers, and deletes it if it has none.
 func (d *Distributor) clearTable(command choice.ClearTable) {
-	t := d.table(command.Table)
+	t := d.getOrCreateTable(command.Table)
 	clear(t.weights)
 	t.admissions = nil
 	for _, subscriber := range t.subscribers {
-		d.enqueue(subscriber, subscriber.op(OpClear, command.Table), 1)
+		d.enqueue(subscriber, subscriber.newOp(OpClear, command.Table), 1)
 	}
 	if len(t.subscribers) == 0 {
 		delete(d.tables, command.Table)
 	}
 }
 
+// setAdmission sets the admission of some methods in a table and sends it to the table's subscribers.
 func (d *Distributor) setAdmission(command choice.SetAdmission) {
-	t := d.table(command.Table)
+	t := d.getOrCreateTable(command.Table)
 	admission := Admission{Methods: command.Methods, Level: command.Level, Retry: command.Retry}
-	at := slices.IndexFunc(t.admissions, func(a Admission) bool { return a.Methods == admission.Methods })
-	if at >= 0 {
-		t.admissions[at] = admission
+	index := slices.IndexFunc(t.admissions, func(a Admission) bool { return a.Methods == admission.Methods })
+	if index >= 0 {
+		t.admissions[index] = admission
 	} else {
 		t.admissions = append(t.admissions, admission)
 	}
 	for _, subscriber := range t.subscribers {
-		op := subscriber.op(OpAdmission, command.Table)
+		op := subscriber.newOp(OpAdmission, command.Table)
 		op.Admissions = []Admission{admission}
 		d.enqueue(subscriber, op, 1)
 	}
@@ -81,21 +84,21 @@
 func (d *Distributor) bind(command choice.BindTable) {
 	subscriber := d.subscriber(command.Proxy)
 	if subscriber == nil {
-		return // the proxy left after the events on which the module decided
+		return // the proxy left after the events that led to this command
 	}
 	bound := subscription{table: command.Table, methods: command.Methods}
 	d.subscribe(subscriber, bound)
 	bindOp := d.completeTable(bound)
 	for _, entry := range bindOp.Entries {
 		if entry.Excluded {
-			subscriber.excluded[entry.Backend] = true
+			subscriber.sentExclusions[entry.Backend] = true
 		}
 	}
-	for backend := range subscriber.excluded {
+	for backend := range subscriber.sentExclusions {
 		bindOp.Backends = append(bindOp.Backends, backend)
 	}
 	slices.Sort(bindOp.Backends)
-	// The table carries all exclusions, so separate ones earlier in the same message are redundant.
+	// The operation contains all exclusions, so separate ones earlier in the same message are redundant.
 	message := d.MarkDirty(subscriber)
 	before := len(message.Ops)
 	message.Ops = slices.DeleteFunc(message.Ops, func(op TableOp) bool { return op.Kind == OpExclude })
@@ -103,20 +106,21 @@
 	d.enqueue(subscriber, bindOp, 1+len(bindOp.Entries)+len(bindOp.Admissions))
 }
 
+// subscribe adds a subscription, or replaces the proxy's subscription to the same table.
 func (d *Distributor) subscribe(subscriber *Subscriber, bound subscription) {
-	at := slices.IndexFunc(subscriber.subscriptions, func(s subscription) bool { return s.table == bound.table })
-	if at >= 0 {
-		subscriber.subscriptions[at].methods = bound.methods
+	index := slices.IndexFunc(subscriber.subscriptions, func(s subscription) bool { return s.table == bound.table })
+	if index >= 0 {
+		subscriber.subscriptions[index].methods = bound.methods
 		return
 	}
-	t := d.table(bound.table)
+	t := d.getOrCreateTable(bound.table)
 	t.subscribers = append(t.subscribers, subscriber)
 	subscriber.subscriptions = append(subscriber.subscriptions, bound)
 }
 
-// completeTable returns the present content of a table as an OpBind operation.
+// completeTable returns the current content of a table as an OpBind operation.
 func (d *Distributor) completeTable(bound subscription) TableOp {
-	t := d.table(bound.table)
+	t := d.getOrCreateTable(bound.table)
 	op := TableOp{Kind: OpBind, Table: bound.table, Methods: bound.methods, Admissions: slices.Clone(t.admissions)}
 	for backend, weight := range t.weights {
 		op.Entries = append(op.Entries, TableEntry{Backend: backend, Weight: weight, Excluded: d.excluded[backend]})
@@ -125,8 +129,8 @@
 	return op
 }
 
-// table returns a table, creating it if necessary.
-func (d *Distributor) table(id choice.TableID) *table {
+// getOrCreateTable returns a getOrCreateTable, creating it if necessary.
+func (d *Distributor) getOrCreateTable(id choice.TableID) *table {
 	t := d.tables[id]
 	if t == nil {
 		t = &table{weights: map[choice.BackendID]float64{}}
@@ -135,20 +139,20 @@
 	return t
 }
 
-// enqueue appends an operation of the given size to the proxy's message of this step.
-func (d *Distributor) enqueue(subscriber *Subscriber, op TableOp, entries int) {
+// enqueue appends an operation to the proxy's message of this step. The operation's size is entryCount table entries.
+func (d *Distributor) enqueue(subscriber *Subscriber, op TableOp, entryCount int) {
 	message := d.MarkDirty(subscriber)
 	message.Ops = append(message.Ops, op)
-	message.EntryCount += entries
+	message.EntryCount += entryCount
 	message.Urgent = message.Urgent || op.Kind == OpExclude
 }
 
-// op returns an operation on a table for the methods that the table is bound for at this proxy.
-func (s *Subscriber) op(kind OpKind, id choice.TableID) TableOp {
+// newOp returns an operation on a table, for the methods that the table is bound for at this proxy.
+func (s *Subscriber) newOp(kind OpKind, id choice.TableID) TableOp {
 	op := TableOp{Kind: kind, Table: id}
-	at := slices.IndexFunc(s.subscriptions, func(bound subscription) bool { return bound.table == id })
-	if at >= 0 {
-		op.Methods = s.subscriptions[at].methods
+	index := slices.IndexFunc(s.subscriptions, func(bound subscription) bool { return bound.table == id })
+	if index >= 0 {
+		op.Methods = s.subscriptions[index].methods
 	}
 	return op
 }
--- a/internal/fanout/distributor.go
+++ b/internal/fanout/distributor.go
@@ -1,4 +1,4 @@
-// Package fanout turns the commands of the decision module into one message per subscribed proxy and step. It holds the
+// Package fanout turns the commands of the decision module into at most one message per proxy and step. It holds the
 // tables, the subscriptions of each proxy and the excluded backends. It makes no decisions and knows no wire protocol;
 // the coordinator and the platform front end encode its messages.
 package fanout
@@ -17,7 +17,7 @@
 const (
 	OpSetEntry  OpKind = iota // set one entry of a table; weight 0 removes it
 	OpClear                   // remove all entries and admission levels of a table
-	OpBind                    // replace a table by the complete one in the operation
+	OpBind                    // replace a table with the complete one in the operation
 	OpAdmission               // set admission level and retry policy of some methods
 	OpExclude                 // exclude backends
 	OpRestore                 // restore excluded backends
@@ -27,12 +27,12 @@
 type TableEntry struct {
 	Backend  choice.BackendID
 	Weight   float64
-	Excluded bool // the backend is excluded at this moment
+	Excluded bool // the backend is currently excluded
 }
 
 // Admission is the admission level and the retry policy of a set of methods.
 type Admission struct {
-	Methods uint64 // bit set of method numbers; 0 stands for all methods
+	Methods uint64 // bit set of method numbers; 0 means all methods
 	Level   float64
 	Retry   choice.RetryPolicy
 }
@@ -41,27 +41,27 @@
 type TableOp struct {
 	Kind       OpKind
 	Table      choice.TableID
-	Methods    uint64 // the methods that the proxy's table is bound for; 0 stands for all methods
+	Methods    uint64 // bit set of the methods that the table is bound for at the proxy; 0 means all methods
 	Entries    []TableEntry
 	Admissions []Admission
-	Backends   []choice.BackendID // excluded or restored; with OpBind all backends that the proxy must hold as excluded
+	Backends   []choice.BackendID // excluded or restored; with OpBind all backends that are excluded at the proxy
 }
 
 // Message is everything that one step of the decision module sends to one proxy.
 type Message struct {
 	To         *Subscriber
 	Ops        []TableOp
-	EntryCount int  // size in entries, without the message's header and nonce
-	Urgent     bool // the message takes a backend out of use
+	EntryCount int  // size in table entries, without the message's header and nonce
+	Urgent     bool // the step excludes a backend at the proxy
 }
 
 // Subscriber is a joined proxy.
 type Subscriber struct {
-	Proxy         choice.ProxyID
-	informed      bool                      // it was notified of all exclusions
-	excluded      map[choice.BackendID]bool // the backends that the proxy was sent as excluded
-	subscriptions []subscription
-	pending       *Message // the message of the current step, nil if there is none yet
+	Proxy              choice.ProxyID
+	exclusionsNotified bool                      // the module sent NotifyExclusions for the proxy
+	sentExclusions     map[choice.BackendID]bool // the backends that the proxy was told are excluded
+	subscriptions      []subscription
+	pending            *Message // the message of the current step; nil if there is none yet
 }
 
 // subscription binds a proxy to a table for a set of methods.
@@ -70,11 +70,11 @@
 	methods uint64
 }
 
-// ExclusionChange reports that a backend was excluded or restored, and at how many proxies.
+// ExclusionChange reports that a backend was excluded or restored.
 type ExclusionChange struct {
 	Backend  choice.BackendID
-	Excluded bool
-	Proxies  int
+	Excluded bool // false if the backend was restored
+	Proxies  int  // the number of proxies that are sent the change
 }
 
 // table is one table of the decision module with its subscribers.
@@ -86,19 +86,19 @@
 
 // Distributor holds the tables and subscribers of one instance of the decision module.
 type Distributor struct {
-	// AllMethods is the bit set of all methods, for front ends whose proxies keep using a table from an earlier stream for
-	// methods that no table is bound for. With 0 the first bound table replaces whatever the proxy held before.
+	// AllMethods is the bit set of all methods. It is set by front ends whose proxies keep using a table of an earlier stream
+	// for methods that no table is bound for. If it is 0, the first bound table replaces whatever the proxy held before.
 	AllMethods uint64
 
-	tables      map[choice.TableID]*table
-	excluded    map[choice.BackendID]bool
-	subscribers []*Subscriber // by proxy number, nil where none is joined
-	dirty       []*Subscriber // with a pending message, in the order in which the messages were begun
-	uninformed  []*Subscriber // must be sent the excluded backends in this step
-	changes     []ExclusionChange
+	tables               map[choice.TableID]*table
+	excluded             map[choice.BackendID]bool
+	subscribers          []*Subscriber     // indexed by proxy number; nil where no proxy is joined
+	dirty                []*Subscriber     // with a pending message, in the order in which those were created
+	pendingNotifications []*Subscriber     // proxies of this step's NotifyExclusions commands
+	changes              []ExclusionChange // of this step
 }
 
-// New returns a Distributor without tables and subscribers.
+// New returns a Distributor without tables or subscribers.
 func New() *Distributor {
 	return &Distributor{tables: map[choice.TableID]*table{}, excluded: map[choice.BackendID]bool{}}
 }
@@ -108,12 +108,12 @@
 	for int(proxy) >= len(d.subscribers) {
 		d.subscribers = append(d.subscribers, nil)
 	}
-	subscriber := &Subscriber{Proxy: proxy, excluded: map[choice.BackendID]bool{}}
+	subscriber := &Subscriber{Proxy: proxy, sentExclusions: map[choice.BackendID]bool{}}
 	d.subscribers[proxy] = subscriber
 	return subscriber
 }
 
-// Leave removes a proxy. It must not be called between Apply and Flush of one step.
+// Leave removes a proxy; if it has left already, nothing happens. It must not be called between Apply and Flush of one step.
 func (d *Distributor) Leave(subscriber *Subscriber) {
 	if d.subscribers[subscriber.Proxy] != subscriber {
 		return
@@ -137,7 +137,7 @@
 	}
 }
 
-// subscriber returns the joined proxy of that number, or nil.
+// subscriber returns the joined proxy with the given number, or nil if there is none.
 func (d *Distributor) subscriber(proxy choice.ProxyID) *Subscriber {
 	if int(proxy) >= len(d.subscribers) {
 		return nil
@@ -154,7 +154,8 @@
 	return subscriber.pending
 }
 
-// BoundTables returns the complete tables of a proxy, that is what it holds once it has received all messages so far.
+// BoundTables returns the complete tables that are bound for a proxy: what the proxy holds once it has received all
+// messages so far.
 func (d *Distributor) BoundTables(subscriber *Subscriber) []TableOp {
 	ops := make([]TableOp, 0, len(subscriber.subscriptions))
 	for _, bound := range subscriber.subscriptions {
@@ -169,12 +170,12 @@
 // TableCount returns the number of tables.
 func (d *Distributor) TableCount() int { return len(d.tables) }
 
-// Flush ends a step. It returns the step's messages, in the order in which they were begun, and the exclusion changes.
+// Flush ends a step. It returns the step's messages, in the order in which they were created, and the exclusion changes.
 //
-// Proxies named by NotifyExclusions that have no bound table for some methods are sent the excluded backends, since they
-// keep using whatever they held before for those methods. Proxies with tables for all methods need nothing: a bound table
-// contains its exclusions. previouslyExcluded returns the backends that were excluded before this instance began; it may
-// be nil and is called only if a proxy needs them.
+// A proxy that NotifyExclusions names and that has no bound table for some methods is sent all excluded backends, since it
+// keeps using whatever it held before for those methods. A proxy with tables for all methods needs nothing, since a bound
+// table contains its exclusions. previouslyExcluded returns the backends that were excluded before this instance was
+// created. It may be nil and is called only if a proxy needs them.
 func (d *Distributor) Flush(previouslyExcluded func() []choice.BackendID) ([]*Message, []ExclusionChange) {
 	d.notifyExclusions(previouslyExcluded)
 	messages := make([]*Message, 0, len(d.dirty))
--- a/internal/fanout/exclusions.go
+++ b/internal/fanout/exclusions.go
@@ -6,9 +6,8 @@
 	"gingerfork/choice"
 )
 
-// setExclusion excludes a backend at every proxy whose tables contain it or that uses a table of an earlier stream and was
-// notified of the exclusions so far, or restores it at the proxies whose tables contain it. Other proxies need no operation, since each table entry
-// says whether its backend is excluded.
+// setExclusion excludes or restores a backend, and sends the change to the proxies that need it: see sendExclusion. Others
+// need no operation, since each table entry that they are sent says whether its backend is excluded.
 func (d *Distributor) setExclusion(command choice.SetExclusion) {
 	if command.Excluded {
 		d.excluded[command.Backend] = true
@@ -24,42 +23,46 @@
 	d.changes = append(d.changes, change)
 }
 
-// sendExclusion applies an exclusion change to one proxy and returns whether the proxy is sent an operation.
+// sendExclusion sends an exclusion change to one proxy if it needs it, and returns whether it does. An exclusion is sent if
+// the proxy's tables contain the backend, or if the proxy may use a table of an earlier stream and was notified of the
+// exclusions so far. A restoration is sent if the proxy's tables contain the backend and it was told of the exclusion.
 func (d *Distributor) sendExclusion(subscriber *Subscriber, command choice.SetExclusion) bool {
-	uses := d.uses(subscriber, command.Backend)
+	canRoute := d.canRouteTo(subscriber, command.Backend)
 	if command.Excluded {
-		usesEarlierTable := subscriber.informed && d.partiallyBound(subscriber)
-		if !uses && !usesEarlierTable {
+		usesEarlierTable := subscriber.exclusionsNotified && d.hasUnboundMethods(subscriber)
+		if !canRoute && !usesEarlierTable {
 			return false
 		}
 		d.exclude(subscriber, command.Backend)
 		return true
 	}
-	if !subscriber.excluded[command.Backend] {
+	if !subscriber.sentExclusions[command.Backend] {
 		return false
 	}
-	delete(subscriber.excluded, command.Backend)
-	if !uses {
+	delete(subscriber.sentExclusions, command.Backend)
+	if !canRoute {
 		return false
 	}
 	d.enqueue(subscriber, TableOp{Kind: OpRestore, Backends: []choice.BackendID{command.Backend}}, 1)
 	return true
 }
 
+// exclude sends a proxy an operation that excludes a backend.
 func (d *Distributor) exclude(subscriber *Subscriber, backend choice.BackendID) {
-	subscriber.excluded[backend] = true
+	subscriber.sentExclusions[backend] = true
 	d.enqueue(subscriber, TableOp{Kind: OpExclude, Backends: []choice.BackendID{backend}}, 1)
 }
 
-// uses returns whether a backend has a positive weight in any table of the proxy.
-func (d *Distributor) uses(subscriber *Subscriber, backend choice.BackendID) bool {
+// canRouteTo returns whether a backend has a positive weight in any table that is bound for the proxy.
+func (d *Distributor) canRouteTo(subscriber *Subscriber, backend choice.BackendID) bool {
 	return slices.ContainsFunc(subscriber.subscriptions, func(bound subscription) bool {
 		return d.tables[bound.table].weights[backend] > 0
 	})
 }
 
-// partiallyBound returns whether the proxy may still use a table of an earlier stream for some methods.
-func (d *Distributor) partiallyBound(subscriber *Subscriber) bool {
+// hasUnboundMethods returns whether the proxy has no bound table for some methods, for which it may still use a table of an
+// earlier stream.
+func (d *Distributor) hasUnboundMethods(subscriber *Subscriber) bool {
 	methods := uint64(0)
 	for _, bound := range subscriber.subscriptions {
 		if bound.methods == 0 {
@@ -70,12 +73,12 @@
 	return methods&d.AllMethods != d.AllMethods || len(subscriber.subscriptions) == 0
 }
 
-// notifyExclusions sends the excluded backends to the proxies that need them, see Flush.
+// notifyExclusions sends the excluded backends to the proxies that need them; see Flush.
 func (d *Distributor) notifyExclusions(previouslyExcluded func() []choice.BackendID) {
 	var excluded []choice.BackendID
 	collected := false
-	for _, subscriber := range d.uninformed {
-		if d.subscribers[subscriber.Proxy] != subscriber || !d.partiallyBound(subscriber) {
+	for _, subscriber := range d.pendingNotifications {
+		if d.subscribers[subscriber.Proxy] != subscriber || !d.hasUnboundMethods(subscriber) {
 			continue
 		}
 		if !collected {
@@ -83,15 +86,15 @@
 			excluded = d.allExcluded(previouslyExcluded)
 		}
 		for _, backend := range excluded {
-			if !subscriber.excluded[backend] {
+			if !subscriber.sentExclusions[backend] {
 				d.exclude(subscriber, backend)
 			}
 		}
 	}
-	d.uninformed = d.uninformed[:0]
+	d.pendingNotifications = d.pendingNotifications[:0]
 }
 
-// allExcluded returns the backends excluded by this instance and before it, sorted and without duplicates.
+// allExcluded returns the backends that were excluded by this instance or before it, sorted and without duplicates.
 func (d *Distributor) allExcluded(previouslyExcluded func() []choice.BackendID) []choice.BackendID {
 	var excluded []choice.BackendID
 	if previouslyExcluded != nil {
--- a/internal/fanout/exclusions_test.go
+++ b/internal/fanout/exclusions_test.go
@@ -20,8 +20,9 @@
 	return backends
 }
 
-// A proxy that waits for its first table learns of the exclusions by that table or by NotifyExclusions, not one by one: its
-// earlier tables stay in use, and thousands of waiting proxies would fill the channel with each exclusion.
+// A proxy that waits for its first table learns of the exclusions from that table or from NotifyExclusions, not one by one.
+// Otherwise each exclusion would be sent to thousands of waiting proxies and use up the push rate. The proxy keeps using its
+// earlier tables meanwhile, so once it was notified it is sent further exclusions.
 func TestExclusionsOfWaitingProxies(t *testing.T) {
 	distributor := New()
 	distributor.Join(1)
@@ -45,7 +46,7 @@
 	}
 }
 
-// A first table carries the exclusions of its backends.
+// The first table of a proxy contains the exclusions of its own backends and no others.
 func TestFirstTableCarriesExclusions(t *testing.T) {
 	distributor := New()
 	distributor.Join(1)
