--- a/internal/checkpoint/checkpoint.go
+++ b/internal/checkpoint/checkpoint.go
@@ -1,6 +1,7 @@
-// Package checkpoint decides which coordinator state is persisted for the next start, and what must be durable before
-// what. It is a pure state machine: the coordinator reports what it decided and sent and what the store has made durable,
-// and takes batches of records to write. The package has no file, clock or goroutine. docs/store.md explains its rules.
+// Package checkpoint selects the coordinator state that is persisted for the next start, and decides what must be durable
+// before pushes are sent and acknowledgements are counted. It is a pure state machine: the coordinator reports what it
+// decided and sent and which batches the store has made durable, and takes batches of records to write. The package has no
+// file, clock or goroutine. docs/store.md explains its rules.
 package checkpoint
 
 import (
@@ -12,45 +13,46 @@
 )
 
 const (
-	// maxDurabilityWait is how long anything waits for the disk, in seconds: a disk that hangs must not stop the pushes to
-	// proxies. If the machine fails within this time, acknowledgements that were counted may be lost, as without a store.
+	// maxDurabilityWait is the longest time that anything waits for the disk, in seconds: a disk that hangs must not stop the
+	// pushes to proxies. If the host fails while the disk hangs for longer, acknowledgements that were counted may be lost,
+	// as without a store.
 	maxDurabilityWait = 0.5
 	// proxyFlushInterval is the time between two writes of the proxies' nonces, in seconds. Nothing waits for them.
 	proxyFlushInterval = 1.0
-	// maxDeadlineDelay bounds the search for the next deadline, in seconds.
+	// maxDeadlineDelay is the most that NextDeadline looks ahead, in seconds.
 	maxDeadlineDelay = 3600
 )
 
-// Mutation is a record to be written, or removed if it has no value.
+// Mutation is a record to be written, or to be removed if its value is nil.
 type Mutation = statemachine.Mutation
 
 // Checkpointer collects the records to persist and tracks which of them are durable. It is not safe for concurrent use.
 type Checkpointer struct {
-	disabled  bool // nothing is persisted
-	mutations []Mutation
-	// mutationIndex is the place of each key in mutations, so that a batch writes a key once.
+	disabled  bool       // nothing is persisted
+	mutations []Mutation // of the batch being collected
+	// mutationIndex is the index of each key in mutations, so that a batch has each key only once.
 	mutationIndex map[string]int
 
-	lastBatch    uint64 // the last batch that was taken
-	durableBatch uint64 // the last batch that is durable
-	storeFailed  bool   // nothing waits for the store
+	lastBatch    uint64 // number of the last batch that was taken
+	durableBatch uint64 // number of the last batch that is durable
+	storeFailed  bool   // the store does not work, so nothing waits for it
 
 	drains        map[choice.BackendID]Drain
-	pendingDrains []pendingDrain // not durable yet, oldest first
+	pendingDrains []pendingDrain // batches with drains that are not durable yet, oldest first
 	batchHasDrain bool           // the batch being collected records a drain
 
 	nonces nonceReservation
 
 	proxies          map[string]Proxy
-	unseenProxies    map[string]bool // recovered, and not seen since the start
+	unseenProxies    map[string]bool // recovered, and sent no push since the start
 	dirtyProxies     map[string]bool // changed since the last flush
 	lastProxyFlushAt choice.Seconds
 
 	startedAt choice.Seconds
-	settings  string
+	settings  string // text of the settings as last persisted
 }
 
-// New returns a Checkpointer that continues from the recovered state. A nil state disables it: nothing is persisted.
+// New returns a Checkpointer that continues from the recovered state. If that is nil, nothing is persisted.
 func New(now choice.Seconds, recovered *State) *Checkpointer {
 	checkpointer := &Checkpointer{
 		mutationIndex:    map[string]int{},
@@ -90,7 +92,8 @@
 	c.mutations = append(c.mutations, Mutation{Key: key, Value: value})
 }
 
-// UpdateSettings records the settings in force and reports whether they differ from those that were persisted.
+// UpdateSettings records the text of the settings in force, and reports whether it differs from a text that was persisted
+// before.
 func (c *Checkpointer) UpdateSettings(text string) (changed bool) {
 	if c.disabled || text == c.settings {
 		return false
@@ -101,8 +104,8 @@
 	return changed
 }
 
-// TakeBatch returns the mutations that were collected, under a new batch number, or no mutations and 0. The proxies'
-// nonces are added once in each flush interval.
+// TakeBatch returns the mutations collected since the last call and a new batch number, or nil and 0 if there are none. The
+// proxies' nonces are added at most once in each flush interval.
 func (c *Checkpointer) TakeBatch(now choice.Seconds) (mutations []Mutation, batch uint64) {
 	if c.disabled {
 		return nil, 0
@@ -125,7 +128,8 @@
 	return mutations, c.lastBatch
 }
 
-// NextDeadline returns when a wait for the disk ends or something is to be written; ok is false if there is nothing.
+// NextDeadline returns the time when the next wait for the disk ends or the proxies' nonces are to be written. It returns
+// false if there is no such time.
 func (c *Checkpointer) NextDeadline(now choice.Seconds) (at choice.Seconds, ok bool) {
 	if c.disabled {
 		return 0, false
--- a/internal/checkpoint/codec.go
+++ b/internal/checkpoint/codec.go
@@ -10,13 +10,14 @@
 	"gingerfork/choice"
 )
 
-// Keys of the stored records. Their names and formats are fixed: files of earlier versions are read with them.
+// Keys of the stored records. They and the formats of the values must not change, since stores that earlier versions wrote
+// are read.
 const (
 	listVersionKey = "list"
 	endpointPrefix = "server/"
 	drainPrefix    = "drain/"
 	proxyPrefix    = "proxy/"
-	noncesKey      = "marks"
+	noncesKey      = "marks" // the high-water mark of the nonces
 	settingsKey    = "settings"
 )
 
@@ -24,51 +25,52 @@
 var (
 	// ErrUnknownRecord is returned for a key that no version of this program wrote.
 	ErrUnknownRecord = errors.New("unknown record")
-	// ErrMissingListVersion is returned for endpoints without the version of the list that they belong to.
+	// ErrMissingListVersion is returned for endpoints without a record of the endpoint list's version.
 	ErrMissingListVersion = errors.New("endpoints without the list's version")
 )
 
-// Endpoint is an entry of the endpoint list.
+// Endpoint is an entry of the endpoint list with the backend's address.
 type Endpoint struct {
-	Entry       choice.Endpoint
-	Incarnation uint64 // changes with each start of the backend's process
+	Entry       choice.Endpoint // what the decision module knows
+	Incarnation uint64          // changes with each start of the backend's process
 	Addr        string
 }
 
 // Drain records that the endpoint list took a backend out of service.
 type Drain struct {
-	RecordedAt  choice.Seconds // when the coordinator received it
-	Incarnation uint64         // of the process that it applies to
+	RecordedAt  choice.Seconds // when the coordinator learned of it
+	Incarnation uint64         // of the backend's process that is drained; 0 if unknown
 	Removed     bool           // the backend left the list
 }
 
-// Proxy has the nonces from which follows what a proxy may hold: all up to Acknowledged, and perhaps what is in flight.
+// Proxy records which pushes a proxy has received: all up to the nonce Acknowledged, and perhaps those up to InFlight, the
+// last nonce that it was sent.
 type Proxy struct {
 	Acknowledged, InFlight uint64
 }
 
 // State is what the previous run persisted.
 type State struct {
-	HasEndpointList bool // an endpoint list was recorded at all
+	HasEndpointList bool // an endpoint list was persisted, possibly an empty one
 	ListVersion     uint64
 	Endpoints       map[choice.BackendID]Endpoint
 	Drains          map[choice.BackendID]Drain
-	Proxies         map[string]Proxy
-	NonceLimit      uint64 // all nonces below may have been used
-	Settings        string
+	Proxies         map[string]Proxy // by the proxy's name
+	NonceLimit      uint64           // every lower nonce may have been used
+	Settings        string           // text of the settings
 }
 
 func backendKey(prefix string, backend choice.BackendID) string {
 	return fmt.Sprintf("%s%010d", prefix, backend)
 }
 
-// parseBackendKey returns the backend in a key that begins with prefix.
+// parseBackendKey returns the backend number in a key that begins with prefix.
 func parseBackendKey(prefix, key string) (choice.BackendID, error) {
 	n, err := strconv.ParseUint(strings.TrimPrefix(key, prefix), 10, 32)
 	return choice.BackendID(n), err
 }
 
-// formatFloat writes a number so that it reads back exactly.
+// formatFloat formats a number so that parsing the text yields the identical value.
 func formatFloat(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 
 func (e Endpoint) encode() []byte {
@@ -83,8 +85,8 @@
 
 func (p Proxy) encode() []byte { return fmt.Appendf(nil, "%d %d", p.Acknowledged, p.InFlight) }
 
-// Decode reads the records of a store. One record that can't be read fails the whole: the coordinator must not start from
-// a part of its state.
+// Decode decodes the records of a store. It fails if any record cannot be decoded, because the coordinator must not start
+// with only a part of its state.
 func Decode(records iter.Seq2[string, []byte]) (*State, error) {
 	state := &State{
 		Endpoints: map[choice.BackendID]Endpoint{},
@@ -152,6 +154,7 @@
 	return err
 }
 
+// scan parses text like fmt.Sscanf.
 func scan(text, format string, fields ...any) error {
 	_, err := fmt.Sscanf(text, format, fields...)
 	return err
--- a/internal/checkpoint/codec_test.go
+++ b/internal/checkpoint/codec_test.go
@@ -12,7 +12,7 @@
 	"gingerfork/choice"
 )
 
-// TestDecode checks that what is persisted is decoded as it was.
+// TestDecode checks that decoding yields the state that was persisted.
 func TestDecode(t *testing.T) {
 	endpoint := Endpoint{
 		Entry: choice.Endpoint{
@@ -48,11 +48,11 @@
 		t.Fatal(err, diff)
 	}
 	if checkpointer.UpdateSettings("a\nb") || !checkpointer.UpdateSettings("c") {
-		t.Error("a change of the settings was not reported, or the same settings were")
+		t.Error("changed settings were not reported as changed, or unchanged ones were")
 	}
 }
 
-// TestRecordFormats pins the stored keys and values: files of earlier versions must stay readable.
+// TestRecordFormats checks the exact keys and values, since stores that earlier versions wrote must stay readable.
 func TestRecordFormats(t *testing.T) {
 	checkpointer := New(50, &State{NonceLimit: 1})
 	entry := choice.Endpoint{
@@ -83,7 +83,7 @@
 	}
 }
 
-// TestDecodeErrors checks that a record that can't be read is refused and named.
+// TestDecodeErrors checks that a record that cannot be decoded is an error that names its key.
 func TestDecodeErrors(t *testing.T) {
 	for key, value := range map[string]string{
 		"server/x":          "1",
@@ -99,7 +99,7 @@
 				t.Errorf("got error %v, want one that names the key", err)
 			}
 			if unknown := key == "other"; errors.Is(err, ErrUnknownRecord) != unknown {
-				t.Errorf("got error %v, unknown record: %v", err, unknown)
+				t.Errorf("got error %v, want ErrUnknownRecord: %v", err, unknown)
 			}
 		})
 	}
--- a/internal/checkpoint/crash_test.go
+++ b/internal/checkpoint/crash_test.go
@@ -9,15 +9,15 @@
 	"gingerfork/choice"
 )
 
-// TestCrashes plays random endpoint updates, pushes and acknowledgements. Batches become durable late, and a crash leaves a
-// prefix of those that were not. What is decoded then is the state after some batch that is no earlier than the last one
-// known to be durable; no nonce is used twice; no acknowledgement of a push that follows a drain was counted if that drain
-// is lost. Only a run in which nothing reached the disk within maxDurabilityWait may use nonces that a later one uses
-// again: that is the price of the bounded wait.
+// TestCrashes runs random endpoint updates, pushes and acknowledgements. Batches become durable late, and a crash keeps only
+// some of the first batches that were not durable. The next run starts from the records that are left. The test checks that
+// these decode, that no nonce is used twice, and that no acknowledgement of a push that follows a drain was counted if that
+// drain is lost. Only if nothing reached the disk within maxDurabilityWait may a later run use the nonces of a run again,
+// because the wait is bounded.
 func TestCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		test := &crashTest{T: t, records: map[string][]byte{}, now: 100}
-		for range rapid.IntRange(1, 4).Draw(t, "lives") {
+		for range rapid.IntRange(1, 4).Draw(t, "runs") {
 			test.startRun()
 			for range rapid.IntRange(1, 30).Draw(t, "steps") {
 				test.now += rapid.Float64Range(0, 0.2).Draw(t, "time")
@@ -29,25 +29,25 @@
 	})
 }
 
-// crashTest is a sequence of runs over the same records.
+// crashTest is a sequence of runs of a Checkpointer over the same records.
 type crashTest struct {
 	*rapid.T
-	records   map[string][]byte // as on the disk when the run started
+	records   map[string][]byte // content of the disk when the run started
 	now       choice.Seconds
-	lastNonce uint64
+	lastNonce uint64 // the last nonce that was used in any run
 
-	// Of the current run.
+	// State of the current run.
 	checkpointer     *Checkpointer
 	startedAt        choice.Seconds
 	lastNonceAtStart uint64
 	batches          [][]Mutation
-	durable          int // batches
+	durableBatches   int // number of batches that were reported as durable
 	listVersion      uint64
-	pushes           []drainedPush
+	pushes           []sentPush
 }
 
-// drainedPush is a push, what its acknowledgement waits for, and the backends that were drained when it was sent.
-type drainedPush struct {
+// sentPush is a push with the batch that its acknowledgement waits for and the backends that were drained when it was sent.
+type sentPush struct {
 	barrier uint64
 	drained []choice.BackendID
 }
@@ -57,7 +57,7 @@
 	state := c.decode(c.records)
 	c.checkpointer = New(c.now, state)
 	c.startedAt, c.lastNonceAtStart = c.now, c.lastNonce
-	c.batches, c.durable, c.pushes = nil, 0, nil
+	c.batches, c.durableBatches, c.pushes = nil, 0, nil
 	c.listVersion = state.ListVersion
 }
 
@@ -72,7 +72,7 @@
 
 func (c *crashTest) step() {
 	c.Helper()
-	switch rapid.SampledFrom([]string{"list", "push", "proxy", "durable"}).Draw(c.T, "what") {
+	switch rapid.SampledFrom([]string{"list", "push", "proxy", "durable"}).Draw(c.T, "action") {
 	case "list":
 		c.updateEndpoint()
 	case "push":
@@ -81,9 +81,9 @@
 		c.checkpointer.PushSent("f", c.lastNonce)
 		c.checkpointer.PushAcknowledged("f", c.lastNonce)
 	case "durable":
-		if c.durable < len(c.batches) {
-			c.durable += rapid.IntRange(1, len(c.batches)-c.durable).Draw(c.T, "batches")
-			c.checkpointer.Persisted(uint64(c.durable))
+		if c.durableBatches < len(c.batches) {
+			c.durableBatches += rapid.IntRange(1, len(c.batches)-c.durableBatches).Draw(c.T, "batches")
+			c.checkpointer.Persisted(uint64(c.durableBatches))
 		}
 	}
 }
@@ -108,10 +108,10 @@
 	}
 	nonce := c.checkpointer.NextNonce()
 	if nonce <= c.lastNonce {
-		c.Fatalf("nonce %d after %d", nonce, c.lastNonce)
+		c.Fatalf("nonce %d follows nonce %d, which is not lower", nonce, c.lastNonce)
 	}
 	c.lastNonce = nonce
-	push := drainedPush{c.checkpointer.DurabilityBarrier(), c.checkpointer.DrainedBackends()}
+	push := sentPush{c.checkpointer.DurabilityBarrier(), c.checkpointer.DrainedBackends()}
 	c.pushes = append(c.pushes, push)
 }
 
@@ -123,36 +123,38 @@
 	}
 	c.batches = append(c.batches, mutations)
 	if int(batch) != len(c.batches) {
-		c.Fatalf("batch %d is the %dth", batch, len(c.batches))
+		c.Fatalf("batch number %d, want %d", batch, len(c.batches))
 	}
 }
 
-// crash ends the run: the durable batches are left, and perhaps some of those after them.
+// crash ends the run. The batches that were reported as durable are left, and a random number of those that follow them.
 func (c *crashTest) crash() {
 	c.Helper()
-	left := rapid.IntRange(c.durable, len(c.batches)).Draw(c.T, "left")
+	left := rapid.IntRange(c.durableBatches, len(c.batches)).Draw(c.T, "left")
 	if left == 0 {
 		c.checkNothingPersisted()
 	}
 	durableRecords := maps.Clone(c.records)
 	for i, mutations := range c.batches[:left] {
 		apply(c.records, mutations)
-		if i < c.durable {
+		if i < c.durableBatches {
 			durableRecords = maps.Clone(c.records)
 		}
 	}
 	c.checkCountedPushes(c.decode(durableRecords))
 }
 
-// checkNothingPersisted allows for nonces that the next run uses again only after maxDurabilityWait.
+// checkNothingPersisted checks a run of which no batch is left. The next run uses its nonces again, so it must not have used
+// any before maxDurabilityWait had passed.
 func (c *crashTest) checkNothingPersisted() {
 	c.Helper()
 	if c.lastNonce != c.lastNonceAtStart && c.now < c.startedAt+maxDurabilityWait {
-		c.Fatalf("nonces up to %d were used after %v s, and no record says so", c.lastNonce, c.now-c.startedAt)
+		c.Fatalf("nonces up to %d were used, but no record of them is left after %v s", c.lastNonce, c.now-c.startedAt)
 	}
 	c.lastNonce = c.lastNonceAtStart
 }
 
+// apply applies mutations to the records of a store.
 func apply(records map[string][]byte, mutations []Mutation) {
 	for _, mutation := range mutations {
 		if mutation.Value == nil {
@@ -163,8 +165,9 @@
 	}
 }
 
-// checkCountedPushes holds the counted acknowledgements against the state that is surely recovered. At time 0 none was
-// counted because it waited for too long.
+// checkCountedPushes checks that every drain that a counted acknowledgement relies on is in the state that is recovered at
+// least. It asks for the barriers as of time 0, so that an acknowledgement which was counted because it had waited too long
+// is not checked.
 func (c *crashTest) checkCountedPushes(recovered *State) {
 	c.Helper()
 	for _, push := range c.pushes {
@@ -175,8 +178,8 @@
 			endpoint, listed := recovered.Endpoints[backend]
 			reopened := listed && endpoint.Entry.State == choice.BackendOpen
 			if _, known := recovered.Drains[backend]; !known && !reopened {
-				c.Fatalf("an acknowledgement counted that needs batch %d of %d, and the drain of %d is lost",
-					push.barrier, c.durable, backend)
+				c.Fatalf("the drain of backend %d is lost, but an acknowledgement that waits for batch %d was counted; "+
+					"%d batches are durable", backend, push.barrier, c.durableBatches)
 			}
 		}
 	}
--- a/internal/checkpoint/durability.go
+++ b/internal/checkpoint/durability.go
@@ -7,17 +7,17 @@
 	"gingerfork/choice"
 )
 
-// pendingDrain is a batch that records a drain and is not durable yet. Acknowledgements that follow the drain are counted
-// only once it is durable: otherwise a crash could lose a drain that was reported as complete.
+// pendingDrain is a batch that records a drain and is not durable yet. Acknowledgements of later pushes are counted only once
+// it is durable: otherwise a crash could lose a drain that was already reported as complete.
 type pendingDrain struct {
-	batch   uint64
+	batch   uint64 // number of the batch
 	takenAt choice.Seconds
 }
 
-// waitsUntil is when acknowledgements no longer wait for this batch.
+// waitsUntil returns the time from which acknowledgements no longer wait for this batch.
 func (p pendingDrain) waitsUntil() choice.Seconds { return p.takenAt + maxDurabilityWait }
 
-// Persisted reports that all batches up to this one are durable, which also says that the store works.
+// Persisted tells the Checkpointer that all batches up to the given one are durable, and so that the store works.
 func (c *Checkpointer) Persisted(batch uint64) {
 	c.durableBatch = max(c.durableBatch, batch)
 	c.storeFailed = false
@@ -31,11 +31,11 @@
 	c.pendingDrains = c.pendingDrains[firstPending:]
 }
 
-// PersistFailed reports that the store does not work. Nothing waits for it until the next call of Persisted.
+// PersistFailed tells the Checkpointer that the store does not work. Nothing waits for it until the next call of Persisted.
 func (c *Checkpointer) PersistFailed() { c.storeFailed = true }
 
-// DurabilityBarrier returns the batch that must be durable before the acknowledgement of a push that is sent now may be
-// counted: that of the last drain. It is an argument for BarrierReached; 0 means that there is none.
+// DurabilityBarrier returns the number of the batch that must be durable before the acknowledgement of a push that is created
+// now may be counted: the batch of the last drain, or 0 if all drains are durable. BarrierReached takes the number.
 func (c *Checkpointer) DurabilityBarrier() uint64 {
 	if c.batchHasDrain {
 		return c.lastBatch + 1
@@ -46,7 +46,8 @@
 	return 0
 }
 
-// BarrierReached reports whether a batch that DurabilityBarrier returned is durable, or was waited for too long.
+// BarrierReached returns whether acknowledgements no longer wait for a batch that DurabilityBarrier returned: it is durable,
+// maxDurabilityWait has passed, or the store does not work.
 func (c *Checkpointer) BarrierReached(now choice.Seconds, batch uint64) bool {
 	if c.disabled || c.storeFailed || batch <= c.durableBatch {
 		return true
--- a/internal/checkpoint/endpoints.go
+++ b/internal/checkpoint/endpoints.go
@@ -8,7 +8,8 @@
 	"gingerfork/choice"
 )
 
-// UpdateEndpoints records an endpoint update: the endpoints as they are now, and the backends that left the list.
+// UpdateEndpoints records an update of the endpoint list: its new version, the new state of the endpoints that changed, and
+// the backends that left the list.
 func (c *Checkpointer) UpdateEndpoints(now choice.Seconds, version uint64, changed []Endpoint, removed []choice.BackendID) {
 	if c.disabled {
 		return
@@ -29,7 +30,8 @@
 	c.expireDrains(now)
 }
 
-// updateEndpoint records one endpoint, and starts or ends the drain that its state asks for.
+// updateEndpoint records one endpoint. It removes the backend's drain if the endpoint is open; otherwise it records a drain,
+// unless there is one for the same incarnation.
 func (c *Checkpointer) updateEndpoint(now choice.Seconds, endpoint Endpoint) {
 	backend := endpoint.Entry.Backend
 	c.put(backendKey(endpointPrefix, backend), endpoint.encode())
@@ -42,7 +44,8 @@
 	}
 }
 
-// expireDrains removes the drains of backends that left the list so long ago that no table has an entry for them.
+// expireDrains removes the drains of backends that are no longer on the list and whose drain began so long ago that no table
+// has an entry for them.
 func (c *Checkpointer) expireDrains(now choice.Seconds) {
 	for _, backend := range c.DrainedBackends() {
 		drain := c.drains[backend]
@@ -52,6 +55,7 @@
 	}
 }
 
+// recordDrain records a backend's drain; acknowledgements of later pushes wait until it is durable.
 func (c *Checkpointer) recordDrain(backend choice.BackendID, drain Drain) {
 	c.drains[backend] = drain
 	c.put(backendKey(drainPrefix, backend), drain.encode())
@@ -63,7 +67,7 @@
 	c.put(backendKey(drainPrefix, backend), nil)
 }
 
-// DrainedBackends returns the backends that the endpoint list took out of service, in ascending order.
+// DrainedBackends returns the backends that have a drain, in ascending order.
 func (c *Checkpointer) DrainedBackends() []choice.BackendID {
 	return slices.Sorted(maps.Keys(c.drains))
 }
--- a/internal/checkpoint/proxies.go
+++ b/internal/checkpoint/proxies.go
@@ -7,7 +7,7 @@
 	"gingerfork/choice"
 )
 
-// PushSent records that a push with this nonce was sent to a proxy.
+// PushSent records that a push with the given nonce was sent to a proxy.
 func (c *Checkpointer) PushSent(name string, nonce uint64) {
 	delete(c.unseenProxies, name)
 	proxy := c.proxies[name]
@@ -30,7 +30,7 @@
 	c.dirtyProxies[name] = true
 }
 
-// RemoveProxy drops the record of a proxy that left long ago.
+// RemoveProxy removes the record of a proxy that left long ago.
 func (c *Checkpointer) RemoveProxy(name string) {
 	if _, known := c.proxies[name]; !known {
 		return
@@ -41,8 +41,8 @@
 	c.put(proxyPrefix+name, nil)
 }
 
-// removeUnseenProxies drops proxies that left while the coordinator was down. No event reports these, so their records
-// would stay forever.
+// removeUnseenProxies removes the records of proxies that left while the coordinator was down and did not come back within
+// twice choice.BackendRetention. No event reports that they left, so their records would otherwise stay forever.
 func (c *Checkpointer) removeUnseenProxies(now choice.Seconds) {
 	if len(c.unseenProxies) == 0 || now <= c.startedAt+2*choice.BackendRetention {
 		return
@@ -52,7 +52,7 @@
 	}
 }
 
-// flushProxies adds the changed proxies to the batch, at most once in each flush interval.
+// flushProxies adds the records of changed proxies to the batch, at most once in each flush interval.
 func (c *Checkpointer) flushProxies(now choice.Seconds) {
 	if len(c.dirtyProxies) == 0 || now < c.lastProxyFlushAt+proxyFlushInterval {
 		return
--- a/internal/checkpoint/proxies_test.go
+++ b/internal/checkpoint/proxies_test.go
@@ -7,8 +7,8 @@
 	"gingerfork/choice"
 )
 
-// TestUnseenProxiesAreRemoved checks that the record of a proxy that left while the coordinator was down is removed like
-// that of one that left later, and that the record of a proxy that came back is not.
+// TestUnseenProxiesAreRemoved checks that the record of a proxy that left while the coordinator was down is removed, and
+// that the record of a proxy that came back is kept.
 func TestUnseenProxiesAreRemoved(t *testing.T) {
 	recovered := map[string]Proxy{
 		"gone": {Acknowledged: 1, InFlight: 1},
@@ -27,6 +27,6 @@
 		}
 	}
 	if strings.Join(removed, " ") != "proxy/gone" {
-		t.Errorf("removed %q", removed)
+		t.Errorf("removed %q, want only proxy/gone", removed)
 	}
 }
--- a/internal/fanout/commands.go
+++ b/internal/fanout/commands.go
@@ -129,7 +129,7 @@
 	return op
 }
 
-// getOrCreateTable returns a getOrCreateTable, creating it if necessary.
+// getOrCreateTable returns the table with the given number, and creates it if necessary.
 func (d *Distributor) getOrCreateTable(id choice.TableID) *table {
 	t := d.tables[id]
 	if t == nil {
