--- a/internal/coordinator/acknowledgements.go
+++ b/internal/coordinator/acknowledgements.go
@@ -8,23 +8,23 @@
 
 // inFlightPush is a push that was sent and is not acknowledged yet.
 type inFlightPush struct {
-	wireNonce         uint64 // the nonce that the proxy got
-	nonce             choice.Nonce
-	step              uint64 // of the decision module, which ordered the push
-	durabilityBarrier uint64 // what must be durable before the acknowledgement counts
-	orderedAt         choice.Seconds
+	wireNonce         uint64         // the nonce that the proxy was sent
+	nonce             choice.Nonce   // the decision module's own nonce
+	step              uint64         // number of the module's step that ordered the push
+	durabilityBarrier uint64         // batch that must be durable before the acknowledgement counts
+	orderedAt         choice.Seconds // time of that step
 }
 
-// heldAcknowledgement is an acknowledgement that the decision module must not see yet.
+// heldAcknowledgement is an acknowledgement that was received and not passed on to the decision module yet.
 type heldAcknowledgement struct {
-	step              uint64
-	durabilityBarrier uint64
+	step              uint64 // as in inFlightPush
+	durabilityBarrier uint64 // as in inFlightPush
 	acknowledgement   choice.PushAcknowledged
 	stream            *proxyStream
 }
 
-// acknowledge accepts the acknowledgement of a nonce that is in flight on this very stream. Those of other nonces are
-// ignored: a proxy may acknowledge late, twice, or a push of an earlier stream.
+// acknowledge accepts the acknowledgement of a nonce that is in flight on the given stream. Any other nonce is counted as
+// stale and ignored: a proxy may acknowledge late, twice, or a push of an earlier stream.
 func (c *controller) acknowledge(now choice.Seconds, stream *proxyStream, wireNonce uint64) {
 	i := slices.IndexFunc(stream.inFlight, func(p inFlightPush) bool { return p.wireNonce == wireNonce })
 	if i < 0 {
@@ -45,8 +45,8 @@
 
 // releaseAcknowledgements passes acknowledgements on to the decision module, which takes one as proof that all pushes of
 // earlier steps have been sent. Exclusions overtake queued pushes, so their acknowledgements are held until that is true.
-// An acknowledgement is also held until the exclusions that it covers are durable: what counts as done must not be
-// forgotten in a crash.
+// An acknowledgement is also held until the drains that it covers are durable: a crash must not lose an exclusion that the
+// module takes for completed.
 func (c *controller) releaseAcknowledgements(now choice.Seconds) {
 	oldestQueued, queued := c.pushQueue.oldestStep()
 	stillHeld := c.heldAcknowledgements[:0]
--- a/internal/coordinator/controller.go
+++ b/internal/coordinator/controller.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// maxWakeDelay bounds the time to the next step when nothing is due, in seconds.
+	// maxWakeDelay is the time to the next step if nothing is due earlier, in seconds.
 	maxWakeDelay choice.Seconds = 3600
-	// minWakeDelay is the least time between two steps that the controller asks for, in seconds. A deadline that is not met
-	// because of rounding would otherwise be asked for again and again at the same time.
+	// minWakeDelay is the shortest time to the next step that the controller requests, in seconds. Otherwise a deadline that
+	// rounding makes appear to be not quite reached would be requested again and again at the same time.
 	minWakeDelay choice.Seconds = 1e-4
-	// defaultPushRate is the rate of pushes where the settings have none, in table entries per second.
+	// defaultPushRate is the rate of pushes if the settings have none, in table entries per second.
 	defaultPushRate = 1e4
 )
 
@@ -23,18 +23,18 @@
 type Stats struct {
 	Joins                 int // proxies that joined
 	Pushes                int // pushes that were sent
-	Entries               int // table entries in them, as the settings charge them
-	Bytes                 int // of the pushes' frames
-	Steps                 int // of the decision module
+	Entries               int // size of these pushes in table entries, with the overhead that is charged for each push
+	Bytes                 int // size of the pushes' frames
+	Steps                 int // steps of the decision module
 	StaleAcknowledgements int // acknowledgements of nonces that were not in flight
-	MaxQueuedEntries      int // the most table entries that ever waited in the push queue
+	MaxQueuedEntries      int // the largest size of the push queue, in table entries with overhead
 }
 
-// controller is a coordinator without sessions and protocol.
+// controller is the part of a coordinator that knows neither sessions nor the protocol.
 type controller struct {
-	planner      *choice.Planner
+	planner      *choice.Planner // the decision module
 	methodCount  int
-	stepInterval choice.Seconds // least time between steps of the decision module that no timer asked for
+	stepInterval choice.Seconds // shortest time from a step of the decision module to one that its timer did not request
 
 	endpoints   *endpointList
 	checkpoint  *checkpoint.Checkpointer
@@ -43,35 +43,36 @@
 	distributor *fanout.Distributor
 
 	streams  map[streamID]*proxyStream
-	proxies  map[string]*proxyRecord
-	departed []*proxyRecord // proxies that left, oldest first
-	// freeNumbers are proxy numbers that may be given to another proxy.
+	proxies  map[string]*proxyRecord // by the proxy's name
+	departed []*proxyRecord          // proxies that left, oldest first; may include some that joined again
+	// freeNumbers are proxy numbers that may be assigned to another proxy.
 	freeNumbers []choice.ProxyID
 	// streamsByNumber is indexed by the proxy's number; nil where no proxy is joined.
 	streamsByNumber []*proxyStream
 
 	pendingEvents        []choice.Event // for the next step of the decision module
 	heldAcknowledgements []heldAcknowledgement
-	timerAt              choice.Seconds
+	timerAt              choice.Seconds // when the decision module's timer fires
 	timer                choice.TimerID
 	step                 uint64 // number of the decision module's last step
 	lastStepAt           choice.Seconds
-	result               stepResult // of the step in progress
+	result               stepResult // of the call of handle in progress
 	stats                Stats
 }
 
-// newController returns a controller that continues from the state that the previous run saved. Without saved state (nil)
-// nothing is persisted.
+// newController returns a controller that continues from the state that the previous run saved. If that is nil, nothing is
+// persisted.
 func newController(config choice.Config, saved *checkpoint.State) *controller {
 	return assembleController(config, checkpoint.New(config.Now, saved), restoreEndpointList(saved))
 }
 
-// withConfig returns a new controller with other settings that continues from this one's endpoint list and checkpoint. It
-// has no streams.
+// withConfig returns a new controller with other settings that takes over the endpoint list and the checkpointer, and has no
+// streams.
 func (c *controller) withConfig(config choice.Config) *controller {
 	return assembleController(config, c.checkpoint, c.endpoints)
 }
 
+// assembleController returns a controller for which the endpoint list, if there is one, is the decision module's first event.
 func assembleController(config choice.Config, checkpointer *checkpoint.Checkpointer, endpoints *endpointList) *controller {
 	settings := &config.Settings
 	stepInterval := settings.Tick.Or(0)
@@ -107,17 +108,17 @@
 	return stats
 }
 
-// handle applies events in order and returns what is to be done. After an error, which is a *moduleFailure, the controller
-// must not be used any more.
+// handle applies events in order, lets the decision module take a step if one is due, and returns what is to be done. After
+// an error, which is a *moduleFailure, the controller must not be used any more.
 func (c *controller) handle(now choice.Seconds, events []event) (stepResult, error) {
 	c.result = stepResult{wakeAt: now + maxWakeDelay}
 	for _, e := range events {
 		c.apply(now, e)
 	}
 	c.sendQueued(now)
-	c.pendingEvents = append(c.pendingEvents, c.reports.due(now)...)
+	c.pendingEvents = append(c.pendingEvents, c.reports.takeDue(now)...)
 	c.releaseAcknowledgements(now)
-	if err := c.decideIfDue(now); err != nil {
+	if err := c.stepModuleIfDue(now); err != nil {
 		return stepResult{}, err
 	}
 	c.scheduleWake(now)
@@ -126,6 +127,7 @@
 	return c.result, nil
 }
 
+// apply applies one event. Events of streams that the controller has closed are ignored.
 func (c *controller) apply(now choice.Seconds, incoming event) {
 	switch incoming := incoming.(type) {
 	case proxyJoined:
@@ -143,7 +145,7 @@
 			c.reports.add(now, stream, incoming.report, c.endpoints.has, c.methodCount)
 		}
 	case endpointListReceived:
-		c.applyEndpointList(now, incoming.list)
+		c.applyEndpointList(now, incoming.update)
 	case endpointListLost:
 		c.pendingEvents = append(c.pendingEvents, choice.EndpointUpdate{Kind: choice.UpdateFailed})
 	case batchPersisted:
@@ -160,8 +162,8 @@
 	}
 }
 
-// applyEndpointList updates the endpoint list, persists the change and passes it on to the decision module. For the module
-// a frame that is rejected is a failed update.
+// applyEndpointList updates the endpoint list, persists the change and passes it on to the decision module. A frame that is
+// rejected is passed on as a failed update.
 func (c *controller) applyEndpointList(now choice.Seconds, frame proto.EndpointUpdate) {
 	change, err := c.endpoints.apply(now, frame)
 	if err != nil {
@@ -175,7 +177,7 @@
 	c.pendingEvents = append(c.pendingEvents, change.update)
 }
 
-// scheduleWake sets the time of the next step to the soonest of all deadlines.
+// scheduleWake sets the time of the next step to the earliest of all deadlines.
 func (c *controller) scheduleWake(now choice.Seconds) {
 	if len(c.pendingEvents) > 0 {
 		c.wakeBy(c.lastStepAt + c.stepInterval)
@@ -193,4 +195,5 @@
 	c.result.wakeAt = max(c.result.wakeAt, now+minWakeDelay)
 }
 
+// wakeBy requests a step at the given time or earlier.
 func (c *controller) wakeBy(at choice.Seconds) { c.result.wakeAt = min(c.result.wakeAt, at) }
--- a/internal/coordinator/endpointclient.go
+++ b/internal/coordinator/endpointclient.go
@@ -9,14 +9,15 @@
 const (
 	// endpointListName names the endpoint list service in the log.
 	endpointListName = "endpoint-list"
-	// maxPendingRequests bounds the requests that wait for a connection. The decision module repeats requests.
+	// maxPendingRequests is the most requests that wait for the session. Further ones are dropped, since the decision module
+	// repeats requests.
 	maxPendingRequests = 4
 )
 
-// requestEndpoints sends a request to the endpoint list service. Without an established session the request waits for one;
-// a session that is not established within the idle timeout is replaced.
+// requestEndpoints sends a request to the endpoint list service. Without an established session, the request waits for one. A
+// session that is not established within the idle timeout is replaced, and the requests that wait for it are dropped.
 func (m *Machine) requestEndpoints(step *stepContext, request proto.Message) {
-	if m.endpointSession != nil && m.endpointSession.welcomed {
+	if m.endpointSession != nil && m.endpointSession.established {
 		step.send(m.endpointSession, request)
 		return
 	}
@@ -37,14 +38,14 @@
 	switch message := message.(type) {
 	case proto.Welcome:
 		session.reader.HandshakeDone()
-		session.welcomed = true
+		session.established = true
 		for _, request := range m.pendingRequests {
 			step.send(session, request)
 		}
 		m.pendingRequests = nil
 		return nil
 	case proto.EndpointUpdate:
-		if !session.welcomed {
+		if !session.established {
 			return fmt.Errorf("%w: a list before the welcome", errUnexpectedMessage)
 		}
 		step.raise(endpointListReceived{message})
@@ -53,7 +54,7 @@
 	return unexpectedMessage(message)
 }
 
-// rejectEndpointUpdate ends the session on which an invalid frame came. The decision module asks for the list again.
+// rejectEndpointUpdate ends the session on which an invalid frame came. The decision module requests the list again.
 func (m *Machine) rejectEndpointUpdate(step *stepContext, cause error) {
 	step.effects.Log(logError, "endpoint update rejected, endpoint list unchanged", "cause", cause.Error())
 	if m.endpointSession != nil {
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -9,13 +9,14 @@
 	"gingerfork/internal/proto"
 )
 
-// minStartTime is the earliest time that a start may have, in seconds, as the decision module takes zero for unknown.
+// minStartTime is the lowest start time of a backend that is passed to the decision module, which takes 0 for unknown.
 const minStartTime choice.Seconds = 1e-6
 
-// endpointList is the endpoint list as last received: what is cached for the next start, with the backends' addresses.
+// endpointList is the endpoint list as last received, with the backends' addresses. The checkpoint has a copy of it for the
+// next start.
 type endpointList struct {
 	version  uint64
-	received bool // false until the first list
+	received bool // false until the first list, received or cached by the previous run
 	backends map[choice.BackendID]*checkpoint.Endpoint
 }
 
@@ -26,7 +27,7 @@
 	removed []choice.BackendID    // backends that left the list
 }
 
-// restoreEndpointList returns the list that the previous run cached, or an empty one if there is none.
+// restoreEndpointList returns the list that the previous run saved, or an empty one if there is none.
 func restoreEndpointList(saved *checkpoint.State) *endpointList {
 	l := &endpointList{backends: map[choice.BackendID]*checkpoint.Endpoint{}}
 	if saved == nil || !saved.HasEndpointList {
@@ -39,9 +40,10 @@
 	return l
 }
 
+// has returns whether a backend is on the list.
 func (l *endpointList) has(backend choice.BackendID) bool { return l.backends[backend] != nil }
 
-// watchVersion returns the version from which changes are to be watched; 0 asks for the whole list.
+// watchVersion returns the version since which changes are requested; 0 requests the whole list.
 func (l *endpointList) watchVersion() uint64 {
 	if !l.received {
 		return 0
@@ -49,7 +51,7 @@
 	return l.version
 }
 
-// cachedUpdate returns the cached list for the decision module's first step.
+// cachedUpdate returns the whole list as the first event of a new instance of the decision module.
 func (l *endpointList) cachedUpdate() choice.EndpointUpdate {
 	update := choice.EndpointUpdate{Kind: choice.UpdateCached, Version: int64(l.version)}
 	for _, listed := range l.backends {
@@ -59,8 +61,8 @@
 	return update
 }
 
-// apply checks a frame of the endpoint list service and applies it. A frame that is rejected changes nothing; the error is a
-// *listEntryError or a *versionGapError.
+// apply checks a frame of the endpoint list service and applies it. If it returns an error, which is a *listEntryError or a
+// *versionGapError, nothing has changed.
 func (l *endpointList) apply(now choice.Seconds, frame proto.EndpointUpdate) (endpointChange, error) {
 	if frame.Kind == proto.UpdateFailed {
 		return endpointChange{update: choice.EndpointUpdate{Kind: choice.UpdateFailed}}, nil
@@ -70,7 +72,7 @@
 	}
 	if frame.Kind == proto.UpdateDelta {
 		if l.received && frame.Version <= l.version {
-			// It was delivered twice, or the service confirms that nothing changed.
+			// The frame was delivered twice, or the service confirms that nothing changed.
 			return endpointChange{update: choice.EndpointUpdate{Kind: choice.UpdateDelta, Version: int64(l.version)}}, nil
 		}
 		if !l.received || frame.BaseVersion != l.version {
@@ -93,7 +95,7 @@
 	return endpointChange{update: update, changed: changed, removed: removed}, nil
 }
 
-// validateEntries checks what does not depend on the list held so far.
+// validateEntries checks the entries of a frame, as far as that does not depend on the current list.
 func validateEntries(frame proto.EndpointUpdate) error {
 	seen := make(map[proto.BackendID]bool, len(frame.Endpoints))
 	for _, entry := range frame.Endpoints {
@@ -129,8 +131,8 @@
 	return previous
 }
 
-// applyEntry applies one entry and returns it for the decision module. It returns false if the entry removes a backend that
-// is not on the list.
+// applyEntry applies one entry and returns it in the form for the decision module. It returns false if the entry removes a
+// backend that is not on the list.
 func (l *endpointList) applyEntry(
 	now choice.Seconds, entry proto.Endpoint, previous map[choice.BackendID]*checkpoint.Endpoint,
 ) (choice.Endpoint, bool) {
@@ -156,8 +158,9 @@
 	if entry.State == proto.BackendDraining {
 		listed.Entry.State = choice.BackendDraining
 	}
-	// The clocks of the list service and of this process may differ, so an entry carries its process's age. The start time
-	// is computed once for each incarnation, because the decision module takes a later start time for a restart.
+	// The clocks of the list service and of this process may differ, so an entry has the age of the backend's process rather
+	// than its start time. The start time is computed only once for each incarnation, because the decision module takes a
+	// later start time for a restart.
 	if before := previous[backend]; before != nil && before.Incarnation == entry.Incarnation {
 		listed.Entry.StartedAt = before.Entry.StartedAt
 	} else if !entry.StartedLongAgo {
@@ -167,8 +170,8 @@
 	return listed.Entry, true
 }
 
-// compare returns what an update changed of the previous entries: those that are new or differ, and those that left the
-// list. For a full update the removed ones are sorted.
+// compare compares the list after an update with the previous entries. It returns the entries that are new or differ, and
+// the backends that left the list, which are sorted for a full update.
 func (l *endpointList) compare(
 	previous map[choice.BackendID]*checkpoint.Endpoint, update choice.EndpointUpdate,
 ) (changed []checkpoint.Endpoint, removed []choice.BackendID) {
--- a/internal/coordinator/errors.go
+++ b/internal/coordinator/errors.go
@@ -7,53 +7,53 @@
 	"gingerfork/internal/proto"
 )
 
-// The texts of the errors in this file are sent to the other side as the reason of a rejection. They belong to the protocol
-// and must not change.
+// The texts of the errors in this file are part of the protocol, since they are sent to the other side as the reason of a
+// rejection. They must not change.
 
 var (
-	// errUnexpectedMessage says that a message does not fit the session's role or state.
+	// errUnexpectedMessage is returned for a message that the role or state of the session does not allow.
 	errUnexpectedMessage = errors.New("a frame out of order")
-	// errInvalidName says that the name or zone of a hello is not fit for logs, traces and terminals.
+	// errInvalidName is returned for a hello whose name or zone is unsuitable for logs, traces and terminals.
 	errInvalidName = errors.New("a name or zone that is empty, over 64 bytes or not printable")
 )
 
-// peerRejectionError says that the other side rejected the session.
+// peerRejectionError is returned if the other side rejects the session.
 type peerRejectionError struct{ reason string }
 
 func (e *peerRejectionError) Error() string { return "the other side refused: " + e.reason }
 
-// protocolVersionError says that the other side speaks a version of the protocol that is not supported.
+// protocolVersionError is returned if the other side uses a version of the protocol that is not supported.
 type protocolVersionError struct{ version uint64 }
 
 func (e *protocolVersionError) Error() string {
 	return fmt.Sprintf("version %d of the protocol, %d wanted", e.version, proto.Version)
 }
 
-// unknownZoneError says that a proxy's zone is not among those in the settings.
+// unknownZoneError is returned if a proxy's zone is not among those in the settings.
 type unknownZoneError struct{ zone string }
 
 func (e *unknownZoneError) Error() string {
 	return fmt.Sprintf("zone %q is not among those set here", e.zone)
 }
 
-// unsupportedRoleError says that a coordinator does not serve sessions of this role.
+// unsupportedRoleError is returned for a hello with a role for which a coordinator does not accept sessions.
 type unsupportedRoleError struct{ role proto.Role }
 
 func (e *unsupportedRoleError) Error() string {
 	return fmt.Sprintf("role %d is not served here", e.role)
 }
 
-// listDefect is what is wrong with an entry of the endpoint list.
+// listDefect is the reason why an entry of the endpoint list is invalid.
 type listDefect uint8
 
 const (
-	noDefect listDefect = iota
-	duplicateBackend
-	missingAddress
-	removedInFullList
+	noDefect          listDefect = iota
+	duplicateBackend             // the frame has two entries for the backend
+	missingAddress               // the backend is not removed and has no address
+	removedInFullList            // a full list has the backend as removed
 )
 
-// listEntryError says that an entry makes a frame of the endpoint list invalid.
+// listEntryError is returned if an invalid entry makes a frame of the endpoint list invalid.
 type listEntryError struct {
 	version uint64
 	backend proto.BackendID
@@ -72,7 +72,7 @@
 	return fmt.Sprintf("list version %d, server %d: defect %d", e.version, e.backend, e.defect)
 }
 
-// versionGapError says that changes of the endpoint list do not start from the version held here.
+// versionGapError is returned if changes of the endpoint list do not start from the current version.
 type versionGapError struct{ base, current uint64 }
 
 func (e *versionGapError) Error() string {
--- a/internal/coordinator/events.go
+++ b/internal/coordinator/events.go
@@ -9,18 +9,18 @@
 // streamID identifies a proxy's stream. Machine uses the number of the stream's connection.
 type streamID uint64
 
-// event is something that happened to the controller; it is one of the types below.
+// event is an input of the controller; it is one of the types below.
 type event interface{ isEvent() }
 
 type (
-	// proxyJoined is a proxy whose hello was accepted.
+	// proxyJoined reports that a proxy's hello was accepted.
 	proxyJoined struct {
 		stream streamID
 		hello  proto.Hello
 	}
-	// streamClosed is the end of a proxy's stream.
+	// streamClosed reports that a proxy's stream ended.
 	streamClosed struct{ stream streamID }
-	// pushAcknowledged is a proxy's acknowledgement of a push. The nonce is the one on the wire.
+	// pushAcknowledged reports that a proxy acknowledged the push with this nonce on the wire.
 	pushAcknowledged struct {
 		stream streamID
 		nonce  uint64
@@ -31,12 +31,12 @@
 		report proto.Reports
 	}
 	// endpointListReceived is a frame of the endpoint list service.
-	endpointListReceived struct{ list proto.EndpointUpdate }
-	// endpointListLost says that the endpoint list service cannot be reached or that its stream ended.
+	endpointListReceived struct{ update proto.EndpointUpdate }
+	// endpointListLost reports that the endpoint list service cannot be reached or that its stream ended.
 	endpointListLost struct{}
-	// batchPersisted says that all records up to this batch are durable.
+	// batchPersisted reports that all records up to this batch are durable.
 	batchPersisted struct{ batch uint64 }
-	// persistFailed says that the store does not accept records at present.
+	// persistFailed reports that the store currently does not accept records.
 	persistFailed struct{}
 	// probeFinished is the result of a probe: a reply, a failed connection or a timeout.
 	probeFinished struct {
@@ -44,7 +44,7 @@
 		ok, busy bool
 		latency  choice.Seconds
 	}
-	// peerMessage is a message of another coordinator.
+	// peerMessage is a message from another coordinator.
 	peerMessage struct {
 		from choice.PeerID
 		data string
@@ -62,20 +62,20 @@
 func (probeFinished) isEvent()        {}
 func (peerMessage) isEvent()          {}
 
-// stepResult is what a step of the controller wants done. Each list is in order.
+// stepResult is what is to be done after a step of the controller. The order of each list is to be kept.
 type stepResult struct {
 	pushes           []outgoingPush
 	rejections       []rejection
 	probes           []probeTarget
-	watch            *proto.WatchEndpoints // for the endpoint list service; nil if the watch stays as it is
+	watch            *proto.WatchEndpoints // request to the endpoint list service; nil if the watch stays as it is
 	fetch            bool                  // the whole endpoint list is to be requested once
 	peerMessages     []choice.SendToPeer
-	logMessages      []string // texts of the decision module
+	logMessages      []string // log messages of the decision module
 	exclusionChanges []exclusionChange
-	mutations        []checkpoint.Mutation // records to persist together, under the number in batch
-	batch            uint64                // 0 if there is nothing to persist
-	wakeAt           choice.Seconds
-	// endpointListError says why the last frame of the endpoint list was rejected. The stream that it came on must be closed.
+	mutations        []checkpoint.Mutation // records to persist together, as the batch below
+	batch            uint64                // number of the batch; 0 if there is nothing to persist
+	wakeAt           choice.Seconds        // latest time of the next step
+	// endpointListError is not nil if a frame of the endpoint list was rejected. The stream on which it came must be closed.
 	endpointListError error
 }
 
@@ -85,17 +85,17 @@
 		stream streamID
 		push   proto.Push
 	}
-	// rejection ends a proxy's stream and tells the proxy the reason.
+	// rejection is a proxy's stream to be closed after the reason was sent on it.
 	rejection struct {
 		stream streamID
 		reason string
 	}
-	// exclusionChange says that a backend was excluded or restored, for the log.
+	// exclusionChange is an exclusion or restoration of a backend that is to be logged.
 	exclusionChange struct {
 		backend  choice.BackendID
 		excluded bool
-		proxies  int    // how many get the change
-		nonce    uint64 // of the pushes, as on the wire
+		proxies  int    // number of proxies that are sent the change
+		nonce    uint64 // of these pushes, as on the wire; 0 if they have none
 	}
 	// probeTarget is a backend to probe.
 	probeTarget struct {
--- a/internal/coordinator/execute.go
+++ b/internal/coordinator/execute.go
@@ -5,7 +5,7 @@
 	"gingerfork/internal/statemachine"
 )
 
-// execute carries out what the controller wants done.
+// execute carries out the result of a step of the controller.
 func (m *Machine) execute(step *stepContext, result stepResult) {
 	for _, rejection := range result.rejections {
 		if s := m.sessions[statemachine.Conn(rejection.stream)]; s != nil {
@@ -35,6 +35,7 @@
 	step.effects.Persist(result.mutations, result.batch)
 }
 
+// logResult logs the messages of the decision module and the exclusion changes.
 func logResult(effects *statemachine.Effects, result stepResult) {
 	for _, text := range result.logMessages {
 		effects.Log(logInfo, text)
--- a/internal/coordinator/handshake.go
+++ b/internal/coordinator/handshake.go
@@ -8,10 +8,11 @@
 	"gingerfork/internal/proto"
 )
 
-// maxNameBytes bounds the name and the zone in a hello.
+// maxNameBytes is the maximum length of the name and of the zone in a hello.
 const maxNameBytes = 64
 
-// sendHello starts the handshake on a connection that this coordinator dialed.
+// sendHello starts the handshake on a connection that this coordinator dialed. On a connection to a backend it also sends the
+// probe.
 func (m *Machine) sendHello(step *stepContext, session *session) {
 	hello := proto.Hello{Version: proto.Version, Name: m.bootstrap.Name, Zone: m.bootstrap.Zone}
 	switch session.role {
@@ -25,7 +26,7 @@
 		hello.Role = proto.RolePeer
 		step.send(session, hello)
 	case roleHandshaking, roleProxy:
-		// These sessions are accepted; the other side sends the hello.
+		// These sessions are accepted, not dialed: the other side sends the hello.
 	}
 }
 
@@ -52,13 +53,14 @@
 		return nil
 	case proto.RolePeer:
 		session.role = rolePeer
-		session.welcomed = true
+		session.established = true
 		step.send(session, m.welcome())
 		return nil
 	}
 	return &unsupportedRoleError{role: hello.Role}
 }
 
+// welcome returns the reply to a hello that is accepted.
 func (m *Machine) welcome() proto.Welcome {
 	settings := &m.bootstrap.ModuleConfig.Settings
 	welcome := proto.Welcome{Version: proto.Version, Name: m.bootstrap.Name, ReportPeriod: settings.ReportPeriod.Or(1)}
@@ -68,13 +70,13 @@
 	return welcome
 }
 
-// knownZone accepts any zone if the settings have none.
+// knownZone returns whether the settings have the zone. If they have no zones, any zone is known.
 func (m *Machine) knownZone(zone string) bool {
 	zones := m.bootstrap.ModuleConfig.Settings.Zones
 	return len(zones) == 0 || slices.Contains(zones, zone)
 }
 
-// validName reports whether a name is fit for logs, traces and terminals.
+// validName returns whether a name can be written to logs, traces and terminals.
 func validName(name string) bool {
 	if name == "" || len(name) > maxNameBytes {
 		return false
--- a/internal/coordinator/harness_test.go
+++ b/internal/coordinator/harness_test.go
@@ -32,20 +32,20 @@
 
 // harness steps a Machine by hand. It acts as the endpoint list service, as a store and as any number of proxies.
 type harness struct {
-	t            *testing.T
-	machine      *Machine
-	now          float64
-	effects      statemachine.Effects
-	endpointConn statemachine.Conn // that the machine dialed last to the endpoint list service
-	probes       map[statemachine.Conn]string
-	readers      map[statemachine.Conn]*proto.Reader
-	received     map[statemachine.Conn][]proto.Message
-	closed       map[statemachine.Conn]bool
-	version      uint64            // of the endpoint list
-	records      map[string][]byte // what the store holds
-	batch        uint64            // that was not reported to the machine as durable yet
-	storeHangs   bool
-	logs         []string
+	t               *testing.T
+	machine         *Machine
+	now             float64
+	effects         statemachine.Effects
+	endpointConn    statemachine.Conn // that the machine dialed last to the endpoint list service
+	probes          map[statemachine.Conn]string
+	readers         map[statemachine.Conn]*proto.Reader
+	received        map[statemachine.Conn][]proto.Message
+	closed          map[statemachine.Conn]bool
+	listVersion     uint64            // of the endpoint list
+	records         map[string][]byte // what the store holds
+	unreportedBatch uint64            // that was not reported to the machine as durable yet
+	storeHangs      bool
+	logs            []string
 }
 
 func newHarness(t *testing.T, overrides map[string]any, saved *checkpoint.State) *harness {
@@ -79,9 +79,9 @@
 	h.t.Helper()
 	h.now += after
 	h.effects.Reset()
-	if h.batch > 0 && !h.storeHangs {
-		inputs = append([]statemachine.Input{{Kind: statemachine.Persisted, Batch: h.batch}}, inputs...)
-		h.batch = 0
+	if h.unreportedBatch > 0 && !h.storeHangs {
+		inputs = append([]statemachine.Input{{Kind: statemachine.Persisted, Batch: h.unreportedBatch}}, inputs...)
+		h.unreportedBatch = 0
 	}
 	h.machine.Step(h.now, inputs, &h.effects)
 	if h.effects.Failure != "" {
@@ -105,7 +105,7 @@
 		}
 	}
 	if h.effects.Batch > 0 {
-		h.batch = h.effects.Batch
+		h.unreportedBatch = h.effects.Batch
 		h.effects.WakeBy(h.now + 0.001)
 	}
 }
@@ -172,9 +172,9 @@
 	if h.endpointConn == 0 {
 		h.t.Fatal("the endpoint list service was not dialed")
 	}
-	h.version++
+	h.listVersion++
 	h.step(0.01, opened(h.endpointConn),
-		data(h.endpointConn, proto.Welcome{Version: 1, Name: "list"}, fullList(h.version, count)))
+		data(h.endpointConn, proto.Welcome{Version: 1, Name: "list"}, fullList(h.listVersion, count)))
 	h.advance(0.1)
 }
 
@@ -186,14 +186,14 @@
 
 // endpointChanges is the next version of the endpoint list.
 func (h *harness) endpointChanges(entries ...proto.Endpoint) statemachine.Input {
-	h.version++
-	changes := proto.EndpointUpdate{Kind: proto.UpdateDelta, BaseVersion: h.version - 1, Version: h.version, Endpoints: entries}
+	h.listVersion++
+	changes := proto.EndpointUpdate{Kind: proto.UpdateDelta, BaseVersion: h.listVersion - 1, Version: h.listVersion, Endpoints: entries}
 	return data(h.endpointConn, changes)
 }
 
 // endpointKeepalive confirms the current version of the endpoint list.
 func (h *harness) endpointKeepalive() statemachine.Input {
-	return data(h.endpointConn, proto.EndpointUpdate{Kind: proto.UpdateDelta, BaseVersion: h.version, Version: h.version})
+	return data(h.endpointConn, proto.EndpointUpdate{Kind: proto.UpdateDelta, BaseVersion: h.listVersion, Version: h.listVersion})
 }
 
 func (h *harness) join(conn statemachine.Conn, name string) {
--- a/internal/coordinator/log.go
+++ b/internal/coordinator/log.go
@@ -1,21 +1,22 @@
 package coordinator
 
-// Levels of log messages, as statemachine.LogEntry counts them.
+// Levels of log messages, with the values of statemachine.LogLevel.
 const (
 	logInfo    = 1
 	logWarning = 2
 	logError   = 3
 )
 
-// maxRejectionReasons bounds the memory of a rejectionLog, as reasons contain text from other processes.
+// maxRejectionReasons bounds the number of reasons in a rejectionLog, because reasons contain text from other processes.
 const maxRejectionReasons = 1000
 
-// rejectionLog counts rejections by reason. It limits the log messages about them to the first of each reason and then to
-// each doubling of their number.
+// rejectionLog counts rejections by reason, to limit the number of log messages: the first rejection for a reason is logged,
+// and then each one that doubles their number.
 type rejectionLog map[string]int
 
-// count counts a rejection and returns how many there were for this reason, and whether to log this one.
-func (l rejectionLog) count(reason string) (times int, logIt bool) {
+// count counts a rejection and returns how many there were for this reason, and whether to log this one. All counts start
+// again from 0 when there are too many reasons.
+func (l rejectionLog) count(reason string) (times int, shouldLog bool) {
 	if len(l) > maxRejectionReasons {
 		clear(l)
 	}
--- a/internal/coordinator/machine.go
+++ b/internal/coordinator/machine.go
@@ -9,20 +9,20 @@
 	"gingerfork/internal/statemachine"
 )
 
-// Bootstrap is what a coordinator is started with.
+// Bootstrap is the configuration with which a coordinator is started.
 type Bootstrap struct {
-	Name                    string
-	Zone                    string
+	Name                    string // of this coordinator, sent in its hello and welcome
+	Zone                    string // of this coordinator, sent in its hello
 	EndpointListAddr        string
 	Peers                   map[choice.PeerID]string // addresses of the other coordinators
-	ModuleConfig            choice.Config            // for the decision module
-	HandshakeTimeout        statemachine.Seconds     // from the opening of a connection to its hello
+	ModuleConfig            choice.Config            // of the decision module
+	HandshakeTimeout        statemachine.Seconds     // from the opening of a connection to the end of its handshake
 	ProxyIdleTimeout        statemachine.Seconds     // after which a silent proxy's stream is closed
-	EndpointListIdleTimeout statemachine.Seconds     // after which a silent connection to the endpoint list service is closed
-	ProbeTimeout            statemachine.Seconds
-	MaxStreams              int    // sessions of all roles; further connections are rejected
-	MaxProbes               int    // in flight at the same time
-	SettingsText            string // the settings in the form in which they are persisted
+	EndpointListIdleTimeout statemachine.Seconds     // after which a silent endpoint list service's connection is closed
+	ProbeTimeout            statemachine.Seconds     // from the dialing of a probe's connection to the reply
+	MaxStreams              int                      // limit on sessions of all roles; further incoming connections are rejected
+	MaxProbes               int                      // probes in flight at the same time
+	SettingsText            string                   // text of the settings, which is persisted
 }
 
 // Machine is a coordinator with its sessions and protocol.
@@ -31,26 +31,26 @@
 	controller *controller
 
 	sessions      map[statemachine.Conn]*session
-	sessionsByAge []*session // may hold sessions that were closed
-	lastDialed    statemachine.Conn
-	lastExpiryAt  statemachine.Seconds
+	sessionsByAge []*session           // oldest first; may include closed sessions
+	lastDialed    statemachine.Conn    // number of the last connection that was dialed
+	lastExpiryAt  statemachine.Seconds // when the sessions were last checked for timeouts
 	rejections    rejectionLog
 
-	endpointSession *session        // to the endpoint list service; nil if there is none
-	pendingRequests []proto.Message // for the endpoint list service, until the session is established
+	endpointSession *session        // with the endpoint list service; nil if there is none
+	pendingRequests []proto.Message // to be sent to the endpoint list service once the session is established
 	probesInFlight  int
 	queuedProbes    []probeTarget
-	peerSessions    map[choice.PeerID]*session // those that this coordinator dialed
+	peerSessions    map[choice.PeerID]*session // with other coordinators, if this coordinator dialed
 
-	started      bool
-	reloaded     bool   // since the last step
+	started      bool   // the first step was taken
+	reloaded     bool   // Reload was called since the last step
 	storeFailure string // why the store does not accept records; empty if it does
 }
 
 var _ statemachine.Machine = (*Machine)(nil)
 
-// NewMachine returns a coordinator that continues from the state that its previous run saved. Without saved state (nil)
-// nothing is persisted. A driver that passes saved state must write Effects.Mutations and report Persisted or PersistFailed.
+// NewMachine returns a coordinator that continues from the state that its previous run saved. If that is nil, nothing is
+// persisted. A driver that passes saved state must write Effects.Mutations and report Persisted or PersistFailed.
 func NewMachine(bootstrap Bootstrap, saved *checkpoint.State) *Machine {
 	return &Machine{
 		bootstrap:    bootstrap,
@@ -63,9 +63,9 @@
 	}
 }
 
-// Reload puts other settings in force. The decision module reads its settings only once, so a new instance of it continues
-// from the current endpoint list, as after a restart. Proxies are rejected, keep their tables and join again. Reload must be
-// called between steps.
+// Reload replaces the settings. The decision module reads its settings only once, so a new instance of it continues from
+// the current endpoint list, as after a restart. The next step rejects all proxies; they keep their tables and join again.
+// Reload must be called between steps.
 func (m *Machine) Reload(bootstrap Bootstrap) {
 	m.controller = m.controller.withConfig(bootstrap.ModuleConfig)
 	m.bootstrap = bootstrap
@@ -75,21 +75,23 @@
 // Stats returns the counts since the start or the last Reload.
 func (m *Machine) Stats() Stats { return m.controller.currentStats() }
 
-// stepContext is what the parts of one step share.
+// stepContext is the state that the functions of one step share.
 type stepContext struct {
 	now     statemachine.Seconds
 	effects *statemachine.Effects
 	events  []event // for the controller
 }
 
+// raise adds an event for the controller.
 func (step *stepContext) raise(e event) { step.events = append(step.events, e) }
 
+// send writes a message to the connection of a session.
 func (step *stepContext) send(session *session, message proto.Message) {
 	step.effects.Write(session.conn, proto.Append(nil, message))
 }
 
-// Step implements statemachine.Machine. If the decision module fails, nothing of the step is done and Effects.Failure says
-// why.
+// Step implements statemachine.Machine. If the decision module fails, the step has no effect other than Effects.Failure,
+// which states the reason.
 func (m *Machine) Step(now statemachine.Seconds, inputs []statemachine.Input, effects *statemachine.Effects) {
 	step := &stepContext{now: now, effects: effects}
 	m.applySettings(step)
@@ -108,6 +110,7 @@
 	effects.WakeBy(m.lastExpiryAt + m.expiryInterval())
 }
 
+// failureText returns the text of an error, with the stack if it is a *moduleFailure.
 func failureText(err error) string {
 	var failure *moduleFailure
 	if errors.As(err, &failure) {
@@ -116,8 +119,8 @@
 	return err.Error()
 }
 
-// applySettings persists the settings at the first step and after a reload. After a reload it also rejects the proxies, whose
-// tables come from the former instance of the decision module.
+// applySettings persists the settings in the first step and after a reload. After a reload it also rejects the proxies, since
+// the new instance of the decision module does not know their tables.
 func (m *Machine) applySettings(step *stepContext) {
 	if !m.started {
 		m.started = true
@@ -164,7 +167,7 @@
 	}
 }
 
-// batchPersisted handles the report that records are durable. The store recovers by itself, so this also ends its failure.
+// batchPersisted handles the report that records are durable. If the store had failed before, it has recovered.
 func (m *Machine) batchPersisted(step *stepContext, batch uint64) {
 	if m.storeFailure != "" {
 		step.effects.Log(logInfo, "store recovered")
@@ -173,7 +176,7 @@
 	step.raise(batchPersisted{batch})
 }
 
-// persistFailed handles a failed write. The same failure is logged once.
+// persistFailed handles a failed write. It logs a failure only if its cause differs from that of the previous one.
 func (m *Machine) persistFailed(step *stepContext, cause string) {
 	if cause != m.storeFailure {
 		m.storeFailure = cause
--- a/internal/coordinator/messages.go
+++ b/internal/coordinator/messages.go
@@ -7,10 +7,10 @@
 	"gingerfork/internal/proto"
 )
 
-// handleMessage handles one message. The text of the error, if any, is sent to the other side.
+// handleMessage handles one message. If it returns an error, the session ends and the error's text is sent to the other side.
 func (m *Machine) handleMessage(step *stepContext, session *session, message proto.Message) error {
-	if refusal, ok := message.(proto.Reject); ok {
-		return &peerRejectionError{reason: refusal.Reason}
+	if rejected, ok := message.(proto.Reject); ok {
+		return &peerRejectionError{reason: rejected.Reason}
 	}
 	switch session.role {
 	case roleHandshaking:
@@ -31,6 +31,7 @@
 	return unexpectedMessage(message)
 }
 
+// unexpectedMessage returns the error for a message that is not allowed in the session's role or state.
 func unexpectedMessage(message proto.Message) error {
 	return fmt.Errorf("%w: %s", errUnexpectedMessage, proto.WireName(message))
 }
@@ -51,7 +52,7 @@
 func (m *Machine) handlePeerMessage(step *stepContext, session *session, message proto.Message) error {
 	switch message := message.(type) {
 	case proto.Welcome:
-		session.welcomed = true
+		session.established = true
 		return nil
 	case proto.PeerMessage:
 		step.raise(peerMessage{choice.PeerID(message.From), message.Data})
--- a/internal/coordinator/module.go
+++ b/internal/coordinator/module.go
@@ -8,18 +8,18 @@
 	"gingerfork/internal/proto"
 )
 
-// moduleFailure says that the decision module panicked or returned a command that is not known here. The step in progress
-// must be discarded as a whole, because its commands would be carried out in part.
+// moduleFailure is returned if the decision module panicked or returned a command of an unknown type. The step in progress
+// must be discarded as a whole, because otherwise only a part of its commands would be carried out.
 type moduleFailure struct {
-	cause any
+	cause any    // value of the panic, or the text for an unknown command
 	stack []byte // of the panic; empty for an unknown command
 }
 
 func (f *moduleFailure) Error() string { return fmt.Sprintf("the decision module failed: %v", f.cause) }
 
-// decideIfDue lets the decision module take a step if its timer fired, or if events are pending and its last step was long
+// stepModuleIfDue lets the decision module take a step if its timer fired, or if events are pending and its last step was long
 // enough ago.
-func (c *controller) decideIfDue(now choice.Seconds) error {
+func (c *controller) stepModuleIfDue(now choice.Seconds) error {
 	timerFired := now >= c.timerAt
 	eventsDue := len(c.pendingEvents) > 0 && now >= c.lastStepAt+c.stepInterval
 	if !timerFired && !eventsDue {
@@ -29,15 +29,15 @@
 		c.pendingEvents = append(c.pendingEvents, choice.TimerFired{Timer: c.timer})
 		c.timerAt = now + maxWakeDelay
 	}
-	if err := c.decide(now); err != nil {
+	if err := c.stepModule(now); err != nil {
 		return err
 	}
 	c.sendQueued(now)
 	return nil
 }
 
-// decide lets the decision module take a step and carries out its commands.
-func (c *controller) decide(now choice.Seconds) error {
+// stepModule lets the decision module take a step and carries out its commands.
+func (c *controller) stepModule(now choice.Seconds) error {
 	events := c.pendingEvents
 	c.pendingEvents = nil
 	c.step++
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// callModule turns a panic of the decision module into an error.
+// callModule lets the decision module take a step, and turns a panic in it into an error.
 func (c *controller) callModule(now choice.Seconds, events []choice.Event) (commands []choice.Command, err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -76,7 +76,7 @@
 	return c.planner.Step(now, events), nil
 }
 
-// execute carries out one command.
+// execute carries out one command of the decision module.
 func (c *controller) execute(command choice.Command) error {
 	switch command := command.(type) {
 	case choice.WatchEndpoints:
@@ -88,7 +88,7 @@
 			c.result.probes = append(c.result.probes, probeTarget{command.Backend, listed.Addr})
 		}
 	case choice.SetTimer:
-		// The module sets one timer at a time and looks at the clock itself, so the soonest one is enough.
+		// The module sets one timer at a time and checks the time itself, so that only the earliest timer is needed.
 		if command.At < c.timerAt {
 			c.timerAt, c.timer = command.At, command.Timer
 		}
--- a/internal/coordinator/peers.go
+++ b/internal/coordinator/peers.go
@@ -5,8 +5,9 @@
 	"gingerfork/internal/proto"
 )
 
-// sendToPeer sends a message to one other coordinator, or to all if To is negative. What cannot be sent at once is lost, which
-// the decision module allows for. A peer without a session is dialed.
+// sendToPeer sends a message to one other coordinator, or to all others if To is negative. A peer without a session is
+// dialed. A message that is longer than proto.MaxString or that cannot be sent at once is lost, which the decision module
+// allows for.
 func (m *Machine) sendToPeer(step *stepContext, message choice.SendToPeer) {
 	if len(message.Data) > proto.MaxString {
 		return
@@ -22,7 +23,7 @@
 			s = &session{role: rolePeer, peer: peer, name: addr}
 			m.peerSessions[peer] = s
 			m.dial(step, addr, s)
-		} else if s.welcomed {
+		} else if s.established {
 			step.send(s, proto.PeerMessage{From: uint64(settings.Self.Or(0)), Data: string(message.Data)})
 		}
 	}
--- a/internal/coordinator/probes.go
+++ b/internal/coordinator/probes.go
@@ -2,10 +2,11 @@
 
 import "gingerfork/internal/proto"
 
-// queuedProbesPerSlot bounds the probes that wait, for each probe that may be in flight. The decision module repeats probes
-// that get lost here.
+// queuedProbesPerSlot is how many probes may wait for each probe that may be in flight. Further probes are dropped, since the
+// decision module repeats them.
 const queuedProbesPerSlot = 4
 
+// queueProbes queues probes, as far as the limit allows, and starts as many as may be in flight.
 func (m *Machine) queueProbes(step *stepContext, targets []probeTarget) {
 	for _, target := range targets {
 		if len(m.queuedProbes) < queuedProbesPerSlot*m.bootstrap.MaxProbes {
@@ -15,7 +16,7 @@
 	m.startProbes(step)
 }
 
-// startProbes dials backends of the queue, up to the limit of probes in flight.
+// startProbes dials queued backends until the limit of probes in flight is reached.
 func (m *Machine) startProbes(step *stepContext) {
 	for len(m.queuedProbes) > 0 && m.probesInFlight < m.bootstrap.MaxProbes {
 		target := m.queuedProbes[0]
@@ -32,14 +33,15 @@
 	case proto.ProbeReply:
 		delete(m.sessions, session.conn)
 		step.effects.Close(session.conn)
-		m.finishProbe(step, session, probeFinished{ok: message.Status == proto.StatusOK, busy: message.Status == proto.StatusRejected})
+		m.finishProbe(step, session,
+			probeFinished{ok: message.Status == proto.StatusOK, busy: message.Status == proto.StatusRejected})
 		return nil
 	}
 	return unexpectedMessage(message)
 }
 
-// finishProbe completes the result with the backend and the latency, raises it and starts the next probe. The session must
-// have been removed.
+// finishProbe adds the backend and the latency to the result, raises it as an event and starts the next probe. The session
+// must have been removed before.
 func (m *Machine) finishProbe(step *stepContext, session *session, result probeFinished) {
 	m.probesInFlight--
 	result.backend = session.probe.backend
--- a/internal/coordinator/proxies.go
+++ b/internal/coordinator/proxies.go
@@ -7,34 +7,35 @@
 	"gingerfork/internal/fanout"
 )
 
-// departedRetention is how long a proxy that left keeps its number, in seconds. The decision module forgets a proxy earlier
-// than this, so that a number is only reused for a proxy of which the module knows nothing.
+// departedRetention is how long a proxy that left keeps its number, in seconds. The decision module keeps the state of such a
+// proxy for a shorter time, so a number is not reused before the module has forgotten its former proxy.
 const departedRetention = 2 * choice.BackendRetention
 
-// reasonSuperseded is sent on the older of two streams of one proxy.
+// reasonSuperseded is the reason, as sent on the wire, for rejecting the older of two streams of one proxy.
 const reasonSuperseded = "this proxy joined again on a newer stream"
 
-// proxyStream is the stream of a proxy that is joined.
+// proxyStream is the stream of a joined proxy.
 type proxyStream struct {
 	id           streamID
 	proxyName    string
 	proxy        choice.ProxyID
 	zone         choice.Zone
-	queue        []*queuedPush
-	hasUrgent    bool           // an urgent push is in queue
+	queue        []*queuedPush  // pushes to be sent, in order
+	hasUrgent    bool           // queue has an urgent push
 	lastSequence uint64         // sequence number of the last push that was sent
-	inFlight     []inFlightPush // sent and not acknowledged
+	inFlight     []inFlightPush // pushes that were sent and not acknowledged, in order
 	subscriber   *fanout.Subscriber
 }
 
-// proxyRecord holds the number of a proxy, joined or not, until the decision module has forgotten the proxy.
+// proxyRecord is a proxy that is joined, or that left and that the decision module may not have forgotten yet.
 type proxyRecord struct {
 	name   string
 	number choice.ProxyID
-	stream *proxyStream // nil if the proxy is not joined
-	leftAt choice.Seconds
+	stream *proxyStream   // nil if the proxy is not joined
+	leftAt choice.Seconds // when the proxy last left
 }
 
+// join adds a proxy. If the proxy is joined already, its older stream is rejected.
 func (c *controller) join(now choice.Seconds, joined proxyJoined) {
 	record := c.proxies[joined.hello.Name]
 	if record == nil {
@@ -42,8 +43,8 @@
 		c.proxies[record.name] = record
 	}
 	if record.stream != nil {
-		// Either the older connection broke without a notice, or another process uses the same name. Only one of the
-		// streams can be served.
+		// Either the older connection broke and this was not detected yet, or another process uses the same name. Only one
+		// of the streams can be served.
 		c.result.rejections = append(c.result.rejections, rejection{record.stream.id, reasonSuperseded})
 		c.leave(now, record.stream)
 	}
@@ -62,7 +63,8 @@
 		choice.ProxyJoined{Proxy: stream.proxy, Zone: stream.zone, Rate: joined.hello.Rate, Fresh: joined.hello.Fresh})
 }
 
-// allocateNumber returns a free number, preferring those used before, so that the module's tables stay small.
+// allocateNumber returns a free proxy number. It prefers numbers that were used before, so that the decision module's tables
+// stay small.
 func (c *controller) allocateNumber() choice.ProxyID {
 	if n := len(c.freeNumbers); n > 0 {
 		number := c.freeNumbers[n-1]
@@ -74,6 +76,7 @@
 	return number
 }
 
+// leave removes a proxy's stream. The proxy's record stays for departedRetention.
 func (c *controller) leave(now choice.Seconds, stream *proxyStream) {
 	delete(c.streams, stream.id)
 	c.streamsByNumber[stream.proxy] = nil
@@ -89,7 +92,7 @@
 	c.pendingEvents = append(c.pendingEvents, choice.ProxyLeft{Proxy: stream.proxy})
 }
 
-// forgetDeparted frees the numbers of proxies that left so long ago that the decision module has forgotten them.
+// forgetDeparted removes proxies that left so long ago that the decision module has forgotten them, and frees their numbers.
 func (c *controller) forgetDeparted(now choice.Seconds) {
 	for len(c.departed) > 0 {
 		record := c.departed[0]
@@ -97,7 +100,7 @@
 			return
 		}
 		c.departed = c.departed[1:]
-		// A proxy that joined again is not departed, and one that left once more is in the list a second time.
+		// The proxy may have joined again since, and if it then left once more, it is in the list a second time.
 		if record.stream == nil && c.proxies[record.name] == record {
 			delete(c.proxies, record.name)
 			c.checkpoint.RemoveProxy(record.name)
--- a/internal/coordinator/push.go
+++ b/internal/coordinator/push.go
@@ -6,7 +6,7 @@
 	"gingerfork/internal/proto"
 )
 
-// wireOpKinds translates the kinds of table operations for the wire.
+// wireOpKinds maps the kinds of table operations to those on the wire.
 var wireOpKinds = map[fanout.OpKind]proto.OpKind{
 	fanout.OpSetEntry:  proto.OpSetEntry,
 	fanout.OpClear:     proto.OpClear,
@@ -16,11 +16,11 @@
 	fanout.OpRestore:   proto.OpRestore,
 }
 
-// queuePushes queues what the commands of a step changed for each proxy. The nonce is nil if the step set none; then the
-// pushes carry no nonce and are not acknowledged.
+// queuePushes queues one push for each proxy for which the commands of a step changed something. If the step set no nonce, it
+// is nil, and the pushes have no nonce and are not acknowledged.
 func (c *controller) queuePushes(now choice.Seconds, nonce *choice.SetNonce) {
-	// Backends that the endpoint list took out of use before a restart are excluded too. The module did not run at that
-	// time, so it has no command for them.
+	// Backends that the endpoint list took out of service before a restart are excluded, too. This instance of the module did
+	// not run at that time, so it has no commands for them.
 	messages, exclusionChanges := c.distributor.Flush(c.checkpoint.DrainedBackends)
 	var wireNonce, barrier uint64
 	if nonce != nil && len(messages) > 0 {
@@ -41,7 +41,7 @@
 			push.nonce = nonce.Nonce
 			push.wireNonce = wireNonce
 			push.durabilityBarrier = barrier
-			push.entries++ // the nonce is charged like a table entry
+			push.entries++ // the nonce counts as a table entry
 		}
 		c.pushQueue.add(push)
 	}
@@ -51,8 +51,9 @@
 	}
 }
 
-// sendQueued moves pushes from the queue into the result, as far as their rate allows. Pushes wait for the first batch of
-// nonces to be durable: after a crash the same nonces would be given out again.
+// sendQueued moves pushes from the queue to the result, as far as the push rate allows. All pushes wait until the first
+// reservation of nonces is durable, because otherwise the same nonces would be used again after a crash; see
+// checkpoint.Checkpointer.NoncesReady.
 func (c *controller) sendQueued(now choice.Seconds) {
 	for c.checkpoint.NoncesReady(now) {
 		push := c.pushQueue.nextPush(now)
@@ -83,7 +84,7 @@
 	}
 }
 
-// wireOps translates table operations for the wire.
+// wireOps converts table operations to those on the wire.
 func (c *controller) wireOps(tableOps []fanout.TableOp) []proto.TableOp {
 	ops := make([]proto.TableOp, 0, len(tableOps))
 	for _, tableOp := range tableOps {
@@ -113,11 +114,12 @@
 	return wireOp
 }
 
-// wireEntry adds the backend's address, which the decision module does not know, unless the entry removes the backend.
+// wireEntry converts a table entry to that on the wire. Unless the entry removes the backend, it adds the backend's address,
+// which the decision module does not know.
 func (c *controller) wireEntry(entry fanout.TableEntry) proto.TableEntry {
-	wire := proto.TableEntry{Backend: proto.BackendID(entry.Backend), Weight: entry.Weight, Excluded: entry.Excluded}
+	wireEntry := proto.TableEntry{Backend: proto.BackendID(entry.Backend), Weight: entry.Weight, Excluded: entry.Excluded}
 	if listed := c.endpoints.backends[entry.Backend]; listed != nil && entry.Weight > 0 {
-		wire.Addr = listed.Addr
+		wireEntry.Addr = listed.Addr
 	}
-	return wire
+	return wireEntry
 }
--- a/internal/coordinator/pushqueue.go
+++ b/internal/coordinator/pushqueue.go
@@ -10,32 +10,33 @@
 // queuedPush is what one step of the decision module changes for one proxy.
 type queuedPush struct {
 	stream            *proxyStream
-	step              uint64
-	orderedAt         choice.Seconds
-	entries           int // table entries that it is charged as, with its overhead
+	step              uint64         // number of that step
+	orderedAt         choice.Seconds // time of that step
+	entries           int            // size that counts for the push rate, in table entries; add adds the overhead
 	ops               []proto.TableOp
 	hasNonce          bool
-	nonce             choice.Nonce
-	wireNonce         uint64
-	durabilityBarrier uint64 // what must be durable before its acknowledgement counts
-	urgent            bool   // it excludes a backend
-	removed           bool   // it was sent, or its stream was closed
+	nonce             choice.Nonce // the decision module's own nonce
+	wireNonce         uint64       // the nonce that the proxy is sent
+	durabilityBarrier uint64       // batch that must be durable before its acknowledgement counts
+	urgent            bool         // it excludes a backend
+	removed           bool         // it was sent, or its stream was closed
 }
 
-// pushQueue holds the pushes that wait to be sent. They leave one after another at the rate that the settings state, in the
-// order of the steps that ordered them. But a stream that has an urgent push goes ahead of all streams without one, with the
-// pushes that were queued for it before. So no push is split, and none overtakes another one of its own stream.
+// pushQueue holds the pushes that wait to be sent. They are sent one after another at the rate in the settings, in the order
+// of the steps that ordered them. However, a stream with an urgent push goes before all streams without one, together with
+// the pushes that were queued for it earlier. So no push is split, and none overtakes another push of its own stream.
 type pushQueue struct {
 	entriesPerSecond float64
-	overheadEntries  int            // charged for each push beside its own table entries
-	maxCatchUp       choice.Seconds // how much idle time counts for the rate
+	overheadEntries  int            // counted for each push in addition to its own table entries
+	maxCatchUp       choice.Seconds // how much unused time in the past may be made up for
 	nextSendAt       choice.Seconds
-	byStep           []*queuedPush  // may hold pushes that were removed
+	byStep           []*queuedPush  // in the order of their steps; may include removed pushes
 	urgentStreams    []*proxyStream // streams with an urgent push, in the order in which the push was added
-	queuedEntries    int
-	maxQueuedEntries int // the most that ever waited
+	queuedEntries    int            // size of all queued pushes
+	maxQueuedEntries int            // the largest value of queuedEntries so far
 }
 
+// add appends a push to the queue.
 func (q *pushQueue) add(push *queuedPush) {
 	push.entries += q.overheadEntries
 	q.queuedEntries += push.entries
@@ -48,8 +49,8 @@
 	}
 }
 
-// oldestStep returns the step of the first push that still waits; the pushes of all earlier steps were sent. It returns
-// false if no push waits.
+// oldestStep returns the earliest step of which a push still waits, so that the pushes of all earlier steps were sent. It
+// returns false if no push waits.
 func (q *pushQueue) oldestStep() (uint64, bool) {
 	for len(q.byStep) > 0 && q.byStep[0].removed {
 		q.byStep[0] = nil
@@ -62,8 +63,8 @@
 	return q.byStep[0].step, true
 }
 
-// nextPush removes and returns the push that may be sent now, or nil if none may. After an idle time, or a time in which no
-// step was taken, at most maxCatchUp is made up for, as proxies rely on the rate.
+// nextPush removes and returns the push that may be sent now, or returns nil if none may. After a time without pushes or
+// without steps, at most maxCatchUp of it is made up for, because proxies rely on the rate.
 func (q *pushQueue) nextPush(now choice.Seconds) *queuedPush {
 	if _, ok := q.oldestStep(); !ok || q.nextSendAt > now {
 		return nil
--- a/internal/coordinator/reportheap.go
+++ b/internal/coordinator/reportheap.go
@@ -2,8 +2,8 @@
 
 import "container/heap"
 
-// reportHeap has the report that is ready first on top. In a plain queue usage, which is ready at once, would wait behind
-// attempts that are still being gathered.
+// reportHeap is a heap whose first report is the one that is ready first. In a plain queue, usage, which is ready at once,
+// would wait behind attempts that are still being gathered.
 type reportHeap []*pendingReport
 
 var _ heap.Interface = (*reportHeap)(nil)
--- a/internal/coordinator/reports.go
+++ b/internal/coordinator/reports.go
@@ -8,23 +8,25 @@
 )
 
 const (
-	// minCredit is the credit that one report takes: one, less what rounding may lose of it. Otherwise a step at the very
-	// time that was asked for could find slightly too little credit and ask for the same time again.
+	// minCredit is the credit at which a report may be passed on: 1, the credit that it takes, less an allowance for rounding
+	// errors. Otherwise a step at exactly the time that nextAt returned could find slightly too little credit and request the
+	// same time again.
 	minCredit = 1 - 1e-6
-	// creditSpan bounds the credit that is saved up to the reports of 1/creditSpan seconds.
-	creditSpan = 20
-	// attemptGatheringPeriods is how long attempts are gathered, in report periods. Within that time most of a zone's other
-	// proxies report, too.
+	// burstDivisor limits bursts: credit is saved up for at most 1/burstDivisor seconds, or for one report if that is more.
+	burstDivisor = 20
+	// attemptGatheringPeriods is how long the attempts at a backend are gathered before they are passed on, in report periods.
+	// Within that time most of a zone's other proxies report, too.
 	attemptGatheringPeriods = 0.5
 )
 
-// reportAggregator gathers what proxies report and passes it on to the decision module: attempts summed over a zone, usage by
-// proxy, at no more reports a second than the settings allow. What cannot be passed on yet is added to what waits already, so
-// that memory is bounded by the pairs of backend and zone and of proxy and method, however late the module takes them.
+// reportAggregator aggregates the reports of proxies for the decision module: attempts are summed by backend and zone, usage
+// by proxy and method. It passes on no more reports per second than the settings allow. What cannot be passed on yet is
+// added to the sums that wait already, so memory is bounded by the number of pairs of backend and zone and of proxy and
+// method, however late the module takes the reports.
 type reportAggregator struct {
-	reportsPerSecond float64 // 0: without limit
-	period           choice.Seconds
-	credit           float64 // reports that may be passed on at creditedAt
+	reportsPerSecond float64        // limit of what is passed on; 0 means no limit
+	period           choice.Seconds // the report period
+	credit           float64        // number of reports that may be passed on at creditedAt
 	creditedAt       choice.Seconds
 	queue            reportHeap
 	lastSequence     uint64
@@ -43,17 +45,17 @@
 	}
 )
 
-// pendingReport is a sum that waits to be passed on. It covers the time from the oldest report in it to the newest.
+// pendingReport is a sum of reports that waits to be passed on.
 type pendingReport struct {
-	readyAt     choice.Seconds // when it has gathered long enough
+	readyAt     choice.Seconds // when it may be passed on, if the limit allows
 	sequence    uint64         // orders reports that are ready at the same time
-	heapIndex   int
-	from, to    choice.Seconds
+	heapIndex   int            // index in the reportHeap
+	from, to    choice.Seconds // time that the summed reports cover
 	isUsage     bool
-	attemptKey  attemptKey // unless isUsage
-	usageKey    usageKey   // if isUsage
-	count       int        // attempts or RPCs
-	failures    int
+	attemptKey  attemptKey     // unless isUsage
+	usageKey    usageKey       // if isUsage
+	count       int            // number of attempts or RPCs
+	failures    int            // number of these that failed
 	meanLatency choice.Seconds // of the attempts that succeeded
 }
 
@@ -67,8 +69,8 @@
 	}
 }
 
-// add adds a proxy's report. Attempts at backends that isListed does not know, and usage of methods from methodCount on, are
-// ignored.
+// add adds a proxy's report. It ignores attempts at backends for which isListed returns false, and usage of methods whose
+// number is not below methodCount.
 func (a *reportAggregator) add(
 	now choice.Seconds, stream *proxyStream, report proto.Reports, isListed func(choice.BackendID) bool, methodCount int,
 ) {
@@ -93,10 +95,10 @@
 		a.attempts[key] = pending
 		a.enqueue(pending)
 	}
-	succeeded := float64(pending.count - pending.failures)
-	succeededMore := float64(attempts.Attempts - attempts.Failures)
-	if succeededMore > 0 {
-		pending.meanLatency = (pending.meanLatency*succeeded + attempts.MeanLatency*succeededMore) / (succeeded + succeededMore)
+	oldSuccesses := float64(pending.count - pending.failures)
+	newSuccesses := float64(attempts.Attempts - attempts.Failures)
+	if newSuccesses > 0 {
+		pending.meanLatency = (pending.meanLatency*oldSuccesses + attempts.MeanLatency*newSuccesses) / (oldSuccesses + newSuccesses)
 	}
 	pending.extend(from, now, attempts.Attempts, attempts.Failures)
 }
@@ -112,6 +114,7 @@
 	pending.extend(from, now, usage.RPCs, usage.Failures)
 }
 
+// extend adds counts that cover a time to the sum.
 func (r *pendingReport) extend(from, to choice.Seconds, count, failures uint64) {
 	r.count += int(count)
 	r.failures += int(failures)
@@ -119,10 +122,10 @@
 	r.to = to
 }
 
-// due removes and returns the reports that may be passed on now.
-func (a *reportAggregator) due(now choice.Seconds) []choice.Event {
+// takeDue removes and returns the reports that may be passed on now, as events for the decision module.
+func (a *reportAggregator) takeDue(now choice.Seconds) []choice.Event {
 	if a.reportsPerSecond > 0 {
-		a.credit = min(a.credit+(now-a.creditedAt)*a.reportsPerSecond, max(1, a.reportsPerSecond/creditSpan))
+		a.credit = min(a.credit+(now-a.creditedAt)*a.reportsPerSecond, max(1, a.reportsPerSecond/burstDivisor))
 	}
 	a.creditedAt = now
 	var events []choice.Event
@@ -139,6 +142,7 @@
 	return events
 }
 
+// event returns the report as an event for the decision module.
 func (r *pendingReport) event() choice.Event {
 	if r.isUsage {
 		return choice.UsageReport{
@@ -159,6 +163,7 @@
 	}
 }
 
+// enqueue adds a new report to the heap.
 func (a *reportAggregator) enqueue(report *pendingReport) {
 	a.lastSequence++
 	report.sequence = a.lastSequence
@@ -177,7 +182,7 @@
 	return at, true
 }
 
-// forgetProxy drops the usage of a proxy whose number may be given to another proxy.
+// forgetProxy drops the usage of a proxy whose number may be assigned to another proxy.
 func (a *reportAggregator) forgetProxy(proxy choice.ProxyID) {
 	var dropped []*pendingReport
 	for _, report := range a.queue {
--- a/internal/coordinator/reports_test.go
+++ b/internal/coordinator/reports_test.go
@@ -18,7 +18,7 @@
 func TestReportsAreAggregatedAndRateLimited(t *testing.T) {
 	now := 100.0
 	aggregator := newTestAggregator(0, 10, 1)
-	aggregator.due(now)
+	aggregator.takeDue(now)
 	for i := range 20 {
 		stream := &proxyStream{proxy: choice.ProxyID(i), zone: "a"}
 		aggregator.add(now, stream, proto.Reports{
@@ -31,7 +31,7 @@
 	var times []float64 // of each report
 	for range 80 {
 		now += 0.1
-		for _, event := range aggregator.due(now) {
+		for _, event := range aggregator.takeDue(now) {
 			times = append(times, now)
 			switch report := event.(type) {
 			case choice.AttemptReport:
@@ -92,7 +92,7 @@
 		now, steps, reports := 1e6, 0, 0
 		for at, ok := now, true; ok && steps < maxSteps; at, ok = aggregator.nextAt() {
 			now = max(now, at)
-			reports += len(aggregator.due(now))
+			reports += len(aggregator.takeDue(now))
 			steps++
 		}
 		if reports != proxies {
@@ -107,19 +107,19 @@
 	aggregator := newTestAggregator(100, 0, 2)
 	report := proto.Reports{Span: 1, Attempts: []proto.AttemptReport{{Backend: 1, Attempts: 4}}, Usage: []proto.UsageReport{{Method: 0, RPCs: 5}}}
 	aggregator.add(100, &proxyStream{zone: "a"}, report, allListed, 1)
-	first := aggregator.due(100)
+	first := aggregator.takeDue(100)
 	if len(first) != 1 {
 		t.Fatalf("%d events at once", len(first))
 	}
 	if _, ok := first[0].(choice.UsageReport); !ok {
 		t.Fatalf("first came %T", first[0])
 	}
-	if later := aggregator.due(101); len(later) != 1 {
+	if later := aggregator.takeDue(101); len(later) != 1 {
 		t.Fatalf("%d events once the attempts were gathered", len(later))
 	}
 	aggregator.add(102, &proxyStream{zone: "a", proxy: 7}, report, allListed, 1)
 	aggregator.forgetProxy(7)
-	if rest := aggregator.due(110); len(rest) != 1 {
+	if rest := aggregator.takeDue(110); len(rest) != 1 {
 		t.Fatalf("%d events for a proxy that was forgotten and a backend that was not", len(rest))
 	}
 }
--- a/internal/coordinator/restart_test.go
+++ b/internal/coordinator/restart_test.go
@@ -77,10 +77,10 @@
 	for end := h.now + span; ; {
 		h.step(0, inputs...)
 		inputs = nil
-		if h.batch > 0 {
+		if h.unreportedBatch > 0 {
 			h.commit()
-			inputs = []statemachine.Input{{Kind: statemachine.Persisted, Batch: h.batch}}
-			h.batch = 0
+			inputs = []statemachine.Input{{Kind: statemachine.Persisted, Batch: h.unreportedBatch}}
+			h.unreportedBatch = 0
 			h.now += 0.001
 			continue
 		}
@@ -161,9 +161,9 @@
 	t.Helper()
 	harness := newStoreHarness(t, folder)
 	harness.advanceDurably(0.5)
-	harness.version++
+	harness.listVersion++
 	harness.advanceDurably(0.1, opened(harness.endpointConn),
-		data(harness.endpointConn, proto.Welcome{Version: 1, Name: "list"}, fullList(harness.version, 8)))
+		data(harness.endpointConn, proto.Welcome{Version: 1, Name: "list"}, fullList(harness.listVersion, 8)))
 	for proxy := 1; proxy <= restartProxies; proxy++ {
 		conn := statemachine.Conn(proxy)
 		harness.advanceDurably(0.01, opened(conn), data(conn, hello(fmt.Sprint("f", proxy))))
@@ -188,11 +188,11 @@
 	// excluded has the backends that are out of use, each with the proxies that confirmed so.
 	excluded  map[proto.BackendID]map[int]bool
 	lastNonce uint64
-	cut       int // size of the log in bytes, for messages
+	logSize   int // size of the log in bytes, for messages
 }
 
 func durableStateAt(facts []durableFact, logSize int) durableState {
-	state := durableState{excluded: map[proto.BackendID]map[int]bool{}, cut: logSize}
+	state := durableState{excluded: map[proto.BackendID]map[int]bool{}, logSize: logSize}
 	for _, fact := range facts {
 		switch {
 		case fact.logSize > logSize:
@@ -217,19 +217,19 @@
 	routable := routableBackends(pushes)
 	for backend, confirmedBy := range s.excluded {
 		if routable[backend] {
-			t.Fatalf("cut at %d: proxy %d may send to backend %d, which is excluded", s.cut, proxy, backend)
+			t.Fatalf("cut at %d: proxy %d may send to backend %d, which is excluded", s.logSize, proxy, backend)
 		}
 		if !confirmedBy[proxy] {
 			continue
 		}
 		checked++
 		if hasOp(pushes, proto.OpExclude, backend) {
-			t.Fatalf("cut at %d: proxy %d gets the exclusion of backend %d again", s.cut, proxy, backend)
+			t.Fatalf("cut at %d: proxy %d gets the exclusion of backend %d again", s.logSize, proxy, backend)
 		}
 	}
 	for _, push := range pushes {
 		if push.HasNonce && push.Nonce <= s.lastNonce {
-			t.Fatalf("cut at %d: nonce %d, though %d was used before", s.cut, push.Nonce, s.lastNonce)
+			t.Fatalf("cut at %d: nonce %d, though %d was used before", s.logSize, push.Nonce, s.lastNonce)
 		}
 	}
 	return checked
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -6,7 +6,7 @@
 	"gingerfork/internal/statemachine"
 )
 
-// expiryChecksPerTimeout is how often sessions are checked for timeouts within the shortest of them.
+// expiryChecksPerTimeout is how many times sessions are checked for timeouts within the shortest timeout.
 const expiryChecksPerTimeout = 4
 
 // Reasons of rejections, as sent on the wire.
@@ -17,11 +17,11 @@
 	reasonReloaded       = "other settings are in force, join again"
 )
 
-// sessionRole is what the other side of a session is.
+// sessionRole is the role of the other side of a session.
 type sessionRole uint8
 
 const (
-	roleHandshaking sessionRole = iota // it has not sent its hello yet
+	roleHandshaking sessionRole = iota // unknown, since its hello was not received yet
 	roleProxy
 	roleEndpointList
 	roleProbe
@@ -30,23 +30,24 @@
 
 // session is one connection, accepted or dialed.
 type session struct {
-	conn     statemachine.Conn
-	role     sessionRole
-	name     string
-	reader   proto.Reader
-	openedAt statemachine.Seconds
-	lastSeen statemachine.Seconds // when data last came, or openedAt
-	welcomed bool                 // the handshake is complete; for roleEndpointList and rolePeer only
-	probe    probeTarget          // for roleProbe
-	peer     choice.PeerID        // for rolePeer, if this coordinator dialed
+	conn        statemachine.Conn
+	role        sessionRole
+	name        string
+	reader      proto.Reader
+	openedAt    statemachine.Seconds
+	lastSeen    statemachine.Seconds // when data was last received; initially openedAt
+	established bool                 // the handshake is complete; for roleEndpointList and rolePeer only
+	probe       probeTarget          // for roleProbe
+	peer        choice.PeerID        // for rolePeer, if this coordinator dialed
 }
 
+// addSession adds a session with a new connection.
 func (m *Machine) addSession(session *session) {
 	m.sessions[session.conn] = session
 	m.sessionsByAge = append(m.sessionsByAge, session)
 }
 
-// accept opens a session for a connection that came in.
+// accept adds a session for an incoming connection, or rejects the connection if there are too many sessions.
 func (m *Machine) accept(step *stepContext, conn statemachine.Conn) {
 	if len(m.sessions) >= m.bootstrap.MaxStreams {
 		m.reject(step, &session{conn: conn}, reasonTooManyStreams)
@@ -55,7 +56,7 @@
 	m.addSession(&session{conn: conn, openedAt: step.now, lastSeen: step.now})
 }
 
-// dial opens a connection for a session, which may not be established yet when dial returns.
+// dial starts to open a connection for a session and adds the session. An input reports later whether it was opened.
 func (m *Machine) dial(step *stepContext, addr string, s *session) {
 	m.lastDialed++
 	s.conn = m.lastDialed
@@ -64,7 +65,7 @@
 	m.addSession(s)
 }
 
-// receive handles the messages in data. An error ends this session and no other.
+// receive handles the messages in data. An error in one ends only this session.
 func (m *Machine) receive(step *stepContext, session *session, data []byte) {
 	session.lastSeen = step.now
 	session.reader.Feed(data)
@@ -88,7 +89,7 @@
 func (m *Machine) reject(step *stepContext, session *session, reason string) {
 	step.send(session, proto.Reject{Reason: reason})
 	step.effects.Close(session.conn)
-	if times, logIt := m.rejections.count(reason); logIt {
+	if times, shouldLog := m.rejections.count(reason); shouldLog {
 		step.effects.Log(logWarning, "stream rejected",
 			"peer", session.name, "conn", uint64(session.conn&^statemachine.Dialed), "reason", reason, "count", times)
 	}
@@ -118,35 +119,37 @@
 	}
 }
 
+// expiryInterval returns the time between two checks of the sessions for timeouts.
 func (m *Machine) expiryInterval() statemachine.Seconds {
 	shortest := min(m.bootstrap.HandshakeTimeout, m.bootstrap.ProxyIdleTimeout, m.bootstrap.EndpointListIdleTimeout,
 		m.bootstrap.ProbeTimeout)
 	return shortest / expiryChecksPerTimeout
 }
 
-// expireSessions closes sessions whose timeout has passed. A connection may break without a notice to either side.
+// expireSessions closes sessions whose timeout has passed. It is needed because a connection may break without either side
+// noticing.
 func (m *Machine) expireSessions(step *stepContext) {
 	if step.now < m.lastExpiryAt+m.expiryInterval() {
 		return
 	}
 	m.lastExpiryAt = step.now
-	known := len(m.sessionsByAge)
-	open := m.sessionsByAge[:0]
+	checkedCount := len(m.sessionsByAge)
+	openSessions := m.sessionsByAge[:0]
 	for _, session := range m.sessionsByAge {
 		if m.sessions[session.conn] != session {
 			continue
 		}
-		open = append(open, session)
+		openSessions = append(openSessions, session)
 		if m.expire(step, session) {
 			m.closeSession(step, session, reasonIdle)
 		}
 	}
-	// An expired probe makes room for the next one, whose session was added behind the known ones.
-	open = append(open, m.sessionsByAge[known:]...)
-	m.sessionsByAge = open
+	// When a probe expires, the next one starts, and its session is appended during the loop.
+	openSessions = append(openSessions, m.sessionsByAge[checkedCount:]...)
+	m.sessionsByAge = openSessions
 }
 
-// expire ends the connection of a session whose timeout has passed, and returns whether it has.
+// expire closes the connection of a session if its timeout has passed, and returns whether it has.
 func (m *Machine) expire(step *stepContext, session *session) bool {
 	age, idle := step.now-session.openedAt, step.now-session.lastSeen
 	var expired bool
@@ -166,7 +169,7 @@
 	case roleProbe:
 		expired = age > m.bootstrap.ProbeTimeout
 	case rolePeer:
-		expired = !session.welcomed && age > m.bootstrap.HandshakeTimeout
+		expired = !session.established && age > m.bootstrap.HandshakeTimeout
 	}
 	if expired {
 		step.effects.Abort(session.conn)
