--- a/internal/coordinator/acknowledgements_test.go
+++ b/internal/coordinator/acknowledgements_test.go
@@ -6,7 +6,7 @@
 	"gingerfork/internal/proto"
 )
 
-// An acknowledgement of a nonce of an earlier stream, or of one that was never sent, is ignored.
+// An acknowledgement of a nonce that was sent on an earlier stream, or never sent, or acknowledged before, is ignored.
 func TestStaleAndUnknownAcknowledgementsAreIgnored(t *testing.T) {
 	harness := newHarness(t, nil, nil)
 	harness.serveEndpoints(4)
@@ -19,15 +19,15 @@
 	nonce := harness.pushes(2)[0].Nonce
 	harness.step(0.01, data(2, proto.Acknowledgement{Nonce: staleNonce}, proto.Acknowledgement{Nonce: 4711}))
 	if stats := harness.machine.Stats(); stats.StaleAcknowledgements != 2 || harness.closed[2] {
-		t.Fatalf("%+v", stats)
+		t.Fatalf("want 2 stale acknowledgements and an open stream, got %+v, closed: %v", stats, harness.closed[2])
 	}
 	harness.step(0.01, data(2, proto.Acknowledgement{Nonce: nonce}, proto.Acknowledgement{Nonce: nonce}))
 	if stats := harness.machine.Stats(); stats.StaleAcknowledgements != 3 || harness.closed[2] {
-		t.Fatalf("an acknowledgement counted twice: %+v", stats)
+		t.Fatalf("want 3 stale acknowledgements and an open stream, got %+v, closed: %v", stats, harness.closed[2])
 	}
 }
 
-// An acknowledgement covers the earlier pushes of its stream, and none of the later ones.
+// An acknowledgement covers the earlier pushes of its stream, but no later ones.
 func TestAcknowledgementCoversEarlierPushes(t *testing.T) {
 	harness := newHarness(t, nil, nil)
 	c := harness.machine.controller
@@ -36,10 +36,10 @@
 	stream.inFlight = []inFlightPush{{wireNonce: 7}, {wireNonce: 8}, {wireNonce: 9}}
 	c.acknowledge(harness.now, stream, 8)
 	if len(stream.inFlight) != 1 || stream.inFlight[0].wireNonce != 9 {
-		t.Fatalf("in flight: %+v", stream.inFlight)
+		t.Fatalf("want only nonce 9 in flight, got %+v", stream.inFlight)
 	}
 	c.acknowledge(harness.now, stream, 7)
 	if stats := harness.machine.Stats(); stats.StaleAcknowledgements != 1 {
-		t.Fatalf("%+v", stats)
+		t.Fatalf("want 1 stale acknowledgement, got %+v", stats)
 	}
 }
--- a/internal/coordinator/bench_test.go
+++ b/internal/coordinator/bench_test.go
@@ -9,14 +9,15 @@
 	"gingerfork/internal/proto"
 )
 
-// fleetSize is how many backends and proxies a benchmark has.
+// fleetSize is the number of backends and of proxies in a benchmark.
 type fleetSize struct{ backends, proxies int }
 
 func (s fleetSize) String() string { return fmt.Sprintf("%dx%d", s.backends, s.proxies) }
 
 var fleetSizes = []fleetSize{{100, 300}, {300, 800}, {600, 2000}}
 
-// newFleet returns a controller with backends and joined proxies that acknowledged all pushes, and the time.
+// newFleet returns a controller with the given numbers of backends and of proxies, which have joined and acknowledged all
+// pushes, and the time of its next step.
 func newFleet(tb testing.TB, size fleetSize) (controller *controller, now float64) {
 	tb.Helper()
 	now = 1000
@@ -33,7 +34,8 @@
 	return controller, now + 1
 }
 
-// acknowledgePushes acknowledges all pushes of a step and returns their size, in operations with their entries and in bytes.
+// acknowledgePushes acknowledges all pushes of a step and returns their total size: entries is the number of operations,
+// table entries and admissions, and bytes is the size of the frames.
 func acknowledgePushes(tb testing.TB, controller *controller, now float64, result stepResult) (entries, bytes int) {
 	tb.Helper()
 	var events []event
@@ -49,7 +51,8 @@
 	return entries, bytes
 }
 
-// BenchmarkOneBackendChanges drains a backend and takes it back: the size of the pushes, beside full tables to all proxies.
+// BenchmarkOneBackendChanges drains one backend and opens it again. It compares the size of the pushes with that of pushing
+// the full tables to all proxies.
 func BenchmarkOneBackendChanges(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(size.String(), func(b *testing.B) {
@@ -85,30 +88,30 @@
 	}
 }
 
-// BenchmarkQuietStep takes steps without events, and measures the decision module's share: the same steps of an equal fleet
-// without the controller.
+// BenchmarkQuietStep measures steps without events. It also reports the share of the decision module in percent, measured by
+// the same steps of the module alone for a fleet of the same size.
 func BenchmarkQuietStep(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(size.String(), func(b *testing.B) {
-			full, now := newFleet(b, size)
-			alone, _ := newFleet(b, size)
-			begin := time.Now()
+			withController, now := newFleet(b, size)
+			moduleOnly, _ := newFleet(b, size)
+			startedAt := time.Now()
 			for i := range b.N {
-				alone.planner.Step(now+0.25*float64(i+1), nil)
+				moduleOnly.planner.Step(now+0.25*float64(i+1), nil)
 			}
-			module := time.Since(begin)
+			moduleTime := time.Since(startedAt)
 			b.ResetTimer()
 			for i := range b.N {
-				full.timerAt = now + 0.25*float64(i+1)
-				mustHandle(b, full, full.timerAt)
+				withController.timerAt = now + 0.25*float64(i+1)
+				mustHandle(b, withController, withController.timerAt)
 			}
-			b.ReportMetric(100*float64(module)/float64(b.Elapsed()), "module-%")
+			b.ReportMetric(100*float64(moduleTime)/float64(b.Elapsed()), "module-%")
 		})
 	}
 }
 
-// BenchmarkManyJoins joins six proxies in each step of 4 ms, as when the other coordinators have crashed. The time per join must
-// follow the size of the proxy's arc and not the number of proxies that joined before it.
+// BenchmarkManyJoins joins six proxies in each step of 4 ms, as when the other coordinators have crashed. The time per join
+// must depend on the size of the proxy's arc and not on the number of proxies that joined before.
 func BenchmarkManyJoins(b *testing.B) {
 	for _, backends := range []int{200, 600} {
 		for _, proxies := range []int{300, 1000, 2600} {
@@ -126,6 +129,7 @@
 	}
 }
 
+// joinInSteps joins proxies, a few in each step, and acknowledges the pushes of each step.
 func joinInSteps(b *testing.B, controller *controller, now float64, proxies int) {
 	b.Helper()
 	const joinsPerStep, stepSeconds = 6, 0.004
--- a/internal/coordinator/endpoints_test.go
+++ b/internal/coordinator/endpoints_test.go
@@ -10,12 +10,14 @@
 	"gingerfork/internal/statemachine"
 )
 
-// invalidLists are frames that do not fit a list of three backends at version 1, by what is wrong with them.
+// invalidLists are frames that are invalid for a list of backends 1 to 3 at version 1, by their defect.
 var invalidLists = map[string]proto.EndpointUpdate{
 	"duplicate backend": {Kind: proto.UpdateFull, Version: 9, Endpoints: []proto.Endpoint{
 		listEntry(7, proto.BackendOpen), listEntry(7, proto.BackendOpen),
 	}},
-	"version gap": {Kind: proto.UpdateDelta, BaseVersion: 7, Version: 8, Endpoints: []proto.Endpoint{listEntry(7, proto.BackendOpen)}},
+	"version gap": {
+		Kind: proto.UpdateDelta, BaseVersion: 7, Version: 8, Endpoints: []proto.Endpoint{listEntry(7, proto.BackendOpen)},
+	},
 	"removed in a full list": {
 		Kind: proto.UpdateFull, Version: 9, Endpoints: []proto.Endpoint{listEntry(7, proto.BackendGone)},
 	},
@@ -25,7 +27,7 @@
 	}},
 }
 
-// An invalid frame is rejected whole; the list stays as it was and is requested again.
+// An invalid frame is rejected as a whole: the list stays as it was, the session ends and the list is requested again.
 func TestInvalidEndpointListsAreRejectedWhole(t *testing.T) {
 	for name, list := range invalidLists {
 		harness := newHarness(t, nil, nil)
@@ -35,15 +37,16 @@
 		harness.step(0.01, data(conn, list))
 		endpoints := harness.machine.controller.endpoints
 		if !harness.closed[conn] || len(endpoints.backends) != 3 || endpoints.version != 1 {
-			t.Errorf("%s: applied in part", name)
+			t.Errorf("%s: connection closed: %v, %d backends at version %d, want a closed connection and 3 backends at version 1",
+				name, harness.closed[conn], len(endpoints.backends), endpoints.version)
 		}
 		if harness.advance(3); harness.endpointConn == 0 {
-			t.Errorf("%s: the endpoint list service is not dialed again", name)
+			t.Errorf("%s: the endpoint list service was not dialed again", name)
 		}
 	}
 }
 
-// A version that is delivered again changes nothing.
+// A frame with a version that was received before changes nothing.
 func TestRepeatedEndpointListVersionIsIgnored(t *testing.T) {
 	harness := newHarness(t, nil, nil)
 	harness.serveEndpoints(3)
@@ -53,10 +56,11 @@
 		}))
 	}
 	if harness.closed[harness.endpointConn] || harness.machine.controller.endpoints.backends[1].Entry.State != choice.BackendOpen {
-		t.Error("a version that was delivered twice was applied twice")
+		t.Error("a version that was received before was applied or rejected")
 	}
 }
 
+// An invalid frame is rejected with an error that states its defect.
 func TestEndpointListErrors(t *testing.T) {
 	for name, want := range map[string]listDefect{
 		"duplicate backend": duplicateBackend, "removed in a full list": removedInFullList, "no address": missingAddress,
@@ -80,7 +84,8 @@
 	}
 }
 
-// The endpoint list service fails during a restart: the cached list serves at once, and the service is dialed until it answers.
+// If the endpoint list service is down during a restart, proxies are served from the cached list at once, and the service is
+// dialed again and again.
 func TestRestartServesCachedListWhileListServiceFails(t *testing.T) {
 	harness := newHarness(t, nil, &checkpoint.State{})
 	harness.serveEndpoints(5)
@@ -88,7 +93,7 @@
 	harness.join(1, "f0")
 	harness.advance(0.1)
 	if pushes := harness.pushes(1); len(pushes) != 1 || len(routableBackends(pushes)) < 3 {
-		t.Fatalf("a proxy is not served from the cached list: %+v", pushes)
+		t.Fatalf("want one push with at least 3 backends of the cached list, got %+v", pushes)
 	}
 	dials := 0
 	for range 6 {
@@ -101,6 +106,6 @@
 		harness.step(0, data(1, proto.Reports{Span: 1}))
 	}
 	if dials < 3 {
-		t.Fatalf("dialed %d times in 18 s", dials)
+		t.Fatalf("dialed %d times in 18 s, want at least 3", dials)
 	}
 }
--- a/internal/coordinator/errors_test.go
+++ b/internal/coordinator/errors_test.go
@@ -7,7 +7,8 @@
 	"gingerfork/internal/proto"
 )
 
-// The texts of rejections are on the wire: neither they nor the message names in them may follow a rename in the code.
+// The texts of rejections are sent on the wire. Neither they nor the message names in them may change, even if identifiers in
+// the code are renamed.
 func TestRejectionTexts(t *testing.T) {
 	for _, test := range []struct {
 		err  error
@@ -32,15 +33,17 @@
 		}
 	}
 	if !errors.Is(unexpectedMessage(proto.Push{}), errUnexpectedMessage) {
-		t.Error("the sentinel is not wrapped")
+		t.Error("the error for an unexpected message does not wrap errUnexpectedMessage")
 	}
 }
 
+// The names of messages on the wire must not change, even if their types are renamed.
 func TestMessageNames(t *testing.T) {
 	for want, message := range map[string]proto.Message{
 		"proto.Hello": proto.Hello{}, "proto.Welcome": proto.Welcome{}, "proto.Refuse": proto.Reject{},
-		"proto.Push": proto.Push{}, "proto.Answer": proto.Acknowledgement{}, "proto.Sums": proto.Reports{}, "proto.Heard": proto.ReportsReceived{},
-		"proto.Watch": proto.WatchEndpoints{}, "proto.Fetch": proto.FetchEndpoints{}, "proto.List": proto.EndpointUpdate{}, "proto.RPC": proto.RPC{},
+		"proto.Push": proto.Push{}, "proto.Answer": proto.Acknowledgement{}, "proto.Sums": proto.Reports{},
+		"proto.Heard": proto.ReportsReceived{}, "proto.Watch": proto.WatchEndpoints{},
+		"proto.Fetch": proto.FetchEndpoints{}, "proto.List": proto.EndpointUpdate{}, "proto.RPC": proto.RPC{},
 		"proto.Reply": proto.Reply{}, "proto.Probe": proto.Probe{}, "proto.ProbeReply": proto.ProbeReply{},
 		"proto.PeerNote": proto.PeerMessage{},
 	} {
--- a/internal/coordinator/harness_test.go
+++ b/internal/coordinator/harness_test.go
@@ -13,9 +13,10 @@
 	"gingerfork/internal/statemachine"
 )
 
+// endpointListAddr is the address of the endpoint list service.
 const endpointListAddr = "list"
 
-// testSettings are the settings of most tests, with some of them replaced.
+// testSettings returns the default settings of the tests, with some of them overridden.
 func testSettings(overrides map[string]any) choice.Settings {
 	settings := map[string]any{
 		"listing": "asked", "ask_within": 10.0, "cold_share": 0.3, "warm_after": 10.0, "drain_grace": 2.0, "fall_multiple": 2.5,
@@ -30,24 +31,26 @@
 	return choice.DecodeSettings(settings)
 }
 
-// harness steps a Machine by hand. It acts as the endpoint list service, as a store and as any number of proxies.
+// harness drives a Machine step by step in virtual time. It acts as the endpoint list service, as the store and as any number
+// of proxies.
 type harness struct {
 	t               *testing.T
 	machine         *Machine
 	now             float64
 	effects         statemachine.Effects
-	endpointConn    statemachine.Conn // that the machine dialed last to the endpoint list service
-	probes          map[statemachine.Conn]string
+	endpointConn    statemachine.Conn            // last connection that the machine dialed to the endpoint list service
+	probes          map[statemachine.Conn]string // addresses that were dialed for probes
 	readers         map[statemachine.Conn]*proto.Reader
-	received        map[statemachine.Conn][]proto.Message
-	closed          map[statemachine.Conn]bool
-	listVersion     uint64            // of the endpoint list
-	records         map[string][]byte // what the store holds
-	unreportedBatch uint64            // that was not reported to the machine as durable yet
-	storeHangs      bool
-	logs            []string
+	received        map[statemachine.Conn][]proto.Message // sent by the machine and not removed by pushes
+	closed          map[statemachine.Conn]bool            // closed or aborted by the machine
+	listVersion     uint64                                // version of the endpoint list that was sent last
+	records         map[string][]byte                     // content of the store
+	unreportedBatch uint64                                // last batch if it was not reported to the machine as durable yet; 0 if none
+	storeHangs      bool                                  // batches are not reported as durable
+	logs            []string                              // messages with their attributes
 }
 
+// newHarness returns a harness with a new machine that continues from saved state, which may be nil.
 func newHarness(t *testing.T, overrides map[string]any, saved *checkpoint.State) *harness {
 	t.Helper()
 	created := &harness{
@@ -74,7 +77,7 @@
 	return created
 }
 
-// step lets time pass, then hands inputs to the machine and records its effects.
+// step lets time pass, in seconds, then passes inputs to the machine and records its effects.
 func (h *harness) step(after float64, inputs ...statemachine.Input) {
 	h.t.Helper()
 	h.now += after
@@ -96,6 +99,7 @@
 	}
 }
 
+// recordMutations applies the mutations of a step to the store.
 func (h *harness) recordMutations() {
 	for _, mutation := range h.effects.Mutations {
 		if mutation.Value == nil {
@@ -110,6 +114,7 @@
 	}
 }
 
+// recordAction records one action of a step on a connection.
 func (h *harness) recordAction(action statemachine.Action) {
 	h.t.Helper()
 	switch action.Kind {
@@ -126,6 +131,7 @@
 	}
 }
 
+// recordWrite decodes and records the messages that the machine sent.
 func (h *harness) recordWrite(conn statemachine.Conn, data []byte) {
 	h.t.Helper()
 	reader := h.readers[conn]
@@ -147,7 +153,7 @@
 	}
 }
 
-// advance steps until a time has passed, whenever the machine asks for it.
+// advance lets a time in seconds pass, and takes a step whenever the machine requests one.
 func (h *harness) advance(span float64) {
 	h.t.Helper()
 	for end := h.now + span; h.now < end; {
@@ -155,7 +161,7 @@
 	}
 }
 
-// restartState is what a restart finds in the store.
+// restartState returns the state that a restart decodes from the store.
 func (h *harness) restartState() *checkpoint.State {
 	h.t.Helper()
 	saved, err := checkpoint.Decode(maps.All(h.records))
@@ -165,7 +171,7 @@
 	return saved
 }
 
-// serveEndpoints accepts the connection to the endpoint list service and sends a full list of so many backends.
+// serveEndpoints accepts the connection to the endpoint list service and sends a full list with count backends.
 func (h *harness) serveEndpoints(count int) {
 	h.t.Helper()
 	h.advance(0.5)
@@ -184,24 +190,28 @@
 	h.step(0.01, h.endpointChanges(entries...))
 }
 
-// endpointChanges is the next version of the endpoint list.
+// endpointChanges returns the frame with the next version of the endpoint list, as an input.
 func (h *harness) endpointChanges(entries ...proto.Endpoint) statemachine.Input {
 	h.listVersion++
-	changes := proto.EndpointUpdate{Kind: proto.UpdateDelta, BaseVersion: h.listVersion - 1, Version: h.listVersion, Endpoints: entries}
-	return data(h.endpointConn, changes)
+	return data(h.endpointConn, proto.EndpointUpdate{
+		Kind: proto.UpdateDelta, BaseVersion: h.listVersion - 1, Version: h.listVersion, Endpoints: entries,
+	})
 }
 
-// endpointKeepalive confirms the current version of the endpoint list.
+// endpointKeepalive returns the frame that confirms the current version of the endpoint list, as an input.
 func (h *harness) endpointKeepalive() statemachine.Input {
-	return data(h.endpointConn, proto.EndpointUpdate{Kind: proto.UpdateDelta, BaseVersion: h.listVersion, Version: h.listVersion})
+	return data(h.endpointConn, proto.EndpointUpdate{
+		Kind: proto.UpdateDelta, BaseVersion: h.listVersion, Version: h.listVersion,
+	})
 }
 
+// join opens a connection on which a proxy joins.
 func (h *harness) join(conn statemachine.Conn, name string) {
 	h.t.Helper()
 	h.step(0.01, opened(conn), data(conn, hello(name)))
 }
 
-// joinMany lets proxies join on the connections from 1 on, all in one step.
+// joinMany lets proxies join on the connections 1 to count, all in one step.
 func (h *harness) joinMany(count int) {
 	h.t.Helper()
 	var inputs []statemachine.Input
@@ -212,7 +222,7 @@
 	h.step(0.01, inputs...)
 }
 
-// pushes removes and returns the pushes that a connection received. It removes all other messages, too.
+// pushes returns the pushes that were received on a connection, and removes all messages that were received on it.
 func (h *harness) pushes(conn statemachine.Conn) []proto.Push {
 	var pushes []proto.Push
 	for _, message := range h.received[conn] {
@@ -224,7 +234,7 @@
 	return pushes
 }
 
-// acknowledgeFirst acknowledges the one push that each connection must have received.
+// acknowledgeFirst acknowledges, after a time in seconds, the first push that was received on each of the connections.
 func (h *harness) acknowledgeFirst(after float64, conns ...statemachine.Conn) {
 	h.t.Helper()
 	var inputs []statemachine.Input
@@ -238,24 +248,27 @@
 	h.step(after, inputs...)
 }
 
-// rejectionReason is the reason with which a connection was closed; empty if it was not.
+// rejectionReason returns the reason for which a connection was rejected, or an empty text if it was not.
 func (h *harness) rejectionReason(conn statemachine.Conn) string {
 	for _, message := range h.received[conn] {
-		if refusal, ok := message.(proto.Reject); ok && h.closed[conn] {
-			return refusal.Reason
+		if rejected, ok := message.(proto.Reject); ok && h.closed[conn] {
+			return rejected.Reason
 		}
 	}
 	return ""
 }
 
+// logged returns whether any log line matches a text, as compared by a function such as strings.Contains.
 func (h *harness) logged(match func(string, string) bool, text string) bool {
 	return slices.ContainsFunc(h.logs, func(line string) bool { return match(line, text) })
 }
 
+// data returns the input for messages that are received on a connection.
 func data(conn statemachine.Conn, messages ...proto.Message) statemachine.Input {
 	return statemachine.Input{Kind: statemachine.ConnData, Conn: conn, Data: frames(messages...)}
 }
 
+// frames returns the encoded messages.
 func frames(messages ...proto.Message) []byte {
 	var encoded []byte
 	for _, message := range messages {
@@ -264,25 +277,30 @@
 	return encoded
 }
 
+// opened returns the input for a connection that was opened.
 func opened(conn statemachine.Conn) statemachine.Input {
 	return statemachine.Input{Kind: statemachine.ConnOpened, Conn: conn}
 }
 
+// closed returns the input for a connection that the other side closed.
 func closed(conn statemachine.Conn) statemachine.Input {
 	return statemachine.Input{Kind: statemachine.ConnClosed, Conn: conn}
 }
 
+// hello returns the hello of a proxy.
 func hello(name string) proto.Hello {
 	return proto.Hello{Version: proto.Version, Role: proto.RoleProxy, Name: name, Zone: "a", Rate: 10, Fresh: true}
 }
 
+// listEntry returns an entry of the endpoint list.
 func listEntry(backend int, state proto.BackendState) proto.Endpoint {
 	return proto.Endpoint{
-		Backend: proto.BackendID(backend), State: state, Zone: "a", Weight: 1, StartedLongAgo: true, Incarnation: 1, Addr: fmt.Sprintf("s%d", backend),
+		Backend: proto.BackendID(backend), State: state, Zone: "a", Weight: 1, StartedLongAgo: true, Incarnation: 1,
+		Addr: fmt.Sprintf("s%d", backend),
 	}
 }
 
-// fullList is a list of the backends from 1 on.
+// fullList returns a full list of the backends 1 to count.
 func fullList(version uint64, count int) proto.EndpointUpdate {
 	list := proto.EndpointUpdate{Kind: proto.UpdateFull, Version: version}
 	for i := range count {
@@ -291,7 +309,7 @@
 	return list
 }
 
-// hasOp reports whether pushes have an operation for a backend; backend 0 stands for any.
+// hasOp returns whether pushes have an operation of a kind for a backend. Backend 0 matches any operation of the kind.
 func hasOp(pushes []proto.Push, kind proto.OpKind, backend proto.BackendID) bool {
 	matches := func(op proto.TableOp) bool {
 		if op.Kind != kind {
@@ -302,7 +320,8 @@
 	return slices.ContainsFunc(pushes, func(push proto.Push) bool { return slices.ContainsFunc(push.Ops, matches) })
 }
 
-// routableBackends are the backends that a proxy may send to after its pushes.
+// routableBackends returns the backends to which a proxy may send requests after it has applied the pushes. The value is true
+// for these, and may be false for others.
 func routableBackends(pushes []proto.Push) map[proto.BackendID]bool {
 	weighted, excluded := map[proto.BackendID]bool{}, map[proto.BackendID]bool{}
 	for _, push := range pushes {
@@ -311,8 +330,8 @@
 				clear(weighted)
 				clear(excluded)
 			}
-			for _, line := range op.Entries {
-				weighted[line.Backend], excluded[line.Backend] = line.Weight > 0, line.Excluded
+			for _, entry := range op.Entries {
+				weighted[entry.Backend], excluded[entry.Backend] = entry.Weight > 0, entry.Excluded
 			}
 			for _, backend := range op.Backends {
 				excluded[backend] = op.Kind != proto.OpRestore
@@ -325,7 +344,7 @@
 	return weighted
 }
 
-// mustHandle lets a controller take a step that must not fail.
+// mustHandle lets a controller handle events and fails the test if that returns an error.
 func mustHandle(tb testing.TB, c *controller, now float64, events ...event) stepResult {
 	tb.Helper()
 	result, err := c.handle(now, events)
@@ -335,6 +354,7 @@
 	return result
 }
 
+// mustContain fails the test if got does not contain want.
 func mustContain(t *testing.T, got, want string) {
 	t.Helper()
 	if !strings.Contains(got, want) {
--- a/internal/coordinator/log.go
+++ b/internal/coordinator/log.go
@@ -7,7 +7,8 @@
 	logError   = 3
 )
 
-// maxRejectionReasons bounds the number of reasons in a rejectionLog, because reasons contain text from other processes.
+// maxRejectionReasons bounds the number of reasons in a rejectionLog, and so its memory, because reasons contain text from
+// other processes.
 const maxRejectionReasons = 1000
 
 // rejectionLog counts rejections by reason, to limit the number of log messages: the first rejection for a reason is logged,
--- a/internal/coordinator/machine_test.go
+++ b/internal/coordinator/machine_test.go
@@ -8,7 +8,7 @@
 	"gingerfork/internal/statemachine"
 )
 
-// A panic of the decision module ends the instance with its text, and nothing of the step is carried out.
+// A panic of the decision module is a failure with the panic's text, and no action of the step is carried out.
 func TestModulePanicDiscardsStep(t *testing.T) {
 	harness := newHarness(t, nil, nil)
 	harness.serveEndpoints(3)
@@ -18,20 +18,22 @@
 	harness.effects.Reset()
 	harness.machine.Step(harness.now, []statemachine.Input{opened(2), data(2, hello("f1"))}, &harness.effects)
 	if !strings.Contains(harness.effects.Failure, "the decision module failed") || len(harness.effects.Actions) > 0 {
-		t.Fatalf("%q, %d actions", harness.effects.Failure, len(harness.effects.Actions))
+		t.Fatalf("want a failure and no actions, got failure %q and %d actions",
+			harness.effects.Failure, len(harness.effects.Actions))
 	}
 }
 
-// A command that is not known ends the instance, too.
+// A command of an unknown type is a failure of the decision module, too.
 func TestUnknownCommandIsAModuleFailure(t *testing.T) {
 	harness := newHarness(t, nil, nil)
 	err := harness.machine.controller.execute(nil)
 	if err == nil || !strings.Contains(failureText(err), "the decision module failed") {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want a failure of the decision module", err)
 	}
 }
 
-// Other settings come into force with a new instance of the decision module; proxies join again, and nothing else is lost.
+// A reload replaces the settings: proxies are rejected, are welcomed with the new settings when they join again, and are served
+// from the endpoint list that the coordinator had before.
 func TestReload(t *testing.T) {
 	harness := newHarness(t, nil, nil)
 	harness.serveEndpoints(4)
@@ -50,6 +52,6 @@
 		t.Fatalf("want a welcome with the new report period, got %+v", harness.received[2][0])
 	}
 	if pushes := harness.pushes(2); len(pushes) != 1 || len(routableBackends(pushes)) < 3 {
-		t.Fatalf("the proxy is not served: %+v", pushes)
+		t.Fatalf("want one push with at least 3 backends, got %+v", pushes)
 	}
 }
--- a/internal/coordinator/module.go
+++ b/internal/coordinator/module.go
@@ -17,8 +17,8 @@
 
 func (f *moduleFailure) Error() string { return fmt.Sprintf("the decision module failed: %v", f.cause) }
 
-// stepModuleIfDue lets the decision module take a step if its timer fired, or if events are pending and its last step was long
-// enough ago.
+// stepModuleIfDue lets the decision module take a step if its timer fired, or if events are pending and its last step was
+// long enough ago.
 func (c *controller) stepModuleIfDue(now choice.Seconds) error {
 	timerFired := now >= c.timerAt
 	eventsDue := len(c.pendingEvents) > 0 && now >= c.lastStepAt+c.stepInterval
--- a/internal/coordinator/peers_test.go
+++ b/internal/coordinator/peers_test.go
@@ -8,7 +8,8 @@
 	"gingerfork/internal/proto"
 )
 
-// Peer messages get through up to their size limit; what cannot be sent at once is lost without harm.
+// A message up to the size limit is sent to a peer with a session. A message to a peer without one makes the coordinator dial
+// the peer, and is lost without an error, like a message over the size limit.
 func TestPeerMessages(t *testing.T) {
 	const text = "\xff\x00!"
 	harness := newHarness(t, map[string]any{"coordinators": 2.0, "self": 0.0}, nil)
@@ -21,7 +22,7 @@
 	}
 	send("lost")
 	if len(harness.effects.Actions) != 1 || harness.effects.Actions[0].Addr != "peer" {
-		t.Fatalf("%+v", harness.effects.Actions)
+		t.Fatalf("want only a dial of the peer, got %+v", harness.effects.Actions)
 	}
 	dialed := harness.effects.Actions[0].Conn
 	send("lost too")
@@ -31,15 +32,15 @@
 		t.Fatalf("a message over the size limit was sent: %+v", harness.effects.Actions)
 	}
 	if send(text); len(harness.effects.Actions) != 1 {
-		t.Fatalf("%+v", harness.effects.Actions)
+		t.Fatalf("want only a message to the peer, got %+v", harness.effects.Actions)
 	}
 	peerHello := proto.Hello{Version: 1, Role: proto.RolePeer, Name: "c1", Zone: "b"}
 	harness.step(0.01, opened(7), data(7, peerHello, proto.PeerMessage{From: 1, Data: text}))
 	if harness.closed[7] || harness.machine.sessions[7].role != rolePeer {
-		t.Fatal("a peer was not accepted")
+		t.Fatal("the peer's connection was not accepted")
 	}
 	harness.step(0.01, closed(dialed))
 	if len(harness.machine.peerSessions) != 0 {
-		t.Fatal("the session of a peer that has gone is kept")
+		t.Fatal("the session of a peer that disconnected was not removed")
 	}
 }
--- a/internal/coordinator/persistence_test.go
+++ b/internal/coordinator/persistence_test.go
@@ -10,8 +10,8 @@
 	"gingerfork/internal/statemachine"
 )
 
-// An exclusion is sent at once, whatever the store does. Its acknowledgement counts once the exclusion is durable, or once
-// that has taken too long; while the store is unavailable nothing waits.
+// An exclusion is sent at once, whatever the state of the store. Its acknowledgement counts once the exclusion is durable or
+// the wait for that has timed out. It counts at once while the store is unavailable.
 func TestExclusionDoesNotWaitForStore(t *testing.T) {
 	harness := newHarness(t, nil, &checkpoint.State{})
 	harness.serveEndpoints(6)
@@ -28,14 +28,14 @@
 		harness.advance(0.02)
 		pushes := harness.pushes(1)
 		if !hasOp(pushes, proto.OpExclude, proto.BackendID(i+1)) {
-			t.Fatalf("%s: the exclusion waited: %+v", store, pushes)
+			t.Fatalf("%s: the exclusion was not sent at once: %+v", store, pushes)
 		}
 		for _, push := range pushes {
 			harness.step(0.001, data(1, proto.Acknowledgement{Nonce: push.Nonce}))
 		}
 		harness.advance(0.1)
 		if counts := harness.acknowledgementsCount(); counts != (store == "unavailable") {
-			t.Errorf("%s: the acknowledgement counts: %v", store, counts)
+			t.Errorf("%s: the acknowledgement counts after 0.1 s: %v", store, counts)
 		}
 		switch store {
 		case "durable":
@@ -51,16 +51,16 @@
 		harness.advance(0.1)
 	}
 	if !harness.logged(strings.Contains, "store unavailable") || !harness.logged(strings.Contains, "store recovered") {
-		t.Errorf("%q", harness.logs)
+		t.Errorf("the failure or the recovery of the store was not logged: %q", harness.logs)
 	}
 }
 
-// acknowledgementsCount reports whether no acknowledgement is held back from the decision module.
+// acknowledgementsCount returns whether all acknowledgements count, so that none is held back from the decision module.
 func (h *harness) acknowledgementsCount() bool {
 	return len(h.machine.controller.heldAcknowledgements) == 0
 }
 
-// advanceWithinSteps advances and checks how many steps the decision module took.
+// advanceWithinSteps advances and checks that the decision module took at most maxSteps steps.
 func (h *harness) advanceWithinSteps(span float64, maxSteps int) {
 	h.t.Helper()
 	before := h.machine.Stats().Steps
@@ -70,7 +70,7 @@
 	}
 }
 
-// No push with a nonce is sent before the first range of nonces is durable; a store that hangs delays it by half a second.
+// No push is sent before the first reservation of nonces is durable. A store that hangs delays pushes by half a second.
 func TestNoncesAreReservedBeforePushes(t *testing.T) {
 	const firstNonce = 500
 	for _, hangs := range []bool{false, true} {
@@ -90,13 +90,13 @@
 			harness.advance(0.01)
 		}
 		if pushes := harness.pushes(1); len(pushes) != 1 || pushes[0].Nonce < firstNonce {
-			t.Errorf("store hangs: %v: %+v", hangs, pushes)
+			t.Errorf("store hangs: %v: want one push with nonce %d or higher, got %+v", hangs, firstNonce, pushes)
 		}
 	}
 }
 
-// All backends left the list and the coordinator crashed. A proxy that comes back with its former tables learns which
-// backends are excluded, though there is no table for it.
+// All backends left the endpoint list before the coordinator crashed, so that the new instance has no table. A proxy that
+// joins again with its former tables must still be told which backends are excluded.
 func TestDrainsSurviveRestartWithoutTable(t *testing.T) {
 	harness := newHarness(t, nil, &checkpoint.State{})
 	harness.serveEndpoints(2)
@@ -114,6 +114,6 @@
 		return slices.ContainsFunc(push.Ops, func(op proto.TableOp) bool { return op.Kind == proto.OpBind })
 	})
 	if !bound && (!hasOp(pushes, proto.OpExclude, 1) || !hasOp(pushes, proto.OpExclude, 2)) {
-		t.Fatalf("bound %v: %+v", bound, pushes)
+		t.Fatalf("the proxy received neither a table nor the exclusions of both backends: %+v", pushes)
 	}
 }
