--- a/internal/coordinator/machine_test.go
+++ b/internal/coordinator/machine_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// A reload replaces the settings: proxies are rejected, are welcomed with the new settings when they join again, and are served
-// from the endpoint list that the coordinator had before.
+// A reload replaces the settings: proxies are rejected, are welcomed with the new settings when they join again, and are
+// served from the endpoint list that the coordinator had before.
 func TestReload(t *testing.T) {
 	harness := newHarness(t, nil, nil)
 	harness.serveEndpoints(4)
--- a/internal/coordinator/proxies_test.go
+++ b/internal/coordinator/proxies_test.go
@@ -8,7 +8,7 @@
 	"gingerfork/internal/statemachine"
 )
 
-// A proxy that joins on two streams at the same time is served on the newer one only.
+// A proxy that joins on two streams at the same time is served only on the newer one.
 func TestSecondStreamOfAProxyReplacesTheFirst(t *testing.T) {
 	harness := newHarness(t, nil, nil)
 	harness.serveEndpoints(4)
@@ -16,17 +16,18 @@
 	harness.advance(0.2)
 	mustContain(t, harness.rejectionReason(1), "joined again")
 	if pushes := harness.pushes(2); len(pushes) != 1 || harness.closed[2] {
-		t.Fatalf("the newer stream: %+v", pushes)
+		t.Fatalf("want one push on the newer stream, which stays open, got %+v", pushes)
 	}
-	harness.step(0.1, closed(1)) // the older stream's end comes late, and must not end the newer one
+	harness.step(0.1, closed(1)) // a late close of the older stream must not end the newer one
 	harness.updateEndpoints(listEntry(1, proto.BackendDraining), listEntry(2, proto.BackendDraining))
 	harness.advance(0.2)
 	if !hasOp(harness.pushes(2), proto.OpExclude, 0) {
-		t.Fatal("the newer stream is not served")
+		t.Fatal("the newer stream was not sent an exclusion")
 	}
 }
 
-// A proxy's number goes to another proxy, but only once the decision module has forgotten the first one.
+// The number of a proxy that left long ago is assigned to another proxy. Otherwise the numbers, tables and names of proxies
+// that join and leave one after another would accumulate.
 func TestProxyNumbersAreReused(t *testing.T) {
 	harness := newHarness(t, nil, nil)
 	harness.serveEndpoints(3)
@@ -39,6 +40,7 @@
 	c := harness.machine.controller
 	numbers, tables, names := len(c.streamsByNumber), c.distributor.TableCount(), len(c.proxies)
 	if numbers > 20 || tables > 20 || names > 20 {
-		t.Fatalf("%d numbers, %d tables and %d names for proxies that came one by one", numbers, tables, names)
+		t.Fatalf("%d numbers, %d tables and %d names after 200 proxies joined and left one by one, want at most 20 of each",
+			numbers, tables, names)
 	}
 }
--- a/internal/coordinator/push_test.go
+++ b/internal/coordinator/push_test.go
@@ -9,7 +9,8 @@
 	"gingerfork/internal/statemachine"
 )
 
-// A proxy joins, receives its full table and acknowledges it; then a drain excludes a backend from it.
+// A proxy joins, receives its full table and acknowledges it. Then a backend of the table drains, and the proxy is sent its
+// exclusion.
 func TestDrainExcludesBackend(t *testing.T) {
 	harness := newHarness(t, nil, nil)
 	harness.serveEndpoints(4)
@@ -31,14 +32,14 @@
 		t.Fatalf("backend %d was not excluded: %+v", backend, pushes)
 	}
 	if !harness.logged(strings.HasPrefix, fmt.Sprintf("backend excluded[backend %d nonce 2", backend)) {
-		t.Errorf("the exclusion is not in the log: %q", harness.logs)
+		t.Errorf("the exclusion was not logged: %q", harness.logs)
 	}
 	if stats := harness.machine.Stats(); stats.Joins != 1 || stats.StaleAcknowledgements != 0 || stats.Pushes != 2 {
-		t.Errorf("%+v", stats)
+		t.Errorf("want 1 join, 2 pushes and no stale acknowledgement, got %+v", stats)
 	}
 }
 
-// A proxy that never acknowledges gets its full table again, and no other push before that.
+// A proxy that does not acknowledge a push is sent its full table again, and no other push before that.
 func TestUnacknowledgedPushIsFollowedByFullTable(t *testing.T) {
 	harness := newHarness(t, nil, nil)
 	harness.serveEndpoints(4)
@@ -48,7 +49,7 @@
 	harness.updateEndpoints(listEntry(9, proto.BackendOpen))
 	harness.step(0.05)
 	if first != 1 || len(harness.pushes(1)) != 0 {
-		t.Fatal("a second push was sent with one in flight")
+		t.Fatal("want one push and no second one while it is in flight")
 	}
 	for i := range 12 {
 		harness.advance(0.5)
@@ -58,13 +59,14 @@
 			return
 		}
 		if len(pushes) > 0 {
-			t.Fatalf("%d: a push without a full table with one in flight: %+v", i, pushes)
+			t.Fatalf("round %d: a push without a full table was sent while one was in flight: %+v", i, pushes)
 		}
 	}
 	t.Fatal("the full table was not sent again")
 }
 
-// After 5 s without a step and a jump of the clock late events are handled at once, without exceeding the push limits.
+// After 5 s without a step, as when the process stalls and the clock jumps, all late events are handled at once. No proxy is
+// rejected, the drain among them takes effect, and no proxy is sent more pushes than the limits allow.
 func TestStallWithClockJump(t *testing.T) {
 	harness := newHarness(t, nil, nil)
 	harness.serveEndpoints(6)
@@ -79,12 +81,12 @@
 	late = append(late, harness.endpointChanges(listEntry(1, proto.BackendDraining)))
 	harness.step(5, late...)
 	if harness.closed[1] || harness.closed[2] {
-		t.Fatal("a proxy whose reports came in time was rejected")
+		t.Fatal("a proxy that sent reports during the stall was rejected")
 	}
 	harness.advance(0.05)
 	first, second := harness.pushes(1), harness.pushes(2)
 	if len(first) > 2 || len(second) > 2 {
-		t.Fatalf("more than two pushes to a proxy: %+v %+v", first, second)
+		t.Fatalf("more than two pushes to one proxy: %+v %+v", first, second)
 	}
 	if routableBackends(first)[1] || !hasOp(append(first, second...), proto.OpExclude, 1) {
 		t.Fatalf("the draining backend was not excluded: %+v %+v", first, second)
--- a/internal/coordinator/restart_test.go
+++ b/internal/coordinator/restart_test.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// restartProxies is how many proxies are joined in the restart scenario.
+	// restartProxies is the number of proxies in the restart scenario.
 	restartProxies = 3
-	// segmentHeaderBytes is the length of the shortest log that the store opens.
+	// segmentHeaderBytes is the size of the shortest log that the store opens.
 	segmentHeaderBytes = 40
 )
 
-// durableFact is something that a restart must know if the log reaches this size: a backend that a proxy confirmed as
-// excluded, a backend that is back in use, or a nonce that was sent.
+// durableFact is a fact that must be known after a restart from a log of at least logSize bytes. It is one of: a proxy
+// confirmed that a backend is excluded, a backend is open again, or a nonce was sent.
 type durableFact struct {
-	logSize  int // bytes of the segment
-	proxy    int
-	backend  proto.BackendID
-	nonce    uint64
-	restored bool
+	logSize  int             // size of the last segment in bytes
+	proxy    int             // the proxy that confirmed; 0 for other facts
+	backend  proto.BackendID // the backend that is excluded or open again; 0 for a nonce
+	nonce    uint64          // 0 for a backend
+	restored bool            // the backend is open again
 }
 
-// storeHarness is a harness over a store in memory, which commits each batch before it reports it as durable.
+// storeHarness is a harness with a store in memory. Each batch is committed to the store before it is reported as durable.
 type storeHarness struct {
 	*harness
 	folder *disk.Memory
@@ -38,6 +38,7 @@
 	facts  []durableFact
 }
 
+// newStoreHarness returns a harness with a machine that continues from the store in a folder.
 func newStoreHarness(t *testing.T, folder *disk.Memory) *storeHarness {
 	t.Helper()
 	opened, _, err := store.Open(store.Options{Folder: folder, ID: 1, MinCompactionBytes: 1 << 30})
@@ -49,11 +50,11 @@
 		t.Fatal(err)
 	}
 	harness := newHarness(t, map[string]any{"messages": 0.0}, saved)
-	harness.storeHangs = true // advanceDurably reports batches as durable instead
+	harness.storeHangs = true // the harness must not report batches as durable, as advanceDurably does so
 	return &storeHarness{harness: harness, folder: folder, store: opened}
 }
 
-// segment returns the name and the size of the log's last segment.
+// segment returns the name and the size in bytes of the log's last segment.
 func (h *storeHarness) segment() (name string, size int) {
 	h.t.Helper()
 	names, err := h.folder.Names()
@@ -65,13 +66,15 @@
 	return name, len(h.folder.Bytes(name))
 }
 
+// addFact adds a fact that holds from the current size of the log on.
 func (h *storeHarness) addFact(fact durableFact) {
 	h.t.Helper()
 	_, fact.logSize = h.segment()
 	h.facts = append(h.facts, fact)
 }
 
-// advanceDurably steps until a time has passed and commits what each step persists.
+// advanceDurably passes inputs to the machine and lets a time in seconds pass. It commits what each step persists and reports
+// it as durable in the next step.
 func (h *storeHarness) advanceDurably(span float64, inputs ...statemachine.Input) {
 	h.t.Helper()
 	for end := h.now + span; ; {
@@ -91,6 +94,7 @@
 	}
 }
 
+// commit writes the mutations of the last step to the store.
 func (h *storeHarness) commit() {
 	h.t.Helper()
 	var batch store.Batch
@@ -106,7 +110,8 @@
 	}
 }
 
-// acknowledgeAll lets the proxies acknowledge all pushes, and adds the facts that follow from that.
+// acknowledgeAll lets the proxies acknowledge all pushes and adds the facts that follow from that. It does so three times,
+// because acknowledgements may lead to further pushes.
 func (h *storeHarness) acknowledgeAll() {
 	h.t.Helper()
 	for range 3 {
@@ -119,6 +124,7 @@
 	}
 }
 
+// acknowledge lets a proxy acknowledge a push. It adds the push's nonce and the exclusions in it as facts.
 func (h *storeHarness) acknowledge(proxy int, push proto.Push) {
 	h.t.Helper()
 	h.addFact(durableFact{nonce: push.Nonce})
@@ -130,7 +136,7 @@
 	}
 }
 
-// applyEndpoints sends changes of the endpoint list, adds the facts that follow, and lets the proxies acknowledge.
+// applyEndpoints sends changes of the endpoint list, adds the facts that follow, and lets the proxies acknowledge the pushes.
 func (h *storeHarness) applyEndpoints(entries ...proto.Endpoint) {
 	h.t.Helper()
 	for _, entry := range entries {
@@ -142,7 +148,7 @@
 	h.acknowledgeAll()
 }
 
-// compact moves the log into a snapshot, so that all facts so far hold whatever the size of the log.
+// compact moves the log to a snapshot, so that all facts so far hold whatever the size of the new log is.
 func (h *storeHarness) compact() {
 	h.t.Helper()
 	for more := true; more; {
@@ -156,7 +162,8 @@
 	}
 }
 
-// playRestartScenario plays drains and backends that leave and come back, with the acknowledgements of the proxies.
+// playRestartScenario runs a coordinator while backends drain, leave and come back and the proxies acknowledge all pushes. If
+// compact is true, the store is compacted halfway.
 func playRestartScenario(t *testing.T, folder *disk.Memory, compact bool) *storeHarness {
 	t.Helper()
 	harness := newStoreHarness(t, folder)
@@ -183,14 +190,15 @@
 	return harness
 }
 
-// durableState is what the facts up to a size of the log amount to.
+// durableState is the sum of all facts that hold at a size of the log.
 type durableState struct {
-	// excluded has the backends that are out of use, each with the proxies that confirmed so.
+	// excluded has the excluded backends, each with the proxies that confirmed the exclusion.
 	excluded  map[proto.BackendID]map[int]bool
 	lastNonce uint64
-	logSize   int // size of the log in bytes, for messages
+	logSize   int // size of the log in bytes, for failure messages
 }
 
+// durableStateAt returns the state that must be known after a restart from a log of the given size.
 func durableStateAt(facts []durableFact, logSize int) durableState {
 	state := durableState{excluded: map[proto.BackendID]map[int]bool{}, logSize: logSize}
 	for _, fact := range facts {
@@ -210,41 +218,42 @@
 	return state
 }
 
-// check checks a proxy's pushes after the restart and returns how many confirmed exclusions they were checked against.
+// check checks a proxy's pushes after the restart against the state: no excluded backend is routable, no exclusion that the
+// proxy confirmed is sent again, and no nonce is reused. It returns the number of confirmed exclusions that it checked.
 func (s durableState) check(t *testing.T, proxy int, pushes []proto.Push) int {
 	t.Helper()
 	checked := 0
 	routable := routableBackends(pushes)
 	for backend, confirmedBy := range s.excluded {
 		if routable[backend] {
-			t.Fatalf("cut at %d: proxy %d may send to backend %d, which is excluded", s.logSize, proxy, backend)
+			t.Fatalf("log of %d bytes: proxy %d may send to backend %d, which is excluded", s.logSize, proxy, backend)
 		}
 		if !confirmedBy[proxy] {
 			continue
 		}
 		checked++
 		if hasOp(pushes, proto.OpExclude, backend) {
-			t.Fatalf("cut at %d: proxy %d gets the exclusion of backend %d again", s.logSize, proxy, backend)
+			t.Fatalf("log of %d bytes: proxy %d is sent the exclusion of backend %d again", s.logSize, proxy, backend)
 		}
 	}
 	for _, push := range pushes {
 		if push.HasNonce && push.Nonce <= s.lastNonce {
-			t.Fatalf("cut at %d: nonce %d, though %d was used before", s.logSize, push.Nonce, s.lastNonce)
+			t.Fatalf("log of %d bytes: nonce %d was sent, but nonces up to %d were used before", s.logSize, push.Nonce, s.lastNonce)
 		}
 	}
 	return checked
 }
 
-// The operators' own proof: the store's log is cut at every byte, and a coordinator is started on what is left, without an
-// endpoint list service. No command that was acknowledged is lost: no proxy may send to a backend that it had confirmed as
-// excluded. None is repeated: no exclusion that a proxy had confirmed is sent to it again, and no nonce is used twice.
+// The operators require that no acknowledged command is lost or repeated after a crash. The test truncates the store's log at
+// every byte and starts a coordinator on what is left, without an endpoint list service. No proxy may then send to a backend
+// whose exclusion was confirmed, no exclusion that a proxy confirmed is sent to it again, and no nonce is used twice.
 func TestRestartFromStoreCutAtEveryByte(t *testing.T) {
 	for _, compact := range []bool{false, true} {
 		t.Run(fmt.Sprintf("compact=%v", compact), func(t *testing.T) {
 			folder := disk.NewMemory()
 			harness := playRestartScenario(t, folder, compact)
 			if n := len(harness.facts); n < 20 {
-				t.Fatalf("%d facts", n)
+				t.Fatalf("the scenario has %d facts, want at least 20", n)
 			}
 			name, size := harness.segment()
 			log := slices.Clone(folder.Bytes(name))
@@ -256,21 +265,22 @@
 			}
 			t.Logf("%d bytes, %d facts, %d exclusions checked", size, len(harness.facts), checked)
 			if checked < 1000 {
-				t.Error("hardly any exclusion was checked")
+				t.Error("fewer than 1000 exclusions were checked")
 			}
 		})
 	}
 }
 
-// checkRestart starts a coordinator on a store, lets the proxies join again and checks their pushes.
+// checkRestart starts a coordinator on a store, lets the proxies join again and checks their pushes against the state. It
+// returns the number of confirmed exclusions that it checked.
 func checkRestart(t *testing.T, folder *disk.Memory, want durableState) int {
 	t.Helper()
 	harness := newStoreHarness(t, folder)
 	for proxy := 1; proxy <= restartProxies; proxy++ {
-		again := hello(fmt.Sprint("f", proxy))
-		again.Fresh, again.TablesOf, again.Nonce = false, "c0", want.lastNonce
+		rejoining := hello(fmt.Sprint("f", proxy))
+		rejoining.Fresh, rejoining.TablesOf, rejoining.Nonce = false, "c0", want.lastNonce
 		conn := statemachine.Conn(proxy)
-		harness.advanceDurably(0.01, opened(conn), data(conn, again))
+		harness.advanceDurably(0.01, opened(conn), data(conn, rejoining))
 	}
 	harness.advanceDurably(0.3)
 	checked := 0
--- a/internal/coordinator/sessions_test.go
+++ b/internal/coordinator/sessions_test.go
@@ -9,7 +9,8 @@
 	"gingerfork/internal/statemachine"
 )
 
-// Frames that are malformed, unexpected or against the handshake close their own stream with a reason, and no other stream.
+// A frame that is malformed or unexpected, or a hello that is not accepted, closes its own stream with a reason, and no other
+// stream.
 func TestRejectedStreamsLeaveOthersAlone(t *testing.T) {
 	harness := newHarness(t, nil, nil)
 	harness.serveEndpoints(4)
@@ -32,24 +33,24 @@
 	} {
 		conn := statemachine.Conn(10 + i)
 		harness.step(0.01, opened(conn))
-		for _, b := range test.sent { // a byte at a time
+		for _, b := range test.sent { // one byte at a time
 			harness.step(0, statemachine.Input{Kind: statemachine.ConnData, Conn: conn, Data: []byte{b}})
 		}
 		if reason := harness.rejectionReason(conn); !strings.Contains(reason, test.want) {
-			t.Errorf("%d: rejected with %q, want %q", i, reason, test.want)
+			t.Errorf("case %d: rejected with %q, want %q in it", i, reason, test.want)
 		}
 		if n := len(harness.machine.sessions); n != 2 {
-			t.Fatalf("%d: %d sessions, want that of the endpoint list and that of the good proxy", i, n)
+			t.Fatalf("case %d: %d sessions, want 2: those of the endpoint list service and the good proxy", i, n)
 		}
 	}
 	harness.updateEndpoints(listEntry(1, proto.BackendDraining))
 	harness.advance(1)
 	if harness.closed[1] || !hasOp(harness.pushes(1), proto.OpExclude, 1) {
-		t.Fatal("the good proxy is not served any more")
+		t.Fatal("the good proxy was not sent an exclusion")
 	}
 }
 
-// A stream without a hello and a proxy that is silent for too long are rejected; a proxy that reports is not.
+// A stream without a hello and a proxy that sends nothing for too long are rejected; a proxy that sends reports is not.
 func TestSilentStreamsAreRejected(t *testing.T) {
 	harness := newHarness(t, nil, nil)
 	harness.serveEndpoints(4)
@@ -61,35 +62,36 @@
 		harness.step(0, harness.endpointKeepalive())
 	}
 	if reason := harness.rejectionReason(50); !strings.Contains(reason, "no hello") || harness.closed[1] {
-		t.Fatalf("a stream without hello: %q, the good proxy closed: %v", reason, harness.closed[1])
+		t.Fatalf("a stream without a hello was rejected with %q, the good proxy was closed: %v", reason, harness.closed[1])
 	}
 	harness.advance(11)
 	if reason := harness.rejectionReason(1); !strings.Contains(reason, "silent") {
-		t.Fatalf("a silent proxy: %q", reason)
+		t.Fatalf("a silent proxy was rejected with %q, want \"silent\" in it", reason)
 	}
 }
 
-// Connections beyond the limit are rejected, and accepted again once another has gone.
+// Connections beyond the limit are rejected. Once another connection was closed, a new one is accepted.
 func TestStreamLimit(t *testing.T) {
 	harness := newHarness(t, nil, nil)
 	harness.step(0.01) // dials the endpoint list service, whose session counts
 	harness.machine.bootstrap.MaxStreams = len(harness.machine.sessions) + 2
 	harness.step(0.01, opened(1), opened(2), opened(3))
 	if reason := harness.rejectionReason(3); reason != reasonTooManyStreams || harness.closed[1] || harness.closed[2] {
-		t.Fatalf("the third stream: %q", reason)
+		t.Fatalf("the third stream was rejected with %q, want %q and the other streams open", reason, reasonTooManyStreams)
 	}
 	harness.step(0.01, closed(1), opened(4))
 	if harness.closed[4] {
-		t.Fatalf("the fourth stream: %q", harness.rejectionReason(4))
+		t.Fatalf("the fourth stream was rejected with %q", harness.rejectionReason(4))
 	}
 }
 
-// Rejections for the same reason are logged at the first and then at each doubling of their number.
+// Of the rejections for one reason, the first is logged, and then each one that doubles their number. The number of reasons
+// that are counted is bounded.
 func TestRejectionLogIsRateLimited(t *testing.T) {
 	log := rejectionLog{}
 	var logged []int
 	for range 10 {
-		if times, logIt := log.count("a"); logIt {
+		if times, shouldLog := log.count("a"); shouldLog {
 			logged = append(logged, times)
 		}
 	}
@@ -100,6 +102,6 @@
 		log.count(fmt.Sprint(i))
 	}
 	if len(log) > maxRejectionReasons+1 {
-		t.Errorf("%d reasons are held", len(log))
+		t.Errorf("%d reasons are held, want at most %d", len(log), maxRejectionReasons+1)
 	}
 }
