--- a/internal/checkpoint/checkpoint.go
+++ b/internal/checkpoint/checkpoint.go
@@ -17,7 +17,8 @@
 	// pushes to proxies. If the host fails while the disk hangs for longer, acknowledgements that were counted may be lost,
 	// as without a store.
 	maxDurabilityWait = 0.5
-	// proxyFlushInterval is the time between two writes of the proxies' nonces, in seconds. Nothing waits for them.
+	// proxyFlushInterval is the least time between two writes of the proxies' nonces, in seconds. Nothing waits for these
+	// writes.
 	proxyFlushInterval = 1.0
 	// maxDeadlineDelay is the most that NextDeadline looks ahead, in seconds.
 	maxDeadlineDelay = 3600
@@ -29,7 +30,7 @@
 // Checkpointer collects the records to persist and tracks which of them are durable. It is not safe for concurrent use.
 type Checkpointer struct {
 	disabled  bool       // nothing is persisted
-	mutations []Mutation // of the batch being collected
+	mutations []Mutation // content of the batch being collected
 	// mutationIndex is the index of each key in mutations, so that a batch has each key only once.
 	mutationIndex map[string]int
 
--- a/internal/checkpoint/codec.go
+++ b/internal/checkpoint/codec.go
@@ -10,8 +10,8 @@
 	"gingerfork/choice"
 )
 
-// Keys of the stored records. They and the formats of the values must not change, since stores that earlier versions wrote
-// are read.
+// Keys of the stored records. The keys and the formats of the values must not change, since the coordinator must be able to
+// read stores that earlier versions wrote.
 const (
 	listVersionKey = "list"
 	endpointPrefix = "server/"
--- a/internal/checkpoint/codec_test.go
+++ b/internal/checkpoint/codec_test.go
@@ -106,6 +106,6 @@
 	endpoint := Endpoint{Entry: choice.Endpoint{Backend: 3}}
 	_, err := Decode(maps.All(map[string][]byte{"server/0000000003": endpoint.encode()}))
 	if !errors.Is(err, ErrMissingListVersion) {
-		t.Errorf("endpoints without a version: got error %v", err)
+		t.Errorf("endpoints without a version: got error %v, want %v", err, ErrMissingListVersion)
 	}
 }
--- a/internal/checkpoint/durability.go
+++ b/internal/checkpoint/durability.go
@@ -46,8 +46,8 @@
 	return 0
 }
 
-// BarrierReached returns whether acknowledgements no longer wait for a batch that DurabilityBarrier returned: it is durable,
-// maxDurabilityWait has passed, or the store does not work.
+// BarrierReached returns whether acknowledgements no longer wait for a batch that DurabilityBarrier returned, because it is
+// durable, maxDurabilityWait has passed since it was taken, or the store does not work.
 func (c *Checkpointer) BarrierReached(now choice.Seconds, batch uint64) bool {
 	if c.disabled || c.storeFailed || batch <= c.durableBatch {
 		return true
--- a/internal/coordinator/messages.go
+++ b/internal/coordinator/messages.go
@@ -7,7 +7,8 @@
 	"gingerfork/internal/proto"
 )
 
-// handleMessage handles one message. If it returns an error, the session ends and the error's text is sent to the other side.
+// handleMessage handles one message. If it returns an error, the session ends after the error's text is sent to the other
+// side.
 func (m *Machine) handleMessage(step *stepContext, session *session, message proto.Message) error {
 	if rejected, ok := message.(proto.Reject); ok {
 		return &peerRejectionError{reason: rejected.Reason}
--- a/internal/coordinator/module.go
+++ b/internal/coordinator/module.go
@@ -88,7 +88,7 @@
 			c.result.probes = append(c.result.probes, probeTarget{command.Backend, listed.Addr})
 		}
 	case choice.SetTimer:
-		// The module sets one timer at a time and checks the time itself, so that only the earliest timer is needed.
+		// The module sets one timer at a time and checks the time itself, so only the earliest request is kept.
 		if command.At < c.timerAt {
 			c.timerAt, c.timer = command.At, command.Timer
 		}
--- a/internal/fanout/exclusions_test.go
+++ b/internal/fanout/exclusions_test.go
@@ -61,6 +61,6 @@
 	}
 	messages, _ := distributor.Flush(nil)
 	if got := excludedIn(messages); !slices.Equal(got, []choice.BackendID{7}) {
-		t.Errorf("the first table excludes %v", got)
+		t.Errorf("the first table excludes %v, want only backend 7", got)
 	}
 }
