--- a/cmd/gingerfork/aliases_test.go
+++ b/cmd/gingerfork/aliases_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// parsedFlags returns the values of all flags and arguments of the command that a command line selects, by their names.
+// parsedFlags parses a command line. It returns the type name of the selected command and the values of its flags and
+// arguments by name.
 func parsedFlags(t *testing.T, args []string) (command string, values map[string]any) {
 	t.Helper()
 	cli := &program{out: io.Discard, err: io.Discard}
@@ -33,7 +34,8 @@
 	return selected.Target.Type().Name(), values
 }
 
-// commandLines are command lines in the standard and in the earlier spelling. Every alias is in at least one.
+// commandLines are pairs of equivalent command lines, in the current spelling and with earlier names of commands and flags.
+// Every alias occurs at least once.
 var commandLines = []struct{ standard, earlier string }{
 	{"scenario", "rehearse"},
 	{"scenario --virtual --seed 7 --trace t evening cut", "rehearse --virtual --seed 7 --trace t evening cut"},
@@ -60,7 +62,7 @@
 	{"experiment compare a b --scenario cut", "experiment compare a b --day cut"},
 }
 
-// Scripts written for earlier versions go on working: both spellings select the same command with the same values.
+// Scripts written for earlier versions must keep working: both spellings select the same command with the same values.
 func TestEarlierSpellingsParseTheSame(t *testing.T) {
 	for _, line := range commandLines {
 		t.Run(line.earlier, func(t *testing.T) {
@@ -76,7 +78,7 @@
 	}
 }
 
-// The earlier spelling of a command prints the same, and writes the same trace.
+// The earlier name of a command gives the same output and the same trace.
 func TestEarlierSpellingsGiveTheSameResult(t *testing.T) {
 	dir := t.TempDir()
 	results := map[string]string{}
@@ -97,7 +99,7 @@
 	}
 }
 
-// The help shows the standard spelling only.
+// The help texts do not show the earlier names.
 func TestHelpHidesEarlierSpellings(t *testing.T) {
 	earlier := regexp.MustCompile(`rehearse|standin|--(beside|kills|picture|keep|uneven|for|wave|over|bursts|every|lasting|zipf|again|after|at-most|loops|server|ep|day)\b[^-]`)
 	for _, command := range []string{"", "scenario", "fake", "fake backend", "fake endpoints", "emulate", "load", "measure", "experiment compare"} {
--- a/cmd/gingerfork/asyncwriter.go
+++ b/cmd/gingerfork/asyncwriter.go
@@ -6,36 +6,36 @@
 	"sync"
 )
 
-// asyncWriter passes lines on to a writer that may block, and never blocks itself: a log reader that stops reading must not
-// stop the coordinator. Lines for which the queue has no space are dropped and counted.
+// asyncWriter is an io.Writer that never blocks: a goroutine forwards queued lines to a target that may block, because a log
+// reader that stops reading must not stop the coordinator. Lines that arrive while the queue is full are dropped and counted.
 type asyncWriter struct {
 	target io.Writer
 	lines  chan []byte
-	done   chan struct{} // closed when all accepted lines have been written
+	done   chan struct{} // closed when all queued lines have been written
 
 	mu      sync.Mutex
 	closed  bool
-	dropped int // lines since the last report
+	dropped int // lines dropped since the last call of reportDropped
 }
 
-// newAsyncWriter starts writing to target; maxQueuedLines is how many lines may wait. closeAndFlush ends it.
+// newAsyncWriter starts a writer to target that queues at most maxQueuedLines lines. closeAndFlush stops it.
 func newAsyncWriter(target io.Writer, maxQueuedLines int) *asyncWriter {
 	a := &asyncWriter{target: target, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go a.writeLines()
 	return a
 }
 
-// writeLines writes until closeAndFlush, and then what still waits.
+// writeLines writes queued lines to the target until the queue is closed and empty.
 func (a *asyncWriter) writeLines() {
 	defer close(a.done)
 	for line := range a.lines {
-		_, _ = a.target.Write(line) // there is no place left to report that the log cannot be written
+		_, _ = a.target.Write(line) // a log that cannot be written leaves no place to report the error
 		a.reportDropped()
 	}
 	a.reportDropped()
 }
 
-// reportDropped writes how many lines were dropped since its last report, as a log entry of its own.
+// reportDropped writes a log entry with the number of lines dropped since its last call, if there were any.
 func (a *asyncWriter) reportDropped() {
 	a.mu.Lock()
 	dropped := a.dropped
@@ -46,7 +46,7 @@
 	}
 }
 
-// Write implements io.Writer; line is one whole line. It accepts all of it in any case.
+// Write queues one complete line or drops it. It always reports success.
 func (a *asyncWriter) Write(line []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -61,7 +61,7 @@
 	return len(line), nil
 }
 
-// closeAndFlush accepts no more lines and waits until those accepted have been written, or until giveUp is closed.
+// closeAndFlush closes the queue and waits until the queued lines have been written, or until giveUp is closed.
 func (a *asyncWriter) closeAndFlush(giveUp <-chan struct{}) {
 	a.mu.Lock()
 	if !a.closed {
--- a/cmd/gingerfork/asyncwriter_test.go
+++ b/cmd/gingerfork/asyncwriter_test.go
@@ -8,15 +8,15 @@
 	"testing"
 )
 
-// A log reader that stops reading, or that goes away, neither blocks nor ends the coordinator, and lines that it missed are
-// counted.
+// A log reader that does not read fast enough must not block the coordinator. Lines that do not fit in the queue are
+// dropped, and every dropped line is counted in the log. Writes after the close succeed and are discarded.
 func TestAsyncWriterDropsLinesThatNobodyReads(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer writer.Close()
-	const sent = 100 // far more than the pipe and the queue hold
+	const sent = 100 // lines, far more than the pipe and the queue hold
 	lines := newAsyncWriter(writer, 8)
 	line := []byte(strings.Repeat("x", 1<<12) + "\n")
 	for range sent {
@@ -43,6 +43,6 @@
 		t.Errorf("of %d lines %d were written and %d are reported as dropped", sent, written, dropped)
 	}
 	if n, err := lines.Write(line); n != len(line) || err != nil {
-		t.Error("after its end:", n, err)
+		t.Errorf("Write after closeAndFlush: %d bytes, error %v", n, err)
 	}
 }
--- a/cmd/gingerfork/check.go
+++ b/cmd/gingerfork/check.go
@@ -10,10 +10,10 @@
 )
 
 type checkCmd struct {
-	Files []string `arg:"" help:"Settings files, scenarios (files that end in .day), or routes (files named routes, or that end in .routes)."`
+	Files []string `arg:"" help:"Settings files, scenario files (name ends in .day), or route files (named routes, or name ends in .routes)."`
 }
 
-// Run reports the faults of each file on standard error.
+// Run checks each file. It prints the errors and warnings of a file on standard error.
 func (c checkCmd) Run(cli *program) error {
 	failed := 0
 	for _, file := range c.Files {
@@ -22,20 +22,20 @@
 			fmt.Fprintln(cli.err, err)
 			continue
 		}
-		fmt.Fprintf(cli.out, "%s: good\n", file)
+		fmt.Fprintf(cli.out, "%s: valid\n", file)
 		if settings, err := bootstrap.Read(file); err == nil {
 			for _, warning := range configcheck.Warnings(settings.CoordinatorConfig(0)) {
-				fmt.Fprintf(cli.err, "%s: a doubt: %s\n", file, warning)
+				fmt.Fprintf(cli.err, "%s: warning: %s\n", file, warning)
 			}
 		}
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d of %d files are bad", failed, len(c.Files))
+		return fmt.Errorf("%d of %d files are invalid", failed, len(c.Files))
 	}
 	return nil
 }
 
-// checkFile returns the faults of a file, whose name tells what it holds.
+// checkFile parses a file and returns its errors. The file name determines whether it is read as routes, scenario or settings.
 func checkFile(file string) error {
 	var err error
 	switch {
@@ -51,7 +51,7 @@
 
 type settingsCmd struct{}
 
-// Run prints the documentation of the settings.
+// Run prints the reference of all settings keywords, which is docs/settings.md.
 func (settingsCmd) Run(cli *program) error { //nolint:unparam // kong asks for the error
 	fmt.Fprint(cli.out, bootstrap.Document())
 	return nil
--- a/cmd/gingerfork/deploy_test.go
+++ b/cmd/gingerfork/deploy_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// deployValue reads the value of a name from the deploy file as the platform does: name = "text", with a comment after it.
+// deployValue returns the quoted value of a line `name = "value"` of deploy/balancer.toml; a comment may follow the value.
 func deployValue(t *testing.T, root, name string) string {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
@@ -28,12 +28,13 @@
 			return text
 		}
 	}
-	t.Fatalf("the deploy file has no line %q", name)
+	t.Fatalf("deploy/balancer.toml has no line for %q", name)
 	return ""
 }
 
-// The platform loads a library of its own into the coordinator's process, which only a program that is linked
-// dynamically against the C library loads; a static one would silently run without it.
+// The platform preloads a library of its own into the coordinator's process. Only an executable that is linked dynamically
+// against the C library loads it; a static one would run without it, and nothing would report that. The run command must
+// also replace its shell by exec, so that the coordinator is the only process.
 func TestDeployedProgramIsDynamicAndOneProcess(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -46,7 +47,7 @@
 	}
 	command := strings.Fields(deployValue(t, root, "run"))
 	if len(command) < 2 || command[0] != "exec" || strings.ContainsAny(strings.Join(command, " "), ";&|`$()<>") {
-		t.Fatalf("run is %q: it does not end in one process by exec", command)
+		t.Fatalf("the run command is %q, want a plain exec of the program without shell operators", command)
 	}
 	program, err := elf.Open(filepath.Join(root, command[1]))
 	if err != nil {
@@ -54,13 +55,13 @@
 	}
 	defer program.Close()
 	if !slices.ContainsFunc(program.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
-		t.Error("the program asks for no interpreter")
+		t.Error("the executable has no PT_INTERP segment: it is linked statically")
 	}
 	libs, err := program.ImportedLibraries()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !slices.ContainsFunc(libs, func(l string) bool { return strings.HasPrefix(l, "libc.so") }) {
-		t.Errorf("the program asks for %v, not for the C library", libs)
+		t.Errorf("the executable needs the libraries %v, want libc.so among them", libs)
 	}
 }
--- a/cmd/gingerfork/emulate.go
+++ b/cmd/gingerfork/emulate.go
@@ -15,22 +15,22 @@
 	"gingerfork/internal/scenario"
 )
 
-// plainProgressInterval is the number of seconds after which a progress line is printed where there is no terminal.
+// plainProgressInterval is the number of seconds between two progress lines when the output is not a terminal.
 const plainProgressInterval = 5
 
 var (
 	errPartFormat       = errors.New("is not K/N, such as 1/2")
-	errEmulationTooSlow = errors.New("VOID: the emulation fell behind: its queues were longer than the servers' own")
+	errEmulationTooSlow = errors.New("VOID: the emulation fell behind its schedule, so its results contain delays of the emulator itself")
 )
 
 type emulateCmd struct {
-	Scenario   string  `arg:"" name:"day" help:"A scenario: its backends and endpoint service are emulated, with their faults."`
-	Port       int     `help:"The port of the endpoint service; backends have those behind it." default:"20000"`
-	Part       string  `help:"Emulate only this part of the backends, so that several processes carry the fleet; the first has the endpoint service." placeholder:"K/N"`
-	EventLoops int     `aliases:"loops" help:"Event loops that carry the backends." default:"1" placeholder:"N"`
-	Duration   string  `aliases:"for" help:"Run for this long instead of the scenario's length." placeholder:"TIME"`
-	Scale      float64 `help:"Multiply the number of backends by this." default:"1" placeholder:"X"`
-	JSON       bool    `help:"Print a JSON line for each second."`
+	Scenario   string  `arg:"" name:"day" help:"Scenario whose backends and endpoint service are emulated, including their faults."`
+	Port       int     `help:"Port of the endpoint service; the backends use the ports after it." default:"20000"`
+	Part       string  `help:"Emulate only the K-th of N parts of the backends, to split the fleet over several processes; part 1 also runs the endpoint service." placeholder:"K/N"`
+	EventLoops int     `aliases:"loops" help:"Number of event loops that the backends are spread over." default:"1" placeholder:"N"`
+	Duration   string  `aliases:"for" help:"Run for this long instead of the scenario's duration." placeholder:"TIME"`
+	Scale      float64 `help:"Factor that multiplies the number of backends." default:"1" placeholder:"X"`
+	JSON       bool    `help:"Print one line of JSON for each second."`
 }
 
 // Run emulates the backends until the scenario or ctx ends.
@@ -42,7 +42,7 @@
 	progress := &emulationProgress{cli: cli, json: c.JSON, line: newProgressLine(cli.out)}
 	emulation.OnTally, emulation.OnStep = progress.tally, progress.step
 	if !c.JSON {
-		fmt.Fprintf(cli.out, "%s: list service at %s, servers from %s on, %.0f s\n", emulation.Scenario.Name, emulation.ListAddr(), emulation.Addr(0),
+		fmt.Fprintf(cli.out, "%s: endpoint service at %s, backends from %s on, %.0f s\n", emulation.Scenario.Name, emulation.ListAddr(), emulation.Addr(0),
 			emulation.Scenario.Duration)
 	}
 	if err := emulation.Run(ctx); err != nil {
@@ -51,7 +51,7 @@
 	return progress.finish()
 }
 
-// emulation returns what the flags describe.
+// emulation returns the emulation that the flags describe.
 func (c emulateCmd) emulation() (*scenario.Emulation, error) {
 	emulated, err := readScenario(c.Scenario)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return emulation, nil
 }
 
-// parsePart reads K/N.
+// parsePart parses K/N, the number of a part and the number of parts.
 func parsePart(text string) (part, parts int, err error) {
 	before, after, _ := strings.Cut(text, "/")
 	part, err = strconv.Atoi(before)
@@ -87,7 +87,8 @@
 	return part, parts, nil
 }
 
-// emulationProgress prints what the event loops of an emulation report. It is safe for concurrent use.
+// emulationProgress prints the statistics and scenario steps that the event loops of an emulation report. It is safe for
+// concurrent use.
 type emulationProgress struct {
 	cli  *program
 	json bool
@@ -97,13 +98,13 @@
 	behind report.ScheduleLag
 }
 
-// tally prints the figures of a second.
+// tally prints the statistics of one second.
 func (p *emulationProgress) tally(stats emulator.FleetStats) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.behind.Observe(stats.MaxDelay)
 	if p.json {
-		_ = json.NewEncoder(p.cli.out).Encode(stats) // as with fmt.Fprint: who closed the pipe does not read the error either
+		_ = json.NewEncoder(p.cli.out).Encode(stats) // ignored as for fmt.Fprint: if the reader closed the pipe, it would not see the error either
 		return
 	}
 	p.line.show(stats.String(), p.behind.Samples%plainProgressInterval == 1)
@@ -118,13 +119,14 @@
 	}
 }
 
-// finish prints how late the emulation ran, and returns errEmulationTooSlow if its figures mean nothing.
+// finish prints how far the emulation ran behind its schedule, and returns errEmulationTooSlow if it was too far for its
+// results to be valid.
 func (p *emulationProgress) finish() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.line.end()
 	if !p.json {
-		fmt.Fprintf(p.cli.out, "at most %.1f ms late, more than %.0f ms in %d of %d seconds\n", 1e3*p.behind.Max, 1e3*report.MaxLag, p.behind.Late, p.behind.Samples)
+		fmt.Fprintf(p.cli.out, "behind schedule: at most %.1f ms, more than %.0f ms in %d of %d seconds\n", 1e3*p.behind.Max, 1e3*report.MaxLag, p.behind.Late, p.behind.Samples)
 	}
 	if p.behind.Invalid() {
 		return errEmulationTooSlow
--- a/cmd/gingerfork/emulate_test.go
+++ b/cmd/gingerfork/emulate_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// freePort returns a port that is free together with the n ports behind it.
+// freePort returns a port that is free together with the n ports after it.
 func freePort(t *testing.T, n int) int {
 	t.Helper()
 	for port := 21000; port < 32000; port += n + 1 {
@@ -32,9 +32,11 @@
 	return 0
 }
 
+// emulated is the text of a scenario with four backends and no faults.
 const emulated = "day quiet\nsettings perth.conf\nlength 5s\nservers 4 capacity 100 reports 50ms noise 10% memory 10 saves 20%\nfrontends 1\nmix 70% 30%\n"
 
-// A fleet emulated in two parts under open-loop load: both parts print their figures and the steps of the scenario.
+// Two processes each emulate one half of a fleet under open-loop load. Most RPCs are answered, and both print their
+// statistics and the steps of the scenario.
 func TestEmulateAndLoad(t *testing.T) {
 	port := freePort(t, 4)
 	day := tempFile(t, "quiet.day", emulated+"at 2s hang servers 1 for 1s\n")
@@ -46,7 +48,7 @@
 			defer work.Done()
 			code, out, err := runCommand("emulate", day, "--port", fmt.Sprint(port), "--part", fmt.Sprintf("%d/2", k+1))
 			if outs[k] = out; code != exitOK {
-				// On a machine that is busy with other tests the emulation may fall behind, and must report it.
+				// On a machine that is busy with other tests the emulation may fall behind its schedule; it must then report VOID.
 				if !strings.Contains(err, "VOID") {
 					t.Errorf("part %d: %d %s", k+1, code, err)
 				}
@@ -83,7 +85,7 @@
 	}
 }
 
-// Invalid flags and scenarios are rejected with one line that tells the cause.
+// Invalid flags and scenarios are rejected with an error of one line that names the cause.
 func TestEmulateAndLoadRejectInvalidFlags(t *testing.T) {
 	conf := tempFile(t, "perth.conf", perthSettings(t))
 	for _, testCase := range []struct {
--- a/cmd/gingerfork/endpointsource.go
+++ b/cmd/gingerfork/endpointsource.go
@@ -18,33 +18,36 @@
 	"gingerfork/internal/haproxy"
 )
 
-// endpointStatusFile is the file in the state folder that tells how the last read of the endpoint file went.
+// endpointStatusFile is the name of the file in the state folder that records the result of the last read of the endpoint
+// file.
 const endpointStatusFile = "list-from.status"
 
-// Verdicts in the status file.
+// Verdicts in the status file: the endpoint list of the file is in use, was rejected by the endpoint service because it
+// would remove too many backends, or could not be read.
 const (
 	verdictInForce  = "in force"
 	verdictHeldBack = "held back"
 	verdictBad      = "bad"
 )
 
-// errTruncated is returned for a file whose last line is incomplete. A part of a server's line may well be valid itself, so
-// the parser would not notice.
+// errTruncated is returned for a file that does not end with a newline. The beginning of a server line can itself be a valid
+// line, so the parser would not detect that the file was cut off.
 var errTruncated = errors.New("its last line has no end: it may have been cut short")
 
-// endpointSource is the endpoint service that a coordinator's process runs itself when its settings name a HAProxy file to
-// take the endpoints from. The methods of nil do nothing.
+// endpointSource runs an endpoint service inside the coordinator's process, for settings that name a HAProxy file
+// (list-from) to read the endpoints from. The methods reload and stop do nothing on nil.
 type endpointSource struct {
 	file    string
-	pool    string // the HAProxy backend section
-	dir     string // of the status file; empty: none is written
+	pool    string // name of the HAProxy backend section
+	dir     string // folder of the status file; empty: no status file is written
 	service *endpointservice.Service
 	loop    *eventloop.Loop
 	log     *slog.Logger
-	mu      sync.Mutex // held while the status file is written: by reload and by the service's event loop
+	mu      sync.Mutex // held while the status file is written, by reload or by the service's event loop
 }
 
-// startEndpointSource starts the endpoint source that the settings describe. It returns nil if they name no file.
+// startEndpointSource starts the endpoint source that the settings describe, and reads its file. It returns nil if the
+// settings name no file.
 func startEndpointSource(ctx context.Context, settings *bootstrap.Settings, dir string, clock *eventloop.Clock, log *slog.Logger) (*endpointSource, error) {
 	file := settings.Text("list-from")
 	if file == "" || file == "-" {
@@ -63,13 +66,13 @@
 	if source.loop, err = eventloop.Start(ctx, eventloop.Bootstrap{
 		Machine: source.service, Listen: []string{settings.Text("list-service")}, Dir: dir, Log: log, Clock: clock,
 	}); err != nil {
-		return nil, fmt.Errorf("list the servers of %s: %w", file, err)
+		return nil, fmt.Errorf("start the endpoint service for %s: %w", file, err)
 	}
 	source.reload()
 	return source, nil
 }
 
-// readCachedEndpoints returns the endpoint list that the last run cached in the state folder; nil if there is none.
+// readCachedEndpoints returns the endpoint list that an earlier run cached in the state folder, or nil if there is none.
 func readCachedEndpoints(dir string) ([]byte, error) {
 	if dir == "" {
 		return nil, nil
@@ -81,7 +84,8 @@
 	return cached, nil
 }
 
-// applied reports what the endpoint service made of the file.
+// applied logs whether the endpoint service applied or rejected the endpoints of the file, and updates the status file.
+// changed is the number of endpoints that differ from before.
 func (s *endpointSource) applied(changed int, err error) {
 	if err != nil {
 		s.log.Error("endpoint file held back, the old endpoint list stays in force", "file", s.file, "cause", err.Error())
@@ -92,7 +96,8 @@
 	s.writeStatus(verdictInForce, fmt.Sprintf("%d servers changed", changed))
 }
 
-// reload reads the file again. A file that cannot be read or that is invalid changes nothing.
+// reload reads the file and submits its endpoints to the service. If the file cannot be read or is invalid, the old list
+// stays in use.
 func (s *endpointSource) reload() {
 	if s == nil {
 		return
@@ -106,7 +111,7 @@
 	s.loop.RunBetweenSteps(func() { s.service.Submit(servers) })
 }
 
-// readServers reads the servers of the pool from the file.
+// readServers reads the servers of the pool from the HAProxy file.
 func (s *endpointSource) readServers() ([]endpointfile.Backend, error) {
 	text, err := os.ReadFile(s.file)
 	if err != nil {
@@ -118,8 +123,8 @@
 	return haproxy.Read([]haproxy.Source{{Name: s.file, Text: string(text)}}, haproxy.Environment{}).Servers(s.pool)
 }
 
-// writeStatus records how the last read of the file went, for operators without access to the log. The status file is
-// replaced by a rename, so that a reader never sees half of it.
+// writeStatus records the result of the last read of the file, for operators without access to the log. It replaces the
+// status file by a rename, so that a reader never sees a partly written file.
 func (s *endpointSource) writeStatus(verdict, reason string) {
 	if s.dir == "" {
 		return
@@ -144,5 +149,5 @@
 		return
 	}
 	s.loop.Stop()
-	_ = s.loop.Wait() // the process ends, and nothing depends on the service any more
+	_ = s.loop.Wait() // the process is about to exit, and nothing uses the service any more
 }
--- a/cmd/gingerfork/endpointsource_test.go
+++ b/cmd/gingerfork/endpointsource_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// A coordinator that takes its endpoints from a HAProxy file: a file truncated halfway through a write and one that loses
-// most servers leave the last valid list in force, with the reason in the log; a valid one is applied.
+// A coordinator reads its endpoints from a HAProxy file. A file that was truncated during a write, and one that removes most
+// of the servers, leave the last valid list in use and log the reason; a valid change is applied.
 func TestServeEndpointsFromFile(t *testing.T) {
 	endpointsAddr, coordinatorAddr, backend1, backend2, backend3 := freeAddr(t), freeAddr(t), freeAddr(t), freeAddr(t), freeAddr(t)
 	dir := t.TempDir()
@@ -32,33 +32,34 @@
 	}
 	coordinator := startProcess(t, "--log-format", "json", "serve", file)
 	reload := func() { _ = coordinator.cmd.Process.Signal(syscall.SIGHUP) }
-	eventually(t, "the file is applied", func() bool { return coordinator.logged(`"changed":3`) })
+	eventually(t, "the file to be applied", func() bool { return coordinator.logged(`"changed":3`) })
 	loadProcess := startProcess(t, "load", "--settings", file, "--coordinator", coordinatorAddr, "--rate", "40", "--proxies", "2", "--duration", "4s", "--json")
 
-	replace(whole[:len(whole)-30]) // halfway through a write, within a line: what is left makes sense and lacks a server
+	replace(whole[:len(whole)-30]) // cut off within the last line, which lists server c
 	reload()
-	eventually(t, "a file that is cut short", func() bool { return coordinator.logged("endpoint file invalid") })
+	eventually(t, "the truncated file to be rejected", func() bool { return coordinator.logged("endpoint file invalid") })
 	status := func() string { b, _ := os.ReadFile(filepath.Join(dir, "kept", "list-from.status")); return string(b) }
-	eventually(t, "its status", func() bool {
+	eventually(t, "the truncation to be in the status file", func() bool {
 		return strings.Contains(status(), "verdict bad") && strings.Contains(status(), "cut short")
 	})
 	replace("backend tasks\n    server a " + backend1 + " weight 10\n")
 	reload()
-	eventually(t, "a file that loses most", func() bool { return coordinator.logged("2 of 3 servers out of use") })
+	eventually(t, "the file without most servers to be rejected", func() bool { return coordinator.logged("2 of 3 servers out of use") })
 	replace(strings.Replace(whole, "weight 10", "weight 30", 1))
 	reload()
-	eventually(t, "a changed weight", func() bool { return coordinator.logged(`"changed":1`) })
-	eventually(t, "its status", func() bool { return strings.Contains(status(), `verdict "in force"`) })
+	eventually(t, "the changed weight to be applied", func() bool { return coordinator.logged(`"changed":1`) })
+	eventually(t, "the status file to say that the list is in force", func() bool { return strings.Contains(status(), `verdict "in force"`) })
 	if err := loadProcess.cmd.Wait(); err != nil {
-		t.Logf("load: %v", err) // a busy machine may make it late, which it says
+		t.Logf("load: %v", err) // on a busy machine the load may fall behind its schedule and fail with VOID
 	}
 	if !loadProcess.logged(`"Service":`) || loadProcess.logged(`"Service":0,`) {
 		t.Errorf("load through the listed backends: %s", loadProcess.log.String())
 	}
-	eventually(t, "the endpoint list is cached", func() bool { _, err := os.Stat(filepath.Join(dir, "kept", "followed.json")); return err == nil })
+	eventually(t, "the endpoint list to be cached", func() bool { _, err := os.Stat(filepath.Join(dir, "kept", "followed.json")); return err == nil })
 }
 
-// Two pools of one file in one process: each has its own endpoints, and reads the file by itself.
+// One process serves two pools of the same HAProxy file. Each pool has its own coordinator and endpoints, and reads the file
+// separately.
 func TestServeTwoPools(t *testing.T) {
 	backend1, backend2 := freeAddr(t), freeAddr(t)
 	web := tempFile(t, "web.cfg", "frontend www\n    use_backend static if { path_beg /s }\n    default_backend tasks\nbackend tasks\n    server a "+backend1+"\nbackend static\n    server a "+backend2+"\n")
@@ -98,7 +99,7 @@
 	startProcess(t, "fake", "backend", "--listen", backend2, "--id", "1")
 	coordinator := startProcess(t, "--log-format", "json", "serve", files[0], files[1])
 	for i, pool := range []string{"tasks", "static"} {
-		eventually(t, pool+" is applied", func() bool { return coordinator.countLogged(`"changed":1`) >= 2 })
+		eventually(t, "pool "+pool+" to be applied", func() bool { return coordinator.countLogged(`"changed":1`) >= 2 })
 		loadProcess := startProcess(t, "load", "--settings", files[i], "--coordinator", addrs[i], "--rate", "40", "--proxies", "2", "--duration", "2s", "--json")
 		_ = loadProcess.cmd.Wait()
 		if !loadProcess.logged(`"Service":`) || loadProcess.logged(`"Service":0,`) {
@@ -106,5 +107,5 @@
 		}
 	}
 	_ = coordinator.cmd.Process.Signal(syscall.SIGTERM)
-	eventually(t, "both end", func() bool { return coordinator.countLogged("coordinator ended") == 2 })
+	eventually(t, "both coordinators to end", func() bool { return coordinator.countLogged("coordinator ended") == 2 })
 }
--- a/cmd/gingerfork/experiment.go
+++ b/cmd/gingerfork/experiment.go
@@ -20,23 +20,24 @@
 )
 
 const (
-	// experimentProgressInterval is the time after which a progress line is printed where there is no terminal.
+	// experimentProgressInterval is the time between two progress lines when the output is not a terminal.
 	experimentProgressInterval = 10 * time.Second
-	progressBarWidth           = 30
+	progressBarWidth           = 30 // characters
 )
 
 type experimentCmd struct {
-	Run     experimentRunCmd     `cmd:"" help:"Play a plan's grid of scenarios in virtual time and report. Example: gingerfork experiment run coordinators.plan -o results"`
-	Compare experimentCompareCmd `cmd:"" help:"Play a scenario with two settings files on the same seeds. Example: gingerfork experiment compare now.conf then.conf --scenario evening"`
+	Run     experimentRunCmd     `cmd:"" help:"Run all scenarios of an experiment plan in virtual time and write a report. Example: gingerfork experiment run coordinators.plan -o results"`
+	Compare experimentCompareCmd `cmd:"" help:"Run a scenario with two settings files on the same seeds and compare the results. Example: gingerfork experiment compare now.conf then.conf --scenario evening"`
 }
 
 type experimentRunCmd struct {
-	Plan    string `arg:"" help:"The plan."`
-	Out     string `short:"o" help:"Where runs and report go; runs that are there already are not played again." default:"results" placeholder:"DIR"`
-	Workers int    `help:"Runs at once; 0: one a core." default:"0"`
+	Plan    string `arg:"" help:"File of the experiment plan."`
+	Out     string `short:"o" help:"Folder for the runs and the report; runs that it already holds are not repeated." default:"results" placeholder:"DIR"`
+	Workers int    `help:"Number of concurrent runs; 0: one per core." default:"0"`
 }
 
-// filesBeside returns a function that reads the files that a plan names: from the plan's folder, or else the built-in ones.
+// filesBeside returns a function that reads a file that a plan names: from the plan's folder or, if it is not there, from the
+// built-in files.
 func filesBeside(plan string) func(string) ([]byte, error) {
 	return func(name string) ([]byte, error) {
 		data, err := os.ReadFile(filepath.Join(filepath.Dir(plan), name))
@@ -46,11 +47,11 @@
 		if builtin, err := scenario.File(name); err == nil {
 			return builtin, nil
 		}
-		return nil, fmt.Errorf("%s is neither beside the plan nor among what comes with the program", name)
+		return nil, fmt.Errorf("%s is neither in the plan's folder nor a built-in file", name)
 	}
 }
 
-// Run executes the plan.
+// Run executes the plan and writes its report.
 func (c experimentRunCmd) Run(ctx context.Context, cli *program) error {
 	text, err := os.ReadFile(c.Plan)
 	if err != nil {
@@ -63,7 +64,8 @@
 	return executePlan(ctx, cli, plan, c.Out, c.Workers)
 }
 
-// executePlan plays the runs of a plan that dir does not hold yet, and writes the report there.
+// executePlan executes the runs of a plan whose results are not in dir yet, writes the report to dir and prints a summary.
+// With workers 0 it executes one run per core at once.
 func executePlan(ctx context.Context, cli *program, plan *experiment.Plan, dir string, workers int) error {
 	if workers == 0 {
 		workers = runtime.NumCPU()
@@ -86,23 +88,23 @@
 		if row.Verdict != "" {
 			text += fmt.Sprintf("  %+.4g: %s", row.Difference.Mean, row.Verdict)
 			if row.SeedsNeeded > 0 {
-				text += fmt.Sprintf(" (about %d seeds would)", row.SeedsNeeded)
+				text += fmt.Sprintf(" (about %d seeds needed)", row.SeedsNeeded)
 			}
 		}
 		if row.RunsWithViolations > 0 {
-			text += fmt.Sprintf("  a rule broke in %d runs", row.RunsWithViolations)
+			text += fmt.Sprintf("  an invariant was violated in %d runs", row.RunsWithViolations)
 		}
 		fmt.Fprintln(cli.out, text)
 	}
-	fmt.Fprintf(cli.out, "%s: report.md, runs.csv and plots\n", dir)
+	fmt.Fprintf(cli.out, "wrote report.md, runs.csv and plots to %s\n", dir)
 	return nil
 }
 
-// experimentProgress shows how many runs are done. It is safe for concurrent use.
+// experimentProgress shows how many runs are finished. It is safe for concurrent use.
 type experimentProgress struct {
 	mu      sync.Mutex
 	line    *progressLine
-	printed time.Time // when the last plain line was printed
+	printed time.Time // time of the last line that was printed without a terminal
 }
 
 func (p *experimentProgress) show(progress experiment.Progress) {
@@ -113,13 +115,13 @@
 		p.printed = time.Now()
 	}
 	bar := strings.Repeat("#", progressBarWidth*progress.Done/progress.Total)
-	text := fmt.Sprintf("[%-*s] %d of %d runs, %d from before, about %v left", progressBarWidth, bar, progress.Done, progress.Total, progress.Resumed,
+	text := fmt.Sprintf("[%-*s] %d of %d runs, %d reused, about %v left", progressBarWidth, bar, progress.Done, progress.Total, progress.Resumed,
 		progress.Remaining.Round(time.Second))
 	p.line.show(text, plain)
 }
 
-// buildID identifies this build: by its commit, or by a checksum of the executable if it has none or was built from modified
-// files. Results of another build are not reused.
+// buildID identifies this build of the program: by its commit or, if it has none or was built from modified files, by a
+// checksum of the executable. Results of another build are not reused.
 func buildID() (string, error) {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		commit, modified := "", false
@@ -137,37 +139,37 @@
 	}
 	exe, err := os.Executable()
 	if err != nil {
-		return "", fmt.Errorf("find this program, to name it in results: %w", err)
+		return "", fmt.Errorf("find the executable, to identify the build: %w", err)
 	}
 	f, err := os.Open(exe)
 	if err != nil {
-		return "", fmt.Errorf("read this program, to name it in results: %w", err)
+		return "", fmt.Errorf("open the executable, to identify the build: %w", err)
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // no error matters: the file was only read
 	h := xxhash.New()
 	if _, err := io.Copy(h, f); err != nil {
-		return "", fmt.Errorf("read this program, to name it in results: %w", err)
+		return "", fmt.Errorf("read the executable, to identify the build: %w", err)
 	}
 	return fmt.Sprintf("build-%016x", h.Sum64()), nil
 }
 
 type experimentCompareCmd struct {
-	Old      string   `arg:"" help:"The settings as they are."`
-	New      string   `arg:"" help:"The settings to try."`
-	Scenario string   `aliases:"day" help:"The scenario." default:"evening"`
-	Seeds    int      `help:"On so many seeds." default:"20"`
-	Measure  []string `help:"What to measure." default:"service,worst10,messages,margin"`
-	Out      string   `short:"o" help:"Where runs and report go." default:"results" placeholder:"DIR"`
+	Old      string   `arg:"" help:"Settings file to compare against."`
+	New      string   `arg:"" help:"Settings file to try."`
+	Scenario string   `aliases:"day" help:"Scenario to run: a built-in one or a file." default:"evening"`
+	Seeds    int      `help:"Number of seeds." default:"20"`
+	Measure  []string `help:"Measures to compare." default:"service,worst10,messages,margin"`
+	Out      string   `short:"o" help:"Folder for the runs and the report." default:"results" placeholder:"DIR"`
 }
 
-// Names by which the plan of a comparison refers to its files.
+// Names of the scenario and the settings in the plan of a comparison.
 const (
 	comparedScenario = "the-day"
 	oldSettings      = "old"
 	newSettings      = "new"
 )
 
-// Run plays the scenario with both settings files.
+// Run runs the scenario with both settings files and writes the report.
 func (c experimentCompareCmd) Run(ctx context.Context, cli *program) error {
 	open := filesBeside(c.Old)
 	scenarioText, err := open(c.Scenario + scenarioSuffix)
@@ -194,7 +196,7 @@
 	return executePlan(ctx, cli, plan, c.Out, 0)
 }
 
-// planText returns the plan of the comparison, as it would stand in a file.
+// planText returns the text of an experiment plan that compares the two settings files.
 func (c experimentCompareCmd) planText() string {
 	return fmt.Sprintf("experiment %s\nday %s\nfactor settings %s %s\nseeds %d\nmeasure %s\nsay settings {settings}\n",
 		bootstrap.Quote(c.Old+" against "+c.New), comparedScenario, oldSettings, newSettings, c.Seeds, strings.Join(c.Measure, " "))
--- a/cmd/gingerfork/fake.go
+++ b/cmd/gingerfork/fake.go
@@ -18,15 +18,15 @@
 	"gingerfork/internal/trace"
 )
 
-// fakeProbeWorkDivisor is how much less work a probe or a new connection is than an RPC.
+// fakeProbeWorkDivisor is the mean work of an RPC divided by that of a probe or of a new connection.
 const fakeProbeWorkDivisor = 10
 
 var (
-	errEndpointFormat = errors.New("want NUMBER,ZONE,WEIGHT,HOST:PORT")
+	errEndpointFormat = errors.New("is not NUMBER,ZONE,WEIGHT,HOST:PORT")
 	errWriteTrace     = errors.New("write the trace")
 )
 
-// fakeCmd holds the fakes. The hidden commands are earlier spellings.
+// fakeCmd groups the commands that run a fake of one system. The hidden commands are earlier names.
 type fakeCmd struct {
 	Frontend  fakeFrontEndCmd  `cmd:"" help:"A proxy that subscribes to a coordinator's tables. Example: gingerfork fake frontend --settings perth.conf --coordinator 127.0.0.1:7400 --name f0"`
 	Backend   fakeBackendCmd   `cmd:"" help:"A backend. Example: gingerfork fake backend --listen 127.0.0.1:7501 --id 1"`
@@ -36,13 +36,13 @@
 	OldEndpoints fakeEndpointsCmd `cmd:"" hidden:"" name:"list"`
 }
 
-// fakeFlags are the flags of all fakes.
+// fakeFlags are the flags that all fakes have.
 type fakeFlags struct {
-	Trace string `help:"Write a trace to this file, one record a line." placeholder:"FILE"`
+	Trace string `help:"Write a trace to this file, one record per line." placeholder:"FILE"`
 	Seed  uint64 `help:"Seed of all random draws." default:"1"`
 }
 
-// run serves a fake until ctx ends. Each line on standard input is a command to it.
+// run runs the state machine of a fake in an event loop until ctx ends. Each line of standard input is a command to it.
 func (f fakeFlags) run(ctx context.Context, cli *program, name string, machine statemachine.Machine, listen ...string) (err error) {
 	log := cli.logger().With("fake", name)
 	config := eventloop.Bootstrap{Machine: machine, Listen: listen, Log: log}
@@ -59,7 +59,7 @@
 		}()
 		config.Trace = func(records []trace.Record) {
 			for _, record := range records {
-				_, _ = buffered.Write(record.Append(nil)) // the writer keeps its first error for Flush
+				_, _ = buffered.Write(record.Append(nil)) // the writer returns its first error again at Flush
 			}
 		}
 	}
@@ -68,7 +68,7 @@
 		return err
 	}
 	log.Info("fake started", "listen", strings.Join(loop.Addrs(), " "))
-	go func() { // it ends with the process: nothing interrupts a read of standard input
+	go func() { // ends only with the process, as nothing interrupts a read of standard input
 		for lines := bufio.NewScanner(os.Stdin); lines.Scan(); {
 			loop.SendCommand(lines.Text())
 		}
@@ -78,17 +78,17 @@
 
 type fakeBackendCmd struct {
 	fakeFlags
-	Listen   string  `required:"" help:"The address to listen on." placeholder:"HOST:PORT"`
-	ID       uint32  `required:"" aliases:"ep" help:"Its number in the endpoint list." placeholder:"N"`
-	Capacity float64 `help:"RPCs a second when warm." default:"30"`
-	Workers  int     `help:"RPCs that run at once." default:"2"`
-	Queue    int     `help:"RPCs that may wait." default:"30"`
-	Work     string  `help:"How RPCs' work is distributed: exponential, fixed, lognormal:CV or pareto:EXPONENT." default:"exponential"`
-	Cold     bool    `help:"It starts cold."`
-	Settings string  `help:"The fleet's settings, for the warm-up of cold backends and their collapse under load." placeholder:"FILE"`
+	Listen   string  `required:"" help:"Address to listen on." placeholder:"HOST:PORT"`
+	ID       uint32  `required:"" aliases:"ep" help:"Number of the backend in the endpoint list." placeholder:"N"`
+	Capacity float64 `help:"RPCs per second when warm." default:"30"`
+	Workers  int     `help:"Number of RPCs that run at once." default:"2"`
+	Queue    int     `help:"Number of RPCs that may wait in the queue." default:"30"`
+	Work     string  `help:"Distribution of the work of an RPC: exponential, fixed, lognormal:CV or pareto:EXPONENT." default:"exponential"`
+	Cold     bool    `help:"Start cold."`
+	Settings string  `help:"Settings file of the fleet, for the warm-up of cold backends and their collapse under load." placeholder:"FILE"`
 }
 
-// Run serves RPCs until ctx ends.
+// Run runs the backend until ctx ends.
 func (c fakeBackendCmd) Run(ctx context.Context, cli *program) error {
 	work, err := emulator.ParseWork(c.Work, float64(c.Workers)/c.Capacity)
 	if err != nil {
@@ -121,7 +121,7 @@
 
 type fakeEndpointsCmd struct {
 	fakeFlags
-	Listen   string   `required:"" help:"The address to listen on." placeholder:"HOST:PORT"`
+	Listen   string   `required:"" help:"Address to listen on." placeholder:"HOST:PORT"`
 	Backends []string `arg:"" name:"servers" help:"Backends, each as NUMBER,ZONE,WEIGHT,HOST:PORT."`
 }
 
@@ -131,14 +131,14 @@
 	for _, text := range c.Backends {
 		endpoint, err := parseEndpoint(text)
 		if err != nil {
-			return fmt.Errorf("server %q: %w", text, err)
+			return fmt.Errorf("backend %q: %w", text, err)
 		}
 		endpoints = append(endpoints, endpoint)
 	}
 	return c.run(ctx, cli, "endpoints", fake.NewEndpointService(endpoints), c.Listen)
 }
 
-// parseEndpoint reads NUMBER,ZONE,WEIGHT,HOST:PORT.
+// parseEndpoint parses NUMBER,ZONE,WEIGHT,HOST:PORT.
 func parseEndpoint(text string) (fake.Endpoint, error) {
 	fields := strings.Split(text, ",")
 	if len(fields) != 4 {
@@ -157,14 +157,14 @@
 
 type fakeFrontEndCmd struct {
 	fakeFlags
-	Settings    string   `required:"" help:"The fleet's settings." placeholder:"FILE"`
-	Coordinator []string `required:"" help:"Addresses of coordinators, the first preferred." placeholder:"HOST:PORT"`
-	Name        string   `required:"" help:"Its name." placeholder:"NAME"`
-	Zone        string   `help:"Its zone; none: the first of the settings." placeholder:"ZONE"`
-	Rate        float64  `help:"RPCs a second." default:"10"`
+	Settings    string   `required:"" help:"Settings file of the fleet." placeholder:"FILE"`
+	Coordinator []string `required:"" help:"Addresses of coordinators, in order of preference." placeholder:"HOST:PORT"`
+	Name        string   `required:"" help:"Name of the proxy." placeholder:"NAME"`
+	Zone        string   `help:"Zone of the proxy; default: the first zone of the settings." placeholder:"ZONE"`
+	Rate        float64  `help:"RPCs per second." default:"10"`
 }
 
-// Run sends RPCs until ctx ends.
+// Run runs the front end, which sends RPCs, until ctx ends.
 func (c fakeFrontEndCmd) Run(ctx context.Context, cli *program) error {
 	settings, err := bootstrap.Read(c.Settings)
 	if err != nil {
--- a/cmd/gingerfork/frontend.go
+++ b/cmd/gingerfork/frontend.go
@@ -5,16 +5,16 @@
 	"gingerfork/internal/fake"
 )
 
-// What a fake front end does where the settings say nothing. Times are in seconds.
+// Defaults of a fake front end for what the settings do not say. Times are in seconds.
 const (
 	frontEndAvoidFor          = 5
-	frontEndAttemptTimeout    = 0.8 // of the soft deadline
+	frontEndAttemptTimeout    = 0.8 // share of the soft deadline
 	frontEndReportPeriod      = 1
 	frontEndApplyTimePerEntry = 0.0002
 	frontEndConnectTimeout    = 0.25
 )
 
-// frontEndConfig returns the configuration of a front end of a fleet with these settings, without what is its own: name,
+// frontEndConfig returns the configuration that all front ends of a fleet with these settings share. The caller adds name,
 // zone, rate, seed and coordinators.
 func frontEndConfig(settings *choice.Settings) fake.FrontEndConfig {
 	return fake.FrontEndConfig{
--- a/cmd/gingerfork/helpers_test.go
+++ b/cmd/gingerfork/helpers_test.go
@@ -16,17 +16,17 @@
 	"gingerfork/internal/trace"
 )
 
-// asProgram is the environment variable that makes the test binary the program.
+// asProgram is the environment variable that makes the test binary run as the program instead of running tests.
 const asProgram = "GINGERFORK_AS_PROGRAM"
 
-// runCommand runs a command line in this process.
+// runCommand runs a command line in the test process.
 func runCommand(args ...string) (code int, out, err string) {
 	var stdout, stderr bytes.Buffer
 	code = run(args, &stdout, &stderr)
 	return code, stdout.String(), stderr.String()
 }
 
-// tempFile writes a file to a folder of its own.
+// tempFile writes a file to a new temporary folder and returns its path.
 func tempFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -36,7 +36,7 @@
 	return path
 }
 
-// perthSettings returns the built-in settings perth.conf.
+// perthSettings returns the text of the built-in settings perth.conf.
 func perthSettings(t *testing.T) string {
 	t.Helper()
 	text, err := scenario.File("perth.conf")
@@ -46,7 +46,7 @@
 	return string(text)
 }
 
-// readTraceFile returns the records of a trace.
+// readTraceFile returns the records of a trace file.
 func readTraceFile(t *testing.T, name string) []trace.Record {
 	t.Helper()
 	file, err := os.Open(name)
@@ -61,14 +61,14 @@
 	return records
 }
 
-// childProcess is a command of the program that runs as a process, with what it wrote.
+// childProcess is the program running as a child process. It collects what the process writes to both outputs.
 type childProcess struct {
 	cmd *exec.Cmd
 	mu  sync.Mutex
 	log bytes.Buffer
 }
 
-// startProcess starts a command of the program. The process ends with the test.
+// startProcess starts the program with the given arguments. The process is killed at the end of the test.
 func startProcess(t *testing.T, args ...string) *childProcess {
 	t.Helper()
 	exe, err := os.Executable()
@@ -85,7 +85,7 @@
 	return child
 }
 
-// Write appends to what the process wrote.
+// Write implements io.Writer for the outputs of the process.
 func (c *childProcess) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,12 +110,12 @@
 	}
 }
 
-// eventually waits for a condition and fails the test after 20 s.
+// eventually waits until a condition holds, and fails the test if it does not within 20 s.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("never: " + what)
+			t.Fatal("timeout while waiting for " + what)
 		}
 	}
 }
--- a/cmd/gingerfork/import.go
+++ b/cmd/gingerfork/import.go
@@ -13,47 +13,47 @@
 	"gingerfork/internal/haproxy"
 )
 
-// notListed is printed for a server that is not on a list.
+// notListed is printed instead of the properties of a server that one of two compared files does not list.
 const notListed = "not listed"
 
 var (
-	errNoImportFile  = errors.New("no file to import was given")
-	errImportRefused = errors.New("nothing was written: the files are at fault")
-	errImportInexact = errors.New("not all is carried exactly")
-	errDiffFiles     = errors.New("--diff takes the old file and the new one")
-	errFilesAtFault  = errors.New("the files are at fault")
+	errNoImportFile  = errors.New("import: no file given")
+	errImportRefused = errors.New("nothing was written: the files contain errors")
+	errImportInexact = errors.New("some lines were not imported exactly")
+	errDiffFiles     = errors.New("--diff needs two files, the old one and the new one")
+	errFilesAtFault  = errors.New("the files contain errors")
 )
 
 type importCmd struct {
-	Haproxy haproxyCmd `cmd:"" name:"haproxy" help:"Import HAProxy's configuration format. Example: gingerfork import haproxy -o imported web.cfg"`
+	Haproxy haproxyCmd `cmd:"" name:"haproxy" help:"Import HAProxy configuration files. Example: gingerfork import haproxy -o imported web.cfg"`
 }
 
 type haproxyCmd struct {
-	Files    []string          `arg:"" optional:"" help:"Files, in the order in which HAProxy would read them."`
-	Out      string            `short:"o" help:"Write each pool's settings and list to this folder." placeholder:"DIR"`
-	Env      map[string]string `help:"A variable that the files use; none is taken from the real environment." placeholder:"NAME=VALUE"`
-	Version  string            `help:"The version that version_atleast and version_before are answered for." default:"3.0"`
-	Feature  []string          `help:"A feature that the predicate feature finds; others are not there." placeholder:"NAME"`
-	JSON     bool              `help:"Print what became of each line as JSON."`
-	Strict   bool              `help:"Fail if anything is not carried exactly."`
-	Keywords bool              `help:"Print what becomes of each keyword. Example: gingerfork import haproxy --keywords > docs/haproxy-keywords.md"`
-	Diff     bool              `help:"Tell what changes on the list between two files, the old and the new."`
+	Files    []string          `arg:"" optional:"" help:"HAProxy configuration files, in the order in which HAProxy would read them."`
+	Out      string            `short:"o" help:"Write the settings and the endpoint list of each pool to this folder." placeholder:"DIR"`
+	Env      map[string]string `help:"Value of an environment variable that the files use; the real environment is not read." placeholder:"NAME=VALUE"`
+	Version  string            `help:"HAProxy version that the predicates version_atleast and version_before compare with." default:"3.0"`
+	Feature  []string          `help:"Feature for which the predicate feature is true; it is false for all others." placeholder:"NAME"`
+	JSON     bool              `help:"Print the result for each line as JSON."`
+	Strict   bool              `help:"Fail if anything cannot be imported exactly."`
+	Keywords bool              `help:"Print how each keyword is imported. Example: gingerfork import haproxy --keywords > docs/haproxy-keywords.md"`
+	Diff     bool              `help:"Print how the server lists of two files differ, the old file and the new one."`
 }
 
-// read parses files as HAProxy would if it were given them in this order.
+// read parses files as HAProxy would when given them in this order.
 func (c haproxyCmd) read(files ...string) (haproxy.Import, error) {
 	sources := make([]haproxy.Source, 0, len(files))
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
-			return haproxy.Import{}, fmt.Errorf("read what to import: %w", err)
+			return haproxy.Import{}, fmt.Errorf("read the file to import: %w", err)
 		}
 		sources = append(sources, haproxy.Source{Name: file, Text: string(text)})
 	}
 	return haproxy.Read(sources, haproxy.Environment{Variables: c.Env, Version: c.Version, Features: c.Feature}), nil
 }
 
-// Run imports the files, or does what one of the flags asks for instead.
+// Run imports the files; with --keywords or --diff it prints the keywords or the difference of two files instead.
 func (c haproxyCmd) Run(cli *program) error {
 	if c.Keywords {
 		haproxy.WriteKeywords(cli.out)
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// importNote is what became of one line, in the JSON output.
+// importNote is the result for one line, in the JSON output.
 type importNote struct {
 	File   string `json:"file"`
 	Line   int    `json:"line"`
@@ -101,9 +101,9 @@
 	Reason string `json:"why,omitempty"`
 }
 
-// printImportJSON prints what became of each line as one line of JSON.
+// printImportJSON prints the number of pools and the result for each line as one JSON object.
 func printImportJSON(cli *program, imported *haproxy.Import) error {
-	// Grow leaves the slice nil, and so null in the output, when there are no notes.
+	// slices.Grow by 0 leaves the slice nil, which encodes as null when there are no notes.
 	notes := slices.Grow([]importNote(nil), len(imported.Notes)+len(imported.Faults))
 	for _, note := range imported.Notes {
 		notes = append(notes, importNote{note.Line.File, note.Line.Line, note.Line.Column, note.Text(), note.Class.String(), note.Reason})
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// printImport reports on standard error what was not carried exactly.
+// printImport prints to standard error what was not imported exactly, the errors, and the counts of each.
 func printImport(cli *program, imported *haproxy.Import) {
 	for _, note := range imported.Notes {
 		if note.Class != haproxy.Carried {
@@ -126,7 +126,7 @@
 	}
 	printFaults(cli, imported.Faults)
 	counts := imported.Counts()
-	fmt.Fprintf(cli.err, "%d pools; %d carried, %d with a difference, %d not carried, %d refused\n", len(imported.Pools), counts[haproxy.Carried],
+	fmt.Fprintf(cli.err, "%d pools; %d carried, %d carried with a difference, %d not carried, %d refused\n", len(imported.Pools), counts[haproxy.Carried],
 		counts[haproxy.Differs], counts[haproxy.Dropped], len(imported.Faults))
 }
 
@@ -136,10 +136,10 @@
 	}
 }
 
-// write writes the routes, and each pool's settings and list.
+// write writes the routes, and the settings and the endpoint list of each pool, to the output folder.
 func (c haproxyCmd) write(imported haproxy.Import) error {
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
-		return fmt.Errorf("make the folder for what is imported: %w", err)
+		return fmt.Errorf("create the output folder: %w", err)
 	}
 	if len(imported.Routes) > 0 {
 		var b strings.Builder
@@ -147,23 +147,23 @@
 			fmt.Fprintln(&b, r)
 		}
 		if err := os.WriteFile(filepath.Join(c.Out, "routes"), []byte(b.String()), 0o644); err != nil {
-			return fmt.Errorf("write what is imported: %w", err)
+			return fmt.Errorf("write the routes: %w", err)
 		}
 	}
 	for _, pool := range imported.Pools {
 		if strings.ContainsAny(pool.Name, "/\\") || strings.HasPrefix(pool.Name, ".") {
-			return fmt.Errorf("pool %q can't name a file", pool.Name)
+			return fmt.Errorf("pool name %q cannot be used as a file name", pool.Name)
 		}
-		for end, text := range map[string]string{".conf": pool.Settings(imported.Routes), ".list": pool.List()} {
-			if err := os.WriteFile(filepath.Join(c.Out, pool.Name+end), []byte(text), 0o644); err != nil {
-				return fmt.Errorf("write what is imported: %w", err)
+		for suffix, text := range map[string]string{".conf": pool.Settings(imported.Routes), ".list": pool.List()} {
+			if err := os.WriteFile(filepath.Join(c.Out, pool.Name+suffix), []byte(text), 0o644); err != nil {
+				return fmt.Errorf("write pool %q: %w", pool.Name, err)
 			}
 		}
 	}
 	return nil
 }
 
-// diff prints how the list of servers differs between two files.
+// diff prints how the server lists of two files differ.
 func (c haproxyCmd) diff(cli *program) error {
 	if len(c.Files) != 2 {
 		return errDiffFiles
--- a/cmd/gingerfork/import_test.go
+++ b/cmd/gingerfork/import_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// The command writes what check passes, tells what it could not take, and refuses without writing anything.
+// The import writes files that the check command accepts, and reports what it could not import. If a file has errors, it
+// writes nothing.
 func TestImport(t *testing.T) {
 	web := tempFile(t, "web.cfg", "backend tasks\n    balance leastconn\n    server a 10.0.0.1:80 weight 3 check\n")
 	dir := filepath.Join(t.TempDir(), "out")
@@ -17,14 +18,14 @@
 		t.Fatalf("%d %s", code, err)
 	}
 	if code, _, err := runCommand("check", filepath.Join(dir, "tasks.conf")); code != exitOK {
-		t.Errorf("its settings: %s", err)
+		t.Errorf("check of the imported settings: %s", err)
 	}
 	before, _ := os.ReadFile(filepath.Join(dir, "tasks.list"))
 	if !strings.Contains(string(before), " a weight 3 addr 10.0.0.1:80 state open\n") {
-		t.Errorf("its list: %s", before)
+		t.Errorf("imported list: %s", before)
 	}
 	if code, _, _ := runCommand("import", "haproxy", "--strict", web); code != exitFailure {
-		t.Error("--strict passed what is not carried exactly")
+		t.Error("--strict accepted a file that is not imported exactly")
 	}
 	code, out, _ := runCommand("import", "haproxy", "--json", web)
 	var r struct {
@@ -40,7 +41,7 @@
 		t.Errorf("%d %s", code, err)
 	}
 	if _, err := os.Stat(none); err == nil {
-		t.Error("a refused file was written")
+		t.Error("the import of an invalid file wrote to the output folder")
 	}
 	changed := tempFile(t, "new.cfg", "backend tasks\n    server a 10.0.0.1:80 weight 4\n    server b 10.0.0.2:80\n")
 	if code, out, _ := runCommand("import", "haproxy", "--diff", web, changed); code != exitOK || strings.Count(out, "\n") != 2 || !strings.Contains(out, "tasks/b: not listed -> weight 1") {
@@ -48,14 +49,14 @@
 	}
 	env := tempFile(t, "env.cfg", "backend \"${SITE}\"\n    server a 10.0.0.1:80\n")
 	if code, _, _ := runCommand("import", "haproxy", env); code != exitFailure {
-		t.Error("a variable that was not given was guessed")
+		t.Error("the import accepted a file that uses an undefined variable")
 	}
 	if code, _, err := runCommand("import", "haproxy", "--env", "SITE=perth", env); code != exitOK {
 		t.Error(err)
 	}
 }
 
-// The page of keywords is what the program goes by.
+// docs/haproxy-keywords.md is generated from the program, and must be up to date.
 func TestKeywordPage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/haproxy-keywords.md")
 	if err != nil {
--- a/cmd/gingerfork/instance.go
+++ b/cmd/gingerfork/instance.go
@@ -16,28 +16,28 @@
 	"gingerfork/internal/store"
 )
 
-// storeFolder is the folder of the store in the state folder.
+// storeFolder is the name of the store's folder inside the state folder.
 const storeFolder = "store"
 
-// restartKeywords are the settings that are read only at the start.
+// restartKeywords are the settings that are read only at the start, so that a change needs a restart.
 var restartKeywords = []string{"listen", "list-service", "state", "list-from", "list-pool", "list-drain", "list-most-lost"}
 
-// errInstanceRenamed is returned when a file that is read again names another instance.
-var errInstanceRenamed = errors.New("a change of the instance's name takes a restart")
+// errInstanceRenamed is returned when a reloaded file names another instance.
+var errInstanceRenamed = errors.New("a change of the instance name needs a restart")
 
-// instance is one coordinator of the process, with its store and its endpoint source.
+// instance is one coordinator of the process with its store and its endpoint source.
 type instance struct {
 	file     string
 	settings *bootstrap.Settings // as read at the start of the process
 	clock    *eventloop.Clock
 	source   *endpointSource
-	store    *store.Store // nil: nothing is stored
+	store    *store.Store // nil if the settings name no state folder
 	machine  *coordinator.Machine
 	loop     *eventloop.Loop
 	log      *slog.Logger
 }
 
-// startInstance starts the coordinator of a settings file.
+// startInstance starts the coordinator that a settings file describes.
 func startInstance(ctx context.Context, cli *program, file string, settings *bootstrap.Settings) (*instance, error) {
 	log := cli.logger().With("instance", settings.Name)
 	dir := settings.Text("state")
@@ -63,7 +63,8 @@
 	return started, nil
 }
 
-// coordinatorBootstrap returns what a coordinator is started with: the settings, with a configuration of the decision module.
+// coordinatorBootstrap returns the start parameters of a coordinator: its settings and the configuration of its decision
+// module.
 func coordinatorBootstrap(settings *bootstrap.Settings, module choice.Config) coordinator.Bootstrap {
 	peers := make(map[choice.PeerID]string, len(settings.Peers))
 	for number, addr := range settings.Peers {
@@ -85,12 +86,12 @@
 	}
 }
 
-// reload reads the settings and the endpoint source's file again. Bad settings change nothing.
+// reload reads the settings and the endpoint source's file again. If the settings are invalid, the old ones stay in use.
 func (i *instance) reload() {
 	i.source.reload()
 	fresh, err := bootstrap.Read(i.file)
 	if err == nil && fresh.Name != i.settings.Name {
-		err = fmt.Errorf("%s: the instance is %s here: %w", i.file, fresh.Name, errInstanceRenamed)
+		err = fmt.Errorf("%s: the instance name is now %s: %w", i.file, fresh.Name, errInstanceRenamed)
 	}
 	if err != nil {
 		i.log.Error("settings reload failed, the old settings stay in force", "cause", err.Error())
@@ -107,7 +108,7 @@
 	i.log.Info("settings reloaded")
 }
 
-// wait returns the error of the event loop when it ends.
+// wait waits until the event loop ends, logs the totals of the run and returns the error of the event loop.
 func (i *instance) wait() error {
 	err := i.loop.Wait()
 	machine, loop := i.machine.Stats(), i.loop.Figures()
@@ -116,16 +117,16 @@
 	return err
 }
 
-// stop ends what still runs, as the end of the context does.
+// stop stops the event loop and the endpoint source if they still run, and closes the store.
 func (i *instance) stop() {
 	i.loop.Stop()
-	_ = i.loop.Wait() // wait reported it
+	_ = i.loop.Wait() // wait returns this error to the caller of Run
 	i.source.stop()
 	i.closeStore()
 }
 
-// openStore opens the store in the state folder, and returns what the last run stored. A damaged store ends the start: to
-// continue without it is the operator's decision.
+// openStore opens the store in the state folder and returns the state that the last run stored. It does nothing if dir is
+// empty. A damaged store is an error, because only the operator may decide to continue without it.
 func (i *instance) openStore(dir string) (*checkpoint.State, error) {
 	if dir == "" {
 		return nil, nil
@@ -144,8 +145,8 @@
 	}
 	state, err := checkpoint.Decode(opened.Scan(""))
 	if err != nil {
-		_ = opened.Close() // nothing was written, and an error of Close would only hide the cause
-		return nil, fmt.Errorf("the store is intact, but its content is invalid: %w", err)
+		_ = opened.Close() // nothing was written, and an error of Close would only hide the error of Decode
+		return nil, fmt.Errorf("the store is undamaged, but its content is invalid: %w", err)
 	}
 	i.store = opened
 	i.log.Info("store opened", "keys", recovery.Keys, "batches", recovery.LogFrames, "endpoints", len(state.Endpoints), "drains", len(state.Drains),
--- a/cmd/gingerfork/load.go
+++ b/cmd/gingerfork/load.go
@@ -17,29 +17,29 @@
 )
 
 var (
-	errMethodMix   = errors.New("every method needs a share")
-	errLoadTooSlow = errors.New("VOID: the load fell behind itself")
+	errMethodMix   = errors.New("give one share for each method")
+	errLoadTooSlow = errors.New("VOID: the load generator fell behind its schedule")
 )
 
 type loadCmd struct {
-	Settings      string   `required:"" help:"The fleet's settings: methods, how proxies pick." placeholder:"FILE"`
-	Coordinator   []string `help:"Coordinators that the proxies get their tables from." placeholder:"HOST:PORT"`
-	Backend       []string `aliases:"server" help:"Instead: the backends of one static table." placeholder:"HOST:PORT"`
-	Rate          float64  `help:"RPCs a second, of all proxies together." default:"100"`
-	Proxies       int      `help:"Proxies that send the load." default:"10"`
+	Settings      string   `required:"" help:"Settings file of the fleet, for the methods and the way in which proxies pick backends." placeholder:"FILE"`
+	Coordinator   []string `help:"Coordinators that the proxies get their tables from; each proxy prefers the next one in turn." placeholder:"HOST:PORT"`
+	Backend       []string `aliases:"server" help:"Backends of one static table, instead of coordinators." placeholder:"HOST:PORT"`
+	Rate          float64  `help:"RPCs per second of all proxies together." default:"100"`
+	Proxies       int      `help:"Number of proxies that send the load." default:"10"`
 	RateVariation float64  `aliases:"uneven" help:"Coefficient of variation of the proxies' rates." default:"0"`
-	Duration      string   `aliases:"for" help:"How long." default:"30s" placeholder:"TIME"`
-	Mix           []string `help:"The methods' shares. None: equal." placeholder:"SHARE"`
-	Swing         string   `aliases:"wave" help:"Amplitude of a periodic swing of the rate, as a share of it." placeholder:"SHARE"`
+	Duration      string   `aliases:"for" help:"Duration of the load." default:"30s" placeholder:"TIME"`
+	Mix           []string `help:"Share of the RPCs for each method, in the order of the settings; default: equal shares." placeholder:"SHARE"`
+	Swing         string   `aliases:"wave" help:"Amplitude of a periodic swing of the rate, as a share of the rate." placeholder:"SHARE"`
 	SwingPeriod   string   `aliases:"over" help:"Period of the swing." default:"60s" placeholder:"TIME"`
-	Burst         string   `aliases:"bursts" help:"Rate in bursts, as a share of the rate." placeholder:"PERCENT"`
-	BurstInterval string   `aliases:"every" help:"Time from the start of a burst to the next." default:"10s" placeholder:"TIME"`
-	BurstDuration string   `aliases:"lasting" help:"Length of a burst." default:"1s" placeholder:"TIME"`
-	Keys          int      `help:"Number of keys of RPCs, drawn by a Zipf distribution." placeholder:"N"`
+	Burst         string   `aliases:"bursts" help:"Rate during bursts, as a percentage of the rate." placeholder:"PERCENT"`
+	BurstInterval string   `aliases:"every" help:"Time from the start of one burst to the start of the next." default:"10s" placeholder:"TIME"`
+	BurstDuration string   `aliases:"lasting" help:"Duration of a burst." default:"1s" placeholder:"TIME"`
+	Keys          int      `help:"Number of cache keys, which RPCs draw from by a Zipf distribution; default: no keys." placeholder:"N"`
 	ZipfExponent  float64  `aliases:"zipf" help:"Exponent of the Zipf distribution." default:"1"`
-	RetryChance   string   `aliases:"again" help:"Chance that a client sends a failed RPC again." placeholder:"SHARE"`
-	RetryBackoff  string   `aliases:"after" help:"Backoff of clients, about; doubled each time." default:"100ms" placeholder:"TIME"`
-	RetryLimit    int      `aliases:"at-most" help:"Retries of a client at most." default:"2" placeholder:"N"`
+	RetryChance   string   `aliases:"again" help:"Probability that a client retries a failed RPC." placeholder:"SHARE"`
+	RetryBackoff  string   `aliases:"after" help:"Approximate backoff before the first retry; it doubles with each further one." default:"100ms" placeholder:"TIME"`
+	RetryLimit    int      `aliases:"at-most" help:"Largest number of retries per RPC." default:"2" placeholder:"N"`
 	Seed          uint64   `help:"Seed of all random draws." default:"1"`
 	JSON          bool     `help:"Print the result as JSON."`
 	Plot          string   `aliases:"picture" help:"Plot the result to this PNG file." placeholder:"FILE"`
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// config returns the configuration that the flags and the settings describe.
+// config returns the configuration of the load generator that the flags and the settings describe.
 func (c loadCmd) config() (load.Config, error) {
 	settings, err := bootstrap.Read(c.Settings)
 	if err != nil {
@@ -115,7 +115,7 @@
 	return config, nil
 }
 
-// frontEnd returns the configuration of a front end with the traffic that the flags describe.
+// frontEnd adds the traffic that the flags describe to the configuration of a front end.
 func (c loadCmd) frontEnd(config fake.FrontEndConfig) (fake.FrontEndConfig, error) {
 	config.ClientRetryLimit = c.RetryLimit
 	if err := c.applyMix(config.Methods); err != nil {
@@ -136,7 +136,7 @@
 		{"burst-duration", c.BurstDuration, bootstrap.ParseDuration, &config.Shape.BurstLength},
 	}
 	if c.Burst == "" {
-		flags = flags[:len(flags)-3] // without bursts, their interval and duration have no meaning
+		flags = flags[:len(flags)-3] // without --burst, the interval and the duration of bursts are not used
 	}
 	for _, flag := range flags {
 		if flag.text == "" {
@@ -156,7 +156,7 @@
 	return config, err
 }
 
-// applyMix sets the methods' shares of the traffic.
+// applyMix sets each method's share of the RPCs from --mix.
 func (c loadCmd) applyMix(methods []fake.MethodConfig) error {
 	if len(c.Mix) == 0 {
 		return nil
--- a/cmd/gingerfork/log.go
+++ b/cmd/gingerfork/log.go
@@ -9,7 +9,7 @@
 	"github.com/rs/zerolog"
 )
 
-// logLevels are the levels that --log-level takes.
+// logLevels maps the values of --log-level to the levels of zerolog.
 var logLevels = map[string]zerolog.Level{
 	"debug": zerolog.DebugLevel,
 	"info":  zerolog.InfoLevel,
@@ -17,8 +17,8 @@
 	"error": zerolog.ErrorLevel,
 }
 
-// logger returns a logger to standard error in the format and at the level of the flags. zerolog writes, without an
-// allocation a line; the packages see only log/slog.
+// logger returns a logger that writes to standard error in the format and from the level that the flags select. The packages
+// use log/slog only; zerolog writes the lines, because it does so without allocating for each line.
 func (p *program) logger() *slog.Logger {
 	target := p.err
 	if p.LogFormat == "text" {
@@ -29,7 +29,7 @@
 	return slog.New(zerolog.NewSlogHandler(logger))
 }
 
-// stderrIsTerminal tells whether standard error is a terminal that can show colors.
+// stderrIsTerminal reports whether standard error is a terminal that can show colors.
 func stderrIsTerminal() bool {
 	info, err := os.Stderr.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0 && !strings.EqualFold(os.Getenv("TERM"), "dumb")
--- a/cmd/gingerfork/main.go
+++ b/cmd/gingerfork/main.go
@@ -1,5 +1,5 @@
-// Command gingerfork is the control service: it runs coordinators, checks their settings, plays scenarios against them, and
-// runs fakes of the systems around them.
+// Command gingerfork runs coordinators, which tell proxies how to spread their load over backends. It also checks settings,
+// plays scenarios against coordinators, and runs fakes of the systems around them.
 package main
 
 import (
@@ -16,31 +16,31 @@
 // Exit codes of the process.
 const (
 	exitOK      = 0
-	exitFailure = 1 // what was checked is bad, or the command failed
-	exitUsage   = 2 // the command line is wrong
+	exitFailure = 1 // the command failed, or what it checked is invalid
+	exitUsage   = 2 // the command line is invalid
 )
 
-const description = "A control service that gives plain proxies their tables, and keeps them right while servers come, go, fail and stall.\n\n" +
-	"Exit codes: 0 good, 1 the thing asked about is bad, 2 wrong usage."
+const description = "A coordinator that pushes backend tables to proxies, and updates the tables as backends join, leave, fail and stall.\n\n" +
+	"Exit codes: 0 success, 1 the command failed or what it checked is invalid, 2 invalid command line."
 
-// program is the command line. Hidden commands and the aliases of flags are earlier spellings, which scripts still use.
+// program defines the command line for kong. Hidden commands and aliases of flags are earlier names, which scripts still use.
 type program struct {
-	LogFormat string `help:"Log lines as text or json." enum:"text,json" default:"text" placeholder:"text|json"`
-	LogLevel  string `help:"The least level logged: debug, info, warn or error." enum:"debug,info,warn,error" default:"info" placeholder:"LEVEL"`
+	LogFormat string `help:"Format of log lines: text or json." enum:"text,json" default:"text" placeholder:"text|json"`
+	LogLevel  string `help:"Lowest level that is logged: debug, info, warn or error." enum:"debug,info,warn,error" default:"info" placeholder:"LEVEL"`
 
-	Serve      serveCmd      `cmd:"" help:"Run a coordinator for each file until SIGTERM; SIGHUP reads the files again. Example: gingerfork serve perth.conf"`
+	Serve      serveCmd      `cmd:"" help:"Run a coordinator for each settings file until SIGTERM; SIGHUP reads the files again. Example: gingerfork serve perth.conf"`
 	Node       nodeCmd       `cmd:"" help:"Run one coordinator on the operators' platform, configured by NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_CONFIG; SIGHUP reads the configuration again."`
-	Check      checkCmd      `cmd:"" help:"Check settings files and scenarios, and report every fault. Example: gingerfork check perth.conf evening.day"`
+	Check      checkCmd      `cmd:"" help:"Check settings files, scenarios and routes, and report every error. Example: gingerfork check perth.conf evening.day"`
 	Scenario   scenarioCmd   `cmd:"" help:"Play scenarios against real coordinators and check the invariants. Example: gingerfork scenario evening"`
-	Experiment experimentCmd `cmd:"" help:"Compare settings, sizes and faults over a grid of scenarios in virtual time."`
-	Emulate    emulateCmd    `cmd:"" help:"Emulate a scenario's backends and endpoint service on loopback ports, for coordinators and proxies of your own. Example: gingerfork emulate fleet"`
-	Load       loadCmd       `cmd:"" help:"Send RPCs, open loop, through proxies that subscribe to a coordinator or use one static table. Example: gingerfork load --settings perth.conf --coordinator 127.0.0.1:7400 --rate 300"`
+	Experiment experimentCmd `cmd:"" help:"Compare settings, fleet sizes and faults over a grid of scenarios in virtual time."`
+	Emulate    emulateCmd    `cmd:"" help:"Emulate a scenario's backends and endpoint service on loopback ports, for coordinators and proxies that run separately. Example: gingerfork emulate fleet"`
+	Load       loadCmd       `cmd:"" help:"Send RPCs in an open loop through proxies that subscribe to a coordinator or use one static table. Example: gingerfork load --settings perth.conf --coordinator 127.0.0.1:7400 --rate 300"`
 	Import     importCmd     `cmd:"" help:"Import another program's configuration. Example: gingerfork import haproxy -o imported web.cfg"`
-	Route      routeCmd      `cmd:"" help:"Print the pool that a request is routed to by a file of routes, and as which method. Example: gingerfork route imported/routes www GET /tasks --header host=perth.example"`
+	Route      routeCmd      `cmd:"" help:"Print the pool and the method that a file of routes gives to a request. Example: gingerfork route imported/routes www GET /tasks --header host=perth.example"`
 	Store      storeCmd      `cmd:"" help:"Check, dump or compact a coordinator's store."`
-	Fake       fakeCmd       `cmd:"" help:"Run one fake as a process of its own. Example: gingerfork fake backend --listen 127.0.0.1:7501 --id 1"`
-	Measure    measureCmd    `cmd:"" help:"Take the figures of docs/performance.md on this machine. Example: gingerfork measure drains"`
-	Settings   settingsCmd   `cmd:"" help:"Print what every keyword of the settings means. Example: gingerfork settings > docs/settings.md"`
+	Fake       fakeCmd       `cmd:"" help:"Run a fake proxy, backend or endpoint service. Example: gingerfork fake backend --listen 127.0.0.1:7501 --id 1"`
+	Measure    measureCmd    `cmd:"" help:"Take the measurements of docs/performance.md on this machine. Example: gingerfork measure drains"`
+	Settings   settingsCmd   `cmd:"" help:"Print the reference of all settings keywords. Example: gingerfork settings > docs/settings.md"`
 	Version    versionCmd    `cmd:"" help:"Print the version. Example: gingerfork version"`
 
 	OldScenario scenarioCmd `cmd:"" hidden:"" name:"rehearse"`
@@ -51,10 +51,10 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// run executes a command line and returns the exit code.
+// run parses and executes a command line, and returns the exit code.
 func run(args []string, out, errOut io.Writer) int {
 	cli := &program{out: out, err: errOut}
-	helpExit := -1 // the exit code that kong asked for after it printed the help
+	helpExit := -1 // exit code that kong requests after it has printed the help; -1: none
 	parser, err := newParser(cli, func(code int) { helpExit = code })
 	if err != nil {
 		fmt.Fprintln(errOut, "gingerfork:", err)
@@ -78,7 +78,7 @@
 	return exitOK
 }
 
-// newParser returns a parser that fills cli and calls exit after it printed the help.
+// newParser returns a parser that fills cli. It calls exit after it has printed the help.
 func newParser(cli *program, exit func(code int)) (*kong.Kong, error) {
 	return kong.New(cli, kong.Name("gingerfork"), kong.Writers(cli.out, cli.err), kong.Exit(exit),
 		kong.Description(description), kong.UsageOnError(), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
--- a/cmd/gingerfork/main_test.go
+++ b/cmd/gingerfork/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain lets the test binary serve as the program where a process of its own is needed.
+// TestMain runs the test binary as the program if asProgram is set, for tests that need the program as a child process.
 func TestMain(m *testing.M) {
 	if os.Getenv(asProgram) == "1" {
 		os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
@@ -24,7 +24,7 @@
 		want string
 	}{
 		{[]string{"version"}, exitOK, "protocol 1"},
-		{[]string{"check", fine}, exitOK, "good"},
+		{[]string{"check", fine}, exitOK, "fine.conf: valid"},
 		{[]string{"check", fine, bad}, exitFailure, "bad.conf:11: warm-after"},
 		{[]string{"check", bad}, exitFailure, "did you mean pair?"},
 		{[]string{"check", "none.conf"}, exitFailure, "can't be read"},
--- a/cmd/gingerfork/measure.go
+++ b/cmd/gingerfork/measure.go
@@ -11,15 +11,15 @@
 )
 
 type measureCmd struct {
-	Which []string `arg:"" optional:"" help:"drains, joins, idle, emulator, retries or store; none: all." enum:"drains,joins,idle,emulator,retries,store"`
+	Which []string `arg:"" optional:"" help:"Measurements to take: drains, joins, idle, emulator, retries or store; default: all." enum:"drains,joins,idle,emulator,retries,store"`
 	Plot  string   `aliases:"picture" help:"Plot goodput against offered load (retries) to this PNG file." placeholder:"FILE"`
 }
 
-// Run takes the measurements with coordinators that are processes of this program.
+// Run takes the measurements against coordinators that it starts as child processes.
 func (c measureCmd) Run(ctx context.Context, cli *program) error {
 	exe, err := os.Executable()
 	if err != nil {
-		return fmt.Errorf("find this program, to start a coordinator with it: %w", err)
+		return fmt.Errorf("find the executable, to start a coordinator: %w", err)
 	}
 	coordinator := []string{exe, "--log-level", "error", "serve"}
 	if c.Plot == "" {
--- a/cmd/gingerfork/node.go
+++ b/cmd/gingerfork/node.go
@@ -22,36 +22,36 @@
 )
 
 const (
-	// addressWait bounds the wait for the listen address of a predecessor that was just killed. It gives the address back
-	// far sooner, and a restarted coordinator must be ready within 6 s.
+	// addressWait bounds the wait for the listen address while a predecessor that was just killed may still hold it. A
+	// predecessor releases it far sooner, and a restarted coordinator must be ready within 6 s.
 	addressWait     = 4 * time.Second
-	addressRetry    = addressWait / 40
+	addressRetry    = addressWait / 40 // time between two attempts
 	nodeDialTimeout = 2 * time.Second
 
 	maxQueuedLogLines = 4096
-	// logFlushTimeout bounds the wait for the log's reader at the end: a planned restart goes on to SIGKILL.
+	// logFlushTimeout bounds the wait for a slow log reader at the end, because a planned restart follows SIGTERM by SIGKILL.
 	logFlushTimeout = 200 * time.Millisecond
 
-	// The buffers of the event loop take at most these shares of the memory limit, and at most these sizes.
+	// Limits of the event loop's buffers: the memory limit divided by these numbers, and these absolute sizes.
 	writeBufferMemoryShare  = 32
 	pendingInputMemoryShare = 16
-	largestWriteBuffer      = 4 << 20  // bytes a connection
+	largestWriteBuffer      = 4 << 20  // bytes per connection
 	largestPendingInput     = 64 << 20 // bytes
 )
 
 // errNoConfigurationFile is returned when the environment does not name the configuration file.
-var errNoConfigurationFile = errors.New(platform.EnvConfigFile + " does not name the configuration's file")
+var errNoConfigurationFile = errors.New(platform.EnvConfigFile + " is not set to the name of the configuration file")
 
 type nodeCmd struct{}
 
-// Run serves until SIGTERM. Only the network code and the decision module run: on the platform a coordinator has no disk
-// that outlives it, and little memory.
+// Run runs a coordinator until SIGTERM. It runs only the network code and the decision module, without a store, because on
+// the platform a coordinator has little memory and no disk that outlives it.
 func (nodeCmd) Run(ctx context.Context, command *program) error {
-	// Before anything else: a SIGHUP that arrives during the start must not end the process.
+	// Registered first, because a SIGHUP during the start would otherwise end the process.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
-	signal.Ignore(syscall.SIGPIPE) // the end of the log's reader must not end the process
+	signal.Ignore(syscall.SIGPIPE) // a log reader that exits must not end the process
 	start, err := readNodeStart()
 	if err != nil {
 		return err
@@ -61,7 +61,7 @@
 	defer flushLog(logLines)
 	node, err := startNode(ctx, start, newNodeLogger(logLines, start.Name))
 	if errors.Is(err, context.Canceled) {
-		return nil // SIGTERM arrived before the coordinator listened
+		return nil // SIGTERM arrived before the coordinator began to listen
 	}
 	if err != nil {
 		return err
@@ -73,7 +73,7 @@
 	return slog.New(zerolog.NewSlogHandler(zerolog.New(w).With().Timestamp().Logger())).With("instance", instance)
 }
 
-// flushLog waits for the last lines of the log, for logFlushTimeout at most.
+// flushLog closes the log and waits at most logFlushTimeout until its last lines have been written.
 func flushLog(lines *asyncWriter) {
 	expired := make(chan struct{})
 	defer time.AfterFunc(logFlushTimeout, func() { close(expired) }).Stop()
@@ -82,14 +82,14 @@
 
 // runningNode is a coordinator on the operators' platform.
 type runningNode struct {
-	start   *platform.NodeConfig // as read at the start of the process
+	start   *platform.NodeConfig // as read at the start of the process, for comparison at a reload
 	machine *platform.Machine
 	loop    *eventloop.Loop
 	clock   *eventloop.Clock
 	log     *slog.Logger
 }
 
-// startNode starts a coordinator. The error is context.Canceled when ctx ended before it listened.
+// startNode starts a coordinator. The error is context.Canceled if ctx ended before the coordinator began to listen.
 func startNode(ctx context.Context, start *platform.NodeConfig, log *slog.Logger) (*runningNode, error) {
 	clock := eventloop.NewClock()
 	machine, err := platform.New(start.Bootstrap(clock.Now()))
@@ -107,7 +107,7 @@
 	return &runningNode{start: start, machine: machine, loop: loop, clock: clock, log: log}, nil
 }
 
-// loopConfig returns the event loop's address and limits.
+// loopConfig returns the configuration of the event loop: its address, its connection limit and its buffer sizes.
 func loopConfig(start *platform.NodeConfig) eventloop.Bootstrap {
 	config := eventloop.Bootstrap{
 		Listen:         []string{start.Listen},
@@ -121,8 +121,8 @@
 	return config
 }
 
-// listenWhenFree calls start until it finds the listen address free, for addressWait at most: a predecessor that was just
-// killed may still hold it. The error is that of ctx when ctx ends first.
+// listenWhenFree calls start again while the listen address is in use, for at most addressWait, because a predecessor that
+// was just killed may still hold the address. If ctx ends first, the error is that of ctx.
 func listenWhenFree(ctx context.Context, start func() (*eventloop.Loop, error)) (*eventloop.Loop, error) {
 	for deadline := time.Now().Add(addressWait); ; {
 		loop, err := start()
@@ -137,7 +137,7 @@
 	}
 }
 
-// serve reloads the configuration at each signal until the event loop ends, and returns the event loop's error.
+// serve reloads the configuration at each signal until the event loop ends, and returns the error of the event loop.
 func (n *runningNode) serve(reload <-chan os.Signal) error {
 	for {
 		select {
@@ -151,8 +151,8 @@
 	}
 }
 
-// reloadConfiguration reads the configuration again. Only the address of discovery is applied; a configuration that cannot
-// be read or that is invalid changes nothing.
+// reloadConfiguration reads the configuration file again and applies the address of the discovery service; other changes need
+// a restart. If the file cannot be read or is invalid, the old configuration stays in use.
 func (n *runningNode) reloadConfiguration() {
 	fresh, err := readNodeStart()
 	if err != nil {
@@ -190,13 +190,13 @@
 	return start, nil
 }
 
-// limitRuntime keeps the Go runtime inside the limits of the configuration.
+// limitRuntime applies the limits of the configuration on cores and memory to the Go runtime.
 func limitRuntime(start *platform.NodeConfig) {
 	if start.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(start.Cores)))
 	}
 	if start.Memory > 0 {
-		// The limit covers what the runtime holds; the program's own pages and the kernel's buffers come on top.
+		// Half of the memory, because the runtime's limit does not cover the pages of the executable and the kernel's buffers.
 		debug.SetMemoryLimit(start.Memory / 2)
 	}
 }
