--- a/cmd/gingerfork/node_helpers_test.go
+++ b/cmd/gingerfork/node_helpers_test.go
@@ -16,7 +16,8 @@
 	"gingerfork/internal/platform"
 )
 
-// fakeDiscovery answers like the platform's discovery service, and sends the URL of each call.
+// fakeDiscovery starts an HTTP server that answers like the platform's discovery service with two backends. It sends the URL
+// of each request to calls, and leaves a long poll without an answer.
 func fakeDiscovery(t *testing.T) (addr string, calls chan string) {
 	t.Helper()
 	calls = make(chan string, 100)
@@ -36,7 +37,7 @@
 	return strings.TrimPrefix(server.URL, "http://"), calls
 }
 
-// configuration is a valid configuration file.
+// configuration returns the text of a valid configuration file.
 func configuration(listen, discovery string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":64,"sockets":256},
 		"settings":{"Discovery":"on_request","RoundMs":4.0,"GroupSize":1,"SelfIndex":0,"Zones":["a"],"FamilyInfo":{"ProxyCount":4,"LinesPerS":14000.0,
@@ -45,7 +46,8 @@
 		"Profiles":[{"Name":"read","AimMs":1000.0,"DeadlineMs":2500.0,"Effect":"idempotent","Worth":1.0}]}}`, listen, discovery)
 }
 
-// startProgram starts the program on a configuration file, with its log on logs. The process ends with the test.
+// startProgram starts the node command with a configuration file that holds config, and its log written to logs. The process
+// is killed at the end of the test.
 func startProgram(t *testing.T, config string, logs *os.File) *exec.Cmd {
 	t.Helper()
 	program := exec.Command(os.Args[0], "node")
@@ -58,7 +60,7 @@
 	return program
 }
 
-// terminate sends SIGTERM and expects the program to end with exit code 0.
+// terminate sends SIGTERM and fails the test unless the program ends with exit code 0.
 func terminate(t *testing.T, program *exec.Cmd) {
 	t.Helper()
 	program.Process.Signal(syscall.SIGTERM)
@@ -67,8 +69,8 @@
 	}
 }
 
-// attach connects, sends requests and returns what arrives, up to the line that contains want. It waits for the program to
-// listen.
+// attach connects to the program as soon as it listens, sends requests and returns the answers up to the line that contains
+// want.
 func attach(t *testing.T, listen, requests, want string) (got string) {
 	t.Helper()
 	var conn net.Conn
@@ -89,7 +91,7 @@
 			return got
 		}
 		if err != nil {
-			t.Fatalf("waiting for %q: %q and %v", want, got, err)
+			t.Fatalf("received %q and the error %v while waiting for %q", got, err, want)
 		}
 	}
 }
--- a/cmd/gingerfork/node_listen_test.go
+++ b/cmd/gingerfork/node_listen_test.go
@@ -11,12 +11,13 @@
 	"gingerfork/internal/statemachine"
 )
 
-// idleMachine does nothing.
+// idleMachine is a state machine that does nothing.
 type idleMachine struct{}
 
 func (idleMachine) Step(statemachine.Seconds, []statemachine.Input, *statemachine.Effects) {}
 
-// The predecessor still holds the address when the new process begins to listen on it.
+// A predecessor that still holds the listen address at the start must not make the start fail: it is repeated until the
+// address is free.
 func TestListenWaitsForPredecessorsAddress(t *testing.T) {
 	predecessor, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,7 +39,7 @@
 		t.Fatalf("%d attempts, %v", attempts, err)
 	}
 	defer func(started *eventloop.Loop) { started.Stop(); _ = started.Wait() }(loop)
-	// SIGTERM during the wait ends it.
+	// SIGTERM during the wait ends the wait.
 	loop, err = listenWhenFree(ctx, func() (*eventloop.Loop, error) { stop(); return nil, syscall.EADDRINUSE })
 	if loop != nil || !errors.Is(err, context.Canceled) {
 		t.Errorf("after SIGTERM: %v and %v", loop, err)
--- a/cmd/gingerfork/node_settings_test.go
+++ b/cmd/gingerfork/node_settings_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// readMethod is the only method of configuration.
+// readMethod is the text of the only method in the file that configuration returns.
 const readMethod = `{"Name":"read","AimMs":1000.0,"DeadlineMs":2500.0,"Effect":"idempotent","Worth":1.0}`
 
-// manyMethods are as many methods as the settings may have.
+// manyMethods returns the text of 63 methods, the most that the settings may have.
 func manyMethods() string {
 	methods := readMethod
 	for i := range 62 {
@@ -20,12 +20,12 @@
 	return methods
 }
 
-// settingsCases are configurations that the platform's pages allow.
+// settingsCases are variants of the configuration that the platform's documentation allows.
 var settingsCases = []struct {
 	name    string
-	changes []string // of configuration: old and new text in turn
-	zone    string   // of the proxy that attaches
-	want    string   // in what that proxy receives
+	changes []string // replacements in the text of configuration: old and new text alternate
+	zone    string   // zone of the proxy that attaches
+	want    string   // must occur in what the proxy receives
 }{
 	{"endpoint list is pushed elsewhere", []string{`"Discovery":"on_request"`, `"Discovery":"pushed"`}, "a", "s-1:1"},
 	{"no limit between two polls", []string{`"AskWithinMs":10000.0`, `"AskWithinMs":0`}, "a", "s-1:1"},
@@ -49,7 +49,8 @@
 	{"no warm-up", []string{`"WarmAfterMs":10000.0,"ColdShare":0.3`, `"WarmAfterMs":0,"ColdShare":1`}, "a", "s-1:1"},
 }
 
-// Settings of other customers: whatever the platform's pages allow starts, polls discovery and gives proxies their tables.
+// The settings of other customers of the platform differ from ours. With any settings that the platform's documentation
+// allows, the program starts, polls discovery and pushes tables to proxies.
 func TestNodeAcceptsOtherCustomersSettings(t *testing.T) {
 	for _, c := range settingsCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -64,19 +65,21 @@
 	}
 }
 
-// mustReplace makes changes to a text, and expects that each finds something to replace.
+// mustReplace replaces the first occurrence of each old text in changes by the new text after it, and fails the test if a
+// text does not occur.
 func mustReplace(t *testing.T, text string, changes []string) string {
 	t.Helper()
 	for i := 0; i < len(changes); i += 2 {
 		if !strings.Contains(text, changes[i]) {
-			t.Fatalf("the configuration has no %s", changes[i])
+			t.Fatalf("the configuration does not contain %s", changes[i])
 		}
 		text = strings.Replace(text, changes[i], changes[i+1], 1)
 	}
 	return text
 }
 
-// mustPoll waits for a long poll of discovery, and expects its time-out to be in the range that the platform's page allows.
+// mustPoll waits for a long poll of discovery, and fails the test unless its timeout is within the 100 to 60000 ms that the
+// platform's documentation allows.
 func mustPoll(t *testing.T, calls <-chan string) {
 	t.Helper()
 	for limit := time.After(time.Minute); ; {
@@ -87,11 +90,11 @@
 				continue
 			}
 			if timeout < 100 || timeout > 60000 {
-				t.Errorf("it polls by %s", call)
+				t.Errorf("the timeout of the poll %s is not within 100 to 60000 ms", call)
 			}
 			return
 		case <-limit:
-			t.Fatal("it never polls discovery")
+			t.Fatal("the program does not poll discovery within a minute")
 		}
 	}
 }
--- a/cmd/gingerfork/node_test.go
+++ b/cmd/gingerfork/node_test.go
@@ -16,13 +16,14 @@
 	"gingerfork/internal/platform"
 )
 
-// programLog reads the log of a program line by line.
+// programLog holds the lines of the program's log that the test has not read yet.
 type programLog struct {
 	lines chan string
-	limit <-chan time.Time // of all waits together
+	limit <-chan time.Time // time limit of all waits together
 }
 
-// startLogReader reads r until its end, and drops lines that nobody waits for.
+// startLogReader reads r to its end in the background. It drops lines while 100 are unread, so that the program never blocks
+// on its log.
 func startLogReader(r io.Reader) *programLog {
 	log := &programLog{lines: make(chan string, 100), limit: time.After(time.Minute)}
 	go func() {
@@ -37,20 +38,20 @@
 	return log
 }
 
-// await waits for a line with a text.
+// await waits for a log line that contains text.
 func (l *programLog) await(t *testing.T, text string) {
 	t.Helper()
 	for {
 		select {
 		case line, ok := <-l.lines:
 			if !ok {
-				t.Fatalf("it ended before it logged %q", text)
+				t.Fatalf("the program ended before it logged %q", text)
 			}
 			if strings.Contains(line, text) {
 				return
 			}
 		case <-l.limit:
-			t.Fatalf("it never logged %q", text)
+			t.Fatalf("the program did not log %q within the time limit", text)
 		}
 	}
 }
@@ -72,7 +73,7 @@
 	return &proxyClient{Conn: conn, lines: bufio.NewReader(conn)}
 }
 
-// await reads up to a line with a text, and returns that line.
+// await reads up to a line that contains text, and returns that line.
 func (c *proxyClient) await(t *testing.T, text string) string {
 	t.Helper()
 	for {
@@ -93,7 +94,9 @@
 	}
 }
 
-// The built program on loopback: a heartbeat, an attach, a table, an acknowledgement, new configurations, its end.
+// The program as a process: a proxy sends a heartbeat, attaches, receives a table and acknowledges it. Invalid configurations
+// are rejected at SIGHUP, a new discovery address is used at once, and the stream stays open. SIGTERM ends the process with
+// exit code 0.
 func TestNodeServes(t *testing.T) {
 	oldDiscovery, oldCalls := fakeDiscovery(t)
 	newDiscovery, newCalls := fakeDiscovery(t)
@@ -131,13 +134,13 @@
 	select {
 	case call := <-newCalls:
 		if !strings.Contains(call, "since=41") {
-			t.Errorf("the first call at the new address is %s", call)
+			t.Errorf("the first call at the new address is %s, want it to continue at since=41", call)
 		}
 	case <-log.limit:
-		t.Fatal("it never calls discovery at its new address")
+		t.Fatal("the program does not call discovery at the new address")
 	}
 	if len(oldCalls) == 0 {
-		t.Error("it never called the old address")
+		t.Error("the program did not call discovery at the old address")
 	}
 	fmt.Fprint(client, "hb\r\n") // the stream is still open
 	client.await(t, "hb_ok")
@@ -148,7 +151,7 @@
 	}
 }
 
-// A start that fails is reported in one line and by the exit code.
+// A start that fails is reported by one line on standard error and by the exit code.
 func TestNodeRefusesToStart(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -179,17 +182,17 @@
 	})
 }
 
-// mustRefuseToStart expects exit code 1 and one line with a text on standard error.
+// mustRefuseToStart fails the test unless the program exits with code 1 and one line on standard error that contains want.
 func mustRefuseToStart(t *testing.T, file, want string) {
 	t.Helper()
 	t.Setenv(platform.EnvConfigFile, file)
 	code, _, stderr := runCommand("node")
 	if code != exitFailure || !strings.Contains(stderr, want) || strings.Count(strings.TrimSpace(stderr), "\n") > 0 {
-		t.Errorf("exit %d, %q; wanted %q", code, stderr, want)
+		t.Errorf("exit code %d and %q, want code %d and one line with %q", code, stderr, exitFailure, want)
 	}
 }
 
-// The log's reader is gone before the first line: without the handling of SIGPIPE the first write would end the process.
+// The log reader is gone before the first line is written. Unless SIGPIPE is ignored, that write would end the process.
 func TestNodeSurvivesTheEndOfItsLogReader(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
--- a/cmd/gingerfork/oncall_test.go
+++ b/cmd/gingerfork/oncall_test.go
@@ -17,27 +17,28 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The page that lists every log message of a coordinator, and the section of it that does.
+// The page and the section of it that list every log message of a coordinator.
 const (
 	messagesPage    = "../../docs/oncall.md"
 	messagesSection = "## Every message of the log"
 )
 
-// coordinatorPackages are the folders whose code writes a coordinator's log.
+// coordinatorPackages are the folders of the packages that write the log of a coordinator.
 var coordinatorPackages = []string{"../../internal/platform", "../../internal/coordinator", "../../internal/eventloop", "../../internal/endpointservice", "."}
 
-// forwardingFunctions pass on messages that another function has chosen, each in one call. Every other log call must have a
-// constant message.
+// forwardingFunctions are the functions that log a message that they get from elsewhere, each in one call. All other log
+// calls must have a constant message, so that the test can find it.
 var forwardingFunctions = []string{
-	"coordinator.logResult",         // the decision module's LogMessage
-	"eventloop.Loop.applyEffects",   // the log entries of a machine
-	"platform.Machine.execute",      // the decision module's LogMessage
-	"platform.Machine.logThrottled", // its callers are found instead
+	"coordinator.logResult",         // message of a LogMessage command of the decision module
+	"eventloop.Loop.applyEffects",   // log entries of a state machine
+	"platform.Machine.execute",      // message of a LogMessage command of the decision module
+	"platform.Machine.logThrottled", // the messages are found at its callers
 }
 
 // loggedMessage is a log message with its level and the function that logs it.
 type loggedMessage struct{ Text, Level, Function string }
 
+// The page for operators on call must list every log message with its level and the function that logs it, and no others.
 func TestOnCallPageListsEveryLogMessage(t *testing.T) {
 	var logged []loggedMessage
 	var forwarding []string
@@ -66,7 +67,8 @@
 	}
 }
 
-// documentedMessages reads the rows of the section's tables: message, level, functions, and columns for people.
+// documentedMessages returns the messages in the tables of the section. The columns are message, level, functions, meaning
+// and what to do; the last two must not be empty.
 func documentedMessages(t *testing.T, page string) []loggedMessage {
 	t.Helper()
 	_, section, found := strings.Cut(page, "\n"+messagesSection+"\n")
@@ -93,7 +95,7 @@
 	return sortedSet(documented)
 }
 
-// parsedPackage is the source of one package without its tests.
+// parsedPackage is the parsed source of one package without its tests.
 type parsedPackage struct {
 	name       string
 	files      []*ast.File
@@ -101,7 +103,7 @@
 	forwarding []string // functions with a log call whose message is not constant
 }
 
-// parsePackage parses a folder. Its constants and variables are resolved, what it imports is not.
+// parsePackage parses the package in a folder and resolves its constants and variables, but not its imports.
 func parsePackage(t *testing.T, folder string) *parsedPackage {
 	t.Helper()
 	absolute, err := filepath.Abs(folder)
@@ -127,21 +129,21 @@
 		parsed.files = append(parsed.files, file)
 	}
 	if len(parsed.files) == 0 {
-		t.Fatalf("no source in %s", folder)
+		t.Fatalf("%s contains no Go source files", folder)
 	}
 	config := types.Config{Importer: noImports{}, Error: func(error) {}}
-	_, _ = config.Check(parsed.name, fileSet, parsed.files, parsed.info) // fails for the imports
+	_, _ = config.Check(parsed.name, fileSet, parsed.files, parsed.info) // returns an error because the imports are not resolved
 	return parsed
 }
 
-// noImports imports nothing: the messages of a package do not depend on others.
+// noImports is an importer that rejects every import; the messages of a package do not depend on other packages.
 type noImports struct{}
 
-var errNoImports = errors.New("nothing is imported")
+var errNoImports = errors.New("imports are not resolved")
 
 func (noImports) Import(string) (*types.Package, error) { return nil, errNoImports }
 
-// messages returns the messages that the package logs.
+// messages returns the messages that the functions of the package log.
 func (p *parsedPackage) messages(t *testing.T) (logged []loggedMessage) {
 	t.Helper()
 	for _, file := range p.files {
@@ -159,10 +161,10 @@
 	return logged
 }
 
-// encodedMessage finds the message in a log line that is written without a logger.
+// encodedMessage matches the level and the message in a string literal of a log line that is written without a logger.
 var encodedMessage = regexp.MustCompile(`"level":"(\w+)".*"message":"([^"]+)"`)
 
-// messagesOf returns the messages that a node of the function's body logs itself.
+// messagesOf returns the messages that one syntax node of a function logs, without those of its children.
 func (p *parsedPackage) messagesOf(t *testing.T, function *ast.FuncDecl, node ast.Node) []loggedMessage {
 	t.Helper()
 	name := p.functionName(function)
@@ -194,11 +196,11 @@
 	return logged
 }
 
-// logCall returns the message and the level of a log call, nil for any other call.
+// logCall returns the message and the level of a log call, and a nil message for any other call.
 func (p *parsedPackage) logCall(call *ast.CallExpr) (message ast.Expr, level string) {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || len(call.Args) == 0 || selector.Sel.Name == "Log" && len(call.Args) == 1 {
-		return nil, "" // among them err.Error() and math.Log(x)
+		return nil, "" // not a log call; for example err.Error() or math.Log(x)
 	}
 	switch method := selector.Sel.Name; method {
 	case "Debug", "Info", "Warn", "Error":
@@ -211,15 +213,15 @@
 		return call.Args[3], p.level(call.Args[2])
 	case "Log":
 		if logger, ok := selector.X.(*ast.SelectorExpr); ok && logger.Sel.Name == "Log" {
-			return call.Args[2], "" // slog's, behind the context and the level
+			return call.Args[2], "" // slog.Logger.Log: the message follows the context and the level
 		}
 		return call.Args[1], p.level(call.Args[0])
 	}
 	return nil, ""
 }
 
-// level returns the name of a level: a number that is constant in the package, or a constant of package statemachine, which the
-// type checker does not import here.
+// level returns the name of a level, or "" if it is unknown. The expression is a constant of the package with a numeric value,
+// or a constant of package statemachine, which is recognized by its name because imports are not resolved.
 func (p *parsedPackage) level(expression ast.Expr) string {
 	names := map[string]string{
 		"0": "debug", "1": "info", "2": "warn", "3": "error",
@@ -231,7 +233,7 @@
 	return names[p.constant(expression)]
 }
 
-// texts returns the constant texts that an expression can have: its own, or those that are assigned to the variable.
+// texts returns the constant values of an expression: its own, or all those that the function assigns to the variable.
 func (p *parsedPackage) texts(function *ast.FuncDecl, expression ast.Expr) (texts []string) {
 	if text := p.constant(expression); text != "" {
 		return []string{text}
@@ -254,7 +256,7 @@
 	return texts
 }
 
-// constant returns the value of a constant expression, "" for others.
+// constant returns the value of a constant expression, or "" for any other.
 func (p *parsedPackage) constant(expression ast.Expr) string {
 	value := p.info.Types[expression].Value
 	switch {
@@ -273,7 +275,7 @@
 	return p.info.Uses[identifier]
 }
 
-// functionName returns package, receiver and name of a function, with dots between.
+// functionName returns the package, receiver type and name of a function, separated by dots.
 func (p *parsedPackage) functionName(function *ast.FuncDecl) string {
 	name := p.name + "."
 	if function.Recv != nil {
@@ -292,7 +294,7 @@
 	return strings.Compare(a.Text+"|"+a.Level+"|"+a.Function, b.Text+"|"+b.Level+"|"+b.Function)
 }
 
-// sortedSet returns the messages in order, each once.
+// sortedSet returns the messages sorted and without duplicates.
 func sortedSet(messages []loggedMessage) []loggedMessage {
 	return slices.Compact(slices.SortedFunc(slices.Values(messages), compareMessages))
 }
--- a/cmd/gingerfork/processes_test.go
+++ b/cmd/gingerfork/processes_test.go
@@ -14,7 +14,8 @@
 	"gingerfork/internal/trace"
 )
 
-// Every part as a process of its own: endpoint service, backends, coordinator and front end; then SIGHUP and SIGTERM.
+// The endpoint service, the backends, the coordinator and a front end run as separate processes. SIGHUP rejects invalid
+// settings and applies valid ones, SIGTERM ends the processes with exit code 0, and RPCs are answered meanwhile.
 func TestProcesses(t *testing.T) {
 	endpointsAddr, coordinatorAddr, backend1, backend2 := freeAddr(t), freeAddr(t), freeAddr(t), freeAddr(t)
 	dir := t.TempDir()
@@ -27,24 +28,24 @@
 	coordinator := startProcess(t, "--log-format", "json", "serve", file)
 	traceFile := filepath.Join(dir, "trace")
 	frontEnd := startProcess(t, "fake", "frontend", "--settings", file, "--coordinator", coordinatorAddr, "--name", "f0", "--rate", "50", "--trace", traceFile)
-	eventually(t, "the proxy's join in the log", func() bool {
+	eventually(t, "the join of the proxy to be logged", func() bool {
 		return coordinator.logged(`"proxy":"f0"`) && coordinator.logged(`"instance":"perth-0"`)
 	})
-	eventually(t, "the stored endpoints", func() bool {
+	eventually(t, "the endpoints to be stored", func() bool {
 		code, out, _ := runCommand("store", "dump", filepath.Join(dir, "kept", "store"), "--from", "server/")
 		return code == exitOK && strings.Count(out, "\n") == 2
 	})
 
 	replaceFile(t, file, settings+"nonsense\n")
 	_ = coordinator.cmd.Process.Signal(syscall.SIGHUP)
-	eventually(t, "invalid settings are rejected", func() bool {
+	eventually(t, "invalid settings to be rejected", func() bool {
 		return coordinator.logged("the old settings stay in force") && coordinator.logged("nonsense is no keyword")
 	})
 	replaceFile(t, file, strings.Replace(settings, "report-period   2s", "report-period   1s", 1))
 	_ = coordinator.cmd.Process.Signal(syscall.SIGHUP)
-	eventually(t, "valid settings are applied", func() bool { return coordinator.logged("settings reloaded") })
-	eventually(t, "a proxy that joins now gets the new period", func() bool { return welcomedReportPeriod(coordinatorAddr) == 1 })
-	eventually(t, "the proxy joins again", func() bool { return coordinator.countLogged(`"message":"proxy joined"`) >= 3 })
+	eventually(t, "valid settings to be applied", func() bool { return coordinator.logged("settings reloaded") })
+	eventually(t, "a proxy that joins to get the new report period", func() bool { return welcomedReportPeriod(coordinatorAddr) == 1 })
+	eventually(t, "the proxy to join again", func() bool { return coordinator.countLogged(`"message":"proxy joined"`) >= 3 })
 	coordinator.mustTerminate(t)
 	frontEnd.mustTerminate(t)
 
@@ -59,7 +60,7 @@
 	}
 }
 
-// replaceFile writes a file that may exist.
+// replaceFile writes a file, which may exist already.
 func replaceFile(t *testing.T, name, text string) {
 	t.Helper()
 	if err := os.WriteFile(name, []byte(text), 0o644); err != nil {
@@ -67,7 +68,8 @@
 	}
 }
 
-// welcomedReportPeriod joins a coordinator and returns the report period of its welcome in seconds; -1 if there was none.
+// welcomedReportPeriod joins a coordinator as a proxy and returns the report period in its welcome message, in seconds, or -1
+// if it receives no welcome.
 func welcomedReportPeriod(addr string) float64 {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/cmd/gingerfork/progress.go
+++ b/cmd/gingerfork/progress.go
@@ -6,11 +6,12 @@
 	"os"
 )
 
-// progressLine shows the progress of a long command: one line that is overwritten on a terminal, plain lines elsewhere.
+// progressLine shows the progress of a long command: on a terminal as one line that is overwritten, otherwise as separate
+// lines.
 type progressLine struct {
 	out      io.Writer
 	terminal bool
-	open     bool // the terminal's cursor stands behind the line
+	open     bool // the cursor of the terminal is at the end of the line
 }
 
 func newProgressLine(out io.Writer) *progressLine {
@@ -22,7 +23,7 @@
 	return line
 }
 
-// show replaces the line. Without a terminal it prints text only if plain is true.
+// show replaces the line by text. Without a terminal it prints text as a new line, but only if plain is true.
 func (l *progressLine) show(text string, plain bool) {
 	if l.terminal {
 		fmt.Fprintf(l.out, "\r\x1b[K%s", text)
@@ -32,13 +33,13 @@
 	}
 }
 
-// print prints text below the line, indented.
+// print ends the line and prints text, indented, on a line of its own.
 func (l *progressLine) print(text string) {
 	l.end()
 	fmt.Fprintln(l.out, "  "+text)
 }
 
-// end moves the cursor below the line.
+// end moves the cursor to a new line if it is at the end of the progress line.
 func (l *progressLine) end() {
 	if l.open {
 		fmt.Fprintln(l.out)
--- a/cmd/gingerfork/route.go
+++ b/cmd/gingerfork/route.go
@@ -11,19 +11,19 @@
 )
 
 type routeCmd struct {
-	File    string   `arg:"" help:"The routes."`
-	Front   string   `arg:"" help:"The front that the request comes to."`
-	Method  string   `arg:"" help:"Its HTTP method."`
-	Path    string   `arg:"" help:"Its path."`
-	Headers []string `name:"header" help:"A header of it; may be given many times." placeholder:"NAME=VALUE"`
+	File    string   `arg:"" help:"File of routes."`
+	Front   string   `arg:"" help:"Name of the front end that receives the request."`
+	Method  string   `arg:"" help:"HTTP method of the request."`
+	Path    string   `arg:"" help:"Path of the request."`
+	Headers []string `name:"header" help:"Header of the request; may be repeated." placeholder:"NAME=VALUE"`
 }
 
 var (
-	errNoRoute      = errors.New("no route for it")
+	errNoRoute      = errors.New("no route matches the request")
 	errHeaderFormat = errors.New("is not NAME=VALUE")
 )
 
-// readRoutes reads a file of routes.
+// readRoutes reads a file of routes. The error lists all errors of the file.
 func readRoutes(file string) ([]route.Route, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -33,7 +33,7 @@
 	return routes, faults.Err()
 }
 
-// Run prints the route of the request.
+// Run prints the pool and the method of the route that matches the request.
 func (c routeCmd) Run(cli *program) error {
 	routes, err := readRoutes(c.File)
 	if err != nil {
@@ -55,7 +55,7 @@
 		return nil
 	}
 	if closest := bootstrap.ClosestWord(c.Front, table.Frontends()); closest != "" && closest != c.Front {
-		return fmt.Errorf("%w (did you mean the front %s?)", errNoRoute, closest)
+		return fmt.Errorf("%w (did you mean the front end %s?)", errNoRoute, closest)
 	}
-	return fmt.Errorf("%w at %s", errNoRoute, c.Front)
+	return fmt.Errorf("%w at the front end %s", errNoRoute, c.Front)
 }
