--- a/cmd/gingerfork/endpointsource_test.go
+++ b/cmd/gingerfork/endpointsource_test.go
@@ -92,7 +92,7 @@
 		}
 		files = append(files, file)
 	}
-	if code, _, err := runCommand("serve", files[0], files[0]); code != exitFailure || !strings.Contains(err, "is that of") {
+	if code, _, err := runCommand("serve", files[0], files[0]); code != exitFailure || !strings.Contains(err, "is already used by") {
 		t.Errorf("one file twice: %d %s", code, err)
 	}
 	startProcess(t, "fake", "backend", "--listen", backend1, "--id", "1")
--- a/cmd/gingerfork/main_test.go
+++ b/cmd/gingerfork/main_test.go
@@ -32,7 +32,7 @@
 		{[]string{"sreve"}, exitUsage, "sreve"},
 		{[]string{"serve", bad}, exitFailure, "warm-after"},
 		{[]string{"scenario", "no-such-day"}, exitFailure, "evening"},
-		{[]string{"scenario", "--virtual", "--search", "20", "--seed", "5"}, exitOK, "20 scripts played, 0 broke"},
+		{[]string{"scenario", "--virtual", "--search", "20", "--seed", "5"}, exitOK, "20 scenarios played, 0 violated"},
 		{[]string{"settings"}, exitOK, "| `drain-grace` |"},
 		{[]string{"--help"}, exitOK, "Exit codes"},
 	} {
--- a/cmd/gingerfork/scenario.go
+++ b/cmd/gingerfork/scenario.go
@@ -11,30 +11,30 @@
 	"gingerfork/internal/scenario"
 )
 
-// Names that stand for scenarios on the command line.
+// Names of scenarios on the command line.
 const (
 	defaultScenario   = "evening"
-	incidentScenarios = "incidents" // all twelve incidents
+	incidentScenarios = "incidents" // stands for all twelve built-in incidents
 )
 
 var (
-	errInterrupted       = errors.New("ended early")
-	errInvariantViolated = errors.New("a rule broke")
-	errComparisonFailed  = errors.New("the coordinator broke a rule, or a machine failed")
+	errInterrupted       = errors.New("interrupted")
+	errInvariantViolated = errors.New("an invariant was violated, or a state machine failed")
+	errComparisonFailed  = errors.New("the coordinator violated an invariant, or a state machine failed")
 )
 
 type scenarioCmd struct {
-	Names            []string `arg:"" optional:"" name:"days" help:"Built-in scenarios (evening, deploy, cut, fleet, or incidents for all twelve), or files. None: evening."`
-	Virtual          bool     `help:"In virtual time, over a simulated network: seconds instead of minutes, and deterministic."`
+	Names            []string `arg:"" optional:"" name:"days" help:"Built-in scenarios (evening, deploy, cut, fleet, or incidents for all twelve incidents) or scenario files; default: evening."`
+	Virtual          bool     `help:"Run in virtual time over a simulated network, which is deterministic and takes seconds instead of minutes."`
 	JSON             bool     `help:"Print the result as JSON lines."`
-	Trace            string   `help:"Write the trace to this file, one record a line." placeholder:"FILE"`
-	Plot             string   `aliases:"picture" help:"Plot RPCs, service and pushes by second to this PNG file, with the faults shaded." placeholder:"FILE"`
-	Artifacts        string   `aliases:"keep" help:"Write the coordinators' settings and logs to this folder, and leave them there." placeholder:"DIR"`
-	CompareBaselines bool     `aliases:"beside" help:"Play each scenario in virtual time with the coordinator and with two baselines on the same seed, and compute the optimum."`
-	Scale            float64  `help:"Multiply the numbers of backends and proxies by this." default:"1" placeholder:"X"`
-	Search           int      `help:"Play so many random scenarios of two to four faults in virtual time, and minimize those that violate an invariant." placeholder:"N"`
-	Crashes          int      `aliases:"kills" help:"Beside the scenario's own faults, kill a coordinator's process so many times, at moments drawn from the seed; each restarts after about a second." placeholder:"N"`
-	Seed             uint64   `help:"Another seed than the scenario's; for a search, the first." placeholder:"N"`
+	Trace            string   `help:"Write the trace to this file, one record per line." placeholder:"FILE"`
+	Plot             string   `aliases:"picture" help:"Plot RPCs, service and pushes per second to this PNG file, with the times of faults shaded." placeholder:"FILE"`
+	Artifacts        string   `aliases:"keep" help:"Write the settings and logs of the coordinators to this folder and keep them." placeholder:"DIR"`
+	CompareBaselines bool     `aliases:"beside" help:"Play each scenario in virtual time with the coordinator and with two baselines (all backends, frozen tables) on the same seed, and compute an upper bound of the service."`
+	Scale            float64  `help:"Factor that multiplies the numbers of backends and proxies." default:"1" placeholder:"X"`
+	Search           int      `help:"Play N random scenarios of two to four faults in virtual time, and minimize those that violate an invariant." placeholder:"N"`
+	Crashes          int      `aliases:"kills" help:"Add N kills of a coordinator's process to the scenario's faults, at times drawn from the seed; each coordinator restarts after about a second." placeholder:"N"`
+	Seed             uint64   `help:"Seed to use instead of the scenario's; for a search, the first seed." placeholder:"N"`
 }
 
 // Run plays the scenarios one after the other, or searches for scenarios that violate an invariant.
@@ -64,12 +64,12 @@
 		}
 	}
 	if len(failed) > 0 {
-		return fmt.Errorf("not good: %s", strings.Join(failed, ", "))
+		return fmt.Errorf("an invariant was violated or a state machine failed in: %s", strings.Join(failed, ", "))
 	}
 	return nil
 }
 
-// scenarioNames returns the names of the scenarios to play.
+// scenarioNames returns the names of the scenarios to play, with "incidents" expanded.
 func (c scenarioCmd) scenarioNames() []string {
 	switch {
 	case len(c.Names) == 0:
@@ -81,7 +81,7 @@
 	}
 }
 
-// readScenario reads a scenario and applies the flags to it.
+// readScenario reads a scenario and applies --seed, --scale and --crashes to it.
 func (c scenarioCmd) readScenario(name string) (*scenario.Scenario, error) {
 	read, err := readScenario(name)
 	if err != nil {
@@ -99,8 +99,8 @@
 	return read, nil
 }
 
-// playAndReport plays a scenario and writes what the flags ask for. It tells whether all invariants held and no machine
-// failed.
+// playAndReport plays a scenario, prints the result and writes the trace and the plot if the flags request them. passed is
+// true if all invariants held and no state machine failed.
 func (c scenarioCmd) playAndReport(ctx context.Context, cli *program, played *scenario.Scenario) (passed bool, err error) {
 	result, err := c.play(ctx, cli, played)
 	if err != nil {
@@ -131,7 +131,8 @@
 	return !result.Report.Violated() && len(result.Failures) == 0, nil
 }
 
-// scenarioFigures computes the report of a played scenario; with the fleet's state and the optimum if that was sampled.
+// scenarioFigures computes the report of a played scenario. If the true state of the backends was sampled, the report
+// includes the state of the fleet and the upper bound of the service.
 func scenarioFigures(played *scenario.Scenario, result *scenario.Result) (*report.Report, error) {
 	figures, err := report.Build(result.Records, played.Limits().Methods)
 	if err != nil {
@@ -143,13 +144,13 @@
 	}
 	bound, err := played.Bound(truth, result.Records)
 	if err != nil {
-		return nil, fmt.Errorf("compute the optimum: %w", err)
+		return nil, fmt.Errorf("compute the upper bound of the service: %w", err)
 	}
 	figures.Fleet = &report.Fleet{SampleInterval: scenario.SampleInterval, Capacity: truth.Capacity, Utilization: truth.Utilization, Queued: truth.Queued, AchievableService: bound.Share()}
 	return figures, nil
 }
 
-// play plays a scenario in virtual time, or on sockets with coordinators that are processes of this program.
+// play plays a scenario in virtual time, or on loopback sockets with coordinators that run as child processes.
 func (c scenarioCmd) play(ctx context.Context, cli *program, played *scenario.Scenario) (scenario.Result, error) {
 	if c.Virtual {
 		return scenario.PlayVirtual(played, scenario.Options{SampleTruth: true})
@@ -158,27 +159,27 @@
 	if dir == "" {
 		temporary, err := os.MkdirTemp("", "gingerfork-scenario-")
 		if err != nil {
-			return scenario.Result{}, fmt.Errorf("make a folder for the coordinators: %w", err)
+			return scenario.Result{}, fmt.Errorf("create a folder for the coordinators: %w", err)
 		}
-		defer func() { _ = os.RemoveAll(temporary) }() // the system cleans up its folder of temporary files
+		defer func() { _ = os.RemoveAll(temporary) }() // if this fails, the system cleans up its folder of temporary files
 		dir = temporary
 	} else if err := os.MkdirAll(dir, 0o755); err != nil {
-		return scenario.Result{}, fmt.Errorf("make the folder for artifacts: %w", err)
+		return scenario.Result{}, fmt.Errorf("create the folder for artifacts: %w", err)
 	}
 	exe, err := os.Executable()
 	if err != nil {
-		return scenario.Result{}, fmt.Errorf("find this program, to start coordinators with it: %w", err)
+		return scenario.Result{}, fmt.Errorf("find the executable, to start coordinators: %w", err)
 	}
 	if !c.JSON {
-		fmt.Fprintf(cli.out, "%s: %d coordinators, %d servers, %d front ends on loopback sockets, %.0f s\n", played.Name, played.Coordinators,
+		fmt.Fprintf(cli.out, "%s: %d coordinators, %d backends, %d front ends on loopback sockets, %.0f s\n", played.Name, played.Coordinators,
 			sum(played.Backends, func(g scenario.BackendGroup) int { return g.Count }), sum(played.Proxies, func(g scenario.ProxyGroup) int { return g.Count }), played.Duration)
 	}
 	command := []string{exe, "--log-format", "json", "serve"}
 	return scenario.PlaySockets(ctx, played, scenario.CoordinatorCommand{Command: command, Env: coordinatorEnv, Dir: dir})
 }
 
-// coordinatorEnv is added to the environment of a coordinator's process. Tests set it, since their executable is not the
-// program itself.
+// coordinatorEnv is added to the environment of the child processes that run coordinators. Tests set it to make the test
+// binary run as the program.
 var coordinatorEnv []string
 
 // sum returns the sum of n over the items.
--- a/cmd/gingerfork/scenario_compare.go
+++ b/cmd/gingerfork/scenario_compare.go
@@ -9,15 +9,16 @@
 	"gingerfork/internal/scenario"
 )
 
-// Positions of the results of a scenario.Comparison.
+// Indexes of scenario.Comparison.Results: the run with the coordinator, the baseline in which each proxy uses all backends,
+// and the baseline whose tables do not change after the start.
 const (
 	withCoordinator = iota
 	withAllBackends
 	withFrozenTables
 )
 
-// compareBaselines prints a line for each scenario: the service with the coordinator, that of the baselines, the optimum,
-// and the violated invariants.
+// compareBaselines plays the scenarios and prints a line for each: the service with the coordinator and with each baseline,
+// its upper bound, and the violated invariants.
 func (c scenarioCmd) compareBaselines(ctx context.Context, cli *program, names []string) error {
 	scenarios := make([]*scenario.Scenario, 0, len(names))
 	for _, name := range names {
@@ -28,7 +29,7 @@
 		scenarios = append(scenarios, read)
 	}
 	if !c.JSON {
-		fmt.Fprintf(cli.out, "%-28s %11s %11s %11s %11s  %s\n", "day", "coordinator", "all servers", "frozen", "bound", "rules broken (coordinator; all servers; frozen)")
+		fmt.Fprintf(cli.out, "%-28s %11s %11s %11s %11s  %s\n", "scenario", "coordinator", "all servers", "frozen", "bound", "violated rules (coordinator; all servers; frozen)")
 	}
 	failed := false
 	err := scenario.Compare(ctx, scenarios, func(compared scenario.Comparison) error {
@@ -44,8 +45,8 @@
 	return nil
 }
 
-// comparisonFailed tells whether the coordinator violated an invariant, or a machine failed in any of the plays. What the
-// baselines violate is only printed.
+// comparisonFailed reports whether the coordinator violated an invariant, or a state machine failed in any of the runs.
+// Violations by the baselines are only printed.
 func comparisonFailed(compared *scenario.Comparison) bool {
 	for i := range compared.Results {
 		if len(compared.Results[i].Failures) > 0 {
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// violatedRules returns the numbers of the violated invariants, or none.
+// violatedRules returns the numbers of the violated invariants, separated by commas, or "none".
 func violatedRules(result *scenario.Result) string {
 	var rules []string
 	for _, checked := range result.Report.Rules {
--- a/cmd/gingerfork/scenario_output.go
+++ b/cmd/gingerfork/scenario_output.go
@@ -11,10 +11,10 @@
 	"gingerfork/internal/trace"
 )
 
-// traceBufferSize is the number of bytes of a trace that are written at once.
+// traceBufferSize is the number of bytes of a trace above which the buffer is written to the file.
 const traceBufferSize = 1 << 16
 
-// plot draws a report to a PNG file.
+// plot draws the plot of a report to a PNG file.
 func plot(file, title string, figures *report.Report) error {
 	if err := writeFile(file, func(w io.Writer) error { return figures.WritePNG(w, title) }); err != nil {
 		return fmt.Errorf("draw the plot: %w", err)
@@ -22,7 +22,7 @@
 	return nil
 }
 
-// writeTrace writes a trace to a file, one record a line.
+// writeTrace writes a trace to a file, one record per line.
 func writeTrace(file string, records []trace.Record) error {
 	if err := writeFile(file, func(w io.Writer) error { return writeRecords(w, records) }); err != nil {
 		return fmt.Errorf("write the trace: %w", err)
@@ -46,45 +46,45 @@
 	return err
 }
 
-// printResult prints the outcome of a scenario for people.
+// printResult prints the result of a scenario as text for people.
 func printResult(out io.Writer, result *scenario.Result, virtual bool) {
 	where := "on sockets"
 	if virtual {
 		where = "in virtual time"
 	}
-	fmt.Fprintf(out, "\nday %s, seed %d, %s: %.1f s, %d troubles\n\n", result.Scenario.Name, result.Scenario.Seed, where, result.Report.Duration, result.Report.Faults)
+	fmt.Fprintf(out, "\nscenario %s, seed %d, %s: %.1f s, %d faults\n\n", result.Scenario.Name, result.Scenario.Seed, where, result.Report.Duration, result.Report.Faults)
 	printRules(out, result)
 	service := result.Report.Service
-	fmt.Fprintf(out, "\nservice %.3f (criticality answered within the soft deadline over criticality asked for)\n", service.Share())
-	fmt.Fprintf(out, "RPCs %d: ok %d (%d of them late), pushed back %d, aborted %d, open at the end %d\n", service.RPCs, service.OK, service.Late, service.Rejected,
+	fmt.Fprintf(out, "\nservice %.3f (share of the RPCs answered within the soft deadline, weighted by criticality)\n", service.Share())
+	fmt.Fprintf(out, "RPCs %d: ok %d (%d of them late), pushed back %d, aborted %d, unfinished %d\n", service.RPCs, service.OK, service.Late, service.Rejected,
 		service.Aborted, service.Unfinished)
-	fmt.Fprintf(out, "tries %d, messages to proxies %d with %d lines, cold servers fallen %d\n", result.Report.Attempts, result.Report.Pushes, result.Report.Entries,
+	fmt.Fprintf(out, "attempts %d, pushes to proxies %d with %d entries, collapses of cold backends %d\n", result.Report.Attempts, result.Report.Pushes, result.Report.Entries,
 		result.Report.Collapses)
 	for _, failure := range result.Failures {
-		fmt.Fprintf(out, "DEFECT: %s\n", failure)
+		fmt.Fprintf(out, "state machine failed: %s\n", failure)
 	}
 }
 
-// printRules prints a table of the invariants, and where each violated one was violated first.
+// printRules prints a table of the invariants, and the first violation of each.
 func printRules(out io.Writer, result *scenario.Result) {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(table, "rule\t\tresult\tnearest to its limit\t")
+	fmt.Fprintln(table, "rule\t\tresult\tclosest to its limit\t")
 	for _, rule := range result.Report.Rules {
-		verdict := "kept"
+		verdict := "held"
 		if rule.Violations > 0 {
-			verdict = fmt.Sprintf("BROKEN %d times", rule.Violations)
+			verdict = fmt.Sprintf("VIOLATED %d times", rule.Violations)
 		}
 		fmt.Fprintf(table, "%d\t%s\t%s\t%.0f%% at %.1f s  %s\n", rule.Rule, rule.Name, verdict, 100*rule.Closest, rule.ClosestTime, rule.ClosestNote)
 	}
-	_ = table.Flush() // a report for people, as with fmt.Fprint: who closed the pipe does not read the error either
+	_ = table.Flush() // ignored as for fmt.Fprint: if the reader closed the pipe, it would not see the error either
 	for _, rule := range result.Report.Rules {
 		if rule.Violations > 0 {
-			fmt.Fprintf(out, "\nrule %d first broke at %.3f (record %d of the trace), %s: %s\n", rule.Rule, rule.FirstTime, rule.Record, rule.Party, rule.Reason)
+			fmt.Fprintf(out, "\nrule %d was first violated at %.3f (record %d of the trace), %s: %s\n", rule.Rule, rule.FirstTime, rule.Record, rule.Party, rule.Reason)
 		}
 	}
 }
 
-// ruleJSON is the outcome of one invariant in the JSON output.
+// ruleJSON is the result of one invariant in the JSON output.
 type ruleJSON struct {
 	Rule        int     `json:"rule"`
 	Name        string  `json:"name"`
@@ -98,7 +98,7 @@
 	ClosestNote string  `json:"note,omitempty"`
 }
 
-// printResultJSON prints the outcome of a scenario as one line of JSON.
+// printResultJSON prints the result of a scenario as one line of JSON.
 func printResultJSON(out io.Writer, result *scenario.Result, figures *report.Report) error {
 	rules := make([]ruleJSON, 0, len(result.Report.Rules))
 	for _, rule := range result.Report.Rules {
--- a/cmd/gingerfork/scenario_search.go
+++ b/cmd/gingerfork/scenario_search.go
@@ -7,10 +7,10 @@
 	"gingerfork/internal/scenario"
 )
 
-// searchProgressInterval is the number of scripts after which a search prints its progress.
+// searchProgressInterval is the number of scenarios after which a search prints its progress.
 const searchProgressInterval = 1000
 
-// search plays random scenarios and prints those that violate an invariant.
+// search plays random scenarios and prints those in which an invariant is violated or a state machine fails.
 func (c scenarioCmd) search(ctx context.Context, cli *program) error {
 	found := 0
 	err := scenario.Search(ctx, max(c.Seed, 1), c.Search, func(finding scenario.Finding) {
@@ -18,19 +18,20 @@
 		printFinding(cli, &finding)
 	}, func(played int) {
 		if played%searchProgressInterval == 0 {
-			fmt.Fprintf(cli.err, "%d of %d scripts played\n", played, c.Search)
+			fmt.Fprintf(cli.err, "%d of %d scenarios played\n", played, c.Search)
 		}
 	})
 	if err != nil {
 		return fmt.Errorf("search: %w", err)
 	}
-	fmt.Fprintf(cli.out, "%d scripts played, %d broke something\n", c.Search, found)
+	fmt.Fprintf(cli.out, "%d scenarios played, %d violated an invariant or failed\n", c.Search, found)
 	if found > 0 {
 		return errInvariantViolated
 	}
 	return nil
 }
 
+// printFinding prints the violations and failures of a minimized scenario, and its text.
 func printFinding(cli *program, finding *scenario.Finding) {
 	fmt.Fprintf(cli.out, "seed %d: %s\n", finding.Seed, finding.Violation)
 	for _, rule := range finding.Result.Report.Rules {
--- a/cmd/gingerfork/scenario_test.go
+++ b/cmd/gingerfork/scenario_test.go
@@ -9,7 +9,7 @@
 	"gingerfork/internal/trace"
 )
 
-// The README's day, in virtual time: exit 0, a result that machines can read, and a trace that can be read back.
+// The default scenario, evening, in virtual time: it passes, the JSON result can be parsed, and the trace can be read back.
 func TestScenarioVirtual(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "trace")
 	code, out, errs := runCommand("scenario", "--virtual", "--json", "--trace", file)
@@ -28,7 +28,7 @@
 	}
 }
 
-// A scenario with faults on real sockets, with a coordinator's process killed outright and started again.
+// A scenario with faults on real sockets. Among them, the process of a coordinator is killed and started again.
 func TestScenarioOnSockets(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes some seconds of real time")
--- a/cmd/gingerfork/scenariofile.go
+++ b/cmd/gingerfork/scenariofile.go
@@ -10,10 +10,10 @@
 	"gingerfork/internal/scenario"
 )
 
-// scenarioSuffix is the end of the name of a scenario's file.
+// scenarioSuffix is the file name extension of scenarios.
 const scenarioSuffix = ".day"
 
-// readScenario reads a scenario from the file of that name, or the built-in one of that name.
+// readScenario reads a scenario from the file of that name or, if there is none, the built-in scenario of that name.
 func readScenario(name string) (*scenario.Scenario, error) {
 	text, err := os.ReadFile(name)
 	if err == nil {
@@ -25,13 +25,13 @@
 		if errors.As(err, &pathErr) {
 			err = pathErr.Err
 		}
-		return nil, fmt.Errorf("%s: %w, and no day of that name comes with the program (those that do: %s)", name, err, strings.Join(scenario.Builtin(), ", "))
+		return nil, fmt.Errorf("%s: %w, and there is no built-in scenario of that name (built in are: %s)", name, err, strings.Join(scenario.Builtin(), ", "))
 	}
 	return scenario.Read(name+scenarioSuffix, string(text), scenario.File)
 }
 
-// settingsBeside returns a function that reads the settings that a scenario's file names: from the file's folder, or else
-// the built-in ones.
+// settingsBeside returns a function that reads a settings file that a scenario names: from the folder of the scenario file or,
+// if it is not there, from the built-in files.
 func settingsBeside(scenarioFile string) func(string) ([]byte, error) {
 	return func(name string) ([]byte, error) {
 		if data, err := os.ReadFile(filepath.Join(filepath.Dir(scenarioFile), name)); err == nil {
@@ -39,7 +39,7 @@
 		}
 		data, err := scenario.File(name)
 		if err != nil {
-			return nil, fmt.Errorf("%s is neither beside the day nor among the settings that come with the program", name)
+			return nil, fmt.Errorf("%s is neither in the scenario's folder nor built in", name)
 		}
 		return data, nil
 	}
--- a/cmd/gingerfork/serve.go
+++ b/cmd/gingerfork/serve.go
@@ -13,16 +13,16 @@
 )
 
 type serveCmd struct {
-	Files []string `arg:"" help:"The settings, a file for each pool; each has a coordinator of its own in this process, which shares nothing with the others."`
+	Files []string `arg:"" help:"Settings files, one for each pool. Each pool has its own coordinator in this process, which shares nothing with the others."`
 }
 
-// errSettingShared is returned when two instances name what each would overwrite.
-var errSettingShared = errors.New("instances must not share it")
+// errSettingShared is returned when two instances have the same name, listen address or state folder.
+var errSettingShared = errors.New("each instance needs its own")
 
-// Run serves all files, or none: one that cannot be served at the start ends the others. Later a coordinator that fails
-// does not end the others; Run returns, with all errors, when none is left.
+// Run runs a coordinator for each file. If one cannot be started, it stops those already started and returns the error. A
+// coordinator that fails later does not stop the others; Run returns the errors of all when the last one has ended.
 func (c serveCmd) Run(ctx context.Context, cli *program) error {
-	// Before anything else: a SIGHUP that arrives during the start must not end the process.
+	// Registered first, because a SIGHUP during the start would otherwise end the process.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
@@ -46,7 +46,7 @@
 	return waitForInstances(instances, reload)
 }
 
-// waitForInstances reloads the instances at each signal until all have ended, and returns their errors.
+// waitForInstances reloads all instances at each signal until all have ended, and returns their errors.
 func waitForInstances(instances []*instance, reload <-chan os.Signal) error {
 	ended := make(chan error)
 	for _, i := range instances {
@@ -67,9 +67,9 @@
 	return errs
 }
 
-// readSettings reads all files. The error lists the faults of all of them.
+// readSettings reads all settings files. The error lists the errors of all files.
 func (c serveCmd) readSettings() (all []*bootstrap.Settings, err error) {
-	owners := map[string]string{} // the file that a setting with a value was found in first
+	owners := map[string]string{} // file that uses a name, listen address or state folder, by "keyword value"
 	for _, file := range c.Files {
 		settings, readErr := bootstrap.Read(file)
 		if readErr != nil {
@@ -82,7 +82,8 @@
 	return all, err
 }
 
-// claimSettings records file as the owner of what only one instance may use. The error names what has another owner.
+// claimSettings records in owners that file uses its name, listen address and state folder. The error names those that
+// another file uses already.
 func claimSettings(owners map[string]string, file string, settings *bootstrap.Settings) (err error) {
 	for _, claim := range []struct{ keyword, value string }{
 		{"name", settings.Name},
@@ -92,7 +93,7 @@
 		key := claim.keyword + " " + claim.value
 		anyPort := claim.keyword == "listen" && strings.HasSuffix(claim.value, ":0")
 		if owner, taken := owners[key]; taken && claim.value != "" && !anyPort {
-			err = errors.Join(err, fmt.Errorf("%s: its %s is that of %s: %w", file, key, owner, errSettingShared))
+			err = errors.Join(err, fmt.Errorf("%s: %s is already used by %s: %w", file, key, owner, errSettingShared))
 		}
 		owners[key] = file
 	}
--- a/cmd/gingerfork/store.go
+++ b/cmd/gingerfork/store.go
@@ -11,17 +11,17 @@
 )
 
 type storeCmd struct {
-	Check   storeCheckCmd   `cmd:"" help:"Read a store and say whether it is whole; nothing is changed. Example: gingerfork store check /var/lib/gingerfork/store"`
-	Dump    storeDumpCmd    `cmd:"" help:"Print keys and values, a line each. Example: gingerfork store dump /var/lib/gingerfork/store"`
-	Compact storeCompactCmd `cmd:"" help:"Write a store anew, as small as it can be; no coordinator may own it. Example: gingerfork store compact /var/lib/gingerfork/store"`
+	Check   storeCheckCmd   `cmd:"" help:"Read a store and report whether it is intact, without changing it. Example: gingerfork store check /var/lib/gingerfork/store"`
+	Dump    storeDumpCmd    `cmd:"" help:"Print keys and values, one per line. Example: gingerfork store dump /var/lib/gingerfork/store"`
+	Compact storeCompactCmd `cmd:"" help:"Rewrite a store to its smallest size; no coordinator may have it open. Example: gingerfork store compact /var/lib/gingerfork/store"`
 }
 
 var (
 	errNoStore      = errors.New("there is no store")
-	errStoreDamaged = errors.New("the store is damaged; --repair keeps what can be read")
+	errStoreDamaged = errors.New("the store is damaged; --repair keeps the data that can be read")
 )
 
-// checkStore reads the store in a folder without changing anything.
+// checkStore reads the store in a folder without changing it. A folder without a store is an error.
 func checkStore(dir string) (*disk.Real, *store.CheckReport, error) {
 	folder, err := disk.OpenReal(dir)
 	if err != nil {
@@ -38,11 +38,11 @@
 }
 
 type storeCheckCmd struct {
-	Dir    string `arg:"" help:"The store's folder."`
-	Repair bool   `help:"Keep what can be read, and put the damaged files aside."`
+	Dir    string `arg:"" help:"Folder of the store."`
+	Repair bool   `help:"Rewrite the data that can be read, and rename the damaged files."`
 }
 
-// Run prints what was found in each file, and whether the store is intact.
+// Run prints the size and state of each file, and whether the store is intact. With --repair it repairs a damaged store.
 func (c storeCheckCmd) Run(cli *program) error {
 	folder, report, err := checkStore(c.Dir)
 	if err != nil {
@@ -63,25 +63,25 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(cli.out, "repaired: kept %s; the files as they were end in .damaged\n", repaired)
+	fmt.Fprintf(cli.out, "repaired: kept %s; the previous files were renamed to end in .damaged\n", repaired)
 	return nil
 }
 
 func printRecovery(cli *program, recovery store.Recovery) {
-	fmt.Fprintf(cli.out, "whole: %d keys, %d batches behind the snapshot, the last is %d\n",
+	fmt.Fprintf(cli.out, "intact: %d keys, %d batches after the snapshot, the last batch is %d\n",
 		recovery.Keys, recovery.LogFrames, recovery.LastSequence)
 	if recovery.TornBytes > 0 {
-		fmt.Fprintf(cli.out, "a torn tail of %d bytes in %s: never acknowledged, cut at the next start\n",
+		fmt.Fprintf(cli.out, "torn tail of %d bytes in %s: it was never acknowledged and will be truncated at the next start\n",
 			recovery.TornBytes, recovery.TornFile)
 	}
 }
 
 type storeDumpCmd struct {
-	Dir  string `arg:"" help:"The store's folder."`
-	From string `help:"Only keys that begin with this." placeholder:"PREFIX"`
+	Dir  string `arg:"" help:"Folder of the store."`
+	From string `help:"Print only keys that begin with this prefix." placeholder:"PREFIX"`
 }
 
-// Run prints the keys that can be read. It fails behind them if the store is damaged.
+// Run prints the keys and values that can be read, and then returns an error if the store is damaged.
 func (c storeDumpCmd) Run(cli *program) error {
 	_, report, err := checkStore(c.Dir)
 	if err != nil {
@@ -99,7 +99,7 @@
 }
 
 type storeCompactCmd struct {
-	Dir string `arg:"" help:"The store's folder."`
+	Dir string `arg:"" help:"Folder of the store."`
 }
 
 // Run compacts the store and prints its size.
--- a/cmd/gingerfork/store_test.go
+++ b/cmd/gingerfork/store_test.go
@@ -11,7 +11,7 @@
 	"gingerfork/internal/store"
 )
 
-// TestStore checks, damages, repairs and compacts a store with the commands.
+// TestStore runs the store commands on a store that another process owns, that is intact, damaged and repaired.
 func TestStore(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "store")
 	owned := newStore(t, dir)
@@ -19,7 +19,7 @@
 	if err := owned.Close(); err != nil {
 		t.Fatal(err)
 	}
-	checkOutput(t, "whole: 3 keys, 4 batches", "store", "check", dir)
+	checkOutput(t, "intact: 3 keys, 4 batches", "store", "check", dir)
 	if dump := checkOutput(t, "", "store", "dump", dir, "--from", "b"); dump != "\"b\" \"value of b\"\n" {
 		t.Errorf("dump: %s", dump)
 	}
@@ -37,7 +37,7 @@
 	}
 }
 
-// TestNoStore checks that the commands make no store in a folder that has none.
+// TestNoStore checks that the commands fail in a folder without a store, and create none.
 func TestNoStore(t *testing.T) {
 	empty := t.TempDir()
 	for _, command := range []string{"check", "dump", "compact"} {
@@ -49,7 +49,7 @@
 	}
 }
 
-// newStore returns an open store with three keys.
+// newStore creates a store with three keys and returns it open.
 func newStore(t *testing.T, dir string) *store.Store {
 	t.Helper()
 	folder, err := disk.NewReal(dir)
@@ -70,7 +70,7 @@
 	return opened
 }
 
-// corruptFile flips a bit of a text in a file.
+// corruptFile flips one bit at the first occurrence of text in a file.
 func corruptFile(t *testing.T, path, text string) {
 	t.Helper()
 	data, err := os.ReadFile(path)
@@ -83,7 +83,7 @@
 	}
 }
 
-// checkOutput runs a command that must succeed and print a text, and returns its output.
+// checkOutput runs a command, checks that it succeeds and prints want, and returns its output.
 func checkOutput(t *testing.T, want string, args ...string) string {
 	t.Helper()
 	code, out, failure := runCommand(args...)
@@ -93,7 +93,7 @@
 	return out
 }
 
-// checkFailure runs a command that must fail and say why, and returns what it says.
+// checkFailure runs a command, checks that it fails and prints want as an error, and returns the error output.
 func checkFailure(t *testing.T, want string, args ...string) string {
 	t.Helper()
 	code, out, failure := runCommand(args...)
--- a/cmd/gingerfork/version.go
+++ b/cmd/gingerfork/version.go
@@ -5,7 +5,7 @@
 	"runtime/debug"
 )
 
-// revisionLength is the number of digits of a commit that are printed.
+// revisionLength is the number of hexadecimal digits of the commit hash that are printed.
 const revisionLength = 12
 
 type versionCmd struct{}
@@ -17,7 +17,8 @@
 	return nil
 }
 
-// revision returns the commit that the program was built from, and when that was made.
+// revision returns the commit that the program was built from, and " of " with the time of the commit. It returns
+// "unreleased" and "" if the build does not record them.
 func revision() (version, when string) {
 	version = "unreleased"
 	info, ok := debug.ReadBuildInfo()
--- a/cmd/gingerfork/writefile.go
+++ b/cmd/gingerfork/writefile.go
@@ -6,7 +6,7 @@
 	"os"
 )
 
-// writeFile creates a file and lets write fill it. The error is that of write, or else that of closing the file.
+// writeFile creates a file and calls write to fill it. It returns the errors of write and of closing the file.
 func writeFile(name string, write func(io.Writer) error) error {
 	file, err := os.Create(name)
 	if err != nil {
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost runs the decision module on the wire of the simulator: it reads batches of events from standard input and writes
-// their replies to standard output. It exits with 1 and a message on standard error when it can not go on.
+// Command wirehost runs the decision module as a child process of the simulator: it reads batches of events from standard
+// input and writes the replies to standard output. On an error it exits with code 1 and a message on standard error.
 package main
 
 import (
--- a/internal/configcheck/configcheck.go
+++ b/internal/configcheck/configcheck.go
@@ -1,4 +1,4 @@
-// Package configcheck finds settings that are valid one by one but together promise what cannot be kept.
+// Package configcheck finds settings that are valid one by one but cannot be met together.
 package configcheck
 
 import (
@@ -8,15 +8,16 @@
 )
 
 const (
-	// entriesPerTable is about how many entries a proxy's first table has beside the message itself: the backends of an arc
-	// and the admission levels, as measured by docs/experiments/rejoin.plan. Larger arcs need more.
+	// entriesPerTable is the approximate number of entries in a proxy's first table: the backends of an arc and the admission
+	// levels, as measured by docs/experiments/rejoin.plan. Larger arcs need more. The cost of the message itself, in entries,
+	// is the setting message-lines.
 	entriesPerTable = 8
-	// joinTimeShare is the part of bare-limit that a join of all proxies at once may take; the rest is left for what else
-	// happens meanwhile.
+	// joinTimeShare is the largest share of bare-limit that may pass until all proxies that join at once have their tables.
+	// The rest is a margin for other work at the same time.
 	joinTimeShare = 0.5
 )
 
-// Warnings returns one sentence for each combination of a coordinator's settings that cannot be kept.
+// Warnings returns one sentence for each combination of a coordinator's settings that cannot be met.
 func Warnings(config choice.Config) []string {
 	settings := &config.Settings
 	pace, limit := settings.ChannelPace.Or(0), settings.BareLimit.Or(0)
@@ -29,6 +30,6 @@
 		return nil
 	}
 	return []string{fmt.Sprintf(
-		"when all %.0f proxies of this coordinator join at once the last has its table after about %.1f s at pace %g; "+
-			"bare-limit is %gs: a greater pace, or more coordinators", proxies, joinTime, pace, limit)}
+		"when all %.0f proxies of this coordinator join at once, the last one gets its table after about %.1f s at pace %g; "+
+			"bare-limit is %gs: use a greater pace or more coordinators", proxies, joinTime, pace, limit)}
 }
--- a/internal/configcheck/configcheck_test.go
+++ b/internal/configcheck/configcheck_test.go
@@ -7,8 +7,8 @@
 	"gingerfork/choice"
 )
 
-// Paces at which the experiment violated rule 1, or came near, give a warning; those that stayed within half of the limit
-// do not.
+// A pace gives a warning if the experiment docs/experiments/rejoin.plan violated rule 1 or came close to it at that pace. It
+// gives none if the experiment stayed within half of bare-limit.
 func TestWarnsOfSlowJoin(t *testing.T) {
 	for pace, warned := range map[float64]bool{5000: true, 14100: true, 50000: false, 0: false} {
 		settings := choice.DecodeSettings(map[string]any{
