--- a/cmd/gingerfork/emulate.go
+++ b/cmd/gingerfork/emulate.go
@@ -15,8 +15,8 @@
 	"gingerfork/internal/scenario"
 )
 
-// plainProgressInterval is the number of seconds between two progress lines when the output is not a terminal.
-const plainProgressInterval = 5
+// plainProgressSeconds is the number of seconds between two progress lines when the output is not a terminal.
+const plainProgressSeconds = 5
 
 var (
 	errPartFormat       = errors.New("is not K/N, such as 1/2")
@@ -40,7 +40,7 @@
 		return err
 	}
 	progress := &emulationProgress{cli: cli, json: c.JSON, line: newProgressLine(cli.out)}
-	emulation.OnTally, emulation.OnStep = progress.tally, progress.step
+	emulation.OnTally, emulation.OnStep = progress.printSecond, progress.printStep
 	if !c.JSON {
 		fmt.Fprintf(cli.out, "%s: endpoint service at %s, backends from %s on, %.0f s\n", emulation.Scenario.Name, emulation.ListAddr(), emulation.Addr(0),
 			emulation.Scenario.Duration)
@@ -93,25 +93,25 @@
 	cli  *program
 	json bool
 
-	mu     sync.Mutex
-	line   *progressLine
-	behind report.ScheduleLag
+	mu          sync.Mutex
+	line        *progressLine
+	scheduleLag report.ScheduleLag
 }
 
-// tally prints the statistics of one second.
-func (p *emulationProgress) tally(stats emulator.FleetStats) {
+// printSecond prints the statistics of one second.
+func (p *emulationProgress) printSecond(stats emulator.FleetStats) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.behind.Observe(stats.MaxDelay)
+	p.scheduleLag.Observe(stats.MaxDelay)
 	if p.json {
 		_ = json.NewEncoder(p.cli.out).Encode(stats) // ignored as for fmt.Fprint: if the reader closed the pipe, it would not see the error either
 		return
 	}
-	p.line.show(stats.String(), p.behind.Samples%plainProgressInterval == 1)
+	p.line.show(stats.String(), p.scheduleLag.Samples%plainProgressSeconds == 1)
 }
 
-// step prints a step of the scenario.
-func (p *emulationProgress) step(text string) {
+// printStep prints a step of the scenario.
+func (p *emulationProgress) printStep(text string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.json {
@@ -126,9 +126,9 @@
 	defer p.mu.Unlock()
 	p.line.end()
 	if !p.json {
-		fmt.Fprintf(p.cli.out, "behind schedule: at most %.1f ms, more than %.0f ms in %d of %d seconds\n", 1e3*p.behind.Max, 1e3*report.MaxLag, p.behind.Late, p.behind.Samples)
+		fmt.Fprintf(p.cli.out, "behind schedule: at most %.1f ms, more than %.0f ms in %d of %d seconds\n", 1e3*p.scheduleLag.Max, 1e3*report.MaxLag, p.scheduleLag.Late, p.scheduleLag.Samples)
 	}
-	if p.behind.Invalid() {
+	if p.scheduleLag.Invalid() {
 		return errEmulationTooSlow
 	}
 	return nil
--- a/cmd/gingerfork/emulate_test.go
+++ b/cmd/gingerfork/emulate_test.go
@@ -32,21 +32,21 @@
 	return 0
 }
 
-// emulated is the text of a scenario with four backends and no faults.
-const emulated = "day quiet\nsettings perth.conf\nlength 5s\nservers 4 capacity 100 reports 50ms noise 10% memory 10 saves 20%\nfrontends 1\nmix 70% 30%\n"
+// quietScenario is the text of a scenario with four backends and no faults.
+const quietScenario = "day quiet\nsettings perth.conf\nlength 5s\nservers 4 capacity 100 reports 50ms noise 10% memory 10 saves 20%\nfrontends 1\nmix 70% 30%\n"
 
 // Two processes each emulate one half of a fleet under open-loop load. Most RPCs are answered, and both print their
 // statistics and the steps of the scenario.
 func TestEmulateAndLoad(t *testing.T) {
 	port := freePort(t, 4)
-	day := tempFile(t, "quiet.day", emulated+"at 2s hang servers 1 for 1s\n")
-	var work sync.WaitGroup
+	scenarioFile := tempFile(t, "quiet.day", quietScenario+"at 2s hang servers 1 for 1s\n")
+	var parts sync.WaitGroup
 	outs := make([]string, 2)
 	for k := range 2 {
-		work.Add(1)
+		parts.Add(1)
 		go func() {
-			defer work.Done()
-			code, out, err := runCommand("emulate", day, "--port", fmt.Sprint(port), "--part", fmt.Sprintf("%d/2", k+1))
+			defer parts.Done()
+			code, out, err := runCommand("emulate", scenarioFile, "--port", fmt.Sprint(port), "--part", fmt.Sprintf("%d/2", k+1))
 			if outs[k] = out; code != exitOK {
 				// On a machine that is busy with other tests the emulation may fall behind its schedule; it must then report VOID.
 				if !strings.Contains(err, "VOID") {
@@ -63,20 +63,20 @@
 		args = append(args, "--backend", fmt.Sprintf("127.0.0.1:%d", port+1+i))
 	}
 	_, out, errOut := runCommand(args...)
-	work.Wait()
-	var r struct {
+	parts.Wait()
+	var result struct {
 		Seconds []struct{ InTime, Late, PushedBack, Aborted int }
 	}
-	if err := json.Unmarshal([]byte(out), &r); err != nil {
+	if err := json.Unmarshal([]byte(out), &result); err != nil {
 		t.Fatalf("%v: %s %s", err, out, errOut)
 	}
-	ok, all := 0, 0
-	for _, s := range r.Seconds {
-		ok += s.InTime + s.Late
-		all += s.InTime + s.Late + s.PushedBack + s.Aborted
+	answered, finished := 0, 0
+	for _, s := range result.Seconds {
+		answered += s.InTime + s.Late
+		finished += s.InTime + s.Late + s.PushedBack + s.Aborted
 	}
-	if all < 100 || ok < all/2 {
-		t.Errorf("%d of %d RPCs answered", ok, all)
+	if finished < 100 || answered < finished/2 {
+		t.Errorf("%d of %d RPCs answered, want at least half of at least 100", answered, finished)
 	}
 	for k, o := range outs {
 		if !strings.Contains(o, "2 of 2 servers up") || !strings.Contains(o, "hang servers 1") {
@@ -92,12 +92,12 @@
 		args []string
 		want string
 	}{
-		{[]string{"emulate", tempFile(t, "cut.day", emulated+"at 1s cut zone dc-malaga for 1s\n")}, "cut.day:7: cut zone is not in an emulated fleet's hands"},
-		{[]string{"emulate", tempFile(t, "s.day", emulated+"at 1s flap servers 1 by 1s for 2s with silence\n")}, "s.day:7: flap servers"},
-		{[]string{"emulate", tempFile(t, "p.day", emulated), "--part", "3/2"}, "part 3 of 2 does not exist"},
-		{[]string{"emulate", tempFile(t, "p.day", emulated), "--part", "one"}, "is not K/N"},
-		{[]string{"emulate", tempFile(t, "p.day", emulated), "--port", "65534"}, "do not hold"},
-		{[]string{"emulate", tempFile(t, "w.day", strings.Replace(emulated, "noise 10%", "noise ten", 1))}, "w.day:4: noise"},
+		{[]string{"emulate", tempFile(t, "cut.day", quietScenario+"at 1s cut zone dc-malaga for 1s\n")}, "cut.day:7: cut zone is not in an emulated fleet's hands"},
+		{[]string{"emulate", tempFile(t, "s.day", quietScenario+"at 1s flap servers 1 by 1s for 2s with silence\n")}, "s.day:7: flap servers"},
+		{[]string{"emulate", tempFile(t, "p.day", quietScenario), "--part", "3/2"}, "part 3 of 2 does not exist"},
+		{[]string{"emulate", tempFile(t, "p.day", quietScenario), "--part", "one"}, "is not K/N"},
+		{[]string{"emulate", tempFile(t, "p.day", quietScenario), "--port", "65534"}, "do not hold"},
+		{[]string{"emulate", tempFile(t, "w.day", strings.Replace(quietScenario, "noise 10%", "noise ten", 1))}, "w.day:4: noise"},
 		{[]string{"load", "--settings", conf}, "either coordinators or servers"},
 		{[]string{"load", "--settings", conf, "--backend", "127.0.0.1:1", "--swing", "x"}, "swing"},
 		{[]string{"load", "--settings", conf, "--backend", "127.0.0.1:1", "--mix", "50%"}, "mix has 1 shares, the settings have 2 methods"},
--- a/cmd/gingerfork/endpointsource_test.go
+++ b/cmd/gingerfork/endpointsource_test.go
@@ -13,15 +13,15 @@
 func TestServeEndpointsFromFile(t *testing.T) {
 	endpointsAddr, coordinatorAddr, backend1, backend2, backend3 := freeAddr(t), freeAddr(t), freeAddr(t), freeAddr(t), freeAddr(t)
 	dir := t.TempDir()
-	web := filepath.Join(dir, "web.cfg")
+	haproxyFile := filepath.Join(dir, "web.cfg")
 	replace := func(text string) {
 		t.Helper()
-		if err := os.WriteFile(web, []byte(text), 0o644); err != nil {
+		if err := os.WriteFile(haproxyFile, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	whole := "backend tasks\n    balance leastconn\n    server a " + backend1 + " weight 10\n    server b " + backend2 + " weight 20\n    server c " + backend3 + " weight 20\n"
-	replace(whole)
+	threeServers := "backend tasks\n    balance leastconn\n    server a " + backend1 + " weight 10\n    server b " + backend2 + " weight 20\n    server c " + backend3 + " weight 20\n"
+	replace(threeServers)
 	file := filepath.Join(dir, "c.conf")
 	settings := strings.NewReplacer("127.0.0.1:7400", coordinatorAddr, "127.0.0.1:7300", endpointsAddr, "state           -", "state kept\n    list-from web.cfg\n    list-drain 1s").Replace(perthSettings(t))
 	if err := os.WriteFile(file, []byte(settings), 0o644); err != nil {
@@ -35,7 +35,7 @@
 	eventually(t, "the file to be applied", func() bool { return coordinator.logged(`"changed":3`) })
 	loadProcess := startProcess(t, "load", "--settings", file, "--coordinator", coordinatorAddr, "--rate", "40", "--proxies", "2", "--duration", "4s", "--json")
 
-	replace(whole[:len(whole)-30]) // cut off within the last line, which lists server c
+	replace(threeServers[:len(threeServers)-30]) // cut off within the last line, which lists server c
 	reload()
 	eventually(t, "the truncated file to be rejected", func() bool { return coordinator.logged("endpoint file invalid") })
 	status := func() string { b, _ := os.ReadFile(filepath.Join(dir, "kept", "list-from.status")); return string(b) }
@@ -45,7 +45,7 @@
 	replace("backend tasks\n    server a " + backend1 + " weight 10\n")
 	reload()
 	eventually(t, "the file without most servers to be rejected", func() bool { return coordinator.logged("2 of 3 servers out of use") })
-	replace(strings.Replace(whole, "weight 10", "weight 30", 1))
+	replace(strings.Replace(threeServers, "weight 10", "weight 30", 1))
 	reload()
 	eventually(t, "the changed weight to be applied", func() bool { return coordinator.logged(`"changed":1`) })
 	eventually(t, "the status file to say that the list is in force", func() bool { return strings.Contains(status(), `verdict "in force"`) })
@@ -62,9 +62,9 @@
 // separately.
 func TestServeTwoPools(t *testing.T) {
 	backend1, backend2 := freeAddr(t), freeAddr(t)
-	web := tempFile(t, "web.cfg", "frontend www\n    use_backend static if { path_beg /s }\n    default_backend tasks\nbackend tasks\n    server a "+backend1+"\nbackend static\n    server a "+backend2+"\n")
-	dir := filepath.Join(filepath.Dir(web), "imported")
-	if code, _, err := runCommand("import", "haproxy", "-o", dir, web); code != exitOK {
+	haproxyFile := tempFile(t, "web.cfg", "frontend www\n    use_backend static if { path_beg /s }\n    default_backend tasks\nbackend tasks\n    server a "+backend1+"\nbackend static\n    server a "+backend2+"\n")
+	dir := filepath.Join(filepath.Dir(haproxyFile), "imported")
+	if code, _, err := runCommand("import", "haproxy", "-o", dir, haproxyFile); code != exitOK {
 		t.Fatal(err)
 	}
 	if code, out, err := runCommand("route", filepath.Join(dir, "routes"), "www", "GET", "/s/1", "--header", "Host=x"); code != exitOK || out != "pool static method www-path_beg-s\n" {
--- a/cmd/gingerfork/experiment.go
+++ b/cmd/gingerfork/experiment.go
@@ -36,9 +36,9 @@
 	Workers int    `help:"Number of concurrent runs; 0: one per core." default:"0"`
 }
 
-// filesBeside returns a function that reads a file that a plan names: from the plan's folder or, if it is not there, from the
+// planFileReader returns a function that reads a file that a plan names: from the plan's folder or, if it is not there, from the
 // built-in files.
-func filesBeside(plan string) func(string) ([]byte, error) {
+func planFileReader(plan string) func(string) ([]byte, error) {
 	return func(name string) ([]byte, error) {
 		data, err := os.ReadFile(filepath.Join(filepath.Dir(plan), name))
 		if err == nil {
@@ -57,7 +57,7 @@
 	if err != nil {
 		return fmt.Errorf("read the plan: %w", err)
 	}
-	plan, err := experiment.Read(c.Plan, string(text), filesBeside(c.Plan))
+	plan, err := experiment.Read(c.Plan, string(text), planFileReader(c.Plan))
 	if err != nil {
 		return err
 	}
@@ -102,17 +102,17 @@
 
 // experimentProgress shows how many runs are finished. It is safe for concurrent use.
 type experimentProgress struct {
-	mu      sync.Mutex
-	line    *progressLine
-	printed time.Time // time of the last line that was printed without a terminal
+	mu            sync.Mutex
+	line          *progressLine
+	lastPlainLine time.Time // time of the last line that was printed without a terminal
 }
 
 func (p *experimentProgress) show(progress experiment.Progress) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	plain := time.Since(p.printed) > experimentProgressInterval
+	plain := time.Since(p.lastPlainLine) > experimentProgressInterval
 	if plain {
-		p.printed = time.Now()
+		p.lastPlainLine = time.Now()
 	}
 	bar := strings.Repeat("#", progressBarWidth*progress.Done/progress.Total)
 	text := fmt.Sprintf("[%-*s] %d of %d runs, %d reused, about %v left", progressBarWidth, bar, progress.Done, progress.Total, progress.Resumed,
@@ -171,7 +171,7 @@
 
 // Run runs the scenario with both settings files and writes the report.
 func (c experimentCompareCmd) Run(ctx context.Context, cli *program) error {
-	open := filesBeside(c.Old)
+	open := planFileReader(c.Old)
 	scenarioText, err := open(c.Scenario + scenarioSuffix)
 	if err != nil {
 		if scenarioText, err = os.ReadFile(c.Scenario); err != nil {
--- a/cmd/gingerfork/helpers_test.go
+++ b/cmd/gingerfork/helpers_test.go
@@ -16,8 +16,8 @@
 	"gingerfork/internal/trace"
 )
 
-// asProgram is the environment variable that makes the test binary run as the program instead of running tests.
-const asProgram = "GINGERFORK_AS_PROGRAM"
+// runAsProgramEnv is the environment variable that makes the test binary run as the program instead of running tests.
+const runAsProgramEnv = "GINGERFORK_AS_PROGRAM"
 
 // runCommand runs a command line in the test process.
 func runCommand(args ...string) (code int, out, err string) {
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	child := &childProcess{cmd: exec.Command(exe, args...)}
-	child.cmd.Env = append(os.Environ(), asProgram+"=1")
+	child.cmd.Env = append(os.Environ(), runAsProgramEnv+"=1")
 	child.cmd.Stdout, child.cmd.Stderr = child, child
 	if err := child.cmd.Start(); err != nil {
 		t.Fatal(err)
--- a/cmd/gingerfork/import.go
+++ b/cmd/gingerfork/import.go
@@ -21,7 +21,7 @@
 	errImportRefused = errors.New("nothing was written: the files contain errors")
 	errImportInexact = errors.New("some lines were not imported exactly")
 	errDiffFiles     = errors.New("--diff needs two files, the old one and the new one")
-	errFilesAtFault  = errors.New("the files contain errors")
+	errInvalidFiles  = errors.New("the files contain errors")
 )
 
 type importCmd struct {
@@ -178,7 +178,7 @@
 	}
 	if faults := slices.Concat(before.Faults, after.Faults); len(faults) > 0 {
 		printFaults(cli, faults)
-		return errFilesAtFault
+		return errInvalidFiles
 	}
 	for _, change := range haproxy.Diff(before, after) {
 		fmt.Fprintf(cli.out, "%s/%s: %s -> %s\n", change.Pool, change.Server, cmp.Or(change.Before, notListed), cmp.Or(change.After, notListed))
--- a/cmd/gingerfork/instance.go
+++ b/cmd/gingerfork/instance.go
@@ -89,21 +89,21 @@
 // reload reads the settings and the endpoint source's file again. If the settings are invalid, the old ones stay in use.
 func (i *instance) reload() {
 	i.source.reload()
-	fresh, err := bootstrap.Read(i.file)
-	if err == nil && fresh.Name != i.settings.Name {
-		err = fmt.Errorf("%s: the instance name is now %s: %w", i.file, fresh.Name, errInstanceRenamed)
+	reloaded, err := bootstrap.Read(i.file)
+	if err == nil && reloaded.Name != i.settings.Name {
+		err = fmt.Errorf("%s: the instance name is now %s: %w", i.file, reloaded.Name, errInstanceRenamed)
 	}
 	if err != nil {
 		i.log.Error("settings reload failed, the old settings stay in force", "cause", err.Error())
 		return
 	}
 	for _, keyword := range restartKeywords {
-		if fresh.Text(keyword) != i.settings.Text(keyword) {
+		if reloaded.Text(keyword) != i.settings.Text(keyword) {
 			i.log.Warn("change of a setting needs a restart, the old value stays in force", "keyword", keyword)
 		}
 	}
 	i.loop.RunBetweenSteps(func() {
-		i.machine.Reload(coordinatorBootstrap(fresh, fresh.CoordinatorConfig(i.clock.Now())))
+		i.machine.Reload(coordinatorBootstrap(reloaded, reloaded.CoordinatorConfig(i.clock.Now())))
 	})
 	i.log.Info("settings reloaded")
 }
--- a/cmd/gingerfork/load.go
+++ b/cmd/gingerfork/load.go
@@ -56,7 +56,7 @@
 		config.OnSecond = func(second int, figures report.Second) {
 			text := fmt.Sprintf("%4d s: %d in time, %d late, %d pushed back, %d aborted; service %.3f", second+1, figures.InTime, figures.Late, figures.Rejected,
 				figures.Aborted, figures.Service())
-			line.show(text, second%plainProgressInterval == 0)
+			line.show(text, second%plainProgressSeconds == 0)
 		}
 	}
 	result, err := load.Run(ctx, config)
--- a/cmd/gingerfork/main_test.go
+++ b/cmd/gingerfork/main_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// TestMain runs the test binary as the program if asProgram is set, for tests that need the program as a child process.
+// TestMain runs the test binary as the program if the environment variable runAsProgramEnv is 1, for tests that need the program as a child process.
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) == "1" {
+	if os.Getenv(runAsProgramEnv) == "1" {
 		os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 	}
-	coordinatorEnv = []string{asProgram + "=1"}
+	coordinatorEnv = []string{runAsProgramEnv + "=1"}
 	os.Exit(m.Run())
 }
 
--- a/cmd/gingerfork/node.go
+++ b/cmd/gingerfork/node.go
@@ -33,10 +33,10 @@
 	logFlushTimeout = 200 * time.Millisecond
 
 	// Limits of the event loop's buffers: the memory limit divided by these numbers, and these absolute sizes.
-	writeBufferMemoryShare  = 32
-	pendingInputMemoryShare = 16
-	largestWriteBuffer      = 4 << 20  // bytes per connection
-	largestPendingInput     = 64 << 20 // bytes
+	writeBufferMemoryDivisor  = 32
+	pendingInputMemoryDivisor = 16
+	largestWriteBuffer        = 4 << 20  // bytes per connection
+	largestPendingInput       = 64 << 20 // bytes
 )
 
 // errNoConfigurationFile is returned when the environment does not name the configuration file.
@@ -46,20 +46,20 @@
 
 // Run runs a coordinator until SIGTERM. It runs only the network code and the decision module, without a store, because on
 // the platform a coordinator has little memory and no disk that outlives it.
-func (nodeCmd) Run(ctx context.Context, command *program) error {
+func (nodeCmd) Run(ctx context.Context, cli *program) error {
 	// Registered first, because a SIGHUP during the start would otherwise end the process.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
 	signal.Ignore(syscall.SIGPIPE) // a log reader that exits must not end the process
-	start, err := readNodeStart()
+	nodeConfig, err := readNodeConfig()
 	if err != nil {
 		return err
 	}
-	limitRuntime(start)
-	logLines := newAsyncWriter(command.err, maxQueuedLogLines)
+	limitRuntime(nodeConfig)
+	logLines := newAsyncWriter(cli.err, maxQueuedLogLines)
 	defer flushLog(logLines)
-	node, err := startNode(ctx, start, newNodeLogger(logLines, start.Name))
+	node, err := startNode(ctx, nodeConfig, newNodeLogger(logLines, nodeConfig.Name))
 	if errors.Is(err, context.Canceled) {
 		return nil // SIGTERM arrived before the coordinator began to listen
 	}
@@ -82,41 +82,41 @@
 
 // runningNode is a coordinator on the operators' platform.
 type runningNode struct {
-	start   *platform.NodeConfig // as read at the start of the process, for comparison at a reload
-	machine *platform.Machine
-	loop    *eventloop.Loop
-	clock   *eventloop.Clock
-	log     *slog.Logger
+	initialConfig *platform.NodeConfig // as read at the start of the process, for comparison at a reload
+	machine       *platform.Machine
+	loop          *eventloop.Loop
+	clock         *eventloop.Clock
+	log           *slog.Logger
 }
 
 // startNode starts a coordinator. The error is context.Canceled if ctx ended before the coordinator began to listen.
-func startNode(ctx context.Context, start *platform.NodeConfig, log *slog.Logger) (*runningNode, error) {
+func startNode(ctx context.Context, nodeConfig *platform.NodeConfig, log *slog.Logger) (*runningNode, error) {
 	clock := eventloop.NewClock()
-	machine, err := platform.New(start.Bootstrap(clock.Now()))
+	machine, err := platform.New(nodeConfig.Bootstrap(clock.Now()))
 	if err != nil {
 		log.Warn("cached endpoint list rejected, starting without it", "cause", err.Error())
 	}
-	config := loopConfig(start)
+	config := loopConfig(nodeConfig)
 	config.Machine, config.Log, config.Clock = machine, log, clock
 	loop, err := listenWhenFree(ctx, func() (*eventloop.Loop, error) { return eventloop.Start(ctx, config) })
 	if err != nil {
 		return nil, err
 	}
-	log.Info("coordinator started", "listen", start.Listen, "discovery", start.Discovery, "cores", start.Cores,
-		"memory_bytes", start.Memory, "sockets", start.Sockets, "proxies", start.Values["proxies"], "listing", start.Values["listing"])
-	return &runningNode{start: start, machine: machine, loop: loop, clock: clock, log: log}, nil
+	log.Info("coordinator started", "listen", nodeConfig.Listen, "discovery", nodeConfig.Discovery, "cores", nodeConfig.Cores,
+		"memory_bytes", nodeConfig.Memory, "sockets", nodeConfig.Sockets, "proxies", nodeConfig.Values["proxies"], "listing", nodeConfig.Values["listing"])
+	return &runningNode{initialConfig: nodeConfig, machine: machine, loop: loop, clock: clock, log: log}, nil
 }
 
 // loopConfig returns the configuration of the event loop: its address, its connection limit and its buffer sizes.
-func loopConfig(start *platform.NodeConfig) eventloop.Bootstrap {
+func loopConfig(nodeConfig *platform.NodeConfig) eventloop.Bootstrap {
 	config := eventloop.Bootstrap{
-		Listen:         []string{start.Listen},
-		MaxConnections: start.MaxLoopConnections(),
+		Listen:         []string{nodeConfig.Listen},
+		MaxConnections: nodeConfig.MaxLoopConnections(),
 		DialTimeout:    nodeDialTimeout,
 	}
-	if start.Memory > 0 {
-		config.MaxWriteBuffer = int(min(largestWriteBuffer, start.Memory/writeBufferMemoryShare))
-		config.MaxPendingInput = int(min(largestPendingInput, start.Memory/pendingInputMemoryShare))
+	if nodeConfig.Memory > 0 {
+		config.MaxWriteBuffer = int(min(largestWriteBuffer, nodeConfig.Memory/writeBufferMemoryDivisor))
+		config.MaxPendingInput = int(min(largestPendingInput, nodeConfig.Memory/pendingInputMemoryDivisor))
 	}
 	return config
 }
@@ -154,16 +154,16 @@
 // reloadConfiguration reads the configuration file again and applies the address of the discovery service; other changes need
 // a restart. If the file cannot be read or is invalid, the old configuration stays in use.
 func (n *runningNode) reloadConfiguration() {
-	fresh, err := readNodeStart()
+	reloaded, err := readNodeConfig()
 	if err != nil {
 		n.log.Error("configuration reload failed, the old configuration stays in force", "cause", err.Error())
 		return
 	}
-	if fresh.Listen != n.start.Listen || fresh.Name != n.start.Name || !reflect.DeepEqual(fresh.Values, n.start.Values) {
+	if reloaded.Listen != n.initialConfig.Listen || reloaded.Name != n.initialConfig.Name || !reflect.DeepEqual(reloaded.Values, n.initialConfig.Values) {
 		n.log.Warn("changes of name, listen address and settings need a restart")
 	}
-	n.loop.RunBetweenSteps(func() { n.machine.Reload(fresh.Bootstrap(n.clock.Now())) })
-	n.log.Info("configuration reloaded", "discovery", fresh.Discovery)
+	n.loop.RunBetweenSteps(func() { n.machine.Reload(reloaded.Bootstrap(n.clock.Now())) })
+	n.log.Info("configuration reloaded", "discovery", reloaded.Discovery)
 }
 
 func (n *runningNode) logEnd() {
@@ -173,8 +173,8 @@
 		"longest_step_s", loop.LongestStep.Seconds(), "busy_s", loop.BusyTime.Seconds())
 }
 
-// readNodeStart reads the configuration file that the environment names.
-func readNodeStart() (*platform.NodeConfig, error) {
+// readNodeConfig reads the configuration file that the environment names.
+func readNodeConfig() (*platform.NodeConfig, error) {
 	name := os.Getenv(platform.EnvConfigFile)
 	if name == "" {
 		return nil, errNoConfigurationFile
@@ -183,20 +183,20 @@
 	if err != nil {
 		return nil, fmt.Errorf("read the configuration: %w", err)
 	}
-	start, err := platform.ParseNodeConfig(raw, os.Getenv, wire.FlattenSettings)
+	nodeConfig, err := platform.ParseNodeConfig(raw, os.Getenv, wire.FlattenSettings)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	return start, nil
+	return nodeConfig, nil
 }
 
 // limitRuntime applies the limits of the configuration on cores and memory to the Go runtime.
-func limitRuntime(start *platform.NodeConfig) {
-	if start.Cores > 0 {
-		runtime.GOMAXPROCS(max(1, int(start.Cores)))
+func limitRuntime(nodeConfig *platform.NodeConfig) {
+	if nodeConfig.Cores > 0 {
+		runtime.GOMAXPROCS(max(1, int(nodeConfig.Cores)))
 	}
-	if start.Memory > 0 {
+	if nodeConfig.Memory > 0 {
 		// Half of the memory, because the runtime's limit does not cover the pages of the executable and the kernel's buffers.
-		debug.SetMemoryLimit(start.Memory / 2)
+		debug.SetMemoryLimit(nodeConfig.Memory / 2)
 	}
 }
--- a/cmd/gingerfork/scenario.go
+++ b/cmd/gingerfork/scenario.go
@@ -83,20 +83,20 @@
 
 // readScenario reads a scenario and applies --seed, --scale and --crashes to it.
 func (c scenarioCmd) readScenario(name string) (*scenario.Scenario, error) {
-	read, err := readScenario(name)
+	loaded, err := readScenario(name)
 	if err != nil {
 		return nil, err
 	}
 	if c.Seed > 0 {
-		read.Seed = c.Seed
+		loaded.Seed = c.Seed
 	}
 	if c.Scale != 1 && c.Scale > 0 {
-		read.Scale(c.Scale)
+		loaded.Scale(c.Scale)
 	}
 	if c.Crashes > 0 {
-		read.AddCoordinatorKills(c.Crashes)
+		loaded.AddCoordinatorKills(c.Crashes)
 	}
-	return read, nil
+	return loaded, nil
 }
 
 // playAndReport plays a scenario, prints the result and writes the trace and the plot if the flags request them. passed is
--- a/cmd/gingerfork/scenario_compare.go
+++ b/cmd/gingerfork/scenario_compare.go
@@ -22,11 +22,11 @@
 func (c scenarioCmd) compareBaselines(ctx context.Context, cli *program, names []string) error {
 	scenarios := make([]*scenario.Scenario, 0, len(names))
 	for _, name := range names {
-		read, err := c.readScenario(name)
+		loaded, err := c.readScenario(name)
 		if err != nil {
 			return err
 		}
-		scenarios = append(scenarios, read)
+		scenarios = append(scenarios, loaded)
 	}
 	if !c.JSON {
 		fmt.Fprintf(cli.out, "%-28s %11s %11s %11s %11s  %s\n", "scenario", "coordinator", "all servers", "frozen", "bound", "violated rules (coordinator; all servers; frozen)")
--- a/cmd/gingerfork/scenario_search.go
+++ b/cmd/gingerfork/scenario_search.go
@@ -7,8 +7,8 @@
 	"gingerfork/internal/scenario"
 )
 
-// searchProgressInterval is the number of scenarios after which a search prints its progress.
-const searchProgressInterval = 1000
+// searchProgressScenarios is the number of scenarios after which a search prints its progress.
+const searchProgressScenarios = 1000
 
 // search plays random scenarios and prints those in which an invariant is violated or a state machine fails.
 func (c scenarioCmd) search(ctx context.Context, cli *program) error {
@@ -17,7 +17,7 @@
 		found++
 		printFinding(cli, &finding)
 	}, func(played int) {
-		if played%searchProgressInterval == 0 {
+		if played%searchProgressScenarios == 0 {
 			fmt.Fprintf(cli.err, "%d of %d scenarios played\n", played, c.Search)
 		}
 	})
--- a/cmd/gingerfork/scenariofile.go
+++ b/cmd/gingerfork/scenariofile.go
@@ -17,7 +17,7 @@
 func readScenario(name string) (*scenario.Scenario, error) {
 	text, err := os.ReadFile(name)
 	if err == nil {
-		return scenario.Read(name, string(text), settingsBeside(name))
+		return scenario.Read(name, string(text), scenarioSettingsReader(name))
 	}
 	text, builtinErr := scenario.File(name + scenarioSuffix)
 	if builtinErr != nil {
@@ -30,9 +30,9 @@
 	return scenario.Read(name+scenarioSuffix, string(text), scenario.File)
 }
 
-// settingsBeside returns a function that reads a settings file that a scenario names: from the folder of the scenario file or,
+// scenarioSettingsReader returns a function that reads a settings file that a scenario names: from the folder of the scenario file or,
 // if it is not there, from the built-in files.
-func settingsBeside(scenarioFile string) func(string) ([]byte, error) {
+func scenarioSettingsReader(scenarioFile string) func(string) ([]byte, error) {
 	return func(name string) ([]byte, error) {
 		if data, err := os.ReadFile(filepath.Join(filepath.Dir(scenarioFile), name)); err == nil {
 			return data, nil
--- a/cmd/gingerfork/serve.go
+++ b/cmd/gingerfork/serve.go
@@ -26,17 +26,17 @@
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
-	all, err := c.readSettings()
+	allSettings, err := c.readSettings()
 	if err != nil {
 		return err
 	}
 	var instances []*instance
 	defer func() {
-		for _, i := range instances {
-			i.stop()
+		for _, started := range instances {
+			started.stop()
 		}
 	}()
-	for i, settings := range all {
+	for i, settings := range allSettings {
 		started, err := startInstance(ctx, cli, c.Files[i], settings)
 		if err != nil {
 			return err
@@ -49,15 +49,15 @@
 // waitForInstances reloads all instances at each signal until all have ended, and returns their errors.
 func waitForInstances(instances []*instance, reload <-chan os.Signal) error {
 	ended := make(chan error)
-	for _, i := range instances {
-		go func() { ended <- i.wait() }()
+	for _, started := range instances {
+		go func() { ended <- started.wait() }()
 	}
 	var errs error
 	for running := len(instances); running > 0; {
 		select {
 		case <-reload:
-			for _, i := range instances {
-				i.reload()
+			for _, started := range instances {
+				started.reload()
 			}
 		case err := <-ended:
 			running--
@@ -68,7 +68,7 @@
 }
 
 // readSettings reads all settings files. The error lists the errors of all files.
-func (c serveCmd) readSettings() (all []*bootstrap.Settings, err error) {
+func (c serveCmd) readSettings() (allSettings []*bootstrap.Settings, err error) {
 	owners := map[string]string{} // file that uses a name, listen address or state folder, by "keyword value"
 	for _, file := range c.Files {
 		settings, readErr := bootstrap.Read(file)
@@ -77,9 +77,9 @@
 			continue
 		}
 		err = errors.Join(err, claimSettings(owners, file, settings))
-		all = append(all, settings)
+		allSettings = append(allSettings, settings)
 	}
-	return all, err
+	return allSettings, err
 }
 
 // claimSettings records in owners that file uses its name, listen address and state folder. The error names those that
