--- a/cmd/gingerfork/aliases_test.go
+++ b/cmd/gingerfork/aliases_test.go
@@ -86,7 +86,7 @@
 		traceFile := filepath.Join(dir, command)
 		code, out, errOut := runCommand(command, "--virtual", "--seed", "7", "--trace", traceFile, "cut")
 		if code != exitOK {
-			t.Fatal(command, code, errOut)
+			t.Fatalf("%s: exit code %d, error output %q", command, code, errOut)
 		}
 		records, err := os.ReadFile(traceFile)
 		if err != nil {
@@ -105,7 +105,7 @@
 	for _, command := range []string{"", "scenario", "fake", "fake backend", "fake endpoints", "emulate", "load", "measure", "experiment compare"} {
 		code, out, errOut := runCommand(append(strings.Fields(command), "--help")...)
 		if code != exitOK {
-			t.Errorf("%s --help: %d %s", command, code, errOut)
+			t.Errorf("%s --help: exit code %d, error output %q", command, code, errOut)
 		}
 		if found := earlier.FindString(out); found != "" {
 			t.Errorf("%s --help shows %q:\n%s", command, found, out)
--- a/cmd/gingerfork/emulate_test.go
+++ b/cmd/gingerfork/emulate_test.go
@@ -50,7 +50,7 @@
 			if outs[k] = out; code != exitOK {
 				// On a machine that is busy with other tests the emulation may fall behind its schedule; it must then report VOID.
 				if !strings.Contains(err, "VOID") {
-					t.Errorf("part %d: %d %s", k+1, code, err)
+					t.Errorf("part %d: exit code %d, error output %q", k+1, code, err)
 				}
 			}
 		}()
@@ -68,7 +68,7 @@
 		Seconds []struct{ InTime, Late, PushedBack, Aborted int }
 	}
 	if err := json.Unmarshal([]byte(out), &result); err != nil {
-		t.Fatalf("%v: %s %s", err, out, errOut)
+		t.Fatalf("result of the load: %v; output %q, error output %q", err, out, errOut)
 	}
 	answered, finished := 0, 0
 	for _, s := range result.Seconds {
@@ -80,7 +80,7 @@
 	}
 	for k, o := range outs {
 		if !strings.Contains(o, "2 of 2 servers up") || !strings.Contains(o, "hang servers 1") {
-			t.Errorf("part %d printed %s", k+1, o)
+			t.Errorf("part %d printed %s, want its number of backends and the hang", k+1, o)
 		}
 	}
 }
@@ -105,7 +105,7 @@
 	} {
 		code, out, err := runCommand(testCase.args...)
 		if code == exitOK || !strings.Contains(err, testCase.want) || strings.Count(strings.TrimSpace(err), "\n") > 0 {
-			t.Errorf("%v: %d %q %q", testCase.args, code, out, err)
+			t.Errorf("%v: exit code %d, output %q, error output %q, want a failure and one line with %q", testCase.args, code, out, err, testCase.want)
 		}
 	}
 }
--- a/cmd/gingerfork/endpointsource.go
+++ b/cmd/gingerfork/endpointsource.go
@@ -23,7 +23,7 @@
 const endpointStatusFile = "list-from.status"
 
 // Verdicts in the status file: the endpoint list of the file is in use, was rejected by the endpoint service because it
-// would remove too many backends, or could not be read.
+// would remove too many backends, or could not be read because the file is missing or invalid.
 const (
 	verdictInForce  = "in force"
 	verdictHeldBack = "held back"
--- a/cmd/gingerfork/endpointsource_test.go
+++ b/cmd/gingerfork/endpointsource_test.go
@@ -53,7 +53,7 @@
 		t.Logf("load: %v", err) // on a busy machine the load may fall behind its schedule and fail with VOID
 	}
 	if !loadProcess.logged(`"Service":`) || loadProcess.logged(`"Service":0,`) {
-		t.Errorf("load through the listed backends: %s", loadProcess.log.String())
+		t.Errorf("the load through the listed backends had no service: %s", loadProcess.log.String())
 	}
 	eventually(t, "the endpoint list to be cached", func() bool { _, err := os.Stat(filepath.Join(dir, "kept", "followed.json")); return err == nil })
 }
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	if code, out, err := runCommand("route", filepath.Join(dir, "routes"), "www", "GET", "/s/1", "--header", "Host=x"); code != exitOK || out != "pool static method www-path_beg-s\n" {
-		t.Error(out, err)
+		t.Errorf("route: output %q, error output %q", out, err)
 	}
 	if code, _, err := runCommand("check", filepath.Join(dir, "routes"), filepath.Join(dir, "tasks.conf"), filepath.Join(dir, "static.conf")); code != exitOK {
 		t.Error(err)
@@ -93,7 +93,7 @@
 		files = append(files, file)
 	}
 	if code, _, err := runCommand("serve", files[0], files[0]); code != exitFailure || !strings.Contains(err, "is already used by") {
-		t.Errorf("one file twice: %d %s", code, err)
+		t.Errorf("serve with one file twice: exit code %d, error output %q", code, err)
 	}
 	startProcess(t, "fake", "backend", "--listen", backend1, "--id", "1")
 	startProcess(t, "fake", "backend", "--listen", backend2, "--id", "1")
@@ -103,7 +103,7 @@
 		loadProcess := startProcess(t, "load", "--settings", files[i], "--coordinator", addrs[i], "--rate", "40", "--proxies", "2", "--duration", "2s", "--json")
 		_ = loadProcess.cmd.Wait()
 		if !loadProcess.logged(`"Service":`) || loadProcess.logged(`"Service":0,`) {
-			t.Errorf("load through %s: %s", pool, loadProcess.log.String())
+			t.Errorf("the load through pool %s had no service: %s", pool, loadProcess.log.String())
 		}
 	}
 	_ = coordinator.cmd.Process.Signal(syscall.SIGTERM)
--- a/cmd/gingerfork/experiment.go
+++ b/cmd/gingerfork/experiment.go
@@ -36,8 +36,8 @@
 	Workers int    `help:"Number of concurrent runs; 0: one per core." default:"0"`
 }
 
-// planFileReader returns a function that reads a file that a plan names: from the plan's folder or, if it is not there, from the
-// built-in files.
+// planFileReader returns a function that reads a file that a plan names: from the plan's folder or, if it is not there, from
+// the built-in files.
 func planFileReader(plan string) func(string) ([]byte, error) {
 	return func(name string) ([]byte, error) {
 		data, err := os.ReadFile(filepath.Join(filepath.Dir(plan), name))
@@ -107,6 +107,7 @@
 	lastPlainLine time.Time // time of the last line that was printed without a terminal
 }
 
+// show shows a progress bar with the numbers of finished, planned and reused runs and the estimated remaining time.
 func (p *experimentProgress) show(progress experiment.Progress) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/cmd/gingerfork/frontend.go
+++ b/cmd/gingerfork/frontend.go
@@ -7,7 +7,7 @@
 
 // Defaults of a fake front end for what the settings do not say. Times are in seconds.
 const (
-	frontEndAvoidFor          = 5
+	frontEndAvoidFor          = 5   // for which a backend is avoided after too many consecutive failures
 	frontEndAttemptTimeout    = 0.8 // share of the soft deadline
 	frontEndReportPeriod      = 1
 	frontEndApplyTimePerEntry = 0.0002
--- a/cmd/gingerfork/import.go
+++ b/cmd/gingerfork/import.go
@@ -130,6 +130,7 @@
 		counts[haproxy.Differs], counts[haproxy.Dropped], len(imported.Faults))
 }
 
+// printFaults prints the errors of the imported files to standard error.
 func printFaults(cli *program, faults []haproxy.Fault) {
 	for _, fault := range faults {
 		fmt.Fprintf(cli.err, "%s: refused: %s\n", fault.Position, fault.Message)
--- a/cmd/gingerfork/import_test.go
+++ b/cmd/gingerfork/import_test.go
@@ -15,7 +15,7 @@
 	dir := filepath.Join(t.TempDir(), "out")
 	code, _, err := runCommand("import", "haproxy", "-o", dir, web)
 	if code != exitOK || !strings.Contains(err, "web.cfg:3: not carried: check") || !strings.Contains(err, "1 pools;") {
-		t.Fatalf("%d %s", code, err)
+		t.Fatalf("import: exit code %d, error output %q", code, err)
 	}
 	if code, _, err := runCommand("check", filepath.Join(dir, "tasks.conf")); code != exitOK {
 		t.Errorf("check of the imported settings: %s", err)
@@ -33,19 +33,19 @@
 		Notes []struct{ Line int }
 	}
 	if e := json.Unmarshal([]byte(out), &r); e != nil || code != exitOK || r.Pools != 1 || len(r.Notes) < 4 {
-		t.Errorf("%d %v %s", code, e, out)
+		t.Errorf("import --json: exit code %d, error %v, output %q", code, e, out)
 	}
 	twice := tempFile(t, "twice.cfg", "backend tasks\n    server a 10.0.0.1:80\n    server a 10.0.0.2:80\n")
 	none := filepath.Join(t.TempDir(), "none")
 	if code, _, err := runCommand("import", "haproxy", "-o", none, twice); code != exitFailure || !strings.Contains(err, "twice.cfg:3: refused: server a is listed twice") {
-		t.Errorf("%d %s", code, err)
+		t.Errorf("import of a file that lists a server twice: exit code %d, error output %q", code, err)
 	}
 	if _, err := os.Stat(none); err == nil {
 		t.Error("the import of an invalid file wrote to the output folder")
 	}
 	changed := tempFile(t, "new.cfg", "backend tasks\n    server a 10.0.0.1:80 weight 4\n    server b 10.0.0.2:80\n")
 	if code, out, _ := runCommand("import", "haproxy", "--diff", web, changed); code != exitOK || strings.Count(out, "\n") != 2 || !strings.Contains(out, "tasks/b: not listed -> weight 1") {
-		t.Errorf("%d %s", code, out)
+		t.Errorf("import --diff: exit code %d, output %q", code, out)
 	}
 	env := tempFile(t, "env.cfg", "backend \"${SITE}\"\n    server a 10.0.0.1:80\n")
 	if code, _, _ := runCommand("import", "haproxy", env); code != exitFailure {
--- a/cmd/gingerfork/instance.go
+++ b/cmd/gingerfork/instance.go
@@ -120,7 +120,7 @@
 // stop stops the event loop and the endpoint source if they still run, and closes the store.
 func (i *instance) stop() {
 	i.loop.Stop()
-	_ = i.loop.Wait() // wait returns this error to the caller of Run
+	_ = i.loop.Wait() // wait returns this error, too
 	i.source.stop()
 	i.closeStore()
 }
@@ -154,6 +154,7 @@
 	return state, nil
 }
 
+// closeStore closes the store if there is one, and logs an error.
 func (i *instance) closeStore() {
 	if i.store == nil {
 		return
--- a/cmd/gingerfork/load.go
+++ b/cmd/gingerfork/load.go
@@ -23,7 +23,7 @@
 
 type loadCmd struct {
 	Settings      string   `required:"" help:"Settings file of the fleet, for the methods and the way in which proxies pick backends." placeholder:"FILE"`
-	Coordinator   []string `help:"Coordinators that the proxies get their tables from; each proxy prefers the next one in turn." placeholder:"HOST:PORT"`
+	Coordinator   []string `help:"Coordinators that the proxies get their tables from; each proxy starts at the next one of the list." placeholder:"HOST:PORT"`
 	Backend       []string `aliases:"server" help:"Backends of one static table, instead of coordinators." placeholder:"HOST:PORT"`
 	Rate          float64  `help:"RPCs per second of all proxies together." default:"100"`
 	Proxies       int      `help:"Number of proxies that send the load." default:"10"`
--- a/cmd/gingerfork/main_test.go
+++ b/cmd/gingerfork/main_test.go
@@ -15,6 +15,7 @@
 	os.Exit(m.Run())
 }
 
+// Each command line gives the expected exit code, and a text in its output or error output.
 func TestExitCodesAndMessages(t *testing.T) {
 	fine := tempFile(t, "fine.conf", perthSettings(t))
 	bad := tempFile(t, "bad.conf", strings.NewReplacer("15s", "15", "pair", "piar").Replace(perthSettings(t)))
@@ -38,7 +39,7 @@
 	} {
 		code, out, errs := runCommand(testCase.args...)
 		if code != testCase.code || !strings.Contains(out+errs, testCase.want) {
-			t.Errorf("%v: exit %d, want %d and %q:\n%s%s", testCase.args, code, testCase.code, testCase.want, out, errs)
+			t.Errorf("%v: exit code %d, want %d and the text %q in:\n%s%s", testCase.args, code, testCase.code, testCase.want, out, errs)
 		}
 	}
 }
--- a/cmd/gingerfork/node.go
+++ b/cmd/gingerfork/node.go
@@ -69,6 +69,7 @@
 	return node.serve(reload)
 }
 
+// newNodeLogger returns a logger that writes lines of JSON, each with the name of the instance.
 func newNodeLogger(w io.Writer, instance string) *slog.Logger {
 	return slog.New(zerolog.NewSlogHandler(zerolog.New(w).With().Timestamp().Logger())).With("instance", instance)
 }
@@ -166,6 +167,7 @@
 	n.log.Info("configuration reloaded", "discovery", reloaded.Discovery)
 }
 
+// logEnd logs the totals of the run.
 func (n *runningNode) logEnd() {
 	machine, loop := n.machine.Stats(), n.loop.Figures()
 	n.log.Info("coordinator ended", "joins", machine.Joins, "messages", machine.Messages, "bytes", machine.Bytes,
--- a/cmd/gingerfork/node_listen_test.go
+++ b/cmd/gingerfork/node_listen_test.go
@@ -36,12 +36,12 @@
 	}
 	loop, err := listenWhenFree(ctx, start)
 	if err != nil || attempts != 3 {
-		t.Fatalf("%d attempts, %v", attempts, err)
+		t.Fatalf("%d attempts and the error %v, want 3 attempts and no error", attempts, err)
 	}
 	defer func(started *eventloop.Loop) { started.Stop(); _ = started.Wait() }(loop)
 	// SIGTERM during the wait ends the wait.
 	loop, err = listenWhenFree(ctx, func() (*eventloop.Loop, error) { stop(); return nil, syscall.EADDRINUSE })
 	if loop != nil || !errors.Is(err, context.Canceled) {
-		t.Errorf("after SIGTERM: %v and %v", loop, err)
+		t.Errorf("after the end of the context: event loop %v, error %v, want context.Canceled", loop, err)
 	}
 }
--- a/cmd/gingerfork/node_test.go
+++ b/cmd/gingerfork/node_test.go
@@ -119,7 +119,7 @@
 	client.await(t, "hb_ok")
 	push := client.await(t, "whole=1")
 	if !strings.Contains(push, "s-1:1") || !strings.Contains(push, "s-2:1") || !strings.Contains(push, "ticket=") {
-		t.Fatalf("the table is %q", push)
+		t.Fatalf("the table is %q, want both backends and a ticket", push)
 	}
 	nonce := strings.Fields(push[strings.Index(push, "ticket=")+len("ticket="):])[0]
 	fmt.Fprintf(client, "done proxy=2 mark=%s took_ms=30\r\n", nonce)
--- a/cmd/gingerfork/progress.go
+++ b/cmd/gingerfork/progress.go
@@ -14,6 +14,7 @@
 	open     bool // the cursor of the terminal is at the end of the line
 }
 
+// newProgressLine returns a progress line on out, which is overwritten if out is a terminal.
 func newProgressLine(out io.Writer) *progressLine {
 	line := &progressLine{out: out}
 	if file, ok := out.(*os.File); ok {
--- a/cmd/gingerfork/scenario_compare.go
+++ b/cmd/gingerfork/scenario_compare.go
@@ -56,6 +56,7 @@
 	return compared.Results[withCoordinator].Report.Violated()
 }
 
+// printComparison prints the results of one scenario as a row of the table or as a line of JSON.
 func (c scenarioCmd) printComparison(cli *program, compared *scenario.Comparison) error {
 	violations := make([]string, 0, len(compared.Results))
 	for i := range compared.Results {
--- a/cmd/gingerfork/scenario_output.go
+++ b/cmd/gingerfork/scenario_output.go
@@ -30,6 +30,7 @@
 	return nil
 }
 
+// writeRecords writes records in blocks of about traceBufferSize bytes.
 func writeRecords(w io.Writer, records []trace.Record) error {
 	var buffer []byte
 	for _, record := range records {
--- a/cmd/gingerfork/scenario_test.go
+++ b/cmd/gingerfork/scenario_test.go
@@ -21,10 +21,10 @@
 		}
 	}
 	if err := json.Unmarshal([]byte(out), &result); code != exitOK || err != nil || len(result.Rules) != 5 || result.Service < 0.8 {
-		t.Fatal(code, err, out, errs)
+		t.Fatalf("exit code %d, error %v, output %q, error output %q", code, err, out, errs)
 	}
 	if records := readTraceFile(t, file); len(records) < 1000 {
-		t.Fatalf("the trace has %d records", len(records))
+		t.Fatalf("the trace has %d records, want at least 1000", len(records))
 	}
 }
 
@@ -60,13 +60,13 @@
 			text, _ := os.ReadFile(l)
 			t.Logf("%s: %s", filepath.Base(l), text)
 		}
-		t.Fatal(code, out, errs)
+		t.Fatalf("exit code %d, output %q, error output %q", code, out, errs)
 	}
 	count := map[string]int{}
 	for _, r := range readTraceFile(t, filepath.Join(dir, "trace")) {
 		count[r.Kind]++
 	}
 	if count[trace.CoordinatorStarted] != 3 || count[trace.ProxyJoined] < 7 || count[trace.EffectExecuted] < 100 || count[trace.BackendStarted] != 2 || count[trace.PushApplied] < 8 {
-		t.Errorf("%v", count)
+		t.Errorf("too few or wrong numbers of trace records by kind: %v", count)
 	}
 }
--- a/cmd/gingerfork/scenariofile.go
+++ b/cmd/gingerfork/scenariofile.go
@@ -30,8 +30,8 @@
 	return scenario.Read(name+scenarioSuffix, string(text), scenario.File)
 }
 
-// scenarioSettingsReader returns a function that reads a settings file that a scenario names: from the folder of the scenario file or,
-// if it is not there, from the built-in files.
+// scenarioSettingsReader returns a function that reads a settings file that a scenario names: from the folder of the scenario
+// file or, if it is not there, from the built-in files.
 func scenarioSettingsReader(scenarioFile string) func(string) ([]byte, error) {
 	return func(name string) ([]byte, error) {
 		if data, err := os.ReadFile(filepath.Join(filepath.Dir(scenarioFile), name)); err == nil {
--- a/cmd/gingerfork/store.go
+++ b/cmd/gingerfork/store.go
@@ -67,6 +67,7 @@
 	return nil
 }
 
+// printRecovery prints what opening an intact store would recover from it.
 func printRecovery(cli *program, recovery store.Recovery) {
 	fmt.Fprintf(cli.out, "intact: %d keys, %d batches after the snapshot, the last batch is %d\n",
 		recovery.Keys, recovery.LogFrames, recovery.LastSequence)
--- a/cmd/gingerfork/store_test.go
+++ b/cmd/gingerfork/store_test.go
@@ -21,7 +21,7 @@
 	}
 	checkOutput(t, "intact: 3 keys, 4 batches", "store", "check", dir)
 	if dump := checkOutput(t, "", "store", "dump", dir, "--from", "b"); dump != "\"b\" \"value of b\"\n" {
-		t.Errorf("dump: %s", dump)
+		t.Errorf("dump --from b: %s", dump)
 	}
 
 	corruptFile(t, filepath.Join(dir, "00000001.seg"), "value of b")
@@ -45,7 +45,7 @@
 	}
 	left, err := os.ReadDir(empty)
 	if err != nil || len(left) > 0 {
-		t.Errorf("files %v, error %v", left, err)
+		t.Errorf("the folder contains %v after the commands, error %v", left, err)
 	}
 }
 
