--- a/cmd/gingerfork/helpers_test.go
+++ b/cmd/gingerfork/helpers_test.go
@@ -92,6 +92,7 @@
 	return c.log.Write(b)
 }
 
+// logged reports whether the process wrote text.
 func (c *childProcess) logged(text string) bool { return c.countLogged(text) > 0 }
 
 // countLogged returns how often the process wrote text.
--- a/cmd/gingerfork/node_test.go
+++ b/cmd/gingerfork/node_test.go
@@ -62,6 +62,7 @@
 	lines *bufio.Reader
 }
 
+// dialCoordinator connects to a coordinator as a proxy. The connection is closed at the end of the test.
 func dialCoordinator(t *testing.T, addr string) *proxyClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -87,6 +88,7 @@
 	}
 }
 
+// replaceText replaces the content of a file.
 func replaceText(t *testing.T, file, text string) {
 	t.Helper()
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
--- a/cmd/gingerfork/oncall_test.go
+++ b/cmd/gingerfork/oncall_test.go
@@ -268,6 +268,7 @@
 	return value.ExactString()
 }
 
+// object returns the object that an identifier defines or uses.
 func (p *parsedPackage) object(identifier *ast.Ident) types.Object {
 	if defined := p.info.Defs[identifier]; defined != nil {
 		return defined
@@ -290,6 +291,7 @@
 	return name + function.Name.Name
 }
 
+// compareMessages orders messages by text, level and function.
 func compareMessages(a, b loggedMessage) int {
 	return strings.Compare(a.Text+"|"+a.Level+"|"+a.Function, b.Text+"|"+b.Level+"|"+b.Function)
 }
