--- a/cmd/gingerfork/scenario_output.go
+++ b/cmd/gingerfork/scenario_output.go
@@ -71,7 +71,7 @@
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "rule\t\tresult\tclosest to its limit\t")
 	for _, rule := range result.Report.Rules {
-		verdict := "held"
+		verdict := "kept"
 		if rule.Violations > 0 {
 			verdict = fmt.Sprintf("VIOLATED %d times", rule.Violations)
 		}
