--- a/cmd/gingerfork/scenario_test.go
+++ b/cmd/gingerfork/scenario_test.go
@@ -9,7 +9,7 @@
 	"gingerfork/internal/trace"
 )
 
-// The README's day, in virtual time: exit 0, a result that machines can read, and a trace that can be read back.
+// The default scenario, evening, in virtual time: it passes, the JSON result can be parsed, and the trace can be read back.
 func TestScenarioVirtual(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "trace")
 	code, out, errs := runCommand("scenario", "--virtual", "--json", "--trace", file)
@@ -21,14 +21,14 @@
 		}
 	}
 	if err := json.Unmarshal([]byte(out), &result); code != exitOK || err != nil || len(result.Rules) != 5 || result.Service < 0.8 {
-		t.Fatal(code, err, out, errs)
+		t.Fatalf("exit code %d, error %v, output %q, error output %q", code, err, out, errs)
 	}
 	if records := readTraceFile(t, file); len(records) < 1000 {
-		t.Fatalf("the trace has %d records", len(records))
+		t.Fatalf("the trace has %d records, want at least 1000", len(records))
 	}
 }
 
-// A scenario with faults on real sockets, with a coordinator's process killed outright and started again.
+// A scenario with faults on real sockets. Among them, the process of a coordinator is killed and started again.
 func TestScenarioOnSockets(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes some seconds of real time")
@@ -60,13 +60,13 @@
 			text, _ := os.ReadFile(l)
 			t.Logf("%s: %s", filepath.Base(l), text)
 		}
-		t.Fatal(code, out, errs)
+		t.Fatalf("exit code %d, output %q, error output %q", code, out, errs)
 	}
 	count := map[string]int{}
 	for _, r := range readTraceFile(t, filepath.Join(dir, "trace")) {
 		count[r.Kind]++
 	}
 	if count[trace.CoordinatorStarted] != 3 || count[trace.ProxyJoined] < 7 || count[trace.EffectExecuted] < 100 || count[trace.BackendStarted] != 2 || count[trace.PushApplied] < 8 {
-		t.Errorf("%v", count)
+		t.Errorf("too few or wrong numbers of trace records by kind: %v", count)
 	}
 }
--- a/cmd/gingerfork/scenariofile.go
+++ b/cmd/gingerfork/scenariofile.go
@@ -10,14 +10,14 @@
 	"gingerfork/internal/scenario"
 )
 
-// scenarioSuffix is the end of the name of a scenario's file.
+// scenarioSuffix is the file name extension of scenarios.
 const scenarioSuffix = ".day"
 
-// readScenario reads a scenario from the file of that name, or the built-in one of that name.
+// readScenario reads a scenario from the file of that name or, if there is none, the built-in scenario of that name.
 func readScenario(name string) (*scenario.Scenario, error) {
 	text, err := os.ReadFile(name)
 	if err == nil {
-		return scenario.Read(name, string(text), settingsBeside(name))
+		return scenario.Read(name, string(text), scenarioSettingsReader(name))
 	}
 	text, builtinErr := scenario.File(name + scenarioSuffix)
 	if builtinErr != nil {
@@ -25,21 +25,21 @@
 		if errors.As(err, &pathErr) {
 			err = pathErr.Err
 		}
-		return nil, fmt.Errorf("%s: %w, and no day of that name comes with the program (those that do: %s)", name, err, strings.Join(scenario.Builtin(), ", "))
+		return nil, fmt.Errorf("%s: %w, and there is no built-in scenario of that name (built in are: %s)", name, err, strings.Join(scenario.Builtin(), ", "))
 	}
 	return scenario.Read(name+scenarioSuffix, string(text), scenario.File)
 }
 
-// settingsBeside returns a function that reads the settings that a scenario's file names: from the file's folder, or else
-// the built-in ones.
-func settingsBeside(scenarioFile string) func(string) ([]byte, error) {
+// scenarioSettingsReader returns a function that reads a settings file that a scenario names: from the folder of the scenario
+// file or, if it is not there, from the built-in files.
+func scenarioSettingsReader(scenarioFile string) func(string) ([]byte, error) {
 	return func(name string) ([]byte, error) {
 		if data, err := os.ReadFile(filepath.Join(filepath.Dir(scenarioFile), name)); err == nil {
 			return data, nil
 		}
 		data, err := scenario.File(name)
 		if err != nil {
-			return nil, fmt.Errorf("%s is neither beside the day nor among the settings that come with the program", name)
+			return nil, fmt.Errorf("%s is neither in the scenario's folder nor built in", name)
 		}
 		return data, nil
 	}
