--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -16,33 +16,34 @@
 type NodeConfig struct {
 	Name, Listen, Discovery string
 	Seed                    uint64
-	Cores                   float64 // 0: no limit
-	Memory                  int64   // bytes; 0: no limit
-	Sockets                 int     // 0: no limit
-	CachedList              json.RawMessage
-	Values                  map[string]any // settings of the decision module
+	Cores                   float64         // 0: no limit
+	Memory                  int64           // bytes; 0: no limit
+	Sockets                 int             // file descriptors in use at once; 0: no limit
+	CachedList              json.RawMessage // the last known endpoint list in discovery's format; nil if there is none
+	Values                  map[string]any  // settings of the decision module, by their names with dots
 }
 
-// Env returns the value of an environment variable, "" if it is not set.
+// Env returns the value of the named environment variable, or "" if it is not set.
 type Env func(name string) string
 
-// EnvConfigFile is the environment variable with the path of the configuration file.
+// EnvConfigFile names the environment variable that holds the path of the configuration file.
 const EnvConfigFile = "NODE_CONFIG"
 
+// Environment variables that are used if the configuration file lacks the value.
 const (
 	envName      = "NODE_NAME"
 	envListen    = "NODE_LISTEN"
 	envDiscovery = "NODE_DISCOVERY"
 )
 
-// Limits on the configuration.
+// Limits, units and setting names of the configuration.
 const (
-	minSockets      = 64
-	maxMethods      = 63
-	bytesPerMB      = 1 << 20
-	seedBase        = 16
-	valueListing    = "listing"
-	valuePollPeriod = "ask_within"
+	minSockets             = 64
+	maxMethods             = 63 // sets of methods are bit masks in a uint64
+	bytesPerMB             = 1 << 20
+	hexadecimalBase        = 16
+	settingListing         = "listing"    // how endpoint lists are obtained
+	settingMaxPollInterval = "ask_within" // seconds
 )
 
 // Errors of ParseNodeConfig.
@@ -50,11 +51,9 @@
 	errNoListenAddress    = errors.New("no address to listen on: neither the configuration nor " + envListen + " has one")
 	errNoDiscoveryAddress = errors.New("no address of discovery: neither the configuration nor " + envDiscovery + " has one")
 	errNoSettings         = errors.New("the configuration has no settings")
-	errMethodCount        = errors.New("the settings name no methods, or more than 63")
-	errProxyCount         = errors.New("the settings do not tell how many proxies there are")
 )
 
-// configDocument is the configuration file.
+// configDocument is the JSON document in the configuration file.
 type configDocument struct {
 	Name, Listen, Discovery string
 	Seed                    json.RawMessage
@@ -63,13 +62,13 @@
 		Memory  float64 `json:"memory_mb"`
 		Sockets wholeNumber
 	}
-	Known    json.RawMessage
+	Known    json.RawMessage // the last known endpoint list in discovery's format
 	Settings map[string]any
 }
 
-// ParseNodeConfig decodes and checks the configuration file. The environment supplies what the file does not have; the
-// file takes precedence because it can be replaced while the process runs. flatten converts the settings to names with
-// dots, which is the form in which the decision module reads them.
+// ParseNodeConfig decodes and checks the content of the configuration file. The environment supplies name and addresses
+// that the file lacks; the file takes precedence because it can be replaced while the process runs. flatten converts the
+// nested settings to a flat map whose names have dots ("method.0.name"), which the decision module reads.
 func ParseNodeConfig(file []byte, env Env, flatten func(map[string]any) map[string]any) (*NodeConfig, error) {
 	var doc configDocument
 	if err := json.Unmarshal(file, &doc); err != nil {
@@ -83,7 +82,7 @@
 	if string(config.CachedList) == "null" {
 		config.CachedList = nil
 	}
-	if err := config.check(len(doc.Settings)); err != nil {
+	if err := config.validate(len(doc.Settings)); err != nil {
 		return nil, err
 	}
 	seed, err := parseSeed(doc.Seed)
@@ -106,7 +105,8 @@
 	return second
 }
 
-func (c *NodeConfig) check(settingsCount int) error {
+// validate checks addresses and resource limits. settingsCount is the number of top-level settings in the file.
+func (c *NodeConfig) validate(settingsCount int) error {
 	switch {
 	case c.Listen == "":
 		return errNoListenAddress
@@ -115,74 +115,76 @@
 	case settingsCount == 0:
 		return errNoSettings
 	case math.IsNaN(c.Cores) || c.Cores < 0 || c.Memory < 0 || c.Sockets < 0 || c.Sockets > 0 && c.Sockets < minSockets:
-		return fmt.Errorf("limits out of range: %v cores, %v bytes, %d sockets (at least %d are needed)", c.Cores, c.Memory, c.Sockets, minSockets)
+		return fmt.Errorf("resource limits out of range: %v cores, %v bytes of memory, %d sockets (at least %d sockets are needed)", c.Cores, c.Memory, c.Sockets, minSockets)
 	}
 	return nil
 }
 
-// parseSeed reads a seed in hexadecimal digits, as a string or as a bare number. The value has no meaning; it only has to
-// differ between starts.
+// parseSeed reads a random seed in hexadecimal digits, written as a JSON string or as a bare number. Without a seed it
+// returns 0. The value has no meaning; it only has to differ between starts.
 func parseSeed(raw json.RawMessage) (uint64, error) {
 	digits := strings.Trim(string(raw), `"`)
 	if digits == "" || digits == "null" {
 		return 0, nil
 	}
-	seed, err := strconv.ParseUint(digits, seedBase, 64)
+	seed, err := strconv.ParseUint(digits, hexadecimalBase, 64)
 	if err != nil {
 		return 0, fmt.Errorf("the seed is not a hexadecimal number: %w", err)
 	}
 	return seed, nil
 }
 
-// adjustSettings sets what does not depend on the settings' author: on this platform the endpoint list is always polled.
+// adjustSettings overrides settings that the platform determines: here the endpoint list is always polled.
 func adjustSettings(values map[string]any) {
-	values[valueListing] = "asked"
-	if period, _ := values[valuePollPeriod].(float64); period <= 0 {
-		delete(values, valuePollPeriod) // 0 stands for no limit, not for polling without a pause
+	values[settingListing] = "asked"
+	if period, _ := values[settingMaxPollInterval].(float64); period <= 0 {
+		delete(values, settingMaxPollInterval) // 0 means no limit on the interval, not polling without a pause
 	}
 }
 
+// checkSettings checks the numbers of methods and proxies, and that the settings have no slices.
 func checkSettings(values map[string]any) error {
 	if n, _ := values["method.n"].(float64); n < 1 || n > maxMethods {
-		return errMethodCount
+		return fmt.Errorf("the settings have %v methods; from 1 to %d are supported", n, maxMethods)
 	}
 	if n, _ := values["proxies"].(float64); n < 1 || n > maxProxies {
-		return errProxyCount
+		return fmt.Errorf("the settings set the number of proxies to %v; from 1 to %d are supported", n, maxProxies)
 	}
 	if n, _ := values["slices"].(float64); n > 0 {
-		// The messages for slices of tables are not implemented, and without them drains would not be completed.
+		// The messages for slices of tables are not implemented, and without them drains of backends would not complete.
 		return fmt.Errorf("the settings have %v slices, but only complete tables are supported", n)
 	}
 	return nil
 }
 
 const (
-	// otherFiles is how many files the process has open beside connections: listener, event loops, logs.
-	otherFiles = 20
-	// extraConnections is how many more connections than the machine's limit the event loop allows, while the machine closes
-	// some.
-	extraConnections = 16
+	// reservedFileDescriptors is the number of file descriptors that the process uses for other things than connections: the
+	// listener, event loops and logs.
+	reservedFileDescriptors = 20
+	// closingConnectionHeadroom is by how much the event loop's connection limit exceeds that of the Machine, so that new
+	// connections are still accepted while the Machine closes others to make place for them.
+	closingConnectionHeadroom = 16
 )
 
-// MaxLoopConnections returns the limit on connections for the event loop; 0: no limit.
+// MaxLoopConnections returns the limit on the event loop's open connections; 0 means no limit.
 func (c *NodeConfig) MaxLoopConnections() int {
 	if c.Sockets == 0 {
 		return 0
 	}
-	return c.Sockets - otherFiles
+	return c.Sockets - reservedFileDescriptors
 }
 
-// Defaults and bounds of the machine's limits.
+// Defaults and bounds of the limits in Bootstrap.
 const (
 	defaultMaxProbes        = 8
-	connectionsPerProbe     = 16
+	connectionsPerProbe     = 16 // one probe may be in flight for so many connections of the limit
 	defaultMaxResponseBytes = 8 << 20
 	minResponseBytes        = 1 << 18
-	memoryPerResponseByte   = 16
-	handshakeTimeout        = 1 // seconds
+	memoryPerResponseByte   = 16 // the longest response is 1/16 of the memory limit
+	handshakeTimeout        = 1  // seconds
 )
 
-// Bootstrap returns what the machine is started with.
+// Bootstrap returns what a Machine is started with at the time now, with its limits derived from the resource limits.
 func (c *NodeConfig) Bootstrap(now statemachine.Seconds) Bootstrap {
 	boot := Bootstrap{
 		Name: c.Name, Discovery: c.Discovery, CachedList: c.CachedList,
@@ -190,7 +192,7 @@
 		MaxConnections: math.MaxInt, MaxProbes: defaultMaxProbes, MaxResponseBytes: defaultMaxResponseBytes, HandshakeTimeout: handshakeTimeout,
 	}
 	if c.Sockets > 0 {
-		boot.MaxConnections = c.Sockets - otherFiles - extraConnections
+		boot.MaxConnections = c.Sockets - reservedFileDescriptors - closingConnectionHeadroom
 		boot.MaxProbes = max(1, min(boot.MaxProbes, boot.MaxConnections/connectionsPerProbe))
 	}
 	if c.Memory > 0 {
--- a/internal/platform/decision.go
+++ b/internal/platform/decision.go
@@ -9,7 +9,8 @@
 	"gingerfork/internal/statemachine"
 )
 
-// decide runs a step of the decision module with the events since the last one and executes its commands.
+// decide runs one step of the decision module on the events since its last step, executes the commands that it returns and
+// sends the resulting pushes.
 func (m *Machine) decide(now statemachine.Seconds, out *statemachine.Effects) {
 	events := m.events
 	m.events = nil
@@ -35,11 +36,12 @@
 		m.logExclusionChange(change, out)
 	}
 	m.probes.startQueued(now, out)
-	m.probes.expire(now, out)
-	m.discovery.expire(now, out)
+	m.probes.expireProbes(now, out)
+	m.discovery.expireRequest(now, out)
 }
 
-// execute executes the commands of a step and returns the nonce for its messages, nil if the module sets none.
+// execute executes the commands of one decision step. It returns the command that sets the nonce of the step's pushes, or
+// nil if there is none.
 func (m *Machine) execute(now statemachine.Seconds, commands []choice.Command, out *statemachine.Effects) (nonce *choice.SetNonce) {
 	for _, command := range commands {
 		switch command := command.(type) {
@@ -52,13 +54,13 @@
 		case choice.ProbeBackend:
 			m.probes.enqueue(command.Backend)
 		case choice.SetTimer:
-			// The module has one timer at a time and reads the clock itself, so the earliest one serves for all.
+			// The module has one timer at a time and checks the clock in every step, so keeping only the earliest suffices.
 			if command.At < m.timerDue {
 				m.timerDue, m.timerID = command.At, command.Timer
 			}
 		case choice.LogMessage:
 			out.Log(levelInfo, command.Text)
-		case choice.SendToPeer: // the platform has no connections between coordinators
+		case choice.SendToPeer: // ignored: the platform has no connections between coordinators
 		default:
 			if !m.distributor.Apply(command) {
 				m.logThrottled(out, problemUnknownCommand, levelError, "command of unknown type ignored", "type", fmt.Sprintf("%T", command))
@@ -68,23 +70,24 @@
 	return nonce
 }
 
-// push sends the message of a step to a proxy.
+// push sends one proxy its message of a decision step. It does nothing if that stream has ended since.
 func (m *Machine) push(now statemachine.Seconds, message *fanout.Message, nonce *choice.SetNonce, out *statemachine.Effects) {
 	receiver := m.streams[message.To.Proxy]
 	if receiver == nil || receiver.subscriber != message.To {
 		return
 	}
-	var number *choice.Nonce
+	var pushNonce *choice.Nonce
 	if nonce != nil {
-		number = &nonce.Nonce
+		pushNonce = &nonce.Nonce
 		receiver.addInFlight(now, nonce.Nonce)
 	}
-	data := wire.AppendPush(nil, m.pushParts(receiver, message.Ops, number))
+	data := wire.AppendPush(nil, m.pushParts(receiver, message.Ops, pushNonce))
 	m.stats.Messages++
 	m.stats.Bytes += len(data)
 	out.Write(receiver.session.conn, data)
 }
 
+// logExclusionChange logs that a backend was excluded or restored, and at how many proxies.
 func (m *Machine) logExclusionChange(change fanout.ExclusionChange, out *statemachine.Effects) {
 	text := "backend restored"
 	if change.Excluded {
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -9,9 +9,9 @@
 	"gingerfork/internal/statemachine"
 )
 
-// discoveryClient requests the endpoint list from discovery, one request at a time on a persistent connection. A watch
-// begins with a request that discovery answers at once, which shows that discovery is up and brings what was missed. From
-// then on long polls follow each other until one fails. The decision module says when to retry.
+// discoveryClient requests the endpoint list from the discovery service over HTTP, one request at a time on a persistent
+// connection. A watch begins with a request that discovery answers at once, which shows that discovery is up and returns the
+// changes that were missed. Long polls follow one after another until one fails. The decision module decides when to retry.
 type discoveryClient struct {
 	machine   *Machine
 	addr      string
@@ -19,29 +19,31 @@
 	connected bool
 
 	active         bool // a request is in flight, or waits for the connection
-	requestSent    bool // the request in flight was written
-	longPoll       bool // discovery may wait for a change before it answers
-	fullList       bool // the request is for the full list
+	requestSent    bool // the active request was written to the connection
+	longPoll       bool // discovery may hold the active request until there is a change
+	fullList       bool // the active request is for the full list
 	fullListWanted bool // the next request must be for the full list
 
-	reused   bool // the connection has carried a response before
+	reused   bool // the connection has carried a complete response before
 	sentAt   statemachine.Seconds
-	deadline statemachine.Seconds
+	deadline statemachine.Seconds // for the response to the active request
 	response responseParser
 }
 
-// Times of the platform. A watch counts as continuous if the next request comes within watchGap of the last response. The
-// coordinator counts as informed of a change maxNotifyDelay after it, and pollNotifyDelay after the end of a long poll,
-// whether or not a response has come. So requests must time out before, whatever the settings allow between two polls.
+// Times in the platform's rules. A watch counts as continuous if the next request follows the last response within
+// maxWatchGap. The coordinator is held to know of a change maxNotifyDelay after the change and pollNotifyDelay after the end
+// of a long poll, whether or not it has received a response. So requests must time out earlier than that, even if the
+// settings allow a longer interval between polls.
 const (
-	watchGap        statemachine.Seconds = 0.2
+	maxWatchGap     statemachine.Seconds = 0.2
 	maxNotifyDelay  statemachine.Seconds = 6
 	pollNotifyDelay statemachine.Seconds = 2
 )
 
-// defaultPollInterval is used with settings for other platforms, which have no maximum poll interval.
+// defaultPollInterval is the maximum poll interval for settings that have none because they were written for other platforms.
 const defaultPollInterval statemachine.Seconds = 10
 
+// listPath is the path at which discovery serves the endpoint list.
 const listPath = "/api/targets"
 
 // Errors of requests to discovery.
@@ -52,7 +54,7 @@
 	errUnexpectedStatus     = errors.New("discovery responded with an unexpected status")
 )
 
-// maxPollInterval is the time within which discovery must be asked again.
+// maxPollInterval returns the longest time allowed between two requests to discovery.
 func (d *discoveryClient) maxPollInterval() statemachine.Seconds {
 	if interval := d.machine.boot.Module.Settings.AskWithin.Or(0); interval > 0 {
 		return interval
@@ -60,13 +62,14 @@
 	return defaultPollInterval
 }
 
-// pollTimeout is how long discovery may hold a long poll: well below the time after which a change counts as known.
+// pollTimeout returns for how long discovery may hold a long poll: half of the maximum poll interval, and never longer than
+// the time after which the coordinator is held to know of a change.
 func (d *discoveryClient) pollTimeout() statemachine.Seconds {
 	return min(d.maxPollInterval()/2, maxNotifyDelay)
 }
 
-// responseTimeout is the time limit for a response, not counting the time of a long poll. It leaves time for a retry
-// before a change counts as known.
+// responseTimeout returns the time limit for a response, to which the hold time of a long poll is added. It leaves time for
+// a retry before the coordinator is held to know of a change.
 func (d *discoveryClient) responseTimeout() statemachine.Seconds {
 	timeout := max(d.maxPollInterval()/5, pollNotifyDelay/2)
 	if d.longPoll {
@@ -75,18 +78,19 @@
 	return min(timeout, pollNotifyDelay)
 }
 
-// watch starts a watch, or reports to the decision module that it goes on.
+// watch starts a watch. If one is running, it reports an empty update, which tells the decision module that the watch goes
+// on.
 func (d *discoveryClient) watch(now statemachine.Seconds, out *statemachine.Effects) {
 	if !d.active {
 		d.startRequest(now, false, d.machine.endpoints.needsFullList(), out)
 		return
 	}
 	if d.longPoll {
-		d.report(choice.EndpointUpdate{Kind: choice.UpdateDelta, Version: d.machine.endpoints.version})
+		d.reportUpdate(choice.EndpointUpdate{Kind: choice.UpdateDelta, Version: d.machine.endpoints.version})
 	}
 }
 
-// fetchAll requests the full list, at once or after the request in flight if that is not a long poll.
+// fetchAll requests the full list: at once, aborting a long poll, or after the active request if that is not a long poll.
 func (d *discoveryClient) fetchAll(now statemachine.Seconds, out *statemachine.Effects) {
 	if d.active && !d.longPoll {
 		d.fullListWanted = true
@@ -96,6 +100,7 @@
 	d.startRequest(now, false, true, out)
 }
 
+// startRequest makes a request active and sends it, or opens a connection that it is sent on.
 func (d *discoveryClient) startRequest(now statemachine.Seconds, longPoll, fullList bool, out *statemachine.Effects) {
 	d.active, d.requestSent, d.longPoll, d.fullList = true, false, longPoll, fullList
 	d.deadline = now + d.responseTimeout()
@@ -109,6 +114,8 @@
 	}
 }
 
+// sendRequest writes the active request to the connection. Without fullList it asks for the changes since the loaded
+// version, and a timeout of 0 makes discovery answer at once.
 func (d *discoveryClient) sendRequest(now statemachine.Seconds, out *statemachine.Effects) {
 	d.requestSent, d.sentAt = true, now
 	d.deadline = now + d.responseTimeout()
@@ -131,7 +138,7 @@
 	}
 }
 
-// connectionClosed handles the end of the connection, or the failure to open it, for the given reason.
+// connectionClosed handles that the connection was closed, or could not be opened, for the given reason.
 func (d *discoveryClient) connectionClosed(now statemachine.Seconds, reason string, out *statemachine.Effects) {
 	d.conn, d.connected = 0, false
 	switch {
@@ -141,18 +148,18 @@
 	case d.response.size() > 0:
 		result, err := d.response.feed(nil, true)
 		d.handleResponse(now, result, err, out)
-	case d.reused && now <= d.sentAt+watchGap:
-		// Discovery closed an idle connection just as the request was written, so it has not seen the request. Repeating it at
-		// once continues the watch. The end of a new connection, or of one on which discovery had time to respond, is a
-		// failure: a server that closes connections for overload must not be asked again at once.
+	case d.reused && now <= d.sentAt+maxWatchGap:
+		// Discovery closed an idle connection just as the request was written, so it has not seen the request. Repeating the
+		// request at once continues the watch. If a new connection is closed, or one on which discovery had time to respond, it
+		// is a failure: a server that closes connections because of overload must not be sent another request at once.
 		d.startRequest(now, d.longPoll, d.fullList, out)
 	default:
 		d.requestFailed(fmt.Errorf("%w: %s", errConnectionClosed, reason), out)
 	}
 }
 
-// received handles data of a response.
-func (d *discoveryClient) received(now statemachine.Seconds, data []byte, out *statemachine.Effects) {
+// dataReceived handles data that discovery has sent. Data outside of a response closes the connection.
+func (d *discoveryClient) dataReceived(now statemachine.Seconds, data []byte, out *statemachine.Effects) {
 	if !d.active || !d.requestSent {
 		if len(data) > 0 {
 			d.closeConnection(out) // no response is expected
@@ -163,7 +170,7 @@
 	d.handleResponse(now, result, err, out)
 }
 
-// handleResponse handles what the parser returned: an error, a complete response or nothing yet.
+// handleResponse handles what the parser returned: an error, a complete response, or nil if more data is needed.
 func (d *discoveryClient) handleResponse(now statemachine.Seconds, result *response, err error, out *statemachine.Effects) {
 	d.reused = d.reused || result != nil
 	if err != nil {
@@ -188,7 +195,8 @@
 	d.applyList(now, list, out)
 }
 
-// applyList loads a list, reports it to the decision module and starts the next request.
+// applyList loads a list, reports it to the decision module unless a long poll brought no change, and starts the next
+// request.
 func (d *discoveryClient) applyList(now statemachine.Seconds, list *listDocument, out *statemachine.Effects) {
 	update, err := d.machine.endpoints.update(now, list)
 	if err != nil {
@@ -200,28 +208,29 @@
 		delete(d.machine.problemCounts, problemDiscovery)
 	}
 	if !d.longPoll || len(update.Endpoints) > 0 || update.Kind == choice.UpdateFull {
-		d.report(update)
+		d.reportUpdate(update)
 	}
 	fullList := d.fullListWanted
 	d.fullListWanted = false
 	d.startRequest(now, !fullList, fullList, out)
 }
 
-func (d *discoveryClient) report(update choice.EndpointUpdate) {
+// reportUpdate queues an endpoint update for the next step of the decision module.
+func (d *discoveryClient) reportUpdate(update choice.EndpointUpdate) {
 	d.machine.events = append(d.machine.events, update)
 }
 
-// failConnection ends the request in flight together with the connection, which can't be used any more.
+// failConnection fails the active request and closes its connection, which can no longer be used.
 func (d *discoveryClient) failConnection(cause error, out *statemachine.Effects) {
 	d.closeConnection(out)
 	d.requestFailed(cause, out)
 }
 
-// requestFailed ends the request in flight and reports the failure to the decision module, which orders a retry.
+// requestFailed ends the active request and reports the failure to the decision module, which orders a retry.
 func (d *discoveryClient) requestFailed(cause error, out *statemachine.Effects) {
 	d.active, d.fullListWanted = false, false
 	d.response.reset()
-	d.report(choice.EndpointUpdate{Kind: choice.UpdateFailed})
+	d.reportUpdate(choice.EndpointUpdate{Kind: choice.UpdateFailed})
 	d.machine.logThrottled(out, problemDiscovery, levelWarning, "discovery request failed", "addr", d.addr, "cause", cause.Error())
 }
 
@@ -234,9 +243,10 @@
 	d.conn, d.connected = 0, false
 }
 
-// changeAddress continues at another address. The loaded list stays, and the first request at the new address asks for all
-// changes since, so that nothing of a request in flight is lost. It does not wait for the backoff after failures: that was
-// the former address's, and a change of the address must not delay endpoint updates.
+// changeAddress continues at another address. The loaded list is kept. The first request to the new address asks for all
+// changes since that list, or for the full list, so that nothing is lost of a request that was active. It is sent without
+// waiting for the backoff after failures: the backoff was for the former address, and a change of address must not delay
+// endpoint updates.
 func (d *discoveryClient) changeAddress(now statemachine.Seconds, addr string, out *statemachine.Effects) {
 	if addr == d.addr {
 		return
@@ -247,8 +257,8 @@
 	d.startRequest(now, false, fullList, out)
 }
 
-// expire ends a request whose response has not come in time.
-func (d *discoveryClient) expire(now statemachine.Seconds, out *statemachine.Effects) {
+// expireRequest fails the active request if it has passed its deadline, and otherwise schedules a step at the deadline.
+func (d *discoveryClient) expireRequest(now statemachine.Seconds, out *statemachine.Effects) {
 	if !d.active {
 		return
 	}
--- a/internal/platform/endpoint_list.go
+++ b/internal/platform/endpoint_list.go
@@ -8,44 +8,45 @@
 	"strconv"
 )
 
-// hostDocument is a backend in discovery's format.
+// hostDocument is a backend in discovery's JSON format, whose field names it has.
 type hostDocument struct {
-	Host   string
-	Dial   string
-	Site   string
-	Class  string
-	Block  wholeNumber
-	Health string
-	Share  *float64
-	BornMs float64 `json:"born_ms"`
+	Host   string      // name of the backend
+	Dial   string      // its address; empty if it has not changed
+	Site   string      // its zone
+	Class  string      // kind of machine that it runs on
+	Block  wholeNumber // group of backends that may fail together
+	Health string      // one of the values below
+	Share  *float64    // weight; nil stands for defaultWeight
+	BornMs float64     `json:"born_ms"` // start of the process, in milliseconds
 }
 
 // Values of hostDocument.Health.
 const (
 	healthActive  = "active"
-	healthLeaving = "leaving"
-	healthLeft    = "left"
+	healthLeaving = "leaving" // draining: it must get no new requests
+	healthLeft    = "left"    // removed
 )
 
-// listDocument is an endpoint list in discovery's format: the whole list, or what has changed since an earlier version.
+// listDocument is an endpoint list in discovery's JSON format: the full list, or the changes since an earlier version. Pointers
+// tell a missing field, which makes the list invalid, from a zero value.
 type listDocument struct {
-	Seq   *wholeNumber
-	Whole bool
-	Hosts *[]hostDocument
+	Seq   *wholeNumber    // version
+	Whole bool            // it is the full list
+	Hosts *[]hostDocument // all backends, or those that have changed
 }
 
-// Limits on what discovery may send.
+// Limits on the values that are accepted from discovery.
 const (
-	maxNameBytes     = 128
-	maxShare         = 1e6
-	maxBornMs        = 1e15
-	maxExactIntegers = 1 << 53 // up to this size a float64 represents every integer
+	maxNameBytes    = 128
+	maxShare        = 1e6
+	maxBornMs       = 1e15
+	maxExactInteger = 1 << 53 // a float64 represents every integer up to this one
 )
 
-var errIncompleteList = errors.New("endpoint list without version or hosts")
+var errIncompleteList = errors.New("endpoint list has no version (seq) or no hosts")
 
-// wholeNumber is an integer in any JSON notation. encoding/json rejects 41.0 for Go's integers, although to JSON it is the
-// same number as 41, and one such number would make the whole list unusable.
+// wholeNumber is an integer that may have any JSON notation. encoding/json does not decode 41.0 into Go's integer types,
+// although in JSON it is the same number as 41, and one such number would make the whole list unusable.
 type wholeNumber int64
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -58,14 +59,14 @@
 		return nil
 	}
 	value, err := strconv.ParseFloat(string(data), 64)
-	if err != nil || value != math.Trunc(value) || math.Abs(value) > maxExactIntegers {
+	if err != nil || value != math.Trunc(value) || math.Abs(value) > maxExactInteger {
 		return fmt.Errorf("%.32s is not a whole number", data)
 	}
 	*w = wholeNumber(value)
 	return nil
 }
 
-// parseEndpointList decodes and checks a list.
+// parseEndpointList decodes a list and checks its values.
 func parseEndpointList(data []byte) (*listDocument, error) {
 	list := &listDocument{}
 	if err := json.Unmarshal(data, list); err != nil {
@@ -77,18 +78,19 @@
 	seen := make(map[string]bool, len(*list.Hosts))
 	for i := range *list.Hosts {
 		host := &(*list.Hosts)[i]
-		if err := host.check(); err != nil {
+		if err := host.validate(); err != nil {
 			return nil, err
 		}
 		if seen[host.Host] {
-			return nil, fmt.Errorf("endpoint list has %s twice", host.Host)
+			return nil, fmt.Errorf("endpoint list version %d lists host %s twice", *list.Seq, host.Host)
 		}
 		seen[host.Host] = true
 	}
 	return list, nil
 }
 
-func (h *hostDocument) check() error {
+// validate returns an error if a value is unknown or out of range.
+func (h *hostDocument) validate() error {
 	switch {
 	case !validName(h.Host):
 		return fmt.Errorf("endpoint list has a host with the invalid name %.64q", h.Host)
@@ -102,7 +104,7 @@
 	return nil
 }
 
-// validName returns whether a name can be used in pushes, in which names stand between other characters.
+// validName returns whether a name can be sent in pushes, in which the characters ",:=+" and spaces separate values.
 func validName(name string) bool {
 	if name == "" || len(name) > maxNameBytes {
 		return false
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -14,40 +14,43 @@
 
 // endpointRegistry holds the endpoint list and maps the names of backends to the ids that the decision module uses.
 type endpointRegistry struct {
-	version    int64
-	loaded     bool // a list was loaded
-	olderInRow int  // consecutive lists with a lower version than the loaded one
-	ids        map[string]choice.BackendID
-	backends   map[choice.BackendID]*backend
-	lastPruned statemachine.Seconds
+	version               int64                       // of the loaded list
+	loaded                bool                        // a list was loaded
+	consecutiveOlderLists int                         // lists received in a row with a lower version than the loaded one
+	ids                   map[string]choice.BackendID // by name
+	backends              map[choice.BackendID]*backend
+	lastPruned            statemachine.Seconds
 }
 
-// backend is one backend of the endpoint list.
+// backend is a backend that is, or recently was, in the endpoint list.
 type backend struct {
 	name      string
 	addr      string
 	endpoint  choice.Endpoint
-	goneSince statemachine.Seconds // when it was removed from the list; 0 if it is listed
+	removedAt statemachine.Seconds // when it was removed from the list; 0 if it is still listed
 }
 
 const (
-	// nameRetention is how long the name of a removed backend is kept: longer than the module may still refer to it.
+	// nameRetention is how long a removed backend's name is kept, in seconds: a minute longer than the decision module may
+	// still refer to the backend.
 	nameRetention = choice.BackendRetention + 60
 	pruneInterval = nameRetention / 16
-	// trustedOlderLists is how many full lists in a row must be older before discovery is assumed to have started over.
-	trustedOlderLists = 3
-	defaultWeight     = 1
+	// olderListsUntilAccepted is the number of consecutive older lists after which discovery is assumed to have started over,
+	// and a full list is accepted despite its version.
+	olderListsUntilAccepted = 3
+	defaultWeight           = 1
 )
 
-// errOlderList is the error of a list with a lower version than the loaded one.
+// errOlderList reports a list with a lower version than the loaded one.
 var errOlderList = errors.New("endpoint list is older than the loaded one")
 
 func newEndpointRegistry() *endpointRegistry {
 	return &endpointRegistry{ids: map[string]choice.BackendID{}, backends: map[choice.BackendID]*backend{}}
 }
 
-// backendID returns the id for a name. It is a hash of the name alone, so that it is the same at every coordinator and
-// after every restart, since the hash ring uses it. If two names collide, the one that comes later gets the next free id.
+// backendID returns the id for a name, assigning one to a new name. The id is a hash of the name alone, so that it is the
+// same at every coordinator and after every restart, since the hash ring uses it. If the hash is taken by another name, the
+// name is hashed with a suffix that counts up until the id is free.
 func (r *endpointRegistry) backendID(name string) choice.BackendID {
 	if id, ok := r.ids[name]; ok {
 		return id
@@ -68,13 +71,13 @@
 	return ""
 }
 
-// update loads a list and returns the endpoint update for the decision module. The error is errOlderList, wrapped.
+// update loads a list and returns the endpoint update for the decision module. A returned error wraps errOlderList.
 func (r *endpointRegistry) update(now statemachine.Seconds, list *listDocument) (choice.EndpointUpdate, error) {
 	version := int64(*list.Seq)
 	if err := r.checkVersion(version, list.Whole); err != nil {
 		return choice.EndpointUpdate{}, err
 	}
-	r.olderInRow = 0
+	r.consecutiveOlderLists = 0
 	update := choice.EndpointUpdate{Kind: choice.UpdateDelta, Version: version}
 	listed := map[choice.BackendID]bool{}
 	for i := range *list.Hosts {
@@ -93,14 +96,15 @@
 	return update, nil
 }
 
-// checkVersion rejects a list that is older than the loaded one, which comes from an instance of discovery that lags
-// behind. The next request asks for the full list, and if that stays older, discovery must have started over.
+// checkVersion rejects a list that is older than the loaded one, since it comes from an instance of discovery that lags
+// behind. After that the full list is requested; if it is still older after several requests, discovery must have started
+// over, and the list is accepted.
 func (r *endpointRegistry) checkVersion(version int64, whole bool) error {
 	if !r.loaded || version >= r.version {
 		return nil
 	}
-	r.olderInRow++
-	if whole && r.olderInRow >= trustedOlderLists {
+	r.consecutiveOlderLists++
+	if whole && r.consecutiveOlderLists >= olderListsUntilAccepted {
 		return nil
 	}
 	return fmt.Errorf("%w: got version %d, have version %d", errOlderList, version, r.version)
@@ -121,14 +125,15 @@
 	if host.Dial != "" {
 		updated.addr = host.Dial
 	}
-	updated.goneSince = 0
+	updated.removedAt = 0
 	updated.endpoint = host.toEndpoint(backendID)
 	if updated.endpoint.State == choice.BackendGone {
-		updated.goneSince = now
+		updated.removedAt = now
 	}
 	return updated
 }
 
+// toEndpoint converts the host to the decision module's form.
 func (h *hostDocument) toEndpoint(id choice.BackendID) choice.Endpoint {
 	endpoint := choice.Endpoint{
 		Backend: id, Kind: h.Class, Zone: choice.Zone(h.Site), Weight: defaultWeight, Cell: int(h.Block), StartedAt: h.BornMs / 1000,
@@ -147,20 +152,20 @@
 	return endpoint
 }
 
-// removeUnlisted marks the backends that a full list does not have as gone.
+// removeUnlisted marks as gone the backends that are missing from a full list.
 func (r *endpointRegistry) removeUnlisted(now statemachine.Seconds, listed map[choice.BackendID]bool) {
 	for id, known := range r.backends {
-		if !listed[id] && known.goneSince == 0 {
-			known.goneSince, known.endpoint.State = now, choice.BackendGone
+		if !listed[id] && known.removedAt == 0 {
+			known.removedAt, known.endpoint.State = now, choice.BackendGone
 		}
 	}
 }
 
-// cachedUpdate returns the loaded list as the update for a new instance of the decision module.
+// cachedUpdate returns the loaded list, sorted by id, as the first update for a new instance of the decision module.
 func (r *endpointRegistry) cachedUpdate() choice.EndpointUpdate {
 	update := choice.EndpointUpdate{Kind: choice.UpdateCached, Version: r.version}
 	for _, known := range r.backends {
-		if known.goneSince == 0 {
+		if known.removedAt == 0 {
 			update.Endpoints = append(update.Endpoints, known.endpoint)
 		}
 	}
@@ -168,10 +173,12 @@
 	return update
 }
 
-// needsFullList returns whether changes alone are not sufficient.
-func (r *endpointRegistry) needsFullList() bool { return !r.loaded || r.olderInRow > 0 }
+// needsFullList returns whether the next request must be for the full list, because no list was loaded or the last one was
+// older than the loaded one.
+func (r *endpointRegistry) needsFullList() bool { return !r.loaded || r.consecutiveOlderLists > 0 }
 
-// prune forgets backends that were removed so long ago that nothing refers to them, and returns their ids.
+// prune forgets the backends that were removed so long ago that nothing refers to them any more, and returns their ids. It
+// does nothing if it last ran less than pruneInterval ago.
 func (r *endpointRegistry) prune(now statemachine.Seconds) []choice.BackendID {
 	if now < r.lastPruned+pruneInterval {
 		return nil
@@ -179,7 +186,7 @@
 	r.lastPruned = now
 	var forgotten []choice.BackendID
 	for id, known := range r.backends {
-		if known.goneSince > 0 && now > known.goneSince+nameRetention {
+		if known.removedAt > 0 && now > known.removedAt+nameRetention {
 			delete(r.backends, id)
 			delete(r.ids, known.name)
 			forgotten = append(forgotten, id)
--- a/internal/platform/health_log.go
+++ b/internal/platform/health_log.go
@@ -8,18 +8,19 @@
 	"gingerfork/internal/statemachine"
 )
 
-// maxHealthLogs limits the log messages of one check. A change that is left out is logged by the next check if it still
-// holds.
+// maxHealthLogs limits the log messages of one call of logHealthChanges. A change beyond the limit is logged by a later
+// call if it still holds then.
 const maxHealthLogs = 8
 
-// Reasons for which the module avoids a backend, as logged.
+// Reasons for which the decision module avoids a backend, as written to the log.
 const (
 	reasonUnreachable = "health checks fail"
 	reasonEjected     = "ejected as an outlier"
 )
 
-// logHealthChanges logs which backends the decision module has begun or ceased to avoid, with its estimates, so that they
-// can be compared with what the backends report of themselves. A panic costs the log messages only.
+// logHealthChanges logs which backends the decision module has begun or ceased to avoid. It logs the module's estimates as
+// well, so that operators can compare them with what the backends report about themselves. A panic is logged and otherwise
+// only loses log messages.
 func (m *Machine) logHealthChanges(out *statemachine.Effects) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -42,7 +43,7 @@
 	}
 }
 
-// unhealthyReason returns why the module avoids a backend, or "".
+// unhealthyReason returns why the decision module avoids a backend, or "" if it does not.
 func unhealthyReason(estimate *choice.BackendEstimate) string {
 	switch {
 	case estimate.Unreachable:
@@ -53,6 +54,7 @@
 	return ""
 }
 
+// logHealth logs that a backend has become unhealthy for the given reason, or healthy if the reason is empty.
 func (m *Machine) logHealth(estimate *choice.BackendEstimate, reason string, out *statemachine.Effects) {
 	text := "backend unhealthy"
 	if reason == "" {
@@ -63,5 +65,5 @@
 		"mean_latency_s", rounded(estimate.MeanLatency), "expected_per_s", rounded(estimate.ExpectedRate))
 }
 
-// rounded returns the value with three decimals.
+// rounded rounds a value to three decimals.
 func rounded(value float64) float64 { return math.Round(value*1000) / 1000 }
--- a/internal/platform/idle.go
+++ b/internal/platform/idle.go
@@ -7,49 +7,50 @@
 )
 
 const (
-	idleCheckInterval statemachine.Seconds = 1
-	// pauseThreshold is the time without an idle check after which the process must have been stopped.
+	periodicCheckInterval statemachine.Seconds = 1
+	// pauseThreshold is the time between two periodic checks above which the process is taken to have been stopped meanwhile.
 	pauseThreshold statemachine.Seconds = 3
 	minIdleTimeout statemachine.Seconds = 6
 )
 
-// Factors and defaults for the idle timeout; periods in seconds.
+// Factors of the idle timeout, and defaults in seconds for the settings that they multiply.
 const (
-	idleReportPeriods    = 3
-	idlePushTimes        = 20
-	defaultReportPeriod  = 1
-	defaultPushTimeWorst = 0.3
+	idleTimeoutReportPeriods = 3
+	idleTimeoutPushTimes     = 20
+	defaultReportPeriod      = 1
+	defaultPushTimeWorst     = 0.3
 )
 
-// checkIdle closes connections whose peers are gone without having closed them, and logs changes of backends' health.
-func (m *Machine) checkIdle(now statemachine.Seconds, out *statemachine.Effects) {
-	if now > m.lastIdleCheck+pauseThreshold {
-		m.lastPause = now // data that came during the pause has not been read yet
+// runPeriodicChecks closes connections whose peers have gone away without closing them, and logs changes of backends'
+// health.
+func (m *Machine) runPeriodicChecks(now statemachine.Seconds, out *statemachine.Effects) {
+	if now > m.lastPeriodicCheck+pauseThreshold {
+		m.lastPauseEnd = now // peers may have sent data during the pause that has not been read yet
 	}
-	m.lastIdleCheck = now
+	m.lastPeriodicCheck = now
 	m.closeIdleStreams(now, out)
 	m.closeReplacedCollectors(now, out)
 	m.logHealthChanges(out)
 }
 
-// idleTimeout is the time for which a stream may be silent while acknowledgements are missing: three periods of its usage
-// reports, and far longer than any acknowledgement takes.
+// idleTimeout returns how long a stream may send nothing while acknowledgements are missing: at least three periods of its
+// usage reports, and 20 times the longest time that an acknowledgement should take.
 func (m *Machine) idleTimeout() statemachine.Seconds {
 	settings := m.boot.Module.Settings
-	return max(idleReportPeriods*settings.ReportPeriod.Or(defaultReportPeriod), idlePushTimes*settings.PushTimeWorst.Or(defaultPushTimeWorst), minIdleTimeout)
+	return max(idleTimeoutReportPeriods*settings.ReportPeriod.Or(defaultReportPeriod), idleTimeoutPushTimes*settings.PushTimeWorst.Or(defaultPushTimeWorst), minIdleTimeout)
 }
 
-// closeIdleStreams closes streams whose peers are gone without having closed them, as after a network partition or the
-// loss of a machine. Their proxies use other streams by then, and would count as joined here for as long as TCP keeps the
-// connection. Nothing is closed while no peer at all is received from: then it is this process that is disconnected or was
-// stopped. A proxy that is still there connects again and gets a complete table.
+// closeIdleStreams closes streams whose peers have gone away without closing them, as after a network partition or the loss
+// of a machine. Their proxies use other streams by then, and would count as joined here for as long as TCP keeps the
+// connection open. Nothing is closed while no data comes from any peer, because then this process is the one that is
+// disconnected or was stopped. A proxy that is still there connects again and gets a complete table.
 func (m *Machine) closeIdleStreams(now statemachine.Seconds, out *statemachine.Effects) {
 	timeout := m.idleTimeout()
 	if now > m.lastReceived+timeout/4 {
 		return
 	}
 	for _, s := range m.streams {
-		if s == nil || len(s.inFlight) == 0 || now < max(s.unacknowledgedSince, s.lastReceived, m.lastPause)+timeout {
+		if s == nil || len(s.inFlight) == 0 || now < max(s.unacknowledgedSince, s.lastReceived, m.lastPauseEnd)+timeout {
 			continue
 		}
 		m.stats.IdleClosed++
@@ -61,9 +62,9 @@
 	}
 }
 
-// closeReplacedCollectors closes collectors' connections that are silent while a later one of the same zone is not: the
-// collector lost its connection without closing it and has connected again. Nothing else would ever free the old file
-// descriptor.
+// closeReplacedCollectors closes a collector's connection on which no data comes while data comes on a later connection from
+// the same zone: the collector has lost the old connection without closing it and has connected again. Nothing else would
+// ever free the old file descriptor.
 func (m *Machine) closeReplacedCollectors(now statemachine.Seconds, out *statemachine.Effects) {
 	m.collectors = slices.DeleteFunc(m.collectors, func(s *session) bool { return m.sessions[s.conn] != s })
 	newest := map[string]*session{}
@@ -74,11 +75,11 @@
 	}
 	for _, s := range m.collectors {
 		other := newest[s.zone]
-		if other == s || other.lastReceived <= s.lastReceived || now < max(s.lastReceived, m.lastPause)+m.idleTimeout() {
+		if other == s || other.lastReceived <= s.lastReceived || now < max(s.lastReceived, m.lastPauseEnd)+m.idleTimeout() {
 			continue
 		}
 		m.stats.IdleClosed++
-		m.logThrottled(out, problemReplacedCollector, levelWarning, "idle collector connection replaced by a later one closed",
+		m.logThrottled(out, problemReplacedCollector, levelWarning, "idle collector connection closed: replaced by a later connection",
 			"zone", s.zone, "silent_s", now-s.lastReceived)
 		delete(m.sessions, s.conn)
 		out.Abort(s.conn)
--- a/internal/platform/machine.go
+++ b/internal/platform/machine.go
@@ -1,7 +1,8 @@
-// Package platform is a coordinator on the operators' platform: one instance of the decision module behind the platform's
-// protocol. Like package coordinator it is a state machine that an event loop drives, and it uses package fanout to turn
-// the module's commands into one message per proxy. It neither limits the rate of its messages nor aggregates reports: the
-// platform's channel and collectors do both, and the module allows for that. docs/platform.md has the details.
+// Package platform implements a coordinator for the operators' platform: it runs one instance of the decision module (package
+// choice) and speaks the platform's protocol. Like package coordinator it is a state machine that an event loop drives, and
+// it uses package fanout to turn the module's commands into one message per proxy. It neither limits the rate of its
+// messages nor aggregates reports: the platform's channel and collectors do this, and the module allows for it. See
+// docs/platform.md for the details.
 package platform
 
 import (
@@ -12,21 +13,21 @@
 	"gingerfork/internal/statemachine"
 )
 
-// Bootstrap is what a coordinator is started with.
+// Bootstrap is the start-up configuration of a Machine.
 type Bootstrap struct {
 	Name       string
 	Discovery  string // address of the discovery service
 	Module     choice.Config
 	CachedList []byte // the last known endpoint list in discovery's format, empty if there is none
-	// MaxConnections limits the open connections. At the limit a new connection replaces the oldest one that has not
-	// completed its handshake.
+	// MaxConnections limits the open connections. Above the limit a new connection makes the Machine close the oldest
+	// connection that has not completed its handshake.
 	MaxConnections   int
-	MaxProbes        int // in flight
-	MaxResponseBytes int // of an HTTP response
+	MaxProbes        int // limit on the probes in flight
+	MaxResponseBytes int // limit on the size of a response of discovery
 	HandshakeTimeout statemachine.Seconds
 }
 
-// Machine is the coordinator. It implements statemachine.Machine.
+// Machine is the coordinator's state machine. It implements statemachine.Machine.
 type Machine struct {
 	boot        Bootstrap
 	planner     *choice.Planner
@@ -36,34 +37,35 @@
 	probes      prober
 
 	sessions    map[statemachine.Conn]*session
-	handshaking []*session // those that have not joined, oldest first; may contain others, which are skipped
-	streams     []*stream  // by proxy number, nil where none is joined
-	collectors  []*session // may contain closed ones until the next idle check
-	lastDialed  statemachine.Conn
-
-	// From the settings.
-	methods         []string
-	zones           map[string]bool
-	minSoftDeadline statemachine.Seconds
-	stepInterval    statemachine.Seconds // between two steps of the decision module
-
-	events   []choice.Event       // for the next step of the decision module
-	timerDue statemachine.Seconds // the earliest timer that the module has set
+	handshaking []*session        // in their handshake, oldest first; may contain sessions that have joined or ended, which are skipped
+	streams     []*stream         // by proxy number; nil for a proxy that is not joined
+	collectors  []*session        // may contain closed ones until the next periodic check
+	lastDialed  statemachine.Conn // the connection number given to the last dialed connection
+
+	// Derived from the settings.
+	methods         []string             // names, by method number
+	zones           map[string]bool      // names of the known zones
+	minSoftDeadline statemachine.Seconds // the shortest soft deadline of any method
+	stepInterval    statemachine.Seconds // the shortest time between two steps of the decision module
+
+	events   []choice.Event       // queued for the next step of the decision module
+	timerDue statemachine.Seconds // time of the earliest timer that the decision module has set
 	timerID  choice.TimerID
 
-	lastDecision  statemachine.Seconds // the last step of the decision module
-	lastRestart   statemachine.Seconds // the last replacement of a failed decision module
-	lastReceived  statemachine.Seconds // the last data from a proxy, a collector or a connection in its handshake
-	lastIdleCheck statemachine.Seconds
-	lastPause     statemachine.Seconds // the end of the last period in which the process did not run
+	lastDecision      statemachine.Seconds // the last step of the decision module
+	lastRestart       statemachine.Seconds // the last replacement of a failed decision module
+	lastReceived      statemachine.Seconds // the last data from a proxy, a collector or a connection in its handshake
+	lastPeriodicCheck statemachine.Seconds
+	lastPauseEnd      statemachine.Seconds // the end of the last period in which the process did not run
 
-	pendingReload   *Bootstrap
+	pendingReload   *Bootstrap // set by Reload until the next step
 	problemCounts   map[problem]int
-	loggedUnhealthy map[choice.BackendID]string // why the module avoids a backend, as last logged
+	loggedUnhealthy map[choice.BackendID]string // why the decision module avoids a backend, as last logged
 	stats           Stats
 }
 
-// New returns a coordinator. If the cached list can't be read, New returns an error and a coordinator that works without it.
+// New returns a Machine. If the cached endpoint list is invalid, New returns an error together with a Machine that works
+// without the list.
 func New(boot Bootstrap) (*Machine, error) {
 	m := &Machine{
 		boot: boot, endpoints: newEndpointRegistry(), sessions: map[statemachine.Conn]*session{}, lastDialed: statemachine.Dialed,
@@ -77,7 +79,7 @@
 	return m, err
 }
 
-// applySettings derives methods, zones and proxies from the settings.
+// applySettings sets the fields that are derived from the settings.
 func (m *Machine) applySettings() {
 	settings := m.boot.Module.Settings
 	m.methods, m.zones, m.minSoftDeadline = nil, map[string]bool{}, math.Inf(1)
@@ -93,10 +95,11 @@
 }
 
 const (
-	defaultSoftDeadline = 1 // seconds
-	maxProxies          = 1 << 16
+	defaultSoftDeadline = 1       // seconds
+	maxProxies          = 1 << 16 // the protocol's proxy numbers go up to 65535
 )
 
+// loadCachedList loads the endpoint list from the start-up configuration, if there is one.
 func (m *Machine) loadCachedList() error {
 	if len(m.boot.CachedList) == 0 {
 		return nil
@@ -109,8 +112,8 @@
 	return err
 }
 
-// Reload applies a configuration that was read again, with the next step. It must be called between steps. Only the
-// address of discovery can change.
+// Reload makes the next step apply a configuration that was read again, of which only the address of discovery takes
+// effect. It must not be called during a step.
 func (m *Machine) Reload(boot Bootstrap) { m.pendingReload = &boot }
 
 func (m *Machine) applyReload(now statemachine.Seconds, out *statemachine.Effects) {
@@ -126,10 +129,10 @@
 	}
 }
 
-// Bounds on the time of the next step.
+// Bounds on the time until the next step.
 const (
 	minWakeDelay statemachine.Seconds = 1e-4
-	maxTimer     statemachine.Seconds = 3600
+	maxTimer     statemachine.Seconds = 3600 // used until the decision module sets its next timer
 )
 
 // Step implements statemachine.Machine.
@@ -138,7 +141,7 @@
 	for _, input := range in {
 		m.handleInputSafely(now, input, out)
 	}
-	m.recoverStep(now, out, m.expire)
+	m.recoverStep(now, out, m.closeExpired)
 	if due := now >= m.timerDue; due || len(m.events) > 0 && now >= m.lastDecision+m.stepInterval {
 		if due {
 			m.events = append(m.events, choice.TimerFired{Timer: m.timerID})
@@ -151,10 +154,11 @@
 	}
 	out.WakeBy(m.timerDue)
 	m.forgetBackends(m.endpoints.prune(now))
-	// A step that asks for another one at the same moment would make the loop spin.
+	// A step that asks for another one at once would make the event loop spin.
 	out.WakeAt = max(out.WakeAt, now+minWakeDelay)
 }
 
+// handleInput passes an input to the handler for its kind. Inputs about unknown connections and other kinds are ignored.
 func (m *Machine) handleInput(now statemachine.Seconds, input statemachine.Input, out *statemachine.Effects) {
 	peer := m.sessions[input.Conn]
 	switch input.Kind {
@@ -178,7 +182,7 @@
 	case peer != nil && peer.role == roleDiscovery:
 		m.discovery.connectionOpened(now, out)
 	case peer != nil && peer.role == roleProbe:
-		m.probes.connected(peer, out)
+		m.probes.connectionOpened(peer, out)
 	}
 }
 
@@ -191,7 +195,7 @@
 		if input.LocalFailure {
 			m.probes.failedLocally(now, peer, out)
 		} else {
-			m.probes.received(now, peer, nil, true, out)
+			m.probes.responseReceived(now, peer, nil, true, out)
 		}
 	case roleProxy:
 		m.leave(peer.stream)
@@ -201,9 +205,9 @@
 func (m *Machine) dataReceived(now statemachine.Seconds, peer *session, data []byte, out *statemachine.Effects) {
 	switch peer.role {
 	case roleDiscovery:
-		m.discovery.received(now, data, out)
+		m.discovery.dataReceived(now, data, out)
 	case roleProbe:
-		m.probes.received(now, peer, data, false, out)
+		m.probes.responseReceived(now, peer, data, false, out)
 	default:
 		if peer.role == roleProxy {
 			peer.stream.lastReceived = now
@@ -215,18 +219,19 @@
 	}
 }
 
+// dial opens a connection to addr and returns its number.
 func (m *Machine) dial(addr string, out *statemachine.Effects) statemachine.Conn {
 	m.lastDialed++
 	out.Dial(m.lastDialed, addr)
 	return m.lastDialed
 }
 
-// expire closes whatever has exceeded its time limit.
-func (m *Machine) expire(now statemachine.Seconds, out *statemachine.Effects) {
+// closeExpired closes the handshakes, idle connections, discovery requests and probes that have exceeded their time limits.
+func (m *Machine) closeExpired(now statemachine.Seconds, out *statemachine.Effects) {
 	m.expireHandshakes(now, out)
-	if now >= m.lastIdleCheck+idleCheckInterval {
-		m.checkIdle(now, out)
+	if now >= m.lastPeriodicCheck+periodicCheckInterval {
+		m.runPeriodicChecks(now, out)
 	}
-	m.discovery.expire(now, out)
-	m.probes.expire(now, out)
+	m.discovery.expireRequest(now, out)
+	m.probes.expireProbes(now, out)
 }
--- a/internal/platform/probes.go
+++ b/internal/platform/probes.go
@@ -10,7 +10,7 @@
 	"gingerfork/internal/statemachine"
 )
 
-// probe is a health check in flight, on a connection of its own.
+// probe is a health check in flight. Each one has its own connection.
 type probe struct {
 	backend   choice.BackendID
 	endpoint  choice.Endpoint // as listed when the probe started
@@ -19,32 +19,33 @@
 	response  responseParser
 }
 
-// prober executes the probes that the decision module orders, with limits on their number and on the time of each.
+// prober executes the probes that the decision module orders. It limits the number of probes in flight and the time of each.
 type prober struct {
 	machine *Machine
-	queue   []choice.BackendID
-	active  []*session // in the order of their start
+	queue   []choice.BackendID // backends whose probes have not started, in the order of the commands
+	active  []*session         // sessions of the probes in flight, in the order of their start
 }
 
 const (
-	queuedProbesPerActive = 4 // the length of the queue in multiples of the limit on probes in flight
+	queuedProbesPerActive = 4 // limit on the queue's length, in multiples of the limit on probes in flight
 	maxProbeResponseBytes = 1 << 14
 )
 
-// Paths that a backend serves.
+// Paths at which backends answer probes.
 const (
 	healthPath = "/-/healthy"
-	loadPath   = "/-/load"
+	loadPath   = "/-/load" // the response has a load report
 )
 
-// enqueue adds a probe to the queue. If the queue is full the probe is dropped: the decision module orders it again.
+// enqueue queues a probe unless one of the same backend is queued. If the queue is full, the probe is dropped: the decision
+// module orders it again.
 func (p *prober) enqueue(id choice.BackendID) {
 	if len(p.queue) < queuedProbesPerActive*p.machine.boot.MaxProbes && !slices.Contains(p.queue, id) {
 		p.queue = append(p.queue, id)
 	}
 }
 
-// startQueued starts queued probes up to the limit on probes in flight.
+// startQueued starts queued probes up to the limit on probes in flight. It skips backends without a known address.
 func (p *prober) startQueued(now statemachine.Seconds, out *statemachine.Effects) {
 	for len(p.queue) > 0 && len(p.active) < p.machine.boot.MaxProbes {
 		id := p.queue[0]
@@ -58,6 +59,7 @@
 	}
 }
 
+// start opens the connection for the probe of a backend.
 func (p *prober) start(now statemachine.Seconds, id choice.BackendID, target *backend, out *statemachine.Effects) {
 	started := &probe{
 		backend: id, endpoint: target.endpoint, startedAt: now, addr: target.addr,
@@ -68,8 +70,9 @@
 	p.active = append(p.active, s)
 }
 
-// connected sends the request on the connection of a probe.
-func (p *prober) connected(s *session, out *statemachine.Effects) {
+// connectionOpened sends the request of a probe: for the load report if the settings name a source of load feedback, and
+// for the health otherwise.
+func (p *prober) connectionOpened(s *session, out *statemachine.Effects) {
 	path := healthPath
 	if source := p.machine.boot.Module.Settings.FeedbackSource; source != "" && source != "none" {
 		path = loadPath
@@ -84,8 +87,8 @@
 	p.startQueued(now, out)
 }
 
-// received handles data of a response. ended says that the connection was closed.
-func (p *prober) received(now statemachine.Seconds, peer *session, data []byte, ended bool, out *statemachine.Effects) {
+// responseReceived handles data of a probe's response. ended says that the connection was closed or could not be opened.
+func (p *prober) responseReceived(now statemachine.Seconds, peer *session, data []byte, ended bool, out *statemachine.Effects) {
 	var result *response
 	var err error
 	if peer.probe.response.size()+len(data) > 0 {
@@ -93,7 +96,7 @@
 	}
 	switch {
 	case err == nil && result != nil:
-		// Status 503 says that the backend is reachable and has no capacity.
+		// Status 503 means that the backend is reachable but has no capacity.
 		p.finish(now, peer, choice.ProbeResult{
 			OK: result.status == http.StatusOK, Busy: result.status == http.StatusServiceUnavailable, Load: p.parseLoad(result.body),
 		}, ended, out)
@@ -102,7 +105,8 @@
 	}
 }
 
-// parseLoad reads the load figures in the body of a response, nil if there are none.
+// parseLoad returns the load values in the body of a response, in the order of the settings' columns, or nil if the body is
+// not a load report.
 func (p *prober) parseLoad(body []byte) []float64 {
 	load := map[string]float64{}
 	if err := json.Unmarshal(body, &load); err != nil {
@@ -111,8 +115,9 @@
 	return p.machine.loadColumns(load)
 }
 
-// finish ends a probe and reports its result to the decision module. The result is dropped if the endpoint list has the
-// backend as removed, restarted or moved meanwhile: it is that of the former process.
+// finish ends a probe and reports its result to the decision module. The result is dropped if, according to the endpoint
+// list, the backend was removed, restarted or moved to another address since the probe started, because then it is the result
+// of the former process.
 func (p *prober) finish(now statemachine.Seconds, s *session, result choice.ProbeResult, ended bool, out *statemachine.Effects) {
 	if !ended {
 		out.Abort(s.conn)
@@ -127,21 +132,24 @@
 	p.startQueued(now, out)
 }
 
+// outdated returns whether the endpoint list has changed such that the probe's result is that of a former process.
 func (p *prober) outdated(finished *probe) bool {
 	listed := p.machine.endpoints.backends[finished.backend]
-	return listed == nil || listed.goneSince != 0 || listed.endpoint.StartedAt != finished.endpoint.StartedAt || listed.addr != finished.addr
+	return listed == nil || listed.removedAt != 0 || listed.endpoint.StartedAt != finished.endpoint.StartedAt || listed.addr != finished.addr
 }
 
+// remove removes the session of a probe.
 func (p *prober) remove(s *session) {
 	delete(p.machine.sessions, s.conn)
 	p.active = slices.DeleteFunc(p.active, func(active *session) bool { return active == s })
 }
 
-// timeout is the time limit of a probe. A backend that needs half of the shortest soft deadline for it is as good as
-// unreachable.
+// timeout returns the time limit of a probe: half of the shortest soft deadline of any method. A backend that takes longer
+// for a health check is as good as unreachable.
 func (p *prober) timeout() statemachine.Seconds { return p.machine.minSoftDeadline / 2 }
 
-func (p *prober) expire(now statemachine.Seconds, out *statemachine.Effects) {
+// expireProbes fails the probes that have passed their deadlines and schedules a step at the next deadline.
+func (p *prober) expireProbes(now statemachine.Seconds, out *statemachine.Effects) {
 	for len(p.active) > 0 && now >= p.deadline() {
 		p.finish(now, p.active[0], choice.ProbeResult{}, false, out)
 	}
@@ -150,5 +158,5 @@
 	}
 }
 
-// deadline is the time limit of the oldest probe in flight.
+// deadline returns the time at which the oldest probe in flight times out.
 func (p *prober) deadline() statemachine.Seconds { return p.active[0].probe.startedAt + p.timeout() }
--- a/internal/platform/push.go
+++ b/internal/platform/push.go
@@ -8,40 +8,42 @@
 	"gingerfork/internal/platform/wire"
 )
 
-// tableChange is what a push changes in one table.
+// tableChange collects what a push changes in one table.
 type tableChange struct {
 	table      choice.TableID
-	methods    uint64
-	complete   bool // the entries replace the whole table
+	methods    uint64 // bit mask of the methods that the table is bound for; 0 stands for all
+	complete   bool   // the entries and admissions replace the whole table
 	entries    []fanout.TableEntry
 	admissions []fanout.Admission
 }
 
+// setEntry adds an entry, replacing an earlier one of the same backend.
 func (c *tableChange) setEntry(entry fanout.TableEntry) {
-	at := slices.IndexFunc(c.entries, func(e fanout.TableEntry) bool { return e.Backend == entry.Backend })
-	if at >= 0 {
-		c.entries[at] = entry
+	index := slices.IndexFunc(c.entries, func(e fanout.TableEntry) bool { return e.Backend == entry.Backend })
+	if index >= 0 {
+		c.entries[index] = entry
 		return
 	}
 	c.entries = append(c.entries, entry)
 }
 
+// setAdmission adds an admission, replacing an earlier one of the same set of methods.
 func (c *tableChange) setAdmission(admission fanout.Admission) {
 	c.admissions = slices.DeleteFunc(c.admissions, func(a fanout.Admission) bool { return a.Methods == admission.Methods })
 	c.admissions = append(c.admissions, admission)
 }
 
-// pushBuilder merges the operations of one message. All parts of a push take effect at once, so of several changes to the
-// same entry, admission level or exclusion only the last one is sent.
+// pushBuilder merges the operations of one message into a push. All parts of a push take effect at the same time, so if an
+// entry, admission level or exclusion changes several times, only the last change is sent.
 type pushBuilder struct {
 	machine    *Machine
 	stream     *stream
-	changes    []*tableChange
-	exclusions []choice.BackendID // excluded or restored by this push, in the order of their last change
+	changes    []*tableChange     // in the order of their tables' first operations
+	exclusions []choice.BackendID // backends that this push excludes or restores, in the order of their last change
 }
 
-// pushParts converts the operations of a message to at least one part of a push. The last part has the nonce, unless that
-// is nil.
+// pushParts converts the operations of a message to the parts of a push, of which there is at least one. The last part has
+// the nonce, unless that is nil.
 func (m *Machine) pushParts(receiver *stream, ops []fanout.TableOp, nonce *choice.Nonce) []wire.Part {
 	builder := &pushBuilder{machine: m, stream: receiver}
 	for _, op := range ops {
@@ -63,24 +65,26 @@
 	return parts
 }
 
+// add merges one operation.
 func (b *pushBuilder) add(operation fanout.TableOp) {
 	switch operation.Kind {
 	case fanout.OpSetEntry:
-		change := b.change(operation)
+		change := b.changeFor(operation)
 		for _, entry := range operation.Entries {
 			change.setEntry(entry)
 		}
 	case fanout.OpClear:
-		change := b.change(operation)
+		change := b.changeFor(operation)
 		change.complete, change.entries, change.admissions = true, nil, nil
 	case fanout.OpBind:
-		change := b.change(operation)
+		change := b.changeFor(operation)
 		change.complete, change.methods = true, operation.Methods
 		change.entries, change.admissions = slices.Clone(operation.Entries), slices.Clone(operation.Admissions)
-		// Also backends that are not in this table: methods without a table still use what the proxy held before.
+		// This includes backends that are not in this table, because methods without a table still use what the proxy held
+		// before.
 		b.setExclusions(operation.Backends, true)
 	case fanout.OpAdmission:
-		change := b.change(operation)
+		change := b.changeFor(operation)
 		for _, admission := range operation.Admissions {
 			change.setAdmission(admission)
 		}
@@ -91,8 +95,8 @@
 	}
 }
 
-// change returns the change of the operation's table, creating it if necessary.
-func (b *pushBuilder) change(op fanout.TableOp) *tableChange {
+// changeFor returns the change to the operation's table, creating it if necessary.
+func (b *pushBuilder) changeFor(op fanout.TableOp) *tableChange {
 	for _, change := range b.changes {
 		if change.table == op.Table {
 			return change
@@ -103,13 +107,14 @@
 	return change
 }
 
+// setExclusions excludes or restores backends, as setExclusion does.
 func (b *pushBuilder) setExclusions(backends []choice.BackendID, excluded bool) {
 	for _, id := range backends {
 		b.setExclusion(id, excluded)
 	}
 }
 
-// setExclusion excludes or restores a backend unless the proxy is known to hold that already.
+// setExclusion excludes or restores a backend, unless the proxy is known to be in that state already.
 func (b *pushBuilder) setExclusion(id choice.BackendID, excluded bool) {
 	sent, known := b.stream.sentExclusions[id]
 	if known && sent == excluded || !known && !excluded && b.stream.joinedEmpty {
@@ -119,8 +124,8 @@
 	b.exclusions = append(slices.DeleteFunc(b.exclusions, func(other choice.BackendID) bool { return other == id }), id)
 }
 
-// tableParts returns the parts for the change of one table: one for its entries, and one for each admission level that
-// does not apply to all of the table's methods.
+// tableParts returns the parts of the push for the change to one table: one for its entries together with an admission level
+// for all of the table's methods, and one for each other admission level.
 func (b *pushBuilder) tableParts(change *tableChange) []wire.Part {
 	machine := b.machine
 	table := wire.Part{Methods: machine.methodNames(change.methods), Complete: change.complete, Entries: b.entries(change)}
@@ -139,14 +144,15 @@
 	return parts
 }
 
-// entries returns the entries that are sent for a change, and sets the exclusions of their backends.
+// entries returns the entries to send for a change, and sets the exclusion of each backend with a positive weight. Entries
+// of backends that are no longer known are left out.
 func (b *pushBuilder) entries(change *tableChange) []wire.TableEntry {
 	var entries []wire.TableEntry
 	for _, entry := range change.entries {
 		if entry.Weight > 0 {
 			b.setExclusion(entry.Backend, entry.Excluded)
 		}
-		// A complete table removes entries by not having them.
+		// A complete table removes an entry by omitting it; otherwise weight 0 removes it.
 		listed := b.machine.endpoints.backends[entry.Backend]
 		if listed != nil && !(change.complete && entry.Weight <= 0) {
 			entries = append(entries, wire.TableEntry{Backend: listed.name, Weight: entry.Weight})
@@ -155,6 +161,7 @@
 	return entries
 }
 
+// addExclusions adds the exclusions that this push changes to one of its parts.
 func (b *pushBuilder) addExclusions(part *wire.Part) {
 	for _, id := range b.exclusions {
 		listed := b.machine.endpoints.backends[id]
@@ -168,26 +175,27 @@
 	}
 }
 
+// wireAdmission converts an admission to its form on the wire.
 func wireAdmission(admission fanout.Admission) *wire.Admission {
 	return &wire.Admission{Level: admission.Level, RetryPolicy: int(admission.Retry)}
 }
 
-// groupAdmissions merges the methods of equal admission levels and retry policies.
+// groupAdmissions merges admissions that have the same level and retry policy into one for all of their methods.
 func (m *Machine) groupAdmissions(admissions []fanout.Admission) []fanout.Admission {
 	var groups []fanout.Admission
 	for _, admission := range admissions {
 		methods := m.methodSet(admission.Methods)
-		at := slices.IndexFunc(groups, func(g fanout.Admission) bool { return g.Level == admission.Level && g.Retry == admission.Retry })
-		if at < 0 {
+		index := slices.IndexFunc(groups, func(g fanout.Admission) bool { return g.Level == admission.Level && g.Retry == admission.Retry })
+		if index < 0 {
 			groups = append(groups, fanout.Admission{Methods: methods, Level: admission.Level, Retry: admission.Retry})
 		} else {
-			groups[at].Methods |= methods
+			groups[index].Methods |= methods
 		}
 	}
 	return groups
 }
 
-// methodSet returns the bits of the methods, of all methods for 0.
+// methodSet returns a bit mask of methods with 0, which stands for all methods, replaced by the mask of all methods.
 func (m *Machine) methodSet(methods uint64) uint64 {
 	all := uint64(1)<<len(m.methods) - 1
 	if methods == 0 {
@@ -196,7 +204,7 @@
 	return methods & all
 }
 
-// methodNames returns the names of the methods, none if the set has all of them.
+// methodNames returns the names of the methods in a bit mask, or nil if it has all methods.
 func (m *Machine) methodNames(methods uint64) []string {
 	if m.methodSet(methods) == m.methodSet(0) {
 		return nil
--- a/internal/platform/recovery.go
+++ b/internal/platform/recovery.go
@@ -11,16 +11,19 @@
 	"gingerfork/internal/statemachine"
 )
 
+// Errors for panics that were recovered from.
 var (
 	errStepPanic          = errors.New("a step panicked")
 	errPlannerPanic       = errors.New("the decision module panicked")
 	errResponseNotHandled = errors.New("handling the response panicked")
 )
 
-// restartDelay is the pause before the next step of a decision module that failed twice within this time.
+// restartDelay is the delay before the first step of a restarted decision module if the last restart was less than this
+// time ago.
 const restartDelay statemachine.Seconds = 1
 
-// startPlanner starts a new instance of the decision module from the endpoint list and the streams as they are.
+// startPlanner starts a new instance of the decision module, which gets the current endpoint list and streams as its first
+// events.
 func (m *Machine) startPlanner(config choice.Config) {
 	m.planner, m.distributor = choice.New(config), fanout.New()
 	m.distributor.AllMethods = m.methodSet(0)
@@ -36,7 +39,7 @@
 	}
 }
 
-// restartPlanner replaces a failed decision module. Proxies keep their tables until the new instance has sent its own.
+// restartPlanner replaces a failed decision module. Proxies keep their tables until the new instance has sent others.
 func (m *Machine) restartPlanner(now statemachine.Seconds, cause error, out *statemachine.Effects) {
 	m.stats.PlannerRestarts++
 	m.logThrottled(out, problemPlannerRestart, levelError, "decision module restarted", "cause", cause.Error())
@@ -49,8 +52,8 @@
 	m.lastRestart = now
 }
 
-// stepPlanner runs a step of the decision module and turns a panic into an error. The end of the process would leave all
-// proxies without a coordinator.
+// stepPlanner runs a step of the decision module and turns a panic into an error, since the end of the process would leave
+// all proxies without a coordinator.
 func (m *Machine) stepPlanner(now statemachine.Seconds, events []choice.Event) (commands []choice.Command, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -60,18 +63,18 @@
 	return m.planner.Step(now, events), nil
 }
 
-// recoverStep runs a part of a step that concerns all connections. After a panic the decision module is restarted, since
-// the end of the process would leave all proxies without a coordinator.
-func (m *Machine) recoverStep(now statemachine.Seconds, out *statemachine.Effects, part func(statemachine.Seconds, *statemachine.Effects)) {
+// recoverStep runs a phase of a step that concerns all connections. After a panic it restarts the decision module, since the
+// end of the process would leave all proxies without a coordinator.
+func (m *Machine) recoverStep(now statemachine.Seconds, out *statemachine.Effects, phase func(statemachine.Seconds, *statemachine.Effects)) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			m.restartPlanner(now, fmt.Errorf("%w: %v\n%s", errStepPanic, cause, debug.Stack()), out)
 		}
 	}()
-	part(now, out)
+	phase(now, out)
 }
 
-// handleInputSafely handles an input. A panic closes the connection of the input and leaves all others open.
+// handleInputSafely handles an input and recovers from a panic, which closes only the connection that the input is about.
 func (m *Machine) handleInputSafely(now statemachine.Seconds, input statemachine.Input, out *statemachine.Effects) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -81,6 +84,7 @@
 	m.handleInput(now, input, out)
 }
 
+// closeAfterPanic closes the connection whose input caused a panic and removes the state that belongs to it.
 func (m *Machine) closeAfterPanic(conn statemachine.Conn, cause any, out *statemachine.Effects) {
 	m.stats.InputPanics++
 	m.logThrottled(out, problemInputPanic, levelError, "connection closed: handling its input panicked",
@@ -102,7 +106,8 @@
 	}
 }
 
-// leaveBySession removes the stream of a session without reading the session, which may be inconsistent after a panic.
+// leaveBySession ends the stream of a session. It finds the stream without the session's fields, which may be inconsistent
+// after a panic.
 func (m *Machine) leaveBySession(s *session) {
 	for _, candidate := range m.streams {
 		if candidate != nil && candidate.session == s {
--- a/internal/platform/reports.go
+++ b/internal/platform/reports.go
@@ -9,7 +9,8 @@
 	"gingerfork/internal/statemachine"
 )
 
-// handleMessage handles one message. A *wire.MessageError costs the message, or the connection if it is in its handshake.
+// handleMessage handles one message of a proxy or a collector. If it returns a *wire.MessageError, the message is dropped,
+// or the connection closed if it is in its handshake.
 func (m *Machine) handleMessage(now statemachine.Seconds, peer *session, message wire.Message, out *statemachine.Effects) error {
 	if _, ok := message.(wire.Heartbeat); ok {
 		out.Write(peer.conn, wire.AppendHeartbeatReply(nil))
@@ -33,8 +34,8 @@
 	return invalidMessage("joining", "it is joined already")
 }
 
-// handleHandshake handles the first message of a connection other than heartbeats. The texts of its errors are sent to
-// the peer.
+// handleHandshake handles the first message of a connection that is not a heartbeat, which must be a join. The texts of its
+// errors are sent to the peer.
 func (m *Machine) handleHandshake(now statemachine.Seconds, peer *session, message wire.Message, out *statemachine.Effects) error {
 	switch message := message.(type) {
 	case wire.CollectorJoin:
@@ -51,6 +52,7 @@
 	return invalidMessage("report", "it came before a joining")
 }
 
+// handleUsageReport passes a usage report of a proxy to the decision module. It comes from the proxy itself or a collector.
 func (m *Machine) handleUsageReport(peer *session, report wire.UsageReport) error {
 	if peer.role == roleProxy && report.Proxy != int(peer.stream.proxy) {
 		return invalidMessage("usage report", "it is of another proxy")
@@ -59,7 +61,7 @@
 	if report.Proxy >= len(m.streams) || method < 0 {
 		return invalidMessage("usage report", "proxy %d or method %.32q does not exist", report.Proxy, report.Method)
 	}
-	// Collectors also forward reports of proxies that have left or that are joined at another coordinator.
+	// Collectors also forward reports of proxies that have left or that are joined at another coordinator; they are ignored.
 	if m.streams[report.Proxy] == nil || report.RPCs+report.Failures == 0 {
 		return nil
 	}
@@ -69,6 +71,7 @@
 	return nil
 }
 
+// handleAttemptReport passes an attempt report of a collector to the decision module.
 func (m *Machine) handleAttemptReport(peer *session, report wire.AttemptReport) error {
 	id, known := m.endpoints.ids[report.Backend]
 	switch {
@@ -86,7 +89,8 @@
 	return nil
 }
 
-// loadColumns returns the load figures in the order of the settings' columns, 0 for those that are missing.
+// loadColumns returns the values of a load report in the order of the settings' columns, with 0 for a missing value, or nil
+// if the report is empty.
 func (m *Machine) loadColumns(load map[string]float64) []float64 {
 	if len(load) == 0 {
 		return nil
@@ -98,7 +102,7 @@
 	return columns
 }
 
-// invalidMessage returns the error of a message that can't be handled.
+// invalidMessage returns the error for a message that is decoded but not acceptable.
 func invalidMessage(kind, format string, args ...any) error {
 	return &wire.MessageError{Kind: kind, Reason: fmt.Sprintf(format, args...)}
 }
--- a/internal/platform/response.go
+++ b/internal/platform/response.go
@@ -17,35 +17,36 @@
 	reusable bool // the connection can be used for another request
 }
 
-// responseParser collects the bytes of one HTTP response until net/http can read it: the header once it is complete, and
-// the whole response once that is complete. net/http would take missing bytes for a truncated response and would have to
-// start over with each piece.
+// responseParser collects the bytes of one HTTP response until net/http can parse them: first the header once that is
+// complete, then the whole response once that is complete. Given less, net/http would report a truncated response, and it
+// would have to parse from the start again with each piece that is received.
 type responseParser struct {
-	buffer        []byte
-	maxBytes      int // limit on the response, which stays when the parser is reset
-	scanned       int // bytes that were searched for the end of the header
-	headerRead    bool
+	buffer        []byte // all bytes received
+	maxBytes      int    // limit on the size of the response, kept by reset
+	headerScanned int    // number of bytes that were searched for the end of the header
+	headerRead    bool   // the header was parsed
 	chunked       bool
 	contentLength int  // -1 if unknown
-	offset        int  // of the body, or of the next chunk
-	inTrailer     bool // the last chunk was scanned
-	parses        int  // calls of net/http's reader
+	offset        int  // in buffer, of the body or, if chunked, of the next chunk
+	inTrailer     bool // the last chunk was passed, and only trailer lines follow
+	parseCount    int  // calls of http.ReadResponse
 }
 
 const (
 	maxHeaderBytes      = 1 << 14
-	maxChunkHeaderBytes = 1 << 12
-	maxContentLength    = 1 << 40 // anything longer counts as this long
+	maxChunkHeaderBytes = 1 << 12 // also of a line in the trailer
+	maxContentLength    = 1 << 40 // a longer response is treated as this long
 )
 
-// Errors of responseParser.feed beside those that net/http's reader gives.
+// Errors of responseParser.feed. The last two wrap an error of net/http.
 var (
 	errResponseTooLong   = errors.New("HTTP response is too long")
 	errInvalidResponse   = errors.New("invalid HTTP response")
 	errResponseTruncated = errors.New("HTTP response is truncated")
 )
 
-// feed appends data and returns the response once it is complete, nil before. ended says that no more data will come.
+// feed appends received data. It returns the response once that is complete, and nil before. ended says that no more data
+// will come.
 func (p *responseParser) feed(data []byte, ended bool) (*response, error) {
 	p.buffer = append(p.buffer, data...)
 	if len(p.buffer) > p.maxBytes {
@@ -65,20 +66,21 @@
 	return p.readResponse()
 }
 
-// size returns the number of bytes collected.
+// size returns the number of bytes received.
 func (p *responseParser) size() int { return len(p.buffer) }
 
-// reset prepares the parser for another response.
+// reset prepares the parser for the next response.
 func (p *responseParser) reset() { *p = responseParser{maxBytes: p.maxBytes} }
 
-// headerComplete returns whether the header is complete or so long that net/http must decide about it.
+// headerComplete returns whether the header is complete, or so long that it is left to net/http to accept or reject it.
 func (p *responseParser) headerComplete() bool {
 	const headerEnd = "\r\n\r\n"
-	found := bytes.Contains(p.buffer[max(0, p.scanned-len(headerEnd)+1):], []byte(headerEnd))
-	p.scanned = len(p.buffer)
+	found := bytes.Contains(p.buffer[max(0, p.headerScanned-len(headerEnd)+1):], []byte(headerEnd))
+	p.headerScanned = len(p.buffer)
 	return found || len(p.buffer) >= maxHeaderBytes
 }
 
+// readHeader parses the header and finds out where the body starts and ends.
 func (p *responseParser) readHeader() error {
 	parsed, unread, err := p.parse()
 	if err != nil {
@@ -87,13 +89,14 @@
 	p.headerRead, p.chunked = true, len(parsed.TransferEncoding) > 0
 	p.contentLength = int(min(parsed.ContentLength, maxContentLength))
 	p.offset = len(p.buffer) - unread()
-	_ = parsed.Body.Close() // fails if the body is incomplete, which bodyComplete tells
+	_ = parsed.Body.Close() // fails if the body is incomplete, which bodyComplete finds out
 	if p.contentLength > p.maxBytes {
 		return errResponseTooLong
 	}
 	return nil
 }
 
+// bodyComplete returns whether the whole body was received. A body of unknown length ends with the connection.
 func (p *responseParser) bodyComplete() bool {
 	if p.chunked {
 		return p.scanChunks()
@@ -101,6 +104,7 @@
 	return p.contentLength >= 0 && len(p.buffer) >= p.offset+p.contentLength
 }
 
+// readResponse parses the whole response.
 func (p *responseParser) readResponse() (*response, error) {
 	parsed, unread, err := p.parse()
 	if err != nil {
@@ -108,17 +112,18 @@
 	}
 	body, err := io.ReadAll(parsed.Body)
 	if err != nil {
-		_ = parsed.Body.Close() // the error of the read tells more
+		_ = parsed.Body.Close() // the error of ReadAll says more
 		return nil, fmt.Errorf("%w: %w", errResponseTruncated, err)
 	}
 	result := &response{status: parsed.StatusCode, body: body, reusable: !parsed.Close && unread() == 0}
-	_ = parsed.Body.Close() // reads from memory, to the end, have succeeded
+	_ = parsed.Body.Close() // can't fail: the body was read to its end from memory
 	return result, nil
 }
 
-// parse has net/http read the header of the response. unread returns how many of the collected bytes were not read yet.
+// parse has net/http parse the header from the received bytes. parsed.Body reads the rest of them. unread returns how many
+// of the bytes have not been read yet.
 func (p *responseParser) parse() (parsed *http.Response, unread func() int, err error) {
-	p.parses++
+	p.parseCount++
 	source := bytes.NewReader(p.buffer)
 	buffered := bufio.NewReader(source)
 	parsed, err = http.ReadResponse(buffered, nil)
@@ -128,8 +133,8 @@
 	return parsed, func() int { return source.Len() + buffered.Buffered() }, nil
 }
 
-// scanChunks advances over complete chunks and returns whether the end of the last one is there. An invalid chunk counts
-// as the end: net/http's reader reports it.
+// scanChunks advances over complete chunks and trailer lines and returns whether the end of the chunked body was received.
+// An invalid chunk counts as the end, since net/http will then report it as an error.
 func (p *responseParser) scanChunks() bool {
 	for {
 		rest := p.buffer[p.offset:]
--- a/internal/platform/response_test.go
+++ b/internal/platform/response_test.go
@@ -75,7 +75,7 @@
 			t.Fatalf("after %d of %d bytes: response %v, %v", i+1, len(text), parsed, err)
 		}
 	}
-	if parser.parses > 3 {
-		t.Errorf("it was parsed %d times", parser.parses)
+	if parser.parseCount > 3 {
+		t.Errorf("it was parsed %d times", parser.parseCount)
 	}
 }
--- a/internal/platform/sessions.go
+++ b/internal/platform/sessions.go
@@ -8,28 +8,28 @@
 	"gingerfork/internal/statemachine"
 )
 
-// role is what a connection is used for.
+// role is the purpose of a connection.
 type role uint8
 
 const (
-	roleHandshake role = iota // accepted, its first message has not come
-	roleProxy
-	roleCollector
-	roleDiscovery // dialed
-	roleProbe     // dialed
+	roleHandshake role = iota // accepted; its peer has not joined yet
+	roleProxy                 // accepted, with a joined proxy
+	roleCollector             // accepted, with a joined collector
+	roleDiscovery             // dialed, to the discovery service
+	roleProbe                 // dialed, for a probe of a backend
 )
 
-// session is one connection.
+// session is the state of one connection.
 type session struct {
 	conn     statemachine.Conn
 	role     role
 	openedAt statemachine.Seconds
 	decoder  wire.Decoder
-	stream   *stream // with roleProxy
-	probe    *probe  // with roleProbe
-	zone     string  // with roleCollector
+	stream   *stream // set for roleProxy
+	probe    *probe  // set for roleProbe
+	zone     string  // set for roleCollector
 
-	lastReceived statemachine.Seconds // when data last came
+	lastReceived statemachine.Seconds // when data was last received; set for accepted connections
 }
 
 // Limits on the size of a message, in bytes.
@@ -38,8 +38,8 @@
 	maxMessageBytes   = 16 << 10 // after the handshake
 )
 
-// accept takes a new connection in. If there are too many, the oldest one in its handshake is closed. Joined proxies and
-// collectors are never closed for that.
+// accept registers a new connection. If there are too many connections, it closes the oldest one that is in its handshake.
+// Joined proxies and collectors are never closed for this reason.
 func (m *Machine) accept(now statemachine.Seconds, conn statemachine.Conn, out *statemachine.Effects) {
 	accepted := &session{conn: conn, openedAt: now, decoder: wire.Decoder{MaxBytes: maxHandshakeBytes}}
 	m.sessions[conn] = accepted
@@ -55,8 +55,8 @@
 	}
 }
 
-// oldestHandshaking returns the oldest session in its handshake, or nil. Sessions before it, which have joined or are
-// closed, are removed from the list, so that a flood of connections does not scan them each time.
+// oldestHandshaking returns the oldest session in its handshake, or nil. The sessions before it in the list have joined or
+// are closed; they are removed, so that they are not scanned again for each connection of a flood.
 func (m *Machine) oldestHandshaking() *session {
 	for i, s := range m.handshaking {
 		if m.sessions[s.conn] == s && s.role == roleHandshake {
@@ -68,6 +68,7 @@
 	return nil
 }
 
+// expireHandshakes closes the connections whose handshakes have timed out and schedules a step at the next timeout.
 func (m *Machine) expireHandshakes(now statemachine.Seconds, out *statemachine.Effects) {
 	for s := m.oldestHandshaking(); s != nil; s = m.oldestHandshaking() {
 		deadline := s.openedAt + m.boot.HandshakeTimeout
@@ -80,7 +81,7 @@
 }
 
 // readMessages handles the complete messages that a session has received. An invalid message of a joined session is
-// dropped alone, malformed data ends the connection.
+// dropped, and the session continues; malformed data ends the connection.
 func (m *Machine) readMessages(now statemachine.Seconds, peer *session, out *statemachine.Effects) {
 	for m.sessions[peer.conn] == peer {
 		message, err := peer.decoder.Next()
@@ -105,8 +106,8 @@
 	}
 }
 
-// endSession ends a session for something that its peer did. A connection in its handshake is sent the reason, a joined
-// one is reset.
+// endSession ends a session because of an error of its peer. The reason is sent to a peer in its handshake; the connection
+// of a joined peer is reset.
 func (m *Machine) endSession(peer *session, reason string, out *statemachine.Effects) {
 	delete(m.sessions, peer.conn)
 	if peer.role == roleHandshake {
--- a/internal/platform/stats.go
+++ b/internal/platform/stats.go
@@ -1,24 +1,24 @@
 package platform
 
-// Stats are counts since the start of the process.
+// Stats has counts since the start of the process, except for Streams.
 type Stats struct {
 	Joins, Leaves         int // of streams
-	TakenOver             int // streams replaced by a later one of the same proxy
-	Messages, Bytes       int // sent to proxies
-	Steps, Commands       int // of the decision module
+	TakenOver             int // streams replaced by a later stream of the same proxy
+	Messages, Bytes       int // pushes sent to proxies and their size
+	Steps, Commands       int // steps of the decision module and the commands that it returned
 	Rejected              int // connections that failed their handshake
-	Evicted               int // connections closed for the limit on connections
-	InvalidMessages       int // dropped alone
-	BrokenConnections     int // closed for malformed data
-	StaleAcknowledgements int // whose nonce is not in flight
-	IdleClosed            int // streams and collectors that were silent for too long
-	OutdatedProbes        int // probe results of a former process or address of a backend
+	Evicted               int // connections closed because of the limit on connections
+	InvalidMessages       int // messages dropped without closing their connections
+	BrokenConnections     int // joined connections closed for malformed data
+	StaleAcknowledgements int // acknowledgements whose nonce is not in flight
+	IdleClosed            int // connections of proxies and collectors that were closed as idle
+	OutdatedProbes        int // dropped probe results, of a former process or address of a backend
 	PlannerRestarts       int // replacements of a failed decision module
 	InputPanics           int // inputs whose handling panicked
-	Streams               int // joined now
+	Streams               int // streams that are joined at present
 }
 
-// Stats returns the counts.
+// Stats returns the current counts.
 func (m *Machine) Stats() Stats {
 	stats := m.stats
 	for _, s := range m.streams {
--- a/internal/platform/streams.go
+++ b/internal/platform/streams.go
@@ -9,38 +9,40 @@
 	"gingerfork/internal/statemachine"
 )
 
-// stream is the stream of a joined proxy.
+// stream is the connection of a joined proxy, on which it is sent pushes.
 type stream struct {
 	session    *session
 	subscriber *fanout.Subscriber
 	proxy      choice.ProxyID
 	zone       choice.Zone
-	rate       float64 // RPCs per second that the proxy usually gets, as it said
+	rate       float64 // RPCs per second that the proxy usually gets, as reported when it joined
 
-	inFlight            []choice.Nonce       // sent on this stream and not acknowledged, oldest first
-	unacknowledgedSince statemachine.Seconds // meaningless while inFlight is empty
-	lastReceived        statemachine.Seconds // when data last came
+	inFlight            []choice.Nonce       // nonces sent on this stream and not acknowledged, oldest first
+	unacknowledgedSince statemachine.Seconds // when a nonce was last added to an empty inFlight; unused while that is empty
+	lastReceived        statemachine.Seconds // when data was last received
 
-	// sentExclusions has what was sent on this stream: true for an excluded backend, false for a restored one. A proxy keeps
-	// exclusions across streams, and other coordinators send them too. The state of a backend that is not in the map is
-	// unknown, unless the proxy held nothing when it joined.
+	// sentExclusions has the last exclusion state sent on this stream: true for an excluded backend, false for a restored one.
+	// A proxy keeps exclusions across streams, and other coordinators send them as well. So the state of a backend that is
+	// not in the map is unknown, unless joinedEmpty is set: then it is not excluded.
 	sentExclusions map[choice.BackendID]bool
-	joinedEmpty    bool
+	joinedEmpty    bool // the proxy held nothing when it joined; cleared by forgetBackends when that tells no more
 }
 
-// maxNoncesInFlight limits the nonces that are stored of a proxy that does not acknowledge.
+// maxNoncesInFlight limits the nonces stored for a proxy that does not acknowledge.
 const maxNoncesInFlight = 256
 
+// join makes a connection the stream of a proxy. A connection that was accepted earlier and holds the stream of the same
+// proxy is closed.
 func (m *Machine) join(now statemachine.Seconds, peer *session, message wire.ProxyJoin, out *statemachine.Effects) error {
 	if message.Proxy >= len(m.streams) || !m.zones[message.Zone] {
 		return invalidMessage("joining", "proxy %d or zone %.32q does not exist", message.Proxy, message.Zone)
 	}
 	if former := m.streams[message.Proxy]; former != nil {
 		if peer.conn < former.session.conn {
-			// This connection was opened before that of the joined stream, and its message was late: the proxy has given it up.
+			// This connection was opened before that of the joined stream, and its message is late: the proxy no longer uses it.
 			return invalidMessage("joining", "proxy %d is joined by a later stream", message.Proxy)
 		}
-		// The former connection is dead, and its end has not been seen yet. Its late end must have no effect.
+		// The former connection is dead, but its close has not been reported yet. When it is, it must have no effect.
 		m.stats.TakenOver++
 		delete(m.sessions, former.session.conn)
 		out.Abort(former.session.conn)
@@ -58,6 +60,7 @@
 	return nil
 }
 
+// leave ends a stream. It does nothing if the stream has ended already.
 func (m *Machine) leave(s *stream) {
 	if m.streams[s.proxy] != s {
 		return
@@ -69,19 +72,19 @@
 }
 
 // acknowledge handles an acknowledgement, which covers all earlier nonces of the stream as well. A nonce that is not in
-// flight on this very stream is ignored.
+// flight on this stream is ignored.
 func (m *Machine) acknowledge(s *stream, message wire.Acknowledgement) {
 	nonce := choice.Nonce(message.Nonce)
-	at := slices.Index(s.inFlight, nonce)
-	if at < 0 {
+	index := slices.Index(s.inFlight, nonce)
+	if index < 0 {
 		m.stats.StaleAcknowledgements++
 		return
 	}
-	s.inFlight = append(s.inFlight[:0], s.inFlight[at+1:]...)
+	s.inFlight = append(s.inFlight[:0], s.inFlight[index+1:]...)
 	m.events = append(m.events, choice.PushAcknowledged{Proxy: s.proxy, Nonce: nonce, Delay: message.Delay})
 }
 
-// addInFlight stores a nonce that is sent, dropping the oldest ones if there are too many.
+// addInFlight stores a nonce that is being sent. If there are too many, the oldest one is dropped.
 func (s *stream) addInFlight(now statemachine.Seconds, nonce choice.Nonce) {
 	if len(s.inFlight) == 0 {
 		s.unacknowledgedSince = now
@@ -92,8 +95,8 @@
 	}
 }
 
-// forgetBackends removes backends whose names are forgotten from what was sent on streams. A proxy may go on holding such
-// a backend as excluded. So the stream no longer counts as joined empty, and if the name comes back it is restored.
+// forgetBackends removes backends whose names are forgotten from the sentExclusions of all streams. A proxy may still hold
+// such a backend as excluded. Then its stream's joinedEmpty is cleared, so that a restore is sent if the name comes back.
 func (m *Machine) forgetBackends(backends []choice.BackendID) {
 	for _, s := range m.streams {
 		if s == nil {
--- a/internal/platform/throttled_log.go
+++ b/internal/platform/throttled_log.go
@@ -9,7 +9,7 @@
 	levelError   = 3
 )
 
-// problem is a kind of problem whose log messages are throttled.
+// problem is a kind of problem whose log messages are throttled together.
 type problem string
 
 const (
@@ -26,11 +26,11 @@
 	problemUnknownCommand    problem = "unknown command"
 )
 
-// problemInvalidMessage is the problem of invalid messages of a kind.
+// problemInvalidMessage returns the problem for invalid messages of one kind.
 func problemInvalidMessage(kind string) problem { return problem("invalid message " + kind) }
 
-// logThrottled counts a problem and logs it if the count is a power of two, so that many problems of one kind make few
-// log entries.
+// logThrottled counts a problem and logs it, with the count, if the count is a power of two. So many problems of one kind
+// cause few log entries.
 func (m *Machine) logThrottled(out *statemachine.Effects, kind problem, level int, message string, attributes ...any) {
 	m.problemCounts[kind]++
 	if count := m.problemCounts[kind]; count&(count-1) == 0 {
--- a/internal/platform/wire/decoder.go
+++ b/internal/platform/wire/decoder.go
@@ -7,16 +7,17 @@
 	"strings"
 )
 
-// maxKindBytes is longer than the name of any kind.
+// maxKindBytes is more than the length of any message kind's name.
 const maxKindBytes = 32
 
-// Decoder splits the bytes of a connection, which may come in pieces of any size, into messages.
+// Decoder splits the bytes received on a connection into messages. They may be fed to it in pieces of any size.
 type Decoder struct {
-	// MaxBytes is the limit on the size of a message; 0 stands for MaxMessageBytes, which is also the highest limit.
+	// MaxBytes is the limit on the size of a message with its line end. 0 stands for MaxMessageBytes, which is also the
+	// highest limit.
 	MaxBytes int
 
 	buffer []byte
-	start  int // of the bytes in buffer that are not decoded yet
+	start  int // offset in buffer of the first byte that is not decoded yet
 }
 
 // Feed appends received bytes.
@@ -28,8 +29,8 @@
 	d.buffer = append(d.buffer, data...)
 }
 
-// Next returns the next message, or nil if more bytes are needed. After a *MessageError decoding can go on with the
-// following message. Any other error wraps ErrTooLong or ErrMalformed and is final.
+// Next returns the next message, or nil if more bytes are needed. After a *MessageError, decoding can continue with the next
+// message. Any other error wraps ErrTooLong or ErrMalformed and is final.
 func (d *Decoder) Next() (Message, error) {
 	unread := d.buffer[d.start:]
 	lineEnd := bytes.IndexByte(unread, '\n')
@@ -46,6 +47,7 @@
 	return decodeMessage(unread[:lineEnd-1])
 }
 
+// limit returns the size limit of a message in bytes.
 func (d *Decoder) limit() int {
 	if d.MaxBytes <= 0 {
 		return MaxMessageBytes
@@ -53,10 +55,10 @@
 	return min(d.MaxBytes, MaxMessageBytes)
 }
 
-// checkIncomplete checks the bytes after the last complete message.
+// checkIncomplete returns an error if the bytes after the last complete message can't be the beginning of a message.
 func (d *Decoder) checkIncomplete(unread []byte) error {
 	if len(unread) == 0 {
-		d.buffer, d.start = nil, 0 // an idle connection needs no memory
+		d.buffer, d.start = nil, 0 // frees the memory while the connection is idle
 		return nil
 	}
 	if len(unread) > d.limit() {
@@ -65,8 +67,8 @@
 	return checkPrefix(unread)
 }
 
-// checkPrefix returns an error unless the bytes can be the beginning of a message. Without it a connection that sends
-// other data without a line end would stay open until the data exceeded the size limit.
+// checkPrefix returns an error unless the bytes can be the beginning of a message. Without this check a connection that
+// sends other data without a line end would stay open until the data exceeded the size limit.
 func checkPrefix(unread []byte) error {
 	if err := checkPrintable(bytes.TrimSuffix(unread, []byte{'\r'})); err != nil {
 		return err
@@ -81,6 +83,7 @@
 	return fmt.Errorf("%w: it begins with %.32q", ErrMalformed, kind)
 }
 
+// checkPrintable returns an error if a byte is not printable ASCII.
 func checkPrintable(data []byte) error {
 	for _, c := range data {
 		if c < ' ' || c > '~' {
@@ -90,7 +93,7 @@
 	return nil
 }
 
-// decodeMessage decodes a message without its line end.
+// decodeMessage decodes a message, given without its line end.
 func decodeMessage(data []byte) (Message, error) {
 	if err := checkPrintable(data); err != nil {
 		return nil, err
--- a/internal/platform/wire/encoder.go
+++ b/internal/platform/wire/encoder.go
@@ -13,33 +13,33 @@
 	Weight  float64
 }
 
-// Admission is the admission level of a table's methods and the number that the platform has for their retry policy.
+// Admission is the admission level and the retry policy of some of a table's methods.
 type Admission struct {
-	Level       float64
-	RetryPolicy int
+	Level       float64 // a share, or requests per second, as the settings say
+	RetryPolicy int     // the platform's number for the policy, the same as in choice.RetryPolicy
 }
 
 // Part is a part of a push. All parts of a push take effect at once.
 type Part struct {
-	Methods  []string // that the part concerns; none stands for all methods
+	Methods  []string // the methods that the part concerns; none stands for all methods
 	Complete bool     // the entries replace the whole table of the methods
 	Entries  []TableEntry
 	// Admission is nil if the part does not change it.
 	Admission *Admission
-	Exclude   []string // backends
-	Restore   []string // backends
-	// Nonce is nil if no acknowledgement is wanted.
+	Exclude   []string // names of backends that must not be used
+	Restore   []string // names of excluded backends that may be used again
+	// Nonce is what the proxy must acknowledge, nil if no acknowledgement is wanted.
 	Nonce *int
 }
 
-// maxReasonBytes is the limit on the reason of a rejection.
+// maxReasonBytes is the limit on the length of the reason in a rejection.
 const maxReasonBytes = 200
 
 // AppendHeartbeatReply appends the reply to a Heartbeat.
 func AppendHeartbeatReply(dst []byte) []byte { return append(dst, "hb_ok\r\n"...) }
 
-// AppendReject appends the message that says why a connection is refused. Characters of the reason that can't be part of
-// a field are replaced.
+// AppendReject appends the message that says why a connection is rejected. Characters of the reason that a field can't have
+// are replaced by underscores.
 func AppendReject(dst []byte, reason string) []byte {
 	dst = append(dst, "reject why="...)
 	for i := range min(len(reason), maxReasonBytes) {
@@ -52,13 +52,15 @@
 	return append(dst, "\r\n"...)
 }
 
-// AppendPush appends a push. The lists of a part that exceeds MaxMessageBytes continue in further parts. If there are
-// more parts than MaxPartsPerMessage, they are sent as several messages, the last of which has the nonce.
+// AppendPush appends a push, whose parts are lines. A part that would exceed MaxMessageBytes is split, and its lists continue
+// in further parts. If there are more than MaxPartsPerMessage parts, they form several messages, the last of which has the
+// nonce.
 func AppendPush(dst []byte, parts []Part) []byte {
-	return appendPushWithin(dst, parts, MaxMessageBytes, MaxPartsPerMessage)
+	return appendPushWithLimits(dst, parts, MaxMessageBytes, MaxPartsPerMessage)
 }
 
-func appendPushWithin(dst []byte, parts []Part, maxBytes, maxParts int) []byte {
+// appendPushWithLimits is AppendPush with given limits on the size and the number of parts.
+func appendPushWithLimits(dst []byte, parts []Part, maxBytes, maxParts int) []byte {
 	fitting := make([]Part, 0, len(parts))
 	for _, part := range parts {
 		fitting = append(fitting, splitPart(part, maxBytes)...)
@@ -70,34 +72,35 @@
 	return dst
 }
 
-// Upper bounds for the size of what is written.
+// Upper bounds for the encoded size of what is written.
 const (
-	fixedPartBytes = 256 // of a part without its lists
-	weightBytes    = 26  // of a weight with its separators
+	maxFixedPartBytes = 256 // of a part without its lists
+	maxWeightBytes    = 26  // of a weight with its separators
 )
 
-// partSplitter distributes the lists of a part over parts that fit into a size.
+// partSplitter distributes the lists of a part over several parts that do not exceed a size limit.
 type partSplitter struct {
-	methods []string
-	space   int // bytes for the lists of one part
-	used    int // bytes in current
-	current Part
-	full    []Part
+	methods  []string
+	capacity int // bytes for the lists of one part
+	used     int // bytes used by the lists of current
+	current  Part
+	filled   []Part // the parts before current
 }
 
-// splitPart returns parts of at most maxBytes that together say the same as the given one.
+// splitPart splits a part into parts of at most maxBytes each. Complete is set in the first of them; Admission and Nonce
+// are set in the last.
 func splitPart(part Part, maxBytes int) []Part {
 	methodBytes := 0
 	for _, method := range part.Methods {
 		methodBytes += len(method) + 1
 	}
 	splitter := &partSplitter{
-		methods: part.Methods,
-		space:   max(1, maxBytes-fixedPartBytes-methodBytes),
-		current: Part{Methods: part.Methods, Complete: part.Complete},
+		methods:  part.Methods,
+		capacity: max(1, maxBytes-maxFixedPartBytes-methodBytes),
+		current:  Part{Methods: part.Methods, Complete: part.Complete},
 	}
 	for _, entry := range part.Entries {
-		splitter.reserve(len(entry.Backend) + weightBytes)
+		splitter.reserve(len(entry.Backend) + maxWeightBytes)
 		splitter.current.Entries = append(splitter.current.Entries, entry)
 	}
 	for _, backend := range part.Exclude {
@@ -110,19 +113,19 @@
 	}
 	last := splitter.current
 	last.Admission, last.Nonce = part.Admission, part.Nonce
-	return append(splitter.full, last)
+	return append(splitter.filled, last)
 }
 
-// reserve makes space for a list element and begins another part if the current one has not enough.
+// reserve makes space for a list element of the given size, beginning another part if the current one has too little space.
 func (s *partSplitter) reserve(size int) {
-	if s.used > 0 && s.used+size > s.space {
-		s.full = append(s.full, s.current)
+	if s.used > 0 && s.used+size > s.capacity {
+		s.filled = append(s.filled, s.current)
 		s.current, s.used = Part{Methods: s.methods}, 0
 	}
 	s.used += size
 }
 
-// appendPart appends one part; more says that further parts of the same message follow.
+// appendPart appends one part as a line. more says that further parts of the same message follow.
 func appendPart(dst []byte, part Part, more bool) []byte {
 	dst = append(dst, kindPush...)
 	if len(part.Methods) > 0 {
@@ -148,6 +151,7 @@
 	return append(dst, "\r\n"...)
 }
 
+// appendEntries appends the field with the entries of a table, and nothing if there are none.
 func appendEntries(dst []byte, entries []TableEntry) []byte {
 	for i, entry := range entries {
 		dst = appendSeparator(dst, i, " lines=")
@@ -158,6 +162,7 @@
 	return dst
 }
 
+// appendNames appends a field with a list of names, and nothing if there are none.
 func appendNames(dst []byte, field string, names []string) []byte {
 	for i, name := range names {
 		dst = appendSeparator(dst, i, field)
@@ -166,7 +171,7 @@
 	return dst
 }
 
-// appendSeparator appends what comes before the list element of the given index.
+// appendSeparator appends what precedes the list element with the given index: the field's name or a comma.
 func appendSeparator(dst []byte, index int, field string) []byte {
 	if index == 0 {
 		return append(dst, field...)
@@ -174,24 +179,24 @@
 	return append(dst, ',')
 }
 
-// Range and precision of the numbers that are written.
+// Range and precision of encoded numbers.
 const (
-	maxWritten      = 1e9
-	writtenDecimals = 6
-	minWritten      = "0.000001"
+	maxEncodedNumber = 1e9
+	encodedDecimals  = 6
+	minEncodedNumber = "0.000001"
 )
 
-// appendNumber appends a number without an exponent, which not every receiver can read. Values that are not finite or out
-// of range are replaced by the nearest limit, NaN by 0. A positive number is never written as 0, which would mean that a
-// backend gets nothing.
+// appendNumber appends a number without an exponent, since not every receiver can read one. Values that are not finite or
+// out of range are replaced by the nearest limit, NaN by 0. A positive number is never written as 0, which would mean that a
+// backend gets no requests.
 func appendNumber(dst []byte, value float64) []byte {
 	if math.IsNaN(value) || value <= 0 {
 		return append(dst, '0')
 	}
-	text := strconv.AppendFloat(nil, min(value, maxWritten), 'f', writtenDecimals, 64)
+	text := strconv.AppendFloat(nil, min(value, maxEncodedNumber), 'f', encodedDecimals, 64)
 	text = bytes.TrimRight(bytes.TrimRight(text, "0"), ".")
 	if len(text) == 0 || string(text) == "0" {
-		return append(dst, minWritten...)
+		return append(dst, minEncodedNumber...)
 	}
 	return append(dst, text...)
 }
--- a/internal/platform/wire/encoder_test.go
+++ b/internal/platform/wire/encoder_test.go
@@ -90,8 +90,8 @@
 		for i := range rapid.IntRange(0, 30).Draw(check, "excluded") {
 			part.Exclude = append(part.Exclude, fmt.Sprint("o-", i))
 		}
-		maxBytes, maxParts := rapid.IntRange(fixedPartBytes+10, fixedPartBytes+400).Draw(check, "maxBytes"), rapid.IntRange(1, 8).Draw(check, "maxParts")
-		received := receivePushes(check, appendPushWithin(nil, []Part{part}, maxBytes, maxParts), maxBytes, maxParts)
+		maxBytes, maxParts := rapid.IntRange(maxFixedPartBytes+10, maxFixedPartBytes+400).Draw(check, "maxBytes"), rapid.IntRange(1, 8).Draw(check, "maxParts")
+		received := receivePushes(check, appendPushWithLimits(nil, []Part{part}, maxBytes, maxParts), maxBytes, maxParts)
 		if len(received.weights) != len(part.Entries) || len(received.excluded) != len(part.Exclude) || received.nonce != "7" {
 			check.Fatalf("%d entries of %d, %d exclusions of %d, nonce %q", len(received.weights), len(part.Entries),
 				len(received.excluded), len(part.Exclude), received.nonce)
--- a/internal/platform/wire/fields.go
+++ b/internal/platform/wire/fields.go
@@ -7,28 +7,29 @@
 	"strings"
 )
 
-// Upper limits of numbers. They are far above any real value and low enough for sums to stay exact.
+// Upper limits of received numbers. They are far above any real value, and low enough for sums to stay exact.
 const (
-	maxNumber       = 1<<16 - 1 // of proxies and nonces
-	maxQuantity     = 1e7
-	maxMilliseconds = 3.6e6 // an hour
+	maxIdentifier   = 1<<16 - 1 // proxy numbers and nonces
+	maxCountOrRate  = 1e7       // numbers of RPCs, attempts and failures, and RPCs per second
+	maxMilliseconds = 3.6e6     // an hour
 )
 
 const (
-	maxNameBytes          = 128
+	maxNameBytes          = 128 // of the names of zones, backends and methods
 	millisecondsPerSecond = 1000
 )
 
+// field is one name=value pair of a message.
 type field struct{ name, value string }
 
-// fields are the fields of one message. err is the first error found while they are read.
+// fields holds the fields of one message. err is the first error found while they are read.
 type fields struct {
 	kind   string
 	values []field
 	err    error
 }
 
-// message converts the fields. The result is valid only if err is nil afterwards.
+// message converts the fields to the message of their kind. The result is valid only if err is nil afterwards.
 func (f *fields) message() Message {
 	switch f.kind {
 	case kindHeartbeat:
@@ -37,15 +38,15 @@
 		return CollectorJoin{Zone: f.zone()}
 	case kindProxyJoin:
 		return ProxyJoin{
-			Proxy: f.integer("proxy", maxNumber),
+			Proxy: f.integer("proxy", maxIdentifier),
 			Zone:  f.zone(),
-			Rate:  f.number("weight", maxQuantity),
+			Rate:  f.number("weight", maxCountOrRate),
 			Fresh: f.flag("fresh"),
 		}
 	case kindAcknowledgement:
 		return Acknowledgement{
-			Proxy: f.integer("proxy", maxNumber),
-			Nonce: f.integer("mark", maxNumber),
+			Proxy: f.integer("proxy", maxIdentifier),
+			Nonce: f.integer("mark", maxIdentifier),
 			Delay: f.seconds("took_ms"),
 		}
 	case kindAttemptReport:
@@ -53,22 +54,23 @@
 	case kindUsageReport:
 		// An RPC that fails in the period may have begun before it, so there may be more failures than RPCs.
 		return UsageReport{
-			Proxy:    f.integer("proxy", maxNumber),
-			Method:   f.text("class"),
-			RPCs:     f.integer("tries", maxQuantity),
-			Failures: f.integer("failed", maxQuantity),
+			Proxy:    f.integer("proxy", maxIdentifier),
+			Method:   f.requiredText("class"),
+			RPCs:     f.integer("tries", maxCountOrRate),
+			Failures: f.integer("failed", maxCountOrRate),
 			Span:     f.span(),
 		}
 	}
 	return nil
 }
 
+// attemptReport reads the fields of an AttemptReport.
 func (f *fields) attemptReport() AttemptReport {
 	report := AttemptReport{
 		Zone:        f.zone(),
-		Backend:     f.text("server"),
-		Attempts:    f.integer("tries", maxQuantity),
-		Failures:    f.integer("failed", maxQuantity),
+		Backend:     f.requiredText("server"),
+		Attempts:    f.integer("tries", maxCountOrRate),
+		Failures:    f.integer("failed", maxCountOrRate),
 		MeanLatency: f.seconds("mean_ms"),
 		Span:        f.span(),
 		Load:        f.load(),
@@ -79,13 +81,14 @@
 	return report
 }
 
+// fail records an error, unless there is one already. The text may be sent to the peer.
 func (f *fields) fail(format string, args ...any) {
 	if f.err == nil {
 		f.err = &MessageError{Kind: f.kind, Reason: fmt.Sprintf(format, args...)}
 	}
 }
 
-// find returns the value of a field, which may be repeated with the same value only.
+// find returns the value of a field. A field that occurs more than once must have the same value each time.
 func (f *fields) find(name string) (value string, found bool) {
 	for _, candidate := range f.values {
 		if candidate.name != name {
@@ -99,7 +102,8 @@
 	return value, found
 }
 
-func (f *fields) text(name string) string {
+// requiredText reads a field that must be there and not be empty.
+func (f *fields) requiredText(name string) string {
 	value, found := f.find(name)
 	if !found || value == "" {
 		f.fail("%s is missing", name)
@@ -109,7 +113,7 @@
 	return value
 }
 
-// zone reads the zone, whose name may be empty where there is only one zone.
+// zone reads the zone. The name may be empty if there is only one zone.
 func (f *fields) zone() string {
 	value, found := f.find("zone")
 	if !found {
@@ -120,9 +124,9 @@
 	return value
 }
 
-// number reads a number from 0 to a limit.
+// number reads a number between 0 and a limit.
 func (f *fields) number(name string, limit float64) float64 {
-	value, err := strconv.ParseFloat(f.text(name), 64)
+	value, err := strconv.ParseFloat(f.requiredText(name), 64)
 	switch {
 	case f.err != nil:
 	case err != nil || math.IsNaN(value):
@@ -133,7 +137,7 @@
 	return value
 }
 
-// integer reads a whole number, in any notation, from 0 to a limit.
+// integer reads a whole number between 0 and a limit. It may be written in any notation that a number may have.
 func (f *fields) integer(name string, limit float64) int {
 	value := f.number(name, limit)
 	if f.err == nil && value != math.Trunc(value) {
@@ -145,12 +149,12 @@
 	return int(value)
 }
 
-// seconds reads a time in milliseconds and returns it in seconds.
+// seconds reads a duration in milliseconds and returns it in seconds.
 func (f *fields) seconds(name string) float64 {
 	return f.number(name, maxMilliseconds) / millisecondsPerSecond
 }
 
-// span reads the period of a report and returns it in seconds. It must not be zero.
+// span reads the period that a report covers, in milliseconds, and returns it in seconds. It must not be zero.
 func (f *fields) span() float64 {
 	value := f.number("span_ms", maxMilliseconds)
 	if f.err == nil && value <= 0 {
@@ -159,15 +163,16 @@
 	return value / millisecondsPerSecond
 }
 
+// flag reads a field that is 0 or 1.
 func (f *fields) flag(name string) bool {
-	value := f.text(name)
+	value := f.requiredText(name)
 	if f.err == nil && value != "0" && value != "1" {
 		f.fail("%s is neither 0 nor 1", name)
 	}
 	return value == "1"
 }
 
-// load reads the optional load figures of a backend, a list of name:value pairs.
+// load reads the optional load report of a backend, a list of name:value pairs. It returns nil if there is none.
 func (f *fields) load() map[string]float64 {
 	list, found := f.find("load")
 	if !found || list == "" {
--- a/internal/platform/wire/messages.go
+++ b/internal/platform/wire/messages.go
@@ -1,47 +1,47 @@
-// Package wire is the codec of the platform's messages. A message is a line that ends in CRLF and has a kind followed by
-// fields of the form name=value. The names that the platform gave to kinds and fields stay inside this package. Decoded
-// messages have times in seconds.
+// Package wire encodes and decodes the messages of the platform's protocol. A message is a line that ends in CRLF and consists
+// of a kind followed by fields of the form name=value; only a push may consist of several such lines. The platform's names
+// for kinds and fields are used in this package only. Decoded messages have times in seconds.
 package wire
 
 import "errors"
 
 // Limits of the platform.
 const (
-	MaxMessageBytes    = 1 << 20 // of one message, with its line end
-	MaxPartsPerMessage = 64      // of one message that is sent in several parts
+	MaxMessageBytes    = 1 << 20 // size in bytes of a message, or of a part of a push, with its line end
+	MaxPartsPerMessage = 64      // number of parts in one message
 )
 
-// Message is one of CollectorJoin, ProxyJoin, Acknowledgement, AttemptReport, UsageReport and Heartbeat.
+// Message is a decoded message: a CollectorJoin, ProxyJoin, Acknowledgement, AttemptReport, UsageReport or Heartbeat.
 type Message any
 
-// CollectorJoin says that the connection forwards the attempt reports of a zone.
+// CollectorJoin is the first message of a collector, which forwards the reports of a zone.
 type CollectorJoin struct{ Zone string }
 
-// ProxyJoin says that the connection is the stream of a proxy.
+// ProxyJoin is the first message of a proxy and makes the connection its stream.
 type ProxyJoin struct {
-	Proxy int
+	Proxy int // number of the proxy
 	Zone  string
 	Rate  float64 // RPCs per second that the proxy usually gets
 	Fresh bool    // the proxy has just started and holds no table
 }
 
-// Acknowledgement says that a proxy has applied all messages up to the one with the nonce.
+// Acknowledgement reports that a proxy has applied all pushes up to the one with the nonce.
 type Acknowledgement struct {
 	Proxy int
 	Nonce int
-	Delay float64 // in seconds, from sending to applying
+	Delay float64 // from sending to applying the push, in seconds
 }
 
-// AttemptReport has the attempts of all proxies of a zone at one backend.
+// AttemptReport sums up the attempts of all proxies of a zone at one backend.
 type AttemptReport struct {
 	Zone, Backend      string
 	Attempts, Failures int
 	MeanLatency        float64            // of successful attempts, in seconds
 	Span               float64            // the period that the report covers, in seconds
-	Load               map[string]float64 // as reported by the backend, by name
+	Load               map[string]float64 // the load report of the backend, by name of the value; nil if there is none
 }
 
-// UsageReport has the RPCs of one method that arrived at a proxy.
+// UsageReport sums up the RPCs of one method that arrived at a proxy.
 type UsageReport struct {
 	Proxy          int
 	Method         string
@@ -52,22 +52,23 @@
 // Heartbeat asks for a reply written by AppendHeartbeatReply.
 type Heartbeat struct{}
 
-// MessageError describes an invalid message on a connection whose framing is intact: only the message is lost.
+// MessageError reports an invalid message on a connection whose framing is intact, so that later messages can be decoded.
 type MessageError struct {
 	Kind   string
 	Reason string
 }
 
-// Error returns kind and reason. The text is sent to peers in the rejection of a connection.
+// Error returns kind and reason. The text is sent to the peer if its connection is rejected.
 func (e *MessageError) Error() string { return e.Kind + ": " + e.Reason }
 
-// Errors after which a connection can't be read any further. The texts are sent to peers in the rejection of a connection.
+// Errors after which nothing more can be decoded from a connection. The texts are sent to the peer if its connection is
+// rejected.
 var (
 	ErrTooLong   = errors.New("a message that is too long")
 	ErrMalformed = errors.New("what can't be read")
 )
 
-// The platform's names for kinds of messages.
+// The platform's names for message kinds.
 const (
 	kindCollectorJoin   = "telemetry"
 	kindProxyJoin       = "attach"
