--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -11,7 +11,8 @@
 
 // discoveryClient requests the endpoint list from the discovery service over HTTP, one request at a time on a persistent
 // connection. A watch begins with a request that discovery answers at once, which shows that discovery is up and returns the
-// changes that were missed. Long polls follow one after another until one fails. The decision module decides when to retry.
+// changes that were missed. Then long polls follow one after another until one fails. The decision module decides when to
+// retry.
 type discoveryClient struct {
 	machine   *Machine
 	addr      string
@@ -40,7 +41,7 @@
 	pollNotifyDelay statemachine.Seconds = 2
 )
 
-// defaultPollInterval is the maximum poll interval for settings that have none because they were written for other platforms.
+// defaultPollInterval is the maximum poll interval if the settings have none, because they were written for other platforms.
 const defaultPollInterval statemachine.Seconds = 10
 
 // listPath is the path at which discovery serves the endpoint list.
@@ -78,8 +79,8 @@
 	return min(timeout, pollNotifyDelay)
 }
 
-// watch starts a watch. If one is running, it reports an empty update, which tells the decision module that the watch goes
-// on.
+// watch starts a watch if no request is active. During a long poll it only reports an empty update, which tells the decision
+// module that the watch goes on.
 func (d *discoveryClient) watch(now statemachine.Seconds, out *statemachine.Effects) {
 	if !d.active {
 		d.startRequest(now, false, d.machine.endpoints.needsFullList(), out)
@@ -131,6 +132,7 @@
 	out.Write(d.conn, fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", path, d.addr))
 }
 
+// connectionOpened sends the active request, which has waited for the connection.
 func (d *discoveryClient) connectionOpened(now statemachine.Seconds, out *statemachine.Effects) {
 	d.connected = true
 	if d.active {
@@ -158,7 +160,7 @@
 	}
 }
 
-// dataReceived handles data that discovery has sent. Data outside of a response closes the connection.
+// dataReceived handles data of a response. It closes the connection if no response is expected.
 func (d *discoveryClient) dataReceived(now statemachine.Seconds, data []byte, out *statemachine.Effects) {
 	if !d.active || !d.requestSent {
 		if len(data) > 0 {
@@ -234,6 +236,7 @@
 	d.machine.logThrottled(out, problemDiscovery, levelWarning, "discovery request failed", "addr", d.addr, "cause", cause.Error())
 }
 
+// closeConnection aborts the connection, if there is one.
 func (d *discoveryClient) closeConnection(out *statemachine.Effects) {
 	if d.conn == 0 {
 		return
--- a/internal/platform/idle.go
+++ b/internal/platform/idle.go
@@ -49,16 +49,16 @@
 	if now > m.lastReceived+timeout/4 {
 		return
 	}
-	for _, s := range m.streams {
-		if s == nil || len(s.inFlight) == 0 || now < max(s.unacknowledgedSince, s.lastReceived, m.lastPauseEnd)+timeout {
+	for _, candidate := range m.streams {
+		if candidate == nil || len(candidate.inFlight) == 0 || now < max(candidate.unacknowledgedSince, candidate.lastReceived, m.lastPauseEnd)+timeout {
 			continue
 		}
 		m.stats.IdleClosed++
 		m.logThrottled(out, problemIdleStream, levelWarning, "idle stream with missing acknowledgements closed",
-			"proxy", int(s.proxy), "silent_s", now-s.lastReceived)
-		delete(m.sessions, s.session.conn)
-		out.Abort(s.session.conn)
-		m.leave(s)
+			"proxy", int(candidate.proxy), "silent_s", now-candidate.lastReceived)
+		delete(m.sessions, candidate.session.conn)
+		out.Abort(candidate.session.conn)
+		m.leave(candidate)
 	}
 }
 
@@ -66,22 +66,22 @@
 // the same zone: the collector has lost the old connection without closing it and has connected again. Nothing else would
 // ever free the old file descriptor.
 func (m *Machine) closeReplacedCollectors(now statemachine.Seconds, out *statemachine.Effects) {
-	m.collectors = slices.DeleteFunc(m.collectors, func(s *session) bool { return m.sessions[s.conn] != s })
-	newest := map[string]*session{}
-	for _, s := range m.collectors {
-		if other := newest[s.zone]; other == nil || s.conn > other.conn {
-			newest[s.zone] = s
+	m.collectors = slices.DeleteFunc(m.collectors, func(collector *session) bool { return m.sessions[collector.conn] != collector })
+	latestByZone := map[string]*session{}
+	for _, collector := range m.collectors {
+		if latest := latestByZone[collector.zone]; latest == nil || collector.conn > latest.conn {
+			latestByZone[collector.zone] = collector
 		}
 	}
-	for _, s := range m.collectors {
-		other := newest[s.zone]
-		if other == s || other.lastReceived <= s.lastReceived || now < max(s.lastReceived, m.lastPauseEnd)+m.idleTimeout() {
+	for _, collector := range m.collectors {
+		latest := latestByZone[collector.zone]
+		if latest == collector || latest.lastReceived <= collector.lastReceived || now < max(collector.lastReceived, m.lastPauseEnd)+m.idleTimeout() {
 			continue
 		}
 		m.stats.IdleClosed++
 		m.logThrottled(out, problemReplacedCollector, levelWarning, "idle collector connection closed: replaced by a later connection",
-			"zone", s.zone, "silent_s", now-s.lastReceived)
-		delete(m.sessions, s.conn)
-		out.Abort(s.conn)
+			"zone", collector.zone, "silent_s", now-collector.lastReceived)
+		delete(m.sessions, collector.conn)
+		out.Abort(collector.conn)
 	}
 }
--- a/internal/platform/machine.go
+++ b/internal/platform/machine.go
@@ -15,10 +15,10 @@
 
 // Bootstrap is the start-up configuration of a Machine.
 type Bootstrap struct {
-	Name       string
-	Discovery  string // address of the discovery service
-	Module     choice.Config
-	CachedList []byte // the last known endpoint list in discovery's format, empty if there is none
+	Name       string        // of the coordinator
+	Discovery  string        // address of the discovery service
+	Module     choice.Config // configuration of the decision module
+	CachedList []byte        // the last known endpoint list in discovery's format, empty if there is none
 	// MaxConnections limits the open connections. Above the limit a new connection makes the Machine close the oldest
 	// connection that has not completed its handshake.
 	MaxConnections   int
@@ -30,14 +30,14 @@
 // Machine is the coordinator's state machine. It implements statemachine.Machine.
 type Machine struct {
 	boot        Bootstrap
-	planner     *choice.Planner
+	planner     *choice.Planner // the instance of the decision module
 	distributor *fanout.Distributor
 	endpoints   *endpointRegistry
 	discovery   discoveryClient
 	probes      prober
 
 	sessions    map[statemachine.Conn]*session
-	handshaking []*session        // in their handshake, oldest first; may contain sessions that have joined or ended, which are skipped
+	handshaking []*session        // oldest first; may contain sessions that are no longer in their handshake
 	streams     []*stream         // by proxy number; nil for a proxy that is not joined
 	collectors  []*session        // may contain closed ones until the next periodic check
 	lastDialed  statemachine.Conn // the connection number given to the last dialed connection
@@ -50,16 +50,17 @@
 
 	events   []choice.Event       // queued for the next step of the decision module
 	timerDue statemachine.Seconds // time of the earliest timer that the decision module has set
-	timerID  choice.TimerID
+	timerID  choice.TimerID       // of that timer
 
+	// Times.
 	lastDecision      statemachine.Seconds // the last step of the decision module
 	lastRestart       statemachine.Seconds // the last replacement of a failed decision module
 	lastReceived      statemachine.Seconds // the last data from a proxy, a collector or a connection in its handshake
 	lastPeriodicCheck statemachine.Seconds
 	lastPauseEnd      statemachine.Seconds // the end of the last period in which the process did not run
 
-	pendingReload   *Bootstrap // set by Reload until the next step
-	problemCounts   map[problem]int
+	pendingReload   *Bootstrap                  // set by Reload until the next step
+	problemCounts   map[problem]int             // counted by logThrottled
 	loggedUnhealthy map[choice.BackendID]string // why the decision module avoids a backend, as last logged
 	stats           Stats
 }
--- a/internal/platform/probes.go
+++ b/internal/platform/probes.go
@@ -65,25 +65,25 @@
 		backend: id, endpoint: target.endpoint, startedAt: now, addr: target.addr,
 		response: responseParser{maxBytes: maxProbeResponseBytes},
 	}
-	s := &session{conn: p.machine.dial(target.addr, out), role: roleProbe, probe: started}
-	p.machine.sessions[s.conn] = s
-	p.active = append(p.active, s)
+	opened := &session{conn: p.machine.dial(target.addr, out), role: roleProbe, probe: started}
+	p.machine.sessions[opened.conn] = opened
+	p.active = append(p.active, opened)
 }
 
 // connectionOpened sends the request of a probe: for the load report if the settings name a source of load feedback, and
 // for the health otherwise.
-func (p *prober) connectionOpened(s *session, out *statemachine.Effects) {
+func (p *prober) connectionOpened(peer *session, out *statemachine.Effects) {
 	path := healthPath
 	if source := p.machine.boot.Module.Settings.FeedbackSource; source != "" && source != "none" {
 		path = loadPath
 	}
-	out.Write(s.conn, fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n", path, s.probe.addr))
+	out.Write(peer.conn, fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n", path, peer.probe.addr))
 }
 
 // failedLocally ends a probe that could not be sent for lack of a local resource, which says nothing about the backend.
-func (p *prober) failedLocally(now statemachine.Seconds, s *session, out *statemachine.Effects) {
-	p.machine.logThrottled(out, problemProbeNotSent, levelWarning, "probe not sent for lack of local resources", "addr", s.probe.addr)
-	p.remove(s)
+func (p *prober) failedLocally(now statemachine.Seconds, peer *session, out *statemachine.Effects) {
+	p.machine.logThrottled(out, problemProbeNotSent, levelWarning, "probe not sent for lack of local resources", "addr", peer.probe.addr)
+	p.remove(peer)
 	p.startQueued(now, out)
 }
 
@@ -118,15 +118,15 @@
 // finish ends a probe and reports its result to the decision module. The result is dropped if, according to the endpoint
 // list, the backend was removed, restarted or moved to another address since the probe started, because then it is the result
 // of the former process.
-func (p *prober) finish(now statemachine.Seconds, s *session, result choice.ProbeResult, ended bool, out *statemachine.Effects) {
+func (p *prober) finish(now statemachine.Seconds, peer *session, result choice.ProbeResult, ended bool, out *statemachine.Effects) {
 	if !ended {
-		out.Abort(s.conn)
+		out.Abort(peer.conn)
 	}
-	p.remove(s)
-	if p.outdated(s.probe) {
+	p.remove(peer)
+	if p.outdated(peer.probe) {
 		p.machine.stats.OutdatedProbes++
 	} else {
-		result.Backend, result.Latency = s.probe.backend, now-s.probe.startedAt
+		result.Backend, result.Latency = peer.probe.backend, now-peer.probe.startedAt
 		p.machine.events = append(p.machine.events, result)
 	}
 	p.startQueued(now, out)
@@ -139,9 +139,9 @@
 }
 
 // remove removes the session of a probe.
-func (p *prober) remove(s *session) {
-	delete(p.machine.sessions, s.conn)
-	p.active = slices.DeleteFunc(p.active, func(active *session) bool { return active == s })
+func (p *prober) remove(peer *session) {
+	delete(p.machine.sessions, peer.conn)
+	p.active = slices.DeleteFunc(p.active, func(active *session) bool { return active == peer })
 }
 
 // timeout returns the time limit of a probe: half of the shortest soft deadline of any method. A backend that takes longer
--- a/internal/platform/recovery.go
+++ b/internal/platform/recovery.go
@@ -13,9 +13,9 @@
 
 // Errors for panics that were recovered from.
 var (
-	errStepPanic          = errors.New("a step panicked")
-	errPlannerPanic       = errors.New("the decision module panicked")
-	errResponseNotHandled = errors.New("handling the response panicked")
+	errStepPanic     = errors.New("a step panicked")
+	errPlannerPanic  = errors.New("the decision module panicked")
+	errResponsePanic = errors.New("handling the response panicked")
 )
 
 // restartDelay is the delay before the first step of a restarted decision module if the last restart was less than this
@@ -31,10 +31,10 @@
 	if m.endpoints.loaded {
 		m.events = append(m.events, m.endpoints.cachedUpdate())
 	}
-	for _, s := range m.streams {
-		if s != nil {
-			s.subscriber, s.inFlight = m.distributor.Join(s.proxy), nil
-			m.events = append(m.events, choice.ProxyJoined{Proxy: s.proxy, Zone: s.zone, Rate: s.rate})
+	for _, joined := range m.streams {
+		if joined != nil {
+			joined.subscriber, joined.inFlight = m.distributor.Join(joined.proxy), nil
+			m.events = append(m.events, choice.ProxyJoined{Proxy: joined.proxy, Zone: joined.zone, Rate: joined.rate})
 		}
 	}
 }
@@ -100,7 +100,7 @@
 		m.leaveBySession(peer)
 	case roleDiscovery:
 		m.discovery.conn, m.discovery.connected = 0, false
-		m.discovery.requestFailed(errResponseNotHandled, out)
+		m.discovery.requestFailed(errResponsePanic, out)
 	case roleProbe:
 		m.probes.active = slices.DeleteFunc(m.probes.active, func(active *session) bool { return active == peer })
 	}
@@ -108,9 +108,9 @@
 
 // leaveBySession ends the stream of a session. It finds the stream without the session's fields, which may be inconsistent
 // after a panic.
-func (m *Machine) leaveBySession(s *session) {
+func (m *Machine) leaveBySession(peer *session) {
 	for _, candidate := range m.streams {
-		if candidate != nil && candidate.session == s {
+		if candidate != nil && candidate.session == peer {
 			m.leave(candidate)
 		}
 	}
--- a/internal/platform/reports.go
+++ b/internal/platform/reports.go
@@ -34,7 +34,7 @@
 	return invalidMessage("joining", "it is joined already")
 }
 
-// handleHandshake handles the first message of a connection that is not a heartbeat, which must be a join. The texts of its
+// handleHandshake handles the first message of a connection other than heartbeats. Only a join is valid. The texts of the
 // errors are sent to the peer.
 func (m *Machine) handleHandshake(now statemachine.Seconds, peer *session, message wire.Message, out *statemachine.Effects) error {
 	switch message := message.(type) {
--- a/internal/platform/sessions.go
+++ b/internal/platform/sessions.go
@@ -58,10 +58,10 @@
 // oldestHandshaking returns the oldest session in its handshake, or nil. The sessions before it in the list have joined or
 // are closed; they are removed, so that they are not scanned again for each connection of a flood.
 func (m *Machine) oldestHandshaking() *session {
-	for i, s := range m.handshaking {
-		if m.sessions[s.conn] == s && s.role == roleHandshake {
+	for i, candidate := range m.handshaking {
+		if m.sessions[candidate.conn] == candidate && candidate.role == roleHandshake {
 			m.handshaking = m.handshaking[i:]
-			return s
+			return candidate
 		}
 	}
 	m.handshaking = nil
@@ -70,13 +70,13 @@
 
 // expireHandshakes closes the connections whose handshakes have timed out and schedules a step at the next timeout.
 func (m *Machine) expireHandshakes(now statemachine.Seconds, out *statemachine.Effects) {
-	for s := m.oldestHandshaking(); s != nil; s = m.oldestHandshaking() {
-		deadline := s.openedAt + m.boot.HandshakeTimeout
+	for oldest := m.oldestHandshaking(); oldest != nil; oldest = m.oldestHandshaking() {
+		deadline := oldest.openedAt + m.boot.HandshakeTimeout
 		if now < deadline {
 			out.WakeBy(deadline)
 			return
 		}
-		m.endSession(s, "it did not join in time", out)
+		m.endSession(oldest, "it did not join in time", out)
 	}
 }
 
--- a/internal/platform/streams.go
+++ b/internal/platform/streams.go
@@ -61,27 +61,27 @@
 }
 
 // leave ends a stream. It does nothing if the stream has ended already.
-func (m *Machine) leave(s *stream) {
-	if m.streams[s.proxy] != s {
+func (m *Machine) leave(left *stream) {
+	if m.streams[left.proxy] != left {
 		return
 	}
-	m.streams[s.proxy] = nil
-	m.distributor.Leave(s.subscriber)
+	m.streams[left.proxy] = nil
+	m.distributor.Leave(left.subscriber)
 	m.stats.Leaves++
-	m.events = append(m.events, choice.ProxyLeft{Proxy: s.proxy})
+	m.events = append(m.events, choice.ProxyLeft{Proxy: left.proxy})
 }
 
 // acknowledge handles an acknowledgement, which covers all earlier nonces of the stream as well. A nonce that is not in
 // flight on this stream is ignored.
-func (m *Machine) acknowledge(s *stream, message wire.Acknowledgement) {
+func (m *Machine) acknowledge(receiver *stream, message wire.Acknowledgement) {
 	nonce := choice.Nonce(message.Nonce)
-	index := slices.Index(s.inFlight, nonce)
+	index := slices.Index(receiver.inFlight, nonce)
 	if index < 0 {
 		m.stats.StaleAcknowledgements++
 		return
 	}
-	s.inFlight = append(s.inFlight[:0], s.inFlight[index+1:]...)
-	m.events = append(m.events, choice.PushAcknowledged{Proxy: s.proxy, Nonce: nonce, Delay: message.Delay})
+	receiver.inFlight = append(receiver.inFlight[:0], receiver.inFlight[index+1:]...)
+	m.events = append(m.events, choice.PushAcknowledged{Proxy: receiver.proxy, Nonce: nonce, Delay: message.Delay})
 }
 
 // addInFlight stores a nonce that is being sent. If there are too many, the oldest one is dropped.
@@ -98,13 +98,13 @@
 // forgetBackends removes backends whose names are forgotten from the sentExclusions of all streams. A proxy may still hold
 // such a backend as excluded. Then its stream's joinedEmpty is cleared, so that a restore is sent if the name comes back.
 func (m *Machine) forgetBackends(backends []choice.BackendID) {
-	for _, s := range m.streams {
-		if s == nil {
+	for _, joined := range m.streams {
+		if joined == nil {
 			continue
 		}
 		for _, id := range backends {
-			s.joinedEmpty = s.joinedEmpty && !s.sentExclusions[id]
-			delete(s.sentExclusions, id)
+			joined.joinedEmpty = joined.joinedEmpty && !joined.sentExclusions[id]
+			delete(joined.sentExclusions, id)
 		}
 	}
 }
