--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -14,8 +14,8 @@
 
 // NodeConfig is the configuration of a coordinator process, from its configuration file and its environment.
 type NodeConfig struct {
-	Name, Listen, Discovery string
-	Seed                    uint64
+	Name, Listen, Discovery string          // the last two are addresses
+	Seed                    uint64          // of the decision module's random numbers
 	Cores                   float64         // 0: no limit
 	Memory                  int64           // bytes; 0: no limit
 	Sockets                 int             // file descriptors in use at once; 0: no limit
@@ -158,11 +158,11 @@
 }
 
 const (
-	// reservedFileDescriptors is the number of file descriptors that the process uses for other things than connections: the
+	// reservedFileDescriptors is the number of file descriptors that the process needs beside those of connections: for the
 	// listener, event loops and logs.
 	reservedFileDescriptors = 20
 	// closingConnectionHeadroom is by how much the event loop's connection limit exceeds that of the Machine, so that new
-	// connections are still accepted while the Machine closes others to make place for them.
+	// connections are still accepted while the Machine closes others to make room for them.
 	closingConnectionHeadroom = 16
 )
 
@@ -177,7 +177,7 @@
 // Defaults and bounds of the limits in Bootstrap.
 const (
 	defaultMaxProbes        = 8
-	connectionsPerProbe     = 16 // one probe may be in flight for so many connections of the limit
+	connectionsPerProbe     = 16 // of the connection limit, for each probe that may be in flight
 	defaultMaxResponseBytes = 8 << 20
 	minResponseBytes        = 1 << 18
 	memoryPerResponseByte   = 16 // the longest response is 1/16 of the memory limit
--- a/internal/platform/machine.go
+++ b/internal/platform/machine.go
@@ -117,6 +117,7 @@
 // effect. It must not be called during a step.
 func (m *Machine) Reload(boot Bootstrap) { m.pendingReload = &boot }
 
+// applyReload applies the configuration of the last call of Reload, if there was one since the last step.
 func (m *Machine) applyReload(now statemachine.Seconds, out *statemachine.Effects) {
 	if m.pendingReload == nil {
 		return
--- a/internal/platform/response.go
+++ b/internal/platform/response.go
@@ -38,7 +38,7 @@
 	maxContentLength    = 1 << 40 // a longer response is treated as this long
 )
 
-// Errors of responseParser.feed. The last two wrap an error of net/http.
+// Errors of responseParser.feed. The last two are wrapped together with an error of net/http.
 var (
 	errResponseTooLong   = errors.New("HTTP response is too long")
 	errInvalidResponse   = errors.New("invalid HTTP response")
--- a/internal/platform/streams.go
+++ b/internal/platform/streams.go
@@ -25,7 +25,7 @@
 	// A proxy keeps exclusions across streams, and other coordinators send them as well. So the state of a backend that is
 	// not in the map is unknown, unless joinedEmpty is set: then it is not excluded.
 	sentExclusions map[choice.BackendID]bool
-	joinedEmpty    bool // the proxy held nothing when it joined; cleared by forgetBackends when that tells no more
+	joinedEmpty    bool // the proxy held nothing when it joined; cleared by forgetBackends
 }
 
 // maxNoncesInFlight limits the nonces stored for a proxy that does not acknowledge.
