--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -6,18 +6,18 @@
 	"gingerfork/internal/statemachine"
 )
 
-// Clock tells the seconds since 1970. It reads the wall clock only when it is made and follows the monotonic clock from
-// then on, so that it never jumps. Machines that share a Clock agree on the time.
+// Clock returns the time in seconds since the Unix epoch. It reads the wall clock only when it is created and follows the
+// monotonic clock afterwards, so it never jumps. Machines that share a Clock agree on the time.
 type Clock struct {
-	startSeconds statemachine.Seconds // wall-clock time at start, since 1970
+	startSeconds statemachine.Seconds // wall-clock time at start
 	start        time.Time
 }
 
-// NewClock returns a clock that starts at the present wall-clock time.
+// NewClock returns a clock that starts at the current wall-clock time.
 func NewClock() *Clock {
 	now := time.Now()
 	return &Clock{startSeconds: float64(now.UnixNano()) / 1e9, start: now}
 }
 
-// Now returns the time in seconds since 1970.
+// Now returns the current time in seconds since the Unix epoch.
 func (c *Clock) Now() statemachine.Seconds { return c.startSeconds + time.Since(c.start).Seconds() }
--- a/internal/eventloop/config.go
+++ b/internal/eventloop/config.go
@@ -10,47 +10,49 @@
 )
 
 const (
-	defaultMaxWriteBuffer  = 4 << 20  // bytes a connection
-	defaultMaxPendingInput = 64 << 20 // bytes
+	defaultMaxWriteBuffer  = 4 << 20  // bytes per connection
+	defaultMaxPendingInput = 64 << 20 // bytes, of all connections
 	defaultDialTimeout     = 5 * time.Second
 	defaultEventLoops      = 1
 )
 
-// Bootstrap is the configuration of a Loop. Only Machine is required; what the zero value of the other fields means is
-// said at each.
+// Bootstrap is the configuration of a Loop. Only Machine is required; the other fields document the meaning of their zero
+// value.
 type Bootstrap struct {
-	// Machine is the state machine to drive. Only the loop may call it until Wait has returned.
+	// Machine is the state machine to drive. Only the loop may call its methods until Wait has returned.
 	Machine statemachine.Machine
-	// Listen holds the TCP addresses to listen on; Input.Listener is an index into it. Empty: the loop only dials.
+	// Listen holds the TCP addresses to listen on; Input.Listener is an index into it. Empty: no connections are accepted.
 	Listen []string
-	// Store is where mutations are persisted; nil: they are discarded. The caller closes it after Wait has returned.
+	// Store persists the machine's mutations; nil: they are discarded. The caller closes it after Wait has returned.
 	Store *store.Store
-	// Dir is the folder for the files that the machine saves; "": they are discarded.
+	// Dir is the directory for the files that the machine saves; "": they are discarded.
 	Dir string
-	// EventLoops is how many gnet event loops read and write; 0: one.
+	// EventLoops is the number of gnet event loops that read and write; 0: one.
 	EventLoops int
-	// MaxWriteBuffer bounds the bytes that wait for a peer that does not read; a connection past it is reset. 0: 4 MiB.
+	// MaxWriteBuffer limits the unsent bytes of a connection whose peer does not read; a connection that would exceed it
+	// is reset. 0: 4 MiB.
 	MaxWriteBuffer int
-	// MaxPendingInput bounds the bytes that wait for the machine; past it nothing is read from any connection. 0: 64 MiB.
+	// MaxPendingInput limits the received bytes that wait for the machine; above it reading from all connections is
+	// suspended. 0: 64 MiB.
 	MaxPendingInput int
-	// MaxConnections bounds the open connections, those that are being dialed included; past it none is accepted before
-	// one has closed. The machine chooses which to close and must do so below this bound. 0: unbounded.
+	// MaxConnections limits the number of connections, including those being dialed; at the limit none is accepted until
+	// one has closed. The machine chooses which connections to close, and must do so below this limit. 0: unlimited.
 	MaxConnections int
-	// DialTimeout bounds each dial; 0: 5 s.
+	// DialTimeout limits the duration of each dial; 0: 5 s.
 	DialTimeout time.Duration
 	// Log receives the loop's own log entries and the machine's; nil: they are discarded.
 	Log *slog.Logger
-	// Trace receives the trace records of each step that has any, on the goroutine that runs the machine; nil: they are
-	// discarded. The slice is valid only during the call.
+	// Trace receives the trace records of each step that has any. It runs on the machine's goroutine, and the slice is valid
+	// only during the call. nil: the records are discarded.
 	Trace func([]trace.Record)
-	// RewriteDialAddress maps each address before it is dialed, on the dial's own goroutine; nil: addresses stay as they
-	// are.
+	// RewriteDialAddress replaces each address before it is dialed. It runs on the dial's own goroutine. nil: addresses are
+	// dialed as they are.
 	RewriteDialAddress func(addr string) string
-	// Clock is the machine's time; nil: a clock that is made at the start.
+	// Clock provides the machine's time; nil: a new clock is created at the start.
 	Clock *Clock
 }
 
-// withDefaults returns b with its zero values replaced.
+// withDefaults returns b with zero values replaced by their defaults.
 func (b Bootstrap) withDefaults() Bootstrap {
 	b.MaxWriteBuffer = valueOrDefault(b.MaxWriteBuffer, defaultMaxWriteBuffer)
 	b.MaxPendingInput = valueOrDefault(b.MaxPendingInput, defaultMaxPendingInput)
@@ -65,6 +67,7 @@
 	return b
 }
 
+// valueOrDefault returns value, or defaultValue if value is zero.
 func valueOrDefault[T comparable](value, defaultValue T) T {
 	var zero T
 	if value == zero {
--- a/internal/eventloop/connection.go
+++ b/internal/eventloop/connection.go
@@ -9,33 +9,33 @@
 	"gingerfork/internal/statemachine"
 )
 
-// connection is one connection, from its accept or dial until its end. Each group of fields belongs to one goroutine.
+// connection is one connection, from accept or dial until it is closed. Each group of fields is owned by one goroutine.
 type connection struct {
-	// Set when it is made, and never changed.
+	// Set at creation and never changed.
 	id         statemachine.Conn
-	listener   int                // index into Bootstrap.Listen; 0 when it was dialed
-	cancelDial context.CancelFunc // ends its dial; nil when it was accepted
+	listener   int                // index into Bootstrap.Listen; 0 if the connection was dialed
+	cancelDial context.CancelFunc // cancels the dial; nil if the connection was accepted
 
-	// Set by OnOpen before ConnOpened is enqueued, and never changed after.
+	// Set by OnOpen before ConnOpened is enqueued, and never changed afterwards.
 	gnetConn gnet.Conn
 
 	// Owned by the machine's goroutine.
-	opened   bool // the machine was handed its ConnOpened
-	released bool // the machine closed or aborted it: nothing more about it is handed to the machine
+	opened   bool // ConnOpened was passed to the machine
+	released bool // the machine closed or aborted it, and gets no further input for it
 
-	// Owned by its event loop.
+	// Owned by the connection's event loop.
 	slowReader bool // it was reset because its peer did not read
-	closed     bool // gnet closed it, and its descriptor may belong to another connection by now
+	closed     bool // gnet has closed it, so another connection may already use its descriptor
 }
 
-// connectionTask is one action on a connection, to be done by the connection's event loop.
+// connectionTask is an action on a connection that the connection's event loop carries out.
 type connectionTask struct {
 	connection *connection
 	kind       statemachine.ActionKind
 	data       []byte
 }
 
-// applyAction carries out one action that the machine decided on. It runs on the machine's goroutine.
+// applyAction carries out one action requested by the machine. It runs on the machine's goroutine.
 func (l *Loop) applyAction(action statemachine.Action) error {
 	if action.Kind == statemachine.ActionDial {
 		l.startDial(action.Conn, action.Addr)
@@ -51,8 +51,8 @@
 	}
 	if !conn.opened {
 		if conn.released {
-			// The descriptor of the dial is given back at once. If the connection has just been opened, receiveOpened
-			// closes it.
+			// Canceling releases the descriptor of the dial immediately. If the connection has just been opened,
+			// trackConnection closes it.
 			conn.cancelDial()
 		}
 		return nil
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// submit queues a task for its connection's event loop. Tasks of one event loop run in the order of their submission: gnet
-// alone does not keep it, because it defers what is submitted while many tasks wait and may run later ones before.
+// submit queues a task for its connection's event loop. Tasks of one event loop run in the order of submission. gnet alone
+// does not guarantee that: it defers tasks that are submitted while many are queued, and may run later ones first.
 func (l *Loop) submit(task connectionTask) error {
 	eventLoop := task.connection.gnetConn.EventLoop()
 	l.tasksMu.Lock()
@@ -73,7 +73,7 @@
 	l.tasks[eventLoop] = append(l.tasks[eventLoop], task)
 	l.tasksMu.Unlock()
 	if waiting > 0 {
-		return nil // the run that was requested for the first waiting task does this one, too
+		return nil // the run requested for the first queued task also runs this one
 	}
 	return eventLoop.Execute(l.ctx, gnet.RunnableFunc(func(context.Context) error {
 		l.tasksMu.Lock()
@@ -87,11 +87,11 @@
 	}))
 }
 
-// runTask does one task, on the event loop of its connection.
+// runTask carries out one task, on the event loop of its connection.
 func (l *Loop) runTask(task connectionTask) {
 	conn := task.connection
-	// The connection may have been closed since the task was submitted, and gnet writes to a descriptor number without
-	// regard to which connection has it now.
+	// The connection may have been closed since the task was submitted. gnet writes to the descriptor number regardless of
+	// which connection uses it now.
 	if conn.closed {
 		return
 	}
@@ -99,13 +99,13 @@
 	case statemachine.ActionWrite:
 		l.write(conn, task.data)
 	case statemachine.ActionAbort:
-		reset(conn.gnetConn)
+		resetConnection(conn.gnetConn)
 	default:
-		_ = conn.gnetConn.Close() // the machine no longer follows it, and gnet logs nothing that would help
+		_ = conn.gnetConn.Close() // the machine gets no more input for it, and the error has no diagnostic value
 	}
 }
 
-// write sends data, or resets a connection whose peer reads so slowly that more than MaxWriteBuffer would wait for it.
+// write sends data. It resets the connection if its peer reads so slowly that more than MaxWriteBuffer would be buffered.
 func (l *Loop) write(conn *connection, data []byte) {
 	if conn.slowReader {
 		return
@@ -113,14 +113,14 @@
 	if conn.gnetConn.OutboundBuffered()+len(data) > l.config.MaxWriteBuffer {
 		conn.slowReader = true
 		l.recordSlowReader()
-		reset(conn.gnetConn)
+		resetConnection(conn.gnetConn)
 		return
 	}
-	_, _ = conn.gnetConn.Write(data) // after a failed write gnet closes the connection, and OnClose reports that
+	_, _ = conn.gnetConn.Write(data) // gnet closes the connection after a failed write, which OnClose reports
 }
 
-// reset closes a connection without sending what waits for its peer.
-func reset(gnetConn gnet.Conn) {
-	_ = gnetConn.SetLinger(0) // without it the close is an orderly one, which is still an end
-	_ = gnetConn.Close()      // OnClose reports the end, where anybody waits for it
+// resetConnection closes a connection and discards unsent data.
+func resetConnection(gnetConn gnet.Conn) {
+	_ = gnetConn.SetLinger(0) // if this fails, the close is orderly instead of a reset, which is acceptable
+	_ = gnetConn.Close()      // OnClose reports the close
 }
--- a/internal/eventloop/connection_test.go
+++ b/internal/eventloop/connection_test.go
@@ -14,7 +14,7 @@
 	"gingerfork/internal/statemachine"
 )
 
-// A peer that does not read is cut off at a bound, and no other connection suffers.
+// A connection whose peer does not read is reset when MaxWriteBuffer is exceeded. Other connections are not affected.
 func TestSlowReaderIsReset(t *testing.T) {
 	machine := newEchoMachine()
 	machine.writeOnOpen = 64 << 20
@@ -28,17 +28,17 @@
 	machine.mu.Unlock()
 	mustEcho(t, dial(t, loop.Addrs()[0]), "x")
 	if n := loop.Figures().SlowReadersClosed; n != 1 {
-		t.Fatalf("%d slow readers are counted, 1 was closed", n)
+		t.Fatalf("SlowReadersClosed is %d after 1 slow reader was reset", n)
 	}
 }
 
-// pausingMachine pauses inside a step at a command, until the test resumes it, and then emits effects. So a test can have
-// events happen between the machine's decision and its execution.
+// pausingMachine pauses inside the step that receives the first command until the test resumes it, and then emits effects.
+// A test uses it to make events happen between the machine's decision and the execution of its actions.
 type pausingMachine struct {
 	conns  []statemachine.Conn
 	paused chan struct{} // the step has paused
 	resume chan struct{}
-	decide func(out *statemachine.Effects, conns []statemachine.Conn) // runs after the pause, once
+	decide func(out *statemachine.Effects, conns []statemachine.Conn) // called once, after the pause
 }
 
 func newPausingMachine(decide func(out *statemachine.Effects, conns []statemachine.Conn)) *pausingMachine {
@@ -60,20 +60,21 @@
 	}
 }
 
-// queuedConnections returns the connections of the inputs of a kind that wait for the machine.
+// queuedConnections returns the connections of the inputs of the given kind that are queued for the machine.
 func queuedConnections(loop *Loop, kind statemachine.InputKind) (queued []*connection) {
 	loop.mu.Lock()
 	defer loop.mu.Unlock()
-	for _, m := range loop.queue {
-		if m.input.Kind == kind && m.connection != nil {
-			queued = append(queued, m.connection)
+	for _, entry := range loop.queue {
+		if entry.input.Kind == kind && entry.connection != nil {
+			queued = append(queued, entry.connection)
 		}
 	}
 	return queued
 }
 
-// Connections close after the machine decided to write to them and before that is done, and others get their descriptors.
-// No byte may reach those, and their close must be the one that was asked for, not a reset meant for a closed connection.
+// Connections are closed after the machine has decided to write to them or abort them, and before that is carried out, and
+// new connections reuse their descriptors. The new connections must receive no byte of theirs, and must be closed in an
+// orderly way, not by a reset meant for a closed connection.
 func TestTasksOfClosedConnectionsReachNoOtherConnection(t *testing.T) {
 	for name, act := range map[string]func(out *statemachine.Effects, conn statemachine.Conn){
 		"write": func(out *statemachine.Effects, conn statemachine.Conn) { out.Write(conn, []byte("not for you")) },
@@ -86,44 +87,46 @@
 				}
 			})
 			loop := startLoop(t, Bootstrap{Machine: machine})
-			t.Cleanup(func() { close(machine.resume) }) // runs before the loop's end: a test that fails must not wait for the step
+			// Runs before startLoop's cleanup, which would otherwise wait for the paused step if the test fails.
+			t.Cleanup(func() { close(machine.resume) })
 			old, descriptors := openConnections(t, loop, 24)
 			loop.SendCommand("pause")
 			<-machine.paused
 			for _, conn := range old {
 				conn.Close()
 			}
-			eventually(t, "all their ends are queued", func() bool {
+			eventually(t, "the closes of all connections are queued", func() bool {
 				return len(queuedConnections(loop, statemachine.ConnClosed)) == len(old)
 			})
 			fresh := openUntilReused(t, loop, descriptors)
 			opened := queuedConnections(loop, statemachine.ConnOpened)
 			machine.resume <- struct{}{}
-			// The effects of the paused step are submitted before the next step, and so are done before these closes.
+			// The effects of the paused step are submitted before the next step, so they are carried out before these closes.
 			loop.RunBetweenSteps(func() {
 				for _, c := range opened {
 					loop.closeUnwanted(c)
 				}
 			})
 			for i, conn := range fresh {
-				conn.SetReadDeadline(time.Now().Add(patience))
+				conn.SetReadDeadline(time.Now().Add(testTimeout))
 				got, err := io.ReadAll(conn)
 				if len(got) > 0 || err != nil {
-					t.Errorf("connection %d got %q of another's, and its end was %v", i, got, err)
+					t.Errorf("connection %d received %q and read error %v, want no data and an orderly close", i, got, err)
 				}
 			}
 		})
 	}
 }
 
-// openConnections opens connections to a loop, waits until all are open there, and returns the loop's descriptors of them.
+// openConnections opens connections to a loop, waits until the loop has accepted all of them, and returns them with the
+// loop's descriptors.
 func openConnections(t *testing.T, loop *Loop, count int) (conns []net.Conn, descriptors map[int]bool) {
 	t.Helper()
 	for range count {
 		conns = append(conns, dial(t, loop.Addrs()[0]))
 	}
 	descriptors = map[int]bool{}
-	eventually(t, "all are accepted", func() bool {
+	eventually(t, "all connections are accepted", func() bool {
 		accepted := 0
 		runAndWait(loop, func() {
 			accepted = len(loop.connections)
@@ -137,7 +140,8 @@
 	return conns, descriptors
 }
 
-// openUntilReused opens connections until two of them have got descriptors of closed ones. It runs while the machine pauses.
+// openUntilReused opens connections until two of them reuse descriptors of closed connections. It is called while the
+// machine is paused.
 func openUntilReused(t *testing.T, loop *Loop, descriptors map[int]bool) (fresh []net.Conn) {
 	t.Helper()
 	reused := func() (n int) {
@@ -149,7 +153,7 @@
 		return n
 	}
 	for len(fresh) < 64 && reused() < 2 {
-		if len(fresh)%2 == 1 { // the test's ends take descriptors, too: not always those that the loop's ends would get
+		if len(fresh)%2 == 1 { // the client sides take descriptors, too: shift which side gets which of the free ones
 			file, err := os.Open(os.DevNull)
 			if err != nil {
 				t.Fatal(err)
@@ -157,12 +161,12 @@
 			t.Cleanup(func() { file.Close() })
 		}
 		fresh = append(fresh, dial(t, loop.Addrs()[0]))
-		eventually(t, "it is accepted", func() bool {
+		eventually(t, "the new connection is accepted", func() bool {
 			return len(queuedConnections(loop, statemachine.ConnOpened)) == len(fresh)
 		})
 	}
 	if reused() < 2 {
-		t.Fatalf("of %d new connections %d got the descriptor of a closed one", len(fresh), reused())
+		t.Fatalf("of %d new connections %d reuse a descriptor, want 2", len(fresh), reused())
 	}
 	return fresh
 }
@@ -183,16 +187,16 @@
 	}
 }
 
-// gnetTaskLimit is how many tasks gnet runs before it defers those that arrive meanwhile.
+// gnetTaskLimit is the number of queued tasks from which on gnet defers new ones.
 const gnetTaskLimit = 1024
 
-// An event loop with many tasks defers those that arrive, and may run later ones before them. The writes of a connection must
-// keep their order even then: a push builds on the one before it.
+// A gnet event loop with many queued tasks defers new ones and may run later tasks before them. The writes of a connection
+// must keep their order even then, because each push builds on the previous one.
 func TestWritesKeepTheirOrderWhenManyTasksWait(t *testing.T) {
 	loop := startLoop(t, Bootstrap{Machine: &broadcastMachine{}})
 	conn := dial(t, loop.Addrs()[0])
 	var eventLoop gnet.EventLoop
-	eventually(t, "it is accepted", func() bool {
+	eventually(t, "the connection is accepted", func() bool {
 		runAndWait(loop, func() {
 			for _, c := range loop.connections {
 				eventLoop = c.gnetConn.EventLoop()
@@ -211,23 +215,23 @@
 	pause := func() { paused <- struct{}{}; <-resume }
 	sendAndStep := func(text string) {
 		loop.SendCommand(text)
-		runAndWait(loop, func() {}) // may come before the step with the command
-		runAndWait(loop, func() {}) // comes after it, and so the write was submitted
+		runAndWait(loop, func() {}) // may run before the step with the command
+		runAndWait(loop, func() {}) // runs after that step, so the write has been submitted
 	}
 	execute(pause)
 	<-paused
-	for range gnetTaskLimit - 1 { // with the pause that follows, as many as gnet takes before it defers
+	for range gnetTaskLimit - 1 { // together with the pause below, as many as gnet accepts without deferring
 		execute(func() {})
 	}
 	execute(pause)
 	sendAndStep("first ")
 	resume <- struct{}{}
-	<-paused // the tasks that do nothing are done: what arrives now is run before what was deferred
+	<-paused // the empty tasks have run: a task that arrives now runs before the deferred ones
 	sendAndStep("second")
 	resume <- struct{}{}
-	conn.SetReadDeadline(time.Now().Add(patience))
+	conn.SetReadDeadline(time.Now().Add(testTimeout))
 	got := make([]byte, len("first second"))
 	if n, err := io.ReadFull(conn, got); err != nil || string(got) != "first second" {
-		t.Errorf("%q and %v", got[:n], err)
+		t.Errorf("read %q and error %v, want %q", got[:n], err, "first second")
 	}
 }
--- a/internal/eventloop/dialer.go
+++ b/internal/eventloop/dialer.go
@@ -10,18 +10,19 @@
 	"gingerfork/internal/statemachine"
 )
 
-// The reasons that the machine is given for a failed dial. The simulated network of internal/simnet gives the same.
+// Reasons of a failed dial, as reported to the machine in Input.Text. The simulated network in internal/simnet reports the
+// same texts.
 const (
 	reasonUnreachable = "can't be reached"
 	reasonRefused     = "refused"
 	reasonTimeout     = "no answer"
 )
 
-// localShortages are the errors of a dial that failed for want of a resource of this process or machine. They say nothing
-// about the address that was dialed.
-var localShortages = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL}
+// localResourceErrors are dial errors caused by an exhausted resource of this process or host. They say nothing about the
+// dialed address.
+var localResourceErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL}
 
-// startDial begins to open a connection. It runs on the machine's goroutine and does not wait for the dial.
+// startDial starts dialing a connection and returns without waiting. It runs on the machine's goroutine.
 func (l *Loop) startDial(id statemachine.Conn, addr string) {
 	ctx, cancel := context.WithCancel(l.ctx)
 	conn := &connection{id: id, cancelDial: cancel}
@@ -32,7 +33,7 @@
 	l.background.Go(func() { l.dial(ctx, conn, addr) })
 }
 
-// dial opens a connection and hands it to an event loop, or reports why that failed.
+// dial opens a connection and registers it with an event loop, or reports to the machine why that failed.
 func (l *Loop) dial(ctx context.Context, conn *connection, addr string) {
 	defer conn.cancelDial()
 	if l.config.RewriteDialAddress != nil {
@@ -41,23 +42,24 @@
 	dialer := net.Dialer{Timeout: l.config.DialTimeout}
 	dialed, err := dialer.DialContext(ctx, "tcp", addr)
 	if err == nil {
-		_, err = l.client.EnrollContext(dialed, conn) // it closes dialed
+		_, err = l.client.EnrollContext(dialed, conn) // EnrollContext duplicates the descriptor and closes dialed
 	}
 	if err == nil {
 		return // OnOpen reports the connection
 	}
 	l.releaseConnection()
-	l.enqueue(message{
+	l.enqueue(queueEntry{
 		input: statemachine.Input{
 			Kind:         statemachine.ConnClosed,
 			Conn:         conn.id,
 			Text:         dialFailureReason(err),
-			LocalFailure: isLocalShortage(err),
+			LocalFailure: isLocalResourceError(err),
 		},
 		connection: conn,
 	})
 }
 
+// dialFailureReason returns the reason for a dial error that is reported to the machine.
 func dialFailureReason(err error) string {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
@@ -69,9 +71,10 @@
 	}
 }
 
-func isLocalShortage(err error) bool {
-	for _, shortage := range localShortages {
-		if errors.Is(err, shortage) {
+// isLocalResourceError reports whether a dial failed because a local resource is exhausted.
+func isLocalResourceError(err error) bool {
+	for _, resourceError := range localResourceErrors {
+		if errors.Is(err, resourceError) {
 			return true
 		}
 	}
--- a/internal/eventloop/dialer_test.go
+++ b/internal/eventloop/dialer_test.go
@@ -21,7 +21,7 @@
 		return isOpened(input) && input.Conn == statemachine.Dialed+1
 	})
 	other.Stop()
-	machine.awaitCount(t, "its end", 1, isClosed)
+	machine.awaitCount(t, "the close of the dialed connection", 1, isClosed)
 	_ = other.Wait()
 	loop.SendCommand("dial other")
 	machine.awaitCount(t, "the refusal", 1, func(input statemachine.Input) bool {
@@ -29,7 +29,7 @@
 	})
 }
 
-// dialingMachine dials the address that a command names, and aborts the dial at an empty command.
+// dialingMachine dials the address given by a command, and aborts the dial on an empty command.
 type dialingMachine struct{}
 
 func (dialingMachine) Step(_ statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
@@ -43,7 +43,8 @@
 	}
 }
 
-// listenWithoutAccepting returns the address of a socket that accepts nobody: dials beyond the first get no answer.
+// listenWithoutAccepting returns the address of a socket that accepts no connections and whose backlog is full: further
+// dials get no answer.
 func listenWithoutAccepting(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -63,8 +64,8 @@
 	return addr
 }
 
-// A dial that the machine aborts gives its descriptor back at once. Otherwise probes of a zone that does not answer would
-// hold many times the descriptors that probes may have, for as long as a dial lasts.
+// A dial that the machine aborts releases its descriptor immediately. Otherwise probes of an unreachable zone would hold
+// many times the number of descriptors that probes may use, until the dials time out.
 func TestAbortedDialReleasesItsConnectionAtOnce(t *testing.T) {
 	silent := listenWithoutAccepting(t)
 	loop := startLoop(t, Bootstrap{Machine: dialingMachine{}, DialTimeout: time.Hour})
@@ -74,7 +75,7 @@
 		return loop.connectionCount
 	}
 	loop.SendCommand(silent)
-	eventually(t, "it is being dialed", func() bool { return connections() == 1 })
+	eventually(t, "the dial is in progress", func() bool { return connections() == 1 })
 	loop.SendCommand("")
 	eventually(t, "the dial is canceled", func() bool { return connections() == 0 })
 }
--- a/internal/eventloop/figures.go
+++ b/internal/eventloop/figures.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Figures are counts since the start of a loop.
+// Figures are statistics of a loop since its start.
 type Figures struct {
-	// Steps counts the steps of the machine, Inputs what they were handed.
+	// Steps is the number of steps of the machine, Inputs the number of inputs passed to them.
 	Steps, Inputs int
 	// LongestStep is the duration of the longest step.
 	LongestStep time.Duration
-	// BusyTime is the duration of all steps together.
+	// BusyTime is the total duration of all steps.
 	BusyTime time.Duration
-	// SlowReadersClosed counts connections that were reset because their peer did not read.
+	// SlowReadersClosed is the number of connections that were reset because their peer did not read.
 	SlowReadersClosed int
-	// ConnectionFailures counts connections that could not be accepted or registered with an event loop.
+	// ConnectionFailures is the number of connections that could not be accepted or registered with an event loop.
 	ConnectionFailures int
 }
 
-// Figures returns the counts since the start.
+// Figures returns the statistics since the start.
 func (l *Loop) Figures() Figures {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.figures
 }
 
-// recordStep counts one step of the machine.
+// recordStep adds one step of the machine to the statistics.
 func (l *Loop) recordStep(inputs int, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -40,8 +40,8 @@
 	l.figures.SlowReadersClosed++
 }
 
-// recordConnectionFailure counts a connection that failed at the given stage. Only the failures whose count is a power
-// of two are logged, so that a lasting shortage of descriptors does not flood the log.
+// recordConnectionFailure counts a connection that could not be accepted or registered, as stage says. A failure is logged
+// only if the count is a power of two, so that a lasting shortage of descriptors does not flood the log.
 func (l *Loop) recordConnectionFailure(stage string, err error) {
 	l.mu.Lock()
 	l.figures.ConnectionFailures++
--- a/internal/eventloop/gnet.go
+++ b/internal/eventloop/gnet.go
@@ -11,15 +11,15 @@
 	"gingerfork/internal/statemachine"
 )
 
-// The reasons that the machine is given for the end of an open connection. The simulated network of internal/simnet gives
-// the first two in the same words.
+// Reasons for the close of an open connection, as reported to the machine in Input.Text. The simulated network in
+// internal/simnet reports the first two with the same texts.
 const (
 	reasonClosedByPeer = "closed by the other side"
 	reasonResetByPeer  = "reset by the other side"
 	reasonSlowReader   = "it did not read what was sent"
 )
 
-// startEventLoops starts the gnet event loops that read and write.
+// startEventLoops starts the gnet event loops, which read from and write to the connections.
 func (l *Loop) startEventLoops() error {
 	client, err := gnet.NewClient(&eventHandler{loop: l},
 		gnet.WithNumEventLoop(l.config.EventLoops),
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// eventHandler receives gnet's events, on gnet's event loops, and turns them into inputs of the machine.
+// eventHandler receives gnet's events on the event loops and enqueues them as inputs for the machine.
 type eventHandler struct {
 	gnet.BuiltinEventEngine
 	loop *Loop
@@ -49,7 +49,7 @@
 		return nil, gnet.Close
 	}
 	conn.gnetConn = gnetConn
-	h.loop.enqueue(message{
+	h.loop.enqueue(queueEntry{
 		input:      statemachine.Input{Kind: statemachine.ConnOpened, Conn: conn.id, Listener: conn.listener},
 		connection: conn,
 	})
@@ -67,8 +67,8 @@
 		return gnet.Close
 	}
 	if len(buffer) > 0 {
-		data := append([]byte(nil), buffer...) // gnet reuses the buffer when this returns
-		h.loop.enqueue(message{
+		data := append([]byte(nil), buffer...) // gnet reuses the buffer after OnTraffic returns
+		h.loop.enqueue(queueEntry{
 			input:      statemachine.Input{Kind: statemachine.ConnData, Conn: conn.id, Data: data},
 			connection: conn,
 		})
@@ -90,14 +90,14 @@
 	} else if errors.Is(err, syscall.ECONNRESET) {
 		reason = reasonResetByPeer
 	}
-	h.loop.enqueue(message{
+	h.loop.enqueue(queueEntry{
 		input:      statemachine.Input{Kind: statemachine.ConnClosed, Conn: conn.id, Text: reason},
 		connection: conn,
 	})
 	return gnet.None
 }
 
-// discardLogger drops gnet's own log: what matters of it is returned as errors, too.
+// discardLogger discards gnet's own log: relevant failures are also returned as errors.
 type discardLogger struct{}
 
 func (discardLogger) Debugf(string, ...any) {}
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -16,17 +16,17 @@
 	"gingerfork/internal/trace"
 )
 
-// patience bounds the wait for a condition; a slow machine may take long.
-const patience = 20 * time.Second
+// testTimeout limits the wait for a condition; it is long because the host may be slow.
+const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) {
-	// gnet keeps a pool of workers for the life of the process.
+	// gnet keeps a pool of worker goroutines for the lifetime of the process.
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("github.com/panjf2000/ants/v2.(*poolCommon).purgeStaleWorkers"),
 		goleak.IgnoreTopFunction("github.com/panjf2000/ants/v2.(*poolCommon).ticktock"), goleak.IgnoreAnyFunction("github.com/panjf2000/ants/v2.(*goWorker).run.func1"))
 }
 
-// observable is the state of a machine that a test waits on. The machine changes it under mu in each step and broadcasts
-// changed afterwards.
+// observable lets a test wait for a change of a machine's state. The machine changes its state under mu in each step and
+// broadcasts changed afterwards.
 type observable struct {
 	mu      sync.Mutex
 	changed sync.Cond
@@ -34,11 +34,11 @@
 
 func (o *observable) init() { o.changed.L = &o.mu }
 
-// await waits until condition holds; condition runs under mu.
+// await waits until condition holds, and fails the test after testTimeout. condition is called with mu held.
 func (o *observable) await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	expired := false
-	timer := time.AfterFunc(patience, func() {
+	timer := time.AfterFunc(testTimeout, func() {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		expired = true
@@ -49,30 +49,31 @@
 	defer o.mu.Unlock()
 	for !condition() {
 		if expired {
-			t.Fatal("never: " + what)
+			t.Fatal("timed out waiting for: " + what)
 		}
 		o.changed.Wait()
 	}
 }
 
-// eventually polls a condition that nothing announces.
+// eventually polls until condition holds, for conditions whose changes are not signaled. It fails the test after
+// testTimeout.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !condition(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never: " + what)
+			t.Fatal("timed out waiting for: " + what)
 		}
 	}
 }
 
-// echoMachine sends back what it receives, and obeys commands.
+// echoMachine sends received data back, records its inputs and carries out commands.
 type echoMachine struct {
 	observable
-	inputs      []statemachine.Input // without data
+	inputs      []statemachine.Input // with Data removed
 	conns       []statemachine.Conn
 	wakeUps     int
 	wakeAt      statemachine.Seconds // 0: no timer
-	writeOnOpen int                  // bytes written when a connection opens
+	writeOnOpen int                  // number of bytes written to each new connection
 }
 
 func newEchoMachine() *echoMachine {
@@ -102,7 +103,7 @@
 		case statemachine.ConnData:
 			out.Write(input.Conn, data)
 		case statemachine.OperatorCommand:
-			m.obey(now, input.Text, out)
+			m.runCommand(now, input.Text, out)
 		}
 	}
 	if m.wakeAt > 0 {
@@ -110,7 +111,8 @@
 	}
 }
 
-func (m *echoMachine) obey(now statemachine.Seconds, command string, out *statemachine.Effects) {
+// runCommand carries out one command: a verb and its argument, separated by a space.
+func (m *echoMachine) runCommand(now statemachine.Seconds, command string, out *statemachine.Effects) {
 	verb, argument, _ := strings.Cut(command, " ")
 	switch verb {
 	case "wake":
@@ -130,7 +132,7 @@
 	}
 }
 
-// countLocked counts the inputs that match; the caller holds mu.
+// countLocked returns the number of recorded inputs that match; the caller holds mu.
 func (m *echoMachine) countLocked(matches func(statemachine.Input) bool) (n int) {
 	for _, input := range m.inputs {
 		if matches(input) {
@@ -140,14 +142,14 @@
 	return n
 }
 
-// count counts the inputs that match.
+// count returns the number of recorded inputs that match.
 func (m *echoMachine) count(matches func(statemachine.Input) bool) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.countLocked(matches)
 }
 
-// awaitCount waits until exactly n inputs match.
+// awaitCount waits until exactly n recorded inputs match.
 func (m *echoMachine) awaitCount(t *testing.T, what string, n int, matches func(statemachine.Input) bool) {
 	t.Helper()
 	m.await(t, what, func() bool { return m.countLocked(matches) == n })
@@ -163,7 +165,7 @@
 
 func isClosed(input statemachine.Input) bool { return input.Kind == statemachine.ConnClosed }
 
-// startLoop starts a loop, which ends with the test. By default it listens on one loopback port.
+// startLoop starts a loop that is stopped at the end of the test. By default it listens on one loopback port.
 func startLoop(t *testing.T, config Bootstrap) *Loop {
 	t.Helper()
 	if config.Listen == nil {
@@ -185,15 +187,15 @@
 	return startLoop(t, config), machine
 }
 
-// runAndWait runs a function between two steps and waits for it.
+// runAndWait runs a function between two steps of the machine and waits for it.
 func runAndWait(loop *Loop, run func()) {
 	done := make(chan struct{})
 	loop.RunBetweenSteps(func() { run(); close(done) })
 	<-done
 }
 
-// dial connects to a loop. The connection has a deadline: what never arrives fails the test by its name, not the whole run
-// by its time-out.
+// dial connects to a loop. The connection has a deadline, so that data that never arrives fails this test by name instead
+// of running into the timeout of the whole test binary.
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -205,12 +207,12 @@
 	return conn
 }
 
-// mustEcho sends a text and expects it back.
+// mustEcho sends a text and fails the test unless it comes back.
 func mustEcho(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
 	fmt.Fprint(conn, text)
 	got := make([]byte, len(text))
 	if _, err := io.ReadFull(conn, got); err != nil || string(got) != text {
-		t.Fatalf("sent %q, got %q back and %v", text, got, err)
+		t.Fatalf("sent %q, received %q and error %v", text, got, err)
 	}
 }
--- a/internal/eventloop/inputqueue.go
+++ b/internal/eventloop/inputqueue.go
@@ -2,31 +2,31 @@
 
 import "gingerfork/internal/statemachine"
 
-// message is one entry of the queue in front of the machine: an input, or a function to be run between two steps.
-type message struct {
+// queueEntry is one entry of the machine's queue: an input, or a function to run between two steps.
+type queueEntry struct {
 	input      statemachine.Input
-	connection *connection // the connection that the input is about; nil: none
-	run        func()      // when set, it is run and the other fields are unused
+	connection *connection // the connection that the input belongs to; nil: none
+	run        func()      // if set, it is called and the other fields are unused
 }
 
-// SendCommand hands the machine an operator's or a script's command, as an input of the kind OperatorCommand.
+// SendCommand passes a command from an operator or a script to the machine, as an input of kind OperatorCommand.
 func (l *Loop) SendCommand(text string) {
-	l.enqueue(message{input: statemachine.Input{Kind: statemachine.OperatorCommand, Text: text}})
+	l.enqueue(queueEntry{input: statemachine.Input{Kind: statemachine.OperatorCommand, Text: text}})
 }
 
-// RunBetweenSteps has run called on the machine's goroutine, between two steps. It is the only safe way to call methods of
-// the machine while the loop runs. It does not wait for the call; after the end of the loop there is none.
-func (l *Loop) RunBetweenSteps(run func()) { l.enqueue(message{run: run}) }
+// RunBetweenSteps queues run to be called on the machine's goroutine between two steps. It is the only safe way to call
+// methods of the machine while the loop runs. It does not wait for the call; once the loop has ended, run is not called.
+func (l *Loop) RunBetweenSteps(run func()) { l.enqueue(queueEntry{run: run}) }
 
-// enqueue adds a message for the machine. While more bytes wait than MaxPendingInput allows, whoever brings data is blocked:
-// an event loop that does not read fills the kernel's buffers, and so the senders are slowed down.
-func (l *Loop) enqueue(m message) {
+// enqueue adds an entry to the machine's queue. While the queued data exceeds MaxPendingInput, a caller with data blocks:
+// the blocked event loop stops reading, the kernel's receive buffers fill up, and TCP slows the senders down.
+func (l *Loop) enqueue(entry queueEntry) {
 	l.mu.Lock()
-	for l.queuedBytes > l.config.MaxPendingInput && len(m.input.Data) > 0 && !l.stopping {
+	for l.queuedBytes > l.config.MaxPendingInput && len(entry.input.Data) > 0 && !l.stopping {
 		l.spaceFreed.Wait()
 	}
-	l.queue = append(l.queue, m)
-	l.queuedBytes += len(m.input.Data)
+	l.queue = append(l.queue, entry)
+	l.queuedBytes += len(entry.input.Data)
 	l.mu.Unlock()
 	select {
 	case l.wake <- struct{}{}:
@@ -34,8 +34,8 @@
 	}
 }
 
-// takeQueue returns all waiting messages and leaves an empty queue in the memory of reuse.
-func (l *Loop) takeQueue(reuse []message) []message {
+// takeQueue returns all queued entries and replaces the queue with an empty one that uses the memory of reuse.
+func (l *Loop) takeQueue(reuse []queueEntry) []queueEntry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	taken := l.queue
@@ -45,22 +45,23 @@
 	return taken
 }
 
-// receive runs the functions among the messages and appends the machine's inputs to inputs. Nothing is handed on about
-// connections that the machine has closed.
-func (l *Loop) receive(messages []message, inputs []statemachine.Input) []statemachine.Input {
-	for _, m := range messages {
+// collectInputs calls the functions among the queue entries and appends the inputs to inputs. Inputs of connections that
+// the machine has closed or aborted are dropped.
+func (l *Loop) collectInputs(entries []queueEntry, inputs []statemachine.Input) []statemachine.Input {
+	for _, entry := range entries {
 		switch {
-		case m.run != nil:
-			m.run()
-		case m.connection == nil || l.receiveFrom(m.connection, m.input.Kind):
-			inputs = append(inputs, m.input)
+		case entry.run != nil:
+			entry.run()
+		case entry.connection == nil || l.trackConnection(entry.connection, entry.input.Kind):
+			inputs = append(inputs, entry.input)
 		}
 	}
 	return inputs
 }
 
-// receiveFrom follows the state of a connection, and tells whether the machine is handed the input.
-func (l *Loop) receiveFrom(conn *connection, kind statemachine.InputKind) bool {
+// trackConnection updates the state of a connection for an input of the given kind, and reports whether the input is to be
+// passed to the machine.
+func (l *Loop) trackConnection(conn *connection, kind statemachine.InputKind) bool {
 	switch kind {
 	case statemachine.ConnOpened:
 		if conn.released {
@@ -75,8 +76,8 @@
 	return !conn.released
 }
 
-// closeUnwanted closes a connection that opened after the machine had given up its dial.
+// closeUnwanted closes a connection that was opened after the machine had closed or aborted its dial.
 func (l *Loop) closeUnwanted(conn *connection) {
-	// It fails only when the event loops are being stopped, which closes all connections.
+	// submit fails only while the event loops are being stopped, which closes all connections.
 	_ = l.submit(connectionTask{connection: conn, kind: statemachine.ActionClose})
 }
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -11,7 +11,7 @@
 	maxAcceptBackoff = 250 * time.Millisecond
 )
 
-// listen opens a listener for each configured address, or none.
+// listen opens a listener for each configured address. If one fails, it closes the others and returns the error.
 func (l *Loop) listen() error {
 	for _, addr := range l.config.Listen {
 		listener, err := net.Listen("tcp", addr)
@@ -26,7 +26,7 @@
 
 func (l *Loop) closeListeners() {
 	for _, listener := range l.listeners {
-		_ = listener.Close() // the address is given back in any case, and nothing else is lost
+		_ = listener.Close() // the address is released in any case, and no data can be lost
 	}
 }
 
@@ -39,15 +39,15 @@
 	return addrs
 }
 
-// acceptConnections accepts on one listener until the loop ends. A shortage of descriptors must not end it, as it would
-// end gnet's own acceptor and the whole engine: it backs off until some have come back.
+// acceptConnections accepts connections on one listener until the loop ends. After an error it backs off and tries again: a
+// shortage of descriptors, which would stop gnet's own acceptor and its whole engine, must not end it.
 func (l *Loop) acceptConnections(index int, listener net.Listener) {
 	backoff := minAcceptBackoff
 	for {
 		accepted, err := listener.Accept()
 		if l.ctx.Err() != nil {
 			if err == nil {
-				_ = accepted.Close() // nothing was written to it
+				_ = accepted.Close() // unused: nothing was written to it
 			}
 			return
 		}
@@ -66,17 +66,17 @@
 	}
 }
 
-// register hands an accepted connection to an event loop once the bound on connections allows it.
+// register registers an accepted connection with an event loop, as soon as MaxConnections allows one more.
 func (l *Loop) register(listenerIndex int, accepted net.Conn) {
 	conn := l.reserveAccepted(listenerIndex)
-	// EnrollContext takes a duplicate of the descriptor and closes accepted, whether it succeeds or not.
+	// EnrollContext duplicates the descriptor and closes accepted, whether it succeeds or not.
 	if _, err := l.client.EnrollContext(accepted, conn); err != nil {
 		l.releaseConnection()
 		l.recordConnectionFailure("enroll", err)
 	}
 }
 
-// reserveAccepted waits until the bound on connections allows one more, and counts and numbers it.
+// reserveAccepted waits until MaxConnections allows one more connection, then counts it and assigns its number.
 func (l *Loop) reserveAccepted(listenerIndex int) *connection {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,7 +88,7 @@
 	return &connection{id: l.lastAccepted, listener: listenerIndex}
 }
 
-// releaseConnection counts down a connection that was closed, or that could not be opened.
+// releaseConnection removes from the count a connection that was closed or could not be opened.
 func (l *Loop) releaseConnection() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -12,8 +12,8 @@
 	"gingerfork/internal/statemachine"
 )
 
-// exhaustDescriptors uses up all descriptors of the process but one, under a lowered limit, until release is called. The
-// release happens at the end of the test at the latest.
+// exhaustDescriptors lowers the descriptor limit of the process and opens files until only one descriptor is free. release
+// undoes that; it is called at the end of the test at the latest.
 func exhaustDescriptors(t *testing.T) (release func()) {
 	t.Helper()
 	var limit syscall.Rlimit
@@ -22,7 +22,7 @@
 	}
 	open, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
-		t.Skip("no /proc here:", err)
+		t.Skip("/proc is not available:", err)
 	}
 	lowered := limit
 	lowered.Cur = uint64(len(open) + 8)
@@ -56,20 +56,21 @@
 	return release
 }
 
-// A shortage of descriptors stops new connections while it lasts, and neither the open ones nor the listener for good.
+// While descriptors are exhausted no connection is accepted. Open connections keep working, and the listener accepts again
+// afterwards.
 func TestListenerSurvivesDescriptorShortage(t *testing.T) {
 	loop, machine := startEcho(t, Bootstrap{})
 	old := dial(t, loop.Addrs()[0])
 	mustEcho(t, old, "x")
 	release := exhaustDescriptors(t)
-	waiting, err := net.Dial("tcp", loop.Addrs()[0]) // takes the last descriptor for this side of the connection
+	waiting, err := net.Dial("tcp", loop.Addrs()[0]) // the client side takes the last descriptor
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer waiting.Close()
 	eventually(t, "the shortage", func() bool { return loop.Figures().ConnectionFailures > 0 })
 	loop.SendCommand("dial " + loop.Addrs()[0])
-	machine.awaitCount(t, "the dial that had no descriptor", 1, func(input statemachine.Input) bool {
+	machine.awaitCount(t, "the dial that failed for lack of a descriptor", 1, func(input statemachine.Input) bool {
 		return isClosed(input) && input.Conn == statemachine.Dialed+1 && input.LocalFailure
 	})
 	mustEcho(t, old, "y")
@@ -87,7 +88,8 @@
 	})
 }
 
-// At the bound none is accepted, and the next one is as soon as one has closed; dialed connections count.
+// At MaxConnections no connection is accepted; the next one is accepted as soon as one has closed. Dialed connections count,
+// too.
 func TestConnectionsAreBounded(t *testing.T) {
 	loop, machine := startEcho(t, Bootstrap{MaxConnections: 3})
 	far, err := net.Listen("tcp", "127.0.0.1:0")
@@ -101,14 +103,14 @@
 	for range 5 {
 		conns = append(conns, dial(t, loop.Addrs()[0]))
 	}
-	machine.awaitCount(t, "two are accepted beside it", 3, isOpened)
-	loop.SendCommand("wake") // time in which a connection past the bound would be accepted
+	machine.awaitCount(t, "two accepted connections beside the dialed one", 3, isOpened)
+	loop.SendCommand("wake") // gives a connection above the limit time to be accepted
 	machine.awaitWakeUp(t)
 	if n := machine.count(isOpened); n != 3 {
-		t.Fatalf("%d connections are open at a bound of 3", n)
+		t.Fatalf("%d connections are open, MaxConnections is 3", n)
 	}
 	for i := range 3 {
 		conns[i].Close()
-		machine.awaitCount(t, "the next is accepted", min(4+i, 6), isOpened)
+		machine.awaitCount(t, "the next connection is accepted", min(4+i, 6), isOpened)
 	}
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,8 +1,9 @@
 // Package eventloop drives a state machine on sockets and real time.
 //
-// A Loop has these goroutines: gnet event loops read and write; one goroutine runs the machine and hands it in each step
-// all that arrived since the last; one accepts on each listening address; one runs for each dial in progress; and one
-// writes mutations to the store. Wait returns after all of them have ended. docs/coordinator.md gives the reasons.
+// A Loop has these goroutines: the gnet event loops read and write; one goroutine runs the machine and passes all inputs
+// that arrived since the last step to the next one; one per listen address accepts connections; one runs for each dial in
+// progress; and one writes mutations to the store. Wait returns after all of them have ended. docs/coordinator.md explains
+// the design.
 package eventloop
 
 import (
@@ -17,40 +18,40 @@
 	"gingerfork/internal/statemachine"
 )
 
-// ErrMachineFailed is wrapped in the error that Wait returns after the machine has reported a failure of its own.
+// ErrMachineFailed is wrapped by the error that Wait returns after the machine has set Effects.Failure.
 var ErrMachineFailed = errors.New("the state machine failed")
 
-// Loop drives one state machine.
+// Loop drives one state machine on sockets and in real time.
 type Loop struct {
 	config     Bootstrap
 	client     *gnet.Client // owns the event loops
 	ctx        context.Context
 	cancel     context.CancelFunc
 	listeners  []net.Listener // in the order of Bootstrap.Listen
-	background sync.WaitGroup // accepting, dials and the persister
-	wake       chan struct{}  // holds one token when the machine's goroutine has something to look at
+	background sync.WaitGroup // the goroutines of listeners, dials and the persister
+	wake       chan struct{}  // holds one token while the queue may have entries
 	done       chan struct{}  // closed when the loop has ended
-	err        error          // why it ended; valid once done is closed
+	err        error          // why the loop ended; valid once done is closed
 
 	mu              sync.Mutex
-	spaceFreed      *sync.Cond // the queue was emptied, a connection was closed, or the loop is stopping
-	queue           []message
-	queuedBytes     int               // data in queue
-	connectionCount int               // open or being dialed
-	lastAccepted    statemachine.Conn // number of the connection that was accepted last
-	stopping        bool              // nobody may wait for spaceFreed any more
+	spaceFreed      *sync.Cond // signaled when the queue is emptied, a connection is closed, or the loop stops
+	queue           []queueEntry
+	queuedBytes     int               // bytes of Input.Data in queue
+	connectionCount int               // connections that are open or being dialed
+	lastAccepted    statemachine.Conn // number of the last accepted connection
+	stopping        bool              // no goroutine may wait for spaceFreed any more
 	figures         Figures
 
 	tasksMu sync.Mutex
-	tasks   map[gnet.EventLoop][]connectionTask // what each event loop is still to do, in order
+	tasks   map[gnet.EventLoop][]connectionTask // pending tasks of each event loop, in order
 
 	connections map[statemachine.Conn]*connection // owned by the machine's goroutine
 	persister   *persister                        // nil: nothing is persisted
 }
 
-// Start listens and begins to step the machine. The loop runs until Stop, the end of ctx, or the machine's own stop or
-// failure; Wait returns after that. The error is that of a listener, which wraps the system's, or of an event loop; then
-// nothing runs.
+// Start opens the listeners and starts stepping the machine. The loop runs until Stop is called, ctx ends, or the machine
+// stops or fails; then Wait returns. If a listener or the event loops cannot be started, Start returns an error that wraps
+// the cause, and nothing is left running.
 func Start(ctx context.Context, config Bootstrap) (*Loop, error) {
 	loop := &Loop{
 		config:      config.withDefaults(),
@@ -72,28 +73,28 @@
 		loop.background.Go(func() { loop.acceptConnections(i, listener) })
 	}
 	if config.Store != nil {
-		loop.persister = newPersister(config.Store, func(input statemachine.Input) { loop.enqueue(message{input: input}) })
+		loop.persister = newPersister(config.Store, func(input statemachine.Input) { loop.enqueue(queueEntry{input: input}) })
 		loop.background.Go(func() { loop.persister.run(loop.ctx) })
 	}
 	go loop.runMachine()
 	return loop, nil
 }
 
-// Stop makes the loop end and all its connections close. It does not wait for that.
+// Stop ends the loop and closes all its connections. It does not wait for the end; Wait does.
 func (l *Loop) Stop() { l.cancel() }
 
 // Done returns a channel that is closed when the loop has ended.
 func (l *Loop) Done() <-chan struct{} { return l.done }
 
-// Wait returns when the loop and all its goroutines have ended. The error wraps ErrMachineFailed when the machine failed;
-// it is nil after an orderly stop.
+// Wait blocks until the loop and all its goroutines have ended. The error wraps ErrMachineFailed if the machine failed; it
+// is nil after an orderly stop.
 func (l *Loop) Wait() error {
 	<-l.done
 	return l.err
 }
 
-// shutDown ends what Start has started, in the order that lets each part finish: first whoever brings work, then the event
-// loops.
+// shutDown stops everything that Start has started, in an order that lets each part finish: first the goroutines that
+// submit work, then the event loops.
 func (l *Loop) shutDown() {
 	defer close(l.done)
 	l.cancel()
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -23,7 +23,7 @@
 		Trace:  func(all []trace.Record) { records = append(records, all...) },
 	})
 	var conns [2]net.Conn
-	for i := range conns { // one after the other: connections to two listeners may be accepted in either order
+	for i := range conns { // one at a time, because connections to two listeners may be accepted in either order
 		conns[i] = dial(t, loop.Addrs()[i])
 		mustEcho(t, conns[i], "hello")
 	}
@@ -33,9 +33,9 @@
 	loop.SendCommand("wake")
 	machine.awaitWakeUp(t)
 	loop.SendCommand("save saved")
-	eventually(t, "the file", func() bool { data, _ := os.ReadFile(filepath.Join(dir, "x")); return string(data) == "saved" })
+	eventually(t, "the file is saved", func() bool { data, _ := os.ReadFile(filepath.Join(dir, "x")); return string(data) == "saved" })
 	conns[0].Close()
-	machine.awaitCount(t, "the end of a connection", 1, isClosed)
+	machine.awaitCount(t, "the close of a connection", 1, isClosed)
 	loop.SendCommand("close")
 	if _, err := conns[1].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Fatal(err)
@@ -64,6 +64,6 @@
 
 func TestStartFailsWhenOneAddressIsBad(t *testing.T) {
 	if _, err := Start(context.Background(), Bootstrap{Machine: newEchoMachine(), Listen: []string{"127.0.0.1:0", "nowhere:x"}}); err == nil {
-		t.Fatal("started without the second listener")
+		t.Fatal("Start succeeded although the second address is invalid")
 	}
 }
--- a/internal/eventloop/persister.go
+++ b/internal/eventloop/persister.go
@@ -11,39 +11,40 @@
 )
 
 const (
-	// maxQueuedBytes bounds what waits for the store. Two such queues fit into one frame of the store.
+	// maxQueuedBytes limits the mutations that wait for the store. It is half the store's limit, so that a batch that is
+	// being retried and a full queue fit into one frame of the store together.
 	maxQueuedBytes = store.MaxPayloadBytes / 2
-	// commitRetryDelay is the pause after a commit that left nothing behind, as on a full disk.
+	// commitRetryDelay is the delay after a commit that failed without writing anything, for example on a full disk.
 	commitRetryDelay = time.Second
 )
 
-// errQueueFull is reported when mutations arrive faster than the store takes them.
-var errQueueFull = errors.New("too many mutations wait for the disk; nothing more is persisted until a restart")
+// errQueueFull is reported when mutations arrive faster than the store commits them.
+var errQueueFull = errors.New("mutation queue is full; nothing more is persisted until a restart")
 
-// persister writes the machine's mutations to the store on a goroutine of its own, so that no step waits for the disk.
-// Mutations that arrive during a commit go together into the next one, with one sync.
+// persister writes the machine's mutations to the store on its own goroutine, so that no step waits for the disk. Mutations
+// that arrive during a commit are combined into the next commit, which needs only one sync.
 type persister struct {
 	store  *store.Store
-	report func(statemachine.Input) // receives Persisted and PersistFailed
+	report func(statemachine.Input) // receives inputs of kind Persisted and PersistFailed
 
-	wake chan struct{} // holds one token when run has something to look at
+	wake chan struct{} // holds one token while the queue may have mutations
 
 	mu          sync.Mutex
 	queue       store.Batch
-	queuedBatch uint64 // number of the machine's last batch in queue
-	closed      bool   // nothing more is queued: the queue overflowed, or run has ended
+	queuedBatch uint64 // number of the last of the machine's batches in queue
+	closed      bool   // no more mutations are queued: the queue overflowed, or run has ended
 
 	// Owned by run.
-	current      store.Batch // what is being committed; after a refused commit it is tried again with what came since
-	currentBatch uint64      // number of the machine's last batch in current
-	stopping     bool        // the loop is ending: the queue is emptied once more, and nothing is retried
+	current      store.Batch // mutations being committed; a rejected commit is retried together with newer mutations
+	currentBatch uint64      // number of the last of the machine's batches in current
+	stopping     bool        // the loop is ending: the queue is committed once more, without retries
 }
 
 func newPersister(s *store.Store, report func(statemachine.Input)) *persister {
 	return &persister{store: s, report: report, wake: make(chan struct{}, 1)}
 }
 
-// enqueue adds the mutations of one batch; it never waits.
+// enqueue adds the mutations of one batch to the queue. It never waits for the disk.
 func (p *persister) enqueue(mutations []statemachine.Mutation, batch uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,7 +59,7 @@
 		}
 	}
 	p.queuedBatch = batch
-	// No batch may be persisted without the ones before it, so the first that does not fit ends persistence.
+	// No batch may be persisted without the preceding ones, so the first batch that does not fit ends persistence.
 	p.closed = p.queue.Size() > maxQueuedBytes
 	select {
 	case p.wake <- struct{}{}:
@@ -66,15 +67,15 @@
 	}
 }
 
-// run commits what is queued until ctx ends, or until the store fails for good. What was queued before the end of ctx is
-// still committed.
+// run commits queued mutations until ctx ends, the store fails permanently or the queue overflows. Mutations that were
+// queued before the end of ctx are still committed.
 func (p *persister) run(ctx context.Context) {
 	defer p.discardQueue()
 	for !p.stopping {
 		select {
 		case <-p.wake:
 		case <-ctx.Done():
-			p.stopping = true // set before the last look at the queue, so that nothing queued before is missed
+			p.stopping = true // set before the queue is taken for the last time, so that nothing queued earlier is missed
 		}
 		if !p.commitQueued(ctx) {
 			return
@@ -82,7 +83,7 @@
 	}
 }
 
-// commitQueued commits until nothing is queued. It returns false when nothing can be committed any more.
+// commitQueued commits until the queue is empty. It returns false if nothing can be committed any more.
 func (p *persister) commitQueued(ctx context.Context) bool {
 	for {
 		if !p.takeQueue() {
@@ -110,8 +111,8 @@
 	}
 }
 
-// takeQueue moves what is queued to current, unless that would make current too large for one commit. It returns false when
-// the queue has overflowed.
+// takeQueue moves the queued mutations to current, unless current already holds maxQueuedBytes, which would make it too
+// large for one commit. It returns false if the queue has overflowed.
 func (p *persister) takeQueue() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,7 +131,7 @@
 	p.report(statemachine.Input{Kind: statemachine.PersistFailed, Text: err.Error()})
 }
 
-// discardQueue frees the queue when nobody will commit it.
+// discardQueue frees the queue after run has ended, and makes enqueue drop later mutations.
 func (p *persister) discardQueue() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/eventloop/persister_test.go
+++ b/internal/eventloop/persister_test.go
@@ -15,8 +15,8 @@
 	"gingerfork/internal/store"
 )
 
-// persistingMachine persists the record of each command "key=value", removes that of a command without a value, and records
-// what the driver reports.
+// persistingMachine persists a record for each command "key=value", deletes the record for a command "key", and keeps the
+// reports of the driver.
 type persistingMachine struct {
 	observable
 	batch   uint64
@@ -53,7 +53,7 @@
 	}
 }
 
-// reportText is a report of the persister in one line.
+// reportText formats a report of the persister as one line.
 func reportText(input statemachine.Input) string {
 	if input.Kind == statemachine.Persisted {
 		return fmt.Sprint("persisted ", input.Batch)
@@ -61,7 +61,7 @@
 	return "failed: " + input.Text
 }
 
-// lastReportHasLocked tells whether the last report contains a text; the caller holds mu.
+// lastReportHasLocked reports whether the last report contains a text; the caller holds mu.
 func (m *persistingMachine) lastReportHasLocked(text string) bool {
 	return len(m.reports) > 0 && strings.Contains(m.reports[len(m.reports)-1], text)
 }
@@ -72,11 +72,11 @@
 	m.await(t, fmt.Sprintf("report %q", text), func() bool { return m.lastReportHasLocked(text) })
 }
 
-// faultyFolder is a folder in memory one kind of whose operations can be made to fail.
+// faultyFolder is an in-memory folder in which all operations of one kind can be made to fail.
 type faultyFolder struct {
 	*disk.Memory
 	mu     sync.Mutex
-	faulty disk.OpKind // the kind that fails; "": none
+	faulty disk.OpKind // the kind of operation that fails; "": none
 }
 
 func newFaultyFolder() *faultyFolder {
@@ -107,7 +107,7 @@
 	return opened
 }
 
-// recordsAfterCrash lists the records that a crash leaves in a folder.
+// recordsAfterCrash returns the records that are left after a crash that loses all unsynced data.
 func recordsAfterCrash(t *testing.T, folder *faultyFolder) string {
 	t.Helper()
 	found, err := store.Check(folder.Crash(func() bool { return false }))
@@ -119,8 +119,8 @@
 	return strings.Join(records, " ")
 }
 
-// The disk is full, has room again, and then fails a sync: the machine is notified of each, is never blocked, and finds at the
-// next start all that was reported as persisted.
+// The disk is full, has space again, and then a sync fails. The machine is notified of each of these and is never blocked,
+// and everything that was reported as persisted is found at the next start.
 func TestPersistenceSurvivesFullDiskAndEndsAtFailedSync(t *testing.T) {
 	folder := newFaultyFolder()
 	opened := openStore(t, folder)
@@ -138,7 +138,7 @@
 	loop.SendCommand("c=1")
 	folder.fail("")
 	machine.awaitReport(t, "persisted ")
-	machine.await(t, "what waited is persisted", func() bool {
+	machine.await(t, "all queued mutations are persisted", func() bool {
 		durable, written := opened.Durable()
 		_, found := opened.Get("c")
 		return durable == written && found && machine.lastReportHasLocked(fmt.Sprint("persisted ", machine.batch))
@@ -153,14 +153,14 @@
 		t.Fatal(err)
 	}
 	if err := opened.Close(); !errors.Is(err, store.ErrBroken) {
-		t.Errorf("closed: %v", err)
+		t.Errorf("close after a failed sync: error %v, want %v", err, store.ErrBroken)
 	}
 	if got := recordsAfterCrash(t, folder); got != "a=2 b=1 c=1" {
-		t.Errorf("found %q", got)
+		t.Errorf("records after the crash are %q", got)
 	}
 }
 
-// What is queued when the loop ends is persisted still.
+// Mutations that are queued when the loop ends are still persisted.
 func TestPersisterCommitsQueueAtEnd(t *testing.T) {
 	folder := newFaultyFolder()
 	opened := openStore(t, folder)
@@ -178,11 +178,11 @@
 		t.Errorf("reports are %q", got)
 	}
 	if got := recordsAfterCrash(t, folder); got != "a=1 b=2" {
-		t.Errorf("found %q", got)
+		t.Errorf("records after the crash are %q", got)
 	}
 }
 
-// A refused commit is tried again after a fixed delay, together with what was queued since.
+// A rejected commit is retried after a fixed delay, together with mutations that were queued since.
 func TestPersisterRetriesRefusedCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		folder := newFaultyFolder()
@@ -204,7 +204,7 @@
 			t.Errorf("the second report is %q", got)
 		}
 		if waited := time.Since(refused); waited != commitRetryDelay {
-			t.Errorf("retried after %v, not %v", waited, commitRetryDelay)
+			t.Errorf("retried after %v, want %v", waited, commitRetryDelay)
 		}
 		cancel()
 		background.Wait()
@@ -214,7 +214,7 @@
 	})
 }
 
-// A queue that overflows ends persistence: no later batch may be persisted without the one that was left out.
+// A queue overflow ends persistence: no later batch may be persisted without the one that did not fit.
 func TestPersisterStopsWhenQueueOverflows(t *testing.T) {
 	folder := newFaultyFolder()
 	opened := openStore(t, folder)
@@ -233,6 +233,6 @@
 		t.Fatal(err)
 	}
 	if got := recordsAfterCrash(t, folder); got != "" {
-		t.Errorf("found %q", got)
+		t.Errorf("records after the crash are %q, want none", got)
 	}
 }
--- a/internal/eventloop/replacefile.go
+++ b/internal/eventloop/replacefile.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 )
 
-// replaceFile replaces a file atomically: it writes and syncs a temporary file in the same folder and renames it. After an
-// error the old content stands.
+// replaceFile replaces a file atomically: it writes and syncs a temporary file in the same directory and renames it. After
+// an error the old content is unchanged.
 func replaceFile(path string, data []byte) error {
 	temporary, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new-*")
 	if err != nil {
@@ -18,13 +18,13 @@
 		err = os.Rename(temporary.Name(), path)
 	}
 	if err != nil {
-		_ = os.Remove(temporary.Name()) // the first error is the one to report; what is left over harms nothing
+		_ = os.Remove(temporary.Name()) // the first error is the one to report, and a leftover temporary file is harmless
 		return fmt.Errorf("replace %s: %w", path, err)
 	}
 	return nil
 }
 
-// writeAndClose writes data, syncs and closes the file. The file is closed also after an error.
+// writeAndClose writes data, syncs the file and closes it. The file is closed even after an error.
 func writeAndClose(file *os.File, data []byte) error {
 	_, err := file.Write(data)
 	if err == nil {
--- a/internal/eventloop/step.go
+++ b/internal/eventloop/step.go
@@ -9,11 +9,11 @@
 	"gingerfork/internal/statemachine"
 )
 
-// maxTimerWait bounds one wait for the machine's timer; a later wake-up time is waited for in several.
+// maxTimerWait limits a single wait for the machine's timer, in seconds; a longer wait is split into several.
 const maxTimerWait statemachine.Seconds = 3600
 
-// runMachine steps the machine until the loop is stopped, the machine stops it, or the machine fails. It is the goroutine
-// that owns the machine.
+// runMachine steps the machine until the loop is stopped, or the machine stops or fails. It runs on the goroutine that owns
+// the machine, here called the machine's goroutine.
 func (l *Loop) runMachine() {
 	defer l.shutDown()
 	effects := &statemachine.Effects{}
@@ -21,14 +21,14 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var inputs []statemachine.Input
-	var messages []message
+	var entries []queueEntry
 	for l.ctx.Err() == nil {
-		messages = l.takeQueue(messages)
+		entries = l.takeQueue(entries)
 		now := l.config.Clock.Now()
-		inputs = l.receive(messages, inputs[:0])
-		received := len(messages) > 0
-		clear(messages) // the data must not be kept alive until the slots are used again
-		// Before the first step WakeAt is Never, and that step comes at once, without inputs.
+		inputs = l.collectInputs(entries, inputs[:0])
+		received := len(entries) > 0
+		clear(entries) // release the data now, not only when the slots are reused
+		// The first step runs immediately, without inputs: before it WakeAt is Never.
 		if received || now >= effects.WakeAt || effects.WakeAt == statemachine.Never {
 			if ended := l.step(now, inputs, effects); ended {
 				return
@@ -38,7 +38,7 @@
 	}
 }
 
-// step steps the machine once and carries out what it wants done. It tells whether that was the last step.
+// step runs one step of the machine and applies its effects. It reports whether that was the last step.
 func (l *Loop) step(now statemachine.Seconds, inputs []statemachine.Input, effects *statemachine.Effects) (ended bool) {
 	effects.Reset()
 	begin := time.Now()
@@ -55,7 +55,7 @@
 	return effects.Stop
 }
 
-// waitForWork waits for a message, for the time that the machine asked to be woken at, or for the end of the loop.
+// waitForWork waits for a queue entry, the machine's wake-up time, or the end of the loop.
 func (l *Loop) waitForWork(timer *time.Timer, wakeAt statemachine.Seconds) {
 	wait := min(max(wakeAt-l.config.Clock.Now(), 0), maxTimerWait)
 	timer.Reset(time.Duration(wait * float64(time.Second)))
@@ -66,7 +66,7 @@
 	}
 }
 
-// applyEffects carries out what a step wants done. Actions of each connection are done in their order.
+// applyEffects carries out the effects of a step. The actions of each connection are carried out in order.
 func (l *Loop) applyEffects(effects *statemachine.Effects) error {
 	for _, action := range effects.Actions {
 		if err := l.applyAction(action); err != nil {
@@ -93,6 +93,7 @@
 	return nil
 }
 
+// slogLevel returns the slog level for a machine's log level.
 func slogLevel(level statemachine.LogLevel) slog.Level {
 	switch level {
 	case statemachine.LogDebug:
