--- a/internal/disk/crash.go
+++ b/internal/disk/crash.go
@@ -19,8 +19,8 @@
 		}
 	}
 	recovered := map[*inode]*inode{}
-	for _, node := range m.reachableNodes() {
-		recovered[node] = durableInode(node.crash(survives))
+	for _, node := range m.reachableInodes() {
+		recovered[node] = durableInode(node.contentAfterCrash(survives))
 	}
 	folder := NewMemory()
 	for name, node := range names {
@@ -30,8 +30,8 @@
 	return folder
 }
 
-// reachableNodes returns the files that may be on the disk after a crash, in an order that does not vary between runs.
-func (m *Memory) reachableNodes() (nodes []*inode) {
+// reachableInodes returns the files that may be on the disk after a crash, in an order that does not vary between runs.
+func (m *Memory) reachableInodes() (nodes []*inode) {
 	seen := map[*inode]bool{}
 	add := func(node *inode) {
 		if node != nil && !seen[node] {
@@ -48,8 +48,8 @@
 	return nodes
 }
 
-// crash returns the content that is found after a crash.
-func (n *inode) crash(survives func() bool) []byte {
+// contentAfterCrash returns the content that is found after a contentAfterCrash.
+func (n *inode) contentAfterCrash(survives func() bool) []byte {
 	size := len(n.disk)
 	if len(n.data) != size && survives() {
 		size = len(n.data)
--- a/internal/disk/memory.go
+++ b/internal/disk/memory.go
@@ -86,8 +86,8 @@
 	return m.ops
 }
 
-// begin counts an operation, or returns why it fails; mu is held.
-func (m *Memory) begin(op Op) error {
+// beginOperation counts an operation, or returns why it fails; mu is held.
+func (m *Memory) beginOperation(op Op) error {
 	if m.crashed {
 		return ErrCrashed
 	}
@@ -110,7 +110,7 @@
 func (m *Memory) Create(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.begin(Op{Kind: OpCreate, Name: name}); err != nil {
+	if err := m.beginOperation(Op{Kind: OpCreate, Name: name}); err != nil {
 		return nil, err
 	}
 	if m.files[name] != nil {
@@ -125,7 +125,7 @@
 func (m *Memory) Open(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.begin(Op{Kind: OpOpen, Name: name}); err != nil {
+	if err := m.beginOperation(Op{Kind: OpOpen, Name: name}); err != nil {
 		return nil, err
 	}
 	if m.files[name] == nil {
@@ -148,7 +148,7 @@
 func (m *Memory) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.begin(Op{Kind: OpRename, Name: to}); err != nil {
+	if err := m.beginOperation(Op{Kind: OpRename, Name: to}); err != nil {
 		return err
 	}
 	node := m.files[from]
@@ -163,7 +163,7 @@
 func (m *Memory) Remove(name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.begin(Op{Kind: OpRemove, Name: name}); err != nil {
+	if err := m.beginOperation(Op{Kind: OpRemove, Name: name}); err != nil {
 		return err
 	}
 	if m.files[name] == nil {
@@ -177,7 +177,7 @@
 func (m *Memory) SyncDir() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.begin(Op{Kind: OpSyncDir}); err != nil {
+	if err := m.beginOperation(Op{Kind: OpSyncDir}); err != nil {
 		return err
 	}
 	for _, change := range m.pendingChanges {
@@ -191,7 +191,7 @@
 func (m *Memory) Lock() (io.Closer, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.begin(Op{Kind: OpLock}); err != nil {
+	if err := m.beginOperation(Op{Kind: OpLock}); err != nil {
 		return nil, err
 	}
 	if m.locked {
--- a/internal/disk/memory_file.go
+++ b/internal/disk/memory_file.go
@@ -49,7 +49,7 @@
 func (f *memoryFile) Append(data []byte) (int, error) {
 	f.folder.mu.Lock()
 	defer f.folder.mu.Unlock()
-	err := f.folder.begin(Op{Kind: OpAppend, Name: f.name, Size: len(data)})
+	err := f.folder.beginOperation(Op{Kind: OpAppend, Name: f.name, Size: len(data)})
 	written := len(data)
 	switch {
 	case errors.Is(err, ErrPartialWrite):
@@ -65,7 +65,7 @@
 func (f *memoryFile) Truncate(size int64) error {
 	f.folder.mu.Lock()
 	defer f.folder.mu.Unlock()
-	if err := f.folder.begin(Op{Kind: OpTruncate, Name: f.name}); err != nil {
+	if err := f.folder.beginOperation(Op{Kind: OpTruncate, Name: f.name}); err != nil {
 		return err
 	}
 	f.node.data = slices.Clone(f.node.data[:min(int(size), len(f.node.data))])
@@ -86,7 +86,7 @@
 func (f *memoryFile) Sync() error {
 	f.folder.mu.Lock()
 	defer f.folder.mu.Unlock()
-	err := f.folder.begin(Op{Kind: OpSync, Name: f.name})
+	err := f.folder.beginOperation(Op{Kind: OpSync, Name: f.name})
 	if errors.Is(err, ErrCrashed) {
 		return err
 	}
--- a/internal/store/check.go
+++ b/internal/store/check.go
@@ -13,11 +13,11 @@
 
 // States of a file in a FileReport.
 const (
-	stateInForce    = "in force"
-	stateNotInForce = "not in force"
-	stateIntact     = "whole"
-	stateDamaged    = "damaged"
-	stateLog        = "log"
+	stateCurrent = "in force"
+	stateUnused  = "not in force"
+	stateIntact  = "whole"
+	stateDamaged = "damaged"
+	stateLog     = "log"
 )
 
 // CheckReport is what can be read of a store, damaged or not.
@@ -138,7 +138,7 @@
 	if errors.Is(s.manifestDamage, ErrNewerFormat) {
 		return fmt.Errorf("%s: %w", manifestName, s.manifestDamage)
 	}
-	state := stateInForce
+	state := stateCurrent
 	if s.manifestDamage != nil {
 		state = s.manifestDamage.Error()
 	}
@@ -157,7 +157,7 @@
 
 func (s *salvager) readSnapshot(name string, number uint64) FileReport {
 	data := s.contents[name]
-	file := FileReport{Name: name, Bytes: len(data), State: stateNotInForce}
+	file := FileReport{Name: name, Bytes: len(data), State: stateUnused}
 	header, err := readFileHeader(data)
 	if err != nil {
 		file.State = err.Error()
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// maxGroupBytes bounds the payloads that one append writes for many callers of Commit.
-const maxGroupBytes = 4 << 20
+// maxCommitGroupBytes bounds the payloads that one append writes for many callers of Commit.
+const maxCommitGroupBytes = 4 << 20
 
 // commitSignal ends the wait of a caller of Commit.
 type commitSignal int
@@ -52,7 +52,7 @@
 	count, bytes := 0, 0
 	for _, write := range s.commitQueue {
 		bytes += write.batch.Size()
-		if count > 0 && bytes > maxGroupBytes {
+		if count > 0 && bytes > maxCommitGroupBytes {
 			break
 		}
 		count++
--- a/internal/store/compaction.go
+++ b/internal/store/compaction.go
@@ -10,7 +10,7 @@
 
 // needsCompaction reports whether the log is long enough to be compacted; mu is held.
 func (s *Store) needsCompaction() bool {
-	return s.logBytes > max(s.options.MinCompactionBytes, compactionRatio*s.snapshotBytes, s.retryCompactAt)
+	return s.logBytes > max(s.options.MinCompactionBytes, compactionRatio*s.snapshotBytes, s.compactionRetryLogBytes)
 }
 
 // requestCompaction wakes the background goroutine.
@@ -89,7 +89,7 @@
 	s.mu.Lock()
 	s.snapshotBytes = writer.bytes
 	s.logBytes = s.active.size
-	s.retryCompactAt = 0
+	s.compactionRetryLogBytes = 0
 	s.durable = max(s.durable, writer.header.lastSequence)
 	s.stats.Compactions++
 	s.mu.Unlock()
@@ -101,7 +101,7 @@
 func (s *Store) deferCompaction(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.retryCompactAt = s.logBytes + s.logBytes/2
+	s.compactionRetryLogBytes = s.logBytes + s.logBytes/2
 	return err
 }
 
--- a/internal/store/corruption_test.go
+++ b/internal/store/corruption_test.go
@@ -106,7 +106,7 @@
 	folder, want := smallStore(t)
 	name := segmentName(2)
 	firstLength := littleEndian.Uint32(folder.Bytes(name)[fileHeaderSize+frameLengthOffset:])
-	second := fileHeaderSize + frameHeaderSize + aligned(int(firstLength))
+	second := fileHeaderSize + frameHeaderSize + alignUp(int(firstLength))
 	folder.Bytes(name)[second+frameHeaderSize+3] ^= 4
 	_, _, err := Open(Options{Folder: folder, ID: testStoreID})
 	var corruption *CorruptionError
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -47,12 +47,12 @@
 )
 
 var (
-	segmentMagic  = [8]byte{'g', 'f', 's', 'e', 'g', 0, 0, '1'}
-	snapshotMagic = [8]byte{'g', 'f', 's', 'n', 'a', 'p', 0, '1'}
-	frameMagic    = [4]byte{'g', 'f', 'r', '1'}
-	filePadding   = []byte{paddingByte, paddingByte, paddingByte, paddingByte}
-	castagnoli    = crc32.MakeTable(crc32.Castagnoli)
-	littleEndian  = binary.LittleEndian
+	segmentMagic    = [8]byte{'g', 'f', 's', 'e', 'g', 0, 0, '1'}
+	snapshotMagic   = [8]byte{'g', 'f', 's', 'n', 'a', 'p', 0, '1'}
+	frameMagic      = [4]byte{'g', 'f', 'r', '1'}
+	filePadding     = []byte{paddingByte, paddingByte, paddingByte, paddingByte}
+	castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
+	littleEndian    = binary.LittleEndian
 )
 
 // errTorn is returned where a sector or more was never written. That is no corruption unless it was known to be durable.
@@ -69,7 +69,7 @@
 
 func checksum(parts ...[]byte) (sum uint32) {
 	for _, part := range parts {
-		sum = crc32.Update(sum, castagnoli, part)
+		sum = crc32.Update(sum, castagnoliTable, part)
 	}
 	return sum
 }
@@ -136,8 +136,8 @@
 	return false
 }
 
-// aligned rounds a number of bytes up to the alignment of frames.
-func aligned(n int) int { return (n + frameAlignment - 1) &^ (frameAlignment - 1) }
+// alignUp rounds a number of bytes up to the alignment of frames.
+func alignUp(n int) int { return (n + frameAlignment - 1) &^ (frameAlignment - 1) }
 
 // frame is one batch in a file.
 type frame struct {
@@ -166,7 +166,7 @@
 	sum := frameHeaderChecksum(header, data[start:start+frameHeaderSize])
 	littleEndian.PutUint32(data[start+frameHeaderChecksumOffset:], sum)
 	data = append(data, payload...)
-	for range aligned(len(payload)) - len(payload) {
+	for range alignUp(len(payload)) - len(payload) {
 		data = append(data, paddingByte)
 	}
 	return data
@@ -189,13 +189,13 @@
 	frameHeader := data[offset : offset+frameHeaderSize]
 	sum := littleEndian.Uint32(frameHeader[frameHeaderChecksumOffset:])
 	if [4]byte(frameHeader) != frameMagic || sum != frameHeaderChecksum(header, frameHeader) {
-		return frame{}, tornOr(errFrameHeaderChecksum, data, offset, offset+frameHeaderSize)
+		return frame{}, tornOrCause(errFrameHeaderChecksum, data, offset, offset+frameHeaderSize)
 	}
 	length := int(littleEndian.Uint32(frameHeader[frameLengthOffset:]))
 	if length > MaxPayloadBytes {
 		return frame{}, fmt.Errorf("%w: %d bytes, %d at most", errFrameTooLarge, length, MaxPayloadBytes)
 	}
-	size := frameHeaderSize + aligned(length)
+	size := frameHeaderSize + alignUp(length)
 	if len(data)-offset < size {
 		return frame{}, errTorn
 	}
@@ -204,7 +204,7 @@
 	isOther := func(b byte) bool { return b != paddingByte }
 	sum = littleEndian.Uint32(frameHeader[framePayloadChecksumOffset:])
 	if checksum(payload) != sum || slices.ContainsFunc(padding, isOther) {
-		return frame{}, tornOr(errFrameChecksum, data, offset, offset+size)
+		return frame{}, tornOrCause(errFrameChecksum, data, offset, offset+size)
 	}
 	return frame{
 		size:     size,
@@ -214,8 +214,8 @@
 	}, nil
 }
 
-// tornOr returns errTorn if a sector between two offsets was never written, else the cause.
-func tornOr(cause error, data []byte, from, to int) error {
+// tornOrCause returns errTorn if a sector between two offsets was never written, else the cause.
+func tornOrCause(cause error, data []byte, from, to int) error {
 	if hasZeroSector(data, from, to) {
 		return errTorn
 	}
@@ -224,7 +224,7 @@
 
 // intactFrames returns the frames after an offset that can be read, whatever is between them.
 func intactFrames(header fileHeader, data []byte, offset int) (frames []frame) {
-	offset = aligned(offset)
+	offset = alignUp(offset)
 	for offset+frameHeaderSize <= len(data) {
 		found, err := readFrame(header, data, offset)
 		if err != nil {
--- a/internal/store/open.go
+++ b/internal/store/open.go
@@ -6,9 +6,9 @@
 	"math/rand/v2"
 )
 
-// errNoRoomForSnapshot can't happen with files that this package wrote: segments are numbered from 1 on, and one that has
+// errNoSnapshotNumber can't happen with files that this package wrote: segments are numbered from 1 on, and one that has
 // batches leaves room for the number of a snapshot.
-var errNoRoomForSnapshot = errors.New("batches before the first segment")
+var errNoSnapshotNumber = errors.New("batches before the first segment")
 
 // Open opens a store, or creates one in an empty folder. Unless it was closed cleanly, everything is written again as a
 // snapshot: what an earlier process wrote without a successful sync can be read now and be lost in the next crash. The error
@@ -86,7 +86,7 @@
 	if report.LogFrames > 0 || report.TornBytes > 0 {
 		next.snapshot = next.firstSegment - 1
 		if next.snapshot == 0 {
-			return errNoRoomForSnapshot
+			return errNoSnapshotNumber
 		}
 		writer := s.newSnapshotWriter(next.snapshot) // nobody writes yet
 		if err := writer.writeAll(); err != nil {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -51,19 +51,19 @@
 	folder  disk.Folder
 	lock    io.Closer // of the folder
 
-	mu             sync.Mutex // never held during a sync, or a write of more than one group
-	index          *btree.Map[string, []byte]
-	lastSequence   uint64 // the last batch that was written
-	durable        uint64 // the last batch that is durable
-	active         *segment
-	sealed         []*segment // earlier segments that may hold batches that are not durable
-	broken         error      // wraps ErrBroken; nil if the store takes writes
-	closed         bool
-	logBytes       int64 // after the snapshot in force
-	snapshotBytes  int64
-	retryCompactAt int64 // the size of the log, in bytes, for the next attempt after a compaction that failed
-	stats          Stats
-	writeBuffer    []byte
+	mu                      sync.Mutex // never held during a sync, or a write of more than one group
+	index                   *btree.Map[string, []byte]
+	lastSequence            uint64 // the last batch that was written
+	durable                 uint64 // the last batch that is durable
+	active                  *segment
+	sealed                  []*segment // earlier segments that may hold batches that are not durable
+	broken                  error      // wraps ErrBroken; nil if the store takes writes
+	closed                  bool
+	logBytes                int64 // after the snapshot in force
+	snapshotBytes           int64
+	compactionRetryLogBytes int64 // the size of the log, in bytes, for the next attempt after a compaction that failed
+	stats                   Stats
+	writeBuffer             []byte
 
 	syncMu sync.Mutex // held by the one sync at a time
 
