--- a/internal/disk/crash.go
+++ b/internal/disk/crash.go
@@ -5,9 +5,10 @@
 	"slices"
 )
 
-// Crash ends this folder, and returns the one that is found after the restart. survives is called for each change of
-// names, for each file whose size changed and for each sector written since they were synced, and says whether it is on
-// the disk. The order of these calls depends on nothing but the operations that were done.
+// Crash simulates a crash of the computer and returns the folder that is found after the restart; this folder returns
+// ErrCrashed from then on. survives is called once for each unsynced change: each name change, each changed file size and
+// each written sector. It decides whether that change has reached the disk. The order of the calls depends only on the
+// operations that were performed.
 func (m *Memory) Crash(survives func() bool) *Memory {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -30,7 +31,7 @@
 	return folder
 }
 
-// reachableInodes returns the files that may be on the disk after a crash, in an order that does not vary between runs.
+// reachableInodes returns the inodes that may be on the disk after a crash, in an order that does not vary between runs.
 func (m *Memory) reachableInodes() (nodes []*inode) {
 	seen := map[*inode]bool{}
 	add := func(node *inode) {
@@ -48,7 +49,7 @@
 	return nodes
 }
 
-// contentAfterCrash returns the content that is found after a contentAfterCrash.
+// contentAfterCrash returns the content that is found after a crash; survives is as in Memory.Crash.
 func (n *inode) contentAfterCrash(survives func() bool) []byte {
 	size := len(n.disk)
 	if len(n.data) != size && survives() {
--- a/internal/disk/disk_test.go
+++ b/internal/disk/disk_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// newFile creates a file and appends to it.
+// newFile creates a file with the given content.
 func newFile(t *testing.T, folder Folder, name, content string) File {
 	t.Helper()
 	file, err := folder.Create(name)
@@ -27,11 +27,11 @@
 	t.Helper()
 	data, err := ReadAll(folder, name)
 	if err != nil || string(data) != want {
-		t.Errorf("%s: got %q and error %v, want %q", name, data, err, want)
+		t.Errorf("%s: content %q and error %v, want %q", name, data, err, want)
 	}
 }
 
-// TestFolder checks what Real and Memory have in common.
+// TestFolder checks the behavior that Real and Memory have in common.
 func TestFolder(t *testing.T) {
 	realFolder, err := NewReal(filepath.Join(t.TempDir(), "folder"))
 	if err != nil {
@@ -56,7 +56,7 @@
 		t.Errorf("names %q, error %v", names, err)
 	}
 	if _, err := folder.Create("a"); !errors.Is(err, fs.ErrExist) {
-		t.Errorf("create a file that exists: error %v", err)
+		t.Errorf("create a file that already exists: error %v", err)
 	}
 	if err := errors.Join(folder.Rename("b", "a"), folder.SyncDir()); err != nil {
 		t.Error(err)
@@ -81,20 +81,20 @@
 		t.Fatal(err)
 	}
 	if _, err := folder.Lock(); !errors.Is(err, ErrLocked) {
-		t.Errorf("a second lock: error %v", err)
+		t.Errorf("lock while locked: error %v", err)
 	}
 	if err := lock.Close(); err != nil {
 		t.Error(err)
 	}
 	if lock, err = folder.Lock(); err != nil {
-		t.Fatalf("lock after the lock was closed: %v", err)
+		t.Fatalf("lock after the first lock was closed: error %v", err)
 	}
 	if err := lock.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestOpenRealErrors checks that OpenReal makes no folder and takes no file for one.
+// TestOpenRealErrors checks that OpenReal does not create a missing folder and rejects a path that is not a folder.
 func TestOpenRealErrors(t *testing.T) {
 	dir := t.TempDir()
 	missing := filepath.Join(dir, "missing")
@@ -102,24 +102,24 @@
 		t.Errorf("a folder that does not exist: error %v", err)
 	}
 	if _, err := os.Stat(missing); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("the folder was made: %v", err)
+		t.Errorf("the missing folder was created: error %v", err)
 	}
 	file := filepath.Join(dir, "file")
 	if err := os.WriteFile(file, nil, fileMode); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := OpenReal(file); err == nil {
-		t.Error("a file was taken for a folder")
+		t.Error("OpenReal accepted a file as a folder")
 	}
 }
 
-// TestCrash checks what is found after a crash when nothing, or everything, that was not synced is on the disk.
+// TestCrash checks what is found after a crash if none, or all, of the unsynced changes have reached the disk.
 func TestCrash(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		survives bool
-		want     string // content of the file whose name is durable
-		names    []string
+		want     string   // content of the file "synced" after the crash
+		names    []string // files after the crash
 	}{
 		{"nothing unsynced survives", false, strings.Repeat("a", SectorSize), []string{"synced"}},
 		{"everything survives", true, strings.Repeat("a", SectorSize) + "b", []string{"synced", "unsynced"}},
@@ -140,13 +140,14 @@
 				t.Errorf("names %q, error %v", names, err)
 			}
 			if _, err := folder.Create("more"); !errors.Is(err, ErrCrashed) {
-				t.Errorf("create after the crash: error %v", err)
+				t.Errorf("create after the crash: error %v, want %v", err, ErrCrashed)
 			}
 		})
 	}
 }
 
-// TestFailedSyncLosesData checks that bytes of a failed sync do not reach the disk by a later one that succeeds.
+// TestFailedSyncLosesData checks that bytes whose sync failed do not reach the disk with a later sync that succeeds, as
+// with a kernel that marks pages as clean after a failed write.
 func TestFailedSyncLosesData(t *testing.T) {
 	errIO := errors.New("input/output error")
 	folder := NewMemory()
@@ -163,13 +164,13 @@
 	checkContent(t, folder.Crash(func() bool { return false }), "log", "\x00\x00\x00\x00")
 }
 
-// TestPartialWrite checks that a partial write leaves half of its bytes.
+// TestPartialWrite checks that an append that fails with ErrPartialWrite writes half of its bytes.
 func TestPartialWrite(t *testing.T) {
 	folder := NewMemory()
 	file := newFile(t, folder, "log", "")
 	folder.Before = func(Op) error { return ErrPartialWrite }
 	if n, err := file.Append([]byte("1234")); n != 2 || !errors.Is(err, ErrPartialWrite) {
-		t.Errorf("%d bytes, error %v", n, err)
+		t.Errorf("%d bytes written and error %v, want 2 bytes and %v", n, err, ErrPartialWrite)
 	}
 	folder.Before = nil
 	checkContent(t, folder, "log", "12")
--- a/internal/disk/memory.go
+++ b/internal/disk/memory.go
@@ -11,16 +11,17 @@
 )
 
 var (
-	// ErrCrashed is what every operation returns after a crash.
-	ErrCrashed = errors.New("the machine crashed")
-	// ErrPartialWrite is an error for Memory.Before: an append that fails with it, wrapped or not, writes half of its bytes.
-	ErrPartialWrite = errors.New("only a part was written")
+	// ErrCrashed is returned by every operation after a simulated crash.
+	ErrCrashed = errors.New("simulated crash")
+	// ErrPartialWrite is an error for Memory.Before to return: an append that fails with it, wrapped or not, writes half of
+	// its bytes.
+	ErrPartialWrite = errors.New("partial write")
 )
 
-// OpKind is the kind of an operation.
+// OpKind is the kind of an Op.
 type OpKind string
 
-// The operations that Memory.Before can fail.
+// The kinds of operations that are passed to Memory.Before.
 const (
 	OpCreate   OpKind = "create"
 	OpOpen     OpKind = "open"
@@ -37,32 +38,34 @@
 type Op struct {
 	Kind OpKind
 	Name string
-	Size int // bytes that are appended
+	Size int // bytes to append; 0 for other kinds
 }
 
-// Memory is a folder in memory. Beside what programs see it has what would be on the disk: what was synced and, of what
-// was not, the sectors and names that a crash may leave or lose. It is safe for concurrent use.
+// Memory is a folder in memory. Besides the current state it tracks what would be on a disk: the synced state, and the
+// unsynced sectors and name changes, each of which a crash may keep or lose. It is safe for concurrent use.
 type Memory struct {
-	// Before is called before each operation, which fails with the error that it returns; nil: none fails. A sync that
-	// fails leaves its bytes in the cache as if they were written, as kernels do: no later sync brings them to the disk.
+	// Before is called before each operation; if it returns an error, the operation fails with that error. nil: no operation
+	// fails. A failed sync marks the unsynced bytes as clean in the simulated cache, as kernels do, so no later sync writes
+	// them to the disk.
 	Before func(Op) error
 
 	mu             sync.Mutex
-	files          map[string]*inode // as programs see them
-	durableFiles   map[string]*inode // as they are on the disk
-	pendingChanges []nameChange      // since the last SyncDir
+	files          map[string]*inode // by name, as processes see them
+	durableFiles   map[string]*inode // by name, as synced to the disk
+	pendingChanges []nameChange      // since the last successful SyncDir
 	locked         bool
 	crashed        bool
-	ops            int
+	ops            int // number of operations that were begun successfully
 }
 
-// nameChange is a change of names that is not durable yet.
+// nameChange is a created, renamed or removed file name that is not durable yet.
 type nameChange struct {
 	name        string
-	node        *inode // nil: the name was removed
-	renamedFrom string // the earlier name, if the file was renamed
+	node        *inode // the file that has the name now; nil: the name was removed
+	renamedFrom string // the previous name if the file was renamed, else ""
 }
 
+// apply performs the change on a map of files by name.
 func (c nameChange) apply(files map[string]*inode) {
 	if c.renamedFrom != "" {
 		delete(files, c.renamedFrom)
@@ -79,14 +82,14 @@
 	return &Memory{files: map[string]*inode{}, durableFiles: map[string]*inode{}}
 }
 
-// Ops returns how many operations were done.
+// Ops returns the number of operations that were performed.
 func (m *Memory) Ops() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.ops
 }
 
-// beginOperation counts an operation, or returns why it fails; mu is held.
+// beginOperation counts an operation, or returns the error with which it must fail; the caller holds mu.
 func (m *Memory) beginOperation(op Op) error {
 	if m.crashed {
 		return ErrCrashed
@@ -100,7 +103,7 @@
 	return nil
 }
 
-// change applies a change of names that programs see at once and the disk gets at the next SyncDir; mu is held.
+// change applies a name change that is visible at once and becomes durable with the next SyncDir; the caller holds mu.
 func (m *Memory) change(change nameChange) {
 	change.apply(m.files)
 	m.pendingChanges = append(m.pendingChanges, change)
@@ -201,6 +204,7 @@
 	return memoryLock{m}, nil
 }
 
+// memoryLock is the lock returned by Memory.Lock.
 type memoryLock struct{ m *Memory }
 
 // Close implements io.Closer.
@@ -211,7 +215,7 @@
 	return nil
 }
 
-// Copy returns a folder with the same files, all of them durable.
+// Copy returns a folder with copies of all files, all of them durable.
 func (m *Memory) Copy() *Memory {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -222,7 +226,7 @@
 	return folder
 }
 
-// Bytes returns a file's content, which the caller may change to damage it; nil if there is no such file.
+// Bytes returns a file's content, or nil if the file does not exist. The caller may modify it in place to corrupt the file.
 func (m *Memory) Bytes(name string) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -232,14 +236,14 @@
 	return m.files[name].data
 }
 
-// Put makes or replaces a file, durably. The folder owns data from then on.
+// Put creates or replaces a file durably. The folder owns data afterwards.
 func (m *Memory) Put(name string, data []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.putDurable(name, data)
 }
 
-// putDurable makes or replaces a file whose content and name are on the disk; mu is held.
+// putDurable creates or replaces a file whose content and name are on the disk; the caller holds mu.
 func (m *Memory) putDurable(name string, data []byte) {
 	node := durableInode(data)
 	m.files[name] = node
--- a/internal/disk/memory_file.go
+++ b/internal/disk/memory_file.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// SectorSize is what a disk writes as a whole or not at all, in bytes.
+// SectorSize is the size in bytes of a sector, the unit that a disk writes atomically.
 const SectorSize = 512
 
-// inode is the content of a file, whatever its name.
+// inode is the content of a file, independent of its name.
 type inode struct {
-	data  []byte // as programs see it
-	disk  []byte // as it is on the disk for sure
-	cache []byte // as the kernel's cache assumes it to be on the disk
+	data  []byte // as processes see it
+	disk  []byte // as it is certain to be on the disk
+	cache []byte // as the simulated kernel cache assumes it to be on the disk
 }
 
-// durableInode returns a file that has reached the disk.
+// durableInode returns an inode whose content is on the disk. It owns data.
 func durableInode(data []byte) *inode {
 	return &inode{data: data, disk: slices.Clone(data), cache: slices.Clone(data)}
 }
@@ -100,8 +100,8 @@
 // Close implements io.Closer.
 func (f *memoryFile) Close() error { return nil }
 
-// writeBack writes the sectors that the cache takes for changed to the disk. What a failed sync left in the cache as
-// clean is not written again.
+// writeBack writes to the disk the sectors that have changed since the last sync. Sectors whose sync failed count as clean
+// in the cache, so they are not written again.
 func (n *inode) writeBack() {
 	n.disk = resized(n.disk, len(n.data))
 	for _, offset := range changedSectors(n.cache, n.data) {
@@ -111,7 +111,7 @@
 	}
 }
 
-// resized returns a copy of data with another size; what is added is zeros.
+// resized returns a copy of data that is truncated or padded with zeros to a size.
 func resized(data []byte, size int) []byte {
 	if size <= len(data) {
 		return slices.Clone(data[:size])
@@ -119,7 +119,7 @@
 	return append(slices.Clone(data), make([]byte, size-len(data))...)
 }
 
-// changedSectors returns the offsets of the sectors in which two contents differ. Beyond its end a content is zeros.
+// changedSectors returns the offsets of the sectors in which two contents differ. The shorter content is padded with zeros.
 func changedSectors(before, after []byte) (offsets []int) {
 	size := max(len(before), len(after))
 	before, after = resized(before, size), resized(after, size)
--- a/internal/disk/real.go
+++ b/internal/disk/real.go
@@ -15,13 +15,13 @@
 	fileMode   = 0o644
 )
 
-// Real is a folder on a disk.
+// Real is a folder on a disk, identified by its path.
 type Real struct{ dir string }
 
-// NewReal returns the folder at a path, and makes it if it does not exist.
+// NewReal returns the folder at a path and creates it if it does not exist.
 func NewReal(dir string) (*Real, error) {
 	if err := os.MkdirAll(dir, folderMode); err != nil {
-		return nil, fmt.Errorf("make the store's folder: %w", err)
+		return nil, fmt.Errorf("create the store's folder: %w", err)
 	}
 	return &Real{dir}, nil
 }
@@ -82,11 +82,11 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = dir.Close() }() // it was opened only to be synced, and the error of that is returned
+	defer func() { _ = dir.Close() }() // opened only for the sync, whose error is returned
 	return dir.Sync()
 }
 
-// Lock implements Folder. It is a lock of the kernel (flock), which ends with the process however that ends.
+// Lock implements Folder. It uses flock; the kernel releases the lock when the process ends, however it ends.
 func (r *Real) Lock() (io.Closer, error) {
 	file, err := os.OpenFile(r.path(LockName), os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
@@ -96,17 +96,17 @@
 	if err == nil {
 		return file, nil
 	}
-	_ = file.Close() // nothing was written
+	_ = file.Close() // nothing was written to it
 	if errors.Is(err, syscall.EWOULDBLOCK) {
 		return nil, ErrLocked
 	}
 	return nil, fmt.Errorf("lock: %w", err)
 }
 
-// realFile is an open file of Real. Files are appended to only by whoever created them, so they begin empty.
+// realFile is an open file of Real. Only files opened by Create are appended to, so they start empty.
 type realFile struct {
 	*os.File
-	size int64 // where Append writes, in bytes
+	size int64 // offset at which Append writes, in bytes
 }
 
 // Append implements File.
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -88,8 +88,8 @@
 	})
 }
 
-// At MaxConnections no connection is accepted; the next one is accepted as soon as one has closed. Dialed connections count,
-// too.
+// At MaxConnections no connection is accepted; the next one is accepted as soon as one has closed. Dialed connections
+// count, too.
 func TestConnectionsAreBounded(t *testing.T) {
 	loop, machine := startEcho(t, Bootstrap{MaxConnections: 3})
 	far, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/store/batch.go
+++ b/internal/store/batch.go
@@ -7,27 +7,27 @@
 	"github.com/tidwall/btree"
 )
 
-// Kinds of the operations in a payload.
+// Operation codes in a payload. They are part of the file format.
 const (
 	opPut         = 1
 	opDelete      = 2
-	opSnapshotEnd = 3 // the end of a snapshot, with the number of its keys
-	opCloseMarker = 4 // all before it is durable
+	opSnapshotEnd = 3 // end of a snapshot, followed by the number of its keys
+	opCloseMarker = 4 // written by Close: all preceding batches are durable
 )
 
-// noSnapshotEnd is the number of keys of a payload without an opSnapshotEnd.
+// noSnapshotEnd is returned instead of a number of keys for a payload without an opSnapshotEnd.
 const noSnapshotEnd = -1
 
-// errInvalidPayload is a cause of a CorruptionError.
-var errInvalidPayload = errors.New("a frame with an invalid payload")
+// errInvalidPayload is a possible cause of a CorruptionError.
+var errInvalidPayload = errors.New("invalid frame payload")
 
-// Batch is a list of changes that is written as a whole or not at all. The zero Batch is empty.
+// Batch is a list of changes that is written atomically. The zero Batch is empty.
 type Batch struct {
-	payload []byte
-	changes int
+	payload []byte // the changes, encoded as in the file
+	changes int    // number of changes
 }
 
-// Put sets a key. The value is copied.
+// Put sets the value of a key. The value is copied.
 func (b *Batch) Put(key string, value []byte) {
 	b.payload = append(b.payload, opPut)
 	b.payload = binary.AppendUvarint(b.payload, uint64(len(key)))
@@ -37,7 +37,7 @@
 	b.changes++
 }
 
-// Delete removes a key. It is no error if the key does not exist.
+// Delete removes a key. Deleting a key that does not exist is not an error.
 func (b *Batch) Delete(key string) {
 	b.payload = append(b.payload, opDelete)
 	b.payload = binary.AppendUvarint(b.payload, uint64(len(key)))
@@ -45,7 +45,7 @@
 	b.changes++
 }
 
-// Append adds the changes of another batch after those of this one.
+// Append appends the changes of another batch to this one.
 func (b *Batch) Append(other *Batch) {
 	b.payload = append(b.payload, other.payload...)
 	b.changes += other.changes
@@ -60,7 +60,7 @@
 // Reset makes the batch empty.
 func (b *Batch) Reset() { b.payload, b.changes = b.payload[:0], 0 }
 
-// Each calls do for each change in order; a nil value is a removal.
+// Each calls do for each change in order; a nil value means that the key is deleted.
 func (b *Batch) Each(do func(key string, value []byte)) {
 	_, _ = decodePayload(b.payload, do) // the payload was built by the methods above, so it is valid
 }
@@ -70,7 +70,7 @@
 	_, _ = applyPayload(index, b.payload) // valid, as in Each
 }
 
-// applyPayload applies the changes of a payload to an index and returns what decodePayload does.
+// applyPayload applies the changes of a payload to an index. It returns the results of decodePayload.
 func applyPayload(index *btree.Map[string, []byte], payload []byte) (snapshotKeys int, err error) {
 	return decodePayload(payload, func(key string, value []byte) {
 		if value == nil {
@@ -81,8 +81,8 @@
 	})
 }
 
-// decodePayload calls visit for each change of a payload; a nil value is a removal. It returns the number of keys that an
-// opSnapshotEnd gives, or noSnapshotEnd. The error is errInvalidPayload.
+// decodePayload calls visit for each change of a payload; a nil value means that the key is deleted. It returns the number
+// of keys stated by an opSnapshotEnd, or noSnapshotEnd. The error is nil or errInvalidPayload.
 func decodePayload(payload []byte, visit func(key string, value []byte)) (snapshotKeys int, err error) {
 	snapshotKeys = noSnapshotEnd
 	decoder := payloadDecoder{rest: payload}
@@ -109,12 +109,13 @@
 	return snapshotKeys, decoder.err
 }
 
-// payloadDecoder reads the parts of a payload. After the first error all parts are empty.
+// payloadDecoder reads the elements of a payload. After the first error uvarint returns 0 and bytes returns nil.
 type payloadDecoder struct {
 	rest []byte
 	err  error
 }
 
+// kind reads an operation code. The payload must not be at its end.
 func (d *payloadDecoder) kind() byte {
 	kind := d.rest[0]
 	d.rest = d.rest[1:]
@@ -131,7 +132,7 @@
 	return value
 }
 
-// bytes reads bytes that follow their length.
+// bytes reads a length and that many bytes.
 func (d *payloadDecoder) bytes() []byte {
 	length := d.uvarint()
 	if length > uint64(len(d.rest)) || d.err != nil {
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -8,13 +8,15 @@
 	"gingerfork/internal/disk"
 )
 
-// BenchmarkOpenAfterCrash opens a store after a crash, by the length of its log: about a thousand keys, written repeatedly.
+// BenchmarkOpenAfterCrash measures opening a store that was not closed, for logs of different lengths in which about a
+// thousand keys are written repeatedly.
 func BenchmarkOpenAfterCrash(b *testing.B) {
 	for _, batches := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprint(batches), func(b *testing.B) { benchmarkOpen(b, batches) })
 	}
 }
 
+// benchmarkOpen opens a store with the given number of batches in its log.
 func benchmarkOpen(b *testing.B, batches int) {
 	folder := disk.NewMemory()
 	store, _, err := Open(Options{Folder: folder, MinCompactionBytes: 1 << 40}) // never compacted
@@ -30,9 +32,9 @@
 	}
 	for b.Loop() {
 		b.StopTimer()
-		left := folder.Copy()
+		crashed := folder.Copy()
 		b.StartTimer()
-		if _, _, err := Open(Options{Folder: left}); err != nil {
+		if _, _, err := Open(Options{Folder: crashed}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/store/check.go
+++ b/internal/store/check.go
@@ -11,41 +11,41 @@
 	"gingerfork/internal/disk"
 )
 
-// States of a file in a FileReport.
+// States of a file in a FileReport, as printed by the command "store check".
 const (
-	stateCurrent = "in force"
-	stateUnused  = "not in force"
-	stateIntact  = "whole"
-	stateDamaged = "damaged"
-	stateLog     = "log"
+	stateCurrent = "in force"     // the manifest
+	stateUnused  = "not in force" // a snapshot that the manifest does not name
+	stateIntact  = "whole"        // a snapshot that was read completely
+	stateDamaged = "damaged"      // a snapshot of which a part can't be read
+	stateLog     = "log"          // a segment
 )
 
-// CheckReport is what can be read of a store, damaged or not.
+// CheckReport describes the readable contents of a store, which may be damaged.
 type CheckReport struct {
-	Absent     bool  // there is no store yet
-	Intact     bool  // nothing is damaged; a torn tail is no damage
-	Damage     error // a CorruptionError, unless Intact
+	Absent     bool  // the folder contains no store
+	Intact     bool  // nothing is damaged; a torn tail does not count as damage
+	Damage     error // a CorruptionError; nil if Intact
 	Files      []FileReport
 	Keys       int
-	Batches    int      // of the log
-	Unreadable []string // what can't be read though later batches can
-	Recovery   Recovery // if Intact
+	Batches    int      // number of batches read from the log
+	Unreadable []string // unreadable parts that are followed by readable batches
+	Recovery   Recovery // set if Intact
 
 	storeID       uint64
 	index         *btree.Map[string, []byte]
 	lastSequence  uint64
-	highestNumber uint64 // of all segments and snapshots
+	highestNumber uint64 // highest number of any segment or snapshot
 }
 
-// FileReport is what was found in one file.
+// FileReport describes one file of a store.
 type FileReport struct {
 	Name   string
 	Bytes  int
-	Frames int // that were applied
-	State  string
+	Frames int    // number of frames that were applied
+	State  string // one of the states above, or why the file can't be read
 }
 
-// String returns a summary of what can be read.
+// String returns a summary of the readable contents.
 func (r *CheckReport) String() string {
 	text := fmt.Sprintf("%d keys, of %d batches up to %d", r.Keys, r.Batches, r.lastSequence)
 	if len(r.Unreadable) > 0 {
@@ -54,7 +54,7 @@
 	return text
 }
 
-// Each calls do for each key that was read, in order.
+// Each calls do for each key that could be read, in ascending order.
 func (r *CheckReport) Each(do func(key string, value []byte)) {
 	r.index.Scan(func(key string, value []byte) bool {
 		do(key, value)
@@ -62,8 +62,8 @@
 	})
 }
 
-// Check reads a store without changing anything. Damage is reported in the CheckReport; the error is ErrNewerFormat or one
-// of the folder.
+// Check reads a store without changing anything. Damage is reported in the CheckReport; the error wraps ErrNewerFormat or
+// an error of the folder.
 func Check(folder disk.Folder) (*CheckReport, error) {
 	report, err := salvage(folder)
 	if err != nil {
@@ -85,19 +85,19 @@
 	return report, nil
 }
 
-// salvager reads every frame that is intact, in order, and skips the rest.
+// salvager reads all intact frames in order and skips damaged parts.
 type salvager struct {
 	*CheckReport
-	names    []string // of all files
-	contents map[string][]byte
+	names    []string          // of all files, sorted
+	contents map[string][]byte // of the manifest, segments and snapshots, by name
 	manifest manifest
-	// manifestDamage is why the manifest can't be read; nil if it can.
+	// manifestDamage is the reason why the manifest can't be read; nil if it can.
 	manifestDamage error
-	started        bool // a batch or snapshot was found, so that a gap after it shows
+	started        bool // a batch or snapshot was found, so a later gap in the sequence numbers means lost batches
 }
 
-// salvage reads what is intact in a folder. If the manifest can't be read, the newest snapshot that is intact is used, and
-// the log after it. The error is ErrNewerFormat or one of the folder.
+// salvage reads the intact parts of the store in a folder. If the manifest can't be read, it uses the newest intact
+// snapshot and the segments after it. The error wraps ErrNewerFormat or an error of the folder.
 func salvage(folder disk.Folder) (*CheckReport, error) {
 	names, err := folder.Names()
 	if err != nil {
@@ -132,6 +132,7 @@
 	return reader.CheckReport, nil
 }
 
+// readManifest reads the manifest, or sets manifestDamage. The error is ErrNewerFormat.
 func (s *salvager) readManifest() error {
 	data := s.contents[manifestName]
 	s.manifest, s.manifestDamage = parseManifest(data)
@@ -146,7 +147,8 @@
 	return nil
 }
 
-// readSnapshots reads the snapshot in force, in part if need be; without a manifest, the newest that is intact.
+// readSnapshots reads the current snapshot, in part if it is damaged. Without a readable manifest it reads the newest
+// intact snapshot.
 func (s *salvager) readSnapshots() {
 	for _, name := range slices.Backward(s.names) {
 		if number := snapshotNumber(name); number > 0 {
@@ -155,6 +157,7 @@
 	}
 }
 
+// readSnapshot reads a snapshot if it is the current one, or the newest intact one if the manifest can't be read.
 func (s *salvager) readSnapshot(name string, number uint64) FileReport {
 	data := s.contents[name]
 	file := FileReport{Name: name, Bytes: len(data), State: stateUnused}
@@ -163,11 +166,11 @@
 		file.State = err.Error()
 		return file
 	}
-	inForce := s.manifest.snapshot == number
+	isCurrent := s.manifest.snapshot == number
 	if s.manifestDamage != nil {
-		inForce = s.manifest.snapshot == 0 // none was found yet
+		isCurrent = s.manifest.snapshot == 0 // no intact snapshot was found yet
 	}
-	if !inForce {
+	if !isCurrent {
 		return file
 	}
 	index, intact := new(btree.Map[string, []byte]), false
@@ -191,12 +194,13 @@
 	return file
 }
 
+// readSegment applies all intact frames of a segment that follow the last applied batch.
 func (s *salvager) readSegment(name string, number uint64) {
 	data := s.contents[name]
 	file := FileReport{Name: name, Bytes: len(data), State: stateLog}
 	header, err := readFileHeader(data)
 	if err != nil {
-		// The frames' checksums can be verified all the same, with what the header must have been.
+		// The checksums of the frames can still be verified, with the values that the header must have had.
 		file.State = err.Error()
 		header = fileHeader{storeID: max(s.manifest.storeID, s.storeID), number: number}
 	}
@@ -209,7 +213,8 @@
 	s.Files = append(s.Files, file)
 }
 
-// applyFrame applies a frame and notes the batches that are missing before it. It returns false if its payload is invalid.
+// applyFrame applies a frame and records the batches that are missing before it in Unreadable. It returns false if the
+// payload is invalid.
 func (s *salvager) applyFrame(current frame) bool {
 	expected := s.lastSequence + 1
 	if current.sequence > expected && (s.started || current.sequence > 1) {
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -2,19 +2,20 @@
 
 import "slices"
 
-// maxCommitGroupBytes bounds the payloads that one append writes for many callers of Commit.
+// maxCommitGroupBytes limits the total payload size that one append writes for concurrent callers of Commit. A single
+// larger batch is written on its own.
 const maxCommitGroupBytes = 4 << 20
 
-// commitSignal ends the wait of a caller of Commit.
+// commitSignal tells a waiting caller of Commit how to continue.
 type commitSignal int
 
 const (
-	signalDone commitSignal = iota // the batch was written by another caller
-	signalLead                     // write the next group
+	signalDone commitSignal = iota // the batch was handled by another caller; pendingWrite.err is the result
+	signalLead                     // become the leader and write the next group
 )
 
-// Commit writes a batch and returns once it is durable. Of many concurrent callers one leads: it writes and syncs for all
-// that are in the queue, while the next group gathers.
+// Commit writes a batch and returns once it is durable. Concurrent calls are combined into a group commit: one caller, the
+// leader, writes and syncs the batches of all queued callers, while later callers queue up for the next group.
 func (s *Store) Commit(batch *Batch) error {
 	write := &pendingWrite{batch: batch, signal: make(chan commitSignal, 1)}
 	leads := s.enqueueCommit(write)
@@ -33,7 +34,7 @@
 	return write.err
 }
 
-// enqueueCommit adds a write to the queue and reports whether its caller leads.
+// enqueueCommit adds a write to the queue and reports whether its caller is the leader.
 func (s *Store) enqueueCommit(write *pendingWrite) (leads bool) {
 	s.commitMu.Lock()
 	defer s.commitMu.Unlock()
@@ -45,7 +46,8 @@
 	return true
 }
 
-// takeCommitGroup takes as many writes from the queue as one append may write; at least the first, the leader's own.
+// takeCommitGroup removes the next group of writes from the queue: as many as fit into maxCommitGroupBytes, and at least
+// the first, which is the leader's own.
 func (s *Store) takeCommitGroup() []*pendingWrite {
 	s.commitMu.Lock()
 	defer s.commitMu.Unlock()
@@ -62,7 +64,7 @@
 	return group
 }
 
-// syncGroup makes the writes of a group durable that succeeded.
+// syncGroup makes those writes of a group durable that succeeded. If the sync fails, it sets their errors.
 func (s *Store) syncGroup(group []*pendingWrite) {
 	if !slices.ContainsFunc(group, func(write *pendingWrite) bool { return write.err == nil }) {
 		return
@@ -72,7 +74,7 @@
 	}
 }
 
-// passLeadership makes the first in the queue the next leader, if there is any.
+// passLeadership makes the first caller in the queue the next leader, if the queue is not empty.
 func (s *Store) passLeadership() {
 	s.commitMu.Lock()
 	defer s.commitMu.Unlock()
--- a/internal/store/compaction.go
+++ b/internal/store/compaction.go
@@ -5,25 +5,25 @@
 	"fmt"
 )
 
-// compactionRatio is how many times the size of the snapshot the log may have before it is compacted.
+// compactionRatio is the ratio of log size to snapshot size above which the log is compacted.
 const compactionRatio = 2
 
-// needsCompaction reports whether the log is long enough to be compacted; mu is held.
+// needsCompaction reports whether the log is large enough to be compacted; the caller holds mu.
 func (s *Store) needsCompaction() bool {
 	return s.logBytes > max(s.options.MinCompactionBytes, compactionRatio*s.snapshotBytes, s.compactionRetryLogBytes)
 }
 
-// requestCompaction wakes the background goroutine.
+// requestCompaction wakes the background goroutine, if there is one.
 func (s *Store) requestCompaction() {
 	select {
 	case s.compactionDue <- struct{}{}:
-	default: // it was requested already
+	default: // already requested
 	}
 }
 
-// Compact does one step of a compaction if one is needed, in progress or, with force, asked for. more reports whether to
-// call it again. If it fails, as on a full disk, the log stays as it is, and the next attempt is made when it has grown by
-// half.
+// Compact performs one step of a compaction if one is in progress or needed, or if force is set. more reports whether the
+// compaction needs further calls. If a step fails, for example on a full disk, the log is kept, and the next attempt
+// without force is made when the log has grown by half.
 func (s *Store) Compact(force bool) (more bool, err error) {
 	s.compactionMu.Lock()
 	defer s.compactionMu.Unlock()
@@ -45,7 +45,7 @@
 	return true, nil
 }
 
-// startCompaction starts a new segment; the snapshot will have everything that was written to the segments before it.
+// startCompaction starts a new segment and a snapshot of everything that was written to the segments before it.
 func (s *Store) startCompaction() error {
 	number := s.active.header.number + 1
 	created, err := createSegment(s.folder, fileHeader{storeID: s.manifest.storeID, number: number})
@@ -59,6 +59,7 @@
 	return nil
 }
 
+// continueCompaction writes the next part of the snapshot, or makes it current once it is complete.
 func (s *Store) continueCompaction() (more bool, err error) {
 	writer := s.compaction
 	more, err = writer.step()
@@ -74,17 +75,17 @@
 	return false, s.finishCompaction(writer)
 }
 
-// finishCompaction puts the snapshot in force and removes the files that it replaces.
+// finishCompaction makes the snapshot current by replacing the manifest, and removes the files that it replaces.
 func (s *Store) finishCompaction(writer *snapshotWriter) error {
 	next := s.manifest
 	next.snapshot = writer.header.number
 	next.firstSegment = next.snapshot + 1
 	if err := s.replaceManifest(next); err != nil {
 		if s.Broken() != nil {
-			return err // the snapshot may be in force after a restart
+			return err // keep the snapshot: it may be current after a restart
 		}
 		writer.abort()
-		return s.deferCompaction(fmt.Errorf("put a snapshot in force: %w", err))
+		return s.deferCompaction(fmt.Errorf("replace the manifest: %w", err))
 	}
 	s.mu.Lock()
 	s.snapshotBytes = writer.bytes
@@ -97,7 +98,7 @@
 	return nil
 }
 
-// deferCompaction makes the next attempt wait until the log has grown by half. It returns the error.
+// deferCompaction delays the next attempt until the log has grown by half. It returns err.
 func (s *Store) deferCompaction(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +106,7 @@
 	return err
 }
 
-// compactInBackground compacts when needed, until the store is closed or broken.
+// compactInBackground compacts the store on request until it is closed or broken.
 func (s *Store) compactInBackground() {
 	defer s.background.Done()
 	for {
@@ -120,7 +121,7 @@
 	}
 }
 
-// compactUntilDone does all steps of a compaction. It returns false if the store is being closed or is broken.
+// compactUntilDone performs all steps of a compaction. It returns false if the store is being closed or is broken.
 func (s *Store) compactUntilDone() bool {
 	for more := true; more; {
 		select {
@@ -129,7 +130,7 @@
 		default:
 		}
 		var err error
-		more, err = s.Compact(false) // an error other than ErrBroken is followed by another attempt
+		more, err = s.Compact(false) // after an error other than ErrBroken a later request tries again
 		if errors.Is(err, ErrBroken) {
 			return false
 		}
--- a/internal/store/concurrency_test.go
+++ b/internal/store/concurrency_test.go
@@ -12,11 +12,11 @@
 const (
 	testWriters      = 8
 	batchesPerWriter = 60
-	keysPerWriter    = 8 // its last batch, and seven that it writes in turn
+	keysPerWriter    = 8 // one with the number of the last batch, and seven written in turn
 )
 
-// TestManyWriters writes from many goroutines during compactions, in a real folder: everything that was acknowledged is
-// there at the next start, and the files stay within their bound.
+// TestManyWriters writes from many goroutines during compactions, in a real folder. Everything that was acknowledged
+// must be found at the next start, and the number of files must stay within its limit.
 func TestManyWriters(t *testing.T) {
 	folder, err := disk.NewReal(t.TempDir())
 	if err != nil {
@@ -40,11 +40,12 @@
 		t.Fatal(err)
 	}
 	if stats.Compactions == 0 || stats.Syncs > stats.Batches || stats.Keys != testWriters*keysPerWriter {
-		t.Errorf("%+v", stats)
+		t.Errorf("unexpected statistics %+v", stats)
 	}
 	checkWrittenBatches(t, folder)
 }
 
+// writeBatches commits the batches of one writer and scans the store after each.
 func writeBatches(t *testing.T, s *Store, writer int) {
 	for i := range batchesPerWriter {
 		changes := batch(
@@ -56,11 +57,12 @@
 			return
 		}
 		for key := range s.Scan("w") {
-			_ = key // the scan itself is what races with the other writers
+			_ = key // only the scan itself matters: it runs concurrently with the other writers
 		}
 	}
 }
 
+// checkWrittenBatches checks what is found when the store is opened again.
 func checkWrittenBatches(t *testing.T, folder *disk.Real) {
 	t.Helper()
 	s, report, err := Open(Options{Folder: folder})
@@ -74,10 +76,11 @@
 	const closeMarker = 1
 	batches := uint64(testWriters*batchesPerWriter + closeMarker)
 	if report.Keys != testWriters*keysPerWriter || report.LastSequence != batches || report.TornBytes != 0 {
-		t.Errorf("%+v", report)
+		t.Errorf("unexpected recovery %+v", report)
 	}
 	names, err := folder.Names()
-	// LOCK, MANIFEST, a snapshot, its segment, that of a compaction that the close cut short, that of this open.
+	// At most LOCK, MANIFEST, a snapshot, the segment after it, the segment of a compaction that Close interrupted, and the
+	// segment that this Open created.
 	if err != nil || len(names) > 6 {
 		t.Errorf("files %q, error %v", names, err)
 	}
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -12,8 +12,8 @@
 	"gingerfork/internal/disk"
 )
 
-// forEachAnswer calls do with each sequence of answers to its yes-or-no questions, however many it asks, up to a number of
-// calls. It returns the number of calls.
+// forEachAnswer calls do once for each possible sequence of results of the function ask that it passes to do, however often
+// do calls ask, but at most maxCalls times. It returns the number of calls.
 func forEachAnswer(maxCalls int, do func(ask func() bool)) (calls int) {
 	var answers []bool
 	for {
@@ -26,7 +26,7 @@
 			return answers[asked-1]
 		})
 		calls++
-		// The next sequence, as in a binary counter: the last "no" becomes a "yes", what follows it is asked anew.
+		// The next sequence, as in a binary counter: the last false becomes true, and the answers after it start over.
 		answers = answers[:asked]
 		for len(answers) > 0 && answers[len(answers)-1] {
 			answers = answers[:len(answers)-1]
@@ -38,12 +38,14 @@
 	}
 }
 
+// openForCrash opens a store whose log is compacted very early.
 func openForCrash(folder *disk.Memory) (*Store, error) {
 	s, _, err := Open(Options{Folder: folder, MinCompactionBytes: 600, ID: testStoreID})
 	return s, err
 }
 
-// playHistory writes batches, syncs, compacts and writes more batches. It ends where the folder fails.
+// playHistory writes batches, syncs, compacts and writes more batches, and records them in expected. Operations after a
+// failure of the folder have no effect.
 func playHistory(folder *disk.Memory, expected *model) {
 	store, err := openForCrash(folder)
 	if err != nil {
@@ -72,9 +74,9 @@
 	write(false, "list/2=d")
 }
 
-// TestCrashAnywhere crashes after every single operation, in every combination of what was not synced being there or not,
-// and for an eighth of these crashes after every operation of the recovery, too. No acknowledged batch is lost, and none
-// is found in part.
+// TestCrashAnywhere crashes after every single operation, for every combination of unsynced changes that survive, up to 200
+// combinations per operation. For an eighth of these crashes it also crashes after every operation of the recovery. No
+// acknowledged batch may be lost, and none may be found in part.
 func TestCrashAnywhere(t *testing.T) {
 	complete := disk.NewMemory()
 	playHistory(complete, newModel())
@@ -93,13 +95,13 @@
 			outcome++
 		})
 	}
-	t.Logf("%d operations, %d crashes an eighth of them with a crash at each operation of the recovery", operations, crashes)
+	t.Logf("%d operations, %d crashes, an eighth of them with a crash at each operation of the recovery", operations, crashes)
 	if operations < 25 || crashes < 1000 {
-		t.Errorf("%d operations, %d crashes: the history no longer reaches far", operations, crashes)
+		t.Errorf("%d operations, %d crashes: the history is too short, want 25 and 1000", operations, crashes)
 	}
 }
 
-// checkRecovery opens what a crash after an operation left, and writes to it.
+// checkRecovery opens the folder left by a crash after an operation, checks its contents and writes to it.
 func checkRecovery(t *testing.T, operation int, folder *disk.Memory, expected model) {
 	t.Helper()
 	s, err := openForCrash(folder)
@@ -114,8 +116,8 @@
 	}
 }
 
-// checkCrashesOfRecovery crashes after each operation of a recovery and the commit after it, with what was not synced
-// there or not by a pattern that differs each time.
+// checkCrashesOfRecovery crashes after each operation of a recovery and of the commit after it. Which unsynced changes
+// survive follows a pattern that differs each time.
 func checkCrashesOfRecovery(t *testing.T, operation int, crashed *disk.Memory, expected *model) {
 	t.Helper()
 	for second := 0; ; second++ {
@@ -142,8 +144,8 @@
 	}
 }
 
-// expectedAfterRecovery returns what may be found after a crash of a recovery. If the store was opened, the batch that was
-// written to it may be there, after whatever was recovered.
+// expectedAfterRecovery returns the model of what may be found after a crash during or after a recovery. store is nil if it
+// could not be opened. Otherwise the batch that was written to it may be found after the recovered batches.
 func expectedAfterRecovery(store *Store, expected *model) model {
 	if store == nil {
 		return *expected
@@ -163,11 +165,12 @@
 	return model{states: states, acknowledged: expected.acknowledged}
 }
 
-// TestCrashBySeed plays longer histories by seed, with sectors lost and found at random.
+// TestCrashBySeed plays longer random histories in which unsynced sectors are lost or kept at random.
 func TestCrashBySeed(t *testing.T) {
 	rapid.Check(t, checkCrashBySeed)
 }
 
+// checkCrashBySeed plays three random histories on the same store, each ended by a crash, and checks what is found.
 func checkCrashBySeed(test *rapid.T) {
 	folder, expected := disk.NewMemory(), newModel()
 	for range 3 {
@@ -184,7 +187,8 @@
 	}
 }
 
-// playRandomHistory checks what was recovered and writes batches of random sizes. It ends where the folder fails.
+// playRandomHistory checks the recovered contents and writes batches of random sizes. It ends at the first write that
+// fails.
 func playRandomHistory(test *rapid.T, folder *disk.Memory, expected *model) {
 	test.Helper()
 	store, _, err := Open(Options{Folder: folder, MinCompactionBytes: 1500, ID: testStoreID})
--- a/internal/store/failure_test.go
+++ b/internal/store/failure_test.go
@@ -16,6 +16,7 @@
 	errNoSpace = errors.New("no space left on device")
 )
 
+// checkValue checks the value of a key; a missing key has the value "".
 func checkValue(t *testing.T, s *Store, key, want string) {
 	t.Helper()
 	if got, _ := s.Get(key); string(got) != want {
@@ -23,8 +24,8 @@
 	}
 }
 
-// TestFailedSync checks that nothing is written after a sync that failed, that reads go on, and that the next Open writes
-// everything again: a crash then loses nothing that was read.
+// TestFailedSync checks that nothing is written after a failed sync, that reads still work, and that the next Open writes
+// everything again, so that a later crash loses nothing that was read.
 func TestFailedSync(t *testing.T) {
 	folder := disk.NewMemory()
 	store := open(t, folder)
@@ -44,13 +45,13 @@
 	}
 	checkValue(t, store, "a", "2")
 	if err := store.Broken(); !errors.Is(err, errIO) {
-		t.Errorf("broken by %v", err)
+		t.Errorf("Broken returned %v, want %v", err, errIO)
 	}
 	if err := store.Close(); !errors.Is(err, ErrBroken) {
 		t.Errorf("close: %v", err)
 	}
 	store = open(t, folder)
-	checkValue(t, store, "a", "2") // from the cache
+	checkValue(t, store, "a", "2") // read from the simulated kernel cache
 	if err := store.Commit(batch("b=1")); err != nil {
 		t.Fatal(err)
 	}
@@ -60,8 +61,8 @@
 	}
 }
 
-// TestFullDisk checks that writes to a full disk are rejected and leave nothing, that reads go on, and that the store goes
-// on once there is space.
+// TestFullDisk checks that writes to a full disk are rejected without effect, that reads still work, and that writes
+// succeed again once there is space.
 func TestFullDisk(t *testing.T) {
 	for name, cause := range map[string]error{
 		"nothing is written": errNoSpace,
@@ -71,6 +72,7 @@
 	}
 }
 
+// checkFullDisk checks a full disk on which appends and the creation of files fail with cause.
 func checkFullDisk(t *testing.T, cause error) {
 	t.Helper()
 	folder := disk.NewMemory()
@@ -100,7 +102,8 @@
 	}
 }
 
-// TestPartThatCannotBeRemoved checks that nothing is written after a part of a batch.
+// TestPartThatCannotBeRemoved checks that the store accepts no more writes if an append wrote a part of a batch and
+// that part can't be truncated.
 func TestPartThatCannotBeRemoved(t *testing.T) {
 	folder := disk.NewMemory()
 	s := open(t, folder)
@@ -109,10 +112,10 @@
 	}
 	folder.Before = failKinds(disk.ErrPartialWrite, disk.OpAppend, disk.OpTruncate)
 	if _, err := s.Write(batch("a=2")); !errors.Is(err, ErrBroken) {
-		t.Errorf("write: %v", err)
+		t.Errorf("partial write: error %v, want %v", err, ErrBroken)
 	}
 	folder.Before = nil
 	if _, err := s.Write(batch("a=3")); !errors.Is(err, ErrBroken) {
-		t.Errorf("write after a part of a batch: %v", err)
+		t.Errorf("write after a partial write: error %v, want %v", err, ErrBroken)
 	}
 }
--- a/internal/store/format_test.go
+++ b/internal/store/format_test.go
@@ -8,8 +8,8 @@
 	"gingerfork/internal/disk"
 )
 
-// TestFileFormat pins the bytes of the files: those of earlier versions must stay readable, and these must stay readable by
-// them. It holds for a store of two batches, compacted after the first and closed after the second.
+// TestFileFormat checks the exact bytes of the files of a store with two batches, compacted after the first and closed
+// after the second. The format must not change, so that this version and earlier ones can read each other's files.
 func TestFileFormat(t *testing.T) {
 	folder := disk.NewMemory()
 	s := open(t, folder)
@@ -36,7 +36,7 @@
 			"67667231 d179c2f9 01000000 4ec4e795 0300000000000000 0300000000000000 04 ffffffffffffff")
 }
 
-// checkHex compares a file with its bytes in hexadecimal; spaces are left out.
+// checkHex compares the bytes of a file with a hexadecimal text, in which spaces are ignored.
 func checkHex(t *testing.T, folder *disk.Memory, name, want string) {
 	t.Helper()
 	if got := hex.EncodeToString(folder.Bytes(name)); got != strings.ReplaceAll(want, " ", "") {
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -11,20 +11,21 @@
 	"gingerfork/internal/disk"
 )
 
-// The file format, which docs/store.md explains. All numbers are little endian.
+// The format of segments and snapshots, which docs/store.md explains. Sizes are in bytes; all numbers are little endian.
 //
-//	file:  header, frames
-//	header: magic 8 | store 8 | number 8 | last batch 8 | crc 4 | ones 4
-//	frame:  magic 4 | header crc 4 | length 4 | payload crc 4 | sequence 8 | durable 8 | payload, ones to a multiple of 8
+//	file:   file header, frames
+//	header: magic 8 | store ID 8 | file number 8 | last batch 8 | CRC 4 | 0xff padding 4
+//	frame:  magic 4 | header CRC 4 | payload length 4 | payload CRC 4 | sequence 8 | durable+1 8 |
+//	        payload, padded with 0xff to a multiple of 8
 //
-// No part of a header that may be in a sector of its own is all zeros. This tells a sector that was never written from one
-// that was corrupted on the disk.
+// The layout ensures that no part of a header that may lie in a sector of its own is all zeros. This distinguishes a sector
+// that was never written from one that was corrupted on the disk.
 const (
 	fileHeaderSize  = 40 // bytes
 	frameHeaderSize = 32 // bytes
-	frameAlignment  = 8  // bytes; frames begin at multiples of it
+	frameAlignment  = 8  // bytes; every frame starts at a multiple of it
 	paddingByte     = 0xff
-	// MaxPayloadBytes bounds the payload of a batch.
+	// MaxPayloadBytes limits the size of the payload of a batch.
 	MaxPayloadBytes = 64 << 20
 )
 
@@ -55,18 +56,20 @@
 	littleEndian    = binary.LittleEndian
 )
 
-// errTorn is returned where a sector or more was never written. That is no corruption unless it was known to be durable.
-var errTorn = errors.New("it was not written to its end")
+// errTorn is returned for data of which one or more sectors were never written. That is corruption only if the data was
+// known to be durable.
+var errTorn = errors.New("incomplete write")
 
-// Causes of a CorruptionError.
+// Possible causes of a CorruptionError.
 var (
-	errFileHeaderChecksum  = errors.New("the checksum of the file's header does not match")
-	errNotStoreFile        = errors.New("it is no file of a store")
-	errFrameHeaderChecksum = errors.New("the checksum of a frame's header does not match")
-	errFrameChecksum       = errors.New("the checksum of a frame does not match")
-	errFrameTooLarge       = errors.New("a frame is too large")
+	errFileHeaderChecksum  = errors.New("file header checksum mismatch")
+	errNotStoreFile        = errors.New("not a store file")
+	errFrameHeaderChecksum = errors.New("frame header checksum mismatch")
+	errFrameChecksum       = errors.New("frame payload checksum mismatch")
+	errFrameTooLarge       = errors.New("frame too large")
 )
 
+// checksum returns the CRC-32C of the concatenated parts.
 func checksum(parts ...[]byte) (sum uint32) {
 	for _, part := range parts {
 		sum = crc32.Update(sum, castagnoliTable, part)
@@ -76,12 +79,13 @@
 
 // fileHeader is the header of a segment or snapshot.
 type fileHeader struct {
-	snapshot     bool
+	snapshot     bool // the file is a snapshot, not a segment
 	storeID      uint64
-	number       uint64
-	lastSequence uint64 // the last batch that a snapshot includes; 0 in a segment
+	number       uint64 // of the file, as in its name
+	lastSequence uint64 // sequence number of the last batch that a snapshot includes; 0 in a segment
 }
 
+// append appends the encoded header to data.
 func (h fileHeader) append(data []byte) []byte {
 	magic := segmentMagic
 	if h.snapshot {
@@ -96,7 +100,8 @@
 	return append(data, filePadding...)
 }
 
-// readFileHeader reads the header of a segment or snapshot. The error is errTorn, ErrNewerFormat or a cause of corruption.
+// readFileHeader reads the header of a segment or snapshot. The error is errTorn, ErrNewerFormat or a cause for a
+// CorruptionError.
 func readFileHeader(data []byte) (header fileHeader, err error) {
 	if len(data) < fileHeaderSize || hasZeroSector(data, 0, fileHeaderSize) {
 		return header, errTorn
@@ -123,8 +128,8 @@
 	return header, nil
 }
 
-// hasZeroSector reports whether the part of some sector between two offsets is all zeros, as it is where the sector was
-// never written.
+// hasZeroSector reports whether any sector is all zeros in its part between two offsets, as it is if the sector was never
+// written.
 func hasZeroSector(data []byte, from, to int) bool {
 	for offset := from; offset < to; {
 		end := min((offset/disk.SectorSize+1)*disk.SectorSize, to)
@@ -136,29 +141,30 @@
 	return false
 }
 
-// alignUp rounds a number of bytes up to the alignment of frames.
+// alignUp rounds a number of bytes up to a multiple of frameAlignment.
 func alignUp(n int) int { return (n + frameAlignment - 1) &^ (frameAlignment - 1) }
 
-// frame is one batch in a file.
+// frame is one batch as read from a file.
 type frame struct {
-	size     int // bytes, padding included
-	sequence uint64
-	// durable is the last batch that was known to be durable when the frame was written. It proves to a reader whether an
-	// earlier frame that is torn was acknowledged.
+	size     int    // bytes, including header and padding
+	sequence uint64 // number of the batch; in a snapshot the number of the frame, from 1
+	// durable is the sequence number of the last batch that was known to be durable when the frame was written. It proves
+	// whether an earlier frame that is torn was acknowledged.
 	durable uint64
 	payload []byte
 }
 
-// isCloseMarker reports whether the frame says that all before it is durable.
+// isCloseMarker reports whether the frame is a close marker, which states that all batches before it are durable.
 func (f frame) isCloseMarker() bool {
 	return len(f.payload) == 1 && f.payload[0] == opCloseMarker && f.durable+1 == f.sequence
 }
 
-// appendFrame appends a frame for the file with this header to data.
+// appendFrame appends the encoding of a frame to data, for the file with the given header. The header of the frame stores
+// durable+1, which is never 0.
 func appendFrame(data []byte, header fileHeader, sequence, durable uint64, payload []byte) []byte {
 	start := len(data)
 	data = append(data, frameMagic[:]...)
-	data = append(data, 0, 0, 0, 0) // the header's checksum, set below
+	data = append(data, 0, 0, 0, 0) // checksum of the frame header, set below
 	data = littleEndian.AppendUint32(data, uint32(len(payload)))
 	data = littleEndian.AppendUint32(data, checksum(payload))
 	data = littleEndian.AppendUint64(data, sequence)
@@ -172,8 +178,8 @@
 	return data
 }
 
-// frameHeaderChecksum includes the store's ID and the file's number, so that no frame of another file, left on the same
-// sectors, is taken for one of this file.
+// frameHeaderChecksum returns the checksum of a frame header. It covers the store's ID and the file's number, so that a
+// leftover frame of another file on the same sectors is not mistaken for a frame of this file.
 func frameHeaderChecksum(header fileHeader, frameHeader []byte) uint32 {
 	var file [16]byte
 	littleEndian.PutUint64(file[:], header.storeID)
@@ -181,7 +187,8 @@
 	return checksum(file[:], frameHeader[:frameHeaderChecksumOffset], frameHeader[frameLengthOffset:])
 }
 
-// readFrame reads the frame at an offset. The error is errTorn if a part was never written, else a cause of corruption.
+// readFrame reads the frame at an offset. The error is errTorn if a part of the frame was never written, else a cause for a
+// CorruptionError.
 func readFrame(header fileHeader, data []byte, offset int) (frame, error) {
 	if len(data)-offset < frameHeaderSize {
 		return frame{}, errTorn
@@ -193,7 +200,7 @@
 	}
 	length := int(littleEndian.Uint32(frameHeader[frameLengthOffset:]))
 	if length > MaxPayloadBytes {
-		return frame{}, fmt.Errorf("%w: %d bytes, %d at most", errFrameTooLarge, length, MaxPayloadBytes)
+		return frame{}, fmt.Errorf("%w: %d bytes, the limit is %d", errFrameTooLarge, length, MaxPayloadBytes)
 	}
 	size := frameHeaderSize + alignUp(length)
 	if len(data)-offset < size {
@@ -201,9 +208,9 @@
 	}
 	payload := data[offset+frameHeaderSize : offset+frameHeaderSize+length]
 	padding := data[offset+frameHeaderSize+length : offset+size]
-	isOther := func(b byte) bool { return b != paddingByte }
+	isNotPadding := func(b byte) bool { return b != paddingByte }
 	sum = littleEndian.Uint32(frameHeader[framePayloadChecksumOffset:])
-	if checksum(payload) != sum || slices.ContainsFunc(padding, isOther) {
+	if checksum(payload) != sum || slices.ContainsFunc(padding, isNotPadding) {
 		return frame{}, tornOrCause(errFrameChecksum, data, offset, offset+size)
 	}
 	return frame{
@@ -214,7 +221,7 @@
 	}, nil
 }
 
-// tornOrCause returns errTorn if a sector between two offsets was never written, else the cause.
+// tornOrCause returns errTorn if a sector between two offsets was never written, else cause.
 func tornOrCause(cause error, data []byte, from, to int) error {
 	if hasZeroSector(data, from, to) {
 		return errTorn
@@ -222,7 +229,7 @@
 	return cause
 }
 
-// intactFrames returns the frames after an offset that can be read, whatever is between them.
+// intactFrames returns all intact frames after an offset, skipping unreadable data between them.
 func intactFrames(header fileHeader, data []byte, offset int) (frames []frame) {
 	offset = alignUp(offset)
 	for offset+frameHeaderSize <= len(data) {
--- a/internal/store/helpers_test.go
+++ b/internal/store/helpers_test.go
@@ -11,9 +11,10 @@
 	"gingerfork/internal/disk"
 )
 
-// testStoreID makes the files of all tests the same in each run.
+// testStoreID is the store ID in tests. It is fixed so that the files are the same in each run.
 const testStoreID = 7
 
+// contents returns all keys and values of a store.
 func contents(s *Store) map[string]string {
 	all := map[string]string{}
 	for key, value := range s.Scan("") {
@@ -22,7 +23,7 @@
 	return all
 }
 
-// batch makes a batch of words: key=value puts a key, and key deletes it.
+// batch returns a batch with a change for each word: "key=value" puts a key, "key" deletes it.
 func batch(words ...string) *Batch {
 	changes := &Batch{}
 	for _, word := range words {
@@ -35,7 +36,7 @@
 	return changes
 }
 
-// open opens a store whose log is compacted early.
+// open opens a store whose log is compacted early, at 2000 bytes.
 func open(t testing.TB, folder disk.Folder) *Store {
 	t.Helper()
 	s, _, err := Open(Options{Folder: folder, MinCompactionBytes: 2000, ID: testStoreID})
@@ -45,7 +46,7 @@
 	return s
 }
 
-// compact does all steps of a compaction.
+// compact performs all steps of a compaction.
 func compact(t testing.TB, s *Store) {
 	t.Helper()
 	for more := true; more; {
@@ -56,22 +57,22 @@
 	}
 }
 
-// loseUnsynced is an argument for disk.Memory.Crash: nothing survives that was not synced.
+// loseUnsynced is an argument for disk.Memory.Crash: no unsynced change survives.
 func loseUnsynced() bool { return false }
 
-// crashAfter returns a function for disk.Memory.Before: the machine crashes after so many operations.
+// crashAfter returns a function for disk.Memory.Before that simulates a crash after a number of operations.
 func crashAfter(operations int) func(disk.Op) error {
-	left := operations
+	remaining := operations
 	return func(disk.Op) error {
-		left--
-		if left < 0 {
+		remaining--
+		if remaining < 0 {
 			return disk.ErrCrashed
 		}
 		return nil
 	}
 }
 
-// failKinds returns a function for disk.Memory.Before: operations of these kinds fail.
+// failKinds returns a function for disk.Memory.Before that makes operations of the given kinds fail with cause.
 func failKinds(cause error, kinds ...disk.OpKind) func(disk.Op) error {
 	return func(op disk.Op) error {
 		for _, kind := range kinds {
@@ -83,7 +84,7 @@
 	}
 }
 
-// smallStore returns the files of a store with a snapshot and a log after it, which was not closed, and its contents.
+// smallStore returns the files and the contents of a store that has a snapshot and a log after it and was not closed.
 func smallStore(t *testing.T) (*disk.Memory, map[string]string) {
 	t.Helper()
 	folder := disk.NewMemory()
@@ -99,16 +100,18 @@
 	return folder.Copy(), contents(s)
 }
 
-// model is what a store must have: the state after each batch, and the last batch that was acknowledged as durable.
+// model holds the expected states of a store: the contents after each batch, and the last batch that was acknowledged as
+// durable.
 type model struct {
-	states       []map[string]string // by sequence number
-	acknowledged uint64
+	states       []map[string]string // contents by sequence number; 0 is the empty store
+	acknowledged uint64              // sequence number
 }
 
 func newModel() *model { return &model{states: []map[string]string{{}}} }
 
 func (m *model) lastState() map[string]string { return m.states[len(m.states)-1] }
 
+// write adds the state after a batch.
 func (m *model) write(changes *Batch) {
 	next := maps.Clone(m.lastState())
 	changes.Each(func(key string, value []byte) {
@@ -121,15 +124,15 @@
 	m.states = append(m.states, next)
 }
 
-// acknowledge notes that everything that was written to a store is durable.
+// acknowledge records that all batches written to a store are durable.
 func (m *model) acknowledge(s *Store) { _, m.acknowledged = s.Durable() }
 
-// check fails unless the recovered store has the state after some batch that is not before the last acknowledged one. The
-// model goes on from there.
+// check returns an error unless the contents of the recovered store are the state after the last acknowledged batch or a
+// later one. Later states are then dropped from the model, and the found one counts as acknowledged.
 func (m *model) check(s *Store) error {
 	_, sequence := s.Durable()
 	if sequence < m.acknowledged || sequence >= uint64(len(m.states)) {
-		return fmt.Errorf("batch %d is the last, %d was acknowledged, %d written", sequence, m.acknowledged, len(m.states)-1)
+		return fmt.Errorf("recovered batches up to %d, acknowledged up to %d, written up to %d", sequence, m.acknowledged, len(m.states)-1)
 	}
 	if diff := cmp.Diff(m.states[sequence], contents(s)); diff != "" {
 		return fmt.Errorf("after batch %d: %s", sequence, diff)
--- a/internal/store/manifest.go
+++ b/internal/store/manifest.go
@@ -19,6 +19,7 @@
 	fileNumberDigits      = 8
 )
 
+// Parts of the manifest, a text file. The magic is followed by the version, the fields and the checksum, a line each.
 const (
 	manifestMagic   = "gingerfork-store "
 	manifestVersion = manifestMagic + "1\n"
@@ -27,29 +28,31 @@
 	checksumLabel   = "check "
 )
 
-// Causes of a CorruptionError.
+// Possible causes of a CorruptionError.
 var (
-	errNotManifest      = errors.New("it is no manifest of a store")
-	errManifestChecksum = errors.New("its checksum does not match")
+	errNotManifest      = errors.New("not a store manifest")
+	errManifestChecksum = errors.New("manifest checksum mismatch")
 )
 
-// manifest names the files in force.
+// manifest identifies the current files: one snapshot and the segments after it.
 type manifest struct {
 	storeID      uint64
 	snapshot     uint64 // number of the snapshot; 0: none
 	firstSegment uint64 // number of the first segment after the snapshot
 }
 
+// encode returns the content of the manifest file.
 func (m manifest) encode() []byte {
 	text := fmt.Appendf(nil, manifestFormat, m.storeID, m.snapshot, m.firstSegment)
 	return append(text, checksumLine(text)...)
 }
 
+// checksumLine returns the last line of a manifest with the given preceding text.
 func checksumLine(text []byte) string {
 	return fmt.Sprintf("%s%08x\n", checksumLabel, checksum(text))
 }
 
-// parseManifest reads a manifest. The error is ErrNewerFormat or a cause of corruption.
+// parseManifest decodes a manifest. The error is ErrNewerFormat or a cause for a CorruptionError.
 func parseManifest(data []byte) (parsed manifest, err error) {
 	text := string(data)
 	if !strings.HasPrefix(text, manifestMagic) {
@@ -77,10 +80,10 @@
 func segmentNumber(name string) uint64  { return fileNumber(name, segmentSuffix) }
 func snapshotNumber(name string) uint64 { return fileNumber(name, snapshotSuffix) }
 
-// dataFileNumber returns the number in the name of a segment or snapshot; 0 if it is neither.
+// dataFileNumber returns the number in the name of a segment or snapshot, or 0 for any other name.
 func dataFileNumber(name string) uint64 { return max(segmentNumber(name), snapshotNumber(name)) }
 
-// fileNumber returns the number in the name of a file with this suffix; 0 if it has another name.
+// fileNumber returns the number in a file name with the given suffix, or 0 for any other name.
 func fileNumber(name, suffix string) uint64 {
 	digits, ok := strings.CutSuffix(name, suffix)
 	if !ok || len(digits) < fileNumberDigits {
@@ -93,7 +96,7 @@
 	return number
 }
 
-// writeSynced appends the content of a new file and makes it durable. The name is not durable yet.
+// writeSynced writes the content of a new file and syncs it. The name of the file is not durable until the next SyncDir.
 func writeSynced(file disk.File, content []byte) error {
 	if _, err := file.Append(content); err != nil {
 		return err
@@ -101,16 +104,17 @@
 	return file.Sync()
 }
 
-// replaceManifest puts another manifest in force: written, synced, renamed, and the folder synced. The files of the old
-// manifest must stay until it has returned.
+// replaceManifest makes another manifest current: it writes and syncs a temporary file, renames it and syncs the folder.
+// The files named by the old manifest must be kept until it has returned without an error.
 func (s *Store) replaceManifest(next manifest) error {
-	_ = s.folder.Remove(temporaryManifestName) // there is one only after a crash; if it stays, the next call fails
+	// The file exists only after a crash or a failed call. If it can't be removed, Create fails.
+	_ = s.folder.Remove(temporaryManifestName)
 	file, err := s.folder.Create(temporaryManifestName)
 	if err != nil {
 		return err
 	}
 	err = writeSynced(file, next.encode())
-	_ = file.Close() // the content is synced, or the file is not used
+	_ = file.Close() // either the content is synced, or the file is not used
 	if err != nil {
 		return err
 	}
@@ -118,7 +122,8 @@
 		return err
 	}
 	if err := s.folder.SyncDir(); err != nil {
-		// Either manifest may be found after a crash, so the files of both must stay: nothing is removed any more.
+		// Either manifest may be found after a crash, so the files of both must be kept: breaking the store prevents any
+		// further removal.
 		s.setBroken(fmt.Errorf("sync the folder: %w", err))
 		return err
 	}
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -10,7 +10,8 @@
 	"gingerfork/internal/disk"
 )
 
-// TestAgainstAModel plays random writes, syncs, steps of compactions, failed operations and crashes, against maps.
+// TestAgainstAModel runs random sequences of writes, syncs, compaction steps, failing operations and crashes, and compares
+// the store with a model made of maps.
 func TestAgainstAModel(t *testing.T) {
 	for range 10 {
 		rapid.Check(t, func(t *rapid.T) {
@@ -23,6 +24,7 @@
 	}
 }
 
+// modelTest is one random sequence of steps.
 type modelTest struct {
 	*rapid.T
 	folder *disk.Memory
@@ -30,6 +32,7 @@
 	store  *Store
 }
 
+// reopen opens the store and checks its contents against the model.
 func (m *modelTest) reopen() {
 	m.Helper()
 	var err error
@@ -41,12 +44,14 @@
 	}
 }
 
+// crash simulates a crash in which random unsynced changes survive, and reopens the store.
 func (m *modelTest) crash() {
 	m.Helper()
 	m.folder = m.folder.Crash(func() bool { return rapid.Bool().Draw(m.T, "survives") })
 	m.reopen()
 }
 
+// step performs one random step.
 func (m *modelTest) step() {
 	m.Helper()
 	steps := []string{
@@ -100,13 +105,13 @@
 	return changes
 }
 
-// crashDuringOperations crashes in one of the operations of a commit and some steps of compactions.
+// crashDuringOperations crashes during one of the operations of a commit and a few compaction steps.
 func (m *modelTest) crashDuringOperations() {
 	m.Helper()
 	m.folder.Before = crashAfter(rapid.IntRange(0, 12).Draw(m.T, "operations"))
 	err := m.store.Commit(batch("a=crash"))
 	_, sequence := m.store.Durable()
-	if err == nil || sequence == uint64(len(m.model.states)) { // it was written, durable or not
+	if err == nil || sequence == uint64(len(m.model.states)) { // the batch was written, durable or not
 		m.model.write(batch("a=crash"))
 	}
 	if err == nil {
@@ -118,7 +123,7 @@
 	m.crash()
 }
 
-// failOperation makes one of the next operations of a kind fail.
+// failOperation makes one of the next three operations of a random kind fail.
 func (m *modelTest) failOperation() {
 	kinds := []disk.OpKind{disk.OpAppend, disk.OpSync, disk.OpSyncDir, disk.OpCreate, disk.OpRename, disk.OpRemove}
 	kind := rapid.SampledFrom(kinds).Draw(m.T, "kind")
@@ -136,6 +141,7 @@
 	}
 }
 
+// close closes the store, ends injected failures and reopens it.
 func (m *modelTest) close() {
 	m.Helper()
 	err := m.store.Close()
--- a/internal/store/open.go
+++ b/internal/store/open.go
@@ -6,13 +6,14 @@
 	"math/rand/v2"
 )
 
-// errNoSnapshotNumber can't happen with files that this package wrote: segments are numbered from 1 on, and one that has
-// batches leaves room for the number of a snapshot.
-var errNoSnapshotNumber = errors.New("batches before the first segment")
+// errNoSnapshotNumber can't occur with files written by this package: segments are numbered from 1, and a new segment after
+// one with batches has at least number 2, which leaves a number below it for the snapshot.
+var errNoSnapshotNumber = errors.New("no file number is left for a snapshot")
 
-// Open opens a store, or creates one in an empty folder. Unless it was closed cleanly, everything is written again as a
-// snapshot: what an earlier process wrote without a successful sync can be read now and be lost in the next crash. The error
-// is a CorruptionError, ErrNewerFormat, disk.ErrLocked or one of the folder.
+// Open opens a store, or creates one in an empty folder. Unless the store was closed cleanly, Open writes all recovered
+// contents to a new snapshot: batches that an earlier process wrote without a successful sync can be read now, but could
+// still be lost in the next crash. The error wraps a CorruptionError, ErrNewerFormat, disk.ErrLocked or an error of the
+// folder.
 func Open(options Options) (*Store, Recovery, error) {
 	if options.MinCompactionBytes == 0 {
 		options.MinCompactionBytes = defaultMinCompactionBytes
@@ -30,7 +31,7 @@
 	}
 	report, err := store.recover()
 	if err != nil {
-		_ = lock.Close() // the error above says why; the kernel drops the lock with the process in any case
+		_ = lock.Close() // err is more important; the kernel releases the lock with the process in any case
 		return nil, report, fmt.Errorf("open the store: %w", err)
 	}
 	if options.Background {
@@ -40,7 +41,7 @@
 	return store, report, nil
 }
 
-// recover reads the folder, creates a segment for new batches and puts it in force.
+// recover reads the store's files, creates a segment for new batches and adds it to the log.
 func (s *Store) recover() (Recovery, error) {
 	recovered, err := recoverStore(s.folder)
 	if err != nil {
@@ -52,12 +53,12 @@
 	if recovered.absent {
 		s.manifest.storeID = s.newStoreID()
 	}
-	// A number that no file has had: what is left of another file can't be taken for a part of this one.
+	// Use a number that no file has had, so that leftover data of another file can't be mistaken for a part of this one.
 	if err := s.startSegment(recovered.highestNumber + 1); err != nil {
 		return report, fmt.Errorf("create a segment: %w", err)
 	}
 	if recovered.closedCleanly {
-		// The close marker may not be durable, and the batches after it rely on that.
+		// The close marker may not be durable yet. Batches in the new segment record that it is, so sync it first.
 		if err := s.syncFile(segmentName(recovered.highestNumber)); err != nil {
 			return report, err
 		}
@@ -72,14 +73,16 @@
 	return report, nil
 }
 
+// newStoreID returns the configured ID, or a random one.
 func (s *Store) newStoreID() uint64 {
 	if s.options.ID != 0 {
 		return s.options.ID
 	}
-	return rand.Uint64() | 1 // not 0
+	return rand.Uint64() | 1 // never 0
 }
 
-// rewrite puts the active segment in force, after a snapshot of what was recovered if the log had anything.
+// rewrite makes the active segment the first one of the manifest. If the log had any data, it first writes the recovered
+// contents to a new snapshot.
 func (s *Store) rewrite(report Recovery) error {
 	next := s.manifest
 	next.firstSegment = s.active.header.number
@@ -88,9 +91,9 @@
 		if next.snapshot == 0 {
 			return errNoSnapshotNumber
 		}
-		writer := s.newSnapshotWriter(next.snapshot) // nobody writes yet
+		writer := s.newSnapshotWriter(next.snapshot) // without mu: nothing else uses the store yet
 		if err := writer.writeAll(); err != nil {
-			return fmt.Errorf("write what was recovered: %w", err)
+			return fmt.Errorf("write a snapshot of the recovered contents: %w", err)
 		}
 		s.snapshotBytes = writer.bytes
 	}
@@ -100,22 +103,22 @@
 	return nil
 }
 
-// syncFile syncs a file of an earlier run.
+// syncFile syncs a file that was written by an earlier process.
 func (s *Store) syncFile(name string) error {
 	file, err := s.folder.Open(name)
 	if err != nil {
 		return fmt.Errorf("sync %s: %w", name, err)
 	}
 	err = file.Sync()
-	_ = file.Close() // nothing was written through it
+	_ = file.Close() // nothing was written through this handle
 	if err != nil {
 		return fmt.Errorf("sync %s: %w", name, err)
 	}
 	return nil
 }
 
-// Close makes everything that was written durable and releases the folder. A compaction in progress is dropped. It returns
-// the error of the sync, or ErrBroken, or ErrClosed if the store was closed before.
+// Close makes all written batches durable and releases the folder. A compaction in progress is abandoned. The error is that
+// of the sync, ErrBroken, or ErrClosed if the store was closed before.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if s.closed {
@@ -150,8 +153,8 @@
 	return errors.Join(err, s.lock.Close())
 }
 
-// writeCloseMarker records that everything before it is durable. It is not synced: if a crash loses it, the next Open
-// writes a snapshot, which does no harm.
+// writeCloseMarker appends a frame that records that all batches before it are durable. The marker is not synced: if a
+// crash loses it, the next Open only writes a snapshot that would not have been necessary.
 func (s *Store) writeCloseMarker() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/open_test.go
+++ b/internal/store/open_test.go
@@ -12,12 +12,12 @@
 	"gingerfork/internal/disk"
 )
 
-// TestLock checks that a store has one owner.
+// TestLock checks that a store can't be opened while it is open.
 func TestLock(t *testing.T) {
 	folder, _ := smallStore(t)
 	s := open(t, folder)
 	if _, _, err := Open(Options{Folder: folder}); !errors.Is(err, disk.ErrLocked) {
-		t.Errorf("a second owner: %v", err)
+		t.Errorf("open while open: error %v, want %v", err, disk.ErrLocked)
 	}
 	if err := s.Close(); err != nil {
 		t.Error(err)
@@ -27,27 +27,27 @@
 	}
 }
 
-// TestRejectedWrites checks writes that are invalid.
+// TestRejectedWrites checks that empty batches and writes after Close are rejected.
 func TestRejectedWrites(t *testing.T) {
 	store := open(t, disk.NewMemory())
 	if _, err := store.Write(&Batch{}); !errors.Is(err, ErrWriteRejected) {
-		t.Errorf("an empty batch: %v", err)
+		t.Errorf("empty batch: error %v, want %v", err, ErrWriteRejected)
 	}
 	if err := store.Close(); err != nil {
 		t.Error(err)
 	}
 	if _, err := store.Write(batch("a=1")); !errors.Is(err, ErrClosed) {
-		t.Errorf("write after close: %v", err)
+		t.Errorf("write after close: error %v, want %v", err, ErrClosed)
 	}
 	if _, err := store.Write(&Batch{}); !errors.Is(err, ErrClosed) {
-		t.Errorf("an empty batch after close: %v", err)
+		t.Errorf("empty batch after close: error %v, want %v", err, ErrClosed)
 	}
 	if err := store.Close(); !errors.Is(err, ErrClosed) {
-		t.Errorf("a second close: %v", err)
+		t.Errorf("second close: error %v, want %v", err, ErrClosed)
 	}
 }
 
-// TestNewerFormat checks that the files of a later version are refused, and that Repair does not touch them.
+// TestNewerFormat checks that Open and Repair refuse the files of a later version.
 func TestNewerFormat(t *testing.T) {
 	folder, _ := smallStore(t)
 	text, _, _ := strings.Cut(string(folder.Bytes(manifestName)), checksumLabel)
@@ -61,7 +61,7 @@
 	}
 }
 
-// TestMissingFiles checks that a file that is missing is damage, and named.
+// TestMissingFiles checks that a missing file is reported as damage that names the file.
 func TestMissingFiles(t *testing.T) {
 	folder, _ := smallStore(t)
 	if err := open(t, folder).Close(); err != nil {
@@ -80,13 +80,14 @@
 			_, _, err := Open(Options{Folder: left})
 			var corruption *CorruptionError
 			if !errors.As(err, &corruption) || corruption.File != name || !errors.Is(err, errFileMissing) {
-				t.Errorf("got error %v", err)
+				t.Errorf("got error %v, want damage: %v", err, errFileMissing)
 			}
 		})
 	}
 }
 
-// FuzzOpen opens any log. Nothing panics, and what was opened, perhaps after a repair, is the same after a crash.
+// FuzzOpen opens a store with arbitrary bytes as its log. Open and Repair must not panic, and the contents that Open
+// returns, possibly after a repair, must be the same after a crash.
 func FuzzOpen(f *testing.F) {
 	folder := disk.NewMemory()
 	s := open(f, folder)
@@ -109,7 +110,7 @@
 	})
 }
 
-// openRepaired opens a store, after a repair if need be.
+// openRepaired opens a store, and repairs it first if it is damaged.
 func openRepaired(t *testing.T, folder *disk.Memory) *Store {
 	t.Helper()
 	s, _, err := Open(Options{Folder: folder, ID: testStoreID})
--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -11,24 +11,24 @@
 	"gingerfork/internal/disk"
 )
 
-// ErrNewerFormat is returned for a store that a later version of this program wrote.
-var ErrNewerFormat = errors.New("it has a newer format than this program reads")
+// ErrNewerFormat is returned for a store that was written by a later version of this program.
+var ErrNewerFormat = errors.New("the file format is newer than this program supports")
 
-// Causes of a CorruptionError.
+// Possible causes of a CorruptionError.
 var (
-	errFileMissing      = errors.New("it is missing")
-	errWrongFile        = errors.New("its header is that of another file")
+	errFileMissing      = errors.New("file is missing")
+	errWrongFile        = errors.New("the header belongs to another file")
 	errUnexpectedBatch  = errors.New("unexpected batch")
-	errSnapshotLength   = errors.New("the snapshot's length does not match")
+	errSnapshotLength   = errors.New("wrong snapshot length")
 	errDurableBatchTorn = errors.New("a durable batch is torn")
 )
 
-// CorruptionError is returned for records that were acknowledged, or may have been, and can't be read.
+// CorruptionError is returned if batches that were acknowledged as durable, or may have been, can't be read.
 type CorruptionError struct {
 	File        string
-	Offset      int64 // bytes
+	Offset      int64 // of the damage in the file, in bytes
 	Cause       error
-	Recoverable string // what a repair would keep
+	Recoverable string // summary of what a repair would keep
 }
 
 // Error implements error.
@@ -36,47 +36,47 @@
 	return fmt.Sprintf("%s is damaged at offset %d: %v; a repair would keep %s", e.File, e.Offset, e.Cause, e.Recoverable)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Cause.
 func (e *CorruptionError) Unwrap() error { return e.Cause }
 
 // Recovery reports what was found when a store was opened.
 type Recovery struct {
-	SnapshotFrames int // frames read from the snapshot
-	LogFrames      int // frames read from the log after it
+	SnapshotFrames int // number of frames read from the snapshot
+	LogFrames      int // number of frames read from the log after the snapshot
 	Keys           int
-	LastSequence   uint64 // the last batch
-	LogBytes       int64
-	TornBytes      int64  // of the log's end that was never acknowledged
-	TornFile       string // the segment where that begins
-	RemovedFiles   []string
+	LastSequence   uint64   // sequence number of the last batch
+	LogBytes       int64    // size of the segments that were read
+	TornBytes      int64    // size of the torn, never acknowledged tail of the log
+	TornFile       string   // segment in which the torn tail begins; "": none
+	RemovedFiles   []string // files that were no longer needed
 }
 
-// recovery reads a store's files. It changes nothing in the folder.
+// recovery reads the store in a folder without changing anything there.
 type recovery struct {
 	folder disk.Folder
-	names  []string // of all files
+	names  []string // of all files, sorted
 
 	manifest      manifest
-	absent        bool // there is no store yet
+	absent        bool // the folder contains no store
 	index         *btree.Map[string, []byte]
 	lastSequence  uint64
-	closedCleanly bool   // all that was read is durable
-	highestNumber uint64 // of all segments and snapshots, in force or not
+	closedCleanly bool   // the log ends with a close marker
+	highestNumber uint64 // highest number of any segment or snapshot, current or not
 	snapshotBytes int64
 	tail          tornTail
 	report        Recovery
 }
 
-// tornTail is where the log ends because a frame was not written to its end.
+// tornTail is the position where the log ends because a frame was not written completely.
 type tornTail struct {
-	file   string // "": the log has no torn tail
-	offset int
-	bytes  int64 // from there on, in all segments
+	file   string // name of the segment; "": the log has no torn tail
+	offset int    // of the torn frame in file
+	bytes  int64  // size of the data from there on, in all segments
 }
 
 func (t tornTail) exists() bool { return t.file != "" }
 
-// recoverStore reads the store in a folder. The error is a CorruptionError, ErrNewerFormat or one of the folder.
+// recoverStore reads the store in a folder. The error wraps a CorruptionError, ErrNewerFormat or an error of the folder.
 func recoverStore(folder disk.Folder) (*recovery, error) {
 	names, err := folder.Names()
 	if err != nil {
@@ -106,7 +106,7 @@
 	return recovered, nil
 }
 
-// readManifest reads the manifest, or sets absent if there is no store.
+// readManifest reads the manifest, or sets absent if the folder contains no store.
 func (r *recovery) readManifest() error {
 	data, err := disk.ReadAll(r.folder, manifestName)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -126,7 +126,8 @@
 	return nil
 }
 
-// checkNoBatches fails if the manifest is lost: a crash during the creation of a store leaves files without batches.
+// checkNoBatches fails if a segment or snapshot has batches although there is no manifest: then the manifest was lost. A
+// crash during the creation of a store leaves only files without batches.
 func (r *recovery) checkNoBatches() error {
 	for _, name := range r.names {
 		if dataFileNumber(name) == 0 {
@@ -143,6 +144,7 @@
 	return nil
 }
 
+// readSnapshot reads the current snapshot, which must be complete.
 func (r *recovery) readSnapshot() error {
 	name := snapshotName(r.manifest.snapshot)
 	data, err := disk.ReadAll(r.folder, name)
@@ -175,7 +177,7 @@
 	return nil
 }
 
-// readHeader reads the header of a file and checks that it belongs to the file.
+// readHeader decodes the header in data and checks that it has the given kind and number and the ID of this store.
 func (r *recovery) readHeader(data []byte, snapshot bool, number uint64) (fileHeader, error) {
 	header, err := readFileHeader(data)
 	if err != nil {
@@ -187,8 +189,8 @@
 	return header, nil
 }
 
-// readLog reads the segments. The log ends at the first torn frame. What is after it is left out, unless a part of that
-// proves that the torn frame was durable: then it is corruption.
+// readLog reads the segments in order. The log ends at the first torn frame. Data after it is ignored, unless a later frame
+// proves that the torn frame was durable; that is corruption.
 func (r *recovery) readLog() error {
 	for number := r.manifest.firstSegment; ; number++ {
 		name := segmentName(number)
@@ -202,7 +204,7 @@
 		r.report.LogBytes += int64(len(data))
 		header, err := r.readHeader(data, false, number)
 		if errors.Is(err, errTorn) && number > r.manifest.firstSegment && len(data) <= fileHeaderSize {
-			// A crash during the creation of the segment. Nothing was written after its header.
+			// The process crashed while it created the segment, before any batch was written to it.
 			r.closedCleanly = false
 			return nil
 		}
@@ -215,12 +217,13 @@
 	}
 }
 
-// checkLogEnd fails if a segment is missing in the middle of the log, or its first one is.
+// checkLogEnd is called with the number of the first missing segment. It fails if that is the first segment of the log, or
+// if later segments exist.
 func (r *recovery) checkLogEnd(missing uint64) error {
 	name := segmentName(missing)
 	later := slices.IndexFunc(r.names, func(name string) bool { return segmentNumber(name) > missing })
 	if later >= 0 {
-		return r.corruption(name, 0, fmt.Errorf("%w, but %s is there", errFileMissing, r.names[later]))
+		return r.corruption(name, 0, fmt.Errorf("%w, but %s exists", errFileMissing, r.names[later]))
 	}
 	if missing == r.manifest.firstSegment {
 		return r.corruption(name, 0, errFileMissing)
@@ -228,6 +231,8 @@
 	return nil
 }
 
+// readSegment applies the frames of a segment. After the first torn frame of the log it applies nothing, and checks that no
+// later frame proves that the torn frame was durable.
 func (r *recovery) readSegment(name string, header fileHeader, data []byte) error {
 	offset := fileHeaderSize
 	if !r.tail.exists() {
@@ -253,7 +258,8 @@
 	return nil
 }
 
-// readFrames applies the frames of a segment up to the first that can't be read, and returns the offset after them.
+// readFrames applies the frames of a segment up to the first one that can't be read or applied. It returns the offset of
+// that frame, or the end of the segment.
 func (r *recovery) readFrames(header fileHeader, data []byte) (offset int, err error) {
 	offset = fileHeaderSize
 	for offset < len(data) {
@@ -275,8 +281,8 @@
 	return offset, nil
 }
 
-// checkSequence returns errTorn if batches between the last one and this frame were never written, and a cause of
-// corruption if they were durable.
+// checkSequence checks that a frame directly follows the last batch. If batches between them were never written it returns
+// errTorn; if they were durable, or the number is not above the last one, a cause for a CorruptionError.
 func (r *recovery) checkSequence(current frame) error {
 	expected := r.lastSequence + 1
 	switch {
@@ -289,6 +295,7 @@
 	}
 }
 
+// corruption returns a CorruptionError for a file, including what a repair would keep.
 func (r *recovery) corruption(name string, offset int, cause error) error {
 	recoverable := "nothing"
 	if report, err := salvage(r.folder); err == nil {
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -7,14 +7,14 @@
 	"gingerfork/internal/disk"
 )
 
-// Repair writes what can be read as a new snapshot. The earlier files are renamed: their names end in .damaged from then
-// on. An intact store is not changed. The report is what was read before the repair.
+// Repair writes the readable contents of a damaged store to a new snapshot, and appends .damaged to the names of the old
+// files. An intact store is not changed. The report describes the store before the repair.
 func Repair(folder disk.Folder) (*CheckReport, error) {
 	lock, err := folder.Lock()
 	if err != nil {
 		return nil, fmt.Errorf("repair the store: %w", err)
 	}
-	defer func() { _ = lock.Close() }() // the kernel drops the lock with the process in any case
+	defer func() { _ = lock.Close() }() // the kernel releases the lock with the process in any case
 	report, err := Check(folder)
 	if err != nil || report.Intact {
 		return report, err
@@ -28,7 +28,8 @@
 	return report, nil
 }
 
-// writeSalvaged writes a snapshot and a segment with numbers that no file has had, and puts them in force.
+// writeSalvaged writes the contents of a report to a snapshot, creates a segment, both with numbers that no file has had,
+// and makes them current.
 func writeSalvaged(folder disk.Folder, report *CheckReport) error {
 	store := &Store{
 		folder:       folder,
@@ -46,17 +47,19 @@
 	}
 	defer store.active.close()
 	if err := store.newSnapshotWriter(next.snapshot).writeAll(); err != nil {
-		return fmt.Errorf("write what can be read: %w", err)
+		return fmt.Errorf("write a snapshot: %w", err)
 	}
-	// The old manifest is copied and not renamed, so that there is a manifest at any time. The copy only serves whoever
-	// looks into the damage, so a failure, as of a second repair whose copy exists, does not end the repair.
+	// The old manifest is copied instead of renamed, so that a manifest exists at all times. The copy is only needed to
+	// investigate the damage, so a failure to write it does not stop the repair. A second repair fails to write it because
+	// the copy exists.
 	_ = copyDamagedManifest(folder)
 	if err := store.replaceManifest(next); err != nil {
-		return fmt.Errorf("put it in force: %w", err)
+		return fmt.Errorf("replace the manifest: %w", err)
 	}
 	return nil
 }
 
+// copyDamagedManifest copies the manifest to a file whose name ends in .damaged.
 func copyDamagedManifest(folder disk.Folder) error {
 	data, err := disk.ReadAll(folder, manifestName)
 	if err != nil {
@@ -69,7 +72,7 @@
 	return errors.Join(writeSynced(file, data), file.Close())
 }
 
-// renameDamaged renames the segments and snapshots up to a number.
+// renameDamaged appends .damaged to the names of all segments and snapshots up to a number.
 func renameDamaged(folder disk.Folder, highestNumber uint64) error {
 	names, err := folder.Names()
 	if err != nil {
--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -7,24 +7,24 @@
 	"gingerfork/internal/disk"
 )
 
-// segment is an open file of the log.
+// segment is an open segment, one file of the write-ahead log.
 type segment struct {
 	header fileHeader
 	file   disk.File
-	size   int64 // bytes
+	size   int64 // bytes, including the header
 }
 
-// close closes the file of a segment that was synced, or whose store is broken.
+// close closes the file. It is called only after the segment was synced or the store is broken.
 func (s *segment) close() {
-	_ = s.file.Close() // what is durable was synced, so closing it can lose nothing
+	_ = s.file.Close() // durable data was synced, so a failed close loses none of it
 }
 
-// createSegment makes a segment without batches. It is durable, with its name.
+// createSegment creates a segment without batches. Its content and its name are durable when it returns.
 func createSegment(folder disk.Folder, header fileHeader) (*segment, error) {
 	name := segmentName(header.number)
 	file, err := folder.Create(name)
 	if errors.Is(err, fs.ErrExist) {
-		// An attempt before this one failed, and its file could not be removed.
+		// An earlier attempt failed and could not remove its file.
 		if err := folder.Remove(name); err != nil {
 			return nil, err
 		}
@@ -38,14 +38,14 @@
 		err = folder.SyncDir()
 	}
 	if err != nil {
-		_ = file.Close()        // the file is removed
-		_ = folder.Remove(name) // if it stays, the next attempt removes it
+		_ = file.Close()        // the file is removed next
+		_ = folder.Remove(name) // if this fails, the next attempt removes it
 		return nil, err
 	}
 	return &segment{header: header, file: file, size: fileHeaderSize}, nil
 }
 
-// startSegment makes a segment and writes all later batches to it.
+// startSegment creates a segment and makes it the active one.
 func (s *Store) startSegment(number uint64) error {
 	created, err := createSegment(s.folder, fileHeader{storeID: s.manifest.storeID, number: number})
 	if err != nil {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// activate makes a segment the one that batches are written to; mu is held.
+// activate makes a segment the active one, to which batches are written; the caller holds mu.
 func (s *Store) activate(next *segment) {
 	if s.active != nil {
 		s.sealed = append(s.sealed, s.active)
@@ -67,11 +67,11 @@
 	s.stats.BytesWritten += next.size
 }
 
-// removeObsoleteFiles removes the files that the manifest in force does not need, and returns their names.
+// removeObsoleteFiles removes the files that the current manifest does not need, and returns the names of removed files.
 func (s *Store) removeObsoleteFiles() (removed []string) {
 	names, err := s.folder.Names()
 	if err != nil {
-		return nil // the next compaction or start removes them
+		return nil // the next compaction or Open removes them
 	}
 	for _, name := range names {
 		if s.isObsolete(name) && s.folder.Remove(name) == nil {
@@ -81,6 +81,7 @@
 	return removed
 }
 
+// isObsolete reports whether the current manifest does not need the file with this name.
 func (s *Store) isObsolete(name string) bool {
 	if number := segmentNumber(name); number > 0 {
 		return number < s.manifest.firstSegment
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	snapshotStepBytes = 64 << 10 // that one step writes
-	// snapshotSyncBytes is written between two syncs, so that no sync of the log waits for a large one of the snapshot.
+	snapshotStepBytes = 64 << 10 // approximate payload size that one step writes, in bytes
+	// snapshotSyncBytes is the number of bytes that are written between two syncs of a snapshot. Frequent small syncs keep a
+	// sync of the log from waiting for a large sync of the snapshot.
 	snapshotSyncBytes = 1 << 20
 )
 
-// snapshotWriter writes a snapshot of the store as it was at one moment, step by step. Nobody reads its file until the
-// manifest names it.
+// snapshotWriter writes a snapshot of the store at one point in time, in steps. The file is not read until the manifest
+// names it.
 type snapshotWriter struct {
 	store         *Store
 	header        fileHeader
-	index         *btree.Map[string, []byte]
-	file          disk.File // nil before the first step
-	lastKey       string    // written so far
-	started       bool      // a key was written
-	frames        uint64
-	bytes         int64
-	unsyncedBytes int64
+	index         *btree.Map[string, []byte] // copy of the store's index at that time
+	file          disk.File                  // nil before the first step
+	lastKey       string                     // last key written
+	started       bool                       // at least one key was written
+	frames        uint64                     // number of frames written
+	bytes         int64                      // size of the file
+	unsyncedBytes int64                      // bytes written since the last sync
 }
 
-// newSnapshotWriter fixes what the snapshot has: everything that is written now. The time that this takes does not grow
-// with the store. mu is held, or nobody writes.
+// newSnapshotWriter returns a writer for a snapshot of all batches written so far. The copy of the index is copy-on-write,
+// so the time that the call takes does not grow with the store. The caller holds mu, or no other goroutine writes.
 func (s *Store) newSnapshotWriter(number uint64) *snapshotWriter {
 	return &snapshotWriter{
 		store: s,
@@ -40,7 +41,7 @@
 	}
 }
 
-// writeAll does all steps.
+// writeAll performs all steps.
 func (w *snapshotWriter) writeAll() error {
 	for more := true; more; {
 		var err error
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// step writes the next part. more is false once the snapshot and its name are durable.
+// step writes the next frame of the snapshot. more is false once the snapshot and its name are durable.
 func (w *snapshotWriter) step() (more bool, err error) {
 	var data []byte
 	if w.file == nil {
@@ -81,12 +82,13 @@
 	return false, w.store.folder.SyncDir()
 }
 
-// nextPayload returns the keys of one step; the last payload ends with the number of all keys.
+// nextPayload returns the payload of the next frame. more is false for the last one, which ends with the number of keys in
+// the snapshot.
 func (w *snapshotWriter) nextPayload() (payload []byte, more bool) {
 	var batch Batch
 	w.index.Ascend(w.lastKey, func(key string, value []byte) bool {
 		if w.started && key == w.lastKey {
-			return true // it was the last of the step before
+			return true // written by the previous step
 		}
 		if batch.Size() >= snapshotStepBytes {
 			more = true
@@ -102,6 +104,7 @@
 	return binary.AppendUvarint(append(batch.payload, opSnapshotEnd), uint64(w.index.Len())), false
 }
 
+// append appends data to the file and updates the byte counts.
 func (w *snapshotWriter) append(data []byte) error {
 	if _, err := w.file.Append(data); err != nil {
 		return err
@@ -115,11 +118,11 @@
 	return nil
 }
 
-// abort removes the file. The log stays as it was, with one segment more.
+// abort removes the file. The log is kept, with one more segment than before the compaction.
 func (w *snapshotWriter) abort() {
 	if w.file == nil {
 		return
 	}
-	_ = w.file.Close()                                       // the file is removed
-	_ = w.store.folder.Remove(snapshotName(w.header.number)) // if it stays, removeObsoleteFiles removes it
+	_ = w.file.Close()                                       // the file is removed next
+	_ = w.store.folder.Remove(snapshotName(w.header.number)) // if this fails, removeObsoleteFiles removes it
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,8 +1,8 @@
-// Package store is a durable key-value store: a write-ahead log of checksummed batches, an index in memory, and snapshots
-// that bound the log. docs/store.md describes the format and the reasons for it.
+// Package store implements a durable key-value store: a write-ahead log of checksummed batches, an index in memory, and
+// snapshots that limit the size of the log. docs/store.md describes the format and its design.
 //
-// A batch is found as a whole or not at all. It is durable once Sync has returned. Until then reads see it, and a crash may
-// lose it and all that was written after it.
+// Batches are atomic. A batch is durable once a later Sync has succeeded. Until then it is visible to reads, but a crash
+// may lose it together with all batches written after it.
 package store
 
 import (
@@ -17,14 +17,15 @@
 	"gingerfork/internal/disk"
 )
 
-// Errors that Write, Sync, SyncTo, Commit and Close wrap.
+// Errors that Write, Sync, SyncTo, Commit, Compact and Close return, possibly wrapped.
 var (
-	// ErrBroken is returned after a sync failed, so that nothing is known of what was written since the one before. The
-	// store takes no more writes; reads go on, of what may be lost. Only opening it again, by this process or the next,
-	// repairs it: that writes a snapshot of everything.
-	ErrBroken = errors.New("the store takes no more writes")
-	// ErrWriteRejected is returned for a write that failed and left nothing behind, as on a full disk. The next may succeed.
-	ErrWriteRejected = errors.New("not written")
+	// ErrBroken is returned after a failed sync: it is unknown whether data written since the last successful sync is on
+	// the disk. The store accepts no more writes. Reads still work, but may return data that a crash would lose. Opening
+	// the store again, in this process or another one, restores it by writing a snapshot of its contents.
+	ErrBroken = errors.New("the store accepts no more writes")
+	// ErrWriteRejected is returned for a write that failed without any effect, for example on a full disk or with an invalid
+	// batch. Later writes may succeed.
+	ErrWriteRejected = errors.New("write rejected")
 	// ErrClosed is returned after Close.
 	ErrClosed = errors.New("the store is closed")
 )
@@ -34,14 +35,15 @@
 
 // Options are the settings of a store.
 type Options struct {
-	// Folder has the store's files.
+	// Folder holds the store's files.
 	Folder disk.Folder
-	// MinCompactionBytes is the size below which the log is not compacted; 0: 1 MiB. Above, it is compacted at twice the
-	// size of the snapshot, so that all files together stay within MinCompactionBytes and four times the live data.
+	// MinCompactionBytes is the log size below which the log is not compacted; 0: 1 MiB. Above it, the log is compacted when
+	// it exceeds twice the size of the snapshot, so that the total size of all files stays within MinCompactionBytes plus
+	// four times the size of the live data.
 	MinCompactionBytes int64
-	// Background makes a goroutine of the store compact it. Without it the owner calls Compact.
+	// Background starts a goroutine that compacts the store when needed. If false, the owner must call Compact.
 	Background bool
-	// ID is the identifier of a store that is created; 0: a random one.
+	// ID is the identifier of a newly created store; 0: a random one.
 	ID uint64
 }
 
@@ -49,57 +51,58 @@
 type Store struct {
 	options Options
 	folder  disk.Folder
-	lock    io.Closer // of the folder
+	lock    io.Closer // exclusive lock of the folder
 
-	mu                      sync.Mutex // never held during a sync, or a write of more than one group
+	mu                      sync.Mutex // not held during a sync; held during at most one append to the log
 	index                   *btree.Map[string, []byte]
-	lastSequence            uint64 // the last batch that was written
-	durable                 uint64 // the last batch that is durable
-	active                  *segment
-	sealed                  []*segment // earlier segments that may hold batches that are not durable
-	broken                  error      // wraps ErrBroken; nil if the store takes writes
+	lastSequence            uint64     // sequence number of the last batch written
+	durable                 uint64     // sequence number of the last durable batch
+	active                  *segment   // the segment that batches are appended to
+	sealed                  []*segment // earlier segments that may contain batches that are not durable yet
+	broken                  error      // wraps ErrBroken; nil if the store accepts writes
 	closed                  bool
-	logBytes                int64 // after the snapshot in force
-	snapshotBytes           int64
-	compactionRetryLogBytes int64 // the size of the log, in bytes, for the next attempt after a compaction that failed
+	logBytes                int64 // size of the segments after the current snapshot
+	snapshotBytes           int64 // size of the current snapshot
+	compactionRetryLogBytes int64 // log size at which a failed compaction is attempted again; 0: none failed
 	stats                   Stats
-	writeBuffer             []byte
+	writeBuffer             []byte // encoded frames of the group being written; reused
 
-	syncMu sync.Mutex // held by the one sync at a time
+	syncMu sync.Mutex // serializes syncs
 
-	commitMu    sync.Mutex // guards the two below
+	commitMu    sync.Mutex // guards commitQueue and committing
 	commitQueue []*pendingWrite
-	committing  bool // some caller of Commit writes for a group
+	committing  bool // a caller of Commit is the leader and writes a group
 
-	compactionMu sync.Mutex // held by the one step of a compaction at a time; guards the two below
+	compactionMu sync.Mutex // serializes steps of compactions; guards manifest and compaction
 	manifest     manifest
-	compaction   *snapshotWriter // in progress; nil: none
+	compaction   *snapshotWriter // the snapshot being written; nil: no compaction is in progress
 
 	stop          chan struct{} // closed to end the background goroutine
-	compactionDue chan struct{}
+	compactionDue chan struct{} // holds one token if a compaction was requested
 	background    sync.WaitGroup
 }
 
-// Stats are counts since the store was opened, and sizes.
+// Stats holds counts since the store was opened, and current sizes.
 type Stats struct {
 	Batches        int
 	Syncs          int
 	Compactions    int
 	RejectedWrites int
-	BytesWritten   int64 // snapshots included
+	BytesWritten   int64 // to the log and snapshots
 	Keys           int
-	LogBytes       int64 // of the segments in force
-	SnapshotBytes  int64 // of the snapshot in force
+	LogBytes       int64 // size of the segments after the current snapshot
+	SnapshotBytes  int64 // size of the current snapshot
 }
 
-// Get returns the value of a key, which must not be changed.
+// Get returns the value of a key. The caller must not modify it.
 func (s *Store) Get(key string) ([]byte, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.index.Get(key)
 }
 
-// Scan returns the keys from one on, in order, as they are at this moment. Values must not be changed.
+// Scan returns the keys from "from" on in ascending order with their values, as of the call. The caller must not modify the
+// values.
 func (s *Store) Scan(from string) iter.Seq2[string, []byte] {
 	s.mu.Lock()
 	index := s.index.Copy()
@@ -107,21 +110,21 @@
 	return func(yield func(string, []byte) bool) { index.Ascend(from, yield) }
 }
 
-// Durable returns the last batch that a crash can't lose, and the last that was written.
+// Durable returns the sequence numbers of the last durable batch and of the last batch written.
 func (s *Store) Durable() (durable, written uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.durable, s.lastSequence
 }
 
-// Broken returns why the store takes no more writes; nil if it does.
+// Broken returns the reason why the store accepts no more writes, or nil if it accepts them.
 func (s *Store) Broken() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.broken
 }
 
-// setBroken makes the store take no more writes. Only the first cause is reported.
+// setBroken makes the store reject all further writes. Only the first cause is kept.
 func (s *Store) setBroken(cause error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,9 +133,10 @@
 	}
 }
 
+// brokenError returns an error that wraps ErrBroken and its cause.
 func brokenError(cause error) error { return fmt.Errorf("%w: %w", ErrBroken, cause) }
 
-// checkWritable returns why nothing can be written; mu is held.
+// checkWritable returns the reason why the store accepts no writes, or nil; the caller holds mu.
 func (s *Store) checkWritable() error {
 	if s.closed {
 		return ErrClosed
@@ -140,7 +144,7 @@
 	return s.broken
 }
 
-// Stats returns counts and sizes.
+// Stats returns the current counts and sizes.
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/sync.go
+++ b/internal/store/sync.go
@@ -2,13 +2,14 @@
 
 import "fmt"
 
-// Sync makes everything durable that was written before the call.
+// Sync makes all batches durable that were written before the call.
 func (s *Store) Sync() error {
 	_, written := s.Durable()
 	return s.SyncTo(written)
 }
 
-// SyncTo returns once a batch is durable. If many callers wait, one syncs for all that have written by then.
+// SyncTo returns once the batch with the given sequence number is durable. Concurrent calls share syncs: one sync covers
+// all batches written before it started.
 func (s *Store) SyncTo(sequence uint64) error {
 	s.syncMu.Lock()
 	defer s.syncMu.Unlock()
@@ -23,7 +24,7 @@
 	}
 	written, sealed, active := s.lastSequence, s.sealed, s.active
 	s.mu.Unlock()
-	// In the order of the log: a batch in a later segment counts only with all those in the earlier ones.
+	// Sync in the order of the log: a batch in a later segment is durable only if all batches in earlier segments are.
 	for _, earlier := range sealed {
 		if err := s.syncSegment(earlier); err != nil {
 			return err
@@ -37,13 +38,13 @@
 	for _, earlier := range sealed {
 		earlier.close()
 	}
-	s.sealed = s.sealed[len(sealed):] // a compaction may have sealed another one meanwhile
+	s.sealed = s.sealed[len(sealed):] // a compaction may have sealed another segment meanwhile
 	s.durable = max(s.durable, written)
 	s.stats.Syncs++
 	return nil
 }
 
-// syncSegment syncs a segment. If that fails the store is broken.
+// syncSegment syncs a segment. A failure breaks the store.
 func (s *Store) syncSegment(target *segment) error {
 	err := target.file.Sync()
 	if err == nil {
--- a/internal/store/write.go
+++ b/internal/store/write.go
@@ -5,23 +5,23 @@
 	"io"
 )
 
-// pendingWrite is a batch on its way to the disk.
+// pendingWrite is a batch that is being written, and its result.
 type pendingWrite struct {
 	batch    *Batch
-	sequence uint64 // set once it is written
-	err      error
-	signal   chan commitSignal // for a caller of Commit that waits
+	sequence uint64            // set when the batch is encoded
+	err      error             // set if the write or sync fails
+	signal   chan commitSignal // wakes the waiting caller of Commit; nil for Write
 }
 
-// Write writes a batch that is not durable yet, and returns its sequence number for SyncTo.
+// Write writes a batch without making it durable, and returns its sequence number for SyncTo.
 func (s *Store) Write(batch *Batch) (sequence uint64, err error) {
 	write := &pendingWrite{batch: batch}
 	s.writeGroup([]*pendingWrite{write})
 	return write.sequence, write.err
 }
 
-// writeGroup writes batches with one append: all of them are written or none, apart from those that are invalid. The
-// results are set in the group.
+// writeGroup writes batches with one append: either all valid batches are written or none. Invalid batches are rejected.
+// The results are set in the members of the group.
 func (s *Store) writeGroup(group []*pendingWrite) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,13 +49,13 @@
 	}
 }
 
-// encodeGroup fills the write buffer with the frames of the valid batches and returns how many there are; mu is held.
+// encodeGroup encodes the valid batches as frames into writeBuffer and returns their number; the caller holds mu.
 func (s *Store) encodeGroup(group []*pendingWrite) (batches int) {
 	s.writeBuffer = s.writeBuffer[:0]
 	for _, write := range group {
 		payload := write.batch.payload
 		if write.batch.changes == 0 || len(payload) > MaxPayloadBytes {
-			write.err = fmt.Errorf("%w: a batch of %d changes and %d bytes", ErrWriteRejected, write.batch.changes, len(payload))
+			write.err = fmt.Errorf("%w: the batch has %d changes and %d bytes", ErrWriteRejected, write.batch.changes, len(payload))
 			continue
 		}
 		batches++
@@ -65,7 +65,7 @@
 	return batches
 }
 
-// failGroup sets the error of all writes that have none.
+// failGroup sets the error of all writes of a group that have none yet.
 func failGroup(group []*pendingWrite, err error) {
 	for _, write := range group {
 		if write.err == nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-// appendToLog appends to the active segment, or leaves it as it was; mu is held.
+// appendToLog appends data to the active segment. If that fails, it undoes the partial write; the caller holds mu.
 func (s *Store) appendToLog(data []byte) error {
 	n, err := s.active.file.Append(data)
 	if err == nil && n < len(data) {
@@ -90,11 +90,12 @@
 	return nil
 }
 
-// undoAppend removes what a failed append wrote: the next batch must not follow a part of a frame. mu is held.
+// undoAppend truncates the active segment after a failed append, because the next batch must not follow a partial frame. If
+// that fails, the store is broken. The caller holds mu.
 func (s *Store) undoAppend(cause error) error {
 	s.stats.RejectedWrites++
 	if err := s.active.file.Truncate(s.active.size); err != nil {
-		s.broken = fmt.Errorf("%w: %w, and the part that was written can't be removed: %w", ErrBroken, cause, err)
+		s.broken = fmt.Errorf("%w: %w, and the partial write can't be removed: %w", ErrBroken, cause, err)
 		return s.broken
 	}
 	return fmt.Errorf("%w: %w", ErrWriteRejected, cause)
