--- a/internal/disk/memory.go
+++ b/internal/disk/memory.go
@@ -55,7 +55,7 @@
 	pendingChanges []nameChange      // since the last successful SyncDir
 	locked         bool
 	crashed        bool
-	ops            int // number of operations that were begun successfully
+	ops            int // number of operations, without those that Before made fail
 }
 
 // nameChange is a created, renamed or removed file name that is not durable yet.
@@ -82,7 +82,7 @@
 	return &Memory{files: map[string]*inode{}, durableFiles: map[string]*inode{}}
 }
 
-// Ops returns the number of operations that were performed.
+// Ops returns the number of operations so far, without those that Before made fail.
 func (m *Memory) Ops() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/store/check.go
+++ b/internal/store/check.go
@@ -14,7 +14,7 @@
 // States of a file in a FileReport, as printed by the command "store check".
 const (
 	stateCurrent = "in force"     // the manifest
-	stateUnused  = "not in force" // a snapshot that the manifest does not name
+	stateUnused  = "not in force" // a snapshot that is not used
 	stateIntact  = "whole"        // a snapshot that was read completely
 	stateDamaged = "damaged"      // a snapshot of which a part can't be read
 	stateLog     = "log"          // a segment
--- a/internal/store/corruption_test.go
+++ b/internal/store/corruption_test.go
@@ -66,9 +66,9 @@
 	}
 	log := slices.Clone(folder.Bytes(name))
 	for cut := fileHeaderSize; cut <= len(log); cut++ {
-		left := folder.Copy()
-		left.Put(name, slices.Clone(log[:cut]))
-		recovered, report, err := Open(Options{Folder: left, ID: testStoreID})
+		damaged := folder.Copy()
+		damaged.Put(name, slices.Clone(log[:cut]))
+		recovered, report, err := Open(Options{Folder: damaged, ID: testStoreID})
 		if err != nil {
 			t.Fatalf("log truncated to %d bytes: %v", cut, err)
 		}
@@ -90,10 +90,10 @@
 func checkCutsAreRefused(t *testing.T, folder *disk.Memory, name string, size int) {
 	t.Helper()
 	for cut := range size {
-		left := folder.Copy()
-		left.Put(name, slices.Clone(folder.Bytes(name)[:cut]))
+		damaged := folder.Copy()
+		damaged.Put(name, slices.Clone(folder.Bytes(name)[:cut]))
 		var corruption *CorruptionError
-		_, _, err := Open(Options{Folder: left, ID: testStoreID})
+		_, _, err := Open(Options{Folder: damaged, ID: testStoreID})
 		if !errors.As(err, &corruption) || corruption.File != name {
 			t.Fatalf("%s truncated to %d bytes: got error %v", name, cut, err)
 		}
@@ -169,7 +169,7 @@
 			t.Fatal(err)
 		}
 	}
-	left := folder.Copy()
-	clear(left.Bytes(segmentName(1))[2*disk.SectorSize : 3*disk.SectorSize])
-	return left
+	damaged := folder.Copy()
+	clear(damaged.Bytes(segmentName(1))[2*disk.SectorSize : 3*disk.SectorSize])
+	return damaged
 }
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -44,9 +44,9 @@
 	return s, err
 }
 
-// playHistory writes batches, syncs, compacts and writes more batches, and records them in expected. Operations after a
+// runHistory writes batches, syncs, compacts and writes more batches, and records them in expected. Operations after a
 // failure of the folder have no effect.
-func playHistory(folder *disk.Memory, expected *model) {
+func runHistory(folder *disk.Memory, expected *model) {
 	store, err := openForCrash(folder)
 	if err != nil {
 		return
@@ -79,14 +79,14 @@
 // acknowledged batch may be lost, and none may be found in part.
 func TestCrashAnywhere(t *testing.T) {
 	complete := disk.NewMemory()
-	playHistory(complete, newModel())
+	runHistory(complete, newModel())
 	operations := complete.Ops()
 	crashes, outcome := 0, 0
 	for operation := range operations + 1 {
 		crashes += forEachAnswer(200, func(survives func() bool) {
 			folder, expected := disk.NewMemory(), newModel()
 			folder.Before = crashAfter(operation)
-			playHistory(folder, expected)
+			runHistory(folder, expected)
 			after := folder.Crash(survives)
 			if outcome%8 == 0 {
 				checkCrashesOfRecovery(t, operation, after, expected)
@@ -165,17 +165,17 @@
 	return model{states: states, acknowledged: expected.acknowledged}
 }
 
-// TestCrashBySeed plays longer random histories in which unsynced sectors are lost or kept at random.
+// TestCrashBySeed runs longer random histories in which unsynced sectors are lost or kept at random.
 func TestCrashBySeed(t *testing.T) {
 	rapid.Check(t, checkCrashBySeed)
 }
 
-// checkCrashBySeed plays three random histories on the same store, each ended by a crash, and checks what is found.
+// checkCrashBySeed runs three random histories on the same store, each ended by a crash, and checks what is found.
 func checkCrashBySeed(test *rapid.T) {
 	folder, expected := disk.NewMemory(), newModel()
 	for range 3 {
 		folder.Before = crashAfter(rapid.IntRange(0, 60).Draw(test, "operations"))
-		playRandomHistory(test, folder, expected)
+		runRandomHistory(test, folder, expected)
 		folder = folder.Crash(func() bool { return rapid.Bool().Draw(test, "survives") })
 	}
 	store, _, err := Open(Options{Folder: folder, MinCompactionBytes: 1500, ID: testStoreID})
@@ -187,9 +187,9 @@
 	}
 }
 
-// playRandomHistory checks the recovered contents and writes batches of random sizes. It ends at the first write that
+// runRandomHistory checks the recovered contents and writes batches of random sizes. It ends at the first write that
 // fails.
-func playRandomHistory(test *rapid.T, folder *disk.Memory, expected *model) {
+func runRandomHistory(test *rapid.T, folder *disk.Memory, expected *model) {
 	test.Helper()
 	store, _, err := Open(Options{Folder: folder, MinCompactionBytes: 1500, ID: testStoreID})
 	if err != nil {
--- a/internal/store/open_test.go
+++ b/internal/store/open_test.go
@@ -73,11 +73,11 @@
 	}
 	for _, name := range []string{manifestName, snapshotName(manifest.snapshot), segmentName(manifest.firstSegment)} {
 		t.Run(name, func(t *testing.T) {
-			left := folder.Copy()
-			if err := left.Remove(name); err != nil {
+			incomplete := folder.Copy()
+			if err := incomplete.Remove(name); err != nil {
 				t.Fatal(err)
 			}
-			_, _, err := Open(Options{Folder: left})
+			_, _, err := Open(Options{Folder: incomplete})
 			var corruption *CorruptionError
 			if !errors.As(err, &corruption) || corruption.File != name || !errors.Is(err, errFileMissing) {
 				t.Errorf("got error %v, want damage: %v", err, errFileMissing)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -20,8 +20,9 @@
 // Errors that Write, Sync, SyncTo, Commit, Compact and Close return, possibly wrapped.
 var (
 	// ErrBroken is returned after a failed sync: it is unknown whether data written since the last successful sync is on
-	// the disk. The store accepts no more writes. Reads still work, but may return data that a crash would lose. Opening
-	// the store again, in this process or another one, restores it by writing a snapshot of its contents.
+	// the disk. It is also returned after a failed write of which a part remains in the log. The store accepts no more
+	// writes. Reads still work, but may return data that a crash would lose. Only opening the store again, in this process
+	// or another one, restores it; that writes a snapshot of its contents.
 	ErrBroken = errors.New("the store accepts no more writes")
 	// ErrWriteRejected is returned for a write that failed without any effect, for example on a full disk or with an invalid
 	// batch. Later writes may succeed.
