--- a/internal/statemachine/effects.go
+++ b/internal/statemachine/effects.go
@@ -21,7 +21,7 @@
 type Action struct {
 	// Kind is set in every action.
 	Kind ActionKind
-	// Conn is the connection. For ActionDial it is an unused number with the bit Dialed set.
+	// Conn is the connection. For ActionDial it is an unused number with the dialed bit set.
 	Conn Conn
 	// Addr is the address to dial, as host:port; set for ActionDial.
 	Addr string
--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -14,7 +14,7 @@
 const Never Seconds = 1e18
 
 // Conn is the number of a connection; it is unique within the lifetime of one machine. The driver numbers accepted
-// connections from 1. The machine chooses the numbers of the connections that it dials, with the bit Dialed set, so it
+// connections from 1. The machine chooses the numbers of the connections that it dials, with the dialed bit set, so it
 // knows the number before the connection is open.
 type Conn uint64
 
