--- a/internal/eventloop/figures.go
+++ b/internal/eventloop/figures.go
@@ -20,32 +20,32 @@
 func (l *Loop) Figures() Figures {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.figures
+	return l.stats
 }
 
 // recordStep adds one step of the machine to the statistics.
 func (l *Loop) recordStep(inputs int, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.figures.Steps++
-	l.figures.Inputs += inputs
-	l.figures.BusyTime += took
-	l.figures.LongestStep = max(l.figures.LongestStep, took)
+	l.stats.Steps++
+	l.stats.Inputs += inputs
+	l.stats.BusyTime += took
+	l.stats.LongestStep = max(l.stats.LongestStep, took)
 }
 
 // recordSlowReader counts a connection that was reset because its peer did not read.
 func (l *Loop) recordSlowReader() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.figures.SlowReadersClosed++
+	l.stats.SlowReadersClosed++
 }
 
 // recordConnectionFailure counts a connection that could not be accepted or registered, as stage says. A failure is logged
 // only if the count is a power of two, so that a lasting shortage of descriptors does not flood the log.
 func (l *Loop) recordConnectionFailure(stage string, err error) {
 	l.mu.Lock()
-	l.figures.ConnectionFailures++
-	failures := l.figures.ConnectionFailures
+	l.stats.ConnectionFailures++
+	failures := l.stats.ConnectionFailures
 	l.mu.Unlock()
 	if failures&(failures-1) == 0 {
 		l.config.Log.Warn("connection could not be accepted", "stage", stage, "cause", err, "failures", failures)
