--- a/internal/disk/crash.go
+++ b/internal/disk/crash.go
@@ -5,9 +5,10 @@
 	"slices"
 )
 
-// Crash ends this folder, and returns the one that is found after the restart. survives is called for each change of
-// names, for each file whose size changed and for each sector written since they were synced, and says whether it is on
-// the disk. The order of these calls depends on nothing but the operations that were done.
+// Crash simulates a crash of the computer and returns the folder that is found after the restart; this folder returns
+// ErrCrashed from then on. survives is called once for each unsynced change: each name change, each changed file size and
+// each written sector. It decides whether that change has reached the disk. The order of the calls depends only on the
+// operations that were performed.
 func (m *Memory) Crash(survives func() bool) *Memory {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -19,8 +20,8 @@
 		}
 	}
 	recovered := map[*inode]*inode{}
-	for _, node := range m.reachableNodes() {
-		recovered[node] = durableInode(node.crash(survives))
+	for _, node := range m.reachableInodes() {
+		recovered[node] = durableInode(node.contentAfterCrash(survives))
 	}
 	folder := NewMemory()
 	for name, node := range names {
@@ -30,8 +31,8 @@
 	return folder
 }
 
-// reachableNodes returns the files that may be on the disk after a crash, in an order that does not vary between runs.
-func (m *Memory) reachableNodes() (nodes []*inode) {
+// reachableInodes returns the inodes that may be on the disk after a crash, in an order that does not vary between runs.
+func (m *Memory) reachableInodes() (nodes []*inode) {
 	seen := map[*inode]bool{}
 	add := func(node *inode) {
 		if node != nil && !seen[node] {
@@ -48,8 +49,8 @@
 	return nodes
 }
 
-// crash returns the content that is found after a crash.
-func (n *inode) crash(survives func() bool) []byte {
+// contentAfterCrash returns the content that is found after a crash; survives is as in Memory.Crash.
+func (n *inode) contentAfterCrash(survives func() bool) []byte {
 	size := len(n.disk)
 	if len(n.data) != size && survives() {
 		size = len(n.data)
