--- a/cmd/gingerfork/node.go
+++ b/cmd/gingerfork/node.go
@@ -104,7 +104,7 @@
 		return nil, err
 	}
 	log.Info("coordinator started", "listen", nodeConfig.Listen, "discovery", nodeConfig.Discovery, "cores", nodeConfig.Cores,
-		"memory_bytes", nodeConfig.Memory, "sockets", nodeConfig.Sockets, "proxies", nodeConfig.Values["proxies"], "listing", nodeConfig.Values["listing"])
+		"memory_bytes", nodeConfig.MemoryBytes, "sockets", nodeConfig.Sockets, "proxies", nodeConfig.Settings["proxies"], "listing", nodeConfig.Settings["listing"])
 	return &runningNode{initialConfig: nodeConfig, machine: machine, loop: loop, clock: clock, log: log}, nil
 }
 
@@ -115,9 +115,9 @@
 		MaxConnections: nodeConfig.MaxLoopConnections(),
 		DialTimeout:    nodeDialTimeout,
 	}
-	if nodeConfig.Memory > 0 {
-		config.MaxWriteBuffer = int(min(largestWriteBuffer, nodeConfig.Memory/writeBufferMemoryDivisor))
-		config.MaxPendingInput = int(min(largestPendingInput, nodeConfig.Memory/pendingInputMemoryDivisor))
+	if nodeConfig.MemoryBytes > 0 {
+		config.MaxWriteBuffer = int(min(largestWriteBuffer, nodeConfig.MemoryBytes/writeBufferMemoryDivisor))
+		config.MaxPendingInput = int(min(largestPendingInput, nodeConfig.MemoryBytes/pendingInputMemoryDivisor))
 	}
 	return config
 }
@@ -160,7 +160,7 @@
 		n.log.Error("configuration reload failed, the old configuration stays in force", "cause", err.Error())
 		return
 	}
-	if reloaded.Listen != n.initialConfig.Listen || reloaded.Name != n.initialConfig.Name || !reflect.DeepEqual(reloaded.Values, n.initialConfig.Values) {
+	if reloaded.Listen != n.initialConfig.Listen || reloaded.Name != n.initialConfig.Name || !reflect.DeepEqual(reloaded.Settings, n.initialConfig.Settings) {
 		n.log.Warn("changes of name, listen address and settings need a restart")
 	}
 	n.loop.RunBetweenSteps(func() { n.machine.Reload(reloaded.Bootstrap(n.clock.Now())) })
@@ -169,7 +169,7 @@
 
 // logEnd logs the totals of the run.
 func (n *runningNode) logEnd() {
-	machine, loop := n.machine.Stats(), n.loop.Figures()
+	machine, loop := n.machine.Stats(), n.loop.Stats()
 	n.log.Info("coordinator ended", "joins", machine.Joins, "messages", machine.Messages, "bytes", machine.Bytes,
 		"steps", machine.Steps, "refused_connections", machine.Rejected, "malformed_messages", machine.InvalidMessages,
 		"longest_step_s", loop.LongestStep.Seconds(), "busy_s", loop.BusyTime.Seconds())
@@ -197,8 +197,8 @@
 	if nodeConfig.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(nodeConfig.Cores)))
 	}
-	if nodeConfig.Memory > 0 {
+	if nodeConfig.MemoryBytes > 0 {
 		// Half of the memory, because the runtime's limit does not cover the pages of the executable and the kernel's buffers.
-		debug.SetMemoryLimit(nodeConfig.Memory / 2)
+		debug.SetMemoryLimit(nodeConfig.MemoryBytes / 2)
 	}
 }
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -91,7 +91,7 @@
 	step.effects.Close(session.conn)
 	if times, shouldLog := m.rejections.count(reason); shouldLog {
 		step.effects.Log(logWarning, "stream rejected",
-			"peer", session.name, "conn", uint64(session.conn&^statemachine.Dialed), "reason", reason, "count", times)
+			"peer", session.name, "conn", uint64(session.conn&^statemachine.DialedBit), "reason", reason, "count", times)
 	}
 }
 
--- a/internal/eventloop/figures.go
+++ b/internal/eventloop/figures.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Figures are statistics of a loop since its start.
-type Figures struct {
+// Stats are statistics of a loop since its start.
+type Stats struct {
 	// Steps is the number of steps of the machine, Inputs the number of inputs passed to them.
 	Steps, Inputs int
 	// LongestStep is the duration of the longest step.
@@ -16,8 +16,8 @@
 	ConnectionFailures int
 }
 
-// Figures returns the statistics since the start.
-func (l *Loop) Figures() Figures {
+// Stats returns the statistics since the start.
+func (l *Loop) Stats() Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.stats
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -118,7 +118,7 @@
 	case "wake":
 		m.wakeAt = now + 0.01
 	case "dial":
-		out.Dial(statemachine.Dialed+1, argument)
+		out.Dial(statemachine.DialedBit+1, argument)
 	case "close":
 		out.Close(m.conns[len(m.conns)-1])
 	case "save":
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -40,7 +40,7 @@
 	connectionCount int               // connections that are open or being dialed
 	lastAccepted    statemachine.Conn // number of the last accepted connection
 	stopping        bool              // no goroutine may wait for spaceFreed any more
-	stats           Figures
+	stats           Stats
 
 	tasksMu sync.Mutex
 	tasks   map[gnet.EventLoop][]connectionTask // pending tasks of each event loop, in order
--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -18,8 +18,8 @@
 // knows the number before the connection is open.
 type Conn uint64
 
-// Dialed is the bit that is set in the numbers of connections dialed by the machine.
-const Dialed Conn = 1 << 63
+// DialedBit is the bit that is set in the numbers of connections dialed by the machine.
+const DialedBit Conn = 1 << 63
 
 // Machine is one component of the system, such as a coordinator or a server.
 type Machine interface {
