--- a/choice/admission_test.go
+++ b/choice/admission_test.go
@@ -33,8 +33,8 @@
 		fleet.reportSecond(8, 1.5, failing, nil)
 	}
 	admission := fleet.planner.admission
-	if !admission.overloaded || admission.admitted[0] >= 1 || admission.admitted[0] > admission.admitted[1] {
-		t.Fatalf("overloaded %v, admitted shares %v", admission.overloaded, admission.admitted)
+	if !admission.overloaded || admission.admittedShares[0] >= 1 || admission.admittedShares[0] > admission.admittedShares[1] {
+		t.Fatalf("overloaded %v, admitted shares %v", admission.overloaded, admission.admittedShares)
 	}
 	for i, id := range fleet.planner.id {
 		if fleet.planner.ejectedUntil[i][0] > fleet.now {
@@ -44,8 +44,8 @@
 	for range 40 {
 		fleet.reportSecond(8, 0.1, nil, nil)
 	}
-	if admission.admitted[0] < 1 {
-		t.Fatalf("admission levels after the overload: %v", admission.admitted)
+	if admission.admittedShares[0] < 1 {
+		t.Fatalf("admission levels after the overload: %v", admission.admittedShares)
 	}
 }
 
@@ -56,8 +56,8 @@
 	for range 10 {
 		fleet.reportSecond(8, 0.1, failing, nil)
 	}
-	if admission := fleet.planner.admission; admission.overloaded || admission.admitted[0] < 1 {
-		t.Fatalf("overloaded %v, admitted shares %v", admission.overloaded, admission.admitted)
+	if admission := fleet.planner.admission; admission.overloaded || admission.admittedShares[0] < 1 {
+		t.Fatalf("overloaded %v, admitted shares %v", admission.overloaded, admission.admittedShares)
 	}
 }
 
@@ -67,11 +67,11 @@
 	for range 12 {
 		fleet.reportSecond(8, 0.1, nil, nil)
 	}
-	calm := fleet.planner.admission.calm
+	calm := fleet.planner.admission.overloadUnlikely
 	fleet.step(0.1, ProxyLeft{1})
 	fleet.reportSecond(8, 0.1, nil, nil)
-	if !calm || fleet.planner.admission.calm {
-		t.Fatalf("calm before %v, after %v", calm, fleet.planner.admission.calm)
+	if !calm || fleet.planner.admission.overloadUnlikely {
+		t.Fatalf("calm before %v, after %v", calm, fleet.planner.admission.overloadUnlikely)
 	}
 }
 
@@ -79,12 +79,12 @@
 // without bound and shed no load, for good. A search over random days found this.
 func TestEmptiedListKeepsTheBestAnswerRate(t *testing.T) {
 	fleet, reports := usualLoadFleet(t)
-	before := fleet.planner.admission.bestAnswerRate
+	before := fleet.planner.admission.peakSuccessRatePerWeight
 	fleet.step(0.1, EndpointUpdate{Kind: UpdateFull})
 	for range 5 {
 		fleet.step(0.5, reports...)
 	}
-	if after := fleet.planner.admission.bestAnswerRate; before <= 0 || after > 2*before {
+	if after := fleet.planner.admission.peakSuccessRatePerWeight; before <= 0 || after > 2*before {
 		t.Fatalf("the best rate of answers went from %v to %v", before, after)
 	}
 }
--- a/choice/arcs.go
+++ b/choice/arcs.go
@@ -8,82 +8,82 @@
 )
 
 const (
-	minArcSize          = 3    // backends in an arc
-	meanArcSize         = 6.0  // backends in an arc, on average
-	arcsPerBackend      = 2    // arcs that include each backend
-	minResize           = 2    // backends by which the size of an arc moves at least
-	minLoadFactor       = 1.1  // of its fair share, what a backend takes before arcs pass it over
-	maxLoadFactor       = 1.5  // and at most, while answers are quick, so that arcs stay in their zone
-	crossingPriceFactor = 3.5  // of the price of leaving the zone, by how much it may be above minLoadFactor
-	boundStep           = 1.09 // factor by which the bound on load gives way where all backends are at it
-	maxBoundGrowth      = 16
-	reassignInterval    = 1.0  // seconds after which all arcs are assigned anew, as usage and bias drift
-	reassignBatch       = 0.12 // of the joined proxies, how many join or leave before all arcs are assigned anew
+	minArcSize           = 3    // backends in an arc
+	meanArcSize          = 6.0  // backends in an arc, on average
+	minArcsPerBackend    = 2    // arcs that include each backend
+	minArcSizeChange     = 2    // backends by which the size of an arc moves at least
+	minLoadFactor        = 1.1  // of its fair share, what a backend takes before arcs pass it over
+	maxLoadFactor        = 1.5  // and at most, while answers are quick, so that arcs stay in their zone
+	crossZonePriceFactor = 3.5  // of the price of leaving the zone, by how much it may be above minLoadFactor
+	boundGrowthFactor    = 1.09 // factor by which the bound on load gives way where all backends are at it
+	maxBoundGrowthFactor = 16
+	reassignInterval     = 1.0  // seconds after which all arcs are assigned anew, as usage and bias drift
+	reassignBatchShare   = 0.12 // of the joined proxies, how many join or leave before all arcs are assigned anew
 )
 
-// refresh brings the arcs up to date. A proxy that joins gets its arc over the load as assigned; all arcs are
+// refreshArcs brings the arcs up to date. A proxy that joins gets its arc over the load as assigned; all arcs are
 // assigned anew at once when the list or health changed, and for joins and leaves once a batch of them is
 // through: in a storm of joins an assignment for each would leave no time for anything else.
-func (r *ring) refresh() (changed bool) {
-	late := len(r.changed) > 0 && r.plan.now >= r.assignedAt+tickInterval
-	if r.dirty || late || float64(len(r.changed)) > reassignBatch*float64(r.joined) {
-		r.assignAll()
+func (r *ring) refreshArcs() (changed bool) {
+	late := len(r.changedProxies) > 0 && r.plan.now >= r.assignedAt+tickInterval
+	if r.dirty || late || float64(len(r.changedProxies)) > reassignBatchShare*float64(r.joinedProxies) {
+		r.assignAllArcs()
 		return true
 	}
-	for _, proxy := range r.changed[r.handled:] {
-		if proxy.joined && proxy.round != r.round { // else it joined again, and its arc is assigned
-			r.assignOne(proxy)
+	for _, proxy := range r.changedProxies[r.handledChanges:] {
+		if proxy.joined && proxy.assignmentRound != r.assignmentRound { // else it joined again, and its arc is assigned
+			r.assignProxyArcs(proxy)
 			changed = true
 		}
 	}
-	r.handled = len(r.changed)
+	r.handledChanges = len(r.changedProxies)
 	return changed
 }
 
-// assignAll assigns the arcs of all joined proxies anew.
-func (r *ring) assignAll() {
+// assignAllArcs assigns the arcs of all joined proxies anew.
+func (r *ring) assignAllArcs() {
 	plan := r.plan
-	r.dirty, r.assignedAt, r.changed, r.handled, r.round = false, plan.now, nil, 0, r.round+1
-	r.survey()
+	r.dirty, r.assignedAt, r.changedProxies, r.handledChanges, r.assignmentRound = false, plan.now, nil, 0, r.assignmentRound+1
+	r.computeEffectiveWeights()
 	walks, usage, foreign := r.collectWalks()
-	r.totalEntries = max(1, arcsPerBackend*float64(len(r.order)), meanArcSize*float64(len(walks)))
-	r.entriesPerRate = r.totalEntries / usage
-	r.requiredWarmth = plan.requiredWarmth(usage / r.totalEntries)
+	r.totalEntries = max(1, minArcsPerBackend*float64(len(r.openBackends)), meanArcSize*float64(len(walks)))
+	r.entriesPerRequestRate = r.totalEntries / usage
+	r.requiredWarmupFactor = plan.requiredWarmupFactor(usage / r.totalEntries)
 	assigned := r.prepareWalks(walks)
 	// The bound follows the usage that arcs are sized for: beside current usage a zone would seem to have room
 	// in a burst. It is no wider for there being several coordinators: a full zone is full for all of them.
-	r.loadBound = (assigned + sum(foreign)) * plan.admission.loadFactor / r.capacity
+	r.maxLoadPerWeight = (assigned + sum(foreign)) * plan.admission.loadFactor / r.capacity
 	r.resetLoad()
-	r.spreadForeignLoad(foreign)
+	r.spreadOtherCoordinatorsLoad(foreign)
 	for _, walk := range walks {
 		r.assignArc(walk)
 	}
-	r.coverRest(walks, func(zone int) float64 { return foreign[zone] / (usage + sum(foreign)) })
+	r.ensureMinArcs(walks, func(zone int) float64 { return foreign[zone] / (usage + sum(foreign)) })
 	for _, walk := range walks {
 		r.addExpectedLoad(walk)
-		r.setDesired(walk)
+		r.setDesiredTable(walk)
 	}
 }
 
-// survey lists the open backends in the order of the ring and sets the fair share of each.
-func (r *ring) survey() {
+// computeEffectiveWeights lists the open backends in the order of the ring and sets the fair share of each.
+func (r *ring) computeEffectiveWeights() {
 	plan := r.plan
-	r.order = plan.ringOrder()
-	r.byZone = make([][]int, len(plan.zoneIndex))
-	r.meanWeight = plan.sumOpen(plan.fullWeight) / float64(len(r.order))
+	r.openBackends = plan.ringOrder()
+	r.openBackendsByZone = make([][]int, len(plan.zoneIndex))
+	r.meanWeight = plan.sumOpen(plan.fullWeight) / float64(len(r.openBackends))
 	// A cold backend has the mean bias: it has had no time to lose any.
-	meanBias := plan.sumOpen(func(i int) float64 { return plan.bias[i] }) / float64(len(r.order))
+	meanBias := plan.sumOpen(func(i int) float64 { return plan.latencyFactor[i] }) / float64(len(r.openBackends))
 	r.capacity = 1e-9
-	plan.fairShare = make([]float64, len(plan.id))
-	for _, i := range r.order {
-		r.byZone[plan.zone[i]] = append(r.byZone[plan.zone[i]], i)
-		bias := min(plan.bias[i], meanBias+math.Floor(plan.warmth[i]))
-		plan.fairShare[i] = plan.weight[i] * plan.warmth[i] * bias
+	plan.effectiveWeight = make([]float64, len(plan.id))
+	for _, i := range r.openBackends {
+		r.openBackendsByZone[plan.zone[i]] = append(r.openBackendsByZone[plan.zone[i]], i)
+		bias := min(plan.latencyFactor[i], meanBias+math.Floor(plan.warmupFactor[i]))
+		plan.effectiveWeight[i] = plan.weight[i] * plan.warmupFactor[i] * bias
 		if !plan.unreachable(i) {
-			r.capacity += plan.fairShare[i]
+			r.capacity += plan.effectiveWeight[i]
 		}
-		if plan.warmth[i] < 1 { // what a zone takes above its share, to stay local, is not for cold backends
-			plan.fairShare[i] *= minLoadFactor / plan.admission.loadFactor
+		if plan.warmupFactor[i] < 1 { // what a zone takes above its share, to stay local, is not for cold backends
+			plan.effectiveWeight[i] *= minLoadFactor / plan.admission.loadFactor
 		}
 	}
 }
@@ -110,10 +110,10 @@
 
 // prepareWalk sets what an arc has to take. It reports whether the arc has a new start.
 func (r *ring) prepareWalk(walk *arcWalk) (started bool) {
-	size := float64(walk.proxy.resizeArc(r.entriesPerRate, len(r.order)))
+	size := float64(walk.proxy.resizeArc(r.entriesPerRequestRate, len(r.openBackends)))
 	walk.weightLeft, walk.backendsLeft = size*r.meanWeight, min(size, minArcSize)
 	walk.loadPerWeight = walk.proxy.assignedRate / size / r.meanWeight
-	if walk.proxy.hasStart && r.plan.admission.firstReportAt != 0 || len(r.order) == 0 {
+	if walk.proxy.hasStart && r.plan.admission.firstReportAt != 0 || len(r.openBackends) == 0 {
 		return false
 	}
 	r.chooseStart(walk.proxy)
@@ -122,10 +122,10 @@
 
 // resizeArc sets the size of an arc from the proxy's part of the usage; it moves by minResize or not at all.
 func (p *proxyActor) resizeArc(entriesPerRate float64, backends int) int {
-	size := min(max(minArcSize, int(math.Round(p.rate()*entriesPerRate))), backends)
-	moved := size-p.arcSize >= minResize || p.arcSize-size >= minResize
+	size := min(max(minArcSize, int(math.Round(p.usageRate()*entriesPerRate))), backends)
+	moved := size-p.arcSize >= minArcSizeChange || p.arcSize-size >= minArcSizeChange
 	if p.arcSize == 0 || moved || p.arcSize > backends {
-		p.arcSize, p.assignedRate = size, p.rate()
+		p.arcSize, p.assignedRate = size, p.usageRate()
 	}
 	return p.arcSize
 }
@@ -142,15 +142,15 @@
 // assignArc takes backends for one arc.
 func (r *ring) assignArc(walk *arcWalk) {
 	// Where all are at the bound it gives way by small steps, so that the excess is spread evenly.
-	limit := r.loadBound
-	for limit == r.loadBound || walk.weightLeft > 0 && limit < maxBoundGrowth*r.loadBound {
+	limit := r.maxLoadPerWeight
+	for limit == r.maxLoadPerWeight || walk.weightLeft > 0 && limit < maxBoundGrowthFactor*r.maxLoadPerWeight {
 		r.takeBackends(walk, limit, r.eligible)
-		limit *= boundStep
+		limit *= boundGrowthFactor
 	}
 	// Health never leaves an arc empty: an unfit backend still is better than none, warm ones first.
 	for _, warmth := range []float64{1, 0} {
-		if !walk.usable {
-			r.takeBackends(walk, math.Inf(1), func(i, _ int) bool { return r.plan.warmth[i] >= warmth })
+		if !walk.hasUsableBackend {
+			r.takeBackends(walk, math.Inf(1), func(i, _ int) bool { return r.plan.warmupFactor[i] >= warmth })
 		}
 	}
 }
@@ -161,21 +161,21 @@
 func (r *ring) takeBackends(walk *arcWalk, bound float64, fit func(i, zone int) bool) {
 	plan := r.plan
 	for i := range r.candidates(walk) {
-		weight := plan.warmth[i] * plan.weight[i]
+		weight := plan.warmupFactor[i] * plan.weight[i]
 		if walk.weightLeft < weight/2 && walk.backendsLeft < 0.5 {
 			return
 		}
-		load := r.foreignLoad[i] + plan.assignedLoad[i] + walk.loadPerWeight*weight
-		if r.lastWalk[i] == walk || !(load <= bound*plan.fairShare[i]) || !fit(i, walk.proxy.zone) {
+		load := r.otherCoordinatorsLoad[i] + plan.assignedLoad[i] + walk.loadPerWeight*weight
+		if r.lastWalk[i] == walk || !(load <= bound*plan.effectiveWeight[i]) || !fit(i, walk.proxy.zone) {
 			continue
 		}
 		r.lastWalk[i], walk.arc = walk, append(walk.arc, i)
 		plan.assignedLoad[i] += walk.loadPerWeight * weight
 		plan.arcCount[i]++
 		if !plan.excluded[i] {
-			walk.usable = true
+			walk.hasUsableBackend = true
 			walk.weightLeft -= weight
-			walk.backendsLeft -= plan.warmth[i]
+			walk.backendsLeft -= plan.warmupFactor[i]
 		}
 	}
 }
@@ -184,7 +184,7 @@
 func (r *ring) candidates(walk *arcWalk) iter.Seq[int] {
 	return func(yield func(int) bool) {
 		start, zone := walk.proxy.arcStart, walk.proxy.zone
-		for i := range r.clockwise(r.byZone[zone], start) {
+		for i := range r.clockwise(r.openBackendsByZone[zone], start) {
 			if !yield(i) {
 				return
 			}
@@ -192,7 +192,7 @@
 		if walk.table.zoneLocal {
 			return
 		}
-		for i := range r.clockwise(r.order, start) {
+		for i := range r.clockwise(r.openBackends, start) {
 			if r.plan.zone[i] != zone && !yield(i) {
 				return
 			}
@@ -204,18 +204,18 @@
 func (r *ring) eligible(i, zone int) bool {
 	plan := r.plan
 	healthy := plan.ejectedUntil[i][zone] <= plan.now && !plan.unreachable(i)
-	return healthy && plan.warmth[i] >= min(r.requiredWarmth, 1)
+	return healthy && plan.warmupFactor[i] >= min(r.requiredWarmupFactor, 1)
 }
 
-// coverRest gives backends in too few arcs to those that come to them soonest on the ring, but for those of a
+// ensureMinArcs gives backends in too few arcs to those that come to them soonest on the ring, but for those of a
 // zone whose proxies are mostly other coordinators'.
-func (r *ring) coverRest(walks []*arcWalk, foreignPart func(zone int) float64) {
+func (r *ring) ensureMinArcs(walks []*arcWalk, foreignPart func(zone int) float64) {
 	plan := r.plan
-	for _, i := range r.order {
+	for _, i := range r.openBackends {
 		if foreignPart(plan.zone[i]) > 1/float64(2*len(plan.zoneIndex)) {
 			continue
 		}
-		for range max(0, arcsPerBackend-plan.arcCount[i]) {
+		for range max(0, minArcsPerBackend-plan.arcCount[i]) {
 			if walk := r.nearestWalk(walks, i); walk != nil {
 				walk.arc = append(walk.arc, i)
 				plan.arcCount[i]++
--- a/choice/arcs_test.go
+++ b/choice/arcs_test.go
@@ -187,8 +187,8 @@
 	}
 	fleet.acknowledgeAll()
 	for i, arcs := range fleet.planner.arcCount {
-		if tables := fleet.tablesWith(fleet.planner.id[i]); arcs < arcsPerBackend || tables < arcsPerBackend {
-			t.Errorf("backend %d is in %d arcs and %d tables, %d wanted", fleet.planner.id[i], arcs, tables, arcsPerBackend)
+		if tables := fleet.tablesWith(fleet.planner.id[i]); arcs < minArcsPerBackend || tables < minArcsPerBackend {
+			t.Errorf("backend %d is in %d arcs and %d tables, %d wanted", fleet.planner.id[i], arcs, tables, minArcsPerBackend)
 		}
 	}
 }
@@ -212,12 +212,12 @@
 	fleet := startedFleet(t, map[string]any{"proxies": 60.0}, 8, 40)
 	fleet.acknowledgeAll()
 	fleet.step(0.3)
-	round, before := fleet.planner.ring.round, sum(fleet.planner.assignedLoad)
+	round, before := fleet.planner.ring.assignmentRound, sum(fleet.planner.assignedLoad)
 	join := ProxyJoined{Proxy: 50, Zone: "a", Rate: 2}
 	fleet.step(0.01, join)
 	fleet.step(0.01, ProxyLeft{50})
 	fleet.step(0.01, join)
-	if fleet.planner.ring.round != round {
+	if fleet.planner.ring.assignmentRound != round {
 		t.Fatal("all arcs were assigned anew in between")
 	}
 	if len(fleet.bound[50]) == 0 {
--- a/choice/backends.go
+++ b/choice/backends.go
@@ -10,32 +10,32 @@
 // backendStates has what is known of the backends, as parallel slices under an index that a backend keeps while it is known.
 // Those of two dimensions have a place for each zone from which it is reported on.
 type backendStates struct {
-	id            []BackendID
-	zone          []int
-	weight        []float64 // as listed
-	state         []BackendState
-	startedAt     []Seconds // of its process
-	firstListed   []Seconds
-	ringHash      []uint32
-	warmth        []float64 // share of its full weight that slow start allows
-	bias          []float64 // share of its fair load that slow answers leave it
-	biasCheckedAt []Seconds
-	fairShare     []float64 // its weight, as far as it is warm and not biased against
-	assignedLoad  []float64 // requests a second that the arcs assigned so far bring it
-	expectedLoad  []float64 // requests a second that tables bring it, or would if it were restored
-	arcCount      []int     // arcs that include it
-	excluded      []bool
-	exclusionDue  []Seconds   // since when an exclusion is to be sent; 0: none is
-	attempts      [][]float64 // decayed, as failures
-	failures      [][]float64
-	latency       [][]float64 // mean of the successes
-	lastReport    [][]Seconds
-	ejectedUntil  [][]Seconds // negative: the end of the last ejection
-	ejections     [][]int     // in a row
-	lastSuccess   []Seconds
-	failedProbes  []int // in a row
-	nextProbe     []Seconds
-	returnedAt    []Seconds // when it last became reachable again
+	id                     []BackendID
+	zone                   []int
+	weight                 []float64 // as listed
+	state                  []BackendState
+	startedAt              []Seconds // of its process
+	firstListed            []Seconds
+	ringHash               []uint32
+	warmupFactor           []float64 // share of its full weight that slow start allows
+	latencyFactor          []float64 // share of its fair load that slow answers leave it
+	latencyFactorUpdatedAt []Seconds
+	effectiveWeight        []float64 // its weight, as far as it is warm and not biased against
+	assignedLoad           []float64 // requests a second that the arcs assigned so far bring it
+	expectedLoad           []float64 // requests a second that tables bring it, or would if it were restored
+	arcCount               []int     // arcs that include it
+	excluded               []bool
+	exclusionDueSince      []Seconds   // since when an exclusion is to be sent; 0: none is
+	attempts               [][]float64 // decayed, as failures
+	failures               [][]float64
+	meanLatency            [][]float64 // mean of the successes
+	lastReportAt           [][]Seconds
+	ejectedUntil           [][]Seconds // negative: the end of the last ejection
+	consecutiveEjections   [][]int     // in a row
+	lastSuccessAt          []Seconds
+	failedProbes           []int // in a row
+	nextProbeAt            []Seconds
+	returnedAt             []Seconds // when it last became reachable again
 }
 
 // backendActor is the actor of one backend.
@@ -57,12 +57,12 @@
 	case ProbeResult:
 		b.applyProbe(msg)
 	case tickElapsed:
-		if warmth := b.slowStartWarmth(); warmth != plan.warmth[i] {
-			plan.warmth[i] = warmth
+		if warmth := b.currentWarmupFactor(); warmth != plan.warmupFactor[i] {
+			plan.warmupFactor[i] = warmth
 			plan.send(plan.ring, reassignArcs{})
 		}
 		b.endEjections()
-		b.adjustBias()
+		b.adjustLatencyFactor()
 		b.probeIfSilent()
 	}
 }
@@ -108,24 +108,24 @@
 	plan.startedAt = append(plan.startedAt, 0)
 	plan.firstListed = append(plan.firstListed, 0)
 	plan.ringHash = append(plan.ringHash, 0)
-	plan.warmth = append(plan.warmth, 0)
-	plan.bias = append(plan.bias, 0)
-	plan.biasCheckedAt = append(plan.biasCheckedAt, 0)
-	plan.fairShare = append(plan.fairShare, 0)
+	plan.warmupFactor = append(plan.warmupFactor, 0)
+	plan.latencyFactor = append(plan.latencyFactor, 0)
+	plan.latencyFactorUpdatedAt = append(plan.latencyFactorUpdatedAt, 0)
+	plan.effectiveWeight = append(plan.effectiveWeight, 0)
 	plan.assignedLoad = append(plan.assignedLoad, 0)
 	plan.expectedLoad = append(plan.expectedLoad, 0)
 	plan.arcCount = append(plan.arcCount, 0)
 	plan.excluded = append(plan.excluded, false)
-	plan.exclusionDue = append(plan.exclusionDue, 0)
+	plan.exclusionDueSince = append(plan.exclusionDueSince, 0)
 	plan.attempts = append(plan.attempts, nil)
 	plan.failures = append(plan.failures, nil)
-	plan.latency = append(plan.latency, nil)
-	plan.lastReport = append(plan.lastReport, nil)
+	plan.meanLatency = append(plan.meanLatency, nil)
+	plan.lastReportAt = append(plan.lastReportAt, nil)
 	plan.ejectedUntil = append(plan.ejectedUntil, nil)
-	plan.ejections = append(plan.ejections, nil)
-	plan.lastSuccess = append(plan.lastSuccess, 0)
+	plan.consecutiveEjections = append(plan.consecutiveEjections, nil)
+	plan.lastSuccessAt = append(plan.lastSuccessAt, 0)
 	plan.failedProbes = append(plan.failedProbes, 0)
-	plan.nextProbe = append(plan.nextProbe, 0)
+	plan.nextProbeAt = append(plan.nextProbeAt, 0)
 	plan.returnedAt = append(plan.returnedAt, 0)
 	plan.goneSince = append(plan.goneSince, 0)
 	plan.growZones(len(plan.id) - 1)
@@ -137,23 +137,23 @@
 	plan.id[i], plan.zone[i], plan.weight[i] = id, 0, 1
 	plan.state[i], plan.startedAt[i], plan.firstListed[i] = BackendGone, 0, plan.now
 	plan.ringHash[i] = crc32.ChecksumIEEE(binary.LittleEndian.AppendUint32(nil, uint32(id)))
-	plan.warmth[i], plan.bias[i], plan.biasCheckedAt[i] = 1, 1, 0
+	plan.warmupFactor[i], plan.latencyFactor[i], plan.latencyFactorUpdatedAt[i] = 1, 1, 0
 	plan.assignedLoad[i], plan.expectedLoad[i], plan.arcCount[i] = 0, 0, 0
-	plan.excluded[i], plan.exclusionDue[i] = false, 0
-	plan.lastSuccess[i], plan.failedProbes[i], plan.nextProbe[i], plan.returnedAt[i] = 0, 0, 0, 0
+	plan.excluded[i], plan.exclusionDueSince[i] = false, 0
+	plan.lastSuccessAt[i], plan.failedProbes[i], plan.nextProbeAt[i], plan.returnedAt[i] = 0, 0, 0, 0
 	plan.goneSince[i] = 0
-	for _, byZone := range [][][]float64{plan.attempts, plan.failures, plan.latency, plan.lastReport, plan.ejectedUntil} {
+	for _, byZone := range [][][]float64{plan.attempts, plan.failures, plan.meanLatency, plan.lastReportAt, plan.ejectedUntil} {
 		clear(byZone[i])
 	}
-	clear(plan.ejections[i])
+	clear(plan.consecutiveEjections[i])
 }
 
 // growZones makes room for zones that became known since.
 func (plan *Planner) growZones(i int) {
 	for len(plan.attempts[i]) < len(plan.zoneIndex) {
 		plan.attempts[i], plan.failures[i] = append(plan.attempts[i], 0), append(plan.failures[i], 0)
-		plan.latency[i], plan.lastReport[i] = append(plan.latency[i], 0), append(plan.lastReport[i], 0)
-		plan.ejectedUntil[i], plan.ejections[i] = append(plan.ejectedUntil[i], 0), append(plan.ejections[i], 0)
+		plan.meanLatency[i], plan.lastReportAt[i] = append(plan.meanLatency[i], 0), append(plan.lastReportAt[i], 0)
+		plan.ejectedUntil[i], plan.consecutiveEjections[i] = append(plan.ejectedUntil[i], 0), append(plan.consecutiveEjections[i], 0)
 	}
 }
 
@@ -173,7 +173,7 @@
 // releaseSlots frees the state of proxies that left and backends that are gone for so long that nothing names them any more.
 // Otherwise each deploy under new ids would make every step slower.
 func (plan *Planner) releaseSlots() {
-	plan.proxies = slices.DeleteFunc(plan.proxies, (*proxyActor).release)
+	plan.proxies = slices.DeleteFunc(plan.proxies, (*proxyActor).releaseIfExpired)
 	for i, state := range plan.state {
 		index, known := plan.indexOf[plan.id[i]]
 		switch {
@@ -202,9 +202,9 @@
 
 // resetHealth forgets what was held against a backend.
 func (plan *Planner) resetHealth(i int) {
-	plan.bias[i], plan.failedProbes[i] = 1, 0
+	plan.latencyFactor[i], plan.failedProbes[i] = 1, 0
 	for zone := range plan.ejectedUntil[i] {
-		plan.ejectedUntil[i][zone], plan.ejections[i][zone] = 0, 0
+		plan.ejectedUntil[i][zone], plan.consecutiveEjections[i][zone] = 0, 0
 		plan.attempts[i][zone], plan.failures[i][zone] = 0, 0
 	}
 }
@@ -213,14 +213,14 @@
 // than a new one.
 func (plan *Planner) recordAttempts(i int, report AttemptReport) {
 	zone := plan.zoneOf(report.Zone)
-	decay := math.Exp(-(plan.now - plan.lastReport[i][zone]) / healthWindow)
-	plan.lastReport[i][zone], plan.newestReport = plan.now, plan.now
+	decay := math.Exp(-(plan.now - plan.lastReportAt[i][zone]) / healthWindow)
+	plan.lastReportAt[i][zone], plan.newestReportAt = plan.now, plan.now
 	successes := float64(report.Attempts - report.Failures)
 	old := (plan.attempts[i][zone] - plan.failures[i][zone]) * decay * oldLatencyWeight
 	if successes > 0 {
-		latency := plan.latency[i][zone]*old + report.MeanLatency*successes
-		plan.latency[i][zone] = latency / (old + successes)
-		plan.lastSuccess[i] = plan.now
+		latency := plan.meanLatency[i][zone]*old + report.MeanLatency*successes
+		plan.meanLatency[i][zone] = latency / (old + successes)
+		plan.lastSuccessAt[i] = plan.now
 	}
 	plan.attempts[i][zone] = plan.attempts[i][zone]*decay + float64(report.Attempts)
 	plan.failures[i][zone] = plan.failures[i][zone]*decay + float64(report.Failures)
@@ -231,7 +231,7 @@
 func (plan *Planner) failureShares(zone int, attempts float64, since Seconds) []float64 {
 	shares := []float64{}
 	for i, byZone := range plan.attempts {
-		if byZone[zone] >= attempts && plan.lastReport[i][zone] > since {
+		if byZone[zone] >= attempts && plan.lastReportAt[i][zone] > since {
 			shares = append(shares, plan.failures[i][zone]/byZone[zone])
 		}
 	}
@@ -245,10 +245,10 @@
 // recentSuccesses returns how many successes of a backend were reported since a time, and their mean latency.
 func (plan *Planner) recentSuccesses(i int, since Seconds) (successes float64, latency Seconds) {
 	for zone, attempts := range plan.attempts[i] {
-		if plan.lastReport[i][zone] > since {
+		if plan.lastReportAt[i][zone] > since {
 			failures := plan.failures[i][zone]
 			successes = successes + attempts - failures
-			latency += (attempts - failures) * plan.latency[i][zone]
+			latency += (attempts - failures) * plan.meanLatency[i][zone]
 		}
 	}
 	return successes, latency / max(successes, 1e-9)
@@ -272,6 +272,6 @@
 		if plan.unreachable(i) {
 			return 0
 		}
-		return plan.weight[i] * plan.warmth[i]
+		return plan.weight[i] * plan.warmupFactor[i]
 	})
 }
--- a/choice/bench_test.go
+++ b/choice/bench_test.go
@@ -12,7 +12,7 @@
 		planner, now := loadedPlanner(size.backends, size.proxies)
 		b.Run(fmt.Sprintf("assign/%d-%d", size.backends, size.proxies), func(b *testing.B) {
 			for b.Loop() {
-				planner.ring.assignAll()
+				planner.ring.assignAllArcs()
 			}
 		})
 		b.Run(fmt.Sprintf("step/%d-%d", size.backends, size.proxies), func(b *testing.B) {
@@ -33,7 +33,7 @@
 		now += 0.1
 		var events []Event
 		for _, proxy := range planner.proxies {
-			events = append(events, PushAcknowledged{proxy.id, proxy.nonce, 0.2})
+			events = append(events, PushAcknowledged{proxy.id, proxy.pushNonce, 0.2})
 		}
 		for _, id := range planner.id {
 			events = append(events, AttemptReport{Backend: id, Zone: "a", Attempts: 3, MeanLatency: 0.2, Span: 1})
--- a/choice/channel.go
+++ b/choice/channel.go
@@ -12,11 +12,11 @@
 // channel accounts for the lines that wait to be sent to the proxies, and keeps nonces and the usual acknowledgement time.
 type channel struct {
 	mailbox
-	plan         *Planner
-	nonce        Nonce // of the newest step with messages
-	usualAckTime Seconds
-	queuedLines  int // of this step so far
-	unacked      []unackedStep
+	plan        *Planner
+	nonce       Nonce // of the newest step with messages
+	meanAckTime Seconds
+	queuedLines int // of this step so far
+	unacked     []unackedStep
 }
 
 // handle learns from acknowledgements what has left the channel: messages leave it in order.
@@ -26,11 +26,11 @@
 		at := slices.IndexFunc(h.unacked, func(step unackedStep) bool { return step.nonce == msg.nonce })
 		if at >= 0 {
 			took := max(msg.delay, h.plan.now-h.unacked[at].sentAt)
-			h.usualAckTime += ackTimeGain * (took - h.usualAckTime)
+			h.meanAckTime += ackTimeGain * (took - h.meanAckTime)
 			h.unacked = h.unacked[at:]
 		}
 	case tickElapsed:
-		lost := func(step unackedStep) bool { return h.plan.now > step.sentAt+lostAfter }
+		lost := func(step unackedStep) bool { return h.plan.now > step.sentAt+messageLossTimeout }
 		h.unacked = slices.DeleteFunc(h.unacked, lost)
 	}
 }
@@ -64,9 +64,9 @@
 			continue
 		}
 		lines += channel.messageLines(proxy)
-		proxy.sentAt = append(proxy.sentAt, plan.now)
+		proxy.messagesSentAt = append(proxy.messagesSentAt, plan.now)
 		if proxy.awaitsAck {
-			proxy.inFlight, proxy.nonce = true, nonce
+			proxy.pushInFlight, proxy.pushNonce = true, nonce
 			proxy.leavesChannelAt = plan.now + sendTimeFactor*float64(ahead+lines)/plan.settings.ChannelPace
 		}
 		proxy.pendingLines, proxy.awaitsAck = 0, false
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -30,7 +30,7 @@
 		plan.send(actor, tickElapsed{})
 	}
 	for _, proxy := range plan.proxies {
-		if proxy.inFlight || proxy.waiting { // a missing acknowledgement and new room show with time alone
+		if proxy.pushInFlight || proxy.pushWaiting { // a missing acknowledgement and new room show with time alone
 			plan.markDirty(proxy)
 		}
 	}
@@ -43,14 +43,14 @@
 func (plan *Planner) reconcile() {
 	plan.sendExclusions()
 	plan.restoreExcluded()
-	if plan.ring.refresh() && plan.excludeOverloadedCold() {
-		plan.ring.assignAll()
+	if plan.ring.refreshArcs() && plan.excludeOverloadedCold() {
+		plan.ring.assignAllArcs()
 	}
-	for _, proxy := range plan.dirty {
+	for _, proxy := range plan.dirtyProxies {
 		proxy.dirty = false
 		plan.send(proxy, pushPending{})
 	}
-	plan.dirty = plan.dirty[:0]
+	plan.dirtyProxies = plan.dirtyProxies[:0]
 	plan.deliver()
 	plan.finishStep()
 }
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -30,7 +30,7 @@
 	}
 	planner.Step(102, []Event{stateUpdate(0, BackendDraining)})
 	for i, arcs := range planner.arcCount {
-		if planner.state[i] == BackendOpen && arcs < arcsPerBackend {
+		if planner.state[i] == BackendOpen && arcs < minArcsPerBackend {
 			t.Fatalf("backend %d is in %d arcs", planner.id[i], arcs)
 		}
 	}
--- a/choice/ejection.go
+++ b/choice/ejection.go
@@ -3,19 +3,19 @@
 import "math"
 
 const (
-	healthWindow      = 3.0  // seconds over which attempts are averaged
-	oldLatencyWeight  = 0.4  // weight of an older success beside a new one in the mean latency
-	minAttempts       = 4.0  // attempts that a judgement needs
-	maxFailureShare   = 0.3  // share of failures, beyond that of the best quarter, that ejects a backend
-	minEjectionTime   = 5.0  // seconds of the first ejection; doubled with each further one
-	maxEjectionStrain = 1.3  // of the best rate of answers seen, what the remaining backends may have to take
-	maxEjectedPart    = 0.65 // of the fleet, as seen from a zone, what may be ejected at once
-	probeInterval     = 1.0  // seconds between two probes of a backend
-	biasLatency       = 0.3  // of the shortest soft deadline, the mean latency above which load is moved away
-	biasLatencyFactor = 1.2  // and of the fleet's mean latency
-	minBias           = 0.4  // of its fair share, what bias leaves a backend
-	biasStep          = 0.85 // factor by which bias falls; it rises by biasRecovery
-	biasRecovery      = 0.05
+	healthWindow           = 3.0  // seconds over which attempts are averaged
+	oldLatencyWeight       = 0.4  // weight of an older success beside a new one in the mean latency
+	minAttempts            = 4.0  // attempts that a judgement needs
+	maxFailureShare        = 0.3  // share of failures, beyond that of the best quarter, that ejects a backend
+	baseEjectionTime       = 5.0  // seconds of the first ejection; doubled with each further one
+	maxEjectionLoadFactor  = 1.3  // of the best rate of answers seen, what the remaining backends may have to take
+	maxEjectedShare        = 0.65 // of the fleet, as seen from a zone, what may be ejected at once
+	probeInterval          = 1.0  // seconds between two probes of a backend
+	slowLatencyRatio       = 0.3  // of the shortest soft deadline, the mean latency above which load is moved away
+	slowLatencyFleetFactor = 1.2  // and of the fleet's mean latency
+	minLatencyFactor       = 0.4  // of its fair share, what bias leaves a backend
+	latencyFactorDecrease  = 0.85 // factor by which bias falls; it rises by biasRecovery
+	latencyFactorIncrease  = 0.05
 )
 
 // applyReport judges a backend by a report. Requests that succeed are better proof than a probe, which may
@@ -33,7 +33,7 @@
 func (b *backendActor) ejectOutlier() {
 	plan, i := b.plan, b.index
 	attempts, failures := sum(plan.attempts[i]), sum(plan.failures[i])
-	limit := maxFailureShare + plan.admission.baselineFailures
+	limit := maxFailureShare + plan.admission.baselineFailureShare
 	for zone, zoneAttempts := range plan.attempts[i] {
 		zoneFailures := plan.failures[i][zone]
 		fails := zoneFailures >= maxFailureShare*zoneAttempts
@@ -42,9 +42,9 @@
 		if plan.ejectedUntil[i][zone] > plan.now || !fromAll && !fromZone || !plan.canEject(zone, i) {
 			continue
 		}
-		span := min(minEjectionTime*math.Exp2(float64(plan.ejections[i][zone])), 4*minEjectionTime)
+		span := min(baseEjectionTime*math.Exp2(float64(plan.consecutiveEjections[i][zone])), 4*baseEjectionTime)
 		plan.ejectedUntil[i][zone] = plan.now + span
-		plan.ejections[i][zone]++
+		plan.consecutiveEjections[i][zone]++
 		plan.send(plan.ring, reassignArcs{})
 	}
 }
@@ -57,8 +57,8 @@
 			// Reports of the time before the ejection must not eject it again.
 			plan.ejectedUntil[i][zone], plan.attempts[i][zone], plan.failures[i][zone] = -until, 0, 0
 			plan.send(plan.ring, reassignArcs{})
-		} else if until < 0 && plan.now > 4*minEjectionTime-until {
-			plan.ejectedUntil[i][zone], plan.ejections[i][zone] = 0, 0 // not sooner: it may fail by turns
+		} else if until < 0 && plan.now > 4*baseEjectionTime-until {
+			plan.ejectedUntil[i][zone], plan.consecutiveEjections[i][zone] = 0, 0 // not sooner: it may fail by turns
 		}
 	}
 }
@@ -72,25 +72,25 @@
 	})
 	ours, admission := plan.ownShare(), plan.admission
 	strain := ours*open/max(open-out, 1e-9) + 1 - ours
-	arrivals, carried := sum(admission.arrivals), admission.bestAnswerRate*open
+	arrivals, carried := sum(admission.arrivalRates), admission.peakSuccessRatePerWeight*open
 	young := plan.now < admission.firstReportAt+2*admissionWindow
-	if admission.relativeLatency < overloadLatency && !admission.overloaded && young {
+	if admission.relativeLatency < overloadLatencyRatio && !admission.overloaded && young {
 		// The best rate takes seconds to be learned; until then quick answers show that what arrives is carried.
 		// Not later: where a cut fills half of the fleet, quick answers say nothing of those that never come.
 		carried = max(carried, arrivals)
 	}
-	return out <= maxEjectedPart*open && arrivals*strain <= maxEjectionStrain*carried
+	return out <= maxEjectedShare*open && arrivals*strain <= maxEjectionLoadFactor*carried
 }
 
 // probeIfSilent probes a backend of which no success is reported while others' are: silence is no proof.
 func (b *backendActor) probeIfSilent() {
 	plan, i := b.plan, b.index
-	quiet := plan.newestReport - max(plan.lastSuccess[i], plan.firstListed[i])
+	quiet := plan.newestReportAt - max(plan.lastSuccessAt[i], plan.firstListed[i])
 	expected := quiet*plan.assignedLoad[i] > minAttempts && !plan.admission.overloaded
 	silent := quiet > 1.5*plan.settings.ReportPeriod && expected
-	due := plan.settings.Probes && plan.state[i] == BackendOpen && plan.now >= plan.nextProbe[i]
+	due := plan.settings.Probes && plan.state[i] == BackendOpen && plan.now >= plan.nextProbeAt[i]
 	if due && (silent || plan.failedProbes[i] > 0) {
-		plan.nextProbe[i] = plan.now + probeInterval
+		plan.nextProbeAt[i] = plan.now + probeInterval
 		plan.commands = append(plan.commands, ProbeBackend{plan.id[i]})
 	}
 }
@@ -103,14 +103,14 @@
 	wasUnreachable, wasIsolated := plan.unreachable(i), plan.isolated
 	switch {
 	case result.OK:
-		if plan.lastSuccess[i] = plan.now; wasUnreachable {
+		if plan.lastSuccessAt[i] = plan.now; wasUnreachable {
 			plan.returnedAt[i] = plan.now
-			plan.warmth[i] = b.slowStartWarmth()
+			plan.warmupFactor[i] = b.currentWarmupFactor()
 		}
 		plan.failedProbes[i] = 0
 	case !result.Busy:
 		plan.failedProbes[i]++
-		plan.nextProbe[i] = plan.now
+		plan.nextProbeAt[i] = plan.now
 	}
 	reachable := func(k int) float64 { return 1 - 2*min(1, float64(plan.failedProbes[k]/2)) }
 	plan.isolated = plan.sumOpen(reachable) <= 0
@@ -122,23 +122,23 @@
 // unreachable tells whether a backend has answered neither of two probes while most others have.
 func (plan *Planner) unreachable(i int) bool { return plan.failedProbes[i] >= 2 && !plan.isolated }
 
-// adjustBias lowers the share of the load that arcs bring a backend whose answers take too long while most do
+// adjustLatencyFactor lowers the share of the load that arcs bring a backend whose answers take too long while most do
 // not: it is slower than listed, or stalls. Its weight stays as listed; fewer arcs include it.
-func (b *backendActor) adjustBias() {
+func (b *backendActor) adjustLatencyFactor() {
 	plan, i := b.plan, b.index
-	if plan.now < plan.biasCheckedAt[i]+healthWindow {
+	if plan.now < plan.latencyFactorUpdatedAt[i]+healthWindow {
 		return
 	}
-	plan.biasCheckedAt[i] = plan.now
+	plan.latencyFactorUpdatedAt[i] = plan.now
 	successes, latency := plan.recentSuccesses(i, plan.now-healthWindow)
-	relative := latency / plan.admission.softDeadline
+	relative := latency / plan.admission.shortestSoftDeadline
 	switch {
 	case successes < minAttempts:
-	case relative > biasLatency:
-		if relative > biasLatencyFactor*plan.admission.relativeLatency {
-			plan.bias[i] = max(minBias, plan.bias[i]*biasStep)
+	case relative > slowLatencyRatio:
+		if relative > slowLatencyFleetFactor*plan.admission.relativeLatency {
+			plan.latencyFactor[i] = max(minLatencyFactor, plan.latencyFactor[i]*latencyFactorDecrease)
 		}
 	default:
-		plan.bias[i] = min(1, plan.bias[i]+biasRecovery)
+		plan.latencyFactor[i] = min(1, plan.latencyFactor[i]+latencyFactorIncrease)
 	}
 }
--- a/choice/ejection_test.go
+++ b/choice/ejection_test.go
@@ -11,7 +11,7 @@
 		fleet.acknowledgeAll()
 	}
 	// acknowledgeAll takes longer than the first ejection, so the backend is back; the ejection must still be counted.
-	if fleet.planner.ejections[0][0] == 0 {
+	if fleet.planner.consecutiveEjections[0][0] == 0 {
 		t.Fatal("an aborting backend was not ejected")
 	}
 	fleet.acknowledgeAll()
@@ -66,17 +66,17 @@
 func TestOnlyALongSuccessClearsEjections(t *testing.T) {
 	fleet := newFleetModel(t, nil)
 	fleet.step(0, fullUpdate(8, 0))
-	fleet.planner.ejectedUntil[0][0], fleet.planner.ejections[0][0] = fleet.now+1, 2
+	fleet.planner.ejectedUntil[0][0], fleet.planner.consecutiveEjections[0][0] = fleet.now+1, 2
 	for range 5 {
 		fleet.reportSecond(8, 0.1, nil, nil)
 	}
-	if fleet.planner.ejections[0][0] != 2 {
+	if fleet.planner.consecutiveEjections[0][0] != 2 {
 		t.Fatal("a short time without failures cleared the ejections")
 	}
 	for range 20 {
 		fleet.reportSecond(8, 0.1, nil, nil)
 	}
-	if fleet.planner.ejections[0][0] != 0 {
+	if fleet.planner.consecutiveEjections[0][0] != 0 {
 		t.Fatal("a long time without failures did not clear the ejections")
 	}
 }
@@ -113,7 +113,7 @@
 		fleet.reportSecond(8, 0.1, nil, nil)
 		fleet.step(0.01, AttemptReport{Backend: backendID(0), Zone: "a", Attempts: 40, MeanLatency: 0.9, Span: 1})
 	}
-	if bias := fleet.planner.bias; bias[0] >= 1 || bias[1] < 1 {
+	if bias := fleet.planner.latencyFactor; bias[0] >= 1 || bias[1] < 1 {
 		t.Fatalf("bias %v", bias)
 	}
 }
--- a/choice/endpoints.go
+++ b/choice/endpoints.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	pollBackoff      = 0.25 // seconds after the first failed poll; doubled with each further one
-	maxPollDoublings = 4
+	basePollBackoff     = 0.25 // seconds after the first failed poll; doubled with each further one
+	maxBackoffDoublings = 4
 )
 
 // handle follows the endpoint list.
@@ -28,8 +28,8 @@
 // backOff puts off the next poll with jitter, against a list service that is overloaded by everybody polling
 // again at once, but to well within the time after which the list has to be known.
 func (e *endpointWatcher) backOff() {
-	e.failedPolls = min(e.failedPolls+1, maxPollDoublings)
-	backoff := min(pollBackoff*math.Exp2(float64(e.failedPolls)), e.plan.settings.AskWithin/3)
+	e.failedPolls = min(e.failedPolls+1, maxBackoffDoublings)
+	backoff := min(basePollBackoff*math.Exp2(float64(e.failedPolls)), e.plan.settings.AskWithin/3)
 	e.nextPoll = e.plan.now + backoff*(0.5+e.plan.random())
 }
 
@@ -51,14 +51,14 @@
 		plan.resetHealth(i) // another process under the same id
 	}
 	plan.state[i], plan.startedAt[i] = endpoint.State, max(endpoint.StartedAt, plan.startedAt[i])
-	plan.warmth[i] = b.slowStartWarmth()
+	plan.warmupFactor[i] = b.currentWarmupFactor()
 	// Where only draining binds, a backend that is dropped from the list leaves the tables with ordinary pushes.
 	gone := endpoint.State == BackendGone && !plan.settings.OnlyDrainingBinds
 	binds := endpoint.State == BackendDraining || gone
 	if binds && !plan.excluded[i] {
-		plan.exclusionDue[i] = cmp.Or(plan.exclusionDue[i], plan.now)
+		plan.exclusionDueSince[i] = cmp.Or(plan.exclusionDueSince[i], plan.now)
 	} else if !binds {
-		plan.exclusionDue[i] = 0
+		plan.exclusionDueSince[i] = 0
 	}
 	plan.send(plan.ring, reassignArcs{})
 }
--- a/choice/estimates.go
+++ b/choice/estimates.go
@@ -28,11 +28,11 @@
 	estimate := BackendEstimate{Backend: plan.id[i], ExpectedRate: plan.expectedLoad[i], Unreachable: plan.unreachable(i)}
 	failures, latency := 0.0, 0.0
 	for zone, attempts := range plan.attempts[i] {
-		decay := math.Exp(-(plan.now - plan.lastReport[i][zone]) / healthWindow)
+		decay := math.Exp(-(plan.now - plan.lastReportAt[i][zone]) / healthWindow)
 		estimate.AttemptRate += attempts * decay / healthWindow
 		failures += plan.failures[i][zone] * decay / healthWindow
 		successes := (attempts - plan.failures[i][zone]) * decay / healthWindow
-		latency += successes * plan.latency[i][zone]
+		latency += successes * plan.meanLatency[i][zone]
 		estimate.Ejected = estimate.Ejected || plan.ejectedUntil[i][zone] > plan.now
 	}
 	estimate.FailureShare = failures / max(estimate.AttemptRate, 1e-9)
@@ -47,7 +47,7 @@
 			continue
 		}
 		for method, rate := range proxy.usage {
-			usage = append(usage, rate*math.Exp(-(plan.now-proxy.reportedAt[method])/usageWindow))
+			usage = append(usage, rate*math.Exp(-(plan.now-proxy.usageReportedAt[method])/usageWindow))
 		}
 	}
 	return usage
--- a/choice/exclusion_test.go
+++ b/choice/exclusion_test.go
@@ -24,8 +24,8 @@
 func TestExclusionsAreGatheredNearTheMessageLimit(t *testing.T) {
 	fleet := startedFleet(t, nil, 8, 4)
 	fleet.acknowledgeAll()
-	recent := int(ordinaryPart * fleet.planner.settings.Messages)
-	fleet.planner.proxies[0].sentAt = slices.Repeat([]Seconds{fleet.now}, recent)
+	recent := int(ordinaryPushShare * fleet.planner.settings.Messages)
+	fleet.planner.proxies[0].messagesSentAt = slices.Repeat([]Seconds{fleet.now}, recent)
 	for number := range 3 {
 		commands := fleet.step(0.1, stateUpdate(number, BackendDraining))
 		if countCommands[SetExclusion](commands) > 0 {
--- a/choice/fleet_model_rules_test.go
+++ b/choice/fleet_model_rules_test.go
@@ -36,7 +36,7 @@
 		m.checkForgotten(backend, state)
 		return
 	}
-	due := m.planner.exclusionDue[slot]
+	due := m.planner.exclusionDueSince[slot]
 	if state != BackendOpen && !m.excluded[backend] && due == 0 {
 		m.t.Fatalf("%.2f: backend %d is not open but neither excluded nor due to be", m.now, backend)
 	}
@@ -119,11 +119,11 @@
 
 // proxiesThatMustWait returns, before a step with these events, the proxies that have a push in flight and no reason for another.
 func (m *fleetModel) proxiesThatMustWait(events []Event) map[ProxyID]bool {
-	timeout := lateAckPart * ackTimeouts * m.planner.channel.usualAckTime
+	timeout := lateAckPart * ackTimeoutFactor * m.planner.channel.meanAckTime
 	waiting := map[ProxyID]bool{}
 	for _, proxy := range m.planner.proxies {
 		late := m.now > proxy.leavesChannelAt+timeout
-		waiting[proxy.id] = proxy.inFlight && !late && !m.hasUnusableTable(proxy.id)
+		waiting[proxy.id] = proxy.pushInFlight && !late && !m.hasUnusableTable(proxy.id)
 	}
 	for _, event := range events {
 		switch event := event.(type) {
@@ -163,7 +163,7 @@
 		case SetExclusion:
 			return true
 		case SetTableEntry:
-			if slot := m.planner.indexOf[command.Backend]; m.planner.warmth[slot] < 1 {
+			if slot := m.planner.indexOf[command.Backend]; m.planner.warmupFactor[slot] < 1 {
 				return true
 			}
 		}
--- a/choice/fleetload.go
+++ b/choice/fleetload.go
@@ -5,36 +5,36 @@
 // admission is the state of admission control; admission.go decides by it.
 type admission struct {
 	mailbox
-	plan             *Planner
-	admitted         []float64     // shares, by method
-	normalRetry      []RetryPolicy // outside of overloads, by method
-	criticality      []float64     // by method
-	arrivals         []float64     // requests a second of late, by method
-	softDeadline     Seconds       // the shortest one
-	rateLimit        float64       // requests a second that are admitted
-	answerRate       float64       // answers a second for each unit of weight
-	bestAnswerRate   float64       // the highest so far
-	relativeLatency  float64       // mean latency of the answers, in soft deadlines
-	struckShare      float64       // share of attempts at backends that fail as often in a row as proxies tolerate
-	baselineFailures float64       // share of failures at the best quarter of the backends, from the zone that fares best
-	loadFactor       float64       // of its fair share, what arcs may bring a backend
-	overloaded       bool
-	overloadedAt     Seconds
-	calm             bool // no overload, and none near
-	firstReportAt    Seconds
-	lastDisconnect   Seconds // of a proxy
-	limitLoweredAt   Seconds
-	nextEvaluation   Seconds
+	plan                     *Planner
+	admittedShares           []float64     // shares, by method
+	normalRetry              []RetryPolicy // outside of overloads, by method
+	criticality              []float64     // by method
+	arrivalRates             []float64     // requests a second of late, by method
+	shortestSoftDeadline     Seconds       // the shortest one
+	rateLimit                float64       // requests a second that are admitted
+	successRatePerWeight     float64       // answers a second for each unit of weight
+	peakSuccessRatePerWeight float64       // the highest so far
+	relativeLatency          float64       // mean latency of the answers, in soft deadlines
+	avoidedShare             float64       // share of attempts at backends that fail as often in a row as proxies tolerate
+	baselineFailureShare     float64       // share of failures at the best quarter of the backends, from the zone that fares best
+	loadFactor               float64       // of its fair share, what arcs may bring a backend
+	overloaded               bool
+	overloadedAt             Seconds
+	overloadUnlikely         bool // no overload, and none near
+	firstReportAt            Seconds
+	lastDisconnectAt         Seconds // of a proxy
+	limitLoweredAt           Seconds
+	nextEvaluation           Seconds
 }
 
 func newAdmission(plan *Planner) *admission {
-	a := &admission{plan: plan, loadFactor: minLoadFactor, rateLimit: math.Inf(1), softDeadline: math.Inf(1)}
+	a := &admission{plan: plan, loadFactor: minLoadFactor, rateLimit: math.Inf(1), shortestSoftDeadline: math.Inf(1)}
 	for _, method := range plan.settings.Methods {
-		a.admitted = append(a.admitted, 1)
+		a.admittedShares = append(a.admittedShares, 1)
 		a.normalRetry = append(a.normalRetry, plan.normalRetry(method))
 		a.criticality = append(a.criticality, method.Criticality.Or(defaultCriticality))
-		a.arrivals = append(a.arrivals, 0)
-		a.softDeadline = min(a.softDeadline, method.SoftDeadline.Or(defaultSoftDeadline))
+		a.arrivalRates = append(a.arrivalRates, 0)
+		a.shortestSoftDeadline = min(a.shortestSoftDeadline, method.SoftDeadline.Or(defaultSoftDeadline))
 	}
 	return a
 }
@@ -43,10 +43,10 @@
 func (a *admission) handle(msg message) {
 	switch msg := msg.(type) {
 	case UsageReport:
-		a.arrivals[msg.Method] += float64(msg.RPCs) / admissionWindow
+		a.arrivalRates[msg.Method] += float64(msg.RPCs) / admissionWindow
 	case tickElapsed:
-		for method := range a.arrivals {
-			a.arrivals[method] *= math.Exp(-tickInterval / admissionWindow)
+		for method := range a.arrivalRates {
+			a.arrivalRates[method] *= math.Exp(-tickInterval / admissionWindow)
 		}
 		if a.plan.now >= a.nextEvaluation {
 			a.nextEvaluation = a.plan.now + evaluationInterval
@@ -57,12 +57,12 @@
 
 // fleetLoad is what the reports of late say of the backends together.
 type fleetLoad struct {
-	answers    float64 // a second
-	latency    float64 // of answers in a second, in soft deadlines, added up
-	attempts   float64
-	struck     float64 // attempts at backends that fail as often in a row as proxies tolerate
-	judged     float64 // open backends with enough attempts
-	overloaded float64 // of those
+	successRate        float64 // a second
+	weightedLatency    float64 // of answers in a second, in soft deadlines, added up
+	attempts           float64
+	avoidedAttempts    float64 // attempts at backends that fail as often in a row as proxies tolerate
+	judgedBackends     float64 // open backends with enough attempts
+	overloadedBackends float64 // of those
 }
 
 // measure adds up the reports on all backends.
@@ -76,10 +76,10 @@
 
 // updateBaseline sets the share of failures that the best quarter of the backends has, from the zone that fares best.
 func (a *admission) updateBaseline() {
-	a.baselineFailures = 1
+	a.baselineFailureShare = 1
 	for zone := range len(a.plan.zoneIndex) {
 		shares := a.plan.failureShares(zone, baselineAttempts, a.plan.now-baselineWindow)
-		a.baselineFailures = min(a.baselineFailures, shares[len(shares)/baselineDivisor])
+		a.baselineFailureShare = min(a.baselineFailureShare, shares[len(shares)/baselineDivisor])
 	}
 }
 
--- a/choice/messages.go
+++ b/choice/messages.go
@@ -60,15 +60,15 @@
 func (plan *Planner) send(to actor, msg message) {
 	box := to.inbox()
 	if box.messages = append(box.messages, msg); len(box.messages) == 1 {
-		plan.ready = append(plan.ready, to)
+		plan.readyActors = append(plan.readyActors, to)
 	}
 }
 
 // deliver runs the actors until all mailboxes are empty.
 func (plan *Planner) deliver() {
-	for len(plan.ready) > 0 {
-		next := plan.ready[0]
-		plan.ready = plan.ready[1:]
+	for len(plan.readyActors) > 0 {
+		next := plan.readyActors[0]
+		plan.readyActors = plan.readyActors[1:]
 		messages := next.inbox().messages
 		next.inbox().messages = nil
 		for _, msg := range messages {
--- a/choice/planner.go
+++ b/choice/planner.go
@@ -7,27 +7,27 @@
 
 // Planner is one instance of the module. Its methods must not be called from two goroutines at once.
 type Planner struct {
-	config   Config
-	settings planSettings
-	now      Seconds
-	draws    uint32 // random numbers drawn so far
+	config      Config
+	settings    planSettings
+	now         Seconds
+	randomDraws uint32 // random numbers drawn so far
 	backendStates
-	backends     []*backendActor
-	indexOf      map[BackendID]int
-	freeSlots    []int     // indexes to be used again
-	goneSince    []Seconds // since when each backend is gone; 0: it is not
-	zoneIndex    map[Zone]int
-	proxies      []*proxyActor // by id
-	watcher      *endpointWatcher
-	ring         *ring
-	admission    *admission
-	channel      *channel
-	ready        []actor // those with messages, in the order in which they got the first
-	commands     []Command
-	nextTick     Seconds
-	newestReport Seconds       // when the newest attempt report came
-	isolated     bool          // most backends seem unreachable, so the fault is on our side
-	dirty        []*proxyActor // those that may need a push in this step
+	backends       []*backendActor
+	indexOf        map[BackendID]int
+	freeSlots      []int     // indexes to be used again
+	goneSince      []Seconds // since when each backend is gone; 0: it is not
+	zoneIndex      map[Zone]int
+	proxies        []*proxyActor // by id
+	watcher        *endpointWatcher
+	ring           *ring
+	admission      *admission
+	channel        *channel
+	readyActors    []actor // those with messages, in the order in which they got the first
+	commands       []Command
+	nextTick       Seconds
+	newestReportAt Seconds       // when the newest attempt report came
+	isolated       bool          // most backends seem unreachable, so the fault is on our side
+	dirtyProxies   []*proxyActor // those that may need a push in this step
 }
 
 // endpointWatcher follows the endpoint list.
@@ -44,7 +44,7 @@
 	plan.settings = planSettingsOf(config.Settings)
 	plan.watcher, plan.ring = &endpointWatcher{plan: plan}, &ring{plan: plan}
 	plan.admission = newAdmission(plan)
-	plan.channel = &channel{plan: plan, usualAckTime: plan.settings.PushTime}
+	plan.channel = &channel{plan: plan, meanAckTime: plan.settings.PushTime}
 	return plan
 }
 
@@ -59,9 +59,9 @@
 
 // random draws a number from 0 to 1, which follows from the seed alone.
 func (plan *Planner) random() float64 {
-	plan.draws++
+	plan.randomDraws++
 	bytes := binary.LittleEndian.AppendUint64(nil, plan.config.Seed)
-	bytes = binary.LittleEndian.AppendUint32(bytes, plan.draws)
+	bytes = binary.LittleEndian.AppendUint32(bytes, plan.randomDraws)
 	return float64(crc32.ChecksumIEEE(bytes)) / (1 << 32)
 }
 
@@ -69,7 +69,7 @@
 func (plan *Planner) markDirty(proxy *proxyActor) {
 	if !proxy.dirty {
 		proxy.dirty = true
-		plan.dirty = append(plan.dirty, proxy)
+		plan.dirtyProxies = append(plan.dirtyProxies, proxy)
 	}
 }
 
@@ -81,7 +81,7 @@
 		if proxy.joined && proxy.mayUse(i) {
 			proxy.pendingLines++
 			plan.markDirty(proxy)
-		} else if proxy.waiting {
+		} else if proxy.pushWaiting {
 			plan.markDirty(proxy) // what it waits for may hold this backend
 		}
 	}
@@ -99,7 +99,7 @@
 
 // ownShare is the share of all proxies that are joined to this coordinator.
 func (plan *Planner) ownShare() float64 {
-	return float64(plan.ring.joined) / max(plan.settings.Proxies, float64(plan.ring.joined), 1)
+	return float64(plan.ring.joinedProxies) / max(plan.settings.Proxies, float64(plan.ring.joinedProxies), 1)
 }
 
 // sum adds up.
--- a/choice/proxies.go
+++ b/choice/proxies.go
@@ -11,9 +11,9 @@
 
 // tableEntry is an entry of a proxy's table: a backend, by its index, the weight, and the warmth that is in the weight.
 type tableEntry struct {
-	backend int
-	weight  float64
-	warmth  float64
+	backend      int
+	weight       float64
+	warmupFactor float64
 }
 
 // proxyTable is the table of one proxy for some methods.
@@ -30,32 +30,32 @@
 // proxyActor is the actor of one proxy: its tables and its pushes.
 type proxyActor struct {
 	mailbox
-	plan            *Planner
-	id              ProxyID
-	zone            int
-	joined          bool
-	joinedAt        Seconds
-	leftAt          Seconds // 0: it is joined
-	bound           bool    // on this stream it was sent a whole table
-	informed        bool    // on this stream it was notified of all exclusions
-	arcStart        uint32  // place of its arc on the ring
-	hasStart        bool
-	arcSize         int
-	assignedRate    float64   // its usage when the size of its arc was set
-	round           int       // the assignment of all arcs after which its own were last set
-	usage           []float64 // requests a second, by method
-	reportedAt      []Seconds // when each was last reported
-	tables          []*proxyTable
-	dirty           bool // it is among those that may need a push in this step
-	waiting         bool // something could not be sent yet
-	inFlight        bool // a push is not acknowledged
-	nonce           Nonce
-	leavesChannelAt Seconds   // when that push has left the channel
-	sentAt          []Seconds // of the messages within the time that is limited
-	pendingLines    int       // for it in this step
-	awaitsAck       bool      // this step's message to it is a push
-	admitted        []float64 // shares, by method
-	retry           []RetryPolicy
+	plan               *Planner
+	id                 ProxyID
+	zone               int
+	joined             bool
+	joinedAt           Seconds
+	leftAt             Seconds // 0: it is joined
+	tableBound         bool    // on this stream it was sent a whole table
+	exclusionsNotified bool    // on this stream it was notified of all exclusions
+	arcStart           uint32  // place of its arc on the ring
+	hasStart           bool
+	arcSize            int
+	assignedRate       float64   // its usage when the size of its arc was set
+	assignmentRound    int       // the assignment of all arcs after which its own were last set
+	usage              []float64 // requests a second, by method
+	usageReportedAt    []Seconds // when each was last reported
+	tables             []*proxyTable
+	dirty              bool // it is among those that may need a push in this step
+	pushWaiting        bool // something could not be sent yet
+	pushInFlight       bool // a push is not acknowledged
+	pushNonce          Nonce
+	leavesChannelAt    Seconds   // when that push has left the channel
+	messagesSentAt     []Seconds // of the messages within the time that is limited
+	pendingLines       int       // for it in this step
+	awaitsAck          bool      // this step's message to it is a push
+	admittedShares     []float64 // shares, by method
+	retryPolicies      []RetryPolicy
 }
 
 // proxy returns the actor of a proxy, a new one if it is not known yet.
@@ -65,8 +65,8 @@
 		return plan.proxies[at]
 	}
 	methods := len(plan.settings.Methods)
-	proxy := &proxyActor{plan: plan, id: id, admitted: plan.admission.admitted, retry: plan.admission.currentRetry()}
-	proxy.usage, proxy.reportedAt = make([]float64, methods), make([]Seconds, methods)
+	proxy := &proxyActor{plan: plan, id: id, admittedShares: plan.admission.admittedShares, retryPolicies: plan.admission.currentRetry()}
+	proxy.usage, proxy.usageReportedAt = make([]float64, methods), make([]Seconds, methods)
 	proxy.addTables()
 	plan.proxies = slices.Insert(plan.proxies, at, proxy)
 	return proxy
@@ -102,25 +102,25 @@
 	case ProxyJoined:
 		p.join(msg)
 	case ProxyLeft:
-		p.joined, p.bound, p.inFlight = false, false, false
-		p.plan.admission.lastDisconnect = p.plan.now
+		p.joined, p.tableBound, p.pushInFlight = false, false, false
+		p.plan.admission.lastDisconnectAt = p.plan.now
 		p.plan.send(p.plan.ring, membershipChanged{p})
 	case PushAcknowledged:
-		if p.inFlight && msg.Nonce == p.nonce {
-			p.inFlight = false
+		if p.pushInFlight && msg.Nonce == p.pushNonce {
+			p.pushInFlight = false
 			p.plan.markDirty(p)
 		}
 	case UsageReport:
 		p.recordUsage(msg)
 	case admissionChanged:
-		p.admitted, p.retry = msg.shares, msg.retry
-		if slices.ContainsFunc(p.tables, p.differs) {
+		p.admittedShares, p.retryPolicies = msg.shares, msg.retry
+		if slices.ContainsFunc(p.tables, p.tableOutdated) {
 			p.plan.markDirty(p)
 		}
 	case pushPending:
 		if p.joined {
 			p.push()
-			p.informExclusions()
+			p.notifyExclusions()
 			p.plan.channel.queuedLines += p.plan.channel.messageLines(p)
 		}
 	}
@@ -129,14 +129,14 @@
 // join begins a stream: a push on the last one is void, and no table of ours is bound.
 func (p *proxyActor) join(msg ProxyJoined) {
 	plan := p.plan
-	p.joined, p.bound, p.inFlight, p.pendingLines, p.sentAt = true, false, false, 0, nil
-	p.informed, p.joinedAt = false, plan.now
+	p.joined, p.tableBound, p.pushInFlight, p.pendingLines, p.messagesSentAt = true, false, false, 0, nil
+	p.exclusionsNotified, p.joinedAt = false, plan.now
 	if zone := plan.zoneOf(msg.Zone); p.zone != zone {
-		p.zone, p.round = zone, 0
+		p.zone, p.assignmentRound = zone, 0
 	}
-	if p.rate() == 0 {
+	if p.usageRate() == 0 {
 		for method := range p.usage {
-			p.usage[method], p.reportedAt[method] = msg.Rate/float64(len(p.usage)), plan.now
+			p.usage[method], p.usageReportedAt[method] = msg.Rate/float64(len(p.usage)), plan.now
 		}
 	}
 	plan.send(plan.ring, membershipChanged{p})
@@ -147,13 +147,13 @@
 // with the time since the last one.
 func (p *proxyActor) recordUsage(report UsageReport) {
 	method, now := report.Method, p.plan.now
-	decayed := p.usage[method] * math.Exp(-(now-p.reportedAt[method])/usageWindow)
+	decayed := p.usage[method] * math.Exp(-(now-p.usageReportedAt[method])/usageWindow)
 	p.usage[method] = decayed + float64(report.RPCs)/usageWindow
-	p.reportedAt[method] = now
+	p.usageReportedAt[method] = now
 }
 
-// release clears the tables of a proxy that left long ago. It reports whether the proxy may be forgotten.
-func (p *proxyActor) release() bool {
+// releaseIfExpired clears the tables of a proxy that left long ago. It reports whether the proxy may be forgotten.
+func (p *proxyActor) releaseIfExpired() bool {
 	if p.joined {
 		p.leftAt = 0
 		return false
@@ -168,8 +168,8 @@
 	return true
 }
 
-// rate is the proxy's usage in requests a second.
-func (p *proxyActor) rate() float64 { return sum(p.usage) }
+// usageRate is the proxy's usage in requests a second.
+func (p *proxyActor) usageRate() float64 { return sum(p.usage) }
 
 // references tells whether a table of the proxy holds, or is to hold, a backend.
 func (p *proxyActor) references(i int) bool {
@@ -179,8 +179,8 @@
 	})
 }
 
-// heaviestWeight is the largest weight that a table of the proxy gives a backend.
-func (p *proxyActor) heaviestWeight(i int) (heaviest float64) {
+// maxSentWeight is the largest weight that a table of the proxy gives a backend.
+func (p *proxyActor) maxSentWeight(i int) (heaviest float64) {
 	for _, table := range p.tables {
 		for _, entry := range table.sent {
 			if entry.backend == i {
@@ -195,10 +195,10 @@
 // a table of an earlier stream and knows of all exclusions so far. A proxy that waits for its first table, or for the list of
 // exclusions, learns of a new exclusion by that.
 func (p *proxyActor) mayUse(i int) bool {
-	if p.bound && p.heaviestWeight(i) > 0 {
+	if p.tableBound && p.maxSentWeight(i) > 0 {
 		return true
 	}
-	return p.informed && (!p.bound || p.lacksTable())
+	return p.exclusionsNotified && (!p.tableBound || p.lacksTable())
 }
 
 // lacksTable tells whether some methods have no table of ours yet, so that one of an earlier stream may be in use.
@@ -206,8 +206,8 @@
 	return slices.ContainsFunc(p.tables, func(table *proxyTable) bool { return len(table.sent) == 0 })
 }
 
-// lineCost is the most lines that a push of the proxy's tables has.
-func (p *proxyActor) lineCost() (lines int) {
+// maxPushLines is the most lines that a push of the proxy's tables has.
+func (p *proxyActor) maxPushLines() (lines int) {
 	for _, table := range p.tables {
 		lines += len(table.desired) + len(table.sent) + len(p.usage) + 1
 	}
@@ -217,29 +217,29 @@
 // covers tells whether a table is for a method.
 func (t *proxyTable) covers(method int) bool { return t.methods>>method&1 == 1 }
 
-// differs tells whether a table is not as it should be. One without a backend to use stays as it is.
-func (p *proxyActor) differs(table *proxyTable) bool {
+// tableOutdated tells whether a table is not as it should be. One without a backend to use stays as it is.
+func (p *proxyActor) tableOutdated(table *proxyTable) bool {
 	if len(table.desired) == 0 {
 		return false
 	}
-	for method := range p.admitted {
-		if p.levelDiffers(table, method) {
+	for method := range p.admittedShares {
+		if p.admissionOutdated(table, method) {
 			return true
 		}
 	}
 	return !slices.Equal(table.desired, table.sent)
 }
 
-// levelDiffers tells whether what a table was sent of a method's admission is outdated.
-func (p *proxyActor) levelDiffers(table *proxyTable, method int) bool {
+// admissionOutdated tells whether what a table was sent of a method's admission is outdated.
+func (p *proxyActor) admissionOutdated(table *proxyTable, method int) bool {
 	if !table.covers(method) {
 		return false
 	}
-	return table.sentLevels[method] != p.admissionLevel(method) || table.sentRetry[method] != p.retry[method]
+	return table.sentLevels[method] != p.admissionLevel(method) || table.sentRetry[method] != p.retryPolicies[method]
 }
 
-// writeDelta commands what brings a table to what it should hold.
-func (p *proxyActor) writeDelta(table *proxyTable) {
+// sendDelta commands what brings a table to what it should hold.
+func (p *proxyActor) sendDelta(table *proxyTable) {
 	if len(table.desired) == 0 {
 		return
 	}
@@ -249,16 +249,16 @@
 		p.pendingLines++
 	}
 	table.sent = slices.Clone(table.desired)
-	for method := range p.admitted {
-		if !p.levelDiffers(table, method) {
+	for method := range p.admittedShares {
+		if !p.admissionOutdated(table, method) {
 			continue
 		}
 		level := p.admissionLevel(method)
-		table.sentLevels[method], table.sentRetry[method] = level, p.retry[method]
+		table.sentLevels[method], table.sentRetry[method] = level, p.retryPolicies[method]
 		if plan.settings.LevelKind == "rate" && level == 1 {
 			level = unlimitedRate
 		}
-		plan.commands = append(plan.commands, SetAdmission{table.id, 1 << method, level, p.retry[method]})
+		plan.commands = append(plan.commands, SetAdmission{table.id, 1 << method, level, p.retryPolicies[method]})
 		p.pendingLines++
 	}
 }
--- a/choice/push_test.go
+++ b/choice/push_test.go
@@ -19,19 +19,19 @@
 	fleet.step(0, fullUpdate(8, 0))
 	fleet.step(0.1, ProxyJoined{0, "a", 10, true})
 	proxy := fleet.planner.proxies[0]
-	nonce := proxy.nonce
+	nonce := proxy.pushNonce
 	fleet.step(0.01, PushAcknowledged{0, nonce + 1, 0.1}, PushAcknowledged{0, nonce + 9, 0.1})
-	if !proxy.inFlight {
+	if !proxy.pushInFlight {
 		t.Fatal("an unknown nonce ended the push in flight")
 	}
 	fleet.step(0.01, PushAcknowledged{0, nonce, 0.1})
-	if proxy.inFlight || proxy.nonce != nonce {
+	if proxy.pushInFlight || proxy.pushNonce != nonce {
 		t.Fatalf("the nonce did not acknowledge the push: %+v", proxy)
 	}
 	fleet.step(0.01, ProxyLeft{0})
 	fleet.step(0.01, ProxyJoined{0, "a", 10, false})
 	fleet.step(0.01, PushAcknowledged{0, nonce, 0.1})
-	if !proxy.inFlight {
+	if !proxy.pushInFlight {
 		t.Fatal("a nonce of the last stream ended the push of this one")
 	}
 }
@@ -93,7 +93,7 @@
 	fleet.now += 3
 	fleet.step(0)
 	for _, proxy := range fleet.planner.proxies {
-		proxy.inFlight = false
+		proxy.pushInFlight = false
 		fleet.planner.markDirty(proxy)
 	}
 	fleet.step(0.01)
@@ -107,7 +107,7 @@
 // holdOrdinaryPushes has the planner wait for an acknowledgement from every proxy, so that all that can wait does.
 func (m *fleetModel) holdOrdinaryPushes() {
 	for _, proxy := range m.planner.proxies {
-		proxy.inFlight, proxy.leavesChannelAt = true, m.now+1e6
+		proxy.pushInFlight, proxy.leavesChannelAt = true, m.now+1e6
 	}
 }
 
@@ -134,7 +134,7 @@
 func TestRatesLeaveRoomForBursts(t *testing.T) {
 	fleet := startedFleet(t, map[string]any{"level_kind": "rate"}, 8, 1)
 	proxy := fleet.planner.proxies[0]
-	proxy.admitted, proxy.usage = []float64{0.5, 0.5, 1}, []float64{1, 100, 1}
+	proxy.admittedShares, proxy.usage = []float64{0.5, 0.5, 1}, []float64{1, 100, 1}
 	little, much, all := proxy.admissionLevel(0), proxy.admissionLevel(1), proxy.admissionLevel(2)
 	if little < 0.8 || much > 60 || all != 1 {
 		t.Fatalf("admission levels %v %v %v", little, much, all)
--- a/choice/ring.go
+++ b/choice/ring.go
@@ -11,34 +11,34 @@
 // file has its state and the arithmetic.
 type ring struct {
 	mailbox
-	plan           *Planner
-	dirty          bool          // all arcs are to be assigned anew
-	changed        []*proxyActor // that joined or left since the last assignment of all arcs
-	handled        int           // of those, how many were looked at
-	round          int           // number of the last assignment of all arcs
-	assignedAt     Seconds
-	joined         int       // proxies then
-	requiredWarmth float64   // below which a cold backend is in no arc
-	totalEntries   float64   // in all tables together
-	entriesPerRate float64   // backends in an arc for each request a second
-	meanWeight     float64   // of an open backend
-	capacity       float64   // fair shares of the reachable backends, added up
-	loadBound      float64   // of its fair share, what arcs may bring a backend
-	foreignLoad    []float64 // what other coordinators' proxies bring each backend
-	order          []int     // the open backends, in the order of the ring
-	byZone         [][]int   // those of each zone
-	lastWalk       []*arcWalk
+	plan                  *Planner
+	dirty                 bool          // all arcs are to be assigned anew
+	changedProxies        []*proxyActor // that joined or left since the last assignment of all arcs
+	handledChanges        int           // of those, how many were looked at
+	assignmentRound       int           // number of the last assignment of all arcs
+	assignedAt            Seconds
+	joinedProxies         int       // proxies then
+	requiredWarmupFactor  float64   // below which a cold backend is in no arc
+	totalEntries          float64   // in all tables together
+	entriesPerRequestRate float64   // backends in an arc for each request a second
+	meanWeight            float64   // of an open backend
+	capacity              float64   // fair shares of the reachable backends, added up
+	maxLoadPerWeight      float64   // of its fair share, what arcs may bring a backend
+	otherCoordinatorsLoad []float64 // what other coordinators' proxies bring each backend
+	openBackends          []int     // the open backends, in the order of the ring
+	openBackendsByZone    [][]int   // those of each zone
+	lastWalk              []*arcWalk
 }
 
 // arcWalk is the assignment of one arc.
 type arcWalk struct {
-	proxy         *proxyActor
-	table         *proxyTable
-	arc           []int
-	weightLeft    float64 // weight still to take
-	backendsLeft  float64 // backends still to take, cold ones counted by their warmth
-	loadPerWeight float64 // requests a second
-	usable        bool    // it has a backend that is not excluded
+	proxy            *proxyActor
+	table            *proxyTable
+	arc              []int
+	weightLeft       float64 // weight still to take
+	backendsLeft     float64 // backends still to take, cold ones counted by their warmth
+	loadPerWeight    float64 // requests a second
+	hasUsableBackend bool    // it has a backend that is not excluded
 }
 
 // handle notes what makes the arcs outdated.
@@ -47,7 +47,7 @@
 	case reassignArcs:
 		r.dirty = true
 	case membershipChanged:
-		r.changed = append(r.changed, msg.proxy)
+		r.changedProxies = append(r.changedProxies, msg.proxy)
 	case tickElapsed:
 		r.dirty = r.dirty || r.plan.now >= r.assignedAt+reassignInterval
 	}
@@ -81,25 +81,25 @@
 
 // startCandidates returns the backends at which arcs of a zone may start: its own, or all if it has none.
 func (r *ring) startCandidates(zone int) []int {
-	if len(r.byZone[zone]) == 0 {
-		return r.order
+	if len(r.openBackendsByZone[zone]) == 0 {
+		return r.openBackends
 	}
-	return r.byZone[zone]
+	return r.openBackendsByZone[zone]
 }
 
 // collectWalks returns a walk for each table of the joined proxies, the usage of those proxies and, by zone, that of the others.
 // A proxy that left is joined to another coordinator and still loads its zone. Without that, a coordinator that a cut leaves
 // with the proxies of its own zone alone would send half of them across the cut, to backends that seem idle.
 func (r *ring) collectWalks() (walks []*arcWalk, usage float64, foreign []float64) {
-	usage, foreign, r.joined = 1e-9, make([]float64, len(r.plan.zoneIndex)), 0
+	usage, foreign, r.joinedProxies = 1e-9, make([]float64, len(r.plan.zoneIndex)), 0
 	for _, proxy := range r.plan.proxies {
 		if !proxy.joined {
-			foreign[proxy.zone] += proxy.rate()
+			foreign[proxy.zone] += proxy.usageRate()
 			continue
 		}
-		r.joined++
-		proxy.round = r.round
-		usage += proxy.rate()
+		r.joinedProxies++
+		proxy.assignmentRound = r.assignmentRound
+		usage += proxy.usageRate()
 		for _, table := range proxy.tables {
 			walks = append(walks, &arcWalk{proxy: proxy, table: table})
 		}
@@ -107,15 +107,15 @@
 	return walks, usage, foreign
 }
 
-// assignOne assigns the arcs of one proxy beside those of the others.
-func (r *ring) assignOne(proxy *proxyActor) {
-	proxy.round = r.round
+// assignProxyArcs assigns the arcs of one proxy beside those of the others.
+func (r *ring) assignProxyArcs(proxy *proxyActor) {
+	proxy.assignmentRound = r.assignmentRound
 	for _, table := range proxy.tables {
 		walk := &arcWalk{proxy: proxy, table: table}
 		r.prepareWalk(walk)
 		r.assignArc(walk)
 		r.addExpectedLoad(walk)
-		r.setDesired(walk)
+		r.setDesiredTable(walk)
 	}
 }
 
@@ -131,21 +131,21 @@
 	left := walk.proxy.arcSize
 	for i := range r.clockwise(r.startCandidates(walk.proxy.zone), walk.proxy.arcStart) {
 		if left--; left >= 0 {
-			r.plan.assignedLoad[i] += walk.loadPerWeight * r.plan.weight[i] * r.plan.warmth[i]
+			r.plan.assignedLoad[i] += walk.loadPerWeight * r.plan.weight[i] * r.plan.warmupFactor[i]
 		}
 	}
 }
 
-// spreadForeignLoad spreads the usage of other coordinators' proxies over the backends of their zones.
-func (r *ring) spreadForeignLoad(foreign []float64) {
-	r.foreignLoad = make([]float64, len(r.plan.id))
-	for zone, backends := range r.byZone {
+// spreadOtherCoordinatorsLoad spreads the usage of other coordinators' proxies over the backends of their zones.
+func (r *ring) spreadOtherCoordinatorsLoad(foreign []float64) {
+	r.otherCoordinatorsLoad = make([]float64, len(r.plan.id))
+	for zone, backends := range r.openBackendsByZone {
 		shares := 1e-9
 		for _, i := range backends {
-			shares += r.plan.fairShare[i]
+			shares += r.plan.effectiveWeight[i]
 		}
 		for _, i := range backends {
-			r.foreignLoad[i] = foreign[zone] * r.plan.fairShare[i] / shares
+			r.otherCoordinatorsLoad[i] = foreign[zone] * r.plan.effectiveWeight[i] / shares
 		}
 	}
 }
@@ -173,7 +173,7 @@
 // addExpectedLoad adds what an arc brings each of its backends, or would bring an excluded one if it were restored.
 func (r *ring) addExpectedLoad(walk *arcWalk) {
 	plan, usable := r.plan, 0.0
-	weight := func(i int) float64 { return plan.warmth[i] * plan.weight[i] }
+	weight := func(i int) float64 { return plan.warmupFactor[i] * plan.weight[i] }
 	for _, i := range walk.arc {
 		if !plan.excluded[i] {
 			usable += weight(i)
@@ -188,13 +188,13 @@
 	}
 }
 
-// setDesired makes an arc what its table should hold.
-func (r *ring) setDesired(walk *arcWalk) {
+// setDesiredTable makes an arc what its table should hold.
+func (r *ring) setDesiredTable(walk *arcWalk) {
 	plan, before := r.plan, walk.table.desired
 	slices.Sort(walk.arc)
 	walk.table.desired = make([]tableEntry, len(walk.arc))
 	for k, i := range walk.arc {
-		walk.table.desired[k] = tableEntry{i, plan.weight[i] * plan.warmth[i], plan.warmth[i]}
+		walk.table.desired[k] = tableEntry{i, plan.weight[i] * plan.warmupFactor[i], plan.warmupFactor[i]}
 	}
 	if !slices.Equal(before, walk.table.desired) {
 		plan.markDirty(walk.proxy)
@@ -202,4 +202,6 @@
 }
 
 // relativeLoad is the load that arcs bring a backend, relative to its fair share.
-func (plan *Planner) relativeLoad(i int) float64 { return plan.assignedLoad[i] / plan.fairShare[i] }
+func (plan *Planner) relativeLoad(i int) float64 {
+	return plan.assignedLoad[i] / plan.effectiveWeight[i]
+}
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -85,7 +85,7 @@
 	return Number{value, ok}
 }
 
-func (f flatSettings) word(name string) string {
+func (f flatSettings) text(name string) string {
 	value, _ := f[name].(string)
 	return value
 }
@@ -95,10 +95,10 @@
 	return value
 }
 
-// words reads a list that is stored as its length under name.n and its items under name.0, name.1 and so on.
-func (f flatSettings) words(name string) (all []string) {
+// texts reads a list that is stored as its length under name.n and its items under name.0, name.1 and so on.
+func (f flatSettings) texts(name string) (all []string) {
 	for i := range int(f.number(name + ".n").Or(0)) {
-		all = append(all, f.word(fmt.Sprintf("%s.%d", name, i)))
+		all = append(all, f.text(fmt.Sprintf("%s.%d", name, i)))
 	}
 	return all
 }
@@ -118,10 +118,10 @@
 func (f flatSettings) method(i int) MethodSettings {
 	prefix := fmt.Sprintf("method.%d.", i)
 	return MethodSettings{
-		Name:         f.word(prefix + "name"),
-		Effect:       f.word(prefix + "effect"),
-		Group:        f.word(prefix + "group"),
-		MostTries:    f.word(prefix + "most_tries"),
+		Name:         f.text(prefix + "name"),
+		Effect:       f.text(prefix + "effect"),
+		Group:        f.text(prefix + "group"),
+		MostTries:    f.text(prefix + "most_tries"),
 		OwnZone:      f.flag(prefix + "own_zone"),
 		Criticality:  f.number(prefix + "criticality"),
 		SoftDeadline: f.number(prefix + "soft_deadline"),
@@ -144,16 +144,16 @@
 		DrainGrace:        flat.number("drain_grace"),
 		FallMultiple:      flat.number("fall_multiple"),
 		FallWindow:        flat.number("fall_window"),
-		FeedbackColumns:   flat.words("Feedback.Columns"),
-		FeedbackSource:    flat.word("Feedback.Source"),
+		FeedbackColumns:   flat.texts("Feedback.Columns"),
+		FeedbackSource:    flat.text("Feedback.Source"),
 		Intake:            flat.number("intake"),
-		LevelKind:         flat.word("level_kind"),
-		Listing:           flat.word("listing"),
+		LevelKind:         flat.text("level_kind"),
+		Listing:           flat.text("listing"),
 		MessageLines:      flat.number("message_lines"),
 		Messages:          flat.number("messages"),
 		MessagesSpan:      flat.number("messages_span"),
 		OnlyDrainingBinds: flat.flag("only_draining_binds"),
-		Pick:              flat.word("pick"),
+		Pick:              flat.text("pick"),
 		Probes:            flat.flag("probes"),
 		Proxies:           flat.number("proxies"),
 		PushTime:          flat.number("push_time"),
@@ -165,7 +165,7 @@
 		Tick:              flat.number("tick"),
 		TryWait:           flat.number("try_wait"),
 		WarmAfter:         flat.number("warm_after"),
-		Zone:              flat.word("zone"),
+		Zone:              flat.text("zone"),
 		Zones:             flat.zones(),
 	}
 	for i := range int(flat.number("method.n").Or(defaultMethods)) {
--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -80,8 +80,8 @@
 	fleet.planner.admission.nextEvaluation = fleet.now + 10 // late reports of the others do not raise the best rate meanwhile
 	sole := Endpoint{Backend: 1, State: BackendOpen, Zone: "a", Weight: 1}
 	fleet.step(1.1, EndpointUpdate{Kind: UpdateFull, Endpoints: []Endpoint{sole}})
-	if fleet.planner.warmth[0] >= 1 || fleet.excluded[1] {
-		t.Fatalf("warmth %v, excluded %v", fleet.planner.warmth[0], fleet.excluded[1])
+	if fleet.planner.warmupFactor[0] >= 1 || fleet.excluded[1] {
+		t.Fatalf("warmth %v, excluded %v", fleet.planner.warmupFactor[0], fleet.excluded[1])
 	}
 }
 
@@ -161,7 +161,7 @@
 	fleet.step(0.1, restarted)
 	cold, warm := 0.0, 0.0
 	for i, load := range fleet.planner.assignedLoad {
-		if warmth := fleet.planner.warmth[i]; warmth < 1 {
+		if warmth := fleet.planner.warmupFactor[i]; warmth < 1 {
 			cold += load / warmth
 		} else {
 			warm += load
@@ -196,11 +196,11 @@
 			}
 			admission := fleet.planner.admission
 			admission.overloaded, admission.overloadedAt, admission.firstReportAt = true, fleet.now, fleet.now-100
-			admission.bestAnswerRate, admission.relativeLatency = 10, 0.5
-			admission.arrivals[0] = test.arrivals
+			admission.peakSuccessRatePerWeight, admission.relativeLatency = 10, 0.5
+			admission.arrivalRates[0] = test.arrivals
 			fleet.now += 10
 			fleet.planner.now = fleet.now
-			if warmth := fleet.planner.requiredWarmth(0); (warmth > 0) != test.stayOut {
+			if warmth := fleet.planner.requiredWarmupFactor(0); (warmth > 0) != test.stayOut {
 				t.Errorf("cold backends need a warmth of %v", warmth)
 			}
 		})
