--- a/choice/arcs.go
+++ b/choice/arcs.go
@@ -7,31 +7,34 @@
 	"slices"
 )
 
+// A load factor is a ratio: the highest load that arcs may bring a backend, divided by its proportional share of the total load.
+// Shares are proportional to effective weights.
 const (
 	minArcSize           = 3    // backends in an arc
-	meanArcSize          = 6.0  // backends in an arc, on average
+	meanArcSize          = 6.0  // backends in an arc, averaged over all arcs
 	minArcsPerBackend    = 2    // arcs that include each backend
-	minArcSizeChange     = 2    // backends by which the size of an arc moves at least
-	minLoadFactor        = 1.1  // of its fair share, what a backend takes before arcs pass it over
-	maxLoadFactor        = 1.5  // and at most, while answers are quick, so that arcs stay in their zone
-	crossZonePriceFactor = 3.5  // of the price of leaving the zone, by how much it may be above minLoadFactor
-	boundGrowthFactor    = 1.09 // factor by which the bound on load gives way where all backends are at it
-	maxBoundGrowthFactor = 16
-	reassignInterval     = 1.0  // seconds after which all arcs are assigned anew, as usage and bias drift
-	reassignBatchShare   = 0.12 // of the joined proxies, how many join or leave before all arcs are assigned anew
+	minArcSizeChange     = 2    // backends; an arc is not resized by fewer
+	minLoadFactor        = 1.1  // load factor while latency is high
+	maxLoadFactor        = 1.5  // limit on the load factor while latency is low, which keeps more requests in their zone
+	crossZonePriceFactor = 3.5  // increase of the load factor above minLoadFactor, per unit of the cross-zone price
+	boundGrowthFactor    = 1.09 // ratio of successive load bounds that are tried for an arc that is not full
+	maxBoundGrowthFactor = 16   // growth of the load bound after which an arc stays shorter
+	reassignInterval     = 1.0  // seconds between assignments of all arcs, because usage and latency factors drift
+	reassignBatchShare   = 0.12 // share of the joined proxies; when more than these joined or left, all arcs are reassigned
 )
 
-// refreshArcs brings the arcs up to date. A proxy that joins gets its arc over the load as assigned; all arcs are
-// assigned anew at once when the list or health changed, and for joins and leaves once a batch of them is
-// through: in a storm of joins an assignment for each would leave no time for anything else.
+// refreshArcs brings the arcs up to date and reports whether it assigned any. All arcs are reassigned at once after a change of
+// the endpoint list or of a backend's health. A proxy that joins gets an arc that takes the load of the present arcs into account;
+// all arcs are reassigned only after a batch of joins and leaves or after a tick. Reassigning all for each join would take all the
+// time when many proxies join at once.
 func (r *ring) refreshArcs() (changed bool) {
-	late := len(r.changedProxies) > 0 && r.plan.now >= r.assignedAt+tickInterval
-	if r.dirty || late || float64(len(r.changedProxies)) > reassignBatchShare*float64(r.joinedProxies) {
+	overdue := len(r.changedProxies) > 0 && r.plan.now >= r.assignedAt+tickInterval
+	if r.dirty || overdue || float64(len(r.changedProxies)) > reassignBatchShare*float64(r.joinedProxies) {
 		r.assignAllArcs()
 		return true
 	}
 	for _, proxy := range r.changedProxies[r.handledChanges:] {
-		if proxy.joined && proxy.assignmentRound != r.assignmentRound { // else it joined again, and its arc is assigned
+		if proxy.joined && proxy.assignmentRound != r.assignmentRound { // equal rounds: an earlier join in the batch already got it an arc
 			r.assignProxyArcs(proxy)
 			changed = true
 		}
@@ -40,76 +43,83 @@
 	return changed
 }
 
-// assignAllArcs assigns the arcs of all joined proxies anew.
+// assignAllArcs reassigns the arcs of all joined proxies.
 func (r *ring) assignAllArcs() {
 	plan := r.plan
 	r.dirty, r.assignedAt, r.changedProxies, r.handledChanges, r.assignmentRound = false, plan.now, nil, 0, r.assignmentRound+1
 	r.computeEffectiveWeights()
-	walks, usage, foreign := r.collectWalks()
+	walks, usage, otherUsage := r.collectWalks()
 	r.totalEntries = max(1, minArcsPerBackend*float64(len(r.openBackends)), meanArcSize*float64(len(walks)))
 	r.entriesPerRequestRate = r.totalEntries / usage
 	r.requiredWarmupFactor = plan.requiredWarmupFactor(usage / r.totalEntries)
-	assigned := r.prepareWalks(walks)
-	// The bound follows the usage that arcs are sized for: beside current usage a zone would seem to have room
-	// in a burst. It is no wider for there being several coordinators: a full zone is full for all of them.
-	r.maxLoadPerWeight = (assigned + sum(foreign)) * plan.admission.loadFactor / r.capacity
+	assignedRate := r.prepareWalks(walks)
+	// The bound is based on the usage that the arcs were sized for. With the current usage, a burst would raise the bound and
+	// make a zone seem to have spare capacity. The bound is the same with several coordinators, because a zone that is full is
+	// full for all of them.
+	r.maxLoadPerWeight = (assignedRate + sum(otherUsage)) * plan.admission.loadFactor / r.capacity
 	r.resetLoad()
-	r.spreadOtherCoordinatorsLoad(foreign)
+	r.spreadOtherCoordinatorsLoad(otherUsage)
 	for _, walk := range walks {
 		r.assignArc(walk)
 	}
-	r.ensureMinArcs(walks, func(zone int) float64 { return foreign[zone] / (usage + sum(foreign)) })
+	r.ensureMinArcs(walks, func(zone int) float64 { return otherUsage[zone] / (usage + sum(otherUsage)) })
 	for _, walk := range walks {
 		r.addExpectedLoad(walk)
 		r.setDesiredTable(walk)
 	}
 }
 
-// computeEffectiveWeights lists the open backends in the order of the ring and sets the fair share of each.
+// computeEffectiveWeights lists the open backends in ring order and sets the effective weight of each, and their total capacity.
 func (r *ring) computeEffectiveWeights() {
 	plan := r.plan
 	r.openBackends = plan.ringOrder()
 	r.openBackendsByZone = make([][]int, len(plan.zoneIndex))
 	r.meanWeight = plan.sumOpen(plan.fullWeight) / float64(len(r.openBackends))
-	// A cold backend has the mean bias: it has had no time to lose any.
-	meanBias := plan.sumOpen(func(i int) float64 { return plan.latencyFactor[i] }) / float64(len(r.openBackends))
+	// A backend in slow start gets at most the mean latency factor, because its own has had no time to fall. The rounded-down
+	// warmupFactor is 0 in slow start and 1 after it.
+	meanLatencyFactor := plan.sumOpen(func(i int) float64 { return plan.latencyFactor[i] }) / float64(len(r.openBackends))
 	r.capacity = 1e-9
 	plan.effectiveWeight = make([]float64, len(plan.id))
 	for _, i := range r.openBackends {
 		r.openBackendsByZone[plan.zone[i]] = append(r.openBackendsByZone[plan.zone[i]], i)
-		bias := min(plan.latencyFactor[i], meanBias+math.Floor(plan.warmupFactor[i]))
-		plan.effectiveWeight[i] = plan.weight[i] * plan.warmupFactor[i] * bias
+		latencyFactor := min(plan.latencyFactor[i], meanLatencyFactor+math.Floor(plan.warmupFactor[i]))
+		plan.effectiveWeight[i] = plan.weight[i] * plan.warmupFactor[i] * latencyFactor
 		if !plan.unreachable(i) {
 			r.capacity += plan.effectiveWeight[i]
 		}
-		if plan.warmupFactor[i] < 1 { // what a zone takes above its share, to stay local, is not for cold backends
+		if plan.warmupFactor[i] < 1 {
+			// The load factor rises to keep requests in their zone; a backend in slow start must not get that extra load.
 			plan.effectiveWeight[i] *= minLoadFactor / plan.admission.loadFactor
 		}
 	}
 }
 
-// prepareWalks sizes the arcs, those of the busiest proxies first, and returns the usage they are sized for.
-func (r *ring) prepareWalks(walks []*arcWalk) (assigned float64) {
+// prepareWalks sorts the walks by the usage of their proxies, the highest first, sizes their arcs and chooses missing start
+// points. It returns the total usage that the arcs are sized for, in requests a second.
+func (r *ring) prepareWalks(walks []*arcWalk) (assignedRate float64) {
 	slices.SortStableFunc(walks, func(a, b *arcWalk) int {
 		return cmp.Compare(b.proxy.assignedRate, a.proxy.assignedRate)
 	})
-	if r.plan.admission.firstReportAt == 0 { // proxies still join one by one; starts chosen anew are more even
+	if r.plan.admission.firstReportAt == 0 {
+		// Before the first attempt reports the proxies are still joining one by one. All start points are chosen again, which
+		// spreads them more evenly.
 		r.plan.assignedLoad = make([]float64, len(r.plan.id))
 	}
-	assigned = 1e-9
+	assignedRate = 1e-9
 	for _, walk := range walks {
 		if r.prepareWalk(walk) {
 			r.reserveLoad(walk)
 		}
 		if walk.table == walk.proxy.tables[0] {
-			assigned += walk.proxy.assignedRate
+			assignedRate += walk.proxy.assignedRate
 		}
 	}
-	return assigned
+	return assignedRate
 }
 
-// prepareWalk sets what an arc has to take. It reports whether the arc has a new start.
-func (r *ring) prepareWalk(walk *arcWalk) (started bool) {
+// prepareWalk sets the weight and the number of backends that an arc has to take. It reports whether the arc got a new start
+// point.
+func (r *ring) prepareWalk(walk *arcWalk) (startChosen bool) {
 	size := float64(walk.proxy.resizeArc(r.entriesPerRequestRate, len(r.openBackends)))
 	walk.weightLeft, walk.backendsLeft = size*r.meanWeight, min(size, minArcSize)
 	walk.loadPerWeight = walk.proxy.assignedRate / size / r.meanWeight
@@ -120,18 +130,19 @@
 	return true
 }
 
-// resizeArc sets the size of an arc from the proxy's part of the usage; it moves by minResize or not at all.
-func (p *proxyActor) resizeArc(entriesPerRate float64, backends int) int {
-	size := min(max(minArcSize, int(math.Round(p.usageRate()*entriesPerRate))), backends)
-	moved := size-p.arcSize >= minArcSizeChange || p.arcSize-size >= minArcSizeChange
-	if p.arcSize == 0 || moved || p.arcSize > backends {
+// resizeArc sets the size of a proxy's arcs in proportion to its usage, and returns it. Changes by less than minArcSizeChange are
+// ignored, unless there are fewer backends than the arc has.
+func (p *proxyActor) resizeArc(entriesPerRequestRate float64, backends int) int {
+	size := min(max(minArcSize, int(math.Round(p.usageRate()*entriesPerRequestRate))), backends)
+	changed := size-p.arcSize >= minArcSizeChange || p.arcSize-size >= minArcSizeChange
+	if p.arcSize == 0 || changed || p.arcSize > backends {
 		p.arcSize, p.assignedRate = size, p.usageRate()
 	}
 	return p.arcSize
 }
 
-// chooseStart gives a proxy its place on the ring, where the load is least. It keeps it, so that an arc moves
-// for reasons of its own or its backends' only.
+// chooseStart starts a proxy's arcs at the backend with the lowest relative load. The proxy keeps this start point, so that its
+// arc changes only with its own usage or with the backends on the arc.
 func (r *ring) chooseStart(proxy *proxyActor) {
 	least := slices.MinFunc(r.startCandidates(proxy.zone), func(a, b int) int {
 		return cmp.Compare(r.plan.relativeLoad(a), r.plan.relativeLoad(b))
@@ -139,26 +150,27 @@
 	proxy.arcStart, proxy.hasStart = r.plan.ringHash[least], true
 }
 
-// assignArc takes backends for one arc.
+// assignArc chooses the backends of one arc.
 func (r *ring) assignArc(walk *arcWalk) {
-	// Where all are at the bound it gives way by small steps, so that the excess is spread evenly.
+	// Where all backends are at the load bound, the bound rises in small steps, which spreads the excess evenly.
 	limit := r.maxLoadPerWeight
 	for limit == r.maxLoadPerWeight || walk.weightLeft > 0 && limit < maxBoundGrowthFactor*r.maxLoadPerWeight {
 		r.takeBackends(walk, limit, r.eligible)
 		limit *= boundGrowthFactor
 	}
-	// Health never leaves an arc empty: an unfit backend still is better than none, warm ones first.
-	for _, warmth := range []float64{1, 0} {
+	// Health checks never leave an arc empty, because an unhealthy backend is better than none. Backends that are not in slow
+	// start are tried first.
+	for _, minWarmupFactor := range []float64{1, 0} {
 		if !walk.hasUsableBackend {
-			r.takeBackends(walk, math.Inf(1), func(i, _ int) bool { return r.plan.warmupFactor[i] >= warmth })
+			r.takeBackends(walk, math.Inf(1), func(i, _ int) bool { return r.plan.warmupFactor[i] >= minWarmupFactor })
 		}
 	}
 }
 
-// takeBackends follows the ring until the arc is full. As in consistent hashing with bounded loads, a backend
-// that has its share of the usage is passed over; so is one that is not fit. A cold one counts less, so that
-// an arc has enough warm weight beside it.
-func (r *ring) takeBackends(walk *arcWalk, bound float64, fit func(i, zone int) bool) {
+// takeBackends follows the ring and adds backends until the arc is full. As in consistent hashing with bounded loads, it skips a
+// backend whose load would exceed maxLoadPerWeight times its effective weight; it also skips those that acceptable rejects. A
+// backend in slow start counts by its warm-up factor only, so that the arc has enough other capacity beside it.
+func (r *ring) takeBackends(walk *arcWalk, maxLoadPerWeight float64, acceptable func(i, zone int) bool) {
 	plan := r.plan
 	for i := range r.candidates(walk) {
 		weight := plan.warmupFactor[i] * plan.weight[i]
@@ -166,7 +178,7 @@
 			return
 		}
 		load := r.otherCoordinatorsLoad[i] + plan.assignedLoad[i] + walk.loadPerWeight*weight
-		if r.lastWalk[i] == walk || !(load <= bound*plan.effectiveWeight[i]) || !fit(i, walk.proxy.zone) {
+		if r.lastWalk[i] == walk || !(load <= maxLoadPerWeight*plan.effectiveWeight[i]) || !acceptable(i, walk.proxy.zone) {
 			continue
 		}
 		r.lastWalk[i], walk.arc = walk, append(walk.arc, i)
@@ -180,7 +192,8 @@
 	}
 }
 
-// candidates yields backends in the order in which an arc takes them: from its start on, its zone's first.
+// candidates yields backends in the order in which an arc takes them: clockwise from its start point, first those of the proxy's
+// zone, then the others unless the table is limited to the zone.
 func (r *ring) candidates(walk *arcWalk) iter.Seq[int] {
 	return func(yield func(int) bool) {
 		start, zone := walk.proxy.arcStart, walk.proxy.zone
@@ -200,19 +213,19 @@
 	}
 }
 
-// eligible tells whether health lets the arcs of a zone include a backend.
+// eligible reports whether arcs of a zone may include a backend: it is not ejected there, reachable and warmed up far enough.
 func (r *ring) eligible(i, zone int) bool {
 	plan := r.plan
 	healthy := plan.ejectedUntil[i][zone] <= plan.now && !plan.unreachable(i)
 	return healthy && plan.warmupFactor[i] >= min(r.requiredWarmupFactor, 1)
 }
 
-// ensureMinArcs gives backends in too few arcs to those that come to them soonest on the ring, but for those of a
-// zone whose proxies are mostly other coordinators'.
-func (r *ring) ensureMinArcs(walks []*arcWalk, foreignPart func(zone int) float64) {
+// ensureMinArcs adds each backend that is in fewer than minArcsPerBackend arcs to the arcs that would reach it next on the ring.
+// It skips the zones where the proxies of other coordinators have more than half of a zone's average share of all usage.
+func (r *ring) ensureMinArcs(walks []*arcWalk, otherUsageShare func(zone int) float64) {
 	plan := r.plan
 	for _, i := range r.openBackends {
-		if foreignPart(plan.zone[i]) > 1/float64(2*len(plan.zoneIndex)) {
+		if otherUsageShare(plan.zone[i]) > 1/float64(2*len(plan.zoneIndex)) {
 			continue
 		}
 		for range max(0, minArcsPerBackend-plan.arcCount[i]) {
--- a/choice/ring.go
+++ b/choice/ring.go
@@ -7,41 +7,41 @@
 	"slices"
 )
 
-// ring assigns arcs: each table holds the backends on an arc of a ring of hashed backends. The decisions are in arcs.go; this
-// file has its state and the arithmetic.
+// ring assigns arcs. The backends stand on a ring, ordered by the hashes of their ids, and each table holds the backends on one
+// arc of it. The decisions are in arcs.go; this file holds the state and the arithmetic.
 type ring struct {
 	mailbox
 	plan                  *Planner
-	dirty                 bool          // all arcs are to be assigned anew
-	changedProxies        []*proxyActor // that joined or left since the last assignment of all arcs
-	handledChanges        int           // of those, how many were looked at
-	assignmentRound       int           // number of the last assignment of all arcs
-	assignedAt            Seconds
-	joinedProxies         int       // proxies then
-	requiredWarmupFactor  float64   // below which a cold backend is in no arc
-	totalEntries          float64   // in all tables together
-	entriesPerRequestRate float64   // backends in an arc for each request a second
-	meanWeight            float64   // of an open backend
-	capacity              float64   // fair shares of the reachable backends, added up
-	maxLoadPerWeight      float64   // of its fair share, what arcs may bring a backend
-	otherCoordinatorsLoad []float64 // what other coordinators' proxies bring each backend
-	openBackends          []int     // the open backends, in the order of the ring
-	openBackendsByZone    [][]int   // those of each zone
-	lastWalk              []*arcWalk
+	dirty                 bool          // all arcs must be reassigned
+	changedProxies        []*proxyActor // joined or left since all arcs were last assigned
+	handledChanges        int           // number of leading entries of changedProxies that were handled
+	assignmentRound       int           // counts the assignments of all arcs
+	assignedAt            Seconds       // time of the last one
+	joinedProxies         int           // proxies that were joined then
+	requiredWarmupFactor  float64       // a backend with a lower warm-up factor is in no arc
+	totalEntries          float64       // wanted in all tables together
+	entriesPerRequestRate float64       // backends in an arc per request a second of the proxy
+	meanWeight            float64       // of an open backend
+	capacity              float64       // sum of the effective weights of the reachable backends
+	maxLoadPerWeight      float64       // bound on a backend's load, in requests a second per unit of effective weight
+	otherCoordinatorsLoad []float64     // by backend: load from proxies of other coordinators, in requests a second
+	openBackends          []int         // in ring order
+	openBackendsByZone    [][]int       // in ring order, by zone
+	lastWalk              []*arcWalk    // by backend: the walk that took it last
 }
 
-// arcWalk is the assignment of one arc.
+// arcWalk is the assignment of one arc, which follows the ring and takes backends.
 type arcWalk struct {
 	proxy            *proxyActor
 	table            *proxyTable
-	arc              []int
+	arc              []int   // backends taken so far
 	weightLeft       float64 // weight still to take
-	backendsLeft     float64 // backends still to take, cold ones counted by their warmth
-	loadPerWeight    float64 // requests a second
-	hasUsableBackend bool    // it has a backend that is not excluded
+	backendsLeft     float64 // backends still to take; one in slow start counts as its warm-up factor
+	loadPerWeight    float64 // load that the arc brings a backend, in requests a second per unit of weight
+	hasUsableBackend bool    // the arc has a backend that is not excluded
 }
 
-// handle notes what makes the arcs outdated.
+// handle records the events after which arcs must be reassigned.
 func (r *ring) handle(msg message) {
 	switch msg := msg.(type) {
 	case reassignArcs:
@@ -53,7 +53,7 @@
 	}
 }
 
-// ringOrder returns the open backends in the order of the ring.
+// ringOrder returns the open backends in ring order: by hash, then by id.
 func (plan *Planner) ringOrder() (order []int) {
 	for i := range plan.id {
 		if plan.state[i] == BackendOpen {
@@ -66,20 +66,20 @@
 	return order
 }
 
-// clockwise goes once round part of the ring, from a place on it.
-func (r *ring) clockwise(part []int, start uint32) iter.Seq[int] {
+// clockwise yields the given backends, which are in ring order, once each, beginning with the first at or after the start hash.
+func (r *ring) clockwise(backends []int, start uint32) iter.Seq[int] {
 	return func(yield func(int) bool) {
 		byHash := func(i int, hash uint32) int { return cmp.Compare(r.plan.ringHash[i], hash) }
-		first, _ := slices.BinarySearchFunc(part, start, byHash)
-		for k := range part {
-			if !yield(part[(first+k)%len(part)]) {
+		first, _ := slices.BinarySearchFunc(backends, start, byHash)
+		for k := range backends {
+			if !yield(backends[(first+k)%len(backends)]) {
 				return
 			}
 		}
 	}
 }
 
-// startCandidates returns the backends at which arcs of a zone may start: its own, or all if it has none.
+// startCandidates returns the backends at which arcs of a zone's proxies may start: those of the zone, or all if it has none.
 func (r *ring) startCandidates(zone int) []int {
 	if len(r.openBackendsByZone[zone]) == 0 {
 		return r.openBackends
@@ -87,14 +87,15 @@
 	return r.openBackendsByZone[zone]
 }
 
-// collectWalks returns a walk for each table of the joined proxies, the usage of those proxies and, by zone, that of the others.
-// A proxy that left is joined to another coordinator and still loads its zone. Without that, a coordinator that a cut leaves
-// with the proxies of its own zone alone would send half of them across the cut, to backends that seem idle.
-func (r *ring) collectWalks() (walks []*arcWalk, usage float64, foreign []float64) {
-	usage, foreign, r.joinedProxies = 1e-9, make([]float64, len(r.plan.zoneIndex)), 0
+// collectWalks returns a walk for each table of the joined proxies, the usage of those proxies and, by zone, the usage of the
+// proxies that left, in requests a second. A proxy that left is assumed to have joined another coordinator and to load its zone
+// still. Otherwise, when the network between zones fails and a coordinator keeps only the proxies of its own zone, it would direct
+// half of their load to the other zone, whose backends would seem idle.
+func (r *ring) collectWalks() (walks []*arcWalk, usage float64, otherUsage []float64) {
+	usage, otherUsage, r.joinedProxies = 1e-9, make([]float64, len(r.plan.zoneIndex)), 0
 	for _, proxy := range r.plan.proxies {
 		if !proxy.joined {
-			foreign[proxy.zone] += proxy.usageRate()
+			otherUsage[proxy.zone] += proxy.usageRate()
 			continue
 		}
 		r.joinedProxies++
@@ -104,10 +105,10 @@
 			walks = append(walks, &arcWalk{proxy: proxy, table: table})
 		}
 	}
-	return walks, usage, foreign
+	return walks, usage, otherUsage
 }
 
-// assignProxyArcs assigns the arcs of one proxy beside those of the others.
+// assignProxyArcs assigns the arcs of one proxy and leaves those of the others as they are.
 func (r *ring) assignProxyArcs(proxy *proxyActor) {
 	proxy.assignmentRound = r.assignmentRound
 	for _, table := range proxy.tables {
@@ -119,41 +120,44 @@
 	}
 }
 
-// resetLoad forgets what arcs bring the backends.
+// resetLoad clears what an assignment of all arcs counts for each backend.
 func (r *ring) resetLoad() {
 	slots := len(r.plan.id)
 	r.plan.assignedLoad, r.plan.expectedLoad = make([]float64, slots), make([]float64, slots)
 	r.plan.arcCount, r.lastWalk = make([]int, slots), make([]*arcWalk, slots)
 }
 
-// reserveLoad counts what an arc will bring the backends from its start on, so that the next one starts elsewhere.
+// reserveLoad adds the load that an arc is expected to bring the backends after its start point, so that the next arc starts
+// elsewhere.
 func (r *ring) reserveLoad(walk *arcWalk) {
-	left := walk.proxy.arcSize
+	backendsLeft := walk.proxy.arcSize
 	for i := range r.clockwise(r.startCandidates(walk.proxy.zone), walk.proxy.arcStart) {
-		if left--; left >= 0 {
+		if backendsLeft--; backendsLeft >= 0 {
 			r.plan.assignedLoad[i] += walk.loadPerWeight * r.plan.weight[i] * r.plan.warmupFactor[i]
 		}
 	}
 }
 
-// spreadOtherCoordinatorsLoad spreads the usage of other coordinators' proxies over the backends of their zones.
-func (r *ring) spreadOtherCoordinatorsLoad(foreign []float64) {
+// spreadOtherCoordinatorsLoad distributes the usage of other coordinators' proxies, given by zone, over the backends of each zone
+// in proportion to their effective weights.
+func (r *ring) spreadOtherCoordinatorsLoad(otherUsage []float64) {
 	r.otherCoordinatorsLoad = make([]float64, len(r.plan.id))
 	for zone, backends := range r.openBackendsByZone {
-		shares := 1e-9
+		totalWeight := 1e-9
 		for _, i := range backends {
-			shares += r.plan.effectiveWeight[i]
+			totalWeight += r.plan.effectiveWeight[i]
 		}
 		for _, i := range backends {
-			r.otherCoordinatorsLoad[i] = foreign[zone] * r.plan.effectiveWeight[i] / shares
+			r.otherCoordinatorsLoad[i] = otherUsage[zone] * r.plan.effectiveWeight[i] / totalWeight
 		}
 	}
 }
 
-// otherZoneDistance is added to the distance of a backend in another zone: farther than once round the ring.
+// otherZoneDistance is added to the distance of a backend in another zone. Hashes have 32 bits, so it is farther than any distance
+// on the ring.
 const otherZoneDistance = 1 << 32
 
-// nearestWalk returns the walk that would come to a backend next, nil if none may take it.
+// nearestWalk returns the walk whose start point is nearest before a backend on the ring and that may take it, or nil if none may.
 func (r *ring) nearestWalk(walks []*arcWalk, i int) (nearest *arcWalk) {
 	least := uint64(math.MaxUint64)
 	for _, walk := range walks {
@@ -170,25 +174,27 @@
 	return nearest
 }
 
-// addExpectedLoad adds what an arc brings each of its backends, or would bring an excluded one if it were restored.
+// addExpectedLoad adds the load that an arc brings each of its backends. For an excluded backend this is the load after its
+// exclusion is withdrawn.
 func (r *ring) addExpectedLoad(walk *arcWalk) {
-	plan, usable := r.plan, 0.0
+	plan, usableWeight := r.plan, 0.0
 	weight := func(i int) float64 { return plan.warmupFactor[i] * plan.weight[i] }
 	for _, i := range walk.arc {
 		if !plan.excluded[i] {
-			usable += weight(i)
+			usableWeight += weight(i)
 		}
 	}
 	for _, i := range walk.arc {
-		total := usable
+		totalWeight := usableWeight
 		if plan.excluded[i] {
-			total += weight(i)
+			totalWeight += weight(i)
 		}
-		plan.expectedLoad[i] += walk.proxy.assignedRate * weight(i) / total
+		plan.expectedLoad[i] += walk.proxy.assignedRate * weight(i) / totalWeight
 	}
 }
 
-// setDesiredTable makes an arc what its table should hold.
+// setDesiredTable makes the backends of an arc the desired entries of its table, and has the proxy checked for a push if they
+// changed.
 func (r *ring) setDesiredTable(walk *arcWalk) {
 	plan, before := r.plan, walk.table.desired
 	slices.Sort(walk.arc)
@@ -201,7 +207,7 @@
 	}
 }
 
-// relativeLoad is the load that arcs bring a backend, relative to its fair share.
+// relativeLoad returns the load that the arcs bring a backend, in requests a second per unit of effective weight.
 func (plan *Planner) relativeLoad(i int) float64 {
 	return plan.assignedLoad[i] / plan.effectiveWeight[i]
 }
