--- a/choice/exclusion.go
+++ b/choice/exclusion.go
@@ -6,21 +6,23 @@
 	"slices"
 )
 
-// restoreTolerance is what a table may still give a backend that is restored, of its warm weight.
+// restoreTolerance is the largest weight that a sent table entry may have when its backend is restored, as a multiple of the weight
+// that slow start allows the backend now.
 const restoreTolerance = 1.05
 
-// sendExclusions sends the exclusions that are due, ahead of tables. Where proxies have had many messages of
-// late they are gathered for part of the grace, against a list that drops its backends one by one.
+// sendExclusions sends the exclusions that are due, before any tables. If a proxy is near its message limit, exclusions are held
+// back for part of the drain grace and sent together, because an endpoint list may drop its backends one by one.
 func (plan *Planner) sendExclusions() {
-	oldest := math.Inf(1)
+	oldestDue := math.Inf(1)
 	for _, since := range plan.exclusionDueSince {
-		oldest = min(oldest, cmp.Or(since, oldest))
+		oldestDue = min(oldestDue, cmp.Or(since, oldestDue))
 	}
-	hold := max(0, plan.settings.DrainGrace-plan.settings.PushTimeWorst-3*plan.channel.meanAckTime) / 2
-	crowded := func(proxy *proxyActor) bool {
+	// Half of what the grace leaves after the slowest push and three mean acknowledgement times.
+	holdTime := max(0, plan.settings.DrainGrace-plan.settings.PushTimeWorst-3*plan.channel.meanAckTime) / 2
+	nearMessageLimit := func(proxy *proxyActor) bool {
 		return proxy.joined && !plan.channel.withinMessageLimit(proxy, ordinaryPushShare)
 	}
-	if math.IsInf(oldest, 1) || plan.now < oldest+hold && slices.ContainsFunc(plan.proxies, crowded) {
+	if math.IsInf(oldestDue, 1) || plan.now < oldestDue+holdTime && slices.ContainsFunc(plan.proxies, nearMessageLimit) {
 		return
 	}
 	for i, since := range plan.exclusionDueSince {
@@ -31,23 +33,25 @@
 	}
 }
 
-// restoreExcluded restores an excluded backend that is open, once no table gives it more than it may have.
+// restoreExcluded withdraws the exclusion of each open backend, once no sent table gives it more weight than it may have and its
+// expected load would not make it collapse.
 func (plan *Planner) restoreExcluded() {
 	for i := range plan.id {
 		if !plan.excluded[i] || plan.state[i] != BackendOpen {
 			continue
 		}
-		most := restoreTolerance * plan.weight[i] * plan.warmupFactor[i]
-		risky := func(proxy *proxyActor) bool { return proxy.joined && proxy.maxSentWeight(i) > most }
-		if !plan.overloadsColdBackend(i) && !slices.ContainsFunc(plan.proxies, risky) {
+		maxWeight := restoreTolerance * plan.weight[i] * plan.warmupFactor[i]
+		tooHeavy := func(proxy *proxyActor) bool { return proxy.joined && proxy.maxSentWeight(i) > maxWeight }
+		if !plan.overloadsColdBackend(i) && !slices.ContainsFunc(plan.proxies, tooHeavy) {
 			plan.setExcluded(i, false)
 			plan.ring.dirty = true
 		}
 	}
 }
 
-// notifyExclusions notifies a proxy of all exclusions, if it uses a table of an earlier stream, as there is
-// nothing to give it. A table of ours implies them in fewer lines: many lists overflow the channel.
+// notifyExclusions sends a proxy the list of all exclusions if it may still use a table of an earlier stream because there is no
+// entry to send it. Otherwise a table from this coordinator makes the list unnecessary and takes fewer lines; sending many such
+// lists would overflow the channel.
 func (p *proxyActor) notifyExclusions() {
 	if p.exclusionsNotified || p.tableBound && !p.lacksTable() {
 		return
--- a/choice/push.go
+++ b/choice/push.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	usageWindow          = 30.0 // seconds over which usage is averaged
-	ackTimeoutFactor     = 4.0  // usual acknowledgement times without one, after which a whole table is sent again
-	sendTimeFactor       = 4.0  // of the time that the lines ahead need, after which a push has left the channel
-	burstMarginFactor    = 1.0  // square roots of its usage, by which a proxy's rate may lie above its mean
-	levelTolerance       = 0.15 // relative change below which an admission level is not sent again
-	coldTolerance        = 1.3  // of its warmth, what a sent entry may hold before a push is urgent
-	ordinaryPushShare    = 0.6  // of the messages and lines that the limits allow, what ordinary pushes may use
-	firstTableShare      = 0.4  // and what first tables may, so that a storm of joins leaves the channel short
-	firstTableDelayShare = 0.25 // of the grace, after which a first table may use what ordinary pushes may
-	urgentPushShare      = 0.9  // what urgent pushes may use; the rest is for exclusions
-	ackTimeGain          = 0.1  // of each deviation, by how much the usual acknowledgement time follows
-	messageLossTimeout   = 10.0 // seconds after which a message counts as lost with its stream
+	usageWindow          = 30.0 // time constant, in seconds, of the decaying average of usage
+	ackTimeoutFactor     = 4.0  // multiple of the mean acknowledgement time after which an unacknowledged table is sent again, whole
+	sendTimeFactor       = 4.0  // multiple of the nominal time to send the lines ahead; a push is assumed to have left the channel then
+	burstMarginFactor    = 1.0  // margin for bursts above a proxy's mean rate, in square roots of that rate
+	levelTolerance       = 0.15 // relative change of an admission level below which it is not sent again
+	coldTolerance        = 1.3  // a push is urgent if a sent entry exceeds the backend's warm-up factor by more than this factor
+	ordinaryPushShare    = 0.6  // share of the message and line limits that ordinary pushes may use
+	firstTableShare      = 0.4  // share of the line limit for first tables, which keeps the queue short when many proxies join at once
+	firstTableDelayShare = 0.25 // share of the drain grace, from the join on, after which a first table may use ordinaryPushShare
+	urgentPushShare      = 0.9  // share of the limits that urgent pushes may use; the rest is reserved for exclusions
+	ackTimeGain          = 0.1  // smoothing factor of the mean acknowledgement time
+	messageLossTimeout   = 10.0 // seconds after which an unacknowledged message is assumed lost with its stream
 )
 
-// push sends what changed, once the last push is acknowledged and the channel has room. Urgent changes do not
-// wait for the acknowledgement. Where it is long overdue, the whole table goes again.
+// push sends the changes of a proxy's tables once its last push is acknowledged and the channel has room. Urgent changes do not
+// wait for this. If the acknowledgement is overdue, the whole table is sent again.
 func (p *proxyActor) push() {
 	plan := p.plan
 	overdue := p.pushInFlight && plan.now > p.leavesChannelAt+ackTimeoutFactor*plan.channel.meanAckTime
@@ -42,20 +42,21 @@
 	p.awaitsAck = p.tableBound && p.pendingLines > 0 && (!p.pushInFlight || overdue)
 }
 
-// urgent tells whether a table lost all usable entries, or gives a cold backend more than it may have.
-// It goes by warmth, not by weight: lists that follow the load lower the weight of warm backends, too.
+// urgent reports whether all entries of a table are excluded while there are usable ones to send, or whether an entry has a larger
+// warm-up factor than its backend may have now. It doesn't compare weights, because some endpoint lists also lower the weights of
+// backends under load that are not in slow start.
 func (p *proxyActor) urgent(table *proxyTable) bool {
 	plan := p.plan
 	usable := func(entry tableEntry) bool { return !plan.excluded[entry.backend] }
-	cold := func(entry tableEntry) bool {
+	tooWarm := func(entry tableEntry) bool {
 		return entry.warmupFactor > coldTolerance*plan.warmupFactor[entry.backend]
 	}
-	lost := !slices.ContainsFunc(table.sent, usable) && slices.ContainsFunc(table.desired, usable)
-	return p.tableBound && (lost || slices.ContainsFunc(table.sent, cold))
+	lostAll := !slices.ContainsFunc(table.sent, usable) && slices.ContainsFunc(table.desired, usable)
+	return p.tableBound && (lostAll || slices.ContainsFunc(table.sent, tooWarm))
 }
 
-// admissionLevel is what a table admits of a method, as a share or as a rate. A proxy with little usage sees
-// bursts that its mean rate would reject beside a level meant for the mean.
+// admissionLevel returns the admission level of a method, as a share or as requests a second. A rate has a margin above the
+// proxy's mean, because at low usage a level at the mean would reject ordinary bursts.
 func (p *proxyActor) admissionLevel(method int) float64 {
 	share := p.admittedShares[method]
 	if share >= 1 || p.plan.settings.LevelKind != "rate" {
@@ -69,20 +70,21 @@
 	return level
 }
 
-// withinMessageLimit tells whether a proxy's messages of late, with one more, are within part of the limit.
-func (h *channel) withinMessageLimit(proxy *proxyActor, part float64) bool {
+// withinMessageLimit reports whether one more message to a proxy stays within the given share of the message limit.
+func (h *channel) withinMessageLimit(proxy *proxyActor, share float64) bool {
 	limit, span := h.plan.settings.Messages, h.plan.settings.MessagesSpan
 	old := func(sent Seconds) bool { return sent < h.plan.now-span-1 }
 	proxy.messagesSentAt = slices.DeleteFunc(proxy.messagesSentAt, old)
-	return limit == 0 || float64(len(proxy.messagesSentAt)+1) <= part*limit
+	return limit == 0 || float64(len(proxy.messagesSentAt)+1) <= share*limit
 }
 
-// hasRoom tells whether an ordinary push fits. One that goes with an exclusion is no message more.
+// hasRoom reports whether the limits allow an ordinary push to a proxy. The message limit is not checked if the proxy gets an
+// exclusion in this step, because the push then shares that message. It is not checked for a first table either.
 func (h *channel) hasRoom(proxy *proxyActor) bool {
-	part, late := ordinaryPushShare, proxy.joinedAt+firstTableDelayShare*h.plan.settings.DrainGrace
-	if !proxy.tableBound && h.plan.now < late {
-		part = firstTableShare
+	share, firstTableDue := ordinaryPushShare, proxy.joinedAt+firstTableDelayShare*h.plan.settings.DrainGrace
+	if !proxy.tableBound && h.plan.now < firstTableDue {
+		share = firstTableShare
 	}
-	fits := float64(h.waitingLines()+proxy.maxPushLines()) < part*h.plan.settings.ChannelRoom
+	fits := float64(h.waitingLines()+proxy.maxPushLines()) < share*h.plan.settings.ChannelRoom
 	return fits && (!proxy.tableBound || proxy.pendingLines > 0 || h.withinMessageLimit(proxy, ordinaryPushShare))
 }
--- a/choice/slowstart.go
+++ b/choice/slowstart.go
@@ -2,79 +2,88 @@
 
 import "math"
 
+// A backend in slow start ("cold") has reduced capacity since its process started or became reachable again, and collapses under
+// a load that it could serve later. Its warm-up factor is the share of its full weight that tables may give it; the factor is 1
+// after slow start ("warm").
 const (
-	slowStartSteps = 4   // pushes that the warm-up of a backend costs each proxy
-	coldLoadShare  = 0.6 // of the load under which a cold backend fails, what may reach it in an overload
-	maxStruckShare = 0.1 // share of attempts at backends that proxies avoid, above which they move to cold ones
+	slowStartSteps  = 4   // steps of the warm-up factor, each of which costs a push to each proxy
+	coldLoadShare   = 0.6 // share of the load at which a cold backend collapses that may reach it in an overload
+	maxAvoidedShare = 0.1 // share of attempts at backends that proxies avoid, above which their requests move to cold backends
 )
 
-// currentWarmupFactor is the share of its full weight that a backend may have. It follows the slowest warm-up
-// that the settings allow, in few steps, each at the capacity that is surely there when the step begins.
+// currentWarmupFactor returns a backend's present warm-up factor. It assumes the slowest warm-up that the settings allow and rises
+// in a few steps, each to the capacity that the backend has at least when the step begins.
 func (b *backendActor) currentWarmupFactor() float64 {
-	span, cold := b.plan.settings.WarmAfter, b.plan.settings.ColdShare
-	since := max(b.plan.startedAt[b.index], b.plan.returnedAt[b.index])
-	age := b.plan.now - since
-	if since == 0 || age >= span || span <= 0 {
+	duration, coldShare := b.plan.settings.WarmAfter, b.plan.settings.ColdShare
+	beganAt := max(b.plan.startedAt[b.index], b.plan.returnedAt[b.index])
+	age := b.plan.now - beganAt
+	if beganAt == 0 || age >= duration || duration <= 0 {
 		return 1
 	}
-	return cold + (1-cold)*math.Floor(max(age, 0)/span*slowStartSteps)/slowStartSteps
+	return coldShare + (1-coldShare)*math.Floor(max(age, 0)/duration*slowStartSteps)/slowStartSteps
 }
 
-// requiredWarmupFactor is the warmth that a cold backend needs to be in the arcs. In an overload proxies that avoid
-// failing backends, or pick the less busy, move from all that reject to a cold one, whatever its weight: it
-// stays out until it can take that. entryRate is the requests a second of a table entry: where it is too low
-// for failures in a row before reports arrive, and few backends fail, nothing moves before an overload.
+// requiredWarmupFactor returns the warm-up factor that a cold backend needs to be in the arcs, 0 if any may. In an overload,
+// proxies that avoid failing backends, or that pick the less busy of two, move their requests from all backends that reject to a
+// cold one, whatever its weight. The cold backend therefore stays out until it can take this load.
+//
+// entryRate is the mean rate of a table entry in requests a second. If an entry gets fewer than Strikes requests before reports of
+// failures take effect, and few backends fail, proxies avoid no backend and no requests move until there is an overload.
 func (plan *Planner) requiredWarmupFactor(entryRate float64) float64 {
 	admission, strikes := plan.admission, plan.settings.Strikes
-	arrivals, collapse := sum(admission.arrivalRates), plan.settings.FallMultiple
-	arrivalRate := arrivals / plan.ring.totalEntries
-	few := max(entryRate, arrivalRate)*admissionWindow < strikes && admission.avoidedShare < maxStruckShare
-	// Who picks the less busy of two moves only as far as there is a busy one to move from.
-	busy := min(1, arrivalRate*admission.relativeLatency*admission.shortestSoftDeadline)
-	moved := arrivals * (1 + busy) / max(1e-9, plan.openCapacity())
-	bearable := !admission.overloaded || moved < coldLoadShare*collapse*admission.peakSuccessRatePerWeight
-	if admission.overloadUnlikely || strikes <= 0 || few && bearable {
+	arrivalRate, collapseMultiple := sum(admission.arrivalRates), plan.settings.FallMultiple
+	entryArrivalRate := arrivalRate / plan.ring.totalEntries
+	fewAvoided := max(entryRate, entryArrivalRate)*admissionWindow < strikes && admission.avoidedShare < maxAvoidedShare
+	// Picking the less busy of two backends moves requests only if one of them is busy. The estimated number of requests in flight
+	// per table entry stands for the probability of that.
+	busyShare := min(1, entryArrivalRate*admission.relativeLatency*admission.shortestSoftDeadline)
+	movedPerWeight := arrivalRate * (1 + busyShare) / max(1e-9, plan.openCapacity())
+	bearable := !admission.overloaded || movedPerWeight < coldLoadShare*collapseMultiple*admission.peakSuccessRatePerWeight
+	if admission.overloadUnlikely || strikes <= 0 || fewAvoided && bearable {
 		return 0
 	}
 	if admission.firstReportAt == 0 || plan.now <= admission.firstReportAt+admissionWindow {
-		return 1 // after our own start an overload is not known yet
+		return 1 // this instance started too recently to know whether there is an overload
 	}
-	part := 1 / plan.sumOpen(plan.fullWeight)
+	// The largest share of all requests that may move to cold backends, per unit of their full weight.
+	movedShare := 1 / plan.sumOpen(plan.fullWeight)
 	if plan.settings.Pick == "pair" {
-		part *= 2 // a backend with nothing in flight is picked whenever it is drawn
+		movedShare *= 2 // of two backends drawn at random, one with no requests in flight is always picked
 	}
 	coldWeight := plan.sumOpen(func(i int) float64 { return plan.weight[i] * math.Ceil(1-plan.warmupFactor[i]) })
-	part = min(part, 1/max(1e-9, coldWeight))
-	return arrivals * part / (coldLoadShare * collapse * max(admission.peakSuccessRatePerWeight, 1e-9))
+	movedShare = min(movedShare, 1/max(1e-9, coldWeight))
+	return arrivalRate * movedShare / (coldLoadShare * collapseMultiple * max(admission.peakSuccessRatePerWeight, 1e-9))
 }
 
-// overloadsColdBackend tells whether arcs bring a cold backend more load than it can take, where no warm one
-// is listed. The best rate of answers is less than a backend can do, so the bound is wider: a fleet that is
-// all cold at its usual load stays within it. It harms where the best rate was seen at very little traffic.
+// overloadsColdBackend reports whether the arcs bring a cold backend more load than it can take while no warm one is listed. The
+// capacity is estimated from the peak success rate, which is less than what a backend can do; the bound is therefore divided by
+// coldLoadShare, so that a fleet that is entirely cold and has its usual load stays within it. The estimate is too low, and
+// excludes backends without need, if the peak rate was measured at very little traffic.
 func (plan *Planner) overloadsColdBackend(i int) bool {
-	rate := plan.settings.FallMultiple * plan.warmupFactor[i] * plan.weight[i] * plan.admission.peakSuccessRatePerWeight
-	bound := rate / coldLoadShare * plan.ownShare()
+	collapseRate := plan.settings.FallMultiple * plan.warmupFactor[i] * plan.weight[i] * plan.admission.peakSuccessRatePerWeight
+	bound := collapseRate / coldLoadShare * plan.ownShare()
 	if plan.excluded[i] {
-		bound /= 2 // hysteresis
+		bound /= 2 // hysteresis: an excluded backend is restored only at half the load that excludes it
 	}
-	// The listed start counts: a backend that was only unreachable for a while has to stay in the tables.
-	young := func(k int) bool {
+	// Only the listed start time counts here: a backend that was merely unreachable for a while has to stay in the tables.
+	recentlyStarted := func(k int) bool {
 		return plan.startedAt[k] > 0 && plan.now < plan.startedAt[k]+plan.settings.WarmAfter
 	}
-	if !young(i) || plan.admission.peakSuccessRatePerWeight <= 0 || !(plan.expectedLoad[i] > bound) {
+	if !recentlyStarted(i) || plan.admission.peakSuccessRatePerWeight <= 0 || !(plan.expectedLoad[i] > bound) {
 		return false
 	}
-	warm := plan.sumOpen(func(k int) float64 {
-		if young(k) {
+	warmBackends := plan.sumOpen(func(k int) float64 {
+		if recentlyStarted(k) {
 			return 0
 		}
 		return 1
 	})
-	return warm == 0
+	return warmBackends == 0
 }
 
-// excludeOverloadedCold excludes such backends: that proxies reject requests is better than a backend that
-// fails for good; rule 1 asks for an entry only where a warm backend is listed.
+// excludeOverloadedCold excludes the open backends for which overloadsColdBackend holds and reports whether it excluded any. It is
+// better that proxies reject requests than that a backend collapses and doesn't recover. Rule 1, that a proxy must have a usable
+// table entry, allows this because it applies only while a warm backend is listed.
 func (plan *Planner) excludeOverloadedCold() (changed bool) {
 	for i := range plan.id {
 		if plan.state[i] == BackendOpen && !plan.excluded[i] && plan.overloadsColdBackend(i) {
