--- a/choice/admission.go
+++ b/choice/admission.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	admissionWindow        = 4.0  // seconds that arrivals are averaged over, and that an overload lasts at least
-	evaluationInterval     = 1.0  // seconds
-	overloadFailureShare   = 0.15 // share of failures, from the zone where it is lowest, of an overloaded backend
-	overloadLatencyRatio   = 0.5  // or its mean latency, of the shortest soft deadline
-	overloadedBackendShare = 0.5  // of the backends, how many are overloaded at once if the fleet is
-	baselineAttempts       = 2.0  // attempts that a backend needs to count in the baseline of failures
-	baselineWindow         = 6.0  // seconds within which it was reported on
-	baselineDivisor        = 4    // the baseline is that of the best backends, one in so many
-	minRateLimitShare      = 0.8  // of the best rate of answers
-	admittedSuccessShare   = 0.85 // of what is answered in an overload, what is admitted, so that queues run off
-	limitGrowthFactor      = 1.1  // factor of the limit's growth in a second after an overload
-	limitGrowthBonus       = 0.3  // and what is added to it if no backend is overloaded
-	loadFactorGain         = 0.2  // of each deviation, by how much the load factor follows
-	successRateGain        = 0.3  // and the rate of answers
-	admittedShareSteps     = 20   // admitted shares are multiples of its inverse
-	minAdmittedShare       = 0.05
+	admissionWindow        = 4.0  // time constant of the arrival rates and shortest duration of an overload, in seconds
+	evaluationInterval     = 1.0  // seconds between two evaluations of the load
+	overloadFailureShare   = 0.15 // a backend is overloaded above this failure share, as seen from the zone where it is lowest
+	overloadLatencyRatio   = 0.5  // or above this ratio of its mean latency to the shortest soft deadline
+	overloadedBackendShare = 0.5  // the fleet is overloaded if at least this share of its backends is
+	baselineAttempts       = 2.0  // attempts that a backend needs to count for the baseline failure share
+	baselineWindow         = 6.0  // seconds since its last report within which a backend counts for the baseline
+	baselineDivisor        = 4    // the baseline is taken at the best 1/4 of the backends
+	minRateLimitShare      = 0.8  // lower bound of the rate limit, as a share of the fleet's peak success rate
+	admittedSuccessShare   = 0.85 // share of the success rate that is admitted in an overload, so that queues drain
+	limitGrowthFactor      = 1.1  // growth of the rate limit per evaluation after an overload
+	limitGrowthBonus       = 0.3  // is added to limitGrowthFactor if no backend is overloaded
+	loadFactorGain         = 0.2  // smoothing factor of the load factor
+	successRateGain        = 0.3  // smoothing factor of the success rate
+	admittedShareSteps     = 20   // admitted shares are rounded to multiples of 1/20
+	minAdmittedShare       = 0.05 // lower bound of a method's admitted share
 )
 
-// normalRetry is the retry policy of a method outside of overloads. A retry after a mere timeout feeds the
-// overload that it came from, so it has to be proven that the first attempt was not processed, or the request
-// has a token that surely is remembered until the second attempt.
+// normalRetry returns the retry policy of a method outside of overloads. Retries after timeouts add to the overload that caused the
+// timeouts. So a retry needs proof that the first attempt was not processed, or a token that all backends surely still remember at
+// the second attempt.
 func (plan *Planner) normalRetry(method MethodSettings) RetryPolicy {
 	remembered := plan.settings.TryWait*method.SoftDeadline.Or(1) < 0.9*method.Window.Or(0)
 	deduplicated := method.Effect == "tokened" && method.Group == "all" && remembered
@@ -41,7 +41,7 @@
 	}
 }
 
-// currentRetry returns the retry policies in force: in an overload retries feed it.
+// currentRetry returns the present retry policy of each method. In an overload there are no retries, because they add to it.
 func (a *admission) currentRetry() []RetryPolicy {
 	if !a.overloaded {
 		return a.normalRetry
@@ -49,7 +49,8 @@
 	return slices.Repeat([]RetryPolicy{RetryNever}, len(a.normalRetry))
 }
 
-// evaluate tells an overload from failures of single backends, and sets what is admitted.
+// evaluate measures the load of the fleet, distinguishes an overload from failures of single backends, and sets the admitted share
+// and retry policy of each method.
 func (a *admission) evaluate() {
 	plan, load := a.plan, a.measure()
 	capacity := plan.openCapacity()
@@ -57,7 +58,7 @@
 	a.relativeLatency = load.weightedLatency / max(load.successRate, 1e-9)
 	a.avoidedShare = load.avoidedAttempts / load.attempts
 	a.updateLoadFactor()
-	if capacity > 1e-6 { // answers reported while nothing is open, as after the list emptied, say nothing
+	if capacity > 1e-6 { // successes reported while no backend is open, such as after an empty list, have no meaningful rate
 		a.successRatePerWeight += successRateGain * (load.successRate/capacity - a.successRatePerWeight)
 		a.peakSuccessRatePerWeight = max(a.peakSuccessRatePerWeight, a.successRatePerWeight)
 	}
@@ -73,46 +74,48 @@
 	}
 }
 
-// measureBackend adds what is reported of one backend, judged by the zone that fares best with it, as a cut
-// between zones is no overload. A backend that rejects has a full queue, and what it answers has waited:
-// failures beside quick answers are something else, which admitting less would not help.
+// measureBackend adds the reports on one backend to the load of the fleet. Whether the backend is overloaded is judged from the
+// zone where it does best, because a network failure between zones is no overload. A backend that rejects requests in an overload
+// has a full queue, so the requests that succeed are slow. Failures while the fleet's latency is low have another cause, against
+// which admitting fewer requests would not help; they don't count.
 func (a *admission) measureBackend(i int, load *fleetLoad) {
-	plan, least := a.plan, math.Inf(1)
-	queued := 0.0
+	plan, overloadRatio := a.plan, math.Inf(1) // above 1: overloaded
+	failureWeight := 0.0
 	if a.relativeLatency > overloadLatencyRatio {
-		queued = 1
+		failureWeight = 1
 	}
 	for zone, attempts := range plan.attempts[i] {
 		failures := plan.failures[i][zone]
 		decay := math.Exp(-(plan.now - plan.lastReportAt[i][zone]) / healthWindow)
-		rate := (attempts - failures) * decay / healthWindow
-		load.weightedLatency += rate * plan.meanLatency[i][zone] / a.shortestSoftDeadline
-		load.successRate += rate
+		successRate := (attempts - failures) * decay / healthWindow
+		load.weightedLatency += successRate * plan.meanLatency[i][zone] / a.shortestSoftDeadline
+		load.successRate += successRate
 		if attempts < minAttempts/2 || decay <= 0.2 {
 			continue
 		}
 		load.attempts += attempts
 		load.avoidedAttempts += attempts * math.Pow(failures/attempts, plan.settings.Strikes)
-		byFailures := queued * failures / attempts / overloadFailureShare
+		byFailures := failureWeight * failures / attempts / overloadFailureShare
 		byLatency := plan.meanLatency[i][zone] / a.shortestSoftDeadline / overloadLatencyRatio
-		least = min(least, max(byFailures, byLatency))
+		overloadRatio = min(overloadRatio, max(byFailures, byLatency))
 	}
-	if !math.IsInf(least, 1) && plan.state[i] == BackendOpen {
+	if !math.IsInf(overloadRatio, 1) && plan.state[i] == BackendOpen {
 		load.judgedBackends++
-		load.overloadedBackends += math.Ceil(min(1, max(0, least-1)))
+		load.overloadedBackends += math.Ceil(min(1, max(0, overloadRatio-1)))
 	}
 }
 
-// updateLoadFactor widens the bound on load while answers are quick, as far as it saves what leaving a zone
-// costs: a zone with more than its share is the first to be overloaded by a burst.
+// updateLoadFactor raises the load factor while latency is low, which saves the cost of requests that leave their zone. It rises
+// only in proportion to that cost, because a zone with more than its share of the load is the first that a burst overloads.
 func (a *admission) updateLoadFactor() {
-	most := min(maxLoadFactor, minLoadFactor+crossZonePriceFactor*a.plan.settings.CrossingPrice)
-	factor := minLoadFactor + (most-minLoadFactor)*min(1, max(0, 2-4*a.relativeLatency))
-	a.loadFactor += loadFactorGain * (factor - a.loadFactor)
+	limit := min(maxLoadFactor, minLoadFactor+crossZonePriceFactor*a.plan.settings.CrossingPrice)
+	target := minLoadFactor + (limit-minLoadFactor)*min(1, max(0, 2-4*a.relativeLatency))
+	a.loadFactor += loadFactorGain * (target - a.loadFactor)
 }
 
-// updateLimit lowers the limit on admitted requests in an overload to what is answered, but not below most of
-// what such a fleet has answered before, as reports are late. After an overload it raises the limit.
+// updateLimit detects an overload of the fleet and sets the rate limit. In an overload it lowers the limit to most of the success
+// rate. It doesn't go below minRateLimitShare of the peak rate of such a fleet, because reports arrive late. After an overload it
+// raises the limit.
 func (a *admission) updateLimit(load fleetLoad, capacity float64) {
 	now := a.plan.now
 	if load.overloadedBackends >= overloadedBackendShare*load.judgedBackends {
@@ -127,15 +130,16 @@
 	a.rateLimit *= limitGrowthFactor + limitGrowthBonus*max(0, 1-2*load.overloadedBackends/load.judgedBackends/overloadedBackendShare)
 }
 
-// updateOverloadUnlikely tells whether no overload is near, of which reports do not tell yet.
+// updateOverloadUnlikely sets whether an overload that the reports don't show yet is unlikely.
 func (a *admission) updateOverloadUnlikely(load fleetLoad, capacity float64) {
-	few := load.overloadedBackends < overloadedBackendShare/3*load.judgedBackends
+	fewOverloaded := load.overloadedBackends < overloadedBackendShare/3*load.judgedBackends
 	settled := a.plan.now > max(a.firstReportAt, a.lastDisconnectAt)+admissionWindow
-	roomy := sum(a.arrivalRates) < a.peakSuccessRatePerWeight*capacity
-	a.overloadUnlikely = !a.overloaded && few && a.relativeLatency < overloadLatencyRatio && settled && roomy
+	spareCapacity := sum(a.arrivalRates) < a.peakSuccessRatePerWeight*capacity
+	a.overloadUnlikely = !a.overloaded && fewOverloaded && a.relativeLatency < overloadLatencyRatio && settled && spareCapacity
 }
 
-// shedLoad returns the admitted share of each method's requests; the lowest criticality is shed first.
+// shedLoad returns the share of each method's requests that is admitted. It sheds the arrivals above the rate limit, those of
+// methods with the lowest criticality first.
 func (a *admission) shedLoad() []float64 {
 	shares, order := make([]float64, len(a.admittedShares)), make([]int, len(a.admittedShares))
 	excess := -a.rateLimit
@@ -152,15 +156,15 @@
 	slices.SortStableFunc(order, func(x, y int) int { return cmp.Compare(a.criticality[x], a.criticality[y]) })
 	for len(order) > 0 && excess > 0 {
 		group := a.sameCriticality(order)
-		arrivals := 0.0
+		arrivalRate := 0.0
 		for _, method := range group {
-			arrivals += a.arrivalRates[method]
+			arrivalRate += a.arrivalRates[method]
 		}
-		share := math.Round(max(minAdmittedShare, 1-excess/max(arrivals, 0.01))*admittedShareSteps) / admittedShareSteps
+		share := math.Round(max(minAdmittedShare, 1-excess/max(arrivalRate, 0.01))*admittedShareSteps) / admittedShareSteps
 		for _, method := range group {
 			shares[method] = share
 		}
-		excess -= (1 - minAdmittedShare) * arrivals
+		excess -= (1 - minAdmittedShare) * arrivalRate
 		order = order[len(group):]
 	}
 	return shares
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,13 +1,13 @@
 package choice
 
-// tickInterval is the time, in seconds, between two checks of what depends on time alone.
+// tickInterval is the time in seconds between two ticks, which trigger what depends on time alone.
 const tickInterval = 0.25
 
-// BackendRetention is how long, in seconds, the state of a gone backend or proxy is kept: longer than any
-// command, report or probe that names it is under way.
+// BackendRetention is the time in seconds for which the state of a gone backend or of a proxy that left is kept. It is longer than
+// any command, report or probe that names it can be in transit.
 const BackendRetention = 600.0
 
-// Step takes the events of one moment and returns what to do. The time never goes back.
+// Step processes the events of one moment and returns the commands to carry out. now must not go back from one call to the next.
 func (plan *Planner) Step(now Seconds, events []Event) []Command {
 	plan.now, plan.commands = now, nil
 	for _, event := range events {
@@ -23,14 +23,14 @@
 	return plan.commands
 }
 
-// tick lets all actors act on the time that has passed.
+// tick has all actors act on the time that has passed, and sets the timer for the next tick.
 func (plan *Planner) tick() {
 	plan.releaseSlots()
 	for _, actor := range plan.actors() {
 		plan.send(actor, tickElapsed{})
 	}
 	for _, proxy := range plan.proxies {
-		if proxy.pushInFlight || proxy.pushWaiting { // a missing acknowledgement and new room show with time alone
+		if proxy.pushInFlight || proxy.pushWaiting { // no event tells that an acknowledgement is overdue or that a limit has room again
 			plan.markDirty(proxy)
 		}
 	}
@@ -39,7 +39,7 @@
 	plan.deliver()
 }
 
-// reconcile updates exclusions and arcs, then pushes to each proxy whose tables changed.
+// reconcile updates the exclusions and arcs, then pushes to each proxy whose tables changed.
 func (plan *Planner) reconcile() {
 	plan.sendExclusions()
 	plan.restoreExcluded()
--- a/choice/ejection.go
+++ b/choice/ejection.go
@@ -3,23 +3,23 @@
 import "math"
 
 const (
-	healthWindow           = 3.0  // seconds over which attempts are averaged
-	oldLatencyWeight       = 0.4  // weight of an older success beside a new one in the mean latency
-	minAttempts            = 4.0  // attempts that a judgement needs
-	maxFailureShare        = 0.3  // share of failures, beyond that of the best quarter, that ejects a backend
-	baseEjectionTime       = 5.0  // seconds of the first ejection; doubled with each further one
-	maxEjectionLoadFactor  = 1.3  // of the best rate of answers seen, what the remaining backends may have to take
-	maxEjectedShare        = 0.65 // of the fleet, as seen from a zone, what may be ejected at once
+	healthWindow           = 3.0  // time constant, in seconds, of the decaying counts of attempts and failures
+	oldLatencyWeight       = 0.4  // weight of an earlier success in the mean latency, relative to a new one
+	minAttempts            = 4.0  // attempts that are needed to judge a backend
+	maxFailureShare        = 0.3  // failure share, above the baseline, from which on a backend is ejected
+	baseEjectionTime       = 5.0  // duration of the first ejection in seconds; it doubles with each further one, up to 4 times this
+	maxEjectionLoadFactor  = 1.3  // limit on the load of the remaining backends, as a multiple of the peak success rate
+	maxEjectedShare        = 0.65 // limit on the share of the fleet's weight that may be ejected at once, for each zone
 	probeInterval          = 1.0  // seconds between two probes of a backend
-	slowLatencyRatio       = 0.3  // of the shortest soft deadline, the mean latency above which load is moved away
-	slowLatencyFleetFactor = 1.2  // and of the fleet's mean latency
-	minLatencyFactor       = 0.4  // of its fair share, what bias leaves a backend
-	latencyFactorDecrease  = 0.85 // factor by which bias falls; it rises by biasRecovery
-	latencyFactorIncrease  = 0.05
+	slowLatencyRatio       = 0.3  // a backend is slow if its mean latency is above this share of the shortest soft deadline
+	slowLatencyFleetFactor = 1.2  // and above this multiple of the fleet's mean latency
+	minLatencyFactor       = 0.4  // lower limit of the latency factor
+	latencyFactorDecrease  = 0.85 // the latency factor of a slow backend is multiplied by this
+	latencyFactorIncrease  = 0.05 // and once it is no longer slow this is added
 )
 
-// applyReport judges a backend by a report. Requests that succeed are better proof than a probe, which may
-// wait in a full queue.
+// applyReport updates a backend's health from a report. A successful request also clears its failed probes, because it is better
+// evidence than a probe, which may wait in a full queue.
 func (b *backendActor) applyReport(report AttemptReport) {
 	if report.Attempts > report.Failures && !b.plan.unreachable(b.index) {
 		b.plan.failedProbes[b.index] = 0
@@ -27,67 +27,71 @@
 	b.ejectOutlier()
 }
 
-// ejectOutlier ejects a backend that fails while others do not, for all zones or for the one from which it
-// fails. It is compared with the best quarter of the backends, from the zone that fares best, so that a group
-// that fails together is found, even most of the fleet; in an overload the best reject requests as well.
+// ejectOutlier ejects a backend with a high failure share from the arcs of each zone whose proxies see these failures. The limit is
+// relative to the baseline, which is the failure share of the best quarter of the backends as seen from the zone with the fewest
+// failures. So a group of backends that fail together is detected, even if it is most of the fleet. In an overload even the best
+// backends reject requests, which raises the baseline.
 func (b *backendActor) ejectOutlier() {
 	plan, i := b.plan, b.index
 	attempts, failures := sum(plan.attempts[i]), sum(plan.failures[i])
 	limit := maxFailureShare + plan.admission.baselineFailureShare
 	for zone, zoneAttempts := range plan.attempts[i] {
 		zoneFailures := plan.failures[i][zone]
-		fails := zoneFailures >= maxFailureShare*zoneAttempts
-		fromAll := attempts >= minAttempts && failures > limit*attempts && fails
-		fromZone := zoneAttempts >= minAttempts && zoneFailures > limit*zoneAttempts
-		if plan.ejectedUntil[i][zone] > plan.now || !fromAll && !fromZone || !plan.canEject(zone, i) {
+		failsInZone := zoneFailures >= maxFailureShare*zoneAttempts
+		outlierOverall := attempts >= minAttempts && failures > limit*attempts && failsInZone
+		outlierInZone := zoneAttempts >= minAttempts && zoneFailures > limit*zoneAttempts
+		if plan.ejectedUntil[i][zone] > plan.now || !outlierOverall && !outlierInZone || !plan.canEject(zone, i) {
 			continue
 		}
-		span := min(baseEjectionTime*math.Exp2(float64(plan.consecutiveEjections[i][zone])), 4*baseEjectionTime)
-		plan.ejectedUntil[i][zone] = plan.now + span
+		duration := min(baseEjectionTime*math.Exp2(float64(plan.consecutiveEjections[i][zone])), 4*baseEjectionTime)
+		plan.ejectedUntil[i][zone] = plan.now + duration
 		plan.consecutiveEjections[i][zone]++
 		plan.send(plan.ring, reassignArcs{})
 	}
 }
 
-// endEjections lets an ejected backend return, and forgets its ejections when it has done well for long.
+// endEjections ends the ejections of a backend whose time has passed, and resets its count of ejections after a time without one.
 func (b *backendActor) endEjections() {
 	plan, i := b.plan, b.index
 	for zone, until := range plan.ejectedUntil[i] {
 		if until > 0 && until <= plan.now {
-			// Reports of the time before the ejection must not eject it again.
+			// Reports from before the ejection must not eject the backend again.
 			plan.ejectedUntil[i][zone], plan.attempts[i][zone], plan.failures[i][zone] = -until, 0, 0
 			plan.send(plan.ring, reassignArcs{})
 		} else if until < 0 && plan.now > 4*baseEjectionTime-until {
-			plan.ejectedUntil[i][zone], plan.consecutiveEjections[i][zone] = 0, 0 // not sooner: it may fail by turns
+			plan.ejectedUntil[i][zone], plan.consecutiveEjections[i][zone] = 0, 0 // not sooner, because the backend may fail intermittently
 		}
 	}
 }
 
-// canEject tells whether one backend more may be ejected: the others must not have to carry much more than
-// backends have been seen to, so none is ejected in an overload. Load of other coordinators' proxies stays.
+// canEject reports whether a further backend may be ejected from the arcs of a zone. The remaining backends must not have to take
+// much more than the peak success rate, so none is ejected in an overload. Only the load of this coordinator's proxies moves to
+// them; that of other coordinators' proxies stays where it is.
 func (plan *Planner) canEject(zone, candidate int) bool {
-	open := plan.sumOpen(plan.fullWeight)
-	out := plan.weight[candidate] + plan.sumOpen(func(i int) float64 {
+	openWeight := plan.sumOpen(plan.fullWeight)
+	ejectedWeight := plan.weight[candidate] + plan.sumOpen(func(i int) float64 {
 		return plan.weight[i] * max(0, min(1, math.Ceil(plan.ejectedUntil[i][zone]-plan.now)))
 	})
-	ours, admission := plan.ownShare(), plan.admission
-	strain := ours*open/max(open-out, 1e-9) + 1 - ours
-	arrivals, carried := sum(admission.arrivalRates), admission.peakSuccessRatePerWeight*open
-	young := plan.now < admission.firstReportAt+2*admissionWindow
-	if admission.relativeLatency < overloadLatencyRatio && !admission.overloaded && young {
-		// The best rate takes seconds to be learned; until then quick answers show that what arrives is carried.
-		// Not later: where a cut fills half of the fleet, quick answers say nothing of those that never come.
-		carried = max(carried, arrivals)
+	ownShare, admission := plan.ownShare(), plan.admission
+	loadIncrease := ownShare*openWeight/max(openWeight-ejectedWeight, 1e-9) + 1 - ownShare
+	arrivalRate, provenRate := sum(admission.arrivalRates), admission.peakSuccessRatePerWeight*openWeight
+	recentlyStarted := plan.now < admission.firstReportAt+2*admissionWindow
+	if admission.relativeLatency < overloadLatencyRatio && !admission.overloaded && recentlyStarted {
+		// The peak success rate takes seconds to measure. Until then, low latency shows that the fleet serves all that arrives. It
+		// shows no such thing later: when a network failure leaves half of the fleet with all the load, the latency of successes
+		// stays low although other requests get no response.
+		provenRate = max(provenRate, arrivalRate)
 	}
-	return out <= maxEjectedShare*open && arrivals*strain <= maxEjectionLoadFactor*carried
+	return ejectedWeight <= maxEjectedShare*openWeight && arrivalRate*loadIncrease <= maxEjectionLoadFactor*provenRate
 }
 
-// probeIfSilent probes a backend of which no success is reported while others' are: silence is no proof.
+// probeIfSilent probes a backend for which no success was reported for a time in which its load should have caused some. The lack
+// of reports alone is no proof of a failure.
 func (b *backendActor) probeIfSilent() {
 	plan, i := b.plan, b.index
-	quiet := plan.newestReportAt - max(plan.lastSuccessAt[i], plan.firstListed[i])
-	expected := quiet*plan.assignedLoad[i] > minAttempts && !plan.admission.overloaded
-	silent := quiet > 1.5*plan.settings.ReportPeriod && expected
+	silence := plan.newestReportAt - max(plan.lastSuccessAt[i], plan.firstListed[i])
+	successExpected := silence*plan.assignedLoad[i] > minAttempts && !plan.admission.overloaded
+	silent := silence > 1.5*plan.settings.ReportPeriod && successExpected
 	due := plan.settings.Probes && plan.state[i] == BackendOpen && plan.now >= plan.nextProbeAt[i]
 	if due && (silent || plan.failedProbes[i] > 0) {
 		plan.nextProbeAt[i] = plan.now + probeInterval
@@ -95,9 +99,10 @@
 	}
 }
 
-// applyProbe takes a backend that answers neither requests nor probes out of all arcs until it answers one,
-// long before its requests time out or the list says so. It returns by slow start, as it may have restarted.
-// When most seem unreachable, it is we who are cut off.
+// applyProbe updates a backend's reachability from the result of a probe. A backend that responds neither to requests nor to probes
+// leaves all arcs until it responds, long before its requests time out or the endpoint list changes. It returns with slow start,
+// because it may have restarted. If at least half of the open backends seem unreachable, this coordinator is assumed to be cut off
+// from them, and none counts as unreachable.
 func (b *backendActor) applyProbe(result ProbeResult) {
 	plan, i := b.plan, b.index
 	wasUnreachable, wasIsolated := plan.unreachable(i), plan.isolated
@@ -112,18 +117,19 @@
 		plan.failedProbes[i]++
 		plan.nextProbeAt[i] = plan.now
 	}
-	reachable := func(k int) float64 { return 1 - 2*min(1, float64(plan.failedProbes[k]/2)) }
-	plan.isolated = plan.sumOpen(reachable) <= 0
+	// 1 for a backend with fewer than two failed probes, -1 for the others.
+	reachability := func(k int) float64 { return 1 - 2*min(1, float64(plan.failedProbes[k]/2)) }
+	plan.isolated = plan.sumOpen(reachability) <= 0
 	if wasUnreachable != plan.unreachable(i) || wasIsolated != plan.isolated {
 		plan.send(plan.ring, reassignArcs{})
 	}
 }
 
-// unreachable tells whether a backend has answered neither of two probes while most others have.
+// unreachable reports whether a backend failed its last two probes while most other backends are reachable.
 func (plan *Planner) unreachable(i int) bool { return plan.failedProbes[i] >= 2 && !plan.isolated }
 
-// adjustLatencyFactor lowers the share of the load that arcs bring a backend whose answers take too long while most do
-// not: it is slower than listed, or stalls. Its weight stays as listed; fewer arcs include it.
+// adjustLatencyFactor lowers the effective weight of a backend that responds more slowly than the fleet, because it has less
+// capacity than its listed weight says or stalls. Its weight in tables stays as listed, but fewer arcs include it.
 func (b *backendActor) adjustLatencyFactor() {
 	plan, i := b.plan, b.index
 	if plan.now < plan.latencyFactorUpdatedAt[i]+healthWindow {
@@ -131,11 +137,11 @@
 	}
 	plan.latencyFactorUpdatedAt[i] = plan.now
 	successes, latency := plan.recentSuccesses(i, plan.now-healthWindow)
-	relative := latency / plan.admission.shortestSoftDeadline
+	relativeLatency := latency / plan.admission.shortestSoftDeadline
 	switch {
-	case successes < minAttempts:
-	case relative > slowLatencyRatio:
-		if relative > slowLatencyFleetFactor*plan.admission.relativeLatency {
+	case successes < minAttempts: // too few to judge by
+	case relativeLatency > slowLatencyRatio:
+		if relativeLatency > slowLatencyFleetFactor*plan.admission.relativeLatency {
 			plan.latencyFactor[i] = max(minLatencyFactor, plan.latencyFactor[i]*latencyFactorDecrease)
 		}
 	default:
--- a/choice/endpoints.go
+++ b/choice/endpoints.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	basePollBackoff     = 0.25 // seconds after the first failed poll; doubled with each further one
+	basePollBackoff     = 0.25 // seconds; it is doubled with each failed poll, the first included
 	maxBackoffDoublings = 4
 )
 
-// handle follows the endpoint list.
+// handle applies an endpoint update and polls for the next one if this is due.
 func (e *endpointWatcher) handle(msg message) {
 	if update, ok := msg.(EndpointUpdate); ok {
 		if update.Kind == UpdateFailed {
@@ -25,39 +25,40 @@
 	e.poll()
 }
 
-// backOff puts off the next poll with jitter, against a list service that is overloaded by everybody polling
-// again at once, but to well within the time after which the list has to be known.
+// backOff delays the next poll after a failed one, with jitter, so that the list service is not overloaded by all coordinators
+// polling again at once. The delay stays well within AskWithin, the longest time between two polls.
 func (e *endpointWatcher) backOff() {
 	e.failedPolls = min(e.failedPolls+1, maxBackoffDoublings)
 	backoff := min(basePollBackoff*math.Exp2(float64(e.failedPolls)), e.plan.settings.AskWithin/3)
 	e.nextPoll = e.plan.now + backoff*(0.5+e.plan.random())
 }
 
-// poll asks for changes of the endpoint list, where it has to be polled.
+// poll asks for changes of the endpoint list, if the settings say that it has to be polled and a poll is due.
 func (e *endpointWatcher) poll() {
 	if e.plan.settings.Listing == "asked" && e.plan.now >= e.nextPoll {
 		e.plan.commands = append(e.plan.commands, WatchEndpoints{true})
-		e.nextPoll = e.plan.now + e.plan.settings.AskWithin/2 // an answer that never comes counts as failed
+		e.nextPoll = e.plan.now + e.plan.settings.AskWithin/2 // polls again if no answer arrives
 	}
 }
 
-// applyEndpoint takes over a backend's entry in the endpoint list.
+// applyEndpoint updates a backend from its entry in the endpoint list.
 func (b *backendActor) applyEndpoint(endpoint Endpoint) {
 	plan, i := b.plan, b.index
 	if endpoint.State != BackendGone {
 		plan.zone[i], plan.weight[i] = plan.zoneOf(endpoint.Zone), max(endpoint.Weight, 1e-3)
 	}
 	if endpoint.State == BackendOpen && endpoint.StartedAt > plan.startedAt[i] {
-		plan.resetHealth(i) // another process under the same id
+		plan.resetHealth(i) // the process was restarted under the same id
 	}
 	plan.state[i], plan.startedAt[i] = endpoint.State, max(endpoint.StartedAt, plan.startedAt[i])
 	plan.warmupFactor[i] = b.currentWarmupFactor()
-	// Where only draining binds, a backend that is dropped from the list leaves the tables with ordinary pushes.
-	gone := endpoint.State == BackendGone && !plan.settings.OnlyDrainingBinds
-	binds := endpoint.State == BackendDraining || gone
-	if binds && !plan.excluded[i] {
+	// With OnlyDrainingBinds, a backend that is dropped from the list without draining needs no exclusion and leaves the tables with
+	// ordinary pushes.
+	goneBinds := endpoint.State == BackendGone && !plan.settings.OnlyDrainingBinds
+	mustExclude := endpoint.State == BackendDraining || goneBinds
+	if mustExclude && !plan.excluded[i] {
 		plan.exclusionDueSince[i] = cmp.Or(plan.exclusionDueSince[i], plan.now)
-	} else if !binds {
+	} else if !mustExclude {
 		plan.exclusionDueSince[i] = 0
 	}
 	plan.send(plan.ring, reassignArcs{})
--- a/choice/fleetload.go
+++ b/choice/fleetload.go
@@ -2,28 +2,29 @@
 
 import "math"
 
-// admission is the state of admission control; admission.go decides by it.
+// admission is the actor that detects overloads of the fleet and sets how many requests are admitted. This file holds its state and
+// arithmetic; the decisions are in admission.go.
 type admission struct {
 	mailbox
 	plan                     *Planner
-	admittedShares           []float64     // shares, by method
+	admittedShares           []float64     // share of the requests that is admitted, by method
 	normalRetry              []RetryPolicy // outside of overloads, by method
 	criticality              []float64     // by method
-	arrivalRates             []float64     // requests a second of late, by method
-	shortestSoftDeadline     Seconds       // the shortest one
-	rateLimit                float64       // requests a second that are admitted
-	successRatePerWeight     float64       // answers a second for each unit of weight
-	peakSuccessRatePerWeight float64       // the highest so far
-	relativeLatency          float64       // mean latency of the answers, in soft deadlines
-	avoidedShare             float64       // share of attempts at backends that fail as often in a row as proxies tolerate
-	baselineFailureShare     float64       // share of failures at the best quarter of the backends, from the zone that fares best
-	loadFactor               float64       // of its fair share, what arcs may bring a backend
-	overloaded               bool
-	overloadedAt             Seconds
-	overloadUnlikely         bool // no overload, and none near
-	firstReportAt            Seconds
-	lastDisconnectAt         Seconds // of a proxy
-	limitLoweredAt           Seconds
+	arrivalRates             []float64     // decaying averages in requests a second, by method
+	shortestSoftDeadline     Seconds       // of all methods
+	rateLimit                float64       // requests a second that are admitted in all
+	successRatePerWeight     float64       // mean rate of successes, a second and per unit of open capacity
+	peakSuccessRatePerWeight float64       // the highest successRatePerWeight so far
+	relativeLatency          float64       // mean latency of the successes, divided by the shortest soft deadline
+	avoidedShare             float64       // estimated share of the attempts at backends that proxies avoid after Strikes failures
+	baselineFailureShare     float64       // failure share at the best quarter of the backends, in the zone with the fewest failures
+	loadFactor               float64       // limit on a backend's load, as a multiple of its proportional share (see arcs.go)
+	overloaded               bool          // the fleet is overloaded
+	overloadedAt             Seconds       // when an overload was last found
+	overloadUnlikely         bool          // there is no overload and no sign of one to come
+	firstReportAt            Seconds       // when enough reports for an evaluation first were there; 0: not yet
+	lastDisconnectAt         Seconds       // when the last stream of a proxy ended
+	limitLoweredAt           Seconds       // when rateLimit was last lowered
 	nextEvaluation           Seconds
 }
 
@@ -39,7 +40,7 @@
 	return a
 }
 
-// handle counts arrivals and evaluates the load once an interval.
+// handle averages the arrivals and evaluates the load at each evaluationInterval.
 func (a *admission) handle(msg message) {
 	switch msg := msg.(type) {
 	case UsageReport:
@@ -55,26 +56,26 @@
 	}
 }
 
-// fleetLoad is what the reports of late say of the backends together.
+// fleetLoad sums up the recent reports on all backends.
 type fleetLoad struct {
-	successRate        float64 // a second
-	weightedLatency    float64 // of answers in a second, in soft deadlines, added up
-	attempts           float64
-	avoidedAttempts    float64 // attempts at backends that fail as often in a row as proxies tolerate
-	judgedBackends     float64 // open backends with enough attempts
-	overloadedBackends float64 // of those
+	successRate        float64 // successes a second
+	weightedLatency    float64 // sum over the backends of success rate times mean latency, in shortest soft deadlines
+	attempts           float64 // decayed count
+	avoidedAttempts    float64 // those that probably were at backends with Strikes failures in a row, which proxies avoid
+	judgedBackends     float64 // open backends with enough attempts to be judged
+	overloadedBackends float64 // those of them that are overloaded
 }
 
-// measure adds up the reports on all backends.
+// measure sums up the reports on all backends.
 func (a *admission) measure() fleetLoad {
-	load := fleetLoad{attempts: 1} // so that it can be divided by
+	load := fleetLoad{attempts: 1} // not 0, because evaluate divides by it
 	for i := range a.plan.id {
 		a.measureBackend(i, &load)
 	}
 	return load
 }
 
-// updateBaseline sets the share of failures that the best quarter of the backends has, from the zone that fares best.
+// updateBaseline sets the failure share at the best quarter of the backends, as seen from the zone where it is lowest.
 func (a *admission) updateBaseline() {
 	a.baselineFailureShare = 1
 	for zone := range len(a.plan.zoneIndex) {
@@ -83,7 +84,7 @@
 	}
 }
 
-// sameCriticality returns the first methods of an order that share one criticality.
+// sameCriticality returns the leading methods of the order that have the same criticality.
 func (a *admission) sameCriticality(order []int) []int {
 	end := 1
 	for end < len(order) && a.criticality[order[end]] == a.criticality[order[0]] {
