--- a/choice/backends.go
+++ b/choice/backends.go
@@ -7,35 +7,35 @@
 	"slices"
 )
 
-// backendStates has what is known of the backends, as parallel slices under an index that a backend keeps while it is known.
-// Those of two dimensions have a place for each zone from which it is reported on.
+// backendStates holds the state of the backends in parallel slices. A backend has the same index in all of them, which it keeps
+// until its state is deleted. The second index of two-dimensional slices is the zone of the proxies that sent the reports.
 type backendStates struct {
 	id                     []BackendID
-	zone                   []int
+	zone                   []int     // index of its zone
 	weight                 []float64 // as listed
 	state                  []BackendState
-	startedAt              []Seconds // of its process
-	firstListed            []Seconds
-	ringHash               []uint32
+	startedAt              []Seconds // when its process started, as listed; 0: long ago
+	firstListed            []Seconds // when this instance learned of it
+	ringHash               []uint32  // its place on the ring
 	warmupFactor           []float64 // share of its full weight that slow start allows
-	latencyFactor          []float64 // share of its fair load that slow answers leave it
+	latencyFactor          []float64 // factor from 0 to 1 that reduces the effective weight of slow backends
 	latencyFactorUpdatedAt []Seconds
-	effectiveWeight        []float64 // its weight, as far as it is warm and not biased against
-	assignedLoad           []float64 // requests a second that the arcs assigned so far bring it
-	expectedLoad           []float64 // requests a second that tables bring it, or would if it were restored
-	arcCount               []int     // arcs that include it
-	excluded               []bool
-	exclusionDueSince      []Seconds   // since when an exclusion is to be sent; 0: none is
-	attempts               [][]float64 // decayed, as failures
-	failures               [][]float64
-	meanLatency            [][]float64 // mean of the successes
+	effectiveWeight        []float64   // weight × warmupFactor × latencyFactor, see computeEffectiveWeights
+	assignedLoad           []float64   // load from the arcs assigned so far, in requests a second
+	expectedLoad           []float64   // load from the tables, or that after its exclusion is withdrawn, in requests a second
+	arcCount               []int       // arcs that include it
+	excluded               []bool      // its exclusion was sent and not withdrawn
+	exclusionDueSince      []Seconds   // since when its exclusion has to be sent; 0: it doesn't
+	attempts               [][]float64 // decayed count, as of lastReportAt
+	failures               [][]float64 // decayed count, as of lastReportAt
+	meanLatency            [][]float64 // weighted mean of the successes, in seconds
 	lastReportAt           [][]Seconds
-	ejectedUntil           [][]Seconds // negative: the end of the last ejection
-	consecutiveEjections   [][]int     // in a row
-	lastSuccessAt          []Seconds
-	failedProbes           []int // in a row
-	nextProbeAt            []Seconds
-	returnedAt             []Seconds // when it last became reachable again
+	ejectedUntil           [][]Seconds // 0: not ejected; negative: the last ejection ended at minus this time
+	consecutiveEjections   [][]int
+	lastSuccessAt          []Seconds // when a successful request or probe was last reported
+	failedProbes           []int     // consecutive
+	nextProbeAt            []Seconds // earliest time of the next probe
+	returnedAt             []Seconds // when it last became reachable again; 0: it always was
 }
 
 // backendActor is the actor of one backend.
@@ -45,7 +45,7 @@
 	index int
 }
 
-// handle takes what concerns one backend.
+// handle processes a message about the backend.
 func (b *backendActor) handle(msg message) {
 	plan, i := b.plan, b.index
 	switch msg := msg.(type) {
@@ -57,8 +57,8 @@
 	case ProbeResult:
 		b.applyProbe(msg)
 	case tickElapsed:
-		if warmth := b.currentWarmupFactor(); warmth != plan.warmupFactor[i] {
-			plan.warmupFactor[i] = warmth
+		if warmupFactor := b.currentWarmupFactor(); warmupFactor != plan.warmupFactor[i] {
+			plan.warmupFactor[i] = warmupFactor
 			plan.send(plan.ring, reassignArcs{})
 		}
 		b.endEjections()
@@ -67,7 +67,8 @@
 	}
 }
 
-// applyUpdate sends an endpoint update to the actors of its backends, and to those that a full one no longer names.
+// applyUpdate sends each entry of an endpoint update to the actor of its backend. Backends that a full list no longer has are
+// reported to their actors as gone.
 func (plan *Planner) applyUpdate(update EndpointUpdate) {
 	listed := map[int]bool{}
 	for _, endpoint := range update.Endpoints {
@@ -82,7 +83,7 @@
 	}
 }
 
-// slot returns the index of a backend; one that is not known yet gets a free one.
+// slot returns the index of a backend, and assigns a free one if the backend is not known yet.
 func (plan *Planner) slot(backend BackendID) int {
 	i, known := plan.indexOf[backend]
 	if known {
@@ -98,7 +99,7 @@
 	return i
 }
 
-// addSlot makes room for one backend more.
+// addSlot adds an index to all slices.
 func (plan *Planner) addSlot() {
 	plan.backends = append(plan.backends, &backendActor{plan: plan, index: len(plan.id)})
 	plan.id = append(plan.id, 0)
@@ -131,7 +132,7 @@
 	plan.growZones(len(plan.id) - 1)
 }
 
-// resetSlot gives an index to a backend of which nothing is known yet.
+// resetSlot assigns an index to a new backend and initializes its state.
 func (plan *Planner) resetSlot(i int, id BackendID) {
 	plan.indexOf[id] = i
 	plan.id[i], plan.zone[i], plan.weight[i] = id, 0, 1
@@ -148,7 +149,7 @@
 	clear(plan.consecutiveEjections[i])
 }
 
-// growZones makes room for zones that became known since.
+// growZones extends a backend's two-dimensional slices to all known zones.
 func (plan *Planner) growZones(i int) {
 	for len(plan.attempts[i]) < len(plan.zoneIndex) {
 		plan.attempts[i], plan.failures[i] = append(plan.attempts[i], 0), append(plan.failures[i], 0)
@@ -157,7 +158,7 @@
 	}
 }
 
-// zoneOf returns the index of a zone.
+// zoneOf returns the index of a zone, and assigns one if the zone is not known yet.
 func (plan *Planner) zoneOf(name Zone) int {
 	zone, known := plan.zoneIndex[name]
 	if !known {
@@ -170,8 +171,8 @@
 	return zone
 }
 
-// releaseSlots frees the state of proxies that left and backends that are gone for so long that nothing names them any more.
-// Otherwise each deploy under new ids would make every step slower.
+// releaseSlots deletes the state of proxies that left and of backends that are gone, once they have been so for BackendRetention and
+// no table has the backend. Otherwise each deployment under new ids would make every step slower.
 func (plan *Planner) releaseSlots() {
 	plan.proxies = slices.DeleteFunc(plan.proxies, (*proxyActor).releaseIfExpired)
 	for i, state := range plan.state {
@@ -187,11 +188,12 @@
 	}
 }
 
-// referenced tells whether a table holds, or is to hold, a backend.
+// referenced reports whether a table has, or should have, an entry for a backend.
 func (plan *Planner) referenced(i int) bool {
 	return slices.ContainsFunc(plan.proxies, func(proxy *proxyActor) bool { return proxy.references(i) })
 }
 
+// freeSlot withdraws a backend's exclusion and makes its index available for another backend.
 func (plan *Planner) freeSlot(i int) {
 	if plan.excluded[i] {
 		plan.setExcluded(i, false)
@@ -200,7 +202,7 @@
 	plan.freeSlots = append(plan.freeSlots, i)
 }
 
-// resetHealth forgets what was held against a backend.
+// resetHealth resets a backend's latency factor, failed probes, ejections and counts of attempts to those of a new backend.
 func (plan *Planner) resetHealth(i int) {
 	plan.latencyFactor[i], plan.failedProbes[i] = 1, 0
 	for zone := range plan.ejectedUntil[i] {
@@ -209,29 +211,29 @@
 	}
 }
 
-// recordAttempts adds a report to the decayed ones of its backend and zone. In the mean latency an old success counts for less
-// than a new one.
+// recordAttempts adds a report to the decaying counts of its backend and zone, and to the mean latency, where earlier successes are
+// weighted by oldLatencyWeight.
 func (plan *Planner) recordAttempts(i int, report AttemptReport) {
 	zone := plan.zoneOf(report.Zone)
 	decay := math.Exp(-(plan.now - plan.lastReportAt[i][zone]) / healthWindow)
 	plan.lastReportAt[i][zone], plan.newestReportAt = plan.now, plan.now
 	successes := float64(report.Attempts - report.Failures)
-	old := (plan.attempts[i][zone] - plan.failures[i][zone]) * decay * oldLatencyWeight
+	oldSuccesses := (plan.attempts[i][zone] - plan.failures[i][zone]) * decay * oldLatencyWeight
 	if successes > 0 {
-		latency := plan.meanLatency[i][zone]*old + report.MeanLatency*successes
-		plan.meanLatency[i][zone] = latency / (old + successes)
+		latencySum := plan.meanLatency[i][zone]*oldSuccesses + report.MeanLatency*successes
+		plan.meanLatency[i][zone] = latencySum / (oldSuccesses + successes)
 		plan.lastSuccessAt[i] = plan.now
 	}
 	plan.attempts[i][zone] = plan.attempts[i][zone]*decay + float64(report.Attempts)
 	plan.failures[i][zone] = plan.failures[i][zone]*decay + float64(report.Failures)
 }
 
-// failureShares returns, in ascending order, the shares of failures from a zone, of the backends with so many attempts and a
-// report since a time.
-func (plan *Planner) failureShares(zone int, attempts float64, since Seconds) []float64 {
+// failureShares returns the failure shares of the backends as seen from a zone, in ascending order. It includes backends with at
+// least minCount attempts and a report after the given time, and returns a single 0 if there are none.
+func (plan *Planner) failureShares(zone int, minCount float64, since Seconds) []float64 {
 	shares := []float64{}
 	for i, byZone := range plan.attempts {
-		if byZone[zone] >= attempts && plan.lastReportAt[i][zone] > since {
+		if byZone[zone] >= minCount && plan.lastReportAt[i][zone] > since {
 			shares = append(shares, plan.failures[i][zone]/byZone[zone])
 		}
 	}
@@ -242,7 +244,8 @@
 	return shares
 }
 
-// recentSuccesses returns how many successes of a backend were reported since a time, and their mean latency.
+// recentSuccesses returns the decayed count of a backend's successes, from zones that reported on it after the given time, and their
+// mean latency.
 func (plan *Planner) recentSuccesses(i int, since Seconds) (successes float64, latency Seconds) {
 	for zone, attempts := range plan.attempts[i] {
 		if plan.lastReportAt[i][zone] > since {
@@ -254,19 +257,20 @@
 	return successes, latency / max(successes, 1e-9)
 }
 
-// sumOpen adds up a figure of the open backends.
-func (plan *Planner) sumOpen(figure func(i int) float64) (total float64) {
+// sumOpen returns the sum of a value over the open backends.
+func (plan *Planner) sumOpen(value func(i int) float64) (total float64) {
 	for i := range plan.id {
 		if plan.state[i] == BackendOpen {
-			total += figure(i)
+			total += value(i)
 		}
 	}
 	return total
 }
 
+// fullWeight returns a backend's weight as listed, without its warm-up factor.
 func (plan *Planner) fullWeight(i int) float64 { return plan.weight[i] }
 
-// openCapacity is the weight of the open and reachable backends, as far as they are warm.
+// openCapacity returns the sum of weight × warmupFactor over the open and reachable backends.
 func (plan *Planner) openCapacity() float64 {
 	return 1e-9 + plan.sumOpen(func(i int) float64 {
 		if plan.unreachable(i) {
--- a/choice/channel.go
+++ b/choice/channel.go
@@ -2,31 +2,33 @@
 
 import "slices"
 
-// unackedStep is a step whose messages are not known to have left the channel.
+// unackedStep is a step whose messages may still wait in the channel.
 type unackedStep struct {
 	nonce  Nonce
 	sentAt Seconds
-	lines  int
+	lines  int // of all messages of the step
 }
 
-// channel accounts for the lines that wait to be sent to the proxies, and keeps nonces and the usual acknowledgement time.
+// channel is the actor that keeps account of the outgoing channel, a queue of lines that is shared by the messages to all proxies.
+// It estimates how many lines wait there, and keeps the newest nonce and the mean acknowledgement time.
 type channel struct {
 	mailbox
 	plan        *Planner
-	nonce       Nonce // of the newest step with messages
-	meanAckTime Seconds
-	queuedLines int // of this step so far
-	unacked     []unackedStep
+	nonce       Nonce         // of the newest step with messages
+	meanAckTime Seconds       // exponential moving average of the time from a push to its acknowledgement
+	queuedLines int           // lines of this step so far
+	unacked     []unackedStep // oldest first
 }
 
-// handle learns from acknowledgements what has left the channel: messages leave it in order.
+// handle removes from unacked what has left the channel. Messages leave it in order, so an acknowledgement shows that all earlier
+// messages have left it, too. Messages of a lost stream are never acknowledged and are dropped after messageLossTimeout.
 func (h *channel) handle(msg message) {
 	switch msg := msg.(type) {
 	case acknowledged:
 		at := slices.IndexFunc(h.unacked, func(step unackedStep) bool { return step.nonce == msg.nonce })
 		if at >= 0 {
-			took := max(msg.delay, h.plan.now-h.unacked[at].sentAt)
-			h.meanAckTime += ackTimeGain * (took - h.meanAckTime)
+			ackTime := max(msg.delay, h.plan.now-h.unacked[at].sentAt)
+			h.meanAckTime += ackTimeGain * (ackTime - h.meanAckTime)
 			h.unacked = h.unacked[at:]
 		}
 	case tickElapsed:
@@ -35,7 +37,7 @@
 	}
 }
 
-// unackedLines is how many lines of earlier steps may still wait.
+// unackedLines returns the number of lines of earlier steps that may still wait in the channel.
 func (h *channel) unackedLines() (lines int) {
 	for _, step := range h.unacked {
 		lines += step.lines
@@ -43,10 +45,10 @@
 	return lines
 }
 
-// waitingLines is how many lines may wait, with those of this step.
+// waitingLines returns the number of lines that may wait in the channel, including those of this step.
 func (h *channel) waitingLines() int { return h.unackedLines() + h.queuedLines }
 
-// messageLines is how many lines this step's message to a proxy has: its own, those of the header and the nonce.
+// messageLines returns the number of lines of this step's message to a proxy: its pending lines, the header and the nonce.
 func (h *channel) messageLines(proxy *proxyActor) int {
 	if proxy.pendingLines == 0 {
 		return 0
@@ -54,11 +56,11 @@
 	return proxy.pendingLines + int(h.plan.settings.MessageLines) + 1
 }
 
-// finishStep gives all messages of the step one nonce.
+// finishStep gives all messages of the step one nonce and records them as sent.
 func (plan *Planner) finishStep() {
 	channel := plan.channel
 	channel.queuedLines = 0
-	lines, ahead, nonce := 0, channel.unackedLines(), (channel.nonce+1)%NonceSpace
+	lines, linesAhead, nonce := 0, channel.unackedLines(), (channel.nonce+1)%NonceSpace
 	for _, proxy := range plan.proxies {
 		if proxy.pendingLines == 0 {
 			continue
@@ -67,7 +69,7 @@
 		proxy.messagesSentAt = append(proxy.messagesSentAt, plan.now)
 		if proxy.awaitsAck {
 			proxy.pushInFlight, proxy.pushNonce = true, nonce
-			proxy.leavesChannelAt = plan.now + sendTimeFactor*float64(ahead+lines)/plan.settings.ChannelPace
+			proxy.leavesChannelAt = plan.now + sendTimeFactor*float64(linesAhead+lines)/plan.settings.ChannelPace
 		}
 		proxy.pendingLines, proxy.awaitsAck = 0, false
 	}
--- a/choice/endpoints.go
+++ b/choice/endpoints.go
@@ -10,7 +10,7 @@
 	maxBackoffDoublings = 4
 )
 
-// handle applies an endpoint update and polls for the next one if this is due.
+// handle applies an endpoint update, or delays the next poll after a failed one, and polls if this is due.
 func (e *endpointWatcher) handle(msg message) {
 	if update, ok := msg.(EndpointUpdate); ok {
 		if update.Kind == UpdateFailed {
@@ -33,11 +33,12 @@
 	e.nextPoll = e.plan.now + backoff*(0.5+e.plan.random())
 }
 
-// poll asks for changes of the endpoint list, if the settings say that it has to be polled and a poll is due.
+// poll starts a watch of the endpoint list, if the settings say that it has to be polled and none has succeeded since the last
+// failure.
 func (e *endpointWatcher) poll() {
 	if e.plan.settings.Listing == "asked" && e.plan.now >= e.nextPoll {
 		e.plan.commands = append(e.plan.commands, WatchEndpoints{true})
-		e.nextPoll = e.plan.now + e.plan.settings.AskWithin/2 // polls again if no answer arrives
+		e.nextPoll = e.plan.now + e.plan.settings.AskWithin/2 // a watch without an answer by then counts as failed
 	}
 }
 
--- a/choice/estimates.go
+++ b/choice/estimates.go
@@ -2,19 +2,19 @@
 
 import "math"
 
-// BackendEstimate is what an instance takes a backend's load and health to be, to be compared with what the backend says of
-// itself. Nothing is decided by it.
+// BackendEstimate is an instance's estimate of a backend's load and health, for comparison with what the backend itself reports.
+// No decision depends on it.
 type BackendEstimate struct {
 	Backend      BackendID
-	AttemptRate  float64 // a second, decayed: right after a report it is more than on average
+	AttemptRate  float64 // attempts a second, decaying: higher than the average right after a report
 	FailureShare float64 // of the attempts
 	MeanLatency  Seconds // of the successes
-	ExpectedRate float64 // requests a second that the tables bring it
-	Ejected      bool    // from the arcs of a zone at least
-	Unreachable  bool    // it answered no probes
+	ExpectedRate float64 // requests a second that the tables are expected to bring it
+	Ejected      bool    // from the arcs of one zone or more
+	Unreachable  bool    // its last two probes failed, see Planner.unreachable
 }
 
-// Estimates returns what is taken to be true of each open backend.
+// Estimates returns an estimate for each open backend.
 func (plan *Planner) Estimates() (estimates []BackendEstimate) {
 	for i := range plan.id {
 		if plan.state[i] == BackendOpen {
@@ -26,21 +26,21 @@
 
 func (plan *Planner) estimate(i int) BackendEstimate {
 	estimate := BackendEstimate{Backend: plan.id[i], ExpectedRate: plan.expectedLoad[i], Unreachable: plan.unreachable(i)}
-	failures, latency := 0.0, 0.0
+	failureRate, latencySum := 0.0, 0.0
 	for zone, attempts := range plan.attempts[i] {
 		decay := math.Exp(-(plan.now - plan.lastReportAt[i][zone]) / healthWindow)
 		estimate.AttemptRate += attempts * decay / healthWindow
-		failures += plan.failures[i][zone] * decay / healthWindow
-		successes := (attempts - plan.failures[i][zone]) * decay / healthWindow
-		latency += successes * plan.meanLatency[i][zone]
+		failureRate += plan.failures[i][zone] * decay / healthWindow
+		successRate := (attempts - plan.failures[i][zone]) * decay / healthWindow
+		latencySum += successRate * plan.meanLatency[i][zone]
 		estimate.Ejected = estimate.Ejected || plan.ejectedUntil[i][zone] > plan.now
 	}
-	estimate.FailureShare = failures / max(estimate.AttemptRate, 1e-9)
-	estimate.MeanLatency = latency / max(estimate.AttemptRate-failures, 1e-9)
+	estimate.FailureShare = failureRate / max(estimate.AttemptRate, 1e-9)
+	estimate.MeanLatency = latencySum / max(estimate.AttemptRate-failureRate, 1e-9)
 	return estimate
 }
 
-// Usage returns what an instance takes a proxy's usage to be, in requests a second, by method; nil if the proxy is not known.
+// Usage returns the estimated usage of a proxy in requests a second, by method, or nil if the proxy is not known.
 func (plan *Planner) Usage(id ProxyID) (usage []float64) {
 	for _, proxy := range plan.proxies {
 		if proxy.id != id {
--- a/choice/messages.go
+++ b/choice/messages.go
@@ -1,11 +1,13 @@
 package choice
 
-// The messages that actors send each other within a step, and the mailboxes that hold them.
+// This file has the messages that actors send each other within a step, and the mailboxes that hold them.
 
 type (
+	// message is an event, an entry of an endpoint update or one of the message types below.
 	message any
+	// mailbox holds the messages to an actor that were not handled yet, oldest first.
 	mailbox struct{ messages []message }
-	// actor is the owner of a mailbox. It sees its messages in the order in which they were sent.
+	// actor is the owner of a mailbox. It handles its messages in the order in which they were sent.
 	actor interface {
 		inbox() *mailbox
 		handle(msg message)
@@ -14,23 +16,23 @@
 
 func (m *mailbox) inbox() *mailbox { return m }
 
-// Messages beside the events themselves.
+// Messages between actors, in addition to the events.
 type (
-	reassignArcs      struct{}                    // to the ring: all arcs are outdated
-	membershipChanged struct{ proxy *proxyActor } // to the ring: it joined or left
-	tickElapsed       struct{}                    // to all: time has passed
-	pushPending       struct{}                    // to a proxy: send what changed, if that may be sent now
-	admissionChanged  struct {                    // to a proxy: what its tables should admit, by method
+	reassignArcs      struct{}                    // to the ring: all arcs must be reassigned
+	membershipChanged struct{ proxy *proxyActor } // to the ring: the proxy joined or left
+	tickElapsed       struct{}                    // to the actors that Planner.actors returns: time has passed
+	pushPending       struct{}                    // to a proxy: send the changes of its tables, if the limits allow it now
+	admissionChanged  struct {                    // to a proxy: admitted share and retry policy of each method
 		shares []float64
 		retry  []RetryPolicy
 	}
-	acknowledged struct { // to the channel: a proxy acknowledged a step's messages
+	acknowledged struct { // to the channel: a proxy acknowledged the messages of a step
 		nonce Nonce
 		delay Seconds
 	}
 )
 
-// dispatch sends an event to the actors that it concerns.
+// dispatch sends an event to the actors that it concerns. Reports on unknown backends are dropped.
 func (plan *Planner) dispatch(event Event) {
 	switch event := event.(type) {
 	case EndpointUpdate:
@@ -56,7 +58,7 @@
 	}
 }
 
-// send puts a message into an actor's mailbox.
+// send puts a message into an actor's mailbox, and queues the actor to run if the mailbox was empty.
 func (plan *Planner) send(to actor, msg message) {
 	box := to.inbox()
 	if box.messages = append(box.messages, msg); len(box.messages) == 1 {
@@ -64,7 +66,7 @@
 	}
 }
 
-// deliver runs the actors until all mailboxes are empty.
+// deliver has the actors handle their messages until all mailboxes are empty.
 func (plan *Planner) deliver() {
 	for len(plan.readyActors) > 0 {
 		next := plan.readyActors[0]
--- a/choice/planner.go
+++ b/choice/planner.go
@@ -5,40 +5,40 @@
 	"hash/crc32"
 )
 
-// Planner is one instance of the module. Its methods must not be called from two goroutines at once.
+// Planner is one instance of the decision module. It must not be used by two goroutines at once.
 type Planner struct {
 	config      Config
 	settings    planSettings
 	now         Seconds
-	randomDraws uint32 // random numbers drawn so far
+	randomDraws uint32 // number of random numbers drawn so far
 	backendStates
-	backends       []*backendActor
-	indexOf        map[BackendID]int
-	freeSlots      []int     // indexes to be used again
-	goneSince      []Seconds // since when each backend is gone; 0: it is not
+	backends       []*backendActor   // by index
+	indexOf        map[BackendID]int // indexes of the known backends
+	freeSlots      []int             // unused indexes of backends
+	goneSince      []Seconds         // by index: since when the backend is gone; 0: it is not
 	zoneIndex      map[Zone]int
-	proxies        []*proxyActor // by id
+	proxies        []*proxyActor // in ascending order of ids
 	watcher        *endpointWatcher
 	ring           *ring
 	admission      *admission
 	channel        *channel
-	readyActors    []actor // those with messages, in the order in which they got the first
-	commands       []Command
+	readyActors    []actor   // actors with messages, in the order in which they got their first one
+	commands       []Command // of this step so far
 	nextTick       Seconds
-	newestReportAt Seconds       // when the newest attempt report came
-	isolated       bool          // most backends seem unreachable, so the fault is on our side
-	dirtyProxies   []*proxyActor // those that may need a push in this step
+	newestReportAt Seconds       // when the last attempt report arrived
+	isolated       bool          // at least half of the open backends seem unreachable, so this instance is assumed to be cut off
+	dirtyProxies   []*proxyActor // proxies that may need a push in this step
 }
 
-// endpointWatcher follows the endpoint list.
+// endpointWatcher is the actor that follows the endpoint list.
 type endpointWatcher struct {
 	mailbox
 	plan        *Planner
-	nextPoll    Seconds
-	failedPolls int // in a row
+	nextPoll    Seconds // +Inf: a watch has succeeded
+	failedPolls int     // consecutive, up to maxBackoffDoublings
 }
 
-// New returns an instance for a site's settings.
+// New returns an instance of the decision module for the settings of a site.
 func New(config Config) *Planner {
 	plan := &Planner{config: config, now: config.Now, indexOf: map[BackendID]int{}, zoneIndex: map[Zone]int{}}
 	plan.settings = planSettingsOf(config.Settings)
@@ -48,7 +48,7 @@
 	return plan
 }
 
-// actors returns those that are sent tickElapsed.
+// actors returns the actors that get tickElapsed: all but the proxies, the ring last.
 func (plan *Planner) actors() []actor {
 	all := []actor{plan.watcher, plan.admission, plan.channel}
 	for _, backend := range plan.backends {
@@ -57,7 +57,7 @@
 	return append(all, plan.ring)
 }
 
-// random draws a number from 0 to 1, which follows from the seed alone.
+// random returns a pseudo-random number from 0 up to, but not including, 1. The sequence depends only on the seed.
 func (plan *Planner) random() float64 {
 	plan.randomDraws++
 	bytes := binary.LittleEndian.AppendUint64(nil, plan.config.Seed)
@@ -65,7 +65,7 @@
 	return float64(crc32.ChecksumIEEE(bytes)) / (1 << 32)
 }
 
-// markDirty has a proxy look at its tables before the step ends.
+// markDirty has a proxy check its tables for changes before the step ends.
 func (plan *Planner) markDirty(proxy *proxyActor) {
 	if !proxy.dirty {
 		proxy.dirty = true
@@ -73,7 +73,7 @@
 	}
 }
 
-// setExcluded excludes a backend from all tables or restores it, and counts the lines that this costs.
+// setExcluded excludes a backend from all tables or withdraws its exclusion, and counts the lines that this adds to messages.
 func (plan *Planner) setExcluded(i int, excluded bool) {
 	plan.excluded[i] = excluded
 	plan.commands = append(plan.commands, SetExclusion{plan.id[i], excluded})
@@ -82,12 +82,12 @@
 			proxy.pendingLines++
 			plan.markDirty(proxy)
 		} else if proxy.pushWaiting {
-			plan.markDirty(proxy) // what it waits for may hold this backend
+			plan.markDirty(proxy) // the table or list that it waits for may include this backend
 		}
 	}
 }
 
-// excludedCount is the number of excluded backends.
+// excludedCount returns the number of excluded backends.
 func (plan *Planner) excludedCount() (count int) {
 	for _, excluded := range plan.excluded {
 		if excluded {
@@ -97,12 +97,12 @@
 	return count
 }
 
-// ownShare is the share of all proxies that are joined to this coordinator.
+// ownShare returns the share of all proxies that were joined to this coordinator when all arcs were last assigned.
 func (plan *Planner) ownShare() float64 {
 	return float64(plan.ring.joinedProxies) / max(plan.settings.Proxies, float64(plan.ring.joinedProxies), 1)
 }
 
-// sum adds up.
+// sum returns the sum of the values.
 func sum(values []float64) (total float64) {
 	for _, value := range values {
 		total += value
--- a/choice/proxies.go
+++ b/choice/proxies.go
@@ -6,59 +6,59 @@
 	"slices"
 )
 
-// unlimitedRate is the admission level that stands for all requests where levels are rates.
+// unlimitedRate is the admission level, in requests a second, that admits all requests where levels are rates.
 const unlimitedRate = 1e6
 
-// tableEntry is an entry of a proxy's table: a backend, by its index, the weight, and the warmth that is in the weight.
+// tableEntry is an entry of a proxy's table.
 type tableEntry struct {
-	backend      int
+	backend      int // index of the backend
 	weight       float64
-	warmupFactor float64
+	warmupFactor float64 // is contained in the weight
 }
 
 // proxyTable is the table of one proxy for some methods.
 type proxyTable struct {
 	id         TableID
-	methods    uint64       // bits
-	zoneLocal  bool         // for methods whose requests must stay in the proxy's zone
-	desired    []tableEntry // what it should hold
-	sent       []tableEntry // what it holds once all pushes have arrived
-	sentLevels []float64    // admission levels as sent, by method
-	sentRetry  []RetryPolicy
+	methods    uint64        // bit set of methods
+	zoneLocal  bool          // for methods whose requests must stay in the proxy's zone
+	desired    []tableEntry  // entries that the table should have
+	sent       []tableEntry  // entries that the table has once all pushes have arrived
+	sentLevels []float64     // admission levels last sent, by method; -1: none
+	sentRetry  []RetryPolicy // retry policies last sent, by method
 }
 
-// proxyActor is the actor of one proxy: its tables and its pushes.
+// proxyActor is the actor of one proxy. It owns the tables of the proxy and sends its pushes.
 type proxyActor struct {
 	mailbox
 	plan               *Planner
 	id                 ProxyID
-	zone               int
-	joined             bool
-	joinedAt           Seconds
-	leftAt             Seconds // 0: it is joined
-	tableBound         bool    // on this stream it was sent a whole table
-	exclusionsNotified bool    // on this stream it was notified of all exclusions
-	arcStart           uint32  // place of its arc on the ring
-	hasStart           bool
-	arcSize            int
-	assignedRate       float64   // its usage when the size of its arc was set
-	assignmentRound    int       // the assignment of all arcs after which its own were last set
-	usage              []float64 // requests a second, by method
-	usageReportedAt    []Seconds // when each was last reported
-	tables             []*proxyTable
-	dirty              bool // it is among those that may need a push in this step
-	pushWaiting        bool // something could not be sent yet
-	pushInFlight       bool // a push is not acknowledged
-	pushNonce          Nonce
-	leavesChannelAt    Seconds   // when that push has left the channel
-	messagesSentAt     []Seconds // of the messages within the time that is limited
-	pendingLines       int       // for it in this step
-	awaitsAck          bool      // this step's message to it is a push
-	admittedShares     []float64 // shares, by method
-	retryPolicies      []RetryPolicy
+	zone               int           // index of its zone
+	joined             bool          // its stream is open
+	joinedAt           Seconds       // when its last stream was opened
+	leftAt             Seconds       // when it was first seen to have left; 0: it is joined
+	tableBound         bool          // it was sent a whole table on this stream
+	exclusionsNotified bool          // it was notified of all exclusions on this stream
+	arcStart           uint32        // hash at which its arcs start on the ring
+	hasStart           bool          // arcStart was chosen
+	arcSize            int           // backends in each of its arcs
+	assignedRate       float64       // its usage when arcSize was set, in requests a second
+	assignmentRound    int           // round of the ring in which its arcs were last assigned
+	usage              []float64     // requests a second, by method, at the time of the last report
+	usageReportedAt    []Seconds     // time of the last report, by method
+	tables             []*proxyTable // at most two, see addTables
+	dirty              bool          // it is in dirtyProxies
+	pushWaiting        bool          // it has unsent changes
+	pushInFlight       bool          // a push is not acknowledged yet
+	pushNonce          Nonce         // of that push
+	leavesChannelAt    Seconds       // when that push has presumably left the channel
+	messagesSentAt     []Seconds     // times of the recent messages that count for the message limit
+	pendingLines       int           // lines that are queued for it in this step
+	awaitsAck          bool          // this step's message to it is a push, whose acknowledgement is awaited
+	admittedShares     []float64     // by method
+	retryPolicies      []RetryPolicy // by method
 }
 
-// proxy returns the actor of a proxy, a new one if it is not known yet.
+// proxy returns the actor of a proxy, and creates it if the proxy is not known yet.
 func (plan *Planner) proxy(id ProxyID) *proxyActor {
 	at, known := slices.BinarySearchFunc(plan.proxies, id, func(proxy *proxyActor, id ProxyID) int { return int(proxy.id - id) })
 	if known {
@@ -72,7 +72,7 @@
 	return proxy
 }
 
-// addTables adds a table for the methods that may leave the zone, and one for those that must not.
+// addTables adds a table for the methods whose requests may leave the proxy's zone, and one for those whose requests must not.
 func (p *proxyActor) addTables() {
 	var anyZone, ownZone uint64
 	for method, settings := range p.plan.settings.Methods {
@@ -96,7 +96,7 @@
 	}
 }
 
-// handle takes what concerns one proxy.
+// handle processes a message about the proxy.
 func (p *proxyActor) handle(msg message) {
 	switch msg := msg.(type) {
 	case ProxyJoined:
@@ -126,7 +126,7 @@
 	}
 }
 
-// join begins a stream: a push on the last one is void, and no table of ours is bound.
+// join begins a stream. A push on the last stream no longer counts, and no table of this coordinator is bound yet.
 func (p *proxyActor) join(msg ProxyJoined) {
 	plan := p.plan
 	p.joined, p.tableBound, p.pushInFlight, p.pendingLines, p.messagesSentAt = true, false, false, 0, nil
@@ -143,8 +143,8 @@
 	plan.markDirty(p)
 }
 
-// recordUsage averages the usage of a method. A proxy with no requests sends no report, so the average decays
-// with the time since the last one.
+// recordUsage adds a report to the decaying average of a method's usage. A proxy without requests sends no reports, so the average
+// decays with the time since the last one.
 func (p *proxyActor) recordUsage(report UsageReport) {
 	method, now := report.Method, p.plan.now
 	decayed := p.usage[method] * math.Exp(-(now-p.usageReportedAt[method])/usageWindow)
@@ -152,7 +152,8 @@
 	p.usageReportedAt[method] = now
 }
 
-// releaseIfExpired clears the tables of a proxy that left long ago. It reports whether the proxy may be forgotten.
+// releaseIfExpired clears the tables of a proxy that left more than BackendRetention ago. It reports whether the proxy's state may
+// be deleted.
 func (p *proxyActor) releaseIfExpired() bool {
 	if p.joined {
 		p.leftAt = 0
@@ -171,29 +172,29 @@
 // usageRate is the proxy's usage in requests a second.
 func (p *proxyActor) usageRate() float64 { return sum(p.usage) }
 
-// references tells whether a table of the proxy holds, or is to hold, a backend.
+// references reports whether a table of the proxy has, or should have, an entry for a backend.
 func (p *proxyActor) references(i int) bool {
-	same := func(entry tableEntry) bool { return entry.backend == i }
+	isBackend := func(entry tableEntry) bool { return entry.backend == i }
 	return slices.ContainsFunc(p.tables, func(table *proxyTable) bool {
-		return slices.ContainsFunc(table.sent, same) || slices.ContainsFunc(table.desired, same)
+		return slices.ContainsFunc(table.sent, isBackend) || slices.ContainsFunc(table.desired, isBackend)
 	})
 }
 
-// maxSentWeight is the largest weight that a table of the proxy gives a backend.
-func (p *proxyActor) maxSentWeight(i int) (heaviest float64) {
+// maxSentWeight returns the largest weight of a backend in the tables as sent, 0 if none has it.
+func (p *proxyActor) maxSentWeight(i int) (maxWeight float64) {
 	for _, table := range p.tables {
 		for _, entry := range table.sent {
 			if entry.backend == i {
-				heaviest = max(heaviest, entry.weight)
+				maxWeight = max(maxWeight, entry.weight)
 			}
 		}
 	}
-	return heaviest
+	return maxWeight
 }
 
-// mayUse tells whether a proxy may send requests to a backend, as far as it was notified: its table holds the backend, or it uses
-// a table of an earlier stream and knows of all exclusions so far. A proxy that waits for its first table, or for the list of
-// exclusions, learns of a new exclusion by that.
+// mayUse reports whether a proxy must be told if a backend is excluded or restored: its table has the backend, or it was notified of
+// all exclusions and may use a table of an earlier stream. A proxy that still waits for its first table, or for the list of
+// exclusions, learns of a new exclusion from these.
 func (p *proxyActor) mayUse(i int) bool {
 	if p.tableBound && p.maxSentWeight(i) > 0 {
 		return true
@@ -201,12 +202,13 @@
 	return p.exclusionsNotified && (!p.tableBound || p.lacksTable())
 }
 
-// lacksTable tells whether some methods have no table of ours yet, so that one of an earlier stream may be in use.
+// lacksTable reports whether some methods have no table from this coordinator yet, so that a table of an earlier stream may be in
+// use for them.
 func (p *proxyActor) lacksTable() bool {
 	return slices.ContainsFunc(p.tables, func(table *proxyTable) bool { return len(table.sent) == 0 })
 }
 
-// maxPushLines is the most lines that a push of the proxy's tables has.
+// maxPushLines returns an upper bound on the lines of a push of the proxy's tables.
 func (p *proxyActor) maxPushLines() (lines int) {
 	for _, table := range p.tables {
 		lines += len(table.desired) + len(table.sent) + len(p.usage) + 1
@@ -214,10 +216,10 @@
 	return lines
 }
 
-// covers tells whether a table is for a method.
+// covers reports whether a table is for a method.
 func (t *proxyTable) covers(method int) bool { return t.methods>>method&1 == 1 }
 
-// tableOutdated tells whether a table is not as it should be. One without a backend to use stays as it is.
+// tableOutdated reports whether a table has to be changed. A table that would become empty is left as it is.
 func (p *proxyActor) tableOutdated(table *proxyTable) bool {
 	if len(table.desired) == 0 {
 		return false
@@ -230,7 +232,7 @@
 	return !slices.Equal(table.desired, table.sent)
 }
 
-// admissionOutdated tells whether what a table was sent of a method's admission is outdated.
+// admissionOutdated reports whether the admission level or retry policy last sent for a method of a table is outdated.
 func (p *proxyActor) admissionOutdated(table *proxyTable, method int) bool {
 	if !table.covers(method) {
 		return false
@@ -238,7 +240,7 @@
 	return table.sentLevels[method] != p.admissionLevel(method) || table.sentRetry[method] != p.retryPolicies[method]
 }
 
-// sendDelta commands what brings a table to what it should hold.
+// sendDelta adds the commands that change a table to its desired entries, admission levels and retry policies.
 func (p *proxyActor) sendDelta(table *proxyTable) {
 	if len(table.desired) == 0 {
 		return
@@ -263,20 +265,20 @@
 	}
 }
 
-// tableDelta returns the entries that turn one table into another; weight 0 removes an entry.
+// tableDelta returns the entries to set for the change from one table to another. An entry of weight 0 removes a backend.
 func tableDelta(from, to []tableEntry) (delta []tableEntry) {
-	old := map[int]float64{}
+	oldWeights := map[int]float64{}
 	for _, entry := range from {
-		old[entry.backend] = entry.weight
+		oldWeights[entry.backend] = entry.weight
 	}
 	for _, entry := range to {
-		if old[entry.backend] != entry.weight {
+		if oldWeights[entry.backend] != entry.weight {
 			delta = append(delta, entry)
 		}
-		delete(old, entry.backend)
+		delete(oldWeights, entry.backend)
 	}
 	for _, entry := range from {
-		if _, removed := old[entry.backend]; removed {
+		if _, removed := oldWeights[entry.backend]; removed {
 			delta = append(delta, tableEntry{backend: entry.backend})
 		}
 	}
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -5,10 +5,10 @@
 	"math"
 )
 
-// defaultMethods is the number of methods where the settings leave it out.
+// defaultMethods is the number of methods if the settings don't give it.
 const defaultMethods = 1
 
-// Number is a numeric setting that a settings file may leave out. Times are in seconds.
+// Number is a numeric setting that a settings file may omit. Times are in seconds.
 type Number struct {
 	value float64
 	set   bool
@@ -17,7 +17,7 @@
 // NumberOf returns a number that is set.
 func NumberOf(value float64) Number { return Number{value, true} }
 
-// Or returns the number, or def where the settings leave it out.
+// Or returns the number, or def if the settings omit it.
 func (n Number) Or(def float64) float64 {
 	if n.set {
 		return n.value
@@ -28,56 +28,56 @@
 // MethodSettings are the settings of one method.
 type MethodSettings struct {
 	Name         string
-	Effect       string // "idempotent", "tokened" (idempotent with a key) or "non-idempotent"
-	Group        string // which processes recognize a token: "all" of them, or fewer
-	MostTries    string // the limit on retries: "once", "proven" or none
+	Effect       string // "idempotent", "tokened" (idempotent thanks to an idempotency key) or "non-idempotent"
+	Group        string // which backends share their store of idempotency keys ("tokens"): "all", "zone" or "cell"
+	MostTries    string // limit on retries: "once" (none), "proven" (only of attempts that were not processed) or "free" (no limit)
 	OwnZone      bool   // requests must stay in the proxy's zone
-	Criticality  Number // requests of the lowest one are shed first
+	Criticality  Number // requests of the methods with the lowest are shed first
 	SoftDeadline Number
 	Deadline     Number
-	Window       Number // how long a token is remembered
+	Window       Number // time for which a token is remembered
 }
 
-// Settings are the site's settings, decoded from the flat form in which the adapters hand them over. What the flat form has
-// beyond these fields is passed over.
+// Settings are a site's settings, decoded from the flat form in which the adapters pass them. Other values of the flat form are
+// ignored.
 type Settings struct {
 	AskWithin         Number // longest time between two polls of the endpoint list
-	BareLimit         Number // longest time that a proxy may be without a backend
-	ChannelPace       Number // lines a second
-	ChannelRoom       Number // lines that may wait in the channel
-	ColdShare         Number // capacity of a cold backend, as a share of a warm one's
+	BareLimit         Number // longest time that a proxy may be without a table entry while an open warm backend is listed
+	ChannelPace       Number // lines a second that leave the channel
+	ChannelRoom       Number // limit on the lines that wait in the channel
+	ColdShare         Number // capacity of a cold backend, as a share of its capacity when warm
 	Coordinators      Number
-	CrossingPrice     Number // of a request that leaves its zone
-	DrainGrace        Number // after which nothing may reach a draining or gone backend
-	FallMultiple      Number // of its capacity, what pushes a cold backend over
-	FallWindow        Number
+	CrossingPrice     Number   // price of a request that leaves its zone
+	DrainGrace        Number   // time after which no request may be sent to a draining or gone backend
+	FallMultiple      Number   // a cold backend collapses under a load above this multiple of its capacity at that time
+	FallWindow        Number   // for this long
 	FeedbackColumns   []string // names of the columns of a load report
 	FeedbackSource    string
 	Intake            Number // lines of reports a second that the module takes
-	LevelKind         string // unit of admission levels: "share", "rate" or "none"
-	Listing           string // "asked" where the endpoint list has to be polled
-	MessageLines      Number // lines that a message costs beside its own
-	Messages          Number // limit on messages to a proxy; 0: none
-	MessagesSpan      Number // within which they are counted
+	LevelKind         string // unit of admission levels: "share", "rate" (requests a second) or "none" (not applied)
+	Listing           string // "asked": the endpoint list has to be polled; "pushed": updates are sent without a poll
+	MessageLines      Number // lines of a message in addition to its own, for its header
+	Messages          Number // limit on the messages to a proxy within MessagesSpan; 0: none
+	MessagesSpan      Number // time over which messages are counted for the limit
 	Methods           []MethodSettings
-	OnlyDrainingBinds bool // a backend dropped from the list without draining is not bound by the grace
-	Pick              string
-	Probes            bool
-	Proxies           Number
+	OnlyDrainingBinds bool   // DrainGrace does not apply to a backend that is dropped from the list without draining
+	Pick              string // how proxies pick a backend: "lottery" or "even" (by weight) or "pair" (less busy of two)
+	Probes            bool   // backends can be probed
+	Proxies           Number // in all, at all coordinators
 	PushTime          Number // usual time from a push to its acknowledgement
-	PushTimeWorst     Number
-	ReportPeriod      Number
+	PushTimeWorst     Number // longest such time
+	ReportPeriod      Number // time between two reports of a proxy
 	Self              Number // number of this coordinator
-	Slices            Number
-	Strikes           Number // failures in a row after which a proxy avoids a backend for a while
+	Slices            Number // number of slices; 0: the site has none
+	Strikes           Number // failures in a row after which a proxy avoids a backend for some seconds; 0: never
 	Tick              Number // shortest time between two steps
-	TryWait           Number // time after which an attempt counts as failed
-	WarmAfter         Number
-	Zone              string
+	TryWait           Number // timeout of an attempt that may be retried, as a share of the soft deadline
+	WarmAfter         Number // time from the start of a backend until it is warm
+	Zone              string // of this coordinator
 	Zones             []string
 }
 
-// flatSettings reads single values of the flat form. A value of another type than expected counts as absent.
+// flatSettings reads single values of the flat form. A value of an unexpected type counts as absent.
 type flatSettings map[string]any
 
 func (f flatSettings) number(name string) Number {
@@ -103,8 +103,8 @@
 	return all
 }
 
-// zones reads the zones up to the first that is missing: the simulator's settings have their number under another name. Where
-// there is but one place, its name may be empty.
+// zones reads the zones up to the first that is missing, because the simulator's settings have their number under another name. The
+// name of a sole zone may be empty.
 func (f flatSettings) zones() (all []string) {
 	for i := 0; ; i++ {
 		zone, ok := f[fmt.Sprintf("zones.%d", i)].(string)
@@ -130,7 +130,7 @@
 	}
 }
 
-// DecodeSettings decodes the flat form: names to numbers (float64, times in seconds), flags and words.
+// DecodeSettings decodes the flat form, a map from names to numbers (float64, times in seconds), flags (bool) and texts (string).
 func DecodeSettings(values map[string]any) Settings {
 	flat := flatSettings(values)
 	settings := Settings{
@@ -174,7 +174,7 @@
 	return settings
 }
 
-// Values of settings that a site's file leaves out.
+// Default values of the settings that a site's file may omit.
 const (
 	defaultAskWithin     = 10
 	defaultChannelPace   = 1e4
@@ -193,7 +193,7 @@
 	defaultWarmAfter     = 10
 )
 
-// planSettings are the settings that the module goes by, with the defaults for those that are left out.
+// planSettings are the settings that decisions depend on, with defaults in place of omitted ones. See Settings for their meaning.
 type planSettings struct {
 	AskWithin         float64
 	ChannelPace       float64
--- a/choice/types.go
+++ b/choice/types.go
@@ -1,135 +1,135 @@
 package choice
 
-// The interface of the module: identifiers, settings, events and commands. No decision is taken here.
+// This file has the interface of the module: identifiers, configuration, events and commands.
 
 type (
-	// BackendID identifies a backend, a process that serves requests. It is the same at every coordinator.
+	// BackendID identifies a backend, a process that serves requests. All coordinators use the same ids.
 	BackendID uint32
-	// ProxyID is the number of a proxy.
+	// ProxyID identifies a proxy.
 	ProxyID int
-	// TableID is the number of a table.
+	// TableID identifies a table of a proxy.
 	TableID int
-	// MethodID is a method, by its place in the settings.
+	// MethodID is the index of a method in the settings.
 	MethodID int
-	// SliceID is a range of keys.
+	// SliceID identifies a slice, a range of keys.
 	SliceID int
-	// PeerID is another coordinator.
+	// PeerID identifies another coordinator.
 	PeerID int
-	// Nonce is what a proxy acknowledges.
+	// Nonce identifies the messages of a step. A proxy acknowledges a push with it.
 	Nonce int
 	// TimerID identifies a timer.
 	TimerID int64
 	// Zone is the name of a data centre.
 	Zone string
-	// Seconds is a time or a duration. Times count from the same moment for all that is handed to an instance.
+	// Seconds is a time or a duration. All times that an instance is given count from the same moment.
 	Seconds = float64
 )
 
-// NonceSpace is the number of nonces; after the last one follows 0.
+// NonceSpace is the number of nonces. After the highest, NonceSpace-1, they start again at 0.
 const NonceSpace = 65536
 
-// Config is what an instance reads once, at its start.
+// Config is the configuration of an instance.
 type Config struct {
-	Seed     uint64 // of its random numbers
-	Now      Seconds
+	Seed     uint64  // of the random numbers
+	Now      Seconds // the time of the start
 	Settings Settings
 }
 
-// BackendState is what the endpoint list says of a backend.
+// BackendState is the state of a backend according to the endpoint list.
 type BackendState int
 
 // The states of a backend.
 const (
 	BackendGone     BackendState = iota // not listed, or listed as gone
-	BackendOpen                         // it takes requests
-	BackendDraining                     // it must get no new requests
+	BackendOpen                         // takes requests
+	BackendDraining                     // must get no new requests
 )
 
-// UpdateKind tells what an endpoint update holds.
+// UpdateKind is the kind of an endpoint update.
 type UpdateKind int
 
 // The kinds of endpoint updates.
 const (
-	UpdateDelta  UpdateKind = iota // what changed
+	UpdateDelta  UpdateKind = iota // the changed endpoints
 	UpdateFull                     // the whole list
-	UpdateCached                   // the whole list as it was last known before the start
-	UpdateFailed                   // nothing: a poll failed
+	UpdateCached                   // the whole list as stored before the start, possibly outdated
+	UpdateFailed                   // no endpoints: a poll failed
 )
 
-// RetryPolicy tells when a proxy retries a request, and how often.
+// RetryPolicy says when and how often a proxy retries a request.
 type RetryPolicy int
 
 // The retry policies.
 const (
 	RetryNever         RetryPolicy = iota
-	RetryIfUnprocessed             // once, after proof that the first attempt was not processed
-	RetryOnce                      // once, after any failure
-	RetryTwice                     // twice, after any failure
+	RetryIfUnprocessed             // one retry, after proof that the first attempt was not processed
+	RetryOnce                      // one retry, after any failure
+	RetryTwice                     // two retries, after any failure
 )
 
 // Endpoint is a backend's entry in the endpoint list.
 type Endpoint struct {
 	Backend   BackendID
-	Kind      string // of machine
+	Kind      string // kind of machine that it runs on
 	State     BackendState
-	StartedAt Seconds // 0: long ago
+	StartedAt Seconds // start of its process; 0: long ago
 	Zone      Zone
-	Weight    float64
-	Cell      int // group of backends that may fail together
+	Weight    float64 // relative capacity
+	Cell      int     // group of backends that may fail together
 }
 
 // Event is one of the types below.
 type Event any
 
 type (
-	// EndpointUpdate is a change of the endpoint list, or the whole list.
+	// EndpointUpdate is a change of the endpoint list, the whole list or the failure of a poll.
 	EndpointUpdate struct {
 		Kind      UpdateKind
 		Version   int64
 		Endpoints []Endpoint
 	}
-	// ProxyJoined tells that a proxy opened its stream.
+	// ProxyJoined reports that a proxy opened its stream.
 	ProxyJoined struct {
 		Proxy ProxyID
 		Zone  Zone
-		Rate  float64 // requests a second that it usually gets
-		Fresh bool    // it has no tables of an earlier stream
+		Rate  float64 // requests a second that the proxy usually gets
+		Fresh bool    // the proxy has no tables of an earlier stream
 	}
-	// ProxyLeft tells that the stream to a proxy ended.
+	// ProxyLeft reports that the stream of a proxy ended.
 	ProxyLeft struct{ Proxy ProxyID }
-	// PushAcknowledged tells that a proxy applied the push with this nonce and all before it.
+	// PushAcknowledged reports that a proxy applied the push with this nonce and all earlier ones.
 	PushAcknowledged struct {
 		Proxy ProxyID
 		Nonce Nonce
-		Delay Seconds // from the push to its application
+		Delay Seconds // from the push to its application by the proxy
 	}
 	// AttemptReport sums up the attempts of a zone's proxies at a backend.
 	AttemptReport struct {
 		Backend     BackendID
-		Zone        Zone
+		Zone        Zone // of the proxies
 		Attempts    int
-		Failures    int     // of them
-		MeanLatency Seconds // of the successes
-		Span        Seconds // that the report covers
-		Load        []float64
+		Failures    int       // of the attempts
+		MeanLatency Seconds   // of the successes
+		Span        Seconds   // that the report covers
+		Load        []float64 // as reported by the backend, in the order of Settings.FeedbackColumns
 	}
-	// UsageReport is what arrived at a proxy of one method.
+	// UsageReport counts the RPCs of one method that arrived at a proxy.
 	UsageReport struct {
 		Proxy    ProxyID
 		Method   MethodID
 		RPCs     int
 		Failures int
-		Span     Seconds
+		Span     Seconds // that the report covers
 	}
-	// SliceReport is what arrived for a slice of one method.
+	// SliceReport counts the RPCs of one method that arrived for a slice.
 	SliceReport struct {
 		Slice    SliceID
 		Method   MethodID
 		RPCs     int
 		Failures int
-		Span     Seconds
+		Span     Seconds // that the report covers
 	}
-	// SliceOwnership tells that this instance became, or ceased to be, the owner of a slice.
+	// SliceOwnership reports that this instance became the owner of a slice, or no longer is.
 	SliceOwnership struct {
 		Slice SliceID
 		Owned bool
@@ -140,17 +140,17 @@
 		Backend BackendID
 		Weight  float64
 	}
-	// TimerFired tells that the time of a timer has come.
+	// TimerFired reports that the time of a timer, set by SetTimer, has come.
 	TimerFired struct{ Timer TimerID }
 	// ProbeResult is the result of a health check.
 	ProbeResult struct {
 		Backend BackendID
 		OK      bool
-		Busy    bool // it answered that it has no room for health checks
+		Busy    bool // the backend answered that it has no capacity for health checks
 		Latency Seconds
-		Load    []float64
+		Load    []float64 // as in AttemptReport
 	}
-	// PeerMessage is a message of another coordinator.
+	// PeerMessage is a message from another coordinator.
 	PeerMessage struct {
 		From PeerID
 		Data []byte
@@ -161,7 +161,7 @@
 type Command any
 
 type (
-	// SetTableEntry sets an entry of a table; weight 0 removes it.
+	// SetTableEntry sets the weight of a backend in a table. Weight 0 removes the backend.
 	SetTableEntry struct {
 		Table   TableID
 		Backend BackendID
@@ -169,45 +169,45 @@
 	}
 	// ClearTable removes all entries and admission levels of a table.
 	ClearTable struct{ Table TableID }
-	// BindTable sends a whole table to a proxy for some methods (bits; 0: all), which follows it from then on.
+	// BindTable sends a whole table to a proxy for some methods. From then on the proxy is sent the changes of that table.
 	BindTable struct {
 		Proxy   ProxyID
 		Table   TableID
-		Methods uint64
+		Methods uint64 // bit set; 0: all methods
 	}
-	// SetExclusion excludes a backend from all tables, or restores it.
+	// SetExclusion excludes a backend from all tables, or withdraws the exclusion.
 	SetExclusion struct {
 		Backend  BackendID
 		Excluded bool
 	}
-	// NotifyExclusions notifies a proxy of all exclusions: it may use a table of an earlier stream.
+	// NotifyExclusions sends all present exclusions to a proxy that may use a table of an earlier stream.
 	NotifyExclusions struct{ Proxy ProxyID }
-	// SetAdmission sets what a table admits of some methods, and their retry policy.
+	// SetAdmission sets the admission level and the retry policy of some methods in a table.
 	SetAdmission struct {
 		Table   TableID
-		Methods uint64
-		Level   float64 // a share, or requests a second, as Settings.LevelKind says
+		Methods uint64  // bit set
+		Level   float64 // a share of the requests, or requests a second, depending on Settings.LevelKind
 		Retry   RetryPolicy
 	}
-	// SetNonce gives the messages of this step a nonce; with All it also goes to proxies that have none.
+	// SetNonce gives the messages of this step a nonce. With All it is also sent to proxies that get no other message.
 	SetNonce struct {
 		Nonce Nonce
 		All   bool
 	}
-	// WatchEndpoints asks for changes of the endpoint list.
+	// WatchEndpoints starts or stops watching the endpoint list for changes.
 	WatchEndpoints struct{ On bool }
-	// FetchEndpoints asks for the whole endpoint list once.
+	// FetchEndpoints requests the whole endpoint list once.
 	FetchEndpoints struct{}
-	// ProbeBackend asks for a health check.
+	// ProbeBackend requests a health check of a backend.
 	ProbeBackend struct{ Backend BackendID }
-	// SetTimer asks for a TimerFired.
+	// SetTimer requests a TimerFired event.
 	SetTimer struct {
 		Timer TimerID
 		At    Seconds
 	}
-	// SendToPeer sends a message to another coordinator, or to all (-1).
+	// SendToPeer sends a message to another coordinator.
 	SendToPeer struct {
-		To   PeerID
+		To   PeerID // -1: all other coordinators
 		Data []byte
 	}
 	// LogMessage adds a line to the log.
