--- a/choice/admission.go
+++ b/choice/admission.go
@@ -25,11 +25,11 @@
 	minAdmittedShare       = 0.05 // lower bound of a method's admitted share
 )
 
-// normalRetry returns the retry policy of a method outside of overloads. Retries after timeouts add to the overload that caused the
-// timeouts. So a retry needs proof that the first attempt was not processed, or a token that all backends surely still remember at
-// the second attempt.
-func (plan *Planner) normalRetry(method MethodSettings) RetryPolicy {
-	remembered := plan.settings.TryWait*method.SoftDeadline.Or(1) < 0.9*method.Window.Or(0)
+// normalRetry returns the retry policy of a method outside of overloads. Retries after timeouts add to the overload that caused
+// the timeouts. So a retry needs proof that the first attempt was not processed, or a token that all backends surely still
+// remember at the second attempt.
+func (planner *Planner) normalRetry(method MethodSettings) RetryPolicy {
+	remembered := planner.settings.TryWait*method.SoftDeadline.Or(1) < 0.9*method.Window.Or(0)
 	deduplicated := method.Effect == "tokened" && method.Group == "all" && remembered
 	switch {
 	case method.MostTries == "once":
@@ -49,11 +49,11 @@
 	return slices.Repeat([]RetryPolicy{RetryNever}, len(a.normalRetry))
 }
 
-// evaluate measures the load of the fleet, distinguishes an overload from failures of single backends, and sets the admitted share
-// and retry policy of each method.
+// evaluate measures the load of the fleet, distinguishes an overload from failures of single backends, and sets the admitted
+// share and retry policy of each method.
 func (a *admission) evaluate() {
-	plan, load := a.plan, a.measure()
-	capacity := plan.openCapacity()
+	planner, load := a.planner, a.measure()
+	capacity := planner.openCapacity()
 	a.updateBaseline()
 	a.relativeLatency = load.weightedLatency / max(load.successRate, 1e-9)
 	a.avoidedShare = load.avoidedAttempts / load.attempts
@@ -66,58 +66,59 @@
 		return
 	}
 	a.updateLimit(load, capacity)
-	a.firstReportAt = cmp.Or(a.firstReportAt, plan.now)
+	a.firstReportAt = cmp.Or(a.firstReportAt, planner.now)
 	a.updateOverloadUnlikely(load, capacity)
 	a.admittedShares = a.shedLoad()
-	for _, proxy := range plan.proxies {
-		plan.send(proxy, admissionChanged{a.admittedShares, a.currentRetry()})
+	for _, proxy := range planner.proxies {
+		planner.send(proxy, admissionChanged{a.admittedShares, a.currentRetry()})
 	}
 }
 
 // measureBackend adds the reports on one backend to the load of the fleet. Whether the backend is overloaded is judged from the
-// zone where it does best, because a network failure between zones is no overload. A backend that rejects requests in an overload
-// has a full queue, so the requests that succeed are slow. Failures while the fleet's latency is low have another cause, against
-// which admitting fewer requests would not help; they don't count.
+// zone where it does best, because a network failure between zones is no overload. A backend that rejects requests in an
+// overload has a full queue, so the requests that succeed are slow. Failures while the fleet's latency is low have another
+// cause, against which admitting fewer requests would not help; they don't count.
 func (a *admission) measureBackend(i int, load *fleetLoad) {
-	plan, overloadRatio := a.plan, math.Inf(1) // above 1: overloaded
+	planner, overloadRatio := a.planner, math.Inf(1) // above 1: overloaded
 	failureWeight := 0.0
 	if a.relativeLatency > overloadLatencyRatio {
 		failureWeight = 1
 	}
-	for zone, attempts := range plan.attempts[i] {
-		failures := plan.failures[i][zone]
-		decay := math.Exp(-(plan.now - plan.lastReportAt[i][zone]) / healthWindow)
+	for zone, attempts := range planner.attempts[i] {
+		failures := planner.failures[i][zone]
+		decay := math.Exp(-(planner.now - planner.lastReportAt[i][zone]) / healthWindow)
 		successRate := (attempts - failures) * decay / healthWindow
-		load.weightedLatency += successRate * plan.meanLatency[i][zone] / a.shortestSoftDeadline
+		load.weightedLatency += successRate * planner.meanLatency[i][zone] / a.shortestSoftDeadline
 		load.successRate += successRate
 		if attempts < minAttempts/2 || decay <= 0.2 {
 			continue
 		}
 		load.attempts += attempts
-		load.avoidedAttempts += attempts * math.Pow(failures/attempts, plan.settings.Strikes)
+		load.avoidedAttempts += attempts * math.Pow(failures/attempts, planner.settings.Strikes)
 		byFailures := failureWeight * failures / attempts / overloadFailureShare
-		byLatency := plan.meanLatency[i][zone] / a.shortestSoftDeadline / overloadLatencyRatio
+		byLatency := planner.meanLatency[i][zone] / a.shortestSoftDeadline / overloadLatencyRatio
 		overloadRatio = min(overloadRatio, max(byFailures, byLatency))
 	}
-	if !math.IsInf(overloadRatio, 1) && plan.state[i] == BackendOpen {
+	if !math.IsInf(overloadRatio, 1) && planner.state[i] == BackendOpen {
 		load.judgedBackends++
 		load.overloadedBackends += math.Ceil(min(1, max(0, overloadRatio-1)))
 	}
 }
 
-// updateLoadFactor raises the load factor while latency is low, which saves the cost of requests that leave their zone. It rises
-// only in proportion to that cost, because a zone with more than its share of the load is the first that a burst overloads.
+// updateLoadFactor raises the load factor while latency is low, which saves the cost of requests that leave their zone. It
+// rises only in proportion to that cost, because a zone with more than its share of the load is the first that a burst
+// overloads.
 func (a *admission) updateLoadFactor() {
-	limit := min(maxLoadFactor, minLoadFactor+crossZonePriceFactor*a.plan.settings.CrossingPrice)
+	limit := min(maxLoadFactor, minLoadFactor+crossZonePriceFactor*a.planner.settings.CrossingPrice)
 	target := minLoadFactor + (limit-minLoadFactor)*min(1, max(0, 2-4*a.relativeLatency))
 	a.loadFactor += loadFactorGain * (target - a.loadFactor)
 }
 
-// updateLimit detects an overload of the fleet and sets the rate limit. In an overload it lowers the limit to most of the success
-// rate. It doesn't go below minRateLimitShare of the peak rate of such a fleet, because reports arrive late. After an overload it
-// raises the limit.
+// updateLimit detects an overload of the fleet and sets the rate limit. In an overload it lowers the limit to most of the
+// success rate. It doesn't go below minRateLimitShare of the peak rate of such a fleet, because reports arrive late. After an
+// overload it raises the limit.
 func (a *admission) updateLimit(load fleetLoad, capacity float64) {
-	now := a.plan.now
+	now := a.planner.now
 	if load.overloadedBackends >= overloadedBackendShare*load.judgedBackends {
 		a.overloaded, a.overloadedAt = true, now
 		if now >= a.limitLoweredAt+admissionWindow/2 {
@@ -133,7 +134,7 @@
 // updateOverloadUnlikely sets whether an overload that the reports don't show yet is unlikely.
 func (a *admission) updateOverloadUnlikely(load fleetLoad, capacity float64) {
 	fewOverloaded := load.overloadedBackends < overloadedBackendShare/3*load.judgedBackends
-	settled := a.plan.now > max(a.firstReportAt, a.lastDisconnectAt)+admissionWindow
+	settled := a.planner.now > max(a.firstReportAt, a.lastDisconnectAt)+admissionWindow
 	spareCapacity := sum(a.arrivalRates) < a.peakSuccessRatePerWeight*capacity
 	a.overloadUnlikely = !a.overloaded && fewOverloaded && a.relativeLatency < overloadLatencyRatio && settled && spareCapacity
 }
@@ -150,7 +151,7 @@
 	if excess < -0.1*a.rateLimit {
 		a.rateLimit = math.Inf(1)
 	}
-	if a.plan.settings.LevelKind == "none" {
+	if a.planner.settings.LevelKind == "none" {
 		return shares
 	}
 	slices.SortStableFunc(order, func(x, y int) int { return cmp.Compare(a.criticality[x], a.criticality[y]) })
--- a/choice/arcs.go
+++ b/choice/arcs.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// A load factor is a ratio: the highest load that arcs may bring a backend, divided by its proportional share of the total load.
-// Shares are proportional to effective weights.
+// A load factor is a ratio: the highest load that arcs may bring a backend, divided by its proportional share of the total
+// load. Shares are proportional to effective weights.
 const (
 	minArcSize           = 3    // backends in an arc
 	meanArcSize          = 6.0  // backends in an arc, averaged over all arcs
@@ -24,17 +24,17 @@
 )
 
 // refreshArcs brings the arcs up to date and reports whether it assigned any. All arcs are reassigned at once after a change of
-// the endpoint list or of a backend's health. A proxy that joins gets an arc that takes the load of the present arcs into account;
-// all arcs are reassigned only after a batch of joins and leaves or after a tick. Reassigning all for each join would take all the
-// time when many proxies join at once.
+// the endpoint list or of a backend's health. A proxy that joins gets an arc that takes the load of the present arcs into
+// account; all arcs are reassigned only after a batch of joins and leaves or after a tick. Reassigning all for each join would
+// take all the time when many proxies join at once.
 func (r *ring) refreshArcs() (changed bool) {
-	overdue := len(r.changedProxies) > 0 && r.plan.now >= r.assignedAt+tickInterval
+	overdue := len(r.changedProxies) > 0 && r.planner.now >= r.assignedAt+tickInterval
 	if r.dirty || overdue || float64(len(r.changedProxies)) > reassignBatchShare*float64(r.joinedProxies) {
 		r.assignAllArcs()
 		return true
 	}
 	for _, proxy := range r.changedProxies[r.handledChanges:] {
-		if proxy.joined && proxy.assignmentRound != r.assignmentRound { // equal rounds: an earlier join in the batch already got it an arc
+		if proxy.joined && proxy.assignmentRound != r.assignmentRound { // if equal, its arcs were assigned for an earlier join
 			r.assignProxyArcs(proxy)
 			changed = true
 		}
@@ -45,18 +45,18 @@
 
 // assignAllArcs reassigns the arcs of all joined proxies.
 func (r *ring) assignAllArcs() {
-	plan := r.plan
-	r.dirty, r.assignedAt, r.changedProxies, r.handledChanges, r.assignmentRound = false, plan.now, nil, 0, r.assignmentRound+1
+	planner := r.planner
+	r.dirty, r.assignedAt, r.changedProxies, r.handledChanges, r.assignmentRound = false, planner.now, nil, 0, r.assignmentRound+1
 	r.computeEffectiveWeights()
 	walks, usage, otherUsage := r.collectWalks()
 	r.totalEntries = max(1, minArcsPerBackend*float64(len(r.openBackends)), meanArcSize*float64(len(walks)))
 	r.entriesPerRequestRate = r.totalEntries / usage
-	r.requiredWarmupFactor = plan.requiredWarmupFactor(usage / r.totalEntries)
+	r.requiredWarmupFactor = planner.requiredWarmupFactor(usage / r.totalEntries)
 	assignedRate := r.prepareWalks(walks)
 	// The bound is based on the usage that the arcs were sized for. With the current usage, a burst would raise the bound and
 	// make a zone seem to have spare capacity. The bound is the same with several coordinators, because a zone that is full is
 	// full for all of them.
-	r.maxLoadPerWeight = (assignedRate + sum(otherUsage)) * plan.admission.loadFactor / r.capacity
+	r.maxLoadPerWeight = (assignedRate + sum(otherUsage)) * planner.admission.loadFactor / r.capacity
 	r.resetLoad()
 	r.spreadOtherCoordinatorsLoad(otherUsage)
 	for _, walk := range walks {
@@ -69,27 +69,28 @@
 	}
 }
 
-// computeEffectiveWeights lists the open backends in ring order and sets the effective weight of each, and their total capacity.
+// computeEffectiveWeights lists the open backends in ring order and sets the effective weight of each, and their total
+// capacity.
 func (r *ring) computeEffectiveWeights() {
-	plan := r.plan
-	r.openBackends = plan.ringOrder()
-	r.openBackendsByZone = make([][]int, len(plan.zoneIndex))
-	r.meanWeight = plan.sumOpen(plan.fullWeight) / float64(len(r.openBackends))
+	planner := r.planner
+	r.openBackends = planner.ringOrder()
+	r.openBackendsByZone = make([][]int, len(planner.zoneIndex))
+	r.meanWeight = planner.sumOpen(planner.fullWeight) / float64(len(r.openBackends))
 	// A backend in slow start gets at most the mean latency factor, because its own has had no time to fall. The rounded-down
 	// warmupFactor is 0 in slow start and 1 after it.
-	meanLatencyFactor := plan.sumOpen(func(i int) float64 { return plan.latencyFactor[i] }) / float64(len(r.openBackends))
+	meanLatencyFactor := planner.sumOpen(func(i int) float64 { return planner.latencyFactor[i] }) / float64(len(r.openBackends))
 	r.capacity = 1e-9
-	plan.effectiveWeight = make([]float64, len(plan.id))
+	planner.effectiveWeight = make([]float64, len(planner.id))
 	for _, i := range r.openBackends {
-		r.openBackendsByZone[plan.zone[i]] = append(r.openBackendsByZone[plan.zone[i]], i)
-		latencyFactor := min(plan.latencyFactor[i], meanLatencyFactor+math.Floor(plan.warmupFactor[i]))
-		plan.effectiveWeight[i] = plan.weight[i] * plan.warmupFactor[i] * latencyFactor
-		if !plan.unreachable(i) {
-			r.capacity += plan.effectiveWeight[i]
+		r.openBackendsByZone[planner.zone[i]] = append(r.openBackendsByZone[planner.zone[i]], i)
+		latencyFactor := min(planner.latencyFactor[i], meanLatencyFactor+math.Floor(planner.warmupFactor[i]))
+		planner.effectiveWeight[i] = planner.weight[i] * planner.warmupFactor[i] * latencyFactor
+		if !planner.unreachable(i) {
+			r.capacity += planner.effectiveWeight[i]
 		}
-		if plan.warmupFactor[i] < 1 {
+		if planner.warmupFactor[i] < 1 {
 			// The load factor rises to keep requests in their zone; a backend in slow start must not get that extra load.
-			plan.effectiveWeight[i] *= minLoadFactor / plan.admission.loadFactor
+			planner.effectiveWeight[i] *= minLoadFactor / planner.admission.loadFactor
 		}
 	}
 }
@@ -100,10 +101,10 @@
 	slices.SortStableFunc(walks, func(a, b *arcWalk) int {
 		return cmp.Compare(b.proxy.assignedRate, a.proxy.assignedRate)
 	})
-	if r.plan.admission.firstReportAt == 0 {
+	if r.planner.admission.firstReportAt == 0 {
 		// Before the first attempt reports the proxies are still joining one by one. All start points are chosen again, which
 		// spreads them more evenly.
-		r.plan.assignedLoad = make([]float64, len(r.plan.id))
+		r.planner.assignedLoad = make([]float64, len(r.planner.id))
 	}
 	assignedRate = 1e-9
 	for _, walk := range walks {
@@ -123,15 +124,15 @@
 	size := float64(walk.proxy.resizeArc(r.entriesPerRequestRate, len(r.openBackends)))
 	walk.weightLeft, walk.backendsLeft = size*r.meanWeight, min(size, minArcSize)
 	walk.loadPerWeight = walk.proxy.assignedRate / size / r.meanWeight
-	if walk.proxy.hasStart && r.plan.admission.firstReportAt != 0 || len(r.openBackends) == 0 {
+	if walk.proxy.hasStart && r.planner.admission.firstReportAt != 0 || len(r.openBackends) == 0 {
 		return false
 	}
 	r.chooseStart(walk.proxy)
 	return true
 }
 
-// resizeArc sets the size of a proxy's arcs in proportion to its usage, and returns it. Changes by less than minArcSizeChange are
-// ignored, unless there are fewer backends than the arc has.
+// resizeArc sets the size of a proxy's arcs in proportion to its usage, and returns it. Changes by less than minArcSizeChange
+// are ignored, unless there are fewer backends than the arc has.
 func (p *proxyActor) resizeArc(entriesPerRequestRate float64, backends int) int {
 	size := min(max(minArcSize, int(math.Round(p.usageRate()*entriesPerRequestRate))), backends)
 	changed := size-p.arcSize >= minArcSizeChange || p.arcSize-size >= minArcSizeChange
@@ -145,9 +146,9 @@
 // arc changes only with its own usage or with the backends on the arc.
 func (r *ring) chooseStart(proxy *proxyActor) {
 	least := slices.MinFunc(r.startCandidates(proxy.zone), func(a, b int) int {
-		return cmp.Compare(r.plan.relativeLoad(a), r.plan.relativeLoad(b))
+		return cmp.Compare(r.planner.relativeLoad(a), r.planner.relativeLoad(b))
 	})
-	proxy.arcStart, proxy.hasStart = r.plan.ringHash[least], true
+	proxy.arcStart, proxy.hasStart = r.planner.ringHash[least], true
 }
 
 // assignArc chooses the backends of one arc.
@@ -162,38 +163,38 @@
 	// start are tried first.
 	for _, minWarmupFactor := range []float64{1, 0} {
 		if !walk.hasUsableBackend {
-			r.takeBackends(walk, math.Inf(1), func(i, _ int) bool { return r.plan.warmupFactor[i] >= minWarmupFactor })
+			r.takeBackends(walk, math.Inf(1), func(i, _ int) bool { return r.planner.warmupFactor[i] >= minWarmupFactor })
 		}
 	}
 }
 
-// takeBackends follows the ring and adds backends until the arc is full. As in consistent hashing with bounded loads, it skips a
-// backend whose load would exceed maxLoadPerWeight times its effective weight; it also skips those that acceptable rejects. A
+// takeBackends follows the ring and adds backends until the arc is full. As in consistent hashing with bounded loads, it skips
+// a backend whose load would exceed maxLoadPerWeight times its effective weight; it also skips those that acceptable rejects. A
 // backend in slow start counts by its warm-up factor only, so that the arc has enough other capacity beside it.
 func (r *ring) takeBackends(walk *arcWalk, maxLoadPerWeight float64, acceptable func(i, zone int) bool) {
-	plan := r.plan
+	planner := r.planner
 	for i := range r.candidates(walk) {
-		weight := plan.warmupFactor[i] * plan.weight[i]
+		weight := planner.warmupFactor[i] * planner.weight[i]
 		if walk.weightLeft < weight/2 && walk.backendsLeft < 0.5 {
 			return
 		}
-		load := r.otherCoordinatorsLoad[i] + plan.assignedLoad[i] + walk.loadPerWeight*weight
-		if r.lastWalk[i] == walk || !(load <= maxLoadPerWeight*plan.effectiveWeight[i]) || !acceptable(i, walk.proxy.zone) {
+		load := r.otherCoordinatorsLoad[i] + planner.assignedLoad[i] + walk.loadPerWeight*weight
+		if r.lastWalk[i] == walk || !(load <= maxLoadPerWeight*planner.effectiveWeight[i]) || !acceptable(i, walk.proxy.zone) {
 			continue
 		}
 		r.lastWalk[i], walk.arc = walk, append(walk.arc, i)
-		plan.assignedLoad[i] += walk.loadPerWeight * weight
-		plan.arcCount[i]++
-		if !plan.excluded[i] {
+		planner.assignedLoad[i] += walk.loadPerWeight * weight
+		planner.arcCount[i]++
+		if !planner.excluded[i] {
 			walk.hasUsableBackend = true
 			walk.weightLeft -= weight
-			walk.backendsLeft -= plan.warmupFactor[i]
+			walk.backendsLeft -= planner.warmupFactor[i]
 		}
 	}
 }
 
-// candidates yields backends in the order in which an arc takes them: clockwise from its start point, first those of the proxy's
-// zone, then the others unless the table is limited to the zone.
+// candidates yields backends in the order in which an arc takes them: clockwise from its start point, first those of the
+// proxy's zone, then the others unless the table is limited to the zone.
 func (r *ring) candidates(walk *arcWalk) iter.Seq[int] {
 	return func(yield func(int) bool) {
 		start, zone := walk.proxy.arcStart, walk.proxy.zone
@@ -206,7 +207,7 @@
 			return
 		}
 		for i := range r.clockwise(r.openBackends, start) {
-			if r.plan.zone[i] != zone && !yield(i) {
+			if r.planner.zone[i] != zone && !yield(i) {
 				return
 			}
 		}
@@ -215,23 +216,23 @@
 
 // eligible reports whether arcs of a zone may include a backend: it is not ejected there, reachable and warmed up far enough.
 func (r *ring) eligible(i, zone int) bool {
-	plan := r.plan
-	healthy := plan.ejectedUntil[i][zone] <= plan.now && !plan.unreachable(i)
-	return healthy && plan.warmupFactor[i] >= min(r.requiredWarmupFactor, 1)
+	planner := r.planner
+	healthy := planner.ejectedUntil[i][zone] <= planner.now && !planner.unreachable(i)
+	return healthy && planner.warmupFactor[i] >= min(r.requiredWarmupFactor, 1)
 }
 
-// ensureMinArcs adds each backend that is in fewer than minArcsPerBackend arcs to the arcs that would reach it next on the ring.
-// It skips the zones where the proxies of other coordinators have more than half of a zone's average share of all usage.
+// ensureMinArcs adds each backend that is in fewer than minArcsPerBackend arcs to the arcs that would reach it next on the
+// ring. It skips the zones where the proxies of other coordinators have more than half of a zone's average share of all usage.
 func (r *ring) ensureMinArcs(walks []*arcWalk, otherUsageShare func(zone int) float64) {
-	plan := r.plan
+	planner := r.planner
 	for _, i := range r.openBackends {
-		if otherUsageShare(plan.zone[i]) > 1/float64(2*len(plan.zoneIndex)) {
+		if otherUsageShare(planner.zone[i]) > 1/float64(2*len(planner.zoneIndex)) {
 			continue
 		}
-		for range max(0, minArcsPerBackend-plan.arcCount[i]) {
+		for range max(0, minArcsPerBackend-planner.arcCount[i]) {
 			if walk := r.nearestWalk(walks, i); walk != nil {
 				walk.arc = append(walk.arc, i)
-				plan.arcCount[i]++
+				planner.arcCount[i]++
 			}
 		}
 	}
--- a/choice/backends.go
+++ b/choice/backends.go
@@ -41,25 +41,25 @@
 // backendActor is the actor of one backend.
 type backendActor struct {
 	mailbox
-	plan  *Planner
-	index int
+	planner *Planner
+	index   int
 }
 
 // handle processes a message about the backend.
 func (b *backendActor) handle(msg message) {
-	plan, i := b.plan, b.index
+	planner, i := b.planner, b.index
 	switch msg := msg.(type) {
 	case Endpoint:
 		b.applyEndpoint(msg)
 	case AttemptReport:
-		plan.recordAttempts(i, msg)
+		planner.recordAttempts(i, msg)
 		b.applyReport(msg)
 	case ProbeResult:
 		b.applyProbe(msg)
 	case tickElapsed:
-		if warmupFactor := b.currentWarmupFactor(); warmupFactor != plan.warmupFactor[i] {
-			plan.warmupFactor[i] = warmupFactor
-			plan.send(plan.ring, reassignArcs{})
+		if warmupFactor := b.currentWarmupFactor(); warmupFactor != planner.warmupFactor[i] {
+			planner.warmupFactor[i] = warmupFactor
+			planner.send(planner.ring, reassignArcs{})
 		}
 		b.endEjections()
 		b.adjustLatencyFactor()
@@ -69,172 +69,175 @@
 
 // applyUpdate sends each entry of an endpoint update to the actor of its backend. Backends that a full list no longer has are
 // reported to their actors as gone.
-func (plan *Planner) applyUpdate(update EndpointUpdate) {
+func (planner *Planner) applyUpdate(update EndpointUpdate) {
 	listed := map[int]bool{}
 	for _, endpoint := range update.Endpoints {
-		i := plan.slot(endpoint.Backend)
+		i := planner.slot(endpoint.Backend)
 		listed[i] = true
-		plan.send(plan.backends[i], endpoint)
+		planner.send(planner.backends[i], endpoint)
 	}
-	for i, backend := range plan.backends {
-		if update.Kind != UpdateDelta && !listed[i] && plan.state[i] != BackendGone {
-			plan.send(backend, Endpoint{Backend: plan.id[i], State: BackendGone, StartedAt: plan.startedAt[i]})
+	for i, backend := range planner.backends {
+		if update.Kind != UpdateDelta && !listed[i] && planner.state[i] != BackendGone {
+			planner.send(backend, Endpoint{Backend: planner.id[i], State: BackendGone, StartedAt: planner.startedAt[i]})
 		}
 	}
 }
 
 // slot returns the index of a backend, and assigns a free one if the backend is not known yet.
-func (plan *Planner) slot(backend BackendID) int {
-	i, known := plan.indexOf[backend]
+func (planner *Planner) slot(backend BackendID) int {
+	i, known := planner.indexOf[backend]
 	if known {
 		return i
 	}
-	if last := len(plan.freeSlots) - 1; last >= 0 {
-		i, plan.freeSlots = plan.freeSlots[last], plan.freeSlots[:last]
+	if last := len(planner.freeSlots) - 1; last >= 0 {
+		i, planner.freeSlots = planner.freeSlots[last], planner.freeSlots[:last]
 	} else {
-		i = len(plan.id)
-		plan.addSlot()
+		i = len(planner.id)
+		planner.addSlot()
 	}
-	plan.resetSlot(i, backend)
+	planner.resetSlot(i, backend)
 	return i
 }
 
 // addSlot adds an index to all slices.
-func (plan *Planner) addSlot() {
-	plan.backends = append(plan.backends, &backendActor{plan: plan, index: len(plan.id)})
-	plan.id = append(plan.id, 0)
-	plan.zone = append(plan.zone, 0)
-	plan.weight = append(plan.weight, 0)
-	plan.state = append(plan.state, BackendGone)
-	plan.startedAt = append(plan.startedAt, 0)
-	plan.firstListed = append(plan.firstListed, 0)
-	plan.ringHash = append(plan.ringHash, 0)
-	plan.warmupFactor = append(plan.warmupFactor, 0)
-	plan.latencyFactor = append(plan.latencyFactor, 0)
-	plan.latencyFactorUpdatedAt = append(plan.latencyFactorUpdatedAt, 0)
-	plan.effectiveWeight = append(plan.effectiveWeight, 0)
-	plan.assignedLoad = append(plan.assignedLoad, 0)
-	plan.expectedLoad = append(plan.expectedLoad, 0)
-	plan.arcCount = append(plan.arcCount, 0)
-	plan.excluded = append(plan.excluded, false)
-	plan.exclusionDueSince = append(plan.exclusionDueSince, 0)
-	plan.attempts = append(plan.attempts, nil)
-	plan.failures = append(plan.failures, nil)
-	plan.meanLatency = append(plan.meanLatency, nil)
-	plan.lastReportAt = append(plan.lastReportAt, nil)
-	plan.ejectedUntil = append(plan.ejectedUntil, nil)
-	plan.consecutiveEjections = append(plan.consecutiveEjections, nil)
-	plan.lastSuccessAt = append(plan.lastSuccessAt, 0)
-	plan.failedProbes = append(plan.failedProbes, 0)
-	plan.nextProbeAt = append(plan.nextProbeAt, 0)
-	plan.returnedAt = append(plan.returnedAt, 0)
-	plan.goneSince = append(plan.goneSince, 0)
-	plan.growZones(len(plan.id) - 1)
+func (planner *Planner) addSlot() {
+	planner.backends = append(planner.backends, &backendActor{planner: planner, index: len(planner.id)})
+	planner.id = append(planner.id, 0)
+	planner.zone = append(planner.zone, 0)
+	planner.weight = append(planner.weight, 0)
+	planner.state = append(planner.state, BackendGone)
+	planner.startedAt = append(planner.startedAt, 0)
+	planner.firstListed = append(planner.firstListed, 0)
+	planner.ringHash = append(planner.ringHash, 0)
+	planner.warmupFactor = append(planner.warmupFactor, 0)
+	planner.latencyFactor = append(planner.latencyFactor, 0)
+	planner.latencyFactorUpdatedAt = append(planner.latencyFactorUpdatedAt, 0)
+	planner.effectiveWeight = append(planner.effectiveWeight, 0)
+	planner.assignedLoad = append(planner.assignedLoad, 0)
+	planner.expectedLoad = append(planner.expectedLoad, 0)
+	planner.arcCount = append(planner.arcCount, 0)
+	planner.excluded = append(planner.excluded, false)
+	planner.exclusionDueSince = append(planner.exclusionDueSince, 0)
+	planner.attempts = append(planner.attempts, nil)
+	planner.failures = append(planner.failures, nil)
+	planner.meanLatency = append(planner.meanLatency, nil)
+	planner.lastReportAt = append(planner.lastReportAt, nil)
+	planner.ejectedUntil = append(planner.ejectedUntil, nil)
+	planner.consecutiveEjections = append(planner.consecutiveEjections, nil)
+	planner.lastSuccessAt = append(planner.lastSuccessAt, 0)
+	planner.failedProbes = append(planner.failedProbes, 0)
+	planner.nextProbeAt = append(planner.nextProbeAt, 0)
+	planner.returnedAt = append(planner.returnedAt, 0)
+	planner.goneSince = append(planner.goneSince, 0)
+	planner.growZones(len(planner.id) - 1)
 }
 
 // resetSlot assigns an index to a new backend and initializes its state.
-func (plan *Planner) resetSlot(i int, id BackendID) {
-	plan.indexOf[id] = i
-	plan.id[i], plan.zone[i], plan.weight[i] = id, 0, 1
-	plan.state[i], plan.startedAt[i], plan.firstListed[i] = BackendGone, 0, plan.now
-	plan.ringHash[i] = crc32.ChecksumIEEE(binary.LittleEndian.AppendUint32(nil, uint32(id)))
-	plan.warmupFactor[i], plan.latencyFactor[i], plan.latencyFactorUpdatedAt[i] = 1, 1, 0
-	plan.assignedLoad[i], plan.expectedLoad[i], plan.arcCount[i] = 0, 0, 0
-	plan.excluded[i], plan.exclusionDueSince[i] = false, 0
-	plan.lastSuccessAt[i], plan.failedProbes[i], plan.nextProbeAt[i], plan.returnedAt[i] = 0, 0, 0, 0
-	plan.goneSince[i] = 0
-	for _, byZone := range [][][]float64{plan.attempts, plan.failures, plan.meanLatency, plan.lastReportAt, plan.ejectedUntil} {
+func (planner *Planner) resetSlot(i int, id BackendID) {
+	planner.indexOf[id] = i
+	planner.id[i], planner.zone[i], planner.weight[i] = id, 0, 1
+	planner.state[i], planner.startedAt[i], planner.firstListed[i] = BackendGone, 0, planner.now
+	planner.ringHash[i] = crc32.ChecksumIEEE(binary.LittleEndian.AppendUint32(nil, uint32(id)))
+	planner.warmupFactor[i], planner.latencyFactor[i], planner.latencyFactorUpdatedAt[i] = 1, 1, 0
+	planner.assignedLoad[i], planner.expectedLoad[i], planner.arcCount[i] = 0, 0, 0
+	planner.excluded[i], planner.exclusionDueSince[i] = false, 0
+	planner.lastSuccessAt[i], planner.failedProbes[i], planner.nextProbeAt[i], planner.returnedAt[i] = 0, 0, 0, 0
+	planner.goneSince[i] = 0
+	for _, byZone := range [][][]float64{
+		planner.attempts, planner.failures, planner.meanLatency, planner.lastReportAt, planner.ejectedUntil,
+	} {
 		clear(byZone[i])
 	}
-	clear(plan.consecutiveEjections[i])
+	clear(planner.consecutiveEjections[i])
 }
 
 // growZones extends a backend's two-dimensional slices to all known zones.
-func (plan *Planner) growZones(i int) {
-	for len(plan.attempts[i]) < len(plan.zoneIndex) {
-		plan.attempts[i], plan.failures[i] = append(plan.attempts[i], 0), append(plan.failures[i], 0)
-		plan.meanLatency[i], plan.lastReportAt[i] = append(plan.meanLatency[i], 0), append(plan.lastReportAt[i], 0)
-		plan.ejectedUntil[i], plan.consecutiveEjections[i] = append(plan.ejectedUntil[i], 0), append(plan.consecutiveEjections[i], 0)
+func (planner *Planner) growZones(i int) {
+	for len(planner.attempts[i]) < len(planner.zoneIndex) {
+		planner.attempts[i], planner.failures[i] = append(planner.attempts[i], 0), append(planner.failures[i], 0)
+		planner.meanLatency[i], planner.lastReportAt[i] = append(planner.meanLatency[i], 0), append(planner.lastReportAt[i], 0)
+		planner.ejectedUntil[i], planner.consecutiveEjections[i] =
+			append(planner.ejectedUntil[i], 0), append(planner.consecutiveEjections[i], 0)
 	}
 }
 
 // zoneOf returns the index of a zone, and assigns one if the zone is not known yet.
-func (plan *Planner) zoneOf(name Zone) int {
-	zone, known := plan.zoneIndex[name]
+func (planner *Planner) zoneOf(name Zone) int {
+	zone, known := planner.zoneIndex[name]
 	if !known {
-		zone = len(plan.zoneIndex)
-		plan.zoneIndex[name] = zone
-		for i := range plan.id {
-			plan.growZones(i)
+		zone = len(planner.zoneIndex)
+		planner.zoneIndex[name] = zone
+		for i := range planner.id {
+			planner.growZones(i)
 		}
 	}
 	return zone
 }
 
-// releaseSlots deletes the state of proxies that left and of backends that are gone, once they have been so for BackendRetention and
-// no table has the backend. Otherwise each deployment under new ids would make every step slower.
-func (plan *Planner) releaseSlots() {
-	plan.proxies = slices.DeleteFunc(plan.proxies, (*proxyActor).releaseIfExpired)
-	for i, state := range plan.state {
-		index, known := plan.indexOf[plan.id[i]]
+// releaseSlots deletes the state of proxies that left and of backends that are gone, once they have been so for
+// BackendRetention and no table has the backend. Otherwise each deployment under new ids would make every step slower.
+func (planner *Planner) releaseSlots() {
+	planner.proxies = slices.DeleteFunc(planner.proxies, (*proxyActor).releaseIfExpired)
+	for i, state := range planner.state {
+		index, known := planner.indexOf[planner.id[i]]
 		switch {
 		case state != BackendGone || !known || index != i:
-			plan.goneSince[i] = 0
-		case plan.goneSince[i] == 0:
-			plan.goneSince[i] = plan.now
-		case plan.now >= plan.goneSince[i]+BackendRetention && !plan.referenced(i):
-			plan.freeSlot(i)
+			planner.goneSince[i] = 0
+		case planner.goneSince[i] == 0:
+			planner.goneSince[i] = planner.now
+		case planner.now >= planner.goneSince[i]+BackendRetention && !planner.referenced(i):
+			planner.freeSlot(i)
 		}
 	}
 }
 
 // referenced reports whether a table has, or should have, an entry for a backend.
-func (plan *Planner) referenced(i int) bool {
-	return slices.ContainsFunc(plan.proxies, func(proxy *proxyActor) bool { return proxy.references(i) })
+func (planner *Planner) referenced(i int) bool {
+	return slices.ContainsFunc(planner.proxies, func(proxy *proxyActor) bool { return proxy.references(i) })
 }
 
 // freeSlot withdraws a backend's exclusion and makes its index available for another backend.
-func (plan *Planner) freeSlot(i int) {
-	if plan.excluded[i] {
-		plan.setExcluded(i, false)
+func (planner *Planner) freeSlot(i int) {
+	if planner.excluded[i] {
+		planner.setExcluded(i, false)
 	}
-	delete(plan.indexOf, plan.id[i])
-	plan.freeSlots = append(plan.freeSlots, i)
+	delete(planner.indexOf, planner.id[i])
+	planner.freeSlots = append(planner.freeSlots, i)
 }
 
 // resetHealth resets a backend's latency factor, failed probes, ejections and counts of attempts to those of a new backend.
-func (plan *Planner) resetHealth(i int) {
-	plan.latencyFactor[i], plan.failedProbes[i] = 1, 0
-	for zone := range plan.ejectedUntil[i] {
-		plan.ejectedUntil[i][zone], plan.consecutiveEjections[i][zone] = 0, 0
-		plan.attempts[i][zone], plan.failures[i][zone] = 0, 0
+func (planner *Planner) resetHealth(i int) {
+	planner.latencyFactor[i], planner.failedProbes[i] = 1, 0
+	for zone := range planner.ejectedUntil[i] {
+		planner.ejectedUntil[i][zone], planner.consecutiveEjections[i][zone] = 0, 0
+		planner.attempts[i][zone], planner.failures[i][zone] = 0, 0
 	}
 }
 
-// recordAttempts adds a report to the decaying counts of its backend and zone, and to the mean latency, where earlier successes are
-// weighted by oldLatencyWeight.
-func (plan *Planner) recordAttempts(i int, report AttemptReport) {
-	zone := plan.zoneOf(report.Zone)
-	decay := math.Exp(-(plan.now - plan.lastReportAt[i][zone]) / healthWindow)
-	plan.lastReportAt[i][zone], plan.newestReportAt = plan.now, plan.now
+// recordAttempts adds a report to the decaying counts of its backend and zone, and to the mean latency, where earlier successes
+// are weighted by oldLatencyWeight.
+func (planner *Planner) recordAttempts(i int, report AttemptReport) {
+	zone := planner.zoneOf(report.Zone)
+	decay := math.Exp(-(planner.now - planner.lastReportAt[i][zone]) / healthWindow)
+	planner.lastReportAt[i][zone], planner.newestReportAt = planner.now, planner.now
 	successes := float64(report.Attempts - report.Failures)
-	oldSuccesses := (plan.attempts[i][zone] - plan.failures[i][zone]) * decay * oldLatencyWeight
+	oldSuccesses := (planner.attempts[i][zone] - planner.failures[i][zone]) * decay * oldLatencyWeight
 	if successes > 0 {
-		latencySum := plan.meanLatency[i][zone]*oldSuccesses + report.MeanLatency*successes
-		plan.meanLatency[i][zone] = latencySum / (oldSuccesses + successes)
-		plan.lastSuccessAt[i] = plan.now
+		latencySum := planner.meanLatency[i][zone]*oldSuccesses + report.MeanLatency*successes
+		planner.meanLatency[i][zone] = latencySum / (oldSuccesses + successes)
+		planner.lastSuccessAt[i] = planner.now
 	}
-	plan.attempts[i][zone] = plan.attempts[i][zone]*decay + float64(report.Attempts)
-	plan.failures[i][zone] = plan.failures[i][zone]*decay + float64(report.Failures)
+	planner.attempts[i][zone] = planner.attempts[i][zone]*decay + float64(report.Attempts)
+	planner.failures[i][zone] = planner.failures[i][zone]*decay + float64(report.Failures)
 }
 
-// failureShares returns the failure shares of the backends as seen from a zone, in ascending order. It includes backends with at
-// least minCount attempts and a report after the given time, and returns a single 0 if there are none.
-func (plan *Planner) failureShares(zone int, minCount float64, since Seconds) []float64 {
+// failureShares returns the failure shares of the backends as seen from a zone, in ascending order. It includes backends with
+// at least minCount attempts and a report after the given time, and returns a single 0 if there are none.
+func (planner *Planner) failureShares(zone int, minCount float64, since Seconds) []float64 {
 	shares := []float64{}
-	for i, byZone := range plan.attempts {
-		if byZone[zone] >= minCount && plan.lastReportAt[i][zone] > since {
-			shares = append(shares, plan.failures[i][zone]/byZone[zone])
+	for i, byZone := range planner.attempts {
+		if byZone[zone] >= minCount && planner.lastReportAt[i][zone] > since {
+			shares = append(shares, planner.failures[i][zone]/byZone[zone])
 		}
 	}
 	if len(shares) == 0 {
@@ -244,23 +247,23 @@
 	return shares
 }
 
-// recentSuccesses returns the decayed count of a backend's successes, from zones that reported on it after the given time, and their
-// mean latency.
-func (plan *Planner) recentSuccesses(i int, since Seconds) (successes float64, latency Seconds) {
-	for zone, attempts := range plan.attempts[i] {
-		if plan.lastReportAt[i][zone] > since {
-			failures := plan.failures[i][zone]
+// recentSuccesses returns the decayed count of a backend's successes, from zones that reported on it after the given time, and
+// their mean latency.
+func (planner *Planner) recentSuccesses(i int, since Seconds) (successes float64, latency Seconds) {
+	for zone, attempts := range planner.attempts[i] {
+		if planner.lastReportAt[i][zone] > since {
+			failures := planner.failures[i][zone]
 			successes = successes + attempts - failures
-			latency += (attempts - failures) * plan.meanLatency[i][zone]
+			latency += (attempts - failures) * planner.meanLatency[i][zone]
 		}
 	}
 	return successes, latency / max(successes, 1e-9)
 }
 
 // sumOpen returns the sum of a value over the open backends.
-func (plan *Planner) sumOpen(value func(i int) float64) (total float64) {
-	for i := range plan.id {
-		if plan.state[i] == BackendOpen {
+func (planner *Planner) sumOpen(value func(i int) float64) (total float64) {
+	for i := range planner.id {
+		if planner.state[i] == BackendOpen {
 			total += value(i)
 		}
 	}
@@ -268,14 +271,14 @@
 }
 
 // fullWeight returns a backend's weight as listed, without its warm-up factor.
-func (plan *Planner) fullWeight(i int) float64 { return plan.weight[i] }
+func (planner *Planner) fullWeight(i int) float64 { return planner.weight[i] }
 
 // openCapacity returns the sum of weight × warmupFactor over the open and reachable backends.
-func (plan *Planner) openCapacity() float64 {
-	return 1e-9 + plan.sumOpen(func(i int) float64 {
-		if plan.unreachable(i) {
+func (planner *Planner) openCapacity() float64 {
+	return 1e-9 + planner.sumOpen(func(i int) float64 {
+		if planner.unreachable(i) {
 			return 0
 		}
-		return plan.weight[i] * plan.warmupFactor[i]
+		return planner.weight[i] * planner.warmupFactor[i]
 	})
 }
--- a/choice/channel.go
+++ b/choice/channel.go
@@ -9,30 +9,31 @@
 	lines  int // of all messages of the step
 }
 
-// channel is the actor that keeps account of the outgoing channel, a queue of lines that is shared by the messages to all proxies.
-// It estimates how many lines wait there, and keeps the newest nonce and the mean acknowledgement time.
+// channel is the actor that keeps account of the outgoing channel, a queue of lines that is shared by the messages to all
+// proxies. It estimates how many lines wait there, and keeps the newest nonce and the mean acknowledgement time.
 type channel struct {
 	mailbox
-	plan        *Planner
+	planner     *Planner
 	nonce       Nonce         // of the newest step with messages
 	meanAckTime Seconds       // exponential moving average of the time from a push to its acknowledgement
 	queuedLines int           // lines of this step so far
 	unacked     []unackedStep // oldest first
 }
 
-// handle removes from unacked what has left the channel. Messages leave it in order, so an acknowledgement shows that all earlier
-// messages have left it, too. Messages of a lost stream are never acknowledged and are dropped after messageLossTimeout.
+// handle removes from unacked what has left the channel. Messages leave it in order, so an acknowledgement shows that all
+// earlier messages have left it, too. Messages of a lost stream are never acknowledged and are dropped after
+// messageLossTimeout.
 func (h *channel) handle(msg message) {
 	switch msg := msg.(type) {
 	case acknowledged:
 		at := slices.IndexFunc(h.unacked, func(step unackedStep) bool { return step.nonce == msg.nonce })
 		if at >= 0 {
-			ackTime := max(msg.delay, h.plan.now-h.unacked[at].sentAt)
+			ackTime := max(msg.delay, h.planner.now-h.unacked[at].sentAt)
 			h.meanAckTime += ackTimeGain * (ackTime - h.meanAckTime)
 			h.unacked = h.unacked[at:]
 		}
 	case tickElapsed:
-		lost := func(step unackedStep) bool { return h.plan.now > step.sentAt+messageLossTimeout }
+		lost := func(step unackedStep) bool { return h.planner.now > step.sentAt+messageLossTimeout }
 		h.unacked = slices.DeleteFunc(h.unacked, lost)
 	}
 }
@@ -53,29 +54,29 @@
 	if proxy.pendingLines == 0 {
 		return 0
 	}
-	return proxy.pendingLines + int(h.plan.settings.MessageLines) + 1
+	return proxy.pendingLines + int(h.planner.settings.MessageLines) + 1
 }
 
 // finishStep gives all messages of the step one nonce and records them as sent.
-func (plan *Planner) finishStep() {
-	channel := plan.channel
+func (planner *Planner) finishStep() {
+	channel := planner.channel
 	channel.queuedLines = 0
 	lines, linesAhead, nonce := 0, channel.unackedLines(), (channel.nonce+1)%NonceSpace
-	for _, proxy := range plan.proxies {
+	for _, proxy := range planner.proxies {
 		if proxy.pendingLines == 0 {
 			continue
 		}
 		lines += channel.messageLines(proxy)
-		proxy.messagesSentAt = append(proxy.messagesSentAt, plan.now)
+		proxy.messagesSentAt = append(proxy.messagesSentAt, planner.now)
 		if proxy.awaitsAck {
 			proxy.pushInFlight, proxy.pushNonce = true, nonce
-			proxy.leavesChannelAt = plan.now + sendTimeFactor*float64(linesAhead+lines)/plan.settings.ChannelPace
+			proxy.leavesChannelAt = planner.now + sendTimeFactor*float64(linesAhead+lines)/planner.settings.ChannelPace
 		}
 		proxy.pendingLines, proxy.awaitsAck = 0, false
 	}
 	if lines > 0 {
 		channel.nonce = nonce
-		channel.unacked = append(channel.unacked, unackedStep{nonce, plan.now, lines})
-		plan.commands = append(plan.commands, SetNonce{nonce, false})
+		channel.unacked = append(channel.unacked, unackedStep{nonce, planner.now, lines})
+		planner.commands = append(planner.commands, SetNonce{nonce, false})
 	}
 }
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -3,54 +3,55 @@
 // tickInterval is the time in seconds between two ticks, which trigger what depends on time alone.
 const tickInterval = 0.25
 
-// BackendRetention is the time in seconds for which the state of a gone backend or of a proxy that left is kept. It is longer than
-// any command, report or probe that names it can be in transit.
+// BackendRetention is the time in seconds for which the state of a gone backend or of a proxy that left is kept. It is longer
+// than any command, report or probe that names it can be in transit.
 const BackendRetention = 600.0
 
-// Step processes the events of one moment and returns the commands to carry out. now must not go back from one call to the next.
-func (plan *Planner) Step(now Seconds, events []Event) []Command {
-	plan.now, plan.commands = now, nil
+// Step processes the events of one moment and returns the commands to carry out. now must not go back from one call to the
+// next.
+func (planner *Planner) Step(now Seconds, events []Event) []Command {
+	planner.now, planner.commands = now, nil
 	for _, event := range events {
-		plan.dispatch(event)
+		planner.dispatch(event)
 	}
-	plan.deliver()
-	if now >= plan.nextTick {
-		plan.tick()
+	planner.deliver()
+	if now >= planner.nextTick {
+		planner.tick()
 	}
-	if plan.settings.Slices == 0 {
-		plan.reconcile()
+	if planner.settings.Slices == 0 {
+		planner.reconcile()
 	}
-	return plan.commands
+	return planner.commands
 }
 
 // tick has all actors act on the time that has passed, and sets the timer for the next tick.
-func (plan *Planner) tick() {
-	plan.releaseSlots()
-	for _, actor := range plan.actors() {
-		plan.send(actor, tickElapsed{})
+func (planner *Planner) tick() {
+	planner.releaseSlots()
+	for _, actor := range planner.actors() {
+		planner.send(actor, tickElapsed{})
 	}
-	for _, proxy := range plan.proxies {
+	for _, proxy := range planner.proxies {
 		if proxy.pushInFlight || proxy.pushWaiting { // no event tells that an acknowledgement is overdue or that a limit has room again
-			plan.markDirty(proxy)
+			planner.markDirty(proxy)
 		}
 	}
-	plan.nextTick = plan.now + tickInterval
-	plan.commands = append(plan.commands, SetTimer{1, plan.nextTick})
-	plan.deliver()
+	planner.nextTick = planner.now + tickInterval
+	planner.commands = append(planner.commands, SetTimer{1, planner.nextTick})
+	planner.deliver()
 }
 
 // reconcile updates the exclusions and arcs, then pushes to each proxy whose tables changed.
-func (plan *Planner) reconcile() {
-	plan.sendExclusions()
-	plan.restoreExcluded()
-	if plan.ring.refreshArcs() && plan.excludeOverloadedCold() {
-		plan.ring.assignAllArcs()
+func (planner *Planner) reconcile() {
+	planner.sendExclusions()
+	planner.restoreExcluded()
+	if planner.ring.refreshArcs() && planner.excludeOverloadedCold() {
+		planner.ring.assignAllArcs()
 	}
-	for _, proxy := range plan.dirtyProxies {
+	for _, proxy := range planner.dirtyProxies {
 		proxy.dirty = false
-		plan.send(proxy, pushPending{})
+		planner.send(proxy, pushPending{})
 	}
-	plan.dirtyProxies = plan.dirtyProxies[:0]
-	plan.deliver()
-	plan.finishStep()
+	planner.dirtyProxies = planner.dirtyProxies[:0]
+	planner.deliver()
+	planner.finishStep()
 }
--- a/choice/doc.go
+++ b/choice/doc.go
@@ -1,11 +1,11 @@
-// Package choice is the decision module of a coordinator. It computes the tables by which proxies route requests to backends: which
-// backend gets which share of the load, and when a changed table is pushed to a proxy.
+// Package choice is the decision module of a coordinator. It computes the tables by which proxies route requests to backends:
+// which backend gets which share of the load, and when a changed table is pushed to a proxy.
 //
-// New creates an instance from the settings. Step processes a batch of events and returns commands, which must be carried out in
-// the returned order. An instance has no I/O, clock or goroutine, so the same events at the same times give the same commands. Each
-// backend and each proxy is an actor with a mailbox; so are the watcher of the endpoint list, the hash ring, admission control and
-// the channel, which is the queue of outgoing lines that all proxies share. A proxy normally has one push in flight at a time;
-// changes before its acknowledgement are combined into the next push.
+// New creates an instance from the settings. Step processes a batch of events and returns commands, which must be carried out
+// in the returned order. An instance has no I/O, clock or goroutine, so the same events at the same times give the same
+// commands. Each backend and each proxy is an actor with a mailbox; so are the watcher of the endpoint list, the hash ring,
+// admission control and the channel, which is the queue of outgoing lines that all proxies share. A proxy normally has one push
+// in flight at a time; changes before its acknowledgement are combined into the next push.
 //
 // All decisions and all tuned values are in the files that the deploy file lists under "policy": choice.go (the step),
 // endpoints.go, slowstart.go, ejection.go, arcs.go, exclusion.go, push.go and admission.go. The other files hold the interface
--- a/choice/ejection.go
+++ b/choice/ejection.go
@@ -18,64 +18,65 @@
 	latencyFactorIncrease  = 0.05 // and once it is no longer slow this is added
 )
 
-// applyReport updates a backend's health from a report. A successful request also clears its failed probes, because it is better
-// evidence than a probe, which may wait in a full queue.
+// applyReport updates a backend's health from a report. A successful request also clears its failed probes, because it is
+// better evidence than a probe, which may wait in a full queue.
 func (b *backendActor) applyReport(report AttemptReport) {
-	if report.Attempts > report.Failures && !b.plan.unreachable(b.index) {
-		b.plan.failedProbes[b.index] = 0
+	if report.Attempts > report.Failures && !b.planner.unreachable(b.index) {
+		b.planner.failedProbes[b.index] = 0
 	}
 	b.ejectOutlier()
 }
 
-// ejectOutlier ejects a backend with a high failure share from the arcs of each zone whose proxies see these failures. The limit is
-// relative to the baseline, which is the failure share of the best quarter of the backends as seen from the zone with the fewest
-// failures. So a group of backends that fail together is detected, even if it is most of the fleet. In an overload even the best
-// backends reject requests, which raises the baseline.
+// ejectOutlier ejects a backend with a high failure share from the arcs of each zone whose proxies see these failures. The
+// limit is relative to the baseline, which is the failure share of the best quarter of the backends as seen from the zone with
+// the fewest failures. So a group of backends that fail together is detected, even if it is most of the fleet. In an overload
+// even the best backends reject requests, which raises the baseline.
 func (b *backendActor) ejectOutlier() {
-	plan, i := b.plan, b.index
-	attempts, failures := sum(plan.attempts[i]), sum(plan.failures[i])
-	limit := maxFailureShare + plan.admission.baselineFailureShare
-	for zone, zoneAttempts := range plan.attempts[i] {
-		zoneFailures := plan.failures[i][zone]
+	planner, i := b.planner, b.index
+	attempts, failures := sum(planner.attempts[i]), sum(planner.failures[i])
+	limit := maxFailureShare + planner.admission.baselineFailureShare
+	for zone, zoneAttempts := range planner.attempts[i] {
+		zoneFailures := planner.failures[i][zone]
 		failsInZone := zoneFailures >= maxFailureShare*zoneAttempts
 		outlierOverall := attempts >= minAttempts && failures > limit*attempts && failsInZone
 		outlierInZone := zoneAttempts >= minAttempts && zoneFailures > limit*zoneAttempts
-		if plan.ejectedUntil[i][zone] > plan.now || !outlierOverall && !outlierInZone || !plan.canEject(zone, i) {
+		if planner.ejectedUntil[i][zone] > planner.now || !outlierOverall && !outlierInZone || !planner.canEject(zone, i) {
 			continue
 		}
-		duration := min(baseEjectionTime*math.Exp2(float64(plan.consecutiveEjections[i][zone])), 4*baseEjectionTime)
-		plan.ejectedUntil[i][zone] = plan.now + duration
-		plan.consecutiveEjections[i][zone]++
-		plan.send(plan.ring, reassignArcs{})
+		duration := min(baseEjectionTime*math.Exp2(float64(planner.consecutiveEjections[i][zone])), 4*baseEjectionTime)
+		planner.ejectedUntil[i][zone] = planner.now + duration
+		planner.consecutiveEjections[i][zone]++
+		planner.send(planner.ring, reassignArcs{})
 	}
 }
 
-// endEjections ends the ejections of a backend whose time has passed, and resets its count of ejections after a time without one.
+// endEjections ends the ejections of a backend whose time has passed, and resets its count of ejections after a time without
+// one.
 func (b *backendActor) endEjections() {
-	plan, i := b.plan, b.index
-	for zone, until := range plan.ejectedUntil[i] {
-		if until > 0 && until <= plan.now {
+	planner, i := b.planner, b.index
+	for zone, until := range planner.ejectedUntil[i] {
+		if until > 0 && until <= planner.now {
 			// Reports from before the ejection must not eject the backend again.
-			plan.ejectedUntil[i][zone], plan.attempts[i][zone], plan.failures[i][zone] = -until, 0, 0
-			plan.send(plan.ring, reassignArcs{})
-		} else if until < 0 && plan.now > 4*baseEjectionTime-until {
-			plan.ejectedUntil[i][zone], plan.consecutiveEjections[i][zone] = 0, 0 // not sooner, because the backend may fail intermittently
+			planner.ejectedUntil[i][zone], planner.attempts[i][zone], planner.failures[i][zone] = -until, 0, 0
+			planner.send(planner.ring, reassignArcs{})
+		} else if until < 0 && planner.now > 4*baseEjectionTime-until { // not sooner, because the backend may fail intermittently
+			planner.ejectedUntil[i][zone], planner.consecutiveEjections[i][zone] = 0, 0
 		}
 	}
 }
 
-// canEject reports whether a further backend may be ejected from the arcs of a zone. The remaining backends must not have to take
-// much more than the peak success rate, so none is ejected in an overload. Only the load of this coordinator's proxies moves to
-// them; that of other coordinators' proxies stays where it is.
-func (plan *Planner) canEject(zone, candidate int) bool {
-	openWeight := plan.sumOpen(plan.fullWeight)
-	ejectedWeight := plan.weight[candidate] + plan.sumOpen(func(i int) float64 {
-		return plan.weight[i] * max(0, min(1, math.Ceil(plan.ejectedUntil[i][zone]-plan.now)))
+// canEject reports whether a further backend may be ejected from the arcs of a zone. The remaining backends must not have to
+// take much more than the peak success rate, so none is ejected in an overload. Only the load of this coordinator's proxies
+// moves to them; that of other coordinators' proxies stays where it is.
+func (planner *Planner) canEject(zone, candidate int) bool {
+	openWeight := planner.sumOpen(planner.fullWeight)
+	ejectedWeight := planner.weight[candidate] + planner.sumOpen(func(i int) float64 {
+		return planner.weight[i] * max(0, min(1, math.Ceil(planner.ejectedUntil[i][zone]-planner.now)))
 	})
-	ownShare, admission := plan.ownShare(), plan.admission
+	ownShare, admission := planner.ownShare(), planner.admission
 	loadIncrease := ownShare*openWeight/max(openWeight-ejectedWeight, 1e-9) + 1 - ownShare
 	arrivalRate, provenRate := sum(admission.arrivalRates), admission.peakSuccessRatePerWeight*openWeight
-	recentlyStarted := plan.now < admission.firstReportAt+2*admissionWindow
+	recentlyStarted := planner.now < admission.firstReportAt+2*admissionWindow
 	if admission.relativeLatency < overloadLatencyRatio && !admission.overloaded && recentlyStarted {
 		// The peak success rate takes seconds to measure. Until then, low latency shows that the fleet serves all that arrives. It
 		// shows no such thing later: when a network failure leaves half of the fleet with all the load, the latency of successes
@@ -85,66 +86,68 @@
 	return ejectedWeight <= maxEjectedShare*openWeight && arrivalRate*loadIncrease <= maxEjectionLoadFactor*provenRate
 }
 
-// probeIfSilent probes a backend for which no success was reported for a time in which its load should have caused some. The lack
-// of reports alone is no proof of a failure.
+// probeIfSilent probes a backend for which no success was reported for a time in which its load should have caused some. The
+// lack of reports alone is no proof of a failure.
 func (b *backendActor) probeIfSilent() {
-	plan, i := b.plan, b.index
-	silence := plan.newestReportAt - max(plan.lastSuccessAt[i], plan.firstListed[i])
-	successExpected := silence*plan.assignedLoad[i] > minAttempts && !plan.admission.overloaded
-	silent := silence > 1.5*plan.settings.ReportPeriod && successExpected
-	due := plan.settings.Probes && plan.state[i] == BackendOpen && plan.now >= plan.nextProbeAt[i]
-	if due && (silent || plan.failedProbes[i] > 0) {
-		plan.nextProbeAt[i] = plan.now + probeInterval
-		plan.commands = append(plan.commands, ProbeBackend{plan.id[i]})
+	planner, i := b.planner, b.index
+	silence := planner.newestReportAt - max(planner.lastSuccessAt[i], planner.firstListed[i])
+	successExpected := silence*planner.assignedLoad[i] > minAttempts && !planner.admission.overloaded
+	silent := silence > 1.5*planner.settings.ReportPeriod && successExpected
+	due := planner.settings.Probes && planner.state[i] == BackendOpen && planner.now >= planner.nextProbeAt[i]
+	if due && (silent || planner.failedProbes[i] > 0) {
+		planner.nextProbeAt[i] = planner.now + probeInterval
+		planner.commands = append(planner.commands, ProbeBackend{planner.id[i]})
 	}
 }
 
-// applyProbe updates a backend's reachability from the result of a probe. A backend that responds neither to requests nor to probes
-// leaves all arcs until it responds, long before its requests time out or the endpoint list changes. It returns with slow start,
-// because it may have restarted. If at least half of the open backends seem unreachable, this coordinator is assumed to be cut off
-// from them, and none counts as unreachable.
+// applyProbe updates a backend's reachability from the result of a probe. A backend that responds neither to requests nor to
+// probes leaves all arcs until it responds, long before its requests time out or the endpoint list changes. It returns with
+// slow start, because it may have restarted. If at least half of the open backends seem unreachable, this coordinator is
+// assumed to be cut off from them, and none counts as unreachable.
 func (b *backendActor) applyProbe(result ProbeResult) {
-	plan, i := b.plan, b.index
-	wasUnreachable, wasIsolated := plan.unreachable(i), plan.isolated
+	planner, i := b.planner, b.index
+	wasUnreachable, wasIsolated := planner.unreachable(i), planner.isolated
 	switch {
 	case result.OK:
-		if plan.lastSuccessAt[i] = plan.now; wasUnreachable {
-			plan.returnedAt[i] = plan.now
-			plan.warmupFactor[i] = b.currentWarmupFactor()
+		if planner.lastSuccessAt[i] = planner.now; wasUnreachable {
+			planner.returnedAt[i] = planner.now
+			planner.warmupFactor[i] = b.currentWarmupFactor()
 		}
-		plan.failedProbes[i] = 0
+		planner.failedProbes[i] = 0
 	case !result.Busy:
-		plan.failedProbes[i]++
-		plan.nextProbeAt[i] = plan.now
+		planner.failedProbes[i]++
+		planner.nextProbeAt[i] = planner.now
 	}
 	// 1 for a backend with fewer than two failed probes, -1 for the others.
-	reachability := func(k int) float64 { return 1 - 2*min(1, float64(plan.failedProbes[k]/2)) }
-	plan.isolated = plan.sumOpen(reachability) <= 0
-	if wasUnreachable != plan.unreachable(i) || wasIsolated != plan.isolated {
-		plan.send(plan.ring, reassignArcs{})
+	reachability := func(k int) float64 { return 1 - 2*min(1, float64(planner.failedProbes[k]/2)) }
+	planner.isolated = planner.sumOpen(reachability) <= 0
+	if wasUnreachable != planner.unreachable(i) || wasIsolated != planner.isolated {
+		planner.send(planner.ring, reassignArcs{})
 	}
 }
 
 // unreachable reports whether a backend failed its last two probes while most other backends are reachable.
-func (plan *Planner) unreachable(i int) bool { return plan.failedProbes[i] >= 2 && !plan.isolated }
+func (planner *Planner) unreachable(i int) bool {
+	return planner.failedProbes[i] >= 2 && !planner.isolated
+}
 
 // adjustLatencyFactor lowers the effective weight of a backend that responds more slowly than the fleet, because it has less
 // capacity than its listed weight says or stalls. Its weight in tables stays as listed, but fewer arcs include it.
 func (b *backendActor) adjustLatencyFactor() {
-	plan, i := b.plan, b.index
-	if plan.now < plan.latencyFactorUpdatedAt[i]+healthWindow {
+	planner, i := b.planner, b.index
+	if planner.now < planner.latencyFactorUpdatedAt[i]+healthWindow {
 		return
 	}
-	plan.latencyFactorUpdatedAt[i] = plan.now
-	successes, latency := plan.recentSuccesses(i, plan.now-healthWindow)
-	relativeLatency := latency / plan.admission.shortestSoftDeadline
+	planner.latencyFactorUpdatedAt[i] = planner.now
+	successes, latency := planner.recentSuccesses(i, planner.now-healthWindow)
+	relativeLatency := latency / planner.admission.shortestSoftDeadline
 	switch {
 	case successes < minAttempts: // too few to judge by
 	case relativeLatency > slowLatencyRatio:
-		if relativeLatency > slowLatencyFleetFactor*plan.admission.relativeLatency {
-			plan.latencyFactor[i] = max(minLatencyFactor, plan.latencyFactor[i]*latencyFactorDecrease)
+		if relativeLatency > slowLatencyFleetFactor*planner.admission.relativeLatency {
+			planner.latencyFactor[i] = max(minLatencyFactor, planner.latencyFactor[i]*latencyFactorDecrease)
 		}
 	default:
-		plan.latencyFactor[i] = min(1, plan.latencyFactor[i]+latencyFactorIncrease)
+		planner.latencyFactor[i] = min(1, planner.latencyFactor[i]+latencyFactorIncrease)
 	}
 }
--- a/choice/endpoints.go
+++ b/choice/endpoints.go
@@ -20,7 +20,7 @@
 		if update.Kind != UpdateCached {
 			e.failedPolls, e.nextPoll = 0, math.Inf(1)
 		}
-		e.plan.applyUpdate(update)
+		e.planner.applyUpdate(update)
 	}
 	e.poll()
 }
@@ -29,38 +29,38 @@
 // polling again at once. The delay stays well within AskWithin, the longest time between two polls.
 func (e *endpointWatcher) backOff() {
 	e.failedPolls = min(e.failedPolls+1, maxBackoffDoublings)
-	backoff := min(basePollBackoff*math.Exp2(float64(e.failedPolls)), e.plan.settings.AskWithin/3)
-	e.nextPoll = e.plan.now + backoff*(0.5+e.plan.random())
+	backoff := min(basePollBackoff*math.Exp2(float64(e.failedPolls)), e.planner.settings.AskWithin/3)
+	e.nextPoll = e.planner.now + backoff*(0.5+e.planner.random())
 }
 
 // poll starts a watch of the endpoint list, if the settings say that it has to be polled and none has succeeded since the last
 // failure.
 func (e *endpointWatcher) poll() {
-	if e.plan.settings.Listing == "asked" && e.plan.now >= e.nextPoll {
-		e.plan.commands = append(e.plan.commands, WatchEndpoints{true})
-		e.nextPoll = e.plan.now + e.plan.settings.AskWithin/2 // a watch without an answer by then counts as failed
+	if e.planner.settings.Listing == "asked" && e.planner.now >= e.nextPoll {
+		e.planner.commands = append(e.planner.commands, WatchEndpoints{true})
+		e.nextPoll = e.planner.now + e.planner.settings.AskWithin/2 // a watch without an answer by then counts as failed
 	}
 }
 
 // applyEndpoint updates a backend from its entry in the endpoint list.
 func (b *backendActor) applyEndpoint(endpoint Endpoint) {
-	plan, i := b.plan, b.index
+	planner, i := b.planner, b.index
 	if endpoint.State != BackendGone {
-		plan.zone[i], plan.weight[i] = plan.zoneOf(endpoint.Zone), max(endpoint.Weight, 1e-3)
+		planner.zone[i], planner.weight[i] = planner.zoneOf(endpoint.Zone), max(endpoint.Weight, 1e-3)
 	}
-	if endpoint.State == BackendOpen && endpoint.StartedAt > plan.startedAt[i] {
-		plan.resetHealth(i) // the process was restarted under the same id
+	if endpoint.State == BackendOpen && endpoint.StartedAt > planner.startedAt[i] {
+		planner.resetHealth(i) // the process was restarted under the same id
 	}
-	plan.state[i], plan.startedAt[i] = endpoint.State, max(endpoint.StartedAt, plan.startedAt[i])
-	plan.warmupFactor[i] = b.currentWarmupFactor()
-	// With OnlyDrainingBinds, a backend that is dropped from the list without draining needs no exclusion and leaves the tables with
-	// ordinary pushes.
-	goneBinds := endpoint.State == BackendGone && !plan.settings.OnlyDrainingBinds
+	planner.state[i], planner.startedAt[i] = endpoint.State, max(endpoint.StartedAt, planner.startedAt[i])
+	planner.warmupFactor[i] = b.currentWarmupFactor()
+	// With OnlyDrainingBinds, a backend that is dropped from the list without draining needs no exclusion and leaves the tables
+	// with ordinary pushes.
+	goneBinds := endpoint.State == BackendGone && !planner.settings.OnlyDrainingBinds
 	mustExclude := endpoint.State == BackendDraining || goneBinds
-	if mustExclude && !plan.excluded[i] {
-		plan.exclusionDueSince[i] = cmp.Or(plan.exclusionDueSince[i], plan.now)
+	if mustExclude && !planner.excluded[i] {
+		planner.exclusionDueSince[i] = cmp.Or(planner.exclusionDueSince[i], planner.now)
 	} else if !mustExclude {
-		plan.exclusionDueSince[i] = 0
+		planner.exclusionDueSince[i] = 0
 	}
-	plan.send(plan.ring, reassignArcs{})
+	planner.send(planner.ring, reassignArcs{})
 }
--- a/choice/estimates.go
+++ b/choice/estimates.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// BackendEstimate is an instance's estimate of a backend's load and health, for comparison with what the backend itself reports.
-// No decision depends on it.
+// BackendEstimate is an instance's estimate of a backend's load and health, for comparison with what the backend itself
+// reports. No decision depends on it.
 type BackendEstimate struct {
 	Backend      BackendID
 	AttemptRate  float64 // attempts a second, decaying: higher than the average right after a report
@@ -15,25 +15,25 @@
 }
 
 // Estimates returns an estimate for each open backend.
-func (plan *Planner) Estimates() (estimates []BackendEstimate) {
-	for i := range plan.id {
-		if plan.state[i] == BackendOpen {
-			estimates = append(estimates, plan.estimate(i))
+func (planner *Planner) Estimates() (estimates []BackendEstimate) {
+	for i := range planner.id {
+		if planner.state[i] == BackendOpen {
+			estimates = append(estimates, planner.estimate(i))
 		}
 	}
 	return estimates
 }
 
-func (plan *Planner) estimate(i int) BackendEstimate {
-	estimate := BackendEstimate{Backend: plan.id[i], ExpectedRate: plan.expectedLoad[i], Unreachable: plan.unreachable(i)}
+func (planner *Planner) estimate(i int) BackendEstimate {
+	estimate := BackendEstimate{Backend: planner.id[i], ExpectedRate: planner.expectedLoad[i], Unreachable: planner.unreachable(i)}
 	failureRate, latencySum := 0.0, 0.0
-	for zone, attempts := range plan.attempts[i] {
-		decay := math.Exp(-(plan.now - plan.lastReportAt[i][zone]) / healthWindow)
+	for zone, attempts := range planner.attempts[i] {
+		decay := math.Exp(-(planner.now - planner.lastReportAt[i][zone]) / healthWindow)
 		estimate.AttemptRate += attempts * decay / healthWindow
-		failureRate += plan.failures[i][zone] * decay / healthWindow
-		successRate := (attempts - plan.failures[i][zone]) * decay / healthWindow
-		latencySum += successRate * plan.meanLatency[i][zone]
-		estimate.Ejected = estimate.Ejected || plan.ejectedUntil[i][zone] > plan.now
+		failureRate += planner.failures[i][zone] * decay / healthWindow
+		successRate := (attempts - planner.failures[i][zone]) * decay / healthWindow
+		latencySum += successRate * planner.meanLatency[i][zone]
+		estimate.Ejected = estimate.Ejected || planner.ejectedUntil[i][zone] > planner.now
 	}
 	estimate.FailureShare = failureRate / max(estimate.AttemptRate, 1e-9)
 	estimate.MeanLatency = latencySum / max(estimate.AttemptRate-failureRate, 1e-9)
@@ -41,13 +41,13 @@
 }
 
 // Usage returns the estimated usage of a proxy in requests a second, by method, or nil if the proxy is not known.
-func (plan *Planner) Usage(id ProxyID) (usage []float64) {
-	for _, proxy := range plan.proxies {
+func (planner *Planner) Usage(id ProxyID) (usage []float64) {
+	for _, proxy := range planner.proxies {
 		if proxy.id != id {
 			continue
 		}
 		for method, rate := range proxy.usage {
-			usage = append(usage, rate*math.Exp(-(plan.now-proxy.usageReportedAt[method])/usageWindow))
+			usage = append(usage, rate*math.Exp(-(planner.now-proxy.usageReportedAt[method])/usageWindow))
 		}
 	}
 	return usage
--- a/choice/exclusion.go
+++ b/choice/exclusion.go
@@ -6,64 +6,64 @@
 	"slices"
 )
 
-// restoreTolerance is the largest weight that a sent table entry may have when its backend is restored, as a multiple of the weight
-// that slow start allows the backend now.
+// restoreTolerance is the largest weight that a sent table entry may have when its backend is restored, as a multiple of the
+// weight that slow start allows the backend now.
 const restoreTolerance = 1.05
 
-// sendExclusions sends the exclusions that are due, before any tables. If a proxy is near its message limit, exclusions are held
-// back for part of the drain grace and sent together, because an endpoint list may drop its backends one by one.
-func (plan *Planner) sendExclusions() {
+// sendExclusions sends the exclusions that are due, before any tables. If a proxy is near its message limit, exclusions are
+// held back for part of the drain grace and sent together, because an endpoint list may drop its backends one by one.
+func (planner *Planner) sendExclusions() {
 	oldestDue := math.Inf(1)
-	for _, since := range plan.exclusionDueSince {
+	for _, since := range planner.exclusionDueSince {
 		oldestDue = min(oldestDue, cmp.Or(since, oldestDue))
 	}
 	// Half of what the grace leaves after the slowest push and three mean acknowledgement times.
-	holdTime := max(0, plan.settings.DrainGrace-plan.settings.PushTimeWorst-3*plan.channel.meanAckTime) / 2
+	holdTime := max(0, planner.settings.DrainGrace-planner.settings.PushTimeWorst-3*planner.channel.meanAckTime) / 2
 	nearMessageLimit := func(proxy *proxyActor) bool {
-		return proxy.joined && !plan.channel.withinMessageLimit(proxy, ordinaryPushShare)
+		return proxy.joined && !planner.channel.withinMessageLimit(proxy, ordinaryPushShare)
 	}
-	if math.IsInf(oldestDue, 1) || plan.now < oldestDue+holdTime && slices.ContainsFunc(plan.proxies, nearMessageLimit) {
+	if math.IsInf(oldestDue, 1) || planner.now < oldestDue+holdTime && slices.ContainsFunc(planner.proxies, nearMessageLimit) {
 		return
 	}
-	for i, since := range plan.exclusionDueSince {
+	for i, since := range planner.exclusionDueSince {
 		if since > 0 {
-			plan.exclusionDueSince[i] = 0
-			plan.setExcluded(i, true)
+			planner.exclusionDueSince[i] = 0
+			planner.setExcluded(i, true)
 		}
 	}
 }
 
-// restoreExcluded withdraws the exclusion of each open backend, once no sent table gives it more weight than it may have and its
-// expected load would not make it collapse.
-func (plan *Planner) restoreExcluded() {
-	for i := range plan.id {
-		if !plan.excluded[i] || plan.state[i] != BackendOpen {
+// restoreExcluded withdraws the exclusion of each open backend, once no sent table gives it more weight than it may have and
+// its expected load would not make it collapse.
+func (planner *Planner) restoreExcluded() {
+	for i := range planner.id {
+		if !planner.excluded[i] || planner.state[i] != BackendOpen {
 			continue
 		}
-		maxWeight := restoreTolerance * plan.weight[i] * plan.warmupFactor[i]
+		maxWeight := restoreTolerance * planner.weight[i] * planner.warmupFactor[i]
 		tooHeavy := func(proxy *proxyActor) bool { return proxy.joined && proxy.maxSentWeight(i) > maxWeight }
-		if !plan.overloadsColdBackend(i) && !slices.ContainsFunc(plan.proxies, tooHeavy) {
-			plan.setExcluded(i, false)
-			plan.ring.dirty = true
+		if !planner.overloadsColdBackend(i) && !slices.ContainsFunc(planner.proxies, tooHeavy) {
+			planner.setExcluded(i, false)
+			planner.ring.dirty = true
 		}
 	}
 }
 
-// notifyExclusions sends a proxy the list of all exclusions if it may still use a table of an earlier stream because there is no
-// entry to send it. Otherwise a table from this coordinator makes the list unnecessary and takes fewer lines; sending many such
-// lists would overflow the channel.
+// notifyExclusions sends a proxy the list of all exclusions if it may still use a table of an earlier stream because there is
+// no entry to send it. Otherwise a table from this coordinator makes the list unnecessary and takes fewer lines; sending many
+// such lists would overflow the channel.
 func (p *proxyActor) notifyExclusions() {
 	if p.exclusionsNotified || p.tableBound && !p.lacksTable() {
 		return
 	}
-	plan, lines := p.plan, p.plan.excludedCount()
+	planner, lines := p.planner, p.planner.excludedCount()
 	p.pushWaiting = true
 	empty := func(table *proxyTable) bool { return len(table.sent)+len(table.desired) == 0 }
-	fits := float64(plan.channel.waitingLines()+lines) <= urgentPushShare*plan.settings.ChannelRoom
+	fits := float64(planner.channel.waitingLines()+lines) <= urgentPushShare*planner.settings.ChannelRoom
 	if !fits || !slices.ContainsFunc(p.tables, empty) {
 		return
 	}
 	p.exclusionsNotified = true
 	p.pendingLines += lines
-	plan.commands = append(plan.commands, NotifyExclusions{p.id})
+	planner.commands = append(planner.commands, NotifyExclusions{p.id})
 }
--- a/choice/fleetload.go
+++ b/choice/fleetload.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// admission is the actor that detects overloads of the fleet and sets how many requests are admitted. This file holds its state and
-// arithmetic; the decisions are in admission.go.
+// admission is the actor that detects overloads of the fleet and sets how many requests are admitted. This file holds its state
+// and arithmetic; the decisions are in admission.go.
 type admission struct {
 	mailbox
-	plan                     *Planner
+	planner                  *Planner
 	admittedShares           []float64     // share of the requests that is admitted, by method
 	normalRetry              []RetryPolicy // outside of overloads, by method
 	criticality              []float64     // by method
@@ -28,11 +28,11 @@
 	nextEvaluation           Seconds
 }
 
-func newAdmission(plan *Planner) *admission {
-	a := &admission{plan: plan, loadFactor: minLoadFactor, rateLimit: math.Inf(1), shortestSoftDeadline: math.Inf(1)}
-	for _, method := range plan.settings.Methods {
+func newAdmission(planner *Planner) *admission {
+	a := &admission{planner: planner, loadFactor: minLoadFactor, rateLimit: math.Inf(1), shortestSoftDeadline: math.Inf(1)}
+	for _, method := range planner.settings.Methods {
 		a.admittedShares = append(a.admittedShares, 1)
-		a.normalRetry = append(a.normalRetry, plan.normalRetry(method))
+		a.normalRetry = append(a.normalRetry, planner.normalRetry(method))
 		a.criticality = append(a.criticality, method.Criticality.Or(defaultCriticality))
 		a.arrivalRates = append(a.arrivalRates, 0)
 		a.shortestSoftDeadline = min(a.shortestSoftDeadline, method.SoftDeadline.Or(defaultSoftDeadline))
@@ -49,8 +49,8 @@
 		for method := range a.arrivalRates {
 			a.arrivalRates[method] *= math.Exp(-tickInterval / admissionWindow)
 		}
-		if a.plan.now >= a.nextEvaluation {
-			a.nextEvaluation = a.plan.now + evaluationInterval
+		if a.planner.now >= a.nextEvaluation {
+			a.nextEvaluation = a.planner.now + evaluationInterval
 			a.evaluate()
 		}
 	}
@@ -69,7 +69,7 @@
 // measure sums up the reports on all backends.
 func (a *admission) measure() fleetLoad {
 	load := fleetLoad{attempts: 1} // not 0, because evaluate divides by it
-	for i := range a.plan.id {
+	for i := range a.planner.id {
 		a.measureBackend(i, &load)
 	}
 	return load
@@ -78,8 +78,8 @@
 // updateBaseline sets the failure share at the best quarter of the backends, as seen from the zone where it is lowest.
 func (a *admission) updateBaseline() {
 	a.baselineFailureShare = 1
-	for zone := range len(a.plan.zoneIndex) {
-		shares := a.plan.failureShares(zone, baselineAttempts, a.plan.now-baselineWindow)
+	for zone := range len(a.planner.zoneIndex) {
+		shares := a.planner.failureShares(zone, baselineAttempts, a.planner.now-baselineWindow)
 		a.baselineFailureShare = min(a.baselineFailureShare, shares[len(shares)/baselineDivisor])
 	}
 }
--- a/choice/messages.go
+++ b/choice/messages.go
@@ -33,44 +33,44 @@
 )
 
 // dispatch sends an event to the actors that it concerns. Reports on unknown backends are dropped.
-func (plan *Planner) dispatch(event Event) {
+func (planner *Planner) dispatch(event Event) {
 	switch event := event.(type) {
 	case EndpointUpdate:
-		plan.send(plan.watcher, event)
+		planner.send(planner.watcher, event)
 	case ProxyJoined:
-		plan.send(plan.proxy(event.Proxy), event)
+		planner.send(planner.proxy(event.Proxy), event)
 	case ProxyLeft:
-		plan.send(plan.proxy(event.Proxy), event)
+		planner.send(planner.proxy(event.Proxy), event)
 	case PushAcknowledged:
-		plan.send(plan.channel, acknowledged{event.Nonce, event.Delay})
-		plan.send(plan.proxy(event.Proxy), event)
+		planner.send(planner.channel, acknowledged{event.Nonce, event.Delay})
+		planner.send(planner.proxy(event.Proxy), event)
 	case UsageReport:
-		plan.send(plan.admission, event)
-		plan.send(plan.proxy(event.Proxy), event)
+		planner.send(planner.admission, event)
+		planner.send(planner.proxy(event.Proxy), event)
 	case AttemptReport:
-		if i, ok := plan.indexOf[event.Backend]; ok {
-			plan.send(plan.backends[i], event)
+		if i, ok := planner.indexOf[event.Backend]; ok {
+			planner.send(planner.backends[i], event)
 		}
 	case ProbeResult:
-		if i, ok := plan.indexOf[event.Backend]; ok {
-			plan.send(plan.backends[i], event)
+		if i, ok := planner.indexOf[event.Backend]; ok {
+			planner.send(planner.backends[i], event)
 		}
 	}
 }
 
 // send puts a message into an actor's mailbox, and queues the actor to run if the mailbox was empty.
-func (plan *Planner) send(to actor, msg message) {
+func (planner *Planner) send(to actor, msg message) {
 	box := to.inbox()
 	if box.messages = append(box.messages, msg); len(box.messages) == 1 {
-		plan.readyActors = append(plan.readyActors, to)
+		planner.readyActors = append(planner.readyActors, to)
 	}
 }
 
 // deliver has the actors handle their messages until all mailboxes are empty.
-func (plan *Planner) deliver() {
-	for len(plan.readyActors) > 0 {
-		next := plan.readyActors[0]
-		plan.readyActors = plan.readyActors[1:]
+func (planner *Planner) deliver() {
+	for len(planner.readyActors) > 0 {
+		next := planner.readyActors[0]
+		planner.readyActors = planner.readyActors[1:]
 		messages := next.inbox().messages
 		next.inbox().messages = nil
 		for _, msg := range messages {
--- a/choice/planner.go
+++ b/choice/planner.go
@@ -33,63 +33,63 @@
 // endpointWatcher is the actor that follows the endpoint list.
 type endpointWatcher struct {
 	mailbox
-	plan        *Planner
+	planner     *Planner
 	nextPoll    Seconds // +Inf: a watch has succeeded
 	failedPolls int     // consecutive, up to maxBackoffDoublings
 }
 
 // New returns an instance of the decision module for the settings of a site.
 func New(config Config) *Planner {
-	plan := &Planner{config: config, now: config.Now, indexOf: map[BackendID]int{}, zoneIndex: map[Zone]int{}}
-	plan.settings = planSettingsOf(config.Settings)
-	plan.watcher, plan.ring = &endpointWatcher{plan: plan}, &ring{plan: plan}
-	plan.admission = newAdmission(plan)
-	plan.channel = &channel{plan: plan, meanAckTime: plan.settings.PushTime}
-	return plan
+	planner := &Planner{config: config, now: config.Now, indexOf: map[BackendID]int{}, zoneIndex: map[Zone]int{}}
+	planner.settings = planSettingsOf(config.Settings)
+	planner.watcher, planner.ring = &endpointWatcher{planner: planner}, &ring{planner: planner}
+	planner.admission = newAdmission(planner)
+	planner.channel = &channel{planner: planner, meanAckTime: planner.settings.PushTime}
+	return planner
 }
 
 // actors returns the actors that get tickElapsed: all but the proxies, the ring last.
-func (plan *Planner) actors() []actor {
-	all := []actor{plan.watcher, plan.admission, plan.channel}
-	for _, backend := range plan.backends {
+func (planner *Planner) actors() []actor {
+	all := []actor{planner.watcher, planner.admission, planner.channel}
+	for _, backend := range planner.backends {
 		all = append(all, backend)
 	}
-	return append(all, plan.ring)
+	return append(all, planner.ring)
 }
 
 // random returns a pseudo-random number from 0 up to, but not including, 1. The sequence depends only on the seed.
-func (plan *Planner) random() float64 {
-	plan.randomDraws++
-	bytes := binary.LittleEndian.AppendUint64(nil, plan.config.Seed)
-	bytes = binary.LittleEndian.AppendUint32(bytes, plan.randomDraws)
+func (planner *Planner) random() float64 {
+	planner.randomDraws++
+	bytes := binary.LittleEndian.AppendUint64(nil, planner.config.Seed)
+	bytes = binary.LittleEndian.AppendUint32(bytes, planner.randomDraws)
 	return float64(crc32.ChecksumIEEE(bytes)) / (1 << 32)
 }
 
 // markDirty has a proxy check its tables for changes before the step ends.
-func (plan *Planner) markDirty(proxy *proxyActor) {
+func (planner *Planner) markDirty(proxy *proxyActor) {
 	if !proxy.dirty {
 		proxy.dirty = true
-		plan.dirtyProxies = append(plan.dirtyProxies, proxy)
+		planner.dirtyProxies = append(planner.dirtyProxies, proxy)
 	}
 }
 
 // setExcluded excludes a backend from all tables or withdraws its exclusion, and counts the lines that this adds to messages.
-func (plan *Planner) setExcluded(i int, excluded bool) {
-	plan.excluded[i] = excluded
-	plan.commands = append(plan.commands, SetExclusion{plan.id[i], excluded})
-	for _, proxy := range plan.proxies {
+func (planner *Planner) setExcluded(i int, excluded bool) {
+	planner.excluded[i] = excluded
+	planner.commands = append(planner.commands, SetExclusion{planner.id[i], excluded})
+	for _, proxy := range planner.proxies {
 		if proxy.joined && proxy.mayUse(i) {
 			proxy.pendingLines++
-			plan.markDirty(proxy)
+			planner.markDirty(proxy)
 		} else if proxy.pushWaiting {
-			plan.markDirty(proxy) // the table or list that it waits for may include this backend
+			planner.markDirty(proxy) // the table or list that it waits for may include this backend
 		}
 	}
 }
 
 // excludedCount returns the number of excluded backends.
-func (plan *Planner) excludedCount() (count int) {
-	for _, excluded := range plan.excluded {
+func (planner *Planner) excludedCount() (count int) {
+	for _, excluded := range planner.excluded {
 		if excluded {
 			count++
 		}
@@ -98,8 +98,8 @@
 }
 
 // ownShare returns the share of all proxies that were joined to this coordinator when all arcs were last assigned.
-func (plan *Planner) ownShare() float64 {
-	return float64(plan.ring.joinedProxies) / max(plan.settings.Proxies, float64(plan.ring.joinedProxies), 1)
+func (planner *Planner) ownShare() float64 {
+	return float64(planner.ring.joinedProxies) / max(planner.settings.Proxies, float64(planner.ring.joinedProxies), 1)
 }
 
 // sum returns the sum of the values.
--- a/choice/proxies.go
+++ b/choice/proxies.go
@@ -30,7 +30,7 @@
 // proxyActor is the actor of one proxy. It owns the tables of the proxy and sends its pushes.
 type proxyActor struct {
 	mailbox
-	plan               *Planner
+	planner            *Planner
 	id                 ProxyID
 	zone               int           // index of its zone
 	joined             bool          // its stream is open
@@ -59,23 +59,26 @@
 }
 
 // proxy returns the actor of a proxy, and creates it if the proxy is not known yet.
-func (plan *Planner) proxy(id ProxyID) *proxyActor {
-	at, known := slices.BinarySearchFunc(plan.proxies, id, func(proxy *proxyActor, id ProxyID) int { return int(proxy.id - id) })
+func (planner *Planner) proxy(id ProxyID) *proxyActor {
+	at, known := slices.BinarySearchFunc(planner.proxies, id, func(proxy *proxyActor, id ProxyID) int { return int(proxy.id - id) })
 	if known {
-		return plan.proxies[at]
+		return planner.proxies[at]
+	}
+	methods := len(planner.settings.Methods)
+	proxy := &proxyActor{
+		planner: planner, id: id,
+		admittedShares: planner.admission.admittedShares, retryPolicies: planner.admission.currentRetry(),
 	}
-	methods := len(plan.settings.Methods)
-	proxy := &proxyActor{plan: plan, id: id, admittedShares: plan.admission.admittedShares, retryPolicies: plan.admission.currentRetry()}
 	proxy.usage, proxy.usageReportedAt = make([]float64, methods), make([]Seconds, methods)
 	proxy.addTables()
-	plan.proxies = slices.Insert(plan.proxies, at, proxy)
+	planner.proxies = slices.Insert(planner.proxies, at, proxy)
 	return proxy
 }
 
 // addTables adds a table for the methods whose requests may leave the proxy's zone, and one for those whose requests must not.
 func (p *proxyActor) addTables() {
 	var anyZone, ownZone uint64
-	for method, settings := range p.plan.settings.Methods {
+	for method, settings := range p.planner.settings.Methods {
 		if settings.OwnZone {
 			ownZone |= 1 << method
 		} else {
@@ -103,68 +106,68 @@
 		p.join(msg)
 	case ProxyLeft:
 		p.joined, p.tableBound, p.pushInFlight = false, false, false
-		p.plan.admission.lastDisconnectAt = p.plan.now
-		p.plan.send(p.plan.ring, membershipChanged{p})
+		p.planner.admission.lastDisconnectAt = p.planner.now
+		p.planner.send(p.planner.ring, membershipChanged{p})
 	case PushAcknowledged:
 		if p.pushInFlight && msg.Nonce == p.pushNonce {
 			p.pushInFlight = false
-			p.plan.markDirty(p)
+			p.planner.markDirty(p)
 		}
 	case UsageReport:
 		p.recordUsage(msg)
 	case admissionChanged:
 		p.admittedShares, p.retryPolicies = msg.shares, msg.retry
 		if slices.ContainsFunc(p.tables, p.tableOutdated) {
-			p.plan.markDirty(p)
+			p.planner.markDirty(p)
 		}
 	case pushPending:
 		if p.joined {
 			p.push()
 			p.notifyExclusions()
-			p.plan.channel.queuedLines += p.plan.channel.messageLines(p)
+			p.planner.channel.queuedLines += p.planner.channel.messageLines(p)
 		}
 	}
 }
 
 // join begins a stream. A push on the last stream no longer counts, and no table of this coordinator is bound yet.
 func (p *proxyActor) join(msg ProxyJoined) {
-	plan := p.plan
+	planner := p.planner
 	p.joined, p.tableBound, p.pushInFlight, p.pendingLines, p.messagesSentAt = true, false, false, 0, nil
-	p.exclusionsNotified, p.joinedAt = false, plan.now
-	if zone := plan.zoneOf(msg.Zone); p.zone != zone {
+	p.exclusionsNotified, p.joinedAt = false, planner.now
+	if zone := planner.zoneOf(msg.Zone); p.zone != zone {
 		p.zone, p.assignmentRound = zone, 0
 	}
 	if p.usageRate() == 0 {
 		for method := range p.usage {
-			p.usage[method], p.usageReportedAt[method] = msg.Rate/float64(len(p.usage)), plan.now
+			p.usage[method], p.usageReportedAt[method] = msg.Rate/float64(len(p.usage)), planner.now
 		}
 	}
-	plan.send(plan.ring, membershipChanged{p})
-	plan.markDirty(p)
+	planner.send(planner.ring, membershipChanged{p})
+	planner.markDirty(p)
 }
 
-// recordUsage adds a report to the decaying average of a method's usage. A proxy without requests sends no reports, so the average
-// decays with the time since the last one.
+// recordUsage adds a report to the decaying average of a method's usage. A proxy without requests sends no reports, so the
+// average decays with the time since the last one.
 func (p *proxyActor) recordUsage(report UsageReport) {
-	method, now := report.Method, p.plan.now
+	method, now := report.Method, p.planner.now
 	decayed := p.usage[method] * math.Exp(-(now-p.usageReportedAt[method])/usageWindow)
 	p.usage[method] = decayed + float64(report.RPCs)/usageWindow
 	p.usageReportedAt[method] = now
 }
 
-// releaseIfExpired clears the tables of a proxy that left more than BackendRetention ago. It reports whether the proxy's state may
-// be deleted.
+// releaseIfExpired clears the tables of a proxy that left more than BackendRetention ago. It reports whether the proxy's state
+// may be deleted.
 func (p *proxyActor) releaseIfExpired() bool {
 	if p.joined {
 		p.leftAt = 0
 		return false
 	}
-	p.leftAt = cmp.Or(p.leftAt, p.plan.now)
-	if p.plan.now < p.leftAt+BackendRetention {
+	p.leftAt = cmp.Or(p.leftAt, p.planner.now)
+	if p.planner.now < p.leftAt+BackendRetention {
 		return false
 	}
 	for _, table := range p.tables {
-		p.plan.commands = append(p.plan.commands, ClearTable{table.id})
+		p.planner.commands = append(p.planner.commands, ClearTable{table.id})
 	}
 	return true
 }
@@ -192,9 +195,9 @@
 	return maxWeight
 }
 
-// mayUse reports whether a proxy must be told if a backend is excluded or restored: its table has the backend, or it was notified of
-// all exclusions and may use a table of an earlier stream. A proxy that still waits for its first table, or for the list of
-// exclusions, learns of a new exclusion from these.
+// mayUse reports whether a proxy must be told if a backend is excluded or restored: its table has the backend, or it was
+// notified of all exclusions and may use a table of an earlier stream. A proxy that still waits for its first table, or for the
+// list of exclusions, learns of a new exclusion from these.
 func (p *proxyActor) mayUse(i int) bool {
 	if p.tableBound && p.maxSentWeight(i) > 0 {
 		return true
@@ -202,8 +205,8 @@
 	return p.exclusionsNotified && (!p.tableBound || p.lacksTable())
 }
 
-// lacksTable reports whether some methods have no table from this coordinator yet, so that a table of an earlier stream may be in
-// use for them.
+// lacksTable reports whether some methods have no table from this coordinator yet, so that a table of an earlier stream may be
+// in use for them.
 func (p *proxyActor) lacksTable() bool {
 	return slices.ContainsFunc(p.tables, func(table *proxyTable) bool { return len(table.sent) == 0 })
 }
@@ -245,9 +248,9 @@
 	if len(table.desired) == 0 {
 		return
 	}
-	plan := p.plan
+	planner := p.planner
 	for _, entry := range tableDelta(table.sent, table.desired) {
-		plan.commands = append(plan.commands, SetTableEntry{table.id, plan.id[entry.backend], entry.weight})
+		planner.commands = append(planner.commands, SetTableEntry{table.id, planner.id[entry.backend], entry.weight})
 		p.pendingLines++
 	}
 	table.sent = slices.Clone(table.desired)
@@ -257,10 +260,10 @@
 		}
 		level := p.admissionLevel(method)
 		table.sentLevels[method], table.sentRetry[method] = level, p.retryPolicies[method]
-		if plan.settings.LevelKind == "rate" && level == 1 {
+		if planner.settings.LevelKind == "rate" && level == 1 {
 			level = unlimitedRate
 		}
-		plan.commands = append(plan.commands, SetAdmission{table.id, 1 << method, level, p.retryPolicies[method]})
+		planner.commands = append(planner.commands, SetAdmission{table.id, 1 << method, level, p.retryPolicies[method]})
 		p.pendingLines++
 	}
 }
--- a/choice/ring.go
+++ b/choice/ring.go
@@ -11,7 +11,7 @@
 // arc of it. The decisions are in arcs.go; this file holds the state and the arithmetic.
 type ring struct {
 	mailbox
-	plan                  *Planner
+	planner               *Planner
 	dirty                 bool          // all arcs must be reassigned
 	changedProxies        []*proxyActor // joined or left since all arcs were last assigned
 	handledChanges        int           // number of leading entries of changedProxies that were handled
@@ -49,19 +49,19 @@
 	case membershipChanged:
 		r.changedProxies = append(r.changedProxies, msg.proxy)
 	case tickElapsed:
-		r.dirty = r.dirty || r.plan.now >= r.assignedAt+reassignInterval
+		r.dirty = r.dirty || r.planner.now >= r.assignedAt+reassignInterval
 	}
 }
 
 // ringOrder returns the open backends in ring order: by hash, then by id.
-func (plan *Planner) ringOrder() (order []int) {
-	for i := range plan.id {
-		if plan.state[i] == BackendOpen {
+func (planner *Planner) ringOrder() (order []int) {
+	for i := range planner.id {
+		if planner.state[i] == BackendOpen {
 			order = append(order, i)
 		}
 	}
 	slices.SortFunc(order, func(a, b int) int {
-		return cmp.Or(cmp.Compare(plan.ringHash[a], plan.ringHash[b]), cmp.Compare(plan.id[a], plan.id[b]))
+		return cmp.Or(cmp.Compare(planner.ringHash[a], planner.ringHash[b]), cmp.Compare(planner.id[a], planner.id[b]))
 	})
 	return order
 }
@@ -69,7 +69,7 @@
 // clockwise yields the given backends, which are in ring order, once each, beginning with the first at or after the start hash.
 func (r *ring) clockwise(backends []int, start uint32) iter.Seq[int] {
 	return func(yield func(int) bool) {
-		byHash := func(i int, hash uint32) int { return cmp.Compare(r.plan.ringHash[i], hash) }
+		byHash := func(i int, hash uint32) int { return cmp.Compare(r.planner.ringHash[i], hash) }
 		first, _ := slices.BinarySearchFunc(backends, start, byHash)
 		for k := range backends {
 			if !yield(backends[(first+k)%len(backends)]) {
@@ -89,11 +89,11 @@
 
 // collectWalks returns a walk for each table of the joined proxies, the usage of those proxies and, by zone, the usage of the
 // proxies that left, in requests a second. A proxy that left is assumed to have joined another coordinator and to load its zone
-// still. Otherwise, when the network between zones fails and a coordinator keeps only the proxies of its own zone, it would direct
-// half of their load to the other zone, whose backends would seem idle.
+// still. Otherwise, when the network between zones fails and a coordinator keeps only the proxies of its own zone, it would
+// direct half of their load to the other zone, whose backends would seem idle.
 func (r *ring) collectWalks() (walks []*arcWalk, usage float64, otherUsage []float64) {
-	usage, otherUsage, r.joinedProxies = 1e-9, make([]float64, len(r.plan.zoneIndex)), 0
-	for _, proxy := range r.plan.proxies {
+	usage, otherUsage, r.joinedProxies = 1e-9, make([]float64, len(r.planner.zoneIndex)), 0
+	for _, proxy := range r.planner.proxies {
 		if !proxy.joined {
 			otherUsage[proxy.zone] += proxy.usageRate()
 			continue
@@ -122,9 +122,9 @@
 
 // resetLoad clears what an assignment of all arcs counts for each backend.
 func (r *ring) resetLoad() {
-	slots := len(r.plan.id)
-	r.plan.assignedLoad, r.plan.expectedLoad = make([]float64, slots), make([]float64, slots)
-	r.plan.arcCount, r.lastWalk = make([]int, slots), make([]*arcWalk, slots)
+	slots := len(r.planner.id)
+	r.planner.assignedLoad, r.planner.expectedLoad = make([]float64, slots), make([]float64, slots)
+	r.planner.arcCount, r.lastWalk = make([]int, slots), make([]*arcWalk, slots)
 }
 
 // reserveLoad adds the load that an arc is expected to bring the backends after its start point, so that the next arc starts
@@ -133,37 +133,38 @@
 	backendsLeft := walk.proxy.arcSize
 	for i := range r.clockwise(r.startCandidates(walk.proxy.zone), walk.proxy.arcStart) {
 		if backendsLeft--; backendsLeft >= 0 {
-			r.plan.assignedLoad[i] += walk.loadPerWeight * r.plan.weight[i] * r.plan.warmupFactor[i]
+			r.planner.assignedLoad[i] += walk.loadPerWeight * r.planner.weight[i] * r.planner.warmupFactor[i]
 		}
 	}
 }
 
-// spreadOtherCoordinatorsLoad distributes the usage of other coordinators' proxies, given by zone, over the backends of each zone
-// in proportion to their effective weights.
+// spreadOtherCoordinatorsLoad distributes the usage of other coordinators' proxies, given by zone, over the backends of each
+// zone in proportion to their effective weights.
 func (r *ring) spreadOtherCoordinatorsLoad(otherUsage []float64) {
-	r.otherCoordinatorsLoad = make([]float64, len(r.plan.id))
+	r.otherCoordinatorsLoad = make([]float64, len(r.planner.id))
 	for zone, backends := range r.openBackendsByZone {
 		totalWeight := 1e-9
 		for _, i := range backends {
-			totalWeight += r.plan.effectiveWeight[i]
+			totalWeight += r.planner.effectiveWeight[i]
 		}
 		for _, i := range backends {
-			r.otherCoordinatorsLoad[i] = otherUsage[zone] * r.plan.effectiveWeight[i] / totalWeight
+			r.otherCoordinatorsLoad[i] = otherUsage[zone] * r.planner.effectiveWeight[i] / totalWeight
 		}
 	}
 }
 
-// otherZoneDistance is added to the distance of a backend in another zone. Hashes have 32 bits, so it is farther than any distance
-// on the ring.
+// otherZoneDistance is added to the distance of a backend in another zone. Hashes have 32 bits, so it is farther than any
+// distance on the ring.
 const otherZoneDistance = 1 << 32
 
-// nearestWalk returns the walk whose start point is nearest before a backend on the ring and that may take it, or nil if none may.
+// nearestWalk returns the walk whose start point is nearest before a backend on the ring and that may take it, or nil if none
+// may.
 func (r *ring) nearestWalk(walks []*arcWalk, i int) (nearest *arcWalk) {
 	least := uint64(math.MaxUint64)
 	for _, walk := range walks {
 		zone := walk.proxy.zone
-		distance := uint64(r.plan.ringHash[i] - walk.proxy.arcStart)
-		if r.plan.zone[i] != zone {
+		distance := uint64(r.planner.ringHash[i] - walk.proxy.arcStart)
+		if r.planner.zone[i] != zone {
 			distance += otherZoneDistance
 		}
 		reached := distance < otherZoneDistance || !walk.table.zoneLocal
@@ -177,37 +178,37 @@
 // addExpectedLoad adds the load that an arc brings each of its backends. For an excluded backend this is the load after its
 // exclusion is withdrawn.
 func (r *ring) addExpectedLoad(walk *arcWalk) {
-	plan, usableWeight := r.plan, 0.0
-	weight := func(i int) float64 { return plan.warmupFactor[i] * plan.weight[i] }
+	planner, usableWeight := r.planner, 0.0
+	weight := func(i int) float64 { return planner.warmupFactor[i] * planner.weight[i] }
 	for _, i := range walk.arc {
-		if !plan.excluded[i] {
+		if !planner.excluded[i] {
 			usableWeight += weight(i)
 		}
 	}
 	for _, i := range walk.arc {
 		totalWeight := usableWeight
-		if plan.excluded[i] {
+		if planner.excluded[i] {
 			totalWeight += weight(i)
 		}
-		plan.expectedLoad[i] += walk.proxy.assignedRate * weight(i) / totalWeight
+		planner.expectedLoad[i] += walk.proxy.assignedRate * weight(i) / totalWeight
 	}
 }
 
 // setDesiredTable makes the backends of an arc the desired entries of its table, and has the proxy checked for a push if they
 // changed.
 func (r *ring) setDesiredTable(walk *arcWalk) {
-	plan, before := r.plan, walk.table.desired
+	planner, before := r.planner, walk.table.desired
 	slices.Sort(walk.arc)
 	walk.table.desired = make([]tableEntry, len(walk.arc))
 	for k, i := range walk.arc {
-		walk.table.desired[k] = tableEntry{i, plan.weight[i] * plan.warmupFactor[i], plan.warmupFactor[i]}
+		walk.table.desired[k] = tableEntry{i, planner.weight[i] * planner.warmupFactor[i], planner.warmupFactor[i]}
 	}
 	if !slices.Equal(before, walk.table.desired) {
-		plan.markDirty(walk.proxy)
+		planner.markDirty(walk.proxy)
 	}
 }
 
 // relativeLoad returns the load that the arcs bring a backend, in requests a second per unit of effective weight.
-func (plan *Planner) relativeLoad(i int) float64 {
-	return plan.assignedLoad[i] / plan.effectiveWeight[i]
+func (planner *Planner) relativeLoad(i int) float64 {
+	return planner.assignedLoad[i] / planner.effectiveWeight[i]
 }
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -45,7 +45,7 @@
 	BareLimit         Number // longest time that a proxy may be without a table entry while an open warm backend is listed
 	ChannelPace       Number // lines a second that leave the channel
 	ChannelRoom       Number // limit on the lines that wait in the channel
-	ColdShare         Number // capacity of a cold backend, as a share of its capacity when warm
+	ColdShare         Number // capacity that a backend has at least just after its start, as a share of its usual one
 	Coordinators      Number
 	CrossingPrice     Number   // price of a request that leaves its zone
 	DrainGrace        Number   // time after which no request may be sent to a draining or gone backend
@@ -62,9 +62,9 @@
 	Methods           []MethodSettings
 	OnlyDrainingBinds bool   // DrainGrace does not apply to a backend that is dropped from the list without draining
 	Pick              string // how proxies pick a backend: "lottery" or "even" (by weight) or "pair" (less busy of two)
-	Probes            bool   // backends can be probed
+	Probes            bool   // backends may be probed
 	Proxies           Number // in all, at all coordinators
-	PushTime          Number // usual time from a push to its acknowledgement
+	PushTime          Number // mean time of a push from the channel to the proxy
 	PushTimeWorst     Number // longest such time
 	ReportPeriod      Number // time between two reports of a proxy
 	Self              Number // number of this coordinator
@@ -72,7 +72,7 @@
 	Strikes           Number // failures in a row after which a proxy avoids a backend for some seconds; 0: never
 	Tick              Number // shortest time between two steps
 	TryWait           Number // timeout of an attempt that may be retried, as a share of the soft deadline
-	WarmAfter         Number // time from the start of a backend until it is warm
+	WarmAfter         Number // warm-up time: a backend is warm no later than this after its start
 	Zone              string // of this coordinator
 	Zones             []string
 }
@@ -103,8 +103,8 @@
 	return all
 }
 
-// zones reads the zones up to the first that is missing, because the simulator's settings have their number under another name. The
-// name of a sole zone may be empty.
+// zones reads the zones up to the first that is missing, because the simulator's settings have their number under another name.
+// The name of a sole zone may be empty.
 func (f flatSettings) zones() (all []string) {
 	for i := 0; ; i++ {
 		zone, ok := f[fmt.Sprintf("zones.%d", i)].(string)
@@ -130,7 +130,8 @@
 	}
 }
 
-// DecodeSettings decodes the flat form, a map from names to numbers (float64, times in seconds), flags (bool) and texts (string).
+// DecodeSettings decodes the flat form, a map from names to numbers (float64, times in seconds), flags (bool) and texts
+// (string).
 func DecodeSettings(values map[string]any) Settings {
 	flat := flatSettings(values)
 	settings := Settings{
@@ -193,7 +194,8 @@
 	defaultWarmAfter     = 10
 )
 
-// planSettings are the settings that decisions depend on, with defaults in place of omitted ones. See Settings for their meaning.
+// planSettings are the settings that decisions depend on, with defaults in place of omitted ones. See Settings for their
+// meaning.
 type planSettings struct {
 	AskWithin         float64
 	ChannelPace       float64
