--- a/choice/admission.go
+++ b/choice/admission.go
@@ -18,7 +18,7 @@
 	minRateLimitShare      = 0.8  // lower bound of the rate limit, as a share of the fleet's peak success rate
 	admittedSuccessShare   = 0.85 // share of the success rate that is admitted in an overload, so that queues drain
 	limitGrowthFactor      = 1.1  // growth of the rate limit per evaluation after an overload
-	limitGrowthBonus       = 0.3  // is added to limitGrowthFactor if no backend is overloaded
+	limitGrowthBonus       = 0.3  // is added to limitGrowthFactor if no backend is overloaded, and less if some are
 	loadFactorGain         = 0.2  // smoothing factor of the load factor
 	successRateGain        = 0.3  // smoothing factor of the success rate
 	admittedShareSteps     = 20   // admitted shares are rounded to multiples of 1/20
@@ -148,7 +148,7 @@
 		shares[method], order[method] = 1, method
 		excess += a.arrivalRates[method]
 	}
-	if excess < -0.1*a.rateLimit {
+	if excess < -0.1*a.rateLimit { // arrivals are more than 10% below the limit, which is no longer needed
 		a.rateLimit = math.Inf(1)
 	}
 	if a.planner.settings.LevelKind == "none" {
--- a/choice/arcs.go
+++ b/choice/arcs.go
@@ -10,15 +10,15 @@
 // A load factor is a ratio: the highest load that arcs may bring a backend, divided by its proportional share of the total
 // load. Shares are proportional to effective weights.
 const (
-	minArcSize           = 3    // backends in an arc
-	meanArcSize          = 6.0  // backends in an arc, averaged over all arcs
-	minArcsPerBackend    = 2    // arcs that include each backend
+	minArcSize           = 3    // fewest backends in an arc
+	meanArcSize          = 6.0  // backends in an arc on average, or more if minArcsPerBackend requires it
+	minArcsPerBackend    = 2    // fewest arcs that include each backend
 	minArcSizeChange     = 2    // backends; an arc is not resized by fewer
 	minLoadFactor        = 1.1  // load factor while latency is high
 	maxLoadFactor        = 1.5  // limit on the load factor while latency is low, which keeps more requests in their zone
 	crossZonePriceFactor = 3.5  // increase of the load factor above minLoadFactor, per unit of the cross-zone price
 	boundGrowthFactor    = 1.09 // ratio of successive load bounds that are tried for an arc that is not full
-	maxBoundGrowthFactor = 16   // growth of the load bound after which an arc stays shorter
+	maxBoundGrowthFactor = 16   // limit on the growth of the load bound; an arc that is not full then stays so
 	reassignInterval     = 1.0  // seconds between assignments of all arcs, because usage and latency factors drift
 	reassignBatchShare   = 0.12 // share of the joined proxies; when more than these joined or left, all arcs are reassigned
 )
@@ -111,7 +111,7 @@
 		if r.prepareWalk(walk) {
 			r.reserveLoad(walk)
 		}
-		if walk.table == walk.proxy.tables[0] {
+		if walk.table == walk.proxy.tables[0] { // counts each proxy once
 			assignedRate += walk.proxy.assignedRate
 		}
 	}
@@ -170,7 +170,8 @@
 
 // takeBackends follows the ring and adds backends until the arc is full. As in consistent hashing with bounded loads, it skips
 // a backend whose load would exceed maxLoadPerWeight times its effective weight; it also skips those that acceptable rejects. A
-// backend in slow start counts by its warm-up factor only, so that the arc has enough other capacity beside it.
+// backend in slow start counts by its warm-up factor only, and an excluded one not at all, so that the arc has enough other
+// capacity beside it.
 func (r *ring) takeBackends(walk *arcWalk, maxLoadPerWeight float64, acceptable func(i, zone int) bool) {
 	planner := r.planner
 	for i := range r.candidates(walk) {
--- a/choice/channel.go
+++ b/choice/channel.go
@@ -21,8 +21,8 @@
 }
 
 // handle removes from unacked what has left the channel. Messages leave it in order, so an acknowledgement shows that all
-// earlier messages have left it, too. Messages of a lost stream are never acknowledged and are dropped after
-// messageLossTimeout.
+// earlier steps have left it, too. The acknowledged step stays, because its messages to other proxies may still wait. Messages
+// of a lost stream are never acknowledged; their steps are removed after messageLossTimeout.
 func (h *channel) handle(msg message) {
 	switch msg := msg.(type) {
 	case acknowledged:
--- a/choice/ejection.go
+++ b/choice/ejection.go
@@ -14,8 +14,8 @@
 	slowLatencyRatio       = 0.3  // a backend is slow if its mean latency is above this share of the shortest soft deadline
 	slowLatencyFleetFactor = 1.2  // and above this multiple of the fleet's mean latency
 	minLatencyFactor       = 0.4  // lower limit of the latency factor
-	latencyFactorDecrease  = 0.85 // the latency factor of a slow backend is multiplied by this
-	latencyFactorIncrease  = 0.05 // and once it is no longer slow this is added
+	latencyFactorDecrease  = 0.85 // the latency factor of a slow backend is multiplied by this in each healthWindow
+	latencyFactorIncrease  = 0.05 // and this is added in each healthWindow once its latency is below slowLatencyRatio
 )
 
 // applyReport updates a backend's health from a report. A successful request also clears its failed probes, because it is
--- a/choice/proxies.go
+++ b/choice/proxies.go
@@ -172,7 +172,7 @@
 	return true
 }
 
-// usageRate is the proxy's usage in requests a second.
+// usageRate returns the proxy's usage of all methods in requests a second, as of their last reports.
 func (p *proxyActor) usageRate() float64 { return sum(p.usage) }
 
 // references reports whether a table of the proxy has, or should have, an entry for a backend.
--- a/choice/push.go
+++ b/choice/push.go
@@ -15,13 +15,14 @@
 	ordinaryPushShare    = 0.6  // share of the message and line limits that ordinary pushes may use
 	firstTableShare      = 0.4  // share of the line limit for first tables; keeps the queue short when many proxies join at once
 	firstTableDelayShare = 0.25 // share of the drain grace, from the join on, after which a first table may use ordinaryPushShare
-	urgentPushShare      = 0.9  // share of the limits that urgent pushes may use; the rest is reserved for exclusions
+	urgentPushShare      = 0.9  // share of the limits that urgent pushes and lists of exclusions may use; the rest is for exclusions
 	ackTimeGain          = 0.1  // smoothing factor of the mean acknowledgement time
 	messageLossTimeout   = 10.0 // seconds after which an unacknowledged message is assumed lost with its stream
 )
 
 // push sends the changes of a proxy's tables once its last push is acknowledged and the channel has room. Urgent changes do not
-// wait for this. If the acknowledgement is overdue, the whole table is sent again.
+// wait for this, but need messages left within urgentPushShare of the limit. If the acknowledgement is overdue, the whole table
+// is sent again.
 func (p *proxyActor) push() {
 	planner := p.planner
 	overdue := p.pushInFlight && planner.now > p.leavesChannelAt+ackTimeoutFactor*planner.channel.meanAckTime
--- a/choice/slowstart.go
+++ b/choice/slowstart.go
@@ -45,13 +45,13 @@
 	if admission.firstReportAt == 0 || planner.now <= admission.firstReportAt+admissionWindow {
 		return 1 // this instance started too recently to know whether there is an overload
 	}
-	// The largest share of all requests that may move to cold backends, per unit of their full weight.
+	// The largest share of all requests that a cold backend may get, per unit of its full weight: as much as if it were warm.
 	movedShare := 1 / planner.sumOpen(planner.fullWeight)
 	if planner.settings.Pick == "pair" {
 		movedShare *= 2 // of two backends drawn at random, one with no requests in flight is always picked
 	}
 	coldWeight := planner.sumOpen(func(i int) float64 { return planner.weight[i] * math.Ceil(1-planner.warmupFactor[i]) })
-	movedShare = min(movedShare, 1/max(1e-9, coldWeight))
+	movedShare = min(movedShare, 1/max(1e-9, coldWeight)) // all cold backends together can't get more than all requests
 	return arrivalRate * movedShare / (coldLoadShare * collapseMultiple * max(admission.peakSuccessRatePerWeight, 1e-9))
 }
 
