--- a/choice/admission.go
+++ b/choice/admission.go
@@ -29,7 +29,7 @@
 // the timeouts. So a retry needs proof that the first attempt was not processed, or a token that all backends surely still
 // remember at the second attempt.
 func (planner *Planner) normalRetry(method MethodSettings) RetryPolicy {
-	remembered := planner.settings.TryWait*method.SoftDeadline.Or(1) < 0.9*method.Window.Or(0)
+	remembered := planner.settings.AttemptTimeoutShare*method.SoftDeadline.Or(1) < 0.9*method.Window.Or(0)
 	deduplicated := method.Effect == "tokened" && method.Group == "all" && remembered
 	switch {
 	case method.MostTries == "once":
@@ -94,7 +94,7 @@
 			continue
 		}
 		load.attempts += attempts
-		load.avoidedAttempts += attempts * math.Pow(failures/attempts, planner.settings.Strikes)
+		load.avoidedAttempts += attempts * math.Pow(failures/attempts, planner.settings.AvoidAfterFailures)
 		byFailures := failureWeight * failures / attempts / overloadFailureShare
 		byLatency := planner.meanLatency[i][zone] / a.shortestSoftDeadline / overloadLatencyRatio
 		overloadRatio = min(overloadRatio, max(byFailures, byLatency))
@@ -109,7 +109,7 @@
 // rises only in proportion to that cost, because a zone with more than its share of the load is the first that a burst
 // overloads.
 func (a *admission) updateLoadFactor() {
-	limit := min(maxLoadFactor, minLoadFactor+crossZonePriceFactor*a.planner.settings.CrossingPrice)
+	limit := min(maxLoadFactor, minLoadFactor+crossZonePriceFactor*a.planner.settings.CrossZonePrice)
 	target := minLoadFactor + (limit-minLoadFactor)*min(1, max(0, 2-4*a.relativeLatency))
 	a.loadFactor += loadFactorGain * (target - a.loadFactor)
 }
--- a/choice/channel.go
+++ b/choice/channel.go
@@ -54,7 +54,7 @@
 	if proxy.pendingLines == 0 {
 		return 0
 	}
-	return proxy.pendingLines + int(h.planner.settings.MessageLines) + 1
+	return proxy.pendingLines + int(h.planner.settings.MessageHeaderLines) + 1
 }
 
 // finishStep gives all messages of the step one nonce and records them as sent.
@@ -70,7 +70,7 @@
 		proxy.messagesSentAt = append(proxy.messagesSentAt, planner.now)
 		if proxy.awaitsAck {
 			proxy.pushInFlight, proxy.pushNonce = true, nonce
-			proxy.leavesChannelAt = planner.now + sendTimeFactor*float64(linesAhead+lines)/planner.settings.ChannelPace
+			proxy.leavesChannelAt = planner.now + sendTimeFactor*float64(linesAhead+lines)/planner.settings.ChannelLinesPerSecond
 		}
 		proxy.pendingLines, proxy.awaitsAck = 0, false
 	}
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -18,7 +18,7 @@
 	if now >= planner.nextTick {
 		planner.tick()
 	}
-	if planner.settings.Slices == 0 {
+	if planner.settings.SliceCount == 0 {
 		planner.reconcile()
 	}
 	return planner.commands
--- a/choice/ejection.go
+++ b/choice/ejection.go
@@ -93,7 +93,7 @@
 	silence := planner.newestReportAt - max(planner.lastSuccessAt[i], planner.firstListed[i])
 	successExpected := silence*planner.assignedLoad[i] > minAttempts && !planner.admission.overloaded
 	silent := silence > 1.5*planner.settings.ReportPeriod && successExpected
-	due := planner.settings.Probes && planner.state[i] == BackendOpen && planner.now >= planner.nextProbeAt[i]
+	due := planner.settings.ProbesAllowed && planner.state[i] == BackendOpen && planner.now >= planner.nextProbeAt[i]
 	if due && (silent || planner.failedProbes[i] > 0) {
 		planner.nextProbeAt[i] = planner.now + probeInterval
 		planner.commands = append(planner.commands, ProbeBackend{planner.id[i]})
--- a/choice/endpoints.go
+++ b/choice/endpoints.go
@@ -26,19 +26,19 @@
 }
 
 // backOff delays the next poll after a failed one, with jitter, so that the list service is not overloaded by all coordinators
-// polling again at once. The delay stays well within AskWithin, the longest time between two polls.
+// polling again at once. The delay stays well within MaxPollInterval.
 func (e *endpointWatcher) backOff() {
 	e.failedPolls = min(e.failedPolls+1, maxBackoffDoublings)
-	backoff := min(basePollBackoff*math.Exp2(float64(e.failedPolls)), e.planner.settings.AskWithin/3)
+	backoff := min(basePollBackoff*math.Exp2(float64(e.failedPolls)), e.planner.settings.MaxPollInterval/3)
 	e.nextPoll = e.planner.now + backoff*(0.5+e.planner.random())
 }
 
 // poll starts a watch of the endpoint list, if the settings say that it has to be polled and none has succeeded since the last
 // failure.
 func (e *endpointWatcher) poll() {
-	if e.planner.settings.Listing == "asked" && e.planner.now >= e.nextPoll {
+	if e.planner.settings.EndpointListMode == "asked" && e.planner.now >= e.nextPoll {
 		e.planner.commands = append(e.planner.commands, WatchEndpoints{true})
-		e.nextPoll = e.planner.now + e.planner.settings.AskWithin/2 // a watch without an answer by then counts as failed
+		e.nextPoll = e.planner.now + e.planner.settings.MaxPollInterval/2 // a watch without an answer by then counts as failed
 	}
 }
 
@@ -53,9 +53,9 @@
 	}
 	planner.state[i], planner.startedAt[i] = endpoint.State, max(endpoint.StartedAt, planner.startedAt[i])
 	planner.warmupFactor[i] = b.currentWarmupFactor()
-	// With OnlyDrainingBinds, a backend that is dropped from the list without draining needs no exclusion and leaves the tables
+	// With ExcludeOnlyDraining, a backend that is dropped from the list without draining needs no exclusion and leaves the tables
 	// with ordinary pushes.
-	goneBinds := endpoint.State == BackendGone && !planner.settings.OnlyDrainingBinds
+	goneBinds := endpoint.State == BackendGone && !planner.settings.ExcludeOnlyDraining
 	mustExclude := endpoint.State == BackendDraining || goneBinds
 	if mustExclude && !planner.excluded[i] {
 		planner.exclusionDueSince[i] = cmp.Or(planner.exclusionDueSince[i], planner.now)
--- a/choice/exclusion.go
+++ b/choice/exclusion.go
@@ -18,7 +18,7 @@
 		oldestDue = min(oldestDue, cmp.Or(since, oldestDue))
 	}
 	// Half of what the grace leaves after the slowest push and three mean acknowledgement times.
-	holdTime := max(0, planner.settings.DrainGrace-planner.settings.PushTimeWorst-3*planner.channel.meanAckTime) / 2
+	holdTime := max(0, planner.settings.DrainGrace-planner.settings.MaxPushTime-3*planner.channel.meanAckTime) / 2
 	nearMessageLimit := func(proxy *proxyActor) bool {
 		return proxy.joined && !planner.channel.withinMessageLimit(proxy, ordinaryPushShare)
 	}
@@ -59,7 +59,7 @@
 	planner, lines := p.planner, p.planner.excludedCount()
 	p.pushWaiting = true
 	empty := func(table *proxyTable) bool { return len(table.sent)+len(table.desired) == 0 }
-	fits := float64(planner.channel.waitingLines()+lines) <= urgentPushShare*planner.settings.ChannelRoom
+	fits := float64(planner.channel.waitingLines()+lines) <= urgentPushShare*planner.settings.MaxChannelLines
 	if !fits || !slices.ContainsFunc(p.tables, empty) {
 		return
 	}
--- a/choice/exclusion_test.go
+++ b/choice/exclusion_test.go
@@ -24,7 +24,7 @@
 func TestExclusionsAreGatheredNearTheMessageLimit(t *testing.T) {
 	fleet := startedFleet(t, nil, 8, 4)
 	fleet.acknowledgeAll()
-	recent := int(ordinaryPushShare * fleet.planner.settings.Messages)
+	recent := int(ordinaryPushShare * fleet.planner.settings.MessageLimit)
 	fleet.planner.proxies[0].messagesSentAt = slices.Repeat([]Seconds{fleet.now}, recent)
 	for number := range 3 {
 		commands := fleet.step(0.1, stateUpdate(number, BackendDraining))
--- a/choice/fleetload.go
+++ b/choice/fleetload.go
@@ -16,7 +16,7 @@
 	successRatePerWeight     float64       // mean rate of successes, a second and per unit of open capacity
 	peakSuccessRatePerWeight float64       // the highest successRatePerWeight so far
 	relativeLatency          float64       // mean latency of the successes, divided by the shortest soft deadline
-	avoidedShare             float64       // estimated share of the attempts at backends that proxies avoid after Strikes failures
+	avoidedShare             float64       // estimated share of the attempts at backends that proxies avoid, see AvoidAfterFailures
 	baselineFailureShare     float64       // failure share at the best quarter of the backends, in the zone with the fewest failures
 	loadFactor               float64       // limit on a backend's load, as a multiple of its proportional share (see arcs.go)
 	overloaded               bool          // the fleet is overloaded
@@ -61,7 +61,7 @@
 	successRate        float64 // successes a second
 	weightedLatency    float64 // sum over the backends of success rate times mean latency, in shortest soft deadlines
 	attempts           float64 // decayed count
-	avoidedAttempts    float64 // those that probably were at backends with Strikes failures in a row, which proxies avoid
+	avoidedAttempts    float64 // those that probably were at backends with AvoidAfterFailures failures in a row, which proxies avoid
 	judgedBackends     float64 // open backends with enough attempts to be judged
 	overloadedBackends float64 // those of them that are overloaded
 }
--- a/choice/planner.go
+++ b/choice/planner.go
@@ -8,7 +8,7 @@
 // Planner is one instance of the decision module. It must not be used by two goroutines at once.
 type Planner struct {
 	config      Config
-	settings    planSettings
+	settings    decisionSettings
 	now         Seconds
 	randomDraws uint32 // number of random numbers drawn so far
 	backendStates
@@ -41,10 +41,10 @@
 // New returns an instance of the decision module for the settings of a site.
 func New(config Config) *Planner {
 	planner := &Planner{config: config, now: config.Now, indexOf: map[BackendID]int{}, zoneIndex: map[Zone]int{}}
-	planner.settings = planSettingsOf(config.Settings)
+	planner.settings = newDecisionSettings(config.Settings)
 	planner.watcher, planner.ring = &endpointWatcher{planner: planner}, &ring{planner: planner}
 	planner.admission = newAdmission(planner)
-	planner.channel = &channel{planner: planner, meanAckTime: planner.settings.PushTime}
+	planner.channel = &channel{planner: planner, meanAckTime: planner.settings.MeanPushTime}
 	return planner
 }
 
@@ -99,7 +99,7 @@
 
 // ownShare returns the share of all proxies that were joined to this coordinator when all arcs were last assigned.
 func (planner *Planner) ownShare() float64 {
-	return float64(planner.ring.joinedProxies) / max(planner.settings.Proxies, float64(planner.ring.joinedProxies), 1)
+	return float64(planner.ring.joinedProxies) / max(planner.settings.ProxyCount, float64(planner.ring.joinedProxies), 1)
 }
 
 // sum returns the sum of the values.
--- a/choice/push.go
+++ b/choice/push.go
@@ -73,7 +73,7 @@
 
 // withinMessageLimit reports whether one more message to a proxy stays within the given share of the message limit.
 func (h *channel) withinMessageLimit(proxy *proxyActor, share float64) bool {
-	limit, span := h.planner.settings.Messages, h.planner.settings.MessagesSpan
+	limit, span := h.planner.settings.MessageLimit, h.planner.settings.MessageLimitSpan
 	old := func(sent Seconds) bool { return sent < h.planner.now-span-1 }
 	proxy.messagesSentAt = slices.DeleteFunc(proxy.messagesSentAt, old)
 	return limit == 0 || float64(len(proxy.messagesSentAt)+1) <= share*limit
@@ -86,6 +86,6 @@
 	if !proxy.tableBound && h.planner.now < firstTableDue {
 		share = firstTableShare
 	}
-	fits := float64(h.waitingLines()+proxy.maxPushLines()) < share*h.planner.settings.ChannelRoom
+	fits := float64(h.waitingLines()+proxy.maxPushLines()) < share*h.planner.settings.MaxChannelLines
 	return fits && (!proxy.tableBound || proxy.pendingLines > 0 || h.withinMessageLimit(proxy, ordinaryPushShare))
 }
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// defaultMethods is the number of methods if the settings don't give it.
-const defaultMethods = 1
+// defaultMethodCount is the number of methods if the settings don't give it.
+const defaultMethodCount = 1
 
 // Number is a numeric setting that a settings file may omit. Times are in seconds.
 type Number struct {
@@ -169,7 +169,7 @@
 		Zone:              flat.text("zone"),
 		Zones:             flat.zones(),
 	}
-	for i := range int(flat.number("method.n").Or(defaultMethods)) {
+	for i := range int(flat.number("method.n").Or(defaultMethodCount)) {
 		settings.Methods = append(settings.Methods, flat.method(i))
 	}
 	return settings
@@ -177,77 +177,78 @@
 
 // Default values of the settings that a site's file may omit.
 const (
-	defaultAskWithin     = 10
-	defaultChannelPace   = 1e4
-	defaultColdShare     = 0.3
-	defaultCriticality   = 1
-	defaultDrainGrace    = 1
-	defaultFallMultiple  = 3
-	defaultMessageLines  = 10
-	defaultMessagesSpan  = 10
-	defaultProxies       = 1
-	defaultPushTime      = 0.2
-	defaultPushTimeWorst = 0.4
-	defaultReportPeriod  = 1
-	defaultSoftDeadline  = 1
-	defaultTryWait       = 1
-	defaultWarmAfter     = 10
+	defaultMaxPollInterval       = 10
+	defaultChannelLinesPerSecond = 1e4
+	defaultColdCapacityShare     = 0.3
+	defaultCriticality           = 1
+	defaultDrainGrace            = 1
+	defaultCollapseLoadMultiple  = 3
+	defaultMessageHeaderLines    = 10
+	defaultMessageLimitSpan      = 10
+	defaultProxyCount            = 1
+	defaultMeanPushTime          = 0.2
+	defaultMaxPushTime           = 0.4
+	defaultReportPeriod          = 1
+	defaultSoftDeadline          = 1
+	defaultAttemptTimeoutShare   = 1
+	defaultWarmupDuration        = 10
 )
 
-// planSettings are the settings that decisions depend on, with defaults in place of omitted ones. See Settings for their
-// meaning.
-type planSettings struct {
-	AskWithin         float64
-	ChannelPace       float64
-	ChannelRoom       float64
-	ColdShare         float64
-	CrossingPrice     float64
-	DrainGrace        float64
-	FallMultiple      float64
-	LevelKind         string
-	Listing           string
-	MessageLines      float64
-	Messages          float64
-	MessagesSpan      float64
-	Methods           []MethodSettings
-	OnlyDrainingBinds bool
-	Pick              string
-	Probes            bool
-	Proxies           float64
-	PushTime          float64
-	PushTimeWorst     float64
-	ReportPeriod      float64
-	Slices            float64
-	Strikes           float64
-	TryWait           float64
-	WarmAfter         float64
+// decisionSettings are the settings that decisions depend on, with defaults in place of omitted ones. Settings describes their
+// meaning; newDecisionSettings shows which field comes from which setting.
+type decisionSettings struct {
+	MaxPollInterval       float64
+	ChannelLinesPerSecond float64
+	MaxChannelLines       float64
+	ColdCapacityShare     float64
+	CrossZonePrice        float64
+	DrainGrace            float64
+	CollapseLoadMultiple  float64
+	LevelKind             string
+	EndpointListMode      string
+	MessageHeaderLines    float64
+	MessageLimit          float64
+	MessageLimitSpan      float64
+	Methods               []MethodSettings
+	ExcludeOnlyDraining   bool
+	PickPolicy            string
+	ProbesAllowed         bool
+	ProxyCount            float64
+	MeanPushTime          float64
+	MaxPushTime           float64
+	ReportPeriod          float64
+	SliceCount            float64
+	AvoidAfterFailures    float64
+	AttemptTimeoutShare   float64
+	WarmupDuration        float64
 }
 
-func planSettingsOf(settings Settings) planSettings {
-	return planSettings{
-		AskWithin:         settings.AskWithin.Or(defaultAskWithin),
-		ChannelPace:       settings.ChannelPace.Or(defaultChannelPace),
-		ChannelRoom:       settings.ChannelRoom.Or(math.Inf(1)),
-		ColdShare:         settings.ColdShare.Or(defaultColdShare),
-		CrossingPrice:     settings.CrossingPrice.Or(0),
-		DrainGrace:        settings.DrainGrace.Or(defaultDrainGrace),
-		FallMultiple:      settings.FallMultiple.Or(defaultFallMultiple),
-		LevelKind:         settings.LevelKind,
-		Listing:           settings.Listing,
-		MessageLines:      settings.MessageLines.Or(defaultMessageLines),
-		Messages:          settings.Messages.Or(0),
-		MessagesSpan:      settings.MessagesSpan.Or(defaultMessagesSpan),
-		Methods:           settings.Methods,
-		OnlyDrainingBinds: settings.OnlyDrainingBinds,
-		Pick:              settings.Pick,
-		Probes:            settings.Probes,
-		Proxies:           settings.Proxies.Or(defaultProxies),
-		PushTime:          settings.PushTime.Or(defaultPushTime),
-		PushTimeWorst:     settings.PushTimeWorst.Or(defaultPushTimeWorst),
-		ReportPeriod:      settings.ReportPeriod.Or(defaultReportPeriod),
-		Slices:            settings.Slices.Or(0),
-		Strikes:           settings.Strikes.Or(0),
-		TryWait:           settings.TryWait.Or(defaultTryWait),
-		WarmAfter:         settings.WarmAfter.Or(defaultWarmAfter),
+// newDecisionSettings fills in the defaults of omitted settings.
+func newDecisionSettings(settings Settings) decisionSettings {
+	return decisionSettings{
+		MaxPollInterval:       settings.AskWithin.Or(defaultMaxPollInterval),
+		ChannelLinesPerSecond: settings.ChannelPace.Or(defaultChannelLinesPerSecond),
+		MaxChannelLines:       settings.ChannelRoom.Or(math.Inf(1)),
+		ColdCapacityShare:     settings.ColdShare.Or(defaultColdCapacityShare),
+		CrossZonePrice:        settings.CrossingPrice.Or(0),
+		DrainGrace:            settings.DrainGrace.Or(defaultDrainGrace),
+		CollapseLoadMultiple:  settings.FallMultiple.Or(defaultCollapseLoadMultiple),
+		LevelKind:             settings.LevelKind,
+		EndpointListMode:      settings.Listing,
+		MessageHeaderLines:    settings.MessageLines.Or(defaultMessageHeaderLines),
+		MessageLimit:          settings.Messages.Or(0),
+		MessageLimitSpan:      settings.MessagesSpan.Or(defaultMessageLimitSpan),
+		Methods:               settings.Methods,
+		ExcludeOnlyDraining:   settings.OnlyDrainingBinds,
+		PickPolicy:            settings.Pick,
+		ProbesAllowed:         settings.Probes,
+		ProxyCount:            settings.Proxies.Or(defaultProxyCount),
+		MeanPushTime:          settings.PushTime.Or(defaultMeanPushTime),
+		MaxPushTime:           settings.PushTimeWorst.Or(defaultMaxPushTime),
+		ReportPeriod:          settings.ReportPeriod.Or(defaultReportPeriod),
+		SliceCount:            settings.Slices.Or(0),
+		AvoidAfterFailures:    settings.Strikes.Or(0),
+		AttemptTimeoutShare:   settings.TryWait.Or(defaultAttemptTimeoutShare),
+		WarmupDuration:        settings.WarmAfter.Or(defaultWarmupDuration),
 	}
 }
--- a/choice/slowstart.go
+++ b/choice/slowstart.go
@@ -14,7 +14,7 @@
 // currentWarmupFactor returns a backend's present warm-up factor. It assumes the slowest warm-up that the settings allow and
 // rises in a few steps, each to the capacity that the backend has at least when the step begins.
 func (b *backendActor) currentWarmupFactor() float64 {
-	duration, coldShare := b.planner.settings.WarmAfter, b.planner.settings.ColdShare
+	duration, coldShare := b.planner.settings.WarmupDuration, b.planner.settings.ColdCapacityShare
 	beganAt := max(b.planner.startedAt[b.index], b.planner.returnedAt[b.index])
 	age := b.planner.now - beganAt
 	if beganAt == 0 || age >= duration || duration <= 0 {
@@ -27,19 +27,20 @@
 // proxies that avoid failing backends, or that pick the less busy of two, move their requests from all backends that reject to
 // a cold one, whatever its weight. The cold backend therefore stays out until it can take this load.
 //
-// entryRate is the mean rate of a table entry in requests a second. If an entry gets fewer than Strikes requests before reports
-// of failures take effect, and few backends fail, proxies avoid no backend and no requests move until there is an overload.
+// entryRate is the mean rate of a table entry in requests a second. If an entry gets fewer than AvoidAfterFailures requests
+// before reports of failures take effect, and few backends fail, proxies avoid no backend and no requests move until there is
+// an overload.
 func (planner *Planner) requiredWarmupFactor(entryRate float64) float64 {
-	admission, strikes := planner.admission, planner.settings.Strikes
-	arrivalRate, collapseMultiple := sum(admission.arrivalRates), planner.settings.FallMultiple
+	admission, avoidAfterFailures := planner.admission, planner.settings.AvoidAfterFailures
+	arrivalRate, collapseMultiple := sum(admission.arrivalRates), planner.settings.CollapseLoadMultiple
 	entryArrivalRate := arrivalRate / planner.ring.totalEntries
-	fewAvoided := max(entryRate, entryArrivalRate)*admissionWindow < strikes && admission.avoidedShare < maxAvoidedShare
+	fewAvoided := max(entryRate, entryArrivalRate)*admissionWindow < avoidAfterFailures && admission.avoidedShare < maxAvoidedShare
 	// Picking the less busy of two backends moves requests only if one of them is busy. The estimated number of requests in flight
 	// per table entry stands for the probability of that.
 	busyShare := min(1, entryArrivalRate*admission.relativeLatency*admission.shortestSoftDeadline)
 	movedPerWeight := arrivalRate * (1 + busyShare) / max(1e-9, planner.openCapacity())
 	bearable := !admission.overloaded || movedPerWeight < coldLoadShare*collapseMultiple*admission.peakSuccessRatePerWeight
-	if admission.overloadUnlikely || strikes <= 0 || fewAvoided && bearable {
+	if admission.overloadUnlikely || avoidAfterFailures <= 0 || fewAvoided && bearable {
 		return 0
 	}
 	if admission.firstReportAt == 0 || planner.now <= admission.firstReportAt+admissionWindow {
@@ -47,7 +48,7 @@
 	}
 	// The largest share of all requests that a cold backend may get, per unit of its full weight: as much as if it were warm.
 	movedShare := 1 / planner.sumOpen(planner.fullWeight)
-	if planner.settings.Pick == "pair" {
+	if planner.settings.PickPolicy == "pair" {
 		movedShare *= 2 // of two backends drawn at random, one with no requests in flight is always picked
 	}
 	coldWeight := planner.sumOpen(func(i int) float64 { return planner.weight[i] * math.Ceil(1-planner.warmupFactor[i]) })
@@ -60,7 +61,7 @@
 // divided by coldLoadShare, so that a fleet that is entirely cold and has its usual load stays within it. The estimate is too
 // low, and excludes backends without need, if the peak rate was measured at very little traffic.
 func (planner *Planner) overloadsColdBackend(i int) bool {
-	collapseRate := planner.settings.FallMultiple * planner.warmupFactor[i] * planner.weight[i] *
+	collapseRate := planner.settings.CollapseLoadMultiple * planner.warmupFactor[i] * planner.weight[i] *
 		planner.admission.peakSuccessRatePerWeight
 	bound := collapseRate / coldLoadShare * planner.ownShare()
 	if planner.excluded[i] {
@@ -68,7 +69,7 @@
 	}
 	// Only the listed start time counts here: a backend that was merely unreachable for a while has to stay in the tables.
 	recentlyStarted := func(k int) bool {
-		return planner.startedAt[k] > 0 && planner.now < planner.startedAt[k]+planner.settings.WarmAfter
+		return planner.startedAt[k] > 0 && planner.now < planner.startedAt[k]+planner.settings.WarmupDuration
 	}
 	if !recentlyStarted(i) || planner.admission.peakSuccessRatePerWeight <= 0 || !(planner.expectedLoad[i] > bound) {
 		return false
