--- a/choice/backends.go
+++ b/choice/backends.go
@@ -156,8 +156,7 @@
 	for len(planner.attempts[i]) < len(planner.zoneIndex) {
 		planner.attempts[i], planner.failures[i] = append(planner.attempts[i], 0), append(planner.failures[i], 0)
 		planner.meanLatency[i], planner.lastReportAt[i] = append(planner.meanLatency[i], 0), append(planner.lastReportAt[i], 0)
-		planner.ejectedUntil[i], planner.consecutiveEjections[i] =
-			append(planner.ejectedUntil[i], 0), append(planner.consecutiveEjections[i], 0)
+		planner.ejectedUntil[i], planner.consecutiveEjections[i] = append(planner.ejectedUntil[i], 0), append(planner.consecutiveEjections[i], 0)
 	}
 }
 
--- a/choice/proxies.go
+++ b/choice/proxies.go
@@ -60,9 +60,9 @@
 
 // proxy returns the actor of a proxy, and creates it if the proxy is not known yet.
 func (planner *Planner) proxy(id ProxyID) *proxyActor {
-	at, known := slices.BinarySearchFunc(planner.proxies, id, func(proxy *proxyActor, id ProxyID) int { return int(proxy.id - id) })
+	index, known := slices.BinarySearchFunc(planner.proxies, id, func(proxy *proxyActor, id ProxyID) int { return int(proxy.id - id) })
 	if known {
-		return planner.proxies[at]
+		return planner.proxies[index]
 	}
 	methods := len(planner.settings.Methods)
 	proxy := &proxyActor{
@@ -71,7 +71,7 @@
 	}
 	proxy.usage, proxy.usageReportedAt = make([]float64, methods), make([]Seconds, methods)
 	proxy.addTables()
-	planner.proxies = slices.Insert(planner.proxies, at, proxy)
+	planner.proxies = slices.Insert(planner.proxies, index, proxy)
 	return proxy
 }
 
