--- a/choice/admission.go
+++ b/choice/admission.go
@@ -7,29 +7,29 @@
 )
 
 const (
-	admissionWindow      = 4.0  // seconds that arrivals are averaged over, and that an overload lasts at least
-	evaluationInterval   = 1.0  // seconds
-	overloadFailureShare = 0.15 // share of failures, from the zone where it is lowest, of an overloaded backend
-	overloadLatency      = 0.5  // or its mean latency, of the shortest soft deadline
-	overloadedPart       = 0.5  // of the backends, how many are overloaded at once if the fleet is
-	baselineAttempts     = 2.0  // attempts that a backend needs to count in the baseline of failures
-	baselineWindow       = 6.0  // seconds within which it was reported on
-	baselineDivisor      = 4    // the baseline is that of the best backends, one in so many
-	minRateLimit         = 0.8  // of the best rate of answers
-	answeredPart         = 0.85 // of what is answered in an overload, what is admitted, so that queues run off
-	limitGrowth          = 1.1  // factor of the limit's growth in a second after an overload
-	limitGrowthCalm      = 0.3  // and what is added to it if no backend is overloaded
-	loadFactorGain       = 0.2  // of each deviation, by how much the load factor follows
-	answerRateGain       = 0.3  // and the rate of answers
-	shareSteps           = 20   // admitted shares are multiples of its inverse
-	minShare             = 0.05
+	admissionWindow        = 4.0  // time constant of the arrival rates and shortest duration of an overload, in seconds
+	evaluationInterval     = 1.0  // seconds between two evaluations of the load
+	overloadFailureShare   = 0.15 // a backend is overloaded above this failure share, as seen from the zone where it is lowest
+	overloadLatencyRatio   = 0.5  // or above this ratio of its mean latency to the shortest soft deadline
+	overloadedBackendShare = 0.5  // the fleet is overloaded if at least this share of its backends is
+	baselineAttempts       = 2.0  // attempts that a backend needs to count for the baseline failure share
+	baselineWindow         = 6.0  // seconds since its last report within which a backend counts for the baseline
+	baselineDivisor        = 4    // the baseline is taken at the best 1/4 of the backends
+	minRateLimitShare      = 0.8  // lower bound of the rate limit, as a share of the fleet's peak success rate
+	admittedSuccessShare   = 0.85 // share of the success rate that is admitted in an overload, so that queues drain
+	limitGrowthFactor      = 1.1  // growth of the rate limit per evaluation after an overload
+	limitGrowthBonus       = 0.3  // is added to limitGrowthFactor if no backend is overloaded, and less if some are
+	loadFactorGain         = 0.2  // smoothing factor of the load factor
+	successRateGain        = 0.3  // smoothing factor of the success rate
+	admittedShareSteps     = 20   // admitted shares are rounded to multiples of 1/20
+	minAdmittedShare       = 0.05 // lower bound of a method's admitted share
 )
 
-// normalRetry is the retry policy of a method outside of overloads. A retry after a mere timeout feeds the
-// overload that it came from, so it has to be proven that the first attempt was not processed, or the request
-// has a token that surely is remembered until the second attempt.
-func (plan *Planner) normalRetry(method MethodSettings) RetryPolicy {
-	remembered := plan.settings.TryWait*method.SoftDeadline.Or(1) < 0.9*method.Window.Or(0)
+// normalRetry returns the retry policy of a method outside of overloads. Retries after timeouts add to the overload that caused
+// the timeouts. So a retry needs proof that the first attempt was not processed, or a token that all backends surely still
+// remember at the second attempt.
+func (planner *Planner) normalRetry(method MethodSettings) RetryPolicy {
+	remembered := planner.settings.AttemptTimeoutShare*method.SoftDeadline.Or(1) < 0.9*method.Window.Or(0)
 	deduplicated := method.Effect == "tokened" && method.Group == "all" && remembered
 	switch {
 	case method.MostTries == "once":
@@ -41,7 +41,7 @@
 	}
 }
 
-// currentRetry returns the retry policies in force: in an overload retries feed it.
+// currentRetry returns the present retry policy of each method. In an overload there are no retries, because they add to it.
 func (a *admission) currentRetry() []RetryPolicy {
 	if !a.overloaded {
 		return a.normalRetry
@@ -49,118 +49,123 @@
 	return slices.Repeat([]RetryPolicy{RetryNever}, len(a.normalRetry))
 }
 
-// evaluate tells an overload from failures of single backends, and sets what is admitted.
+// evaluate measures the load of the fleet, distinguishes an overload from failures of single backends, and sets the admitted
+// share and retry policy of each method.
 func (a *admission) evaluate() {
-	plan, load := a.plan, a.measure()
-	capacity := plan.openCapacity()
+	planner, load := a.planner, a.measure()
+	capacity := planner.openCapacity()
 	a.updateBaseline()
-	a.relativeLatency = load.latency / max(load.answers, 1e-9)
-	a.struckShare = load.struck / load.attempts
+	a.relativeLatency = load.weightedLatency / max(load.successRate, 1e-9)
+	a.avoidedShare = load.avoidedAttempts / load.attempts
 	a.updateLoadFactor()
-	if capacity > 1e-6 { // answers reported while nothing is open, as after the list emptied, say nothing
-		a.answerRate += answerRateGain * (load.answers/capacity - a.answerRate)
-		a.bestAnswerRate = max(a.bestAnswerRate, a.answerRate)
+	if capacity > 1e-6 { // successes reported while no backend is open, such as after an empty list, have no meaningful rate
+		a.successRatePerWeight += successRateGain * (load.successRate/capacity - a.successRatePerWeight)
+		a.peakSuccessRatePerWeight = max(a.peakSuccessRatePerWeight, a.successRatePerWeight)
 	}
-	if load.judged == 0 {
+	if load.judgedBackends == 0 {
 		return
 	}
 	a.updateLimit(load, capacity)
-	a.firstReportAt = cmp.Or(a.firstReportAt, plan.now)
-	a.updateCalm(load, capacity)
-	a.admitted = a.shedLoad()
-	for _, proxy := range plan.proxies {
-		plan.send(proxy, admissionChanged{a.admitted, a.currentRetry()})
+	a.firstReportAt = cmp.Or(a.firstReportAt, planner.now)
+	a.updateOverloadUnlikely(load, capacity)
+	a.admittedShares = a.shedLoad()
+	for _, proxy := range planner.proxies {
+		planner.send(proxy, admissionChanged{a.admittedShares, a.currentRetry()})
 	}
 }
 
-// measureBackend adds what is reported of one backend, judged by the zone that fares best with it, as a cut
-// between zones is no overload. A backend that rejects has a full queue, and what it answers has waited:
-// failures beside quick answers are something else, which admitting less would not help.
+// measureBackend adds the reports on one backend to the load of the fleet. Whether the backend is overloaded is judged from the
+// zone where it does best, because a network failure between zones is no overload. A backend that rejects requests in an
+// overload has a full queue, so the requests that succeed are slow. Failures while the fleet's latency is low have another
+// cause, against which admitting fewer requests would not help; they don't count.
 func (a *admission) measureBackend(i int, load *fleetLoad) {
-	plan, least := a.plan, math.Inf(1)
-	queued := 0.0
-	if a.relativeLatency > overloadLatency {
-		queued = 1
+	planner, overloadRatio := a.planner, math.Inf(1) // above 1: overloaded
+	failureWeight := 0.0
+	if a.relativeLatency > overloadLatencyRatio {
+		failureWeight = 1
 	}
-	for zone, attempts := range plan.attempts[i] {
-		failures := plan.failures[i][zone]
-		decay := math.Exp(-(plan.now - plan.lastReport[i][zone]) / healthWindow)
-		rate := (attempts - failures) * decay / healthWindow
-		load.latency += rate * plan.latency[i][zone] / a.softDeadline
-		load.answers += rate
+	for zone, attempts := range planner.attempts[i] {
+		failures := planner.failures[i][zone]
+		decay := math.Exp(-(planner.now - planner.lastReportAt[i][zone]) / healthWindow)
+		successRate := (attempts - failures) * decay / healthWindow
+		load.weightedLatency += successRate * planner.meanLatency[i][zone] / a.shortestSoftDeadline
+		load.successRate += successRate
 		if attempts < minAttempts/2 || decay <= 0.2 {
 			continue
 		}
 		load.attempts += attempts
-		load.struck += attempts * math.Pow(failures/attempts, plan.settings.Strikes)
-		byFailures := queued * failures / attempts / overloadFailureShare
-		byLatency := plan.latency[i][zone] / a.softDeadline / overloadLatency
-		least = min(least, max(byFailures, byLatency))
+		load.avoidedAttempts += attempts * math.Pow(failures/attempts, planner.settings.AvoidAfterFailures)
+		byFailures := failureWeight * failures / attempts / overloadFailureShare
+		byLatency := planner.meanLatency[i][zone] / a.shortestSoftDeadline / overloadLatencyRatio
+		overloadRatio = min(overloadRatio, max(byFailures, byLatency))
 	}
-	if !math.IsInf(least, 1) && plan.state[i] == BackendOpen {
-		load.judged++
-		load.overloaded += math.Ceil(min(1, max(0, least-1)))
+	if !math.IsInf(overloadRatio, 1) && planner.state[i] == BackendOpen {
+		load.judgedBackends++
+		load.overloadedBackends += math.Ceil(min(1, max(0, overloadRatio-1)))
 	}
 }
 
-// updateLoadFactor widens the bound on load while answers are quick, as far as it saves what leaving a zone
-// costs: a zone with more than its share is the first to be overloaded by a burst.
+// updateLoadFactor raises the load factor while latency is low, which saves the cost of requests that leave their zone. It
+// rises only in proportion to that cost, because a zone with more than its share of the load is the first that a burst
+// overloads.
 func (a *admission) updateLoadFactor() {
-	most := min(maxLoadFactor, minLoadFactor+crossingPriceFactor*a.plan.settings.CrossingPrice)
-	factor := minLoadFactor + (most-minLoadFactor)*min(1, max(0, 2-4*a.relativeLatency))
-	a.loadFactor += loadFactorGain * (factor - a.loadFactor)
+	limit := min(maxLoadFactor, minLoadFactor+crossZonePriceFactor*a.planner.settings.CrossZonePrice)
+	target := minLoadFactor + (limit-minLoadFactor)*min(1, max(0, 2-4*a.relativeLatency))
+	a.loadFactor += loadFactorGain * (target - a.loadFactor)
 }
 
-// updateLimit lowers the limit on admitted requests in an overload to what is answered, but not below most of
-// what such a fleet has answered before, as reports are late. After an overload it raises the limit.
+// updateLimit detects an overload of the fleet and sets the rate limit. In an overload it lowers the limit to most of the
+// success rate. It doesn't go below minRateLimitShare of the peak rate of such a fleet, because reports arrive late. After an
+// overload it raises the limit.
 func (a *admission) updateLimit(load fleetLoad, capacity float64) {
-	now := a.plan.now
-	if load.overloaded >= overloadedPart*load.judged {
+	now := a.planner.now
+	if load.overloadedBackends >= overloadedBackendShare*load.judgedBackends {
 		a.overloaded, a.overloadedAt = true, now
 		if now >= a.limitLoweredAt+admissionWindow/2 {
-			floor := minRateLimit * a.bestAnswerRate * capacity
-			a.limitLoweredAt, a.rateLimit = now, max(min(a.rateLimit, load.answers*answeredPart), floor)
+			floor := minRateLimitShare * a.peakSuccessRatePerWeight * capacity
+			a.limitLoweredAt, a.rateLimit = now, max(min(a.rateLimit, load.successRate*admittedSuccessShare), floor)
 		}
 		return
 	}
 	a.overloaded = a.overloaded && now < a.overloadedAt+admissionWindow
-	a.rateLimit *= limitGrowth + limitGrowthCalm*max(0, 1-2*load.overloaded/load.judged/overloadedPart)
+	a.rateLimit *= limitGrowthFactor + limitGrowthBonus*max(0, 1-2*load.overloadedBackends/load.judgedBackends/overloadedBackendShare)
 }
 
-// updateCalm tells whether no overload is near, of which reports do not tell yet.
-func (a *admission) updateCalm(load fleetLoad, capacity float64) {
-	few := load.overloaded < overloadedPart/3*load.judged
-	settled := a.plan.now > max(a.firstReportAt, a.lastDisconnect)+admissionWindow
-	roomy := sum(a.arrivals) < a.bestAnswerRate*capacity
-	a.calm = !a.overloaded && few && a.relativeLatency < overloadLatency && settled && roomy
+// updateOverloadUnlikely sets whether an overload that the reports don't show yet is unlikely.
+func (a *admission) updateOverloadUnlikely(load fleetLoad, capacity float64) {
+	fewOverloaded := load.overloadedBackends < overloadedBackendShare/3*load.judgedBackends
+	settled := a.planner.now > max(a.firstReportAt, a.lastDisconnectAt)+admissionWindow
+	spareCapacity := sum(a.arrivalRates) < a.peakSuccessRatePerWeight*capacity
+	a.overloadUnlikely = !a.overloaded && fewOverloaded && a.relativeLatency < overloadLatencyRatio && settled && spareCapacity
 }
 
-// shedLoad returns the admitted share of each method's requests; the lowest criticality is shed first.
+// shedLoad returns the share of each method's requests that is admitted. It sheds the arrivals above the rate limit, those of
+// methods with the lowest criticality first.
 func (a *admission) shedLoad() []float64 {
-	shares, order := make([]float64, len(a.admitted)), make([]int, len(a.admitted))
+	shares, order := make([]float64, len(a.admittedShares)), make([]int, len(a.admittedShares))
 	excess := -a.rateLimit
 	for method := range shares {
 		shares[method], order[method] = 1, method
-		excess += a.arrivals[method]
+		excess += a.arrivalRates[method]
 	}
-	if excess < -0.1*a.rateLimit {
+	if excess < -0.1*a.rateLimit { // arrivals are more than 10% below the limit, which is no longer needed
 		a.rateLimit = math.Inf(1)
 	}
-	if a.plan.settings.LevelKind == "none" {
+	if a.planner.settings.LevelKind == "none" {
 		return shares
 	}
 	slices.SortStableFunc(order, func(x, y int) int { return cmp.Compare(a.criticality[x], a.criticality[y]) })
 	for len(order) > 0 && excess > 0 {
 		group := a.sameCriticality(order)
-		arrivals := 0.0
+		arrivalRate := 0.0
 		for _, method := range group {
-			arrivals += a.arrivals[method]
+			arrivalRate += a.arrivalRates[method]
 		}
-		share := math.Round(max(minShare, 1-excess/max(arrivals, 0.01))*shareSteps) / shareSteps
+		share := math.Round(max(minAdmittedShare, 1-excess/max(arrivalRate, 0.01))*admittedShareSteps) / admittedShareSteps
 		for _, method := range group {
 			shares[method] = share
 		}
-		excess -= (1 - minShare) * arrivals
+		excess -= (1 - minAdmittedShare) * arrivalRate
 		order = order[len(group):]
 	}
 	return shares
--- a/choice/ejection.go
+++ b/choice/ejection.go
@@ -3,142 +3,151 @@
 import "math"
 
 const (
-	healthWindow      = 3.0  // seconds over which attempts are averaged
-	oldLatencyWeight  = 0.4  // weight of an older success beside a new one in the mean latency
-	minAttempts       = 4.0  // attempts that a judgement needs
-	maxFailureShare   = 0.3  // share of failures, beyond that of the best quarter, that ejects a backend
-	minEjectionTime   = 5.0  // seconds of the first ejection; doubled with each further one
-	maxEjectionStrain = 1.3  // of the best rate of answers seen, what the remaining backends may have to take
-	maxEjectedPart    = 0.65 // of the fleet, as seen from a zone, what may be ejected at once
-	probeInterval     = 1.0  // seconds between two probes of a backend
-	biasLatency       = 0.3  // of the shortest soft deadline, the mean latency above which load is moved away
-	biasLatencyFactor = 1.2  // and of the fleet's mean latency
-	minBias           = 0.4  // of its fair share, what bias leaves a backend
-	biasStep          = 0.85 // factor by which bias falls; it rises by biasRecovery
-	biasRecovery      = 0.05
+	healthWindow           = 3.0  // time constant, in seconds, of the decaying counts of attempts and failures
+	oldLatencyWeight       = 0.4  // weight of an earlier success in the mean latency, relative to a new one
+	minAttempts            = 4.0  // attempts that are needed to judge a backend
+	maxFailureShare        = 0.3  // failure share, above the baseline, from which on a backend is ejected
+	baseEjectionTime       = 5.0  // duration of the first ejection in seconds; it doubles with each further one, up to 4 times this
+	maxEjectionLoadFactor  = 1.3  // limit on the load of the remaining backends, as a multiple of the peak success rate
+	maxEjectedShare        = 0.65 // limit on the share of the fleet's weight that may be ejected at once, for each zone
+	probeInterval          = 1.0  // seconds between two probes of a backend
+	slowLatencyRatio       = 0.3  // a backend is slow if its mean latency is above this share of the shortest soft deadline
+	slowLatencyFleetFactor = 1.2  // and above this multiple of the fleet's mean latency
+	minLatencyFactor       = 0.4  // lower limit of the latency factor
+	latencyFactorDecrease  = 0.85 // the latency factor of a slow backend is multiplied by this in each healthWindow
+	latencyFactorIncrease  = 0.05 // and this is added in each healthWindow once its latency is below slowLatencyRatio
 )
 
-// applyReport judges a backend by a report. Requests that succeed are better proof than a probe, which may
-// wait in a full queue.
+// applyReport updates a backend's health from a report. A successful request also clears its failed probes, because it is
+// better evidence than a probe, which may wait in a full queue.
 func (b *backendActor) applyReport(report AttemptReport) {
-	if report.Attempts > report.Failures && !b.plan.unreachable(b.index) {
-		b.plan.failedProbes[b.index] = 0
+	if report.Attempts > report.Failures && !b.planner.unreachable(b.index) {
+		b.planner.failedProbes[b.index] = 0
 	}
 	b.ejectOutlier()
 }
 
-// ejectOutlier ejects a backend that fails while others do not, for all zones or for the one from which it
-// fails. It is compared with the best quarter of the backends, from the zone that fares best, so that a group
-// that fails together is found, even most of the fleet; in an overload the best reject requests as well.
+// ejectOutlier ejects a backend with a high failure share from the arcs of each zone whose proxies see these failures. The
+// limit is relative to the baseline, which is the failure share of the best quarter of the backends as seen from the zone with
+// the fewest failures. So a group of backends that fail together is detected, even if it is most of the fleet. In an overload
+// even the best backends reject requests, which raises the baseline.
 func (b *backendActor) ejectOutlier() {
-	plan, i := b.plan, b.index
-	attempts, failures := sum(plan.attempts[i]), sum(plan.failures[i])
-	limit := maxFailureShare + plan.admission.baselineFailures
-	for zone, zoneAttempts := range plan.attempts[i] {
-		zoneFailures := plan.failures[i][zone]
-		fails := zoneFailures >= maxFailureShare*zoneAttempts
-		fromAll := attempts >= minAttempts && failures > limit*attempts && fails
-		fromZone := zoneAttempts >= minAttempts && zoneFailures > limit*zoneAttempts
-		if plan.ejectedUntil[i][zone] > plan.now || !fromAll && !fromZone || !plan.canEject(zone, i) {
+	planner, i := b.planner, b.index
+	attempts, failures := sum(planner.attempts[i]), sum(planner.failures[i])
+	limit := maxFailureShare + planner.admission.baselineFailureShare
+	for zone, zoneAttempts := range planner.attempts[i] {
+		zoneFailures := planner.failures[i][zone]
+		failsInZone := zoneFailures >= maxFailureShare*zoneAttempts
+		outlierOverall := attempts >= minAttempts && failures > limit*attempts && failsInZone
+		outlierInZone := zoneAttempts >= minAttempts && zoneFailures > limit*zoneAttempts
+		if planner.ejectedUntil[i][zone] > planner.now || !outlierOverall && !outlierInZone || !planner.canEject(zone, i) {
 			continue
 		}
-		span := min(minEjectionTime*math.Exp2(float64(plan.ejections[i][zone])), 4*minEjectionTime)
-		plan.ejectedUntil[i][zone] = plan.now + span
-		plan.ejections[i][zone]++
-		plan.send(plan.ring, reassignArcs{})
+		duration := min(baseEjectionTime*math.Exp2(float64(planner.consecutiveEjections[i][zone])), 4*baseEjectionTime)
+		planner.ejectedUntil[i][zone] = planner.now + duration
+		planner.consecutiveEjections[i][zone]++
+		planner.send(planner.ring, reassignArcs{})
 	}
 }
 
-// endEjections lets an ejected backend return, and forgets its ejections when it has done well for long.
+// endEjections ends the ejections of a backend whose time has passed, and resets its count of ejections after a time without
+// one.
 func (b *backendActor) endEjections() {
-	plan, i := b.plan, b.index
-	for zone, until := range plan.ejectedUntil[i] {
-		if until > 0 && until <= plan.now {
-			// Reports of the time before the ejection must not eject it again.
-			plan.ejectedUntil[i][zone], plan.attempts[i][zone], plan.failures[i][zone] = -until, 0, 0
-			plan.send(plan.ring, reassignArcs{})
-		} else if until < 0 && plan.now > 4*minEjectionTime-until {
-			plan.ejectedUntil[i][zone], plan.ejections[i][zone] = 0, 0 // not sooner: it may fail by turns
+	planner, i := b.planner, b.index
+	for zone, until := range planner.ejectedUntil[i] {
+		if until > 0 && until <= planner.now {
+			// Reports from before the ejection must not eject the backend again.
+			planner.ejectedUntil[i][zone], planner.attempts[i][zone], planner.failures[i][zone] = -until, 0, 0
+			planner.send(planner.ring, reassignArcs{})
+		} else if until < 0 && planner.now > 4*baseEjectionTime-until { // not sooner, because the backend may fail intermittently
+			planner.ejectedUntil[i][zone], planner.consecutiveEjections[i][zone] = 0, 0
 		}
 	}
 }
 
-// canEject tells whether one backend more may be ejected: the others must not have to carry much more than
-// backends have been seen to, so none is ejected in an overload. Load of other coordinators' proxies stays.
-func (plan *Planner) canEject(zone, candidate int) bool {
-	open := plan.sumOpen(plan.fullWeight)
-	out := plan.weight[candidate] + plan.sumOpen(func(i int) float64 {
-		return plan.weight[i] * max(0, min(1, math.Ceil(plan.ejectedUntil[i][zone]-plan.now)))
+// canEject reports whether a further backend may be ejected from the arcs of a zone. The remaining backends must not have to
+// take much more than the peak success rate, so none is ejected in an overload. Only the load of this coordinator's proxies
+// moves to them; that of other coordinators' proxies stays where it is.
+func (planner *Planner) canEject(zone, candidate int) bool {
+	openWeight := planner.sumOpen(planner.fullWeight)
+	ejectedWeight := planner.weight[candidate] + planner.sumOpen(func(i int) float64 {
+		return planner.weight[i] * max(0, min(1, math.Ceil(planner.ejectedUntil[i][zone]-planner.now)))
 	})
-	ours, admission := plan.ownShare(), plan.admission
-	strain := ours*open/max(open-out, 1e-9) + 1 - ours
-	arrivals, carried := sum(admission.arrivals), admission.bestAnswerRate*open
-	young := plan.now < admission.firstReportAt+2*admissionWindow
-	if admission.relativeLatency < overloadLatency && !admission.overloaded && young {
-		// The best rate takes seconds to be learned; until then quick answers show that what arrives is carried.
-		// Not later: where a cut fills half of the fleet, quick answers say nothing of those that never come.
-		carried = max(carried, arrivals)
+	ownShare, admission := planner.ownShare(), planner.admission
+	loadIncrease := ownShare*openWeight/max(openWeight-ejectedWeight, 1e-9) + 1 - ownShare
+	arrivalRate, provenRate := sum(admission.arrivalRates), admission.peakSuccessRatePerWeight*openWeight
+	recentlyStarted := planner.now < admission.firstReportAt+2*admissionWindow
+	if admission.relativeLatency < overloadLatencyRatio && !admission.overloaded && recentlyStarted {
+		// The peak success rate takes seconds to measure. Until then, low latency shows that the fleet serves all that arrives. It
+		// shows no such thing later: when a network failure leaves half of the fleet with all the load, the latency of successes
+		// stays low although other requests get no response.
+		provenRate = max(provenRate, arrivalRate)
 	}
-	return out <= maxEjectedPart*open && arrivals*strain <= maxEjectionStrain*carried
+	return ejectedWeight <= maxEjectedShare*openWeight && arrivalRate*loadIncrease <= maxEjectionLoadFactor*provenRate
 }
 
-// probeIfSilent probes a backend of which no success is reported while others' are: silence is no proof.
+// probeIfSilent probes a backend for which no success was reported for a time in which its load should have caused some. The
+// lack of reports alone is no proof of a failure.
 func (b *backendActor) probeIfSilent() {
-	plan, i := b.plan, b.index
-	quiet := plan.newestReport - max(plan.lastSuccess[i], plan.firstListed[i])
-	expected := quiet*plan.assignedLoad[i] > minAttempts && !plan.admission.overloaded
-	silent := quiet > 1.5*plan.settings.ReportPeriod && expected
-	due := plan.settings.Probes && plan.state[i] == BackendOpen && plan.now >= plan.nextProbe[i]
-	if due && (silent || plan.failedProbes[i] > 0) {
-		plan.nextProbe[i] = plan.now + probeInterval
-		plan.commands = append(plan.commands, ProbeBackend{plan.id[i]})
+	planner, i := b.planner, b.index
+	silence := planner.newestReportAt - max(planner.lastSuccessAt[i], planner.firstListed[i])
+	successExpected := silence*planner.assignedLoad[i] > minAttempts && !planner.admission.overloaded
+	silent := silence > 1.5*planner.settings.ReportPeriod && successExpected
+	due := planner.settings.ProbesAllowed && planner.state[i] == BackendOpen && planner.now >= planner.nextProbeAt[i]
+	if due && (silent || planner.failedProbes[i] > 0) {
+		planner.nextProbeAt[i] = planner.now + probeInterval
+		planner.commands = append(planner.commands, ProbeBackend{planner.id[i]})
 	}
 }
 
-// applyProbe takes a backend that answers neither requests nor probes out of all arcs until it answers one,
-// long before its requests time out or the list says so. It returns by slow start, as it may have restarted.
-// When most seem unreachable, it is we who are cut off.
+// applyProbe updates a backend's reachability from the result of a probe. A backend that responds neither to requests nor to
+// probes leaves all arcs until it responds, long before its requests time out or the endpoint list changes. It returns with
+// slow start, because it may have restarted. If at least half of the open backends seem unreachable, this coordinator is
+// assumed to be cut off from them, and none counts as unreachable.
 func (b *backendActor) applyProbe(result ProbeResult) {
-	plan, i := b.plan, b.index
-	wasUnreachable, wasIsolated := plan.unreachable(i), plan.isolated
+	planner, i := b.planner, b.index
+	wasUnreachable, wasIsolated := planner.unreachable(i), planner.isolated
 	switch {
 	case result.OK:
-		if plan.lastSuccess[i] = plan.now; wasUnreachable {
-			plan.returnedAt[i] = plan.now
-			plan.warmth[i] = b.slowStartWarmth()
+		if planner.lastSuccessAt[i] = planner.now; wasUnreachable {
+			planner.returnedAt[i] = planner.now
+			planner.warmupFactor[i] = b.currentWarmupFactor()
 		}
-		plan.failedProbes[i] = 0
+		planner.failedProbes[i] = 0
 	case !result.Busy:
-		plan.failedProbes[i]++
-		plan.nextProbe[i] = plan.now
+		planner.failedProbes[i]++
+		planner.nextProbeAt[i] = planner.now
 	}
-	reachable := func(k int) float64 { return 1 - 2*min(1, float64(plan.failedProbes[k]/2)) }
-	plan.isolated = plan.sumOpen(reachable) <= 0
-	if wasUnreachable != plan.unreachable(i) || wasIsolated != plan.isolated {
-		plan.send(plan.ring, reassignArcs{})
+	// 1 for a backend with fewer than two failed probes, -1 for the others.
+	reachability := func(k int) float64 { return 1 - 2*min(1, float64(planner.failedProbes[k]/2)) }
+	planner.isolated = planner.sumOpen(reachability) <= 0
+	if wasUnreachable != planner.unreachable(i) || wasIsolated != planner.isolated {
+		planner.send(planner.ring, reassignArcs{})
 	}
 }
 
-// unreachable tells whether a backend has answered neither of two probes while most others have.
-func (plan *Planner) unreachable(i int) bool { return plan.failedProbes[i] >= 2 && !plan.isolated }
+// unreachable reports whether a backend failed its last two probes while most other backends are reachable.
+func (planner *Planner) unreachable(i int) bool {
+	return planner.failedProbes[i] >= 2 && !planner.isolated
+}
 
-// adjustBias lowers the share of the load that arcs bring a backend whose answers take too long while most do
-// not: it is slower than listed, or stalls. Its weight stays as listed; fewer arcs include it.
-func (b *backendActor) adjustBias() {
-	plan, i := b.plan, b.index
-	if plan.now < plan.biasCheckedAt[i]+healthWindow {
+// adjustLatencyFactor lowers the effective weight of a backend that responds more slowly than the fleet, because it has less
+// capacity than its listed weight says or stalls. Its weight in tables stays as listed, but fewer arcs include it.
+func (b *backendActor) adjustLatencyFactor() {
+	planner, i := b.planner, b.index
+	if planner.now < planner.latencyFactorUpdatedAt[i]+healthWindow {
 		return
 	}
-	plan.biasCheckedAt[i] = plan.now
-	successes, latency := plan.recentSuccesses(i, plan.now-healthWindow)
-	relative := latency / plan.admission.softDeadline
+	planner.latencyFactorUpdatedAt[i] = planner.now
+	successes, latency := planner.recentSuccesses(i, planner.now-healthWindow)
+	relativeLatency := latency / planner.admission.shortestSoftDeadline
 	switch {
-	case successes < minAttempts:
-	case relative > biasLatency:
-		if relative > biasLatencyFactor*plan.admission.relativeLatency {
-			plan.bias[i] = max(minBias, plan.bias[i]*biasStep)
+	case successes < minAttempts: // too few to judge by
+	case relativeLatency > slowLatencyRatio:
+		if relativeLatency > slowLatencyFleetFactor*planner.admission.relativeLatency {
+			planner.latencyFactor[i] = max(minLatencyFactor, planner.latencyFactor[i]*latencyFactorDecrease)
 		}
 	default:
-		plan.bias[i] = min(1, plan.bias[i]+biasRecovery)
+		planner.latencyFactor[i] = min(1, planner.latencyFactor[i]+latencyFactorIncrease)
 	}
 }
--- a/choice/endpoints.go
+++ b/choice/endpoints.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	pollBackoff      = 0.25 // seconds after the first failed poll; doubled with each further one
-	maxPollDoublings = 4
+	basePollBackoff     = 0.25 // seconds; it is doubled with each failed poll, the first included
+	maxBackoffDoublings = 4
 )
 
-// handle follows the endpoint list.
+// handle applies an endpoint update, or delays the next poll after a failed one, and polls if this is due.
 func (e *endpointWatcher) handle(msg message) {
 	if update, ok := msg.(EndpointUpdate); ok {
 		if update.Kind == UpdateFailed {
@@ -20,45 +20,47 @@
 		if update.Kind != UpdateCached {
 			e.failedPolls, e.nextPoll = 0, math.Inf(1)
 		}
-		e.plan.applyUpdate(update)
+		e.planner.applyUpdate(update)
 	}
 	e.poll()
 }
 
-// backOff puts off the next poll with jitter, against a list service that is overloaded by everybody polling
-// again at once, but to well within the time after which the list has to be known.
+// backOff delays the next poll after a failed one, with jitter, so that the list service is not overloaded by all coordinators
+// polling again at once. The delay stays well within MaxPollInterval.
 func (e *endpointWatcher) backOff() {
-	e.failedPolls = min(e.failedPolls+1, maxPollDoublings)
-	backoff := min(pollBackoff*math.Exp2(float64(e.failedPolls)), e.plan.settings.AskWithin/3)
-	e.nextPoll = e.plan.now + backoff*(0.5+e.plan.random())
+	e.failedPolls = min(e.failedPolls+1, maxBackoffDoublings)
+	backoff := min(basePollBackoff*math.Exp2(float64(e.failedPolls)), e.planner.settings.MaxPollInterval/3)
+	e.nextPoll = e.planner.now + backoff*(0.5+e.planner.random())
 }
 
-// poll asks for changes of the endpoint list, where it has to be polled.
+// poll starts a watch of the endpoint list, if the settings say that it has to be polled and none has succeeded since the last
+// failure.
 func (e *endpointWatcher) poll() {
-	if e.plan.settings.Listing == "asked" && e.plan.now >= e.nextPoll {
-		e.plan.commands = append(e.plan.commands, WatchEndpoints{true})
-		e.nextPoll = e.plan.now + e.plan.settings.AskWithin/2 // an answer that never comes counts as failed
+	if e.planner.settings.EndpointListMode == "asked" && e.planner.now >= e.nextPoll {
+		e.planner.commands = append(e.planner.commands, WatchEndpoints{true})
+		e.nextPoll = e.planner.now + e.planner.settings.MaxPollInterval/2 // a watch without an answer by then counts as failed
 	}
 }
 
-// applyEndpoint takes over a backend's entry in the endpoint list.
+// applyEndpoint updates a backend from its entry in the endpoint list.
 func (b *backendActor) applyEndpoint(endpoint Endpoint) {
-	plan, i := b.plan, b.index
+	planner, i := b.planner, b.index
 	if endpoint.State != BackendGone {
-		plan.zone[i], plan.weight[i] = plan.zoneOf(endpoint.Zone), max(endpoint.Weight, 1e-3)
+		planner.zone[i], planner.weight[i] = planner.zoneOf(endpoint.Zone), max(endpoint.Weight, 1e-3)
 	}
-	if endpoint.State == BackendOpen && endpoint.StartedAt > plan.startedAt[i] {
-		plan.resetHealth(i) // another process under the same id
+	if endpoint.State == BackendOpen && endpoint.StartedAt > planner.startedAt[i] {
+		planner.resetHealth(i) // the process was restarted under the same id
 	}
-	plan.state[i], plan.startedAt[i] = endpoint.State, max(endpoint.StartedAt, plan.startedAt[i])
-	plan.warmth[i] = b.slowStartWarmth()
-	// Where only draining binds, a backend that is dropped from the list leaves the tables with ordinary pushes.
-	gone := endpoint.State == BackendGone && !plan.settings.OnlyDrainingBinds
-	binds := endpoint.State == BackendDraining || gone
-	if binds && !plan.excluded[i] {
-		plan.exclusionDue[i] = cmp.Or(plan.exclusionDue[i], plan.now)
-	} else if !binds {
-		plan.exclusionDue[i] = 0
+	planner.state[i], planner.startedAt[i] = endpoint.State, max(endpoint.StartedAt, planner.startedAt[i])
+	planner.warmupFactor[i] = b.currentWarmupFactor()
+	// With ExcludeOnlyDraining, a backend that is dropped from the list without draining needs no exclusion and leaves the tables
+	// with ordinary pushes.
+	goneBinds := endpoint.State == BackendGone && !planner.settings.ExcludeOnlyDraining
+	mustExclude := endpoint.State == BackendDraining || goneBinds
+	if mustExclude && !planner.excluded[i] {
+		planner.exclusionDueSince[i] = cmp.Or(planner.exclusionDueSince[i], planner.now)
+	} else if !mustExclude {
+		planner.exclusionDueSince[i] = 0
 	}
-	plan.send(plan.ring, reassignArcs{})
+	planner.send(planner.ring, reassignArcs{})
 }
--- a/choice/exclusion.go
+++ b/choice/exclusion.go
@@ -6,60 +6,64 @@
 	"slices"
 )
 
-// restoreTolerance is what a table may still give a backend that is restored, of its warm weight.
+// restoreTolerance is the largest weight that a sent table entry may have when its backend is restored, as a multiple of the
+// weight that slow start allows the backend now.
 const restoreTolerance = 1.05
 
-// sendExclusions sends the exclusions that are due, ahead of tables. Where proxies have had many messages of
-// late they are gathered for part of the grace, against a list that drops its backends one by one.
-func (plan *Planner) sendExclusions() {
-	oldest := math.Inf(1)
-	for _, since := range plan.exclusionDue {
-		oldest = min(oldest, cmp.Or(since, oldest))
+// sendExclusions sends the exclusions that are due, before any tables. If a proxy is near its message limit, exclusions are
+// held back for part of the drain grace and sent together, because an endpoint list may drop its backends one by one.
+func (planner *Planner) sendExclusions() {
+	oldestDue := math.Inf(1)
+	for _, since := range planner.exclusionDueSince {
+		oldestDue = min(oldestDue, cmp.Or(since, oldestDue))
 	}
-	hold := max(0, plan.settings.DrainGrace-plan.settings.PushTimeWorst-3*plan.channel.usualAckTime) / 2
-	crowded := func(proxy *proxyActor) bool {
-		return proxy.joined && !plan.channel.withinMessageLimit(proxy, ordinaryPart)
+	// Half of what the grace leaves after the slowest push and three mean acknowledgement times.
+	holdTime := max(0, planner.settings.DrainGrace-planner.settings.MaxPushTime-3*planner.channel.meanAckTime) / 2
+	nearMessageLimit := func(proxy *proxyActor) bool {
+		return proxy.joined && !planner.channel.withinMessageLimit(proxy, ordinaryPushShare)
 	}
-	if math.IsInf(oldest, 1) || plan.now < oldest+hold && slices.ContainsFunc(plan.proxies, crowded) {
+	if math.IsInf(oldestDue, 1) || planner.now < oldestDue+holdTime && slices.ContainsFunc(planner.proxies, nearMessageLimit) {
 		return
 	}
-	for i, since := range plan.exclusionDue {
+	for i, since := range planner.exclusionDueSince {
 		if since > 0 {
-			plan.exclusionDue[i] = 0
-			plan.setExcluded(i, true)
+			planner.exclusionDueSince[i] = 0
+			planner.setExcluded(i, true)
 		}
 	}
 }
 
-// restoreExcluded restores an excluded backend that is open, once no table gives it more than it may have.
-func (plan *Planner) restoreExcluded() {
-	for i := range plan.id {
-		if !plan.excluded[i] || plan.state[i] != BackendOpen {
+// restoreExcluded withdraws the exclusion of each open backend, once no sent table gives it more weight than it may have and
+// its expected load would not make it collapse.
+func (planner *Planner) restoreExcluded() {
+	for i := range planner.id {
+		if !planner.excluded[i] || planner.state[i] != BackendOpen {
 			continue
 		}
-		most := restoreTolerance * plan.weight[i] * plan.warmth[i]
-		risky := func(proxy *proxyActor) bool { return proxy.joined && proxy.heaviestWeight(i) > most }
-		if !plan.overloadsColdBackend(i) && !slices.ContainsFunc(plan.proxies, risky) {
-			plan.setExcluded(i, false)
-			plan.ring.dirty = true
+		maxWeight := restoreTolerance * planner.weight[i] * planner.warmupFactor[i]
+		tooHeavy := func(proxy *proxyActor) bool { return proxy.joined && proxy.maxSentWeight(i) > maxWeight }
+		if !planner.overloadsColdBackend(i) && !slices.ContainsFunc(planner.proxies, tooHeavy) {
+			planner.setExcluded(i, false)
+			planner.ring.dirty = true
 		}
 	}
 }
 
-// informExclusions notifies a proxy of all exclusions, if it uses a table of an earlier stream, as there is
-// nothing to give it. A table of ours implies them in fewer lines: many lists overflow the channel.
-func (p *proxyActor) informExclusions() {
-	if p.informed || p.bound && !p.lacksTable() {
+// notifyExclusions sends a proxy the list of all exclusions if it may still use a table of an earlier stream because there is
+// no entry to send it. Otherwise a table from this coordinator makes the list unnecessary and takes fewer lines; sending many
+// such lists would overflow the channel.
+func (p *proxyActor) notifyExclusions() {
+	if p.exclusionsNotified || p.tableBound && !p.lacksTable() {
 		return
 	}
-	plan, lines := p.plan, p.plan.excludedCount()
-	p.waiting = true
+	planner, lines := p.planner, p.planner.excludedCount()
+	p.pushWaiting = true
 	empty := func(table *proxyTable) bool { return len(table.sent)+len(table.desired) == 0 }
-	fits := float64(plan.channel.waitingLines()+lines) <= urgentPart*plan.settings.ChannelRoom
+	fits := float64(planner.channel.waitingLines()+lines) <= urgentPushShare*planner.settings.MaxChannelLines
 	if !fits || !slices.ContainsFunc(p.tables, empty) {
 		return
 	}
-	p.informed = true
+	p.exclusionsNotified = true
 	p.pendingLines += lines
-	plan.commands = append(plan.commands, NotifyExclusions{p.id})
+	planner.commands = append(planner.commands, NotifyExclusions{p.id})
 }
--- a/choice/fleetload.go
+++ b/choice/fleetload.go
@@ -2,88 +2,89 @@
 
 import "math"
 
-// admission is the state of admission control; admission.go decides by it.
+// admission is the actor that detects overloads of the fleet and sets how many requests are admitted. This file holds its state
+// and arithmetic; the decisions are in admission.go.
 type admission struct {
 	mailbox
-	plan             *Planner
-	admitted         []float64     // shares, by method
-	normalRetry      []RetryPolicy // outside of overloads, by method
-	criticality      []float64     // by method
-	arrivals         []float64     // requests a second of late, by method
-	softDeadline     Seconds       // the shortest one
-	rateLimit        float64       // requests a second that are admitted
-	answerRate       float64       // answers a second for each unit of weight
-	bestAnswerRate   float64       // the highest so far
-	relativeLatency  float64       // mean latency of the answers, in soft deadlines
-	struckShare      float64       // share of attempts at backends that fail as often in a row as proxies tolerate
-	baselineFailures float64       // share of failures at the best quarter of the backends, from the zone that fares best
-	loadFactor       float64       // of its fair share, what arcs may bring a backend
-	overloaded       bool
-	overloadedAt     Seconds
-	calm             bool // no overload, and none near
-	firstReportAt    Seconds
-	lastDisconnect   Seconds // of a proxy
-	limitLoweredAt   Seconds
-	nextEvaluation   Seconds
+	planner                  *Planner
+	admittedShares           []float64     // share of the requests that is admitted, by method
+	normalRetry              []RetryPolicy // outside of overloads, by method
+	criticality              []float64     // by method
+	arrivalRates             []float64     // decaying averages in requests a second, by method
+	shortestSoftDeadline     Seconds       // of all methods
+	rateLimit                float64       // requests a second that are admitted in all
+	successRatePerWeight     float64       // mean rate of successes, a second and per unit of open capacity
+	peakSuccessRatePerWeight float64       // the highest successRatePerWeight so far
+	relativeLatency          float64       // mean latency of the successes, divided by the shortest soft deadline
+	avoidedShare             float64       // estimated share of the attempts at backends that proxies avoid, see AvoidAfterFailures
+	baselineFailureShare     float64       // failure share at the best quarter of the backends, in the zone with the fewest failures
+	loadFactor               float64       // limit on a backend's load, as a multiple of its proportional share (see arcs.go)
+	overloaded               bool          // the fleet is overloaded
+	overloadedAt             Seconds       // when an overload was last found
+	overloadUnlikely         bool          // there is no overload and no sign of one to come
+	firstReportAt            Seconds       // when enough reports for an evaluation first were there; 0: not yet
+	lastDisconnectAt         Seconds       // when the last stream of a proxy ended
+	limitLoweredAt           Seconds       // when rateLimit was last lowered
+	nextEvaluation           Seconds
 }
 
-func newAdmission(plan *Planner) *admission {
-	a := &admission{plan: plan, loadFactor: minLoadFactor, rateLimit: math.Inf(1), softDeadline: math.Inf(1)}
-	for _, method := range plan.settings.Methods {
-		a.admitted = append(a.admitted, 1)
-		a.normalRetry = append(a.normalRetry, plan.normalRetry(method))
+func newAdmission(planner *Planner) *admission {
+	a := &admission{planner: planner, loadFactor: minLoadFactor, rateLimit: math.Inf(1), shortestSoftDeadline: math.Inf(1)}
+	for _, method := range planner.settings.Methods {
+		a.admittedShares = append(a.admittedShares, 1)
+		a.normalRetry = append(a.normalRetry, planner.normalRetry(method))
 		a.criticality = append(a.criticality, method.Criticality.Or(defaultCriticality))
-		a.arrivals = append(a.arrivals, 0)
-		a.softDeadline = min(a.softDeadline, method.SoftDeadline.Or(defaultSoftDeadline))
+		a.arrivalRates = append(a.arrivalRates, 0)
+		a.shortestSoftDeadline = min(a.shortestSoftDeadline, method.SoftDeadline.Or(defaultSoftDeadline))
 	}
 	return a
 }
 
-// handle counts arrivals and evaluates the load once an interval.
+// handle averages the arrivals and evaluates the load at each evaluationInterval.
 func (a *admission) handle(msg message) {
 	switch msg := msg.(type) {
 	case UsageReport:
-		a.arrivals[msg.Method] += float64(msg.RPCs) / admissionWindow
+		a.arrivalRates[msg.Method] += float64(msg.RPCs) / admissionWindow
 	case tickElapsed:
-		for method := range a.arrivals {
-			a.arrivals[method] *= math.Exp(-tickInterval / admissionWindow)
+		for method := range a.arrivalRates {
+			a.arrivalRates[method] *= math.Exp(-tickInterval / admissionWindow)
 		}
-		if a.plan.now >= a.nextEvaluation {
-			a.nextEvaluation = a.plan.now + evaluationInterval
+		if a.planner.now >= a.nextEvaluation {
+			a.nextEvaluation = a.planner.now + evaluationInterval
 			a.evaluate()
 		}
 	}
 }
 
-// fleetLoad is what the reports of late say of the backends together.
+// fleetLoad sums up the recent reports on all backends.
 type fleetLoad struct {
-	answers    float64 // a second
-	latency    float64 // of answers in a second, in soft deadlines, added up
-	attempts   float64
-	struck     float64 // attempts at backends that fail as often in a row as proxies tolerate
-	judged     float64 // open backends with enough attempts
-	overloaded float64 // of those
+	successRate        float64 // successes a second
+	weightedLatency    float64 // sum over the backends of success rate times mean latency, in shortest soft deadlines
+	attempts           float64 // decayed count
+	avoidedAttempts    float64 // those that probably were at backends with AvoidAfterFailures failures in a row, which proxies avoid
+	judgedBackends     float64 // open backends with enough attempts to be judged
+	overloadedBackends float64 // those of them that are overloaded
 }
 
-// measure adds up the reports on all backends.
+// measure sums up the reports on all backends.
 func (a *admission) measure() fleetLoad {
-	load := fleetLoad{attempts: 1} // so that it can be divided by
-	for i := range a.plan.id {
+	load := fleetLoad{attempts: 1} // not 0, because evaluate divides by it
+	for i := range a.planner.id {
 		a.measureBackend(i, &load)
 	}
 	return load
 }
 
-// updateBaseline sets the share of failures that the best quarter of the backends has, from the zone that fares best.
+// updateBaseline sets the failure share at the best quarter of the backends, as seen from the zone where it is lowest.
 func (a *admission) updateBaseline() {
-	a.baselineFailures = 1
-	for zone := range len(a.plan.zoneIndex) {
-		shares := a.plan.failureShares(zone, baselineAttempts, a.plan.now-baselineWindow)
-		a.baselineFailures = min(a.baselineFailures, shares[len(shares)/baselineDivisor])
+	a.baselineFailureShare = 1
+	for zone := range len(a.planner.zoneIndex) {
+		shares := a.planner.failureShares(zone, baselineAttempts, a.planner.now-baselineWindow)
+		a.baselineFailureShare = min(a.baselineFailureShare, shares[len(shares)/baselineDivisor])
 	}
 }
 
-// sameCriticality returns the first methods of an order that share one criticality.
+// sameCriticality returns the leading methods of the order that have the same criticality.
 func (a *admission) sameCriticality(order []int) []int {
 	end := 1
 	for end < len(order) && a.criticality[order[end]] == a.criticality[order[0]] {
--- a/choice/planner.go
+++ b/choice/planner.go
@@ -5,91 +5,91 @@
 	"hash/crc32"
 )
 
-// Planner is one instance of the module. Its methods must not be called from two goroutines at once.
+// Planner is one instance of the decision module. It must not be used by two goroutines at once.
 type Planner struct {
-	config   Config
-	settings planSettings
-	now      Seconds
-	draws    uint32 // random numbers drawn so far
+	config      Config
+	settings    decisionSettings
+	now         Seconds
+	randomDraws uint32 // number of random numbers drawn so far
 	backendStates
-	backends     []*backendActor
-	indexOf      map[BackendID]int
-	freeSlots    []int     // indexes to be used again
-	goneSince    []Seconds // since when each backend is gone; 0: it is not
-	zoneIndex    map[Zone]int
-	proxies      []*proxyActor // by id
-	watcher      *endpointWatcher
-	ring         *ring
-	admission    *admission
-	channel      *channel
-	ready        []actor // those with messages, in the order in which they got the first
-	commands     []Command
-	nextTick     Seconds
-	newestReport Seconds       // when the newest attempt report came
-	isolated     bool          // most backends seem unreachable, so the fault is on our side
-	dirty        []*proxyActor // those that may need a push in this step
+	backends       []*backendActor   // by index
+	indexOf        map[BackendID]int // indexes of the known backends
+	freeSlots      []int             // unused indexes of backends
+	goneSince      []Seconds         // by index: since when the backend is gone; 0: it is not
+	zoneIndex      map[Zone]int
+	proxies        []*proxyActor // in ascending order of ids
+	watcher        *endpointWatcher
+	ring           *ring
+	admission      *admission
+	channel        *channel
+	readyActors    []actor   // actors with messages, in the order in which they got their first one
+	commands       []Command // of this step so far
+	nextTick       Seconds
+	newestReportAt Seconds       // when the last attempt report arrived
+	isolated       bool          // at least half of the open backends seem unreachable, so this instance is assumed to be cut off
+	dirtyProxies   []*proxyActor // proxies that may need a push in this step
 }
 
-// endpointWatcher follows the endpoint list.
+// endpointWatcher is the actor that follows the endpoint list.
 type endpointWatcher struct {
 	mailbox
-	plan        *Planner
-	nextPoll    Seconds
-	failedPolls int // in a row
+	planner     *Planner
+	nextPoll    Seconds // +Inf: a watch has succeeded
+	failedPolls int     // consecutive, up to maxBackoffDoublings
 }
 
-// New returns an instance for a site's settings.
+// New returns an instance of the decision module for the settings of a site.
 func New(config Config) *Planner {
-	plan := &Planner{config: config, now: config.Now, indexOf: map[BackendID]int{}, zoneIndex: map[Zone]int{}}
-	plan.settings = planSettingsOf(config.Settings)
-	plan.watcher, plan.ring = &endpointWatcher{plan: plan}, &ring{plan: plan}
-	plan.admission = newAdmission(plan)
-	plan.channel = &channel{plan: plan, usualAckTime: plan.settings.PushTime}
-	return plan
+	planner := &Planner{config: config, now: config.Now, indexOf: map[BackendID]int{}, zoneIndex: map[Zone]int{}}
+	planner.settings = newDecisionSettings(config.Settings)
+	planner.watcher, planner.ring = &endpointWatcher{planner: planner}, &ring{planner: planner}
+	planner.admission = newAdmission(planner)
+	planner.channel = &channel{planner: planner, meanAckTime: planner.settings.MeanPushTime}
+	return planner
 }
 
-// actors returns those that are sent tickElapsed.
-func (plan *Planner) actors() []actor {
-	all := []actor{plan.watcher, plan.admission, plan.channel}
-	for _, backend := range plan.backends {
+// actors returns the actors that get tickElapsed: all but the proxies, the ring last.
+func (planner *Planner) actors() []actor {
+	all := []actor{planner.watcher, planner.admission, planner.channel}
+	for _, backend := range planner.backends {
 		all = append(all, backend)
 	}
-	return append(all, plan.ring)
+	return append(all, planner.ring)
 }
 
-// random draws a number from 0 to 1, which follows from the seed alone.
-func (plan *Planner) random() float64 {
-	plan.draws++
-	bytes := binary.LittleEndian.AppendUint64(nil, plan.config.Seed)
-	bytes = binary.LittleEndian.AppendUint32(bytes, plan.draws)
+// random returns a pseudo-random number from 0 up to, but not including, 1. The sequence depends only on the seed.
+func (planner *Planner) random() float64 {
+	planner.randomDraws++
+	bytes := binary.LittleEndian.AppendUint64(nil, planner.config.Seed)
+	bytes = binary.LittleEndian.AppendUint32(bytes, planner.randomDraws)
 	return float64(crc32.ChecksumIEEE(bytes)) / (1 << 32)
 }
 
-// markDirty has a proxy look at its tables before the step ends.
-func (plan *Planner) markDirty(proxy *proxyActor) {
+// markDirty has a proxy check its tables for changes before the step ends.
+func (planner *Planner) markDirty(proxy *proxyActor) {
 	if !proxy.dirty {
 		proxy.dirty = true
-		plan.dirty = append(plan.dirty, proxy)
+		planner.dirtyProxies = append(planner.dirtyProxies, proxy)
 	}
 }
 
-// setExcluded excludes a backend from all tables or restores it, and counts the lines that this costs.
-func (plan *Planner) setExcluded(i int, excluded bool) {
-	plan.excluded[i] = excluded
-	plan.commands = append(plan.commands, SetExclusion{plan.id[i], excluded})
-	for _, proxy := range plan.proxies {
+// setExcluded excludes a backend from all tables or withdraws its exclusion, and counts the lines that this adds to messages.
+func (planner *Planner) setExcluded(i int, excluded bool) {
+	planner.excluded[i] = excluded
+	planner.commands = append(planner.commands, SetExclusion{planner.id[i], excluded})
+	for _, proxy := range planner.proxies {
 		if proxy.joined && proxy.mayUse(i) {
 			proxy.pendingLines++
-			plan.markDirty(proxy)
-		} else if proxy.waiting {
-			plan.markDirty(proxy) // what it waits for may hold this backend
+			planner.markDirty(proxy)
+		} else if proxy.pushWaiting {
+			planner.markDirty(proxy) // the table or list that it waits for may include this backend
 		}
 	}
 }
 
-// excludedCount is the number of excluded backends.
-func (plan *Planner) excludedCount() (count int) {
-	for _, excluded := range plan.excluded {
+// excludedCount returns the number of excluded backends.
+func (planner *Planner) excludedCount() (count int) {
+	for _, excluded := range planner.excluded {
 		if excluded {
 			count++
 		}
@@ -97,12 +97,12 @@
 	return count
 }
 
-// ownShare is the share of all proxies that are joined to this coordinator.
-func (plan *Planner) ownShare() float64 {
-	return float64(plan.ring.joined) / max(plan.settings.Proxies, float64(plan.ring.joined), 1)
+// ownShare returns the share of all proxies that were joined to this coordinator when all arcs were last assigned.
+func (planner *Planner) ownShare() float64 {
+	return float64(planner.ring.joinedProxies) / max(planner.settings.ProxyCount, float64(planner.ring.joinedProxies), 1)
 }
 
-// sum adds up.
+// sum returns the sum of the values.
 func sum(values []float64) (total float64) {
 	for _, value := range values {
 		total += value
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -5,10 +5,10 @@
 	"math"
 )
 
-// defaultMethods is the number of methods where the settings leave it out.
-const defaultMethods = 1
+// defaultMethodCount is the number of methods if the settings don't give it.
+const defaultMethodCount = 1
 
-// Number is a numeric setting that a settings file may leave out. Times are in seconds.
+// Number is a numeric setting that a settings file may omit. Times are in seconds.
 type Number struct {
 	value float64
 	set   bool
@@ -17,7 +17,7 @@
 // NumberOf returns a number that is set.
 func NumberOf(value float64) Number { return Number{value, true} }
 
-// Or returns the number, or def where the settings leave it out.
+// Or returns the number, or def if the settings omit it.
 func (n Number) Or(def float64) float64 {
 	if n.set {
 		return n.value
@@ -28,56 +28,56 @@
 // MethodSettings are the settings of one method.
 type MethodSettings struct {
 	Name         string
-	Effect       string // "idempotent", "tokened" (idempotent with a key) or "non-idempotent"
-	Group        string // which processes recognize a token: "all" of them, or fewer
-	MostTries    string // the limit on retries: "once", "proven" or none
+	Effect       string // "idempotent", "tokened" (idempotent thanks to an idempotency key) or "non-idempotent"
+	Group        string // which backends share their store of idempotency keys ("tokens"): "all", "zone" or "cell"
+	MostTries    string // limit on retries: "once" (none), "proven" (only of attempts that were not processed) or "free" (no limit)
 	OwnZone      bool   // requests must stay in the proxy's zone
-	Criticality  Number // requests of the lowest one are shed first
+	Criticality  Number // requests of the methods with the lowest are shed first
 	SoftDeadline Number
 	Deadline     Number
-	Window       Number // how long a token is remembered
+	Window       Number // time for which a token is remembered
 }
 
-// Settings are the site's settings, decoded from the flat form in which the adapters hand them over. What the flat form has
-// beyond these fields is passed over.
+// Settings are a site's settings, decoded from the flat form in which the adapters pass them. Other values of the flat form are
+// ignored.
 type Settings struct {
 	AskWithin         Number // longest time between two polls of the endpoint list
-	BareLimit         Number // longest time that a proxy may be without a backend
-	ChannelPace       Number // lines a second
-	ChannelRoom       Number // lines that may wait in the channel
-	ColdShare         Number // capacity of a cold backend, as a share of a warm one's
+	BareLimit         Number // longest time that a proxy may be without a table entry while an open warm backend is listed
+	ChannelPace       Number // lines a second that leave the channel
+	ChannelRoom       Number // limit on the lines that wait in the channel
+	ColdShare         Number // capacity that a backend has at least just after its start, as a share of its usual one
 	Coordinators      Number
-	CrossingPrice     Number // of a request that leaves its zone
-	DrainGrace        Number // after which nothing may reach a draining or gone backend
-	FallMultiple      Number // of its capacity, what pushes a cold backend over
-	FallWindow        Number
+	CrossingPrice     Number   // price of a request that leaves its zone
+	DrainGrace        Number   // time after which no request may be sent to a draining or gone backend
+	FallMultiple      Number   // a cold backend collapses under a load above this multiple of its capacity at that time
+	FallWindow        Number   // for this long
 	FeedbackColumns   []string // names of the columns of a load report
 	FeedbackSource    string
 	Intake            Number // lines of reports a second that the module takes
-	LevelKind         string // unit of admission levels: "share", "rate" or "none"
-	Listing           string // "asked" where the endpoint list has to be polled
-	MessageLines      Number // lines that a message costs beside its own
-	Messages          Number // limit on messages to a proxy; 0: none
-	MessagesSpan      Number // within which they are counted
+	LevelKind         string // unit of admission levels: "share", "rate" (requests a second) or "none" (not applied)
+	Listing           string // "asked": the endpoint list has to be polled; "pushed": updates are sent without a poll
+	MessageLines      Number // lines of a message in addition to its own, for its header
+	Messages          Number // limit on the messages to a proxy within MessagesSpan; 0: none
+	MessagesSpan      Number // time over which messages are counted for the limit
 	Methods           []MethodSettings
-	OnlyDrainingBinds bool // a backend dropped from the list without draining is not bound by the grace
-	Pick              string
-	Probes            bool
-	Proxies           Number
-	PushTime          Number // usual time from a push to its acknowledgement
-	PushTimeWorst     Number
-	ReportPeriod      Number
+	OnlyDrainingBinds bool   // DrainGrace does not apply to a backend that is dropped from the list without draining
+	Pick              string // how proxies pick a backend: "lottery" or "even" (by weight) or "pair" (less busy of two)
+	Probes            bool   // backends may be probed
+	Proxies           Number // in all, at all coordinators
+	PushTime          Number // mean time of a push from the channel to the proxy
+	PushTimeWorst     Number // longest such time
+	ReportPeriod      Number // time between two reports of a proxy
 	Self              Number // number of this coordinator
-	Slices            Number
-	Strikes           Number // failures in a row after which a proxy avoids a backend for a while
+	Slices            Number // number of slices; 0: the site has none
+	Strikes           Number // failures in a row after which a proxy avoids a backend for some seconds; 0: never
 	Tick              Number // shortest time between two steps
-	TryWait           Number // time after which an attempt counts as failed
-	WarmAfter         Number
-	Zone              string
+	TryWait           Number // timeout of an attempt that may be retried, as a share of the soft deadline
+	WarmAfter         Number // warm-up time: a backend is warm no later than this after its start
+	Zone              string // of this coordinator
 	Zones             []string
 }
 
-// flatSettings reads single values of the flat form. A value of another type than expected counts as absent.
+// flatSettings reads single values of the flat form. A value of an unexpected type counts as absent.
 type flatSettings map[string]any
 
 func (f flatSettings) number(name string) Number {
@@ -85,7 +85,7 @@
 	return Number{value, ok}
 }
 
-func (f flatSettings) word(name string) string {
+func (f flatSettings) text(name string) string {
 	value, _ := f[name].(string)
 	return value
 }
@@ -95,16 +95,16 @@
 	return value
 }
 
-// words reads a list that is stored as its length under name.n and its items under name.0, name.1 and so on.
-func (f flatSettings) words(name string) (all []string) {
+// texts reads a list that is stored as its length under name.n and its items under name.0, name.1 and so on.
+func (f flatSettings) texts(name string) (all []string) {
 	for i := range int(f.number(name + ".n").Or(0)) {
-		all = append(all, f.word(fmt.Sprintf("%s.%d", name, i)))
+		all = append(all, f.text(fmt.Sprintf("%s.%d", name, i)))
 	}
 	return all
 }
 
-// zones reads the zones up to the first that is missing: the simulator's settings have their number under another name. Where
-// there is but one place, its name may be empty.
+// zones reads the zones up to the first that is missing, because the simulator's settings have their number under another name.
+// The name of a sole zone may be empty.
 func (f flatSettings) zones() (all []string) {
 	for i := 0; ; i++ {
 		zone, ok := f[fmt.Sprintf("zones.%d", i)].(string)
@@ -118,10 +118,10 @@
 func (f flatSettings) method(i int) MethodSettings {
 	prefix := fmt.Sprintf("method.%d.", i)
 	return MethodSettings{
-		Name:         f.word(prefix + "name"),
-		Effect:       f.word(prefix + "effect"),
-		Group:        f.word(prefix + "group"),
-		MostTries:    f.word(prefix + "most_tries"),
+		Name:         f.text(prefix + "name"),
+		Effect:       f.text(prefix + "effect"),
+		Group:        f.text(prefix + "group"),
+		MostTries:    f.text(prefix + "most_tries"),
 		OwnZone:      f.flag(prefix + "own_zone"),
 		Criticality:  f.number(prefix + "criticality"),
 		SoftDeadline: f.number(prefix + "soft_deadline"),
@@ -130,7 +130,8 @@
 	}
 }
 
-// DecodeSettings decodes the flat form: names to numbers (float64, times in seconds), flags and words.
+// DecodeSettings decodes the flat form, a map from names to numbers (float64, times in seconds), flags (bool) and texts
+// (string).
 func DecodeSettings(values map[string]any) Settings {
 	flat := flatSettings(values)
 	settings := Settings{
@@ -144,16 +145,16 @@
 		DrainGrace:        flat.number("drain_grace"),
 		FallMultiple:      flat.number("fall_multiple"),
 		FallWindow:        flat.number("fall_window"),
-		FeedbackColumns:   flat.words("Feedback.Columns"),
-		FeedbackSource:    flat.word("Feedback.Source"),
+		FeedbackColumns:   flat.texts("Feedback.Columns"),
+		FeedbackSource:    flat.text("Feedback.Source"),
 		Intake:            flat.number("intake"),
-		LevelKind:         flat.word("level_kind"),
-		Listing:           flat.word("listing"),
+		LevelKind:         flat.text("level_kind"),
+		Listing:           flat.text("listing"),
 		MessageLines:      flat.number("message_lines"),
 		Messages:          flat.number("messages"),
 		MessagesSpan:      flat.number("messages_span"),
 		OnlyDrainingBinds: flat.flag("only_draining_binds"),
-		Pick:              flat.word("pick"),
+		Pick:              flat.text("pick"),
 		Probes:            flat.flag("probes"),
 		Proxies:           flat.number("proxies"),
 		PushTime:          flat.number("push_time"),
@@ -165,87 +166,89 @@
 		Tick:              flat.number("tick"),
 		TryWait:           flat.number("try_wait"),
 		WarmAfter:         flat.number("warm_after"),
-		Zone:              flat.word("zone"),
+		Zone:              flat.text("zone"),
 		Zones:             flat.zones(),
 	}
-	for i := range int(flat.number("method.n").Or(defaultMethods)) {
+	for i := range int(flat.number("method.n").Or(defaultMethodCount)) {
 		settings.Methods = append(settings.Methods, flat.method(i))
 	}
 	return settings
 }
 
-// Values of settings that a site's file leaves out.
+// Default values of the settings that a site's file may omit.
 const (
-	defaultAskWithin     = 10
-	defaultChannelPace   = 1e4
-	defaultColdShare     = 0.3
-	defaultCriticality   = 1
-	defaultDrainGrace    = 1
-	defaultFallMultiple  = 3
-	defaultMessageLines  = 10
-	defaultMessagesSpan  = 10
-	defaultProxies       = 1
-	defaultPushTime      = 0.2
-	defaultPushTimeWorst = 0.4
-	defaultReportPeriod  = 1
-	defaultSoftDeadline  = 1
-	defaultTryWait       = 1
-	defaultWarmAfter     = 10
+	defaultMaxPollInterval       = 10
+	defaultChannelLinesPerSecond = 1e4
+	defaultColdCapacityShare     = 0.3
+	defaultCriticality           = 1
+	defaultDrainGrace            = 1
+	defaultCollapseLoadMultiple  = 3
+	defaultMessageHeaderLines    = 10
+	defaultMessageLimitSpan      = 10
+	defaultProxyCount            = 1
+	defaultMeanPushTime          = 0.2
+	defaultMaxPushTime           = 0.4
+	defaultReportPeriod          = 1
+	defaultSoftDeadline          = 1
+	defaultAttemptTimeoutShare   = 1
+	defaultWarmupDuration        = 10
 )
 
-// planSettings are the settings that the module goes by, with the defaults for those that are left out.
-type planSettings struct {
-	AskWithin         float64
-	ChannelPace       float64
-	ChannelRoom       float64
-	ColdShare         float64
-	CrossingPrice     float64
-	DrainGrace        float64
-	FallMultiple      float64
-	LevelKind         string
-	Listing           string
-	MessageLines      float64
-	Messages          float64
-	MessagesSpan      float64
-	Methods           []MethodSettings
-	OnlyDrainingBinds bool
-	Pick              string
-	Probes            bool
-	Proxies           float64
-	PushTime          float64
-	PushTimeWorst     float64
-	ReportPeriod      float64
-	Slices            float64
-	Strikes           float64
-	TryWait           float64
-	WarmAfter         float64
+// decisionSettings are the settings that decisions depend on, with defaults in place of omitted ones. Settings describes their
+// meaning; newDecisionSettings shows which field comes from which setting.
+type decisionSettings struct {
+	MaxPollInterval       float64
+	ChannelLinesPerSecond float64
+	MaxChannelLines       float64
+	ColdCapacityShare     float64
+	CrossZonePrice        float64
+	DrainGrace            float64
+	CollapseLoadMultiple  float64
+	LevelKind             string
+	EndpointListMode      string
+	MessageHeaderLines    float64
+	MessageLimit          float64
+	MessageLimitSpan      float64
+	Methods               []MethodSettings
+	ExcludeOnlyDraining   bool
+	PickPolicy            string
+	ProbesAllowed         bool
+	ProxyCount            float64
+	MeanPushTime          float64
+	MaxPushTime           float64
+	ReportPeriod          float64
+	SliceCount            float64
+	AvoidAfterFailures    float64
+	AttemptTimeoutShare   float64
+	WarmupDuration        float64
 }
 
-func planSettingsOf(settings Settings) planSettings {
-	return planSettings{
-		AskWithin:         settings.AskWithin.Or(defaultAskWithin),
-		ChannelPace:       settings.ChannelPace.Or(defaultChannelPace),
-		ChannelRoom:       settings.ChannelRoom.Or(math.Inf(1)),
-		ColdShare:         settings.ColdShare.Or(defaultColdShare),
-		CrossingPrice:     settings.CrossingPrice.Or(0),
-		DrainGrace:        settings.DrainGrace.Or(defaultDrainGrace),
-		FallMultiple:      settings.FallMultiple.Or(defaultFallMultiple),
-		LevelKind:         settings.LevelKind,
-		Listing:           settings.Listing,
-		MessageLines:      settings.MessageLines.Or(defaultMessageLines),
-		Messages:          settings.Messages.Or(0),
-		MessagesSpan:      settings.MessagesSpan.Or(defaultMessagesSpan),
-		Methods:           settings.Methods,
-		OnlyDrainingBinds: settings.OnlyDrainingBinds,
-		Pick:              settings.Pick,
-		Probes:            settings.Probes,
-		Proxies:           settings.Proxies.Or(defaultProxies),
-		PushTime:          settings.PushTime.Or(defaultPushTime),
-		PushTimeWorst:     settings.PushTimeWorst.Or(defaultPushTimeWorst),
-		ReportPeriod:      settings.ReportPeriod.Or(defaultReportPeriod),
-		Slices:            settings.Slices.Or(0),
-		Strikes:           settings.Strikes.Or(0),
-		TryWait:           settings.TryWait.Or(defaultTryWait),
-		WarmAfter:         settings.WarmAfter.Or(defaultWarmAfter),
+// newDecisionSettings fills in the defaults of omitted settings.
+func newDecisionSettings(settings Settings) decisionSettings {
+	return decisionSettings{
+		MaxPollInterval:       settings.AskWithin.Or(defaultMaxPollInterval),
+		ChannelLinesPerSecond: settings.ChannelPace.Or(defaultChannelLinesPerSecond),
+		MaxChannelLines:       settings.ChannelRoom.Or(math.Inf(1)),
+		ColdCapacityShare:     settings.ColdShare.Or(defaultColdCapacityShare),
+		CrossZonePrice:        settings.CrossingPrice.Or(0),
+		DrainGrace:            settings.DrainGrace.Or(defaultDrainGrace),
+		CollapseLoadMultiple:  settings.FallMultiple.Or(defaultCollapseLoadMultiple),
+		LevelKind:             settings.LevelKind,
+		EndpointListMode:      settings.Listing,
+		MessageHeaderLines:    settings.MessageLines.Or(defaultMessageHeaderLines),
+		MessageLimit:          settings.Messages.Or(0),
+		MessageLimitSpan:      settings.MessagesSpan.Or(defaultMessageLimitSpan),
+		Methods:               settings.Methods,
+		ExcludeOnlyDraining:   settings.OnlyDrainingBinds,
+		PickPolicy:            settings.Pick,
+		ProbesAllowed:         settings.Probes,
+		ProxyCount:            settings.Proxies.Or(defaultProxyCount),
+		MeanPushTime:          settings.PushTime.Or(defaultMeanPushTime),
+		MaxPushTime:           settings.PushTimeWorst.Or(defaultMaxPushTime),
+		ReportPeriod:          settings.ReportPeriod.Or(defaultReportPeriod),
+		SliceCount:            settings.Slices.Or(0),
+		AvoidAfterFailures:    settings.Strikes.Or(0),
+		AttemptTimeoutShare:   settings.TryWait.Or(defaultAttemptTimeoutShare),
+		WarmupDuration:        settings.WarmAfter.Or(defaultWarmupDuration),
 	}
 }
