--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,34 +1,35 @@
-// Package eventqueue is a priority queue of what is due at a time: the events of a simulation, or the timers of a process. What is
-// due at the same time leaves the queue in the order in which it was added, so that runs are reproducible.
+// Package eventqueue implements a priority queue of values by due time: the events of a simulation or the timers of a process.
+// Values with the same due time leave the queue in the order in which they were added, so that runs are reproducible.
 package eventqueue
 
-// arity is the number of children of a heap's node. With four, the heap is half as deep as with two, and the children that are
-// compared lie side by side in memory, which counts with a hundred thousand timers.
+// arity is the number of children of a heap node. A heap with four is half as deep as a binary one, and the children that are
+// compared are adjacent in memory. This makes a difference with a hundred thousand timers.
 const arity = 4
 
-// Queue is a heap of values by the times at which they are due. Its zero value is empty.
+// Queue is a heap of values by due time. Its zero value is an empty queue.
 type Queue[T any] struct {
 	heap  []item[T]
-	added uint64 // how many values were ever added
+	pushCount uint64 // number of values that were ever added
 }
 
+// item is a queued value.
 type item[T any] struct {
-	at     float64
-	number uint64 // orders items that are due at the same time
+	dueAt     float64
+	sequence uint64 // position in the order of addition, which decides between equal due times
 	value  T
 }
 
 func (i *item[T]) before(other *item[T]) bool {
-	return i.at < other.at || i.at == other.at && i.number < other.number
+	return i.dueAt < other.dueAt || i.dueAt == other.dueAt && i.sequence < other.sequence
 }
 
 // Len returns how many values are queued.
 func (q *Queue[T]) Len() int { return len(q.heap) }
 
-// Push adds a value that is due at a time.
-func (q *Queue[T]) Push(at float64, value T) {
-	q.added++
-	pushed := item[T]{at: at, number: q.added, value: value}
+// Push adds a value with a due time.
+func (q *Queue[T]) Push(dueAt float64, value T) {
+	q.pushCount++
+	pushed := item[T]{dueAt: dueAt, sequence: q.pushCount, value: value}
 	q.heap = append(q.heap, pushed)
 	position := len(q.heap) - 1
 	for position > 0 {
@@ -42,20 +43,20 @@
 	q.heap[position] = pushed
 }
 
-// NextTime returns when the first value is due; false if the queue is empty.
-func (q *Queue[T]) NextTime() (at float64, ok bool) {
+// NextTime returns the earliest due time. ok is false if the queue is empty.
+func (q *Queue[T]) NextTime() (dueAt float64, ok bool) {
 	if len(q.heap) == 0 {
 		return 0, false
 	}
-	return q.heap[0].at, true
+	return q.heap[0].dueAt, true
 }
 
-// Pop removes the first value and returns it. The queue must not be empty.
+// Pop removes the value with the earliest due time and returns it. The queue must not be empty.
 func (q *Queue[T]) Pop() T {
 	first := q.heap[0].value
 	end := len(q.heap) - 1
 	last := q.heap[end]
-	q.heap[end] = item[T]{} // so that the garbage collector can free what the value refers to
+	q.heap[end] = item[T]{} // lets the garbage collector free what the value refers to
 	q.heap = q.heap[:end]
 	if end > 0 {
 		q.siftDown(last)
@@ -63,7 +64,7 @@
 	return first
 }
 
-// siftDown puts an item into the vacant root and moves it down to its place.
+// siftDown puts an item into the vacant root and moves it down until no child is due before it.
 func (q *Queue[T]) siftDown(moved item[T]) {
 	position := 0
 	for {
@@ -77,7 +78,7 @@
 	q.heap[position] = moved
 }
 
-// firstChild returns the position of the child that is due first; false if there is no child.
+// firstChild returns the position of the child that is due first. ok is false if the node has no child.
 func (q *Queue[T]) firstChild(parent int) (position int, ok bool) {
 	start := arity*parent + 1
 	if start >= len(q.heap) {
--- a/internal/simnet/network.go
+++ b/internal/simnet/network.go
@@ -1,6 +1,6 @@
 // Package simnet is a deterministic network simulator: it runs state machines as nodes in virtual time, over simulated connections
-// and disks. With the same seed a run is the same to the byte. Nodes meet what they would meet on sockets: data arrives in pieces,
-// links are slow, partitioned or reset, and a process dies in the middle of what it sends.
+// and disks. Two runs with the same seed are identical to the byte. The simulation covers what happens on real sockets: data
+// arrives in pieces, links are slow, partitioned or reset, and a process is killed while its data is in transit.
 package simnet
 
 import (
@@ -12,46 +12,47 @@
 	"gingerfork/internal/trace"
 )
 
-// Streams of the random generators that are derived from a network's seed.
+// Stream numbers of the random generators that are derived from a network's seed: the second word of the PCG seed.
 const (
 	networkStream = 1
 	diskStream    = 2
 )
 
-// Network is a set of nodes, the links between them and the virtual clock.
+// Network is a set of nodes, the links between them and a virtual clock.
 type Network struct {
-	// Trace, if set, is called with each record that a node traces.
+	// Trace, if set, is called with each trace record of a node.
 	Trace func(trace.Record)
-	// Log, if set, is called with each entry that a node logs.
+	// Log, if set, is called with each log entry of a node.
 	Log func(at statemachine.Seconds, node string, entry statemachine.LogEntry)
-	// Failures has a line of text for each node that failed, with the time and the node's name.
+	// Failures has a line of text for each failure of a node, with the virtual time, the node's name and the reason.
 	Failures []string
 	// Steps counts the steps of all nodes.
 	Steps int
-	// BytesSent counts the bytes that all nodes wrote to connections.
+	// BytesSent counts the bytes that all nodes wrote to open connections.
 	BytesSent int
 
 	now    statemachine.Seconds
 	random *rand.Rand
-	// diskRandom is for disks only, so that a run with stores draws the same numbers for its network as one without.
-	diskRandom *rand.Rand
-	events     eventqueue.Queue[func()]
-	nodes      map[string]*node
-	order      []*node // in the order in which they were added
-	listeners  map[string]listener
-	faults     []namedFault
+	// diskRandom is used for disks only, so that a run with stores draws the same random numbers for its network as a run without.
+	diskRandom   *rand.Rand
+	events       eventqueue.Queue[func()]
+	nodes        map[string]*node
+	nodesInOrder []*node // in the order in which the nodes were added
+	listeners    map[string]listener
+	faults       []namedFault
 	// sameZoneLatency and crossZoneLatency are the mean one-way latencies of links within a zone and between zones.
 	sameZoneLatency, crossZoneLatency statemachine.Seconds
 	effects                           statemachine.Effects // of the current step
 }
 
-// listener is an address that a node listens on.
+// listener is one address that a node listens on.
 type listener struct {
 	node  *node
-	index int // among the node's addresses
+	index int // position among the node's addresses, from 0
 }
 
-// New makes a network without nodes. Its clock starts at now; links have the given mean latencies within a zone and between zones.
+// New returns a network without nodes. Its clock starts at now. The latencies are the one-way means of links within a zone and
+// between zones.
 func New(seed uint64, now, sameZoneLatency, crossZoneLatency statemachine.Seconds) *Network {
 	return &Network{
 		now:              now,
@@ -67,12 +68,13 @@
 // Now returns the virtual time.
 func (n *Network) Now() statemachine.Seconds { return n.now }
 
-// Schedule calls a function at a time, or as soon as possible if that has passed.
+// Schedule has a function called at a virtual time, or at the current one if that time has passed. Functions that are scheduled
+// for the same time are called in the order of the Schedule calls.
 func (n *Network) Schedule(at statemachine.Seconds, call func()) {
 	n.events.Push(max(at, n.now), call)
 }
 
-// RunUntil runs all that is scheduled up to a time.
+// RunUntil runs everything that is scheduled up to and including a virtual time, and sets the clock to it.
 func (n *Network) RunUntil(end statemachine.Seconds) {
 	for {
 		at, ok := n.events.NextTime()
@@ -86,11 +88,11 @@
 	n.now = end
 }
 
-// AddNode adds a node that listens on the given addresses. It does not run before Start.
+// AddNode adds a node that listens on the given addresses. Its process does not run until Start is called.
 func (n *Network) AddNode(name, zone string, factory NodeFactory, addresses ...string) {
 	added := &node{name: name, zone: zone, factory: factory, files: map[string][]byte{}}
 	n.nodes[name] = added
-	n.order = append(n.order, added)
+	n.nodesInOrder = append(n.nodesInOrder, added)
 	for i, address := range addresses {
 		n.listeners[address] = listener{node: added, index: i}
 	}
@@ -98,17 +100,17 @@
 
 // NodeNames returns the names of all nodes, in the order in which they were added.
 func (n *Network) NodeNames() []string {
-	names := make([]string, 0, len(n.order))
-	for _, node := range n.order {
+	names := make([]string, 0, len(n.nodesInOrder))
+	for _, node := range n.nodesInOrder {
 		names = append(names, node.name)
 	}
 	return names
 }
 
-// Running tells whether a node runs.
+// Running reports whether a node's process runs.
 func (n *Network) Running(name string) bool { return n.running(name) != nil }
 
-// running returns nil for a node that does not run or does not exist.
+// running returns a node whose process runs; nil if it does not run or the node does not exist.
 func (n *Network) running(name string) *node {
 	found := n.nodes[name]
 	if found == nil || !found.up {
@@ -125,7 +127,7 @@
 	return ""
 }
 
-// Machine returns the state machine of a running node, or nil if it does not run.
+// Machine returns the state machine of a running node, or nil if the node does not run.
 func (n *Network) Machine(name string) statemachine.Machine {
 	if found := n.running(name); found != nil {
 		return found.machine
@@ -133,7 +135,7 @@
 	return nil
 }
 
-// fail records why a node failed.
-func (n *Network) fail(name string, reason any) {
+// recordFailure adds a line to Failures.
+func (n *Network) recordFailure(name string, reason any) {
 	n.Failures = append(n.Failures, fmt.Sprintf("%.6f %s: %v", n.now, name, reason))
 }
--- a/internal/simnet/network_test.go
+++ b/internal/simnet/network_test.go
@@ -7,12 +7,12 @@
 	"gingerfork/internal/statemachine"
 )
 
-// recorder dials, writes and closes as it is commanded, and records what it receives.
+// recorder is a state machine that dials, writes and closes on command, and records the events and data that it receives.
 type recorder struct {
-	conn     statemachine.Conn
-	received strings.Builder
-	events   []string
-	spins    bool
+	conn      statemachine.Conn
+	received  strings.Builder
+	events    []string
+	busyLoops bool
 }
 
 // Step implements statemachine.Machine.
@@ -30,7 +30,7 @@
 			r.received.Write(input.Data)
 		}
 	}
-	if r.spins {
+	if r.busyLoops {
 		out.WakeBy(now)
 	}
 }
@@ -46,14 +46,14 @@
 	case "close":
 		out.Close(r.conn)
 	case "spin":
-		r.spins = true
+		r.busyLoops = true
 	}
 }
 
 func (r *recorder) lastEvent() string { return r.events[len(r.events)-1] }
 
-// newPair makes a network of two nodes in different zones; a has a connection to b.
-func newPair(t *testing.T) (network *Network, a, b *recorder) {
+// newTwoNodeNetwork returns a network of two nodes in different zones, where node a has an open connection to node b.
+func newTwoNodeNetwork(t *testing.T) (network *Network, a, b *recorder) {
 	t.Helper()
 	network = New(1, 100, 0.001, 0.01)
 	a, b = &recorder{}, &recorder{}
@@ -71,9 +71,9 @@
 
 func allLinks(string, string) bool { return true }
 
-// What is in transit when a partition begins arrives before what is sent during it, and all of it when the partition ends.
+// Data in transit when a partition begins must arrive before data sent during the partition, and all of it when it ends.
 func TestPartitionKeepsOrder(t *testing.T) {
-	network, _, server := newPair(t)
+	network, _, server := newTwoNodeNetwork(t)
 	network.AddLinkFault("slow", LinkFault{ExtraLatency: 2}, allLinks)
 	network.SendCommand("a", "write 1")
 	network.RunUntil(102)
@@ -81,80 +81,83 @@
 	network.SendCommand("a", "write 2")
 	network.RunUntil(110)
 	if server.received.Len() != 0 {
-		t.Fatal(server.received.String())
+		t.Fatalf("during the partition the server received %q", server.received.String())
 	}
 	network.RemoveLinkFault("slow")
 	network.RemoveLinkFault("partition")
 	network.SendCommand("a", "write 3")
 	network.RunUntil(111)
 	if server.received.String() != "123" {
-		t.Fatal(server.received.String())
+		t.Fatalf("the server received %q, want \"123\"", server.received.String())
 	}
 }
 
-// A killed sender's data arrives in part, and its peer sees a reset.
+// Data of a killed sender arrives only in part, and its peer gets a reset.
 func TestKillWhileSending(t *testing.T) {
-	network, _, server := newPair(t)
+	network, _, server := newTwoNodeNetwork(t)
 	network.SendCommand("a", "write "+strings.Repeat("x", 1000))
 	network.RunUntil(101.0001)
 	network.Kill("a")
 	network.RunUntil(102)
 	if n := server.received.Len(); n == 0 && len(server.events) != 2 || n == 1000 || server.lastEvent() != "reset by the other side" {
-		t.Fatal(n, server.events)
+		t.Fatalf("the server received %d of 1000 bytes and the events %q", n, server.events)
 	}
 }
 
+// Data that is written before a close arrives, and only the peer is told of the close.
 func TestClose(t *testing.T) {
-	network, client, server := newPair(t)
+	network, client, server := newTwoNodeNetwork(t)
 	network.SendCommand("a", "write bye")
 	network.SendCommand("a", "close")
 	network.RunUntil(102)
 	if server.received.String() != "bye" || server.lastEvent() != "closed by the other side" || len(client.events) != 1 {
-		t.Fatal(server.received.String(), server.events, client.events)
+		t.Fatalf("the server received %q and the events %q; the client's events: %q", server.received.String(), server.events, client.events)
 	}
 }
 
+// The reason of a closed connection or a failed dial tells a reset, a killed peer and a partition apart.
 func TestResetAndFailedDials(t *testing.T) {
-	network, client, _ := newPair(t)
+	network, client, _ := newTwoNodeNetwork(t)
 	network.ResetConnections(allLinks)
 	network.RunUntil(102)
 	if client.lastEvent() != "reset by the other side" {
-		t.Fatal(client.events)
+		t.Fatalf("events of the client: %q", client.events)
 	}
 	network.Kill("b")
 	network.SendCommand("a", "dial server")
 	network.RunUntil(103)
 	if client.lastEvent() != "refused" {
-		t.Fatal(client.events)
+		t.Fatalf("events of the client: %q", client.events)
 	}
 	network.Start("b")
 	network.AddLinkFault("partition", LinkFault{Partitioned: true}, allLinks)
 	network.SendCommand("a", "dial server")
 	network.RunUntil(110)
 	if client.lastEvent() != "no answer" {
-		t.Fatal(client.events)
+		t.Fatalf("events of the client: %q", client.events)
 	}
 }
 
-// The peer of a process that dies during a partition is not told; its first write after the partition meets a reset.
+// The peer of a process that is killed during a partition gets no reset until its first write after the partition.
 func TestKillDuringPartition(t *testing.T) {
-	network, client, _ := newPair(t)
+	network, client, _ := newTwoNodeNetwork(t)
 	network.AddLinkFault("partition", LinkFault{Partitioned: true}, allLinks)
 	network.Kill("b")
 	network.RunUntil(105)
 	if len(client.events) != 1 {
-		t.Fatal(client.events)
+		t.Fatalf("events of the client: %q", client.events)
 	}
 	network.RemoveLinkFault("partition")
 	network.SendCommand("a", "write x")
 	network.RunUntil(106)
 	if client.lastEvent() != "reset by the other side" {
-		t.Fatal(client.events)
+		t.Fatalf("events of the client: %q", client.events)
 	}
 }
 
+// A paused node handles its inputs when the pause is over.
 func TestPause(t *testing.T) {
-	network, _, server := newPair(t)
+	network, _, server := newTwoNodeNetwork(t)
 	network.Pause("b", 3)
 	network.SendCommand("a", "write x")
 	network.RunUntil(103.5)
@@ -163,16 +166,16 @@
 	}
 	network.RunUntil(105)
 	if server.received.String() != "x" {
-		t.Fatal(server.received.String())
+		t.Fatalf("after the pause the server received %q, want \"x\"", server.received.String())
 	}
 }
 
-// A node that asks for a step at the moment of each step is killed and reported.
+// A node that asks in each step for another step at the same time is killed and reported as a failure.
 func TestBusyLoop(t *testing.T) {
-	network, _, _ := newPair(t)
+	network, _, _ := newTwoNodeNetwork(t)
 	network.SendCommand("b", "spin")
 	network.RunUntil(106)
 	if len(network.Failures) != 1 || !strings.Contains(network.Failures[0], "b: busy loop") || network.Running("b") {
-		t.Fatal(network.Failures)
+		t.Fatalf("failures: %q, node b runs: %v", network.Failures, network.Running("b"))
 	}
 }
--- a/internal/simnet/node.go
+++ b/internal/simnet/node.go
@@ -10,42 +10,46 @@
 	"gingerfork/internal/store"
 )
 
-// NodeFactory makes the state machine of a node at a start; files are what the node's earlier incarnations saved.
+// NodeFactory makes the state machine of a node when its process starts. The files, by name, are those that the node's earlier
+// incarnations saved.
 type NodeFactory func(now statemachine.Seconds, files map[string][]byte) statemachine.Machine
 
-// maxStepsAtOnce is how many steps a node may take at one moment. A node that takes more would use a whole core on a real machine.
-const maxStepsAtOnce = 10000
+// maxStepsPerInstant is the maximum number of steps of a node at one virtual time. On a real machine, a node that takes more would
+// use a whole core.
+const maxStepsPerInstant = 10000
 
 var errBusyLoop = errors.New("busy loop: too many steps at one moment")
 
+// node is a simulated machine with a disk and a process, which can be killed and started again.
 type node struct {
 	name    string
 	zone    string
 	factory NodeFactory
 	files   map[string][]byte
-	disk    *disk.Memory // nil: the node has not opened a store yet
-	store   *store.Store // of this incarnation; nil: it has opened none
+	disk    *disk.Memory // nil: the node has never opened a store
+	store   *store.Store // opened by this incarnation; nil: none
 
-	incarnation int // counts starts; 0: never started
-	up          bool
-	machine     statemachine.Machine
-	conns       map[statemachine.Conn]*connEnd
-	accepted    statemachine.Conn // last ID of an accepted connection
+	incarnation  int // number of starts of the process; 0: never started
+	up           bool
+	machine      statemachine.Machine
+	conns        map[statemachine.Conn]*connEnd
+	lastAccepted statemachine.Conn // ID of the last accepted connection
 
 	inbox      []statemachine.Input
-	spareInbox []statemachine.Input // reused for the next inbox
-	stepQueued bool                 // a step for the inbox is scheduled for this moment
+	spareInbox []statemachine.Input // empty slice whose memory the next inbox reuses
+	stepQueued bool                 // a step that handles the inbox is scheduled for the current time
 
 	wakeAt statemachine.Seconds
-	// scheduledWake and scheduledIncarnation tell for which time a wake-up was scheduled last: most steps ask for the same again.
-	scheduledWake        statemachine.Seconds
+	// scheduledWakeAt and scheduledIncarnation are the time and the incarnation of the last scheduled wake-up. Most steps ask for
+	// the same time again, which then needs no second event.
+	scheduledWakeAt      statemachine.Seconds
 	scheduledIncarnation int
 	pausedUntil          statemachine.Seconds
-	lastStep             statemachine.Seconds
-	stepsAtOnce          int // at the moment of lastStep
+	lastStepAt           statemachine.Seconds
+	stepsAtLastStepTime  int // number of steps at the time lastStepAt
 }
 
-// sortedConns returns the node's connections by their IDs.
+// sortedConns returns the node's ends of its connections, sorted by connection ID.
 func (n *node) sortedConns() []*connEnd {
 	ends := make([]*connEnd, 0, len(n.conns))
 	for _, end := range n.conns {
@@ -55,62 +59,63 @@
 	return ends
 }
 
-// Start starts the process of a node that does not run.
+// Start starts the process of a node. It does nothing if the process runs or the node does not exist.
 func (n *Network) Start(name string) {
-	started := n.nodes[name]
-	if started == nil || started.up {
+	node := n.nodes[name]
+	if node == nil || node.up {
 		return
 	}
-	started.incarnation++
-	started.up = true
-	started.inbox = nil
-	started.wakeAt = statemachine.Never
-	started.pausedUntil = 0
-	started.accepted = 0
-	started.conns = map[statemachine.Conn]*connEnd{}
-	started.machine = started.factory(n.now, started.files)
-	n.step(started)
+	node.incarnation++
+	node.up = true
+	node.inbox = nil
+	node.wakeAt = statemachine.Never
+	node.pausedUntil = 0
+	node.lastAccepted = 0
+	node.conns = map[statemachine.Conn]*connEnd{}
+	node.machine = node.factory(n.now, node.files)
+	n.step(node)
 }
 
-// Kill ends the process of a node. Its peers see their connections reset, some in the middle of what was sent.
+// Kill ends the process of a node. Its peers get resets on their connections, and data in transit may arrive in part. Peers behind
+// a partition get a reset with their first write after it.
 func (n *Network) Kill(name string) {
-	killed := n.running(name)
-	if killed == nil {
+	node := n.running(name)
+	if node == nil {
 		return
 	}
-	killed.up, killed.machine, killed.inbox = false, nil, nil
-	if killed.store != nil {
-		n.crashDisk(killed)
+	node.up, node.machine, node.inbox = false, nil, nil
+	if node.store != nil {
+		n.crashDisk(node)
 	}
-	for _, end := range killed.sortedConns() {
+	for _, end := range node.sortedConns() {
 		end.closed = true
-		if end.peer != nil && n.faultBetween(killed, end.peer.node).Partitioned {
-			end.resetLost = true
+		if end.peer != nil && n.faultBetween(node, end.peer.node).Partitioned {
+			end.resetNotDelivered = true
 			continue
 		}
 		n.send(end, segment{closes: true, reason: reasonReset})
 	}
-	killed.conns = nil
+	node.conns = nil
 }
 
-// Pause keeps a node from taking steps for a while, like a process that is not scheduled.
+// Pause keeps a node from taking steps for a time span, like a process that the operating system does not schedule.
 func (n *Network) Pause(name string, span statemachine.Seconds) {
-	paused := n.running(name)
-	if paused == nil {
+	node := n.running(name)
+	if node == nil {
 		return
 	}
-	paused.pausedUntil = max(paused.pausedUntil, n.now+span)
-	n.Schedule(paused.pausedUntil, func() { n.step(paused) })
+	node.pausedUntil = max(node.pausedUntil, n.now+span)
+	n.Schedule(node.pausedUntil, func() { n.step(node) })
 }
 
-// SendCommand gives a running node a command of the operator.
+// SendCommand delivers an operator's command to a node. It does nothing if the node does not run.
 func (n *Network) SendCommand(name, text string) {
 	if receiver := n.running(name); receiver != nil {
 		n.deliver(receiver, statemachine.Input{Kind: statemachine.OperatorCommand, Text: text})
 	}
 }
 
-// deliver gives a node an input. All inputs of one moment are those of one step.
+// deliver adds an input to a node's inbox. The inputs that come at the same virtual time before the queued step share that step.
 func (n *Network) deliver(receiver *node, input statemachine.Input) {
 	receiver.inbox = append(receiver.inbox, input)
 	if receiver.stepQueued {
@@ -126,58 +131,58 @@
 	})
 }
 
-// step gives a node its inputs and carries out the effects.
-func (n *Network) step(stepping *node) {
-	if !stepping.up || n.now < stepping.pausedUntil {
+// step has a node handle its inbox and carries out the effects. While the node is paused, the inputs stay in the inbox.
+func (n *Network) step(node *node) {
+	if !node.up || n.now < node.pausedUntil {
 		return
 	}
-	if stepping.countStep(n.now) > maxStepsAtOnce {
-		n.fail(stepping.name, errBusyLoop)
-		n.Kill(stepping.name)
+	if node.countStep(n.now) > maxStepsPerInstant {
+		n.recordFailure(node.name, errBusyLoop)
+		n.Kill(node.name)
 		return
 	}
-	inputs := stepping.inbox
-	stepping.inbox, stepping.spareInbox = stepping.spareInbox[:0], nil
+	inputs := node.inbox
+	node.inbox, node.spareInbox = node.spareInbox[:0], nil
 	effects := &n.effects
 	effects.Reset()
 	n.Steps++
-	stepping.machine.Step(n.now, inputs, effects)
+	node.machine.Step(n.now, inputs, effects)
 	clear(inputs)
-	stepping.spareInbox = inputs
-	n.report(stepping, effects)
+	node.spareInbox = inputs
+	n.emitLogAndTrace(node, effects)
 	if effects.Failure != "" {
-		n.fail(stepping.name, effects.Failure)
-		n.Kill(stepping.name)
+		n.recordFailure(node.name, effects.Failure)
+		n.Kill(node.name)
 		return
 	}
 	for name, data := range effects.Files {
-		stepping.files[name] = data
+		node.files[name] = data
 	}
-	n.persist(stepping, effects.Mutations, effects.Batch)
+	n.persist(node, effects.Mutations, effects.Batch)
 	for _, action := range effects.Actions {
-		n.act(stepping, action)
+		n.performAction(node, action)
 	}
 	if effects.Stop {
-		n.Kill(stepping.name)
+		n.Kill(node.name)
 		return
 	}
-	n.scheduleWake(stepping, effects.WakeAt)
+	n.scheduleWake(node, effects.WakeAt)
 }
 
-// countStep counts a step and returns how many there were at this moment.
+// countStep counts a step and returns how many steps the node has taken at this virtual time.
 func (n *node) countStep(now statemachine.Seconds) int {
-	if n.lastStep != now {
-		n.lastStep, n.stepsAtOnce = now, 0
+	if n.lastStepAt != now {
+		n.lastStepAt, n.stepsAtLastStepTime = now, 0
 	}
-	n.stepsAtOnce++
-	return n.stepsAtOnce
+	n.stepsAtLastStepTime++
+	return n.stepsAtLastStepTime
 }
 
-// report passes on what a step logged and traced.
-func (n *Network) report(stepped *node, effects *statemachine.Effects) {
+// emitLogAndTrace passes the log entries and trace records of a step to the network's Log and Trace.
+func (n *Network) emitLogAndTrace(node *node, effects *statemachine.Effects) {
 	if n.Log != nil {
 		for _, entry := range effects.LogEntries {
-			n.Log(n.now, stepped.name, entry)
+			n.Log(n.now, node.name, entry)
 		}
 	}
 	if n.Trace != nil {
@@ -187,32 +192,32 @@
 	}
 }
 
-// scheduleWake has the node take a step at a time, unless a later step has asked for another time by then.
-func (n *Network) scheduleWake(sleeper *node, wakeAt statemachine.Seconds) {
-	sleeper.wakeAt = wakeAt
-	incarnation := sleeper.incarnation
-	scheduled := sleeper.scheduledWake == wakeAt && sleeper.scheduledIncarnation == incarnation
+// scheduleWake schedules a step of the node at wakeAt. The step is left out if a later step asks for another time before then.
+func (n *Network) scheduleWake(node *node, wakeAt statemachine.Seconds) {
+	node.wakeAt = wakeAt
+	incarnation := node.incarnation
+	scheduled := node.scheduledWakeAt == wakeAt && node.scheduledIncarnation == incarnation
 	if wakeAt >= statemachine.Never || scheduled {
 		return
 	}
-	sleeper.scheduledWake, sleeper.scheduledIncarnation = wakeAt, incarnation
+	node.scheduledWakeAt, node.scheduledIncarnation = wakeAt, incarnation
 	n.Schedule(wakeAt, func() {
-		if sleeper.scheduledWake == wakeAt && sleeper.scheduledIncarnation == incarnation {
-			sleeper.scheduledWake = statemachine.Never
+		if node.scheduledWakeAt == wakeAt && node.scheduledIncarnation == incarnation {
+			node.scheduledWakeAt = statemachine.Never
 		}
-		if sleeper.incarnation == incarnation && sleeper.wakeAt == wakeAt {
-			n.step(sleeper)
+		if node.incarnation == incarnation && node.wakeAt == wakeAt {
+			n.step(node)
 		}
 	})
 }
 
-// act carries out an action on a connection.
-func (n *Network) act(actor *node, action statemachine.Action) {
+// performAction carries out an action of a node on one of its connections. Actions on unknown connections are ignored.
+func (n *Network) performAction(node *node, action statemachine.Action) {
 	if action.Kind == statemachine.ActionDial {
-		n.dial(actor, action.Conn, action.Addr, n.now+dialTimeout)
+		n.dial(node, action.Conn, action.Addr, n.now+dialTimeoutSeconds)
 		return
 	}
-	end := actor.conns[action.Conn]
+	end := node.conns[action.Conn]
 	if end == nil {
 		return
 	}
--- a/internal/simnet/storage.go
+++ b/internal/simnet/storage.go
@@ -8,11 +8,11 @@
 	"gingerfork/internal/store"
 )
 
-// syncTime is the mean time that a disk takes for a sync, in seconds.
-const syncTime = 0.005
+// meanSyncSeconds is the mean duration of a sync of a simulated disk.
+const meanSyncSeconds = 0.005
 
-// OpenStore opens the store of a node, on its simulated disk, and returns the records that earlier incarnations wrote. It is to be
-// called by the node's NodeFactory.
+// OpenStore opens the store on a node's simulated disk and returns the records that earlier incarnations wrote. The node's
+// NodeFactory must call it.
 func (n *Network) OpenStore(name string) (iter.Seq2[string, []byte], error) {
 	owner := n.nodes[name]
 	if owner.disk == nil {
@@ -20,7 +20,7 @@
 	}
 	opened, _, err := store.Open(store.Options{Folder: owner.disk, ID: 1})
 	if err != nil {
-		n.fail(name, err)
+		n.recordFailure(name, err)
 		return nil, err
 	}
 	owner.store = opened
@@ -30,13 +30,14 @@
 // Disk returns the disk of a node, or nil if the node never opened a store.
 func (n *Network) Disk(name string) *disk.Memory { return n.nodes[name].disk }
 
-// crashDisk leaves of a node's disk what a power failure leaves: of what was not synced, each sector is there or not.
+// crashDisk simulates a power failure: of the sectors that were not synced, each is kept with a probability of 1/2.
 func (n *Network) crashDisk(owner *node) {
 	owner.disk = owner.disk.Crash(func() bool { return n.diskRandom.Uint64()&1 == 0 })
 	owner.store = nil
 }
 
-// persist writes the mutations of a step and reports to the node when they are durable, some milliseconds later.
+// persist writes the mutations of a step to the node's store. When the simulated sync is done, after 0.5 to 1.5 times
+// meanSyncSeconds, it reports to the node that the batch is durable or that it failed.
 func (n *Network) persist(owner *node, mutations []statemachine.Mutation, batchNumber uint64) {
 	if owner.store == nil || batchNumber == 0 {
 		return
@@ -51,7 +52,7 @@
 	}
 	sequence, err := owner.store.Write(&batch)
 	incarnation := owner.incarnation
-	delay := syncTime * (0.5 + n.diskRandom.Float64())
+	delay := meanSyncSeconds * (0.5 + n.diskRandom.Float64())
 	n.Schedule(n.now+delay, func() {
 		if owner.incarnation != incarnation || !owner.up {
 			return
@@ -68,7 +69,7 @@
 	})
 }
 
-// compact compacts a store until there is nothing left to do. An error ends it; it is called again after the next write.
+// compact compacts a store until there is nothing left to do. An error ends it; the next persisted batch calls it again.
 func compact(compacted *store.Store) {
 	for {
 		more, err := compacted.Compact(false)
--- a/internal/wakeup/wakeup.go
+++ b/internal/wakeup/wakeup.go
@@ -1,21 +1,22 @@
-// Package wakeup has a priority queue of members by the time of their next wake-up, for machines that run many others.
+// Package wakeup implements a priority queue of members by the time of their next wake-up, for state machines that run many other
+// state machines.
 package wakeup
 
 import "container/heap"
 
-// Queue orders members by wake-up time. Its zero value is empty.
+// Queue orders members by wake-up time. Its zero value is an empty queue.
 type Queue[T any] struct {
 	entries entryHeap[T]
 }
 
-// Entry is a member's place in a queue.
+// Entry is a member with its wake-up time and its position in a queue.
 type Entry[T any] struct {
 	Member T
 	wakeAt float64 // seconds
-	index  int     // in the heap
+	index  int     // position in the heap
 }
 
-// Add adds a member that is due at once.
+// Add adds a member with the wake-up time 0, so that it is due at once.
 func (q *Queue[T]) Add(member T) *Entry[T] {
 	entry := &Entry[T]{Member: member}
 	heap.Push(&q.entries, entry)
@@ -28,7 +29,7 @@
 	heap.Fix(&q.entries, entry.index)
 }
 
-// Next gives the member with the earliest wake-up time, which stays in the queue; false if the queue is empty.
+// Next returns the member with the earliest wake-up time and leaves it in the queue. ok is false if the queue is empty.
 func (q *Queue[T]) Next() (member T, wakeAt float64, ok bool) {
 	if len(q.entries) == 0 {
 		return member, 0, false
--- a/internal/wakeup/wakeup_test.go
+++ b/internal/wakeup/wakeup_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// Next returns the earliest member after each change of a wake-up time, to an earlier or a later one.
 func TestQueueOrder(t *testing.T) {
 	var queue Queue[string]
 	if member, _, ok := queue.Next(); ok {
