--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -8,15 +8,15 @@
 
 // Queue is a heap of values by due time. Its zero value is an empty queue.
 type Queue[T any] struct {
-	heap  []item[T]
+	heap      []item[T]
 	pushCount uint64 // number of values that were ever added
 }
 
 // item is a queued value.
 type item[T any] struct {
-	dueAt     float64
+	dueAt    float64
 	sequence uint64 // position in the order of addition, which decides between equal due times
-	value  T
+	value    T
 }
 
 func (i *item[T]) before(other *item[T]) bool {
--- a/internal/load/config.go
+++ b/internal/load/config.go
@@ -12,29 +12,29 @@
 	"gingerfork/internal/report"
 )
 
-// maxProxies bounds the proxies of one run.
+// maxProxies is the maximum number of proxies of one run.
 const maxProxies = 10000
 
-// errConfig is wrapped by the errors of Validate that are not those of the traffic's shape.
+// errConfig is wrapped by the errors of Validate, except those of the traffic shape.
 var errConfig = errors.New("invalid load configuration")
 
 // Config configures a run of the load generator.
 type Config struct {
-	FrontEnd      fake.FrontEndConfig // of every proxy; Name, Zone, Rate, Coordinators and Seed are set for each
-	Methods       []invariant.Method
-	Proxies       int
-	Zones         []string      // assigned to the proxies in turn; may be empty
-	Rate          float64       // RPCs a second of all proxies together
-	RateVariation float64       // coefficient of variation of the proxies' rates
-	Coordinators  []string      // addresses; empty if Backends are given
-	Backends      []string      // addresses in a static table; empty if Coordinators are given
-	Duration      time.Duration // of the run
-	EventLoops    int           // 0: one a core
+	FrontEnd      fake.FrontEndConfig // for every proxy; Name, Zone, Rate, Coordinators and Seed are set for each
+	Methods       []invariant.Method  // for the report
+	Proxies       int                 // number of proxies
+	Zones         []string            // assigned to the proxies in turn; may be empty
+	Rate          float64             // RPCs per second of all proxies together
+	RateVariation float64             // coefficient of variation of the proxies' rates
+	Coordinators  []string            // addresses; empty if Backends is set
+	Backends      []string            // addresses, which go into a static table; empty if Coordinators is set
+	Duration      time.Duration       // of the run
+	EventLoops    int                 // number of event loops; 0: one for each core
 	Seed          uint64
-	OnSecond      func(second int, figures report.Second) // gets each second's figures once it is over; nil: nobody does
+	OnSecond      func(second int, figures report.Second) // called with the figures of each second once it is over; nil: not called
 }
 
-// Validate tells what is wrong with a configuration.
+// Validate returns an error if the configuration is invalid.
 func (c Config) Validate() error {
 	switch {
 	case c.Proxies < 1 || c.Proxies > maxProxies:
@@ -49,6 +49,7 @@
 	return c.FrontEnd.Shape.Validate()
 }
 
+// eventLoopCount returns the number of event loops: as configured, or one for each core, but no more than there are proxies.
 func (c Config) eventLoopCount() int {
 	count := c.EventLoops
 	if count <= 0 {
@@ -57,7 +58,7 @@
 	return min(count, c.Proxies)
 }
 
-// staticTable is a table of the backends with equal weights; nil if the proxies follow coordinators.
+// staticTable returns a table of the configured backends with equal weights, or nil if the proxies follow coordinators.
 func (c Config) staticTable() []proto.TableEntry {
 	if len(c.Backends) == 0 {
 		return nil
@@ -69,8 +70,8 @@
 	return table
 }
 
-// proxy configures one proxy, with its factor of the mean rate.
-func (c Config) proxy(index int, rateFactor float64) fake.FrontEndConfig {
+// proxyConfig returns the configuration of one proxy. The rate factor is the proxy's rate as a multiple of the mean rate.
+func (c Config) proxyConfig(index int, rateFactor float64) fake.FrontEndConfig {
 	proxy := c.FrontEnd
 	proxy.Name = fmt.Sprint("load-", index)
 	proxy.Rate = c.Rate / float64(c.Proxies) * rateFactor
@@ -80,7 +81,7 @@
 	if len(c.Zones) > 0 {
 		proxy.Zone = c.Zones[index%len(c.Zones)]
 	}
-	// Each proxy begins with another coordinator, so that they share the proxies.
+	// Each proxy's list begins with the next coordinator, which spreads the proxies over the coordinators.
 	for i := range c.Coordinators {
 		proxy.Coordinators = append(proxy.Coordinators, c.Coordinators[(index+i)%len(c.Coordinators)])
 	}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,6 +1,7 @@
-// Package load is an open-loop load generator: when each RPC is due is drawn beforehand, whatever became of earlier ones,
-// and its latency counts from then, so that a slow service does not slow down its own measurement. It plays the proxies of
-// a fleet, which follow a coordinator's tables or have a static table, and reports when it could not keep up itself.
+// Package load is an open-loop load generator: the time at which an RPC is due does not depend on the outcome of earlier RPCs,
+// and its latency is measured from that time, so that a slow service does not lower the load that measures it. The generator
+// simulates the proxies of a fleet, which follow a coordinator's tables or have a static table. Its report says whether the
+// generator itself kept to its schedule.
 package load
 
 import (
@@ -19,13 +20,14 @@
 
 var errLoopEnded = errors.New("an event loop of the proxies ended during the run")
 
-// Run generates load until the duration is over or ctx ends, and reports what came of it, also after an error.
+// Run generates load until the duration is over or ctx ends, and returns the report of the run. The report is also returned with
+// an error, unless the configuration is invalid.
 func Run(ctx context.Context, config Config) (*report.Report, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
 	}
-	results := &collector{maker: report.NewBuilder(config.Methods)}
-	// The loops don't end with ctx: else an interrupted run looked like one whose loops failed.
+	results := &resultCollector{builder: report.NewBuilder(config.Methods)}
+	// The loops have a context of their own: if they ended with ctx, an interrupted run would look like one whose loops failed.
 	loopCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	loops, err := startProxies(loopCtx, config, results.add)
@@ -38,14 +40,15 @@
 			err = fmt.Errorf("run the proxies: %w", loopErr)
 		}
 	}
-	done, traceErr := results.done()
+	finished, traceErr := results.finish()
 	if err == nil {
 		err = traceErr
 	}
-	return done, err
+	return finished, err
 }
 
-// startProxies starts event loops with the proxies. After an error it gives those that were started, too.
+// startProxies distributes the proxies over event loops and starts them. With an error it returns the loops that were started
+// before.
 func startProxies(ctx context.Context, config Config, collect func([]trace.Record)) ([]*eventloop.Loop, error) {
 	clock := eventloop.NewClock()
 	rateFactors := traffic.LognormalFactors(config.Proxies, config.RateVariation, config.Seed)
@@ -54,7 +57,7 @@
 	for first := range count {
 		proxies := fake.NewMultiplexer()
 		for index := first; index < config.Proxies; index += count {
-			proxy := config.proxy(index, rateFactors[index])
+			proxy := config.proxyConfig(index, rateFactors[index])
 			proxy.TrafficStart = clock.Now()
 			proxies.Add(proxy.Name, fake.NewFrontEnd(proxy), 0)
 		}
@@ -67,9 +70,9 @@
 	return loops, nil
 }
 
-// waitForEnd waits until the run is over, gives the figures of each second to the configuration's OnSecond, and fails if a
-// loop ends before.
-func waitForEnd(ctx context.Context, config Config, loops []*eventloop.Loop, results *collector) error {
+// waitForEnd waits until the run is over and calls the configuration's OnSecond with the figures of each second. It returns an
+// error if an event loop ends before the run does.
+func waitForEnd(ctx context.Context, config Config, loops []*eventloop.Loop, results *resultCollector) error {
 	end := time.NewTimer(config.Duration)
 	defer end.Stop()
 	ticker := time.NewTicker(time.Second)
@@ -82,7 +85,7 @@
 			return nil
 		case <-ticker.C:
 		}
-		if figures, ok := results.second(second); ok && config.OnSecond != nil {
+		if figures, ok := results.secondFigures(second); ok && config.OnSecond != nil {
 			config.OnSecond(second, figures)
 		}
 		if anyEnded(loops) {
@@ -91,6 +94,7 @@
 	}
 }
 
+// anyEnded reports whether one of the event loops has ended.
 func anyEnded(loops []*eventloop.Loop) bool {
 	for _, loop := range loops {
 		select {
@@ -102,35 +106,37 @@
 	return false
 }
 
-// collector makes the report of the trace records of all event loops.
-type collector struct {
-	mutex sync.Mutex
-	maker *report.Builder
-	err   error // the first
+// resultCollector builds the report from the trace records of all event loops, which call it concurrently.
+type resultCollector struct {
+	mutex   sync.Mutex
+	builder *report.Builder
+	err     error // the first one that the builder returned
 }
 
-func (c *collector) add(records []trace.Record) {
+// add adds trace records to the report.
+func (c *resultCollector) add(records []trace.Record) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, record := range records {
-		if err := c.maker.Add(record); err != nil && c.err == nil {
+		if err := c.builder.Add(record); err != nil && c.err == nil {
 			c.err = err
 		}
 	}
 }
 
-// second gives the figures of a second; false if nothing happened in it or later yet.
-func (c *collector) second(second int) (figures report.Second, ok bool) {
+// secondFigures returns the figures of a second of the run. ok is false if nothing was recorded for that second or a later one yet.
+func (c *resultCollector) secondFigures(second int) (figures report.Second, ok bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if second >= len(c.maker.Report.Seconds) {
+	if second >= len(c.builder.Report.Seconds) {
 		return report.Second{}, false
 	}
-	return c.maker.Report.Seconds[second], true
+	return c.builder.Report.Seconds[second], true
 }
 
-func (c *collector) done() (*report.Report, error) {
+// finish returns the completed report, and the first error that adding a record returned.
+func (c *resultCollector) finish() (*report.Report, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.maker.Finish(), c.err
+	return c.builder.Finish(), c.err
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -16,7 +16,7 @@
 	"gingerfork/internal/traffic"
 )
 
-// startBackends starts emulated backends on sockets and gives their addresses.
+// startBackends starts emulated backends on sockets and returns their addresses and their event loop.
 func startBackends(t *testing.T, count int) (addrs []string, loop *eventloop.Loop) {
 	t.Helper()
 	fleet := emulator.NewFleet(nil)
@@ -36,7 +36,7 @@
 	}
 	t.Cleanup(func() {
 		cancel()
-		_ = loop.Wait() // the tests judge the run and not how the backends end
+		_ = loop.Wait() // the tests check the load generator's run, not how the backends stop
 	})
 	return loop.Addrs(), loop
 }
@@ -52,13 +52,13 @@
 	}
 }
 
-// RPCs are sent at their rate while all backends hang, and their latency counts from when they were due.
+// While all backends hang, RPCs are still sent at their rate, and their latency is measured from the time at which they were due.
 func TestOpenLoop(t *testing.T) {
 	addrs, loop := startBackends(t, 3)
 	hang := time.AfterFunc(time.Second, func() { loop.SendCommand("* hang") })
-	heal := time.AfterFunc(1700*time.Millisecond, func() { loop.SendCommand("* heal hang") })
+	endHang := time.AfterFunc(1700*time.Millisecond, func() { loop.SendCommand("* heal hang") })
 	defer hang.Stop()
-	defer heal.Stop()
+	defer endHang.Stop()
 	got, err := Run(context.Background(), testConfig(addrs))
 	if err != nil {
 		t.Fatal(err)
@@ -72,24 +72,25 @@
 		t.Errorf("%d RPCs ended, want about 500", ended)
 	}
 	if late == 0 || got.Latencies[0].Max < 0.5 || got.Service > 0.99 {
-		t.Errorf("with a hang of 700 ms: %d late, the worst after %.3f s, service %.3f", late, got.Latencies[0].Max, got.Service)
+		t.Errorf("with a hang of 700 ms: %d RPCs late, maximum latency %.3f s, service %.3f", late, got.Latencies[0].Max, got.Service)
 	}
 }
 
+// Run rejects an invalid configuration with the error of the part that is invalid.
 func TestInvalidConfigs(t *testing.T) {
 	for name, test := range map[string]struct {
-		spoil func(*Config)
-		want  error
+		invalidate func(*Config)
+		want       error
 	}{
-		"no proxies":            {func(config *Config) { config.Proxies = 0 }, errConfig},
-		"no rate":               {func(config *Config) { config.Rate = 0 }, errConfig},
-		"no duration":           {func(config *Config) { config.Duration = 0 }, errConfig},
-		"no target":             {func(config *Config) { config.Backends = nil }, errConfig},
-		"both kinds of targets": {func(config *Config) { config.Coordinators = []string{"x"} }, errConfig},
-		"a swing without a day": {func(config *Config) { config.FrontEnd.Shape.DailySwing = 0.5 }, traffic.ErrShape},
+		"no proxies":                         {func(config *Config) { config.Proxies = 0 }, errConfig},
+		"no rate":                            {func(config *Config) { config.Rate = 0 }, errConfig},
+		"no duration":                        {func(config *Config) { config.Duration = 0 }, errConfig},
+		"no target":                          {func(config *Config) { config.Backends = nil }, errConfig},
+		"both kinds of targets":              {func(config *Config) { config.Coordinators = []string{"x"} }, errConfig},
+		"a daily swing without a day length": {func(config *Config) { config.FrontEnd.Shape.DailySwing = 0.5 }, traffic.ErrShape},
 	} {
 		config := testConfig([]string{"127.0.0.1:1"})
-		test.spoil(&config)
+		test.invalidate(&config)
 		if _, err := Run(context.Background(), config); !errors.Is(err, test.want) {
 			t.Errorf("%s: got %v, want %v", name, err, test.want)
 		}
@@ -102,23 +103,23 @@
 	config.Duration = 600 * time.Millisecond
 	got, err := Run(context.Background(), config)
 	if err != nil || got.Service > 0 || len(got.Seconds) == 0 || got.Seconds[0].Rejected == 0 {
-		t.Errorf("%v, %+v", err, got)
+		t.Errorf("error %v, report %+v", err, got)
 	}
 }
 
-// A run that could not keep up with its own schedule is void.
-func TestVoid(t *testing.T) {
+// The report of a run is invalid if too many RPCs, or one by too much, were sent later than scheduled.
+func TestInvalidScheduleLag(t *testing.T) {
 	for _, test := range []struct {
-		behind report.ScheduleLag
-		void   bool
+		lag     report.ScheduleLag
+		invalid bool
 	}{
 		{report.ScheduleLag{Samples: 1000, Late: 9, Max: 0.2}, false},
 		{report.ScheduleLag{Samples: 1000, Late: 20, Max: 0.05}, true},
 		{report.ScheduleLag{Max: 0.3}, true},
 		{report.ScheduleLag{}, false},
 	} {
-		if got := test.behind.Invalid(); got != test.void {
-			t.Errorf("%+v: void %v", test.behind, got)
+		if got := test.lag.Invalid(); got != test.invalid {
+			t.Errorf("%+v: got invalid = %v", test.lag, got)
 		}
 	}
 }
--- a/internal/simnet/storage.go
+++ b/internal/simnet/storage.go
@@ -30,7 +30,8 @@
 // Disk returns the disk of a node, or nil if the node never opened a store.
 func (n *Network) Disk(name string) *disk.Memory { return n.nodes[name].disk }
 
-// crashDisk simulates a power failure: of the sectors that were not synced, each is kept with a probability of 1/2.
+// crashDisk simulates a power failure: of the changes that were not synced, such as written sectors, each is kept with a
+// probability of 1/2.
 func (n *Network) crashDisk(owner *node) {
 	owner.disk = owner.disk.Crash(func() bool { return n.diskRandom.Uint64()&1 == 0 })
 	owner.store = nil
--- a/internal/traffic/distributions_test.go
+++ b/internal/traffic/distributions_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Each key has its share by Zipf's law.
+// The keys of arrivals are distributed by Zipf's law.
 func TestZipf(t *testing.T) {
 	keys, err := NewZipf(100, 1)
 	if err != nil {
@@ -34,6 +34,7 @@
 	}
 }
 
+// The factors have a mean of 1 and the requested coefficient of variation.
 func TestLognormalFactors(t *testing.T) {
 	sum, squares := 0.0, 0.0
 	factors := LognormalFactors(20000, 0.8, 4)
@@ -43,6 +44,6 @@
 	}
 	count := float64(len(factors))
 	if math.Abs(sum/count-1) > 1e-9 || math.Abs(math.Sqrt(squares/count-1)-0.8) > 0.05 {
-		t.Errorf("mean %.3f, variation %.3f", sum/count, math.Sqrt(squares/count-1))
+		t.Errorf("got mean %.3f and coefficient of variation %.3f, want 1 and 0.8", sum/count, math.Sqrt(squares/count-1))
 	}
 }
--- a/internal/traffic/doc.go
+++ b/internal/traffic/doc.go
@@ -1,8 +1,8 @@
-// Package traffic draws when RPCs are due and what they ask for. Arrivals are a Poisson process with a rate that follows
-// the daily wave and the bursts of a shape; methods follow a mix of shares, and cache keys Zipf's law. The process is an
-// open loop: it depends on the seed alone and not on what became of earlier RPCs, so that two ways of serving the same
-// traffic can be compared.
+// Package traffic generates RPC arrivals: when each RPC is due, its method and its cache key. Arrivals are a Poisson process
+// whose rate follows a daily sine wave and bursts. Methods are drawn by their shares, cache keys by Zipf's law. The process is
+// an open loop: it depends on the seed and the configured rates and not on the outcome of earlier RPCs, so that two ways of
+// serving the same traffic can be compared.
 package traffic
 
-// Seconds are seconds with fractions.
+// Seconds is a time or a duration in seconds, with fractions.
 type Seconds = float64
--- a/internal/traffic/shape.go
+++ b/internal/traffic/shape.go
@@ -9,16 +9,16 @@
 // ErrShape is wrapped by the errors of Shape.Validate.
 var ErrShape = errors.New("invalid traffic shape")
 
-// Shape is how the rate changes over time, as a factor of the mean rate. The zero value is a constant rate.
+// Shape describes how the rate changes over time, as a factor of the mean rate. The zero value is a constant rate.
 type Shape struct {
-	DailySwing    float64 // amplitude of the daily wave: with 0.2 the factor goes from 0.8 to 1.2
-	DayLength     Seconds
-	BurstInterval Seconds // between the ends of bursts; 0: there are none
+	DailySwing    float64 // amplitude of the daily sine wave: with 0.2 the factor is between 0.8 and 1.2
+	DayLength     Seconds // period of the daily wave
+	BurstInterval Seconds // time from the end of a burst to the end of the next; 0: no bursts
 	BurstLength   Seconds
-	BurstFactor   float64 // of the rate during a burst
+	BurstFactor   float64 // by which the rate is multiplied during a burst
 }
 
-// Validate tells what is wrong with a shape.
+// Validate returns an error if the shape is invalid.
 func (s Shape) Validate() error {
 	switch {
 	case !(s.DailySwing >= 0 && s.DailySwing <= 1):
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// Factor is the factor of the rate at a time since the beginning. Bursts are at the end of their intervals.
+// Factor returns the factor of the mean rate at a time since the start. A burst is the last part of each burst interval.
 func (s Shape) Factor(elapsed Seconds) float64 {
 	factor := 1.0
 	if s.DailySwing > 0 {
@@ -45,7 +45,7 @@
 	return factor
 }
 
-// MaxFactor is an upper bound of Factor.
+// MaxFactor returns an upper bound of Factor.
 func (s Shape) MaxFactor() float64 {
 	factor := 1 + s.DailySwing
 	if s.BurstInterval > 0 {
--- a/internal/traffic/shape_test.go
+++ b/internal/traffic/shape_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The arrivals follow the daily wave and the bursts.
+// The number of arrivals in each second follows the daily wave and the bursts.
 func TestShape(t *testing.T) {
 	source := NewSource(2, 100, Shape{DailySwing: 0.5, DayLength: 40, BurstInterval: 10, BurstLength: 1, BurstFactor: 4}, []float64{1}, nil, 0)
 	counts := make([]float64, 4000)
@@ -15,7 +15,7 @@
 		if at = arrival.At; at >= 4000 {
 			break
 		}
-		counts[int(at)%40] += 0.01 // of 100 rounds
+		counts[int(at)%40] += 0.01 // mean over 100 days of 40 s
 	}
 	for _, test := range []struct {
 		at   int
@@ -31,6 +31,7 @@
 	}
 }
 
+// Validate rejects a swing above 1, a swing without a day length, a burst longer than its interval and a negative burst factor.
 func TestInvalidShapes(t *testing.T) {
 	for _, shape := range []Shape{{DailySwing: 2}, {DailySwing: 0.1}, {BurstInterval: 1, BurstLength: 2, BurstFactor: 1}, {BurstInterval: 1, BurstLength: 0.5, BurstFactor: -1}} {
 		if err := shape.Validate(); !errors.Is(err, ErrShape) {
--- a/internal/traffic/source.go
+++ b/internal/traffic/source.go
@@ -3,65 +3,69 @@
 import "math/rand/v2"
 
 const (
-	// arrivalsStream is the second half of the generator's seed, so that other streams of the same seed differ.
-	arrivalsStream = 0xbb67ae8584caa73b
-	// minRate is the rate, in RPCs a second, at and below which nothing arrives.
+	// arrivalsSeedStream is the second word of the PCG seed. Generators with the same first word and another second one draw
+	// different numbers.
+	arrivalsSeedStream = 0xbb67ae8584caa73b
+	// minRate is the value of the shape's maximum rate, in RPCs per second, at and below which there are no arrivals.
 	minRate = 1e-9
-	// maxThinningDraws bounds the draws for one arrival, for shapes that are 0 nearly everywhere.
+	// maxThinningDraws is the maximum number of candidates that are drawn for one arrival. It ends the search for shapes whose
+	// factor is 0 nearly everywhere.
 	maxThinningDraws = 100000
 )
 
 // Arrival is an RPC that is due.
 type Arrival struct {
-	At     Seconds
-	Method int
-	Key    uint64 // 0: none
+	At     Seconds // when the RPC is due
+	Method int     // index of the method
+	Key    uint64  // cache key; 0: none
 }
 
-// Source is a stream of arrivals.
+// Source generates a random sequence of arrivals.
 type Source struct {
-	random    *rand.Rand
-	shape     Shape
-	mix       []float64
-	keys      *Zipf
-	startedAt Seconds
-	rate      float64
+	random       *rand.Rand
+	shape        Shape
+	methodShares []float64
+	keys         *Zipf
+	startedAt    Seconds
+	meanRate     float64
 }
 
-// NewSource makes a source with a mean rate in RPCs a second and a mix, which is the share of each method. The shape's day
-// begins at startedAt. The keys may be nil.
-func NewSource(seed uint64, rate float64, shape Shape, mix []float64, keys *Zipf, startedAt Seconds) *Source {
+// NewSource returns a source with a mean rate in RPCs per second and the share of each method. The shape's first day and first
+// burst interval begin at startedAt. If keys is nil, arrivals have no cache key.
+func NewSource(seed uint64, meanRate float64, shape Shape, methodShares []float64, keys *Zipf, startedAt Seconds) *Source {
 	return &Source{
-		random: rand.New(rand.NewPCG(seed, arrivalsStream)), shape: shape, mix: mix, keys: keys, startedAt: startedAt, rate: rate,
+		random: rand.New(rand.NewPCG(seed, arrivalsSeedStream)), shape: shape, methodShares: methodShares, keys: keys,
+		startedAt: startedAt, meanRate: meanRate,
 	}
 }
 
-// SetRate changes the mean rate. The next arrival, if it was drawn already, is to be drawn again; that changes nothing
-// else, as a Poisson process has no memory.
-func (s *Source) SetRate(rate float64) { s.rate = max(rate, 0) }
+// SetRate changes the mean rate in RPCs per second. The caller has to draw the next arrival again if it was drawn already. Because
+// a Poisson process has no memory, the new draw does not distort the distribution of the arrivals.
+func (s *Source) SetRate(meanRate float64) { s.meanRate = max(meanRate, 0) }
 
-// Next draws the first arrival after a time; false if there is none at this rate. It thins out a process that has the
-// highest rate of the shape: each arrival is kept with a chance of the present rate to that.
+// Next draws the first arrival after a time. It returns false if the rate is 0 or no arrival was found in maxThinningDraws draws.
+// It thins a Poisson process with the shape's maximum rate: a candidate is kept with the probability of the current rate divided
+// by the maximum rate.
 func (s *Source) Next(after Seconds) (Arrival, bool) {
-	maxRate := s.rate * s.shape.MaxFactor()
+	maxRate := s.meanRate * s.shape.MaxFactor()
 	if !(maxRate > minRate) {
 		return Arrival{}, false
 	}
 	at := after
 	for range maxThinningDraws {
 		at += s.random.ExpFloat64() / maxRate
-		if s.random.Float64()*maxRate < s.rate*s.shape.Factor(at-s.startedAt) {
+		if s.random.Float64()*maxRate < s.meanRate*s.shape.Factor(at-s.startedAt) {
 			return s.arrivalAt(at), true
 		}
 	}
 	return Arrival{}, false
 }
 
-// arrivalAt draws the method and the key of an arrival.
+// arrivalAt draws the method and the cache key of an arrival.
 func (s *Source) arrivalAt(at Seconds) Arrival {
 	arrival := Arrival{At: at}
 	quantile := s.random.Float64()
-	for method, share := range s.mix {
+	for method, share := range s.methodShares {
 		arrival.Method = method
 		if quantile < share {
 			break
@@ -69,7 +73,7 @@
 		quantile -= share
 	}
 	if s.keys != nil {
-		arrival.Key = s.keys.key(s.random.Float64())
+		arrival.Key = s.keys.keyAtQuantile(s.random.Float64())
 	}
 	return arrival
 }
