--- a/internal/fake/admission.go
+++ b/internal/fake/admission.go
@@ -5,34 +5,35 @@
 	"gingerfork/internal/statemachine"
 )
 
-// admissionState is the admission level of a method, and the token bucket if levels are rates.
+// admissionState is the admission level and the retry policy of a method. If admission levels are rates, it also has the token
+// bucket that enforces them.
 type admissionState struct {
-	level      float64 // share of the RPCs, or RPCs a second
-	retry      retryPolicy
-	tokens     float64
-	lastRefill statemachine.Seconds
+	level       float64 // share of the RPCs that are admitted, or RPCs per second
+	retryPolicy retryPolicy
+	tokens      float64 // in the bucket; an admitted RPC takes 1
+	lastRefill  statemachine.Seconds
 }
 
-// setAdmission sets the admission level and the retry policy of methods; their token buckets keep what they hold.
-func (f *FrontEnd) setAdmission(target *table, ordered proto.Admission) {
+// setAdmission sets the admission level and the retry policy of a set of methods. Their token buckets keep their tokens.
+func (f *FrontEnd) setAdmission(target *table, admission proto.Admission) {
 	for method := range f.config.Methods {
-		if !inMethodSet(ordered.Methods, method) {
+		if !inMethodSet(admission.Methods, method) {
 			continue
 		}
 		state := target.admission[method]
-		state.level = ordered.Level
-		state.retry = retryPolicy(ordered.Retry)
+		state.level = admission.Level
+		state.retryPolicy = retryPolicy(admission.Retry)
 		target.admission[method] = state
 	}
 }
 
-// admit tells whether an RPC of a method is let in. Without an admission level every RPC is.
+// admit decides whether an RPC of a method is admitted. Without an admission level every RPC is.
 func (f *FrontEnd) admit(now statemachine.Seconds, method int) bool {
-	bound := f.methodTables[method]
-	if bound == nil {
+	methodTable := f.methodTables[method]
+	if methodTable == nil {
 		return true
 	}
-	state, limited := bound.admission[method]
+	state, limited := methodTable.admission[method]
 	if !limited {
 		return true
 	}
@@ -40,11 +41,12 @@
 		return state.level >= 1 || f.random.Uniform() < state.level
 	}
 	admitted := state.takeToken(now)
-	bound.admission[method] = state
+	methodTable.admission[method] = state
 	return admitted
 }
 
-// takeToken refills the token bucket, which holds the tokens of a second but at least one, and takes a token out.
+// takeToken refills the token bucket and takes a token, if there is a whole one. The bucket's capacity is the number of tokens that
+// are added in one second, but at least one.
 func (a *admissionState) takeToken(now statemachine.Seconds) bool {
 	a.tokens = min(a.tokens+(now-a.lastRefill)*a.level, max(1, a.level))
 	a.lastRefill = now
--- a/internal/fake/attempts.go
+++ b/internal/fake/attempts.go
@@ -8,32 +8,33 @@
 	"gingerfork/internal/trace"
 )
 
-// retryPolicy is the retry policy of a method, with the numbers that it has on the wire.
+// retryPolicy tells when failed attempts of a method's RPCs are retried. The values are those on the wire.
 type retryPolicy uint64
 
 const (
 	retryNever    retryPolicy = iota
-	retryRejected             // once, if the backend proved that it did not execute the RPC
-	retryOnce                 // after any failure
-	retryTwice                // after any failure
+	retryRejected             // one retry, if it is certain that the backend did not execute the RPC
+	retryOnce                 // one retry after any failure
+	retryTwice                // two retries after any failure
 )
 
-// minRetryTime is the time before the deadline after which an RPC is not retried.
-const minRetryTime statemachine.Seconds = 0.05
+// minTimeLeftForRetry is how much time must be left until an RPC's deadline for a retry: only with more than that is it retried.
+const minTimeLeftForRetry statemachine.Seconds = 0.05
 
-// Reasons of retries, as they stand in the trace.
+// Reasons of retries, as written to the trace.
 const (
-	retryReasonRejected = "after proof"
-	retryReasonUnknown  = "it may have run"
+	retryReasonRejected = "after proof"     // the backend did not execute the RPC
+	retryReasonUnknown  = "it may have run" // the backend may have executed the RPC
 )
 
-// timesOut tells whether an attempt is given up after the attempt timeout: if another may follow whatever became of it.
-func (p retryPolicy) timesOut(attempts int) bool {
+// usesAttemptTimeout reports whether the last of a number of attempts is given up after the attempt timeout. This is so if the
+// policy allows another attempt even though the backend may have executed the RPC.
+func (p retryPolicy) usesAttemptTimeout(attempts int) bool {
 	return p >= retryOnce && attempts < int(p)
 }
 
-// allows tells whether a failed attempt may be followed by another.
-func (p retryPolicy) allows(attempts int, mayHaveRun bool) bool {
+// allowsRetry reports whether the last of a number of attempts, which failed, may be followed by another one.
+func (p retryPolicy) allowsRetry(attempts int, mayHaveRun bool) bool {
 	switch p {
 	case retryRejected:
 		return !mayHaveRun && attempts < 2
@@ -45,14 +46,14 @@
 	return false
 }
 
-// failureRecord is what this front end saw of a backend's failures; it outlives connections.
+// failureRecord counts the failures of a backend's attempts. It is kept when the connection to the backend ends.
 type failureRecord struct {
 	consecutive int
-	avoidUntil  statemachine.Seconds
+	avoidUntil  statemachine.Seconds // until when other backends are preferred; 0: not avoided
 }
 
-// sendAttempt sends an attempt of an RPC to a backend and tells whether there was one. A first attempt without a backend
-// rejects the RPC. The reason is that of a retry.
+// sendAttempt picks a backend and sends it an attempt of an RPC. It returns false if there is no backend to pick; if that was to be
+// the first attempt, the RPC is rejected. The reason is that of a retry, or empty.
 func (f *FrontEnd) sendAttempt(now statemachine.Seconds, call *rpc, reason string) bool {
 	entry := f.pickBackend(now, call)
 	if entry == nil {
@@ -62,46 +63,49 @@
 		return false
 	}
 	backend := entry.backend
-	conn := f.connTo(now, backend, entry.addr)
+	conn := f.connForBackend(now, backend, entry.addr)
 	f.sequence++
-	call.attempt = f.sequence
+	call.attemptID = f.sequence
 	call.conn = conn
-	call.sentAt = now
+	call.attemptSentAt = now
 	call.attemptCount++
 	call.triedBackends = append(call.triedBackends, backend)
 	f.out.Record(trace.Record{
 		Time: now, Kind: trace.AttemptSent, Party: f.config.Name, Coordinator: f.session.coordinator, Backend: backend, RPCID: call.id,
 		Method: call.method, Count: int64(call.attemptCount), Text: reason,
 	})
-	conn.attempts[call.attempt] = call
+	conn.attempts[call.attemptID] = call
 	if conn.established {
 		f.writeAttempt(now, conn, call)
 	} else {
-		conn.queued = append(conn.queued, call.attempt)
+		conn.queued = append(conn.queued, call.attemptID)
 	}
-	if f.retryPolicyOf(call.method).timesOut(call.attemptCount) {
+	if f.retryPolicyOf(call.method).usesAttemptTimeout(call.attemptCount) {
 		f.scheduleAttemptTimeout(now, call)
 	}
 	return true
 }
 
+// scheduleAttemptTimeout has the RPC's current attempt fail if it is still in flight after the attempt timeout.
 func (f *FrontEnd) scheduleAttemptTimeout(now statemachine.Seconds, call *rpc) {
-	attempt := call.attempt
+	attempt := call.attemptID
 	timeout := f.config.AttemptTimeout * f.config.Methods[call.method].SoftDeadline
 	f.timers.schedule(now+timeout, func(now statemachine.Seconds) {
-		if !call.finished && call.attempt == attempt {
+		if !call.finished && call.attemptID == attempt {
 			f.attemptFailed(now, call, true)
 		}
 	})
 }
 
+// writeAttempt writes an RPC to an established connection.
 func (f *FrontEnd) writeAttempt(now statemachine.Seconds, conn *backendConn, call *rpc) {
-	f.out.Write(conn.conn, proto.Append(nil, proto.RPC{
+	f.out.Write(conn.id, proto.Append(nil, proto.RPC{
 		ID: call.id, Method: uint64(call.method), IdempotencyKey: call.idempotencyKey, CacheKey: call.cacheKey,
 		TimeLeft: max(0, call.arrivedAt+f.config.Methods[call.method].Deadline-now),
 	}))
 }
 
+// handleReply notes the load that the backend reported and ends the attempt that the reply belongs to.
 func (f *FrontEnd) handleReply(now statemachine.Seconds, conn *backendConn, reply proto.Reply) {
 	if reply.HasLoad {
 		conn.reportedLoad = reply.Load
@@ -109,7 +113,7 @@
 	}
 	call := f.rpcs[reply.ID]
 	if call == nil || call.conn != conn {
-		return // the attempt was given up before
+		return // the attempt was given up earlier
 	}
 	switch reply.Status {
 	case proto.StatusOK:
@@ -122,7 +126,8 @@
 	}
 }
 
-// attemptFailed ends an attempt that failed, and retries the RPC or ends it, too.
+// attemptFailed ends a failed attempt and then retries the RPC or finishes it. mayHaveRun is false if it is certain that the backend
+// did not execute the RPC.
 func (f *FrontEnd) attemptFailed(now statemachine.Seconds, call *rpc, mayHaveRun bool) {
 	f.endAttempt(now, call, false)
 	status, reason := proto.StatusRejected, retryReasonRejected
@@ -130,30 +135,31 @@
 		status, reason = proto.StatusAborted, retryReasonUnknown
 	}
 	timeLeft := call.arrivedAt + f.config.Methods[call.method].Deadline - now
-	retry := f.retryPolicyOf(call.method).allows(call.attemptCount, mayHaveRun) && timeLeft > minRetryTime
+	retry := f.retryPolicyOf(call.method).allowsRetry(call.attemptCount, mayHaveRun) && timeLeft > minTimeLeftForRetry
 	if retry && f.sendAttempt(now, call, reason) {
 		return
 	}
 	f.finishRPC(now, call, status)
 }
 
-// endAttempt takes an RPC's attempt, if there is one in flight, off its connection and counts how it ended.
+// endAttempt removes the RPC's attempt in flight, if any, from its connection and counts its result for reports and for the failure
+// limit.
 func (f *FrontEnd) endAttempt(now statemachine.Seconds, call *rpc, succeeded bool) {
 	conn := call.conn
-	if conn == nil || call.attempt == 0 {
+	if conn == nil || call.attemptID == 0 {
 		return
 	}
-	delete(conn.attempts, call.attempt)
-	if index := slices.Index(conn.queued, call.attempt); index >= 0 {
+	delete(conn.attempts, call.attemptID)
+	if index := slices.Index(conn.queued, call.attemptID); index >= 0 {
 		conn.queued = slices.Delete(conn.queued, index, index+1)
 	}
-	f.reportSamples.addAttempt(conn.backend, succeeded, now-call.sentAt)
+	f.reportSamples.addAttempt(conn.backend, succeeded, now-call.attemptSentAt)
 	f.updateFailures(now, conn.backend, succeeded)
-	call.attempt = 0
+	call.attemptID = 0
 	call.conn = nil
 }
 
-// updateFailures counts consecutive failures of a backend; at the limit the backend is avoided for a while.
+// updateFailures counts the consecutive failures of a backend. At the failure limit the backend is avoided for the configured time.
 func (f *FrontEnd) updateFailures(now statemachine.Seconds, backend proto.BackendID, succeeded bool) {
 	record := f.failures[backend]
 	if succeeded {
--- a/internal/fake/baseline.go
+++ b/internal/fake/baseline.go
@@ -9,48 +9,48 @@
 )
 
 const (
-	// baselineReconnectDelay is the wait before the baseline dials the endpoint service again.
+	// baselineReconnectDelay is the time before the baseline coordinator dials the endpoint service again after it lost the connection.
 	baselineReconnectDelay statemachine.Seconds = 0.5
-	// baselineTable is the number of the one table that every proxy gets.
-	baselineTable = 1
+	// baselineTableNumber is the number of the only table that every proxy gets.
+	baselineTableNumber = 1
 )
 
-// BaselineCoordinator is a simple coordinator of the kind that many fleets run, to compare with. Every proxy has one table
-// of all backends that are open by the endpoint list, at their listed weights, and each change goes to all proxies at
-// once. It knows of no health, slow start or admission levels, and does not pace its pushes. It implements
-// statemachine.Machine.
+// BaselineCoordinator is a simple coordinator of the kind that many fleets run, for comparison. Every proxy has one table with
+// all backends that the endpoint list has as open, at their listed weights, and every change is pushed to all proxies at once.
+// It has no health checks, slow start or admission levels, and does not pace its pushes. It implements statemachine.Machine.
 type BaselineCoordinator struct {
 	name         string
-	listAddr     string
+	listAddr     string // of the endpoint service
 	methods      []string
 	reportPeriod float64 // seconds
-	conns        statemachine.Conn
+	lastDialed   statemachine.Conn
 	list         baselineListClient
-	open         map[proto.BackendID]proto.TableEntry
+	openEntries  map[proto.BackendID]proto.TableEntry
 	proxies      map[statemachine.Conn]*baselineProxy
 	out          *statemachine.Effects
 }
 
-// baselineListClient is the watch on the endpoint service.
+// baselineListClient is the connection to the endpoint service and the state of the watch on it.
 type baselineListClient struct {
-	stream  statemachine.Conn // 0: none
+	conn    statemachine.Conn // 0: none
 	reader  proto.Reader
-	retryAt statemachine.Seconds
-	version uint64
+	retryAt statemachine.Seconds // when to dial again
+	version uint64               // last received version of the endpoint list
 }
 
+// baselineProxy is a proxy that is connected to the baseline coordinator.
 type baselineProxy struct {
-	reader   proto.Reader
-	joined   bool
-	sequence uint64 // of the last push
+	reader           proto.Reader
+	joined           bool   // it was welcomed
+	lastPushSequence uint64 // sequence number of the last push; 0: none
 }
 
-// NewBaselineCoordinator makes a baseline that watches the endpoint service at listAddr. The report period, in seconds, is
-// what it tells proxies.
+// NewBaselineCoordinator returns a baseline coordinator that watches the endpoint service at listAddr. It sends the method names and
+// the report period, in seconds, to the proxies.
 func NewBaselineCoordinator(name, listAddr string, methods []string, reportPeriod float64) *BaselineCoordinator {
 	return &BaselineCoordinator{
-		name: name, listAddr: listAddr, methods: methods, reportPeriod: reportPeriod, conns: statemachine.Dialed,
-		open: map[proto.BackendID]proto.TableEntry{}, proxies: map[statemachine.Conn]*baselineProxy{},
+		name: name, listAddr: listAddr, methods: methods, reportPeriod: reportPeriod, lastDialed: statemachine.Dialed,
+		openEntries: map[proto.BackendID]proto.TableEntry{}, proxies: map[statemachine.Conn]*baselineProxy{},
 	}
 }
 
@@ -59,7 +59,7 @@
 	b.out = out
 	for _, input := range inputs {
 		switch {
-		case input.Conn == b.list.stream && b.list.stream != 0:
+		case input.Conn == b.list.conn && b.list.conn != 0:
 			b.handleListInput(now, input)
 		case input.Kind == statemachine.ConnOpened && input.Conn&statemachine.Dialed == 0:
 			b.proxies[input.Conn] = &baselineProxy{}
@@ -72,41 +72,44 @@
 			}
 		}
 	}
-	if b.list.stream == 0 && now >= b.list.retryAt {
-		b.conns++
-		b.list.stream = b.conns
+	if b.list.conn == 0 && now >= b.list.retryAt {
+		b.lastDialed++
+		b.list.conn = b.lastDialed
 		b.list.reader = proto.Reader{}
-		out.Dial(b.list.stream, b.listAddr)
+		out.Dial(b.list.conn, b.listAddr)
 	}
-	if b.list.stream == 0 {
+	if b.list.conn == 0 {
 		out.WakeBy(b.list.retryAt)
 	}
 }
 
+// handleListInput handles an input on the connection to the endpoint service.
 func (b *BaselineCoordinator) handleListInput(now statemachine.Seconds, input statemachine.Input) {
 	switch input.Kind {
 	case statemachine.ConnOpened:
 		hello := proto.Append(nil, proto.Hello{Version: proto.Version, Role: proto.RoleWatcher, Name: b.name})
-		b.out.Write(b.list.stream, proto.Append(hello, proto.WatchEndpoints{On: true, SinceVersion: b.list.version}))
+		b.out.Write(b.list.conn, proto.Append(hello, proto.WatchEndpoints{On: true, SinceVersion: b.list.version}))
 	case statemachine.ConnClosed:
-		b.listLost(now)
+		b.handleListLost(now)
 	case statemachine.ConnData:
 		b.list.reader.Feed(input.Data)
 		b.readListMessages(now)
 	}
 }
 
-func (b *BaselineCoordinator) listLost(now statemachine.Seconds) {
-	b.list.stream = 0
+// handleListLost forgets the connection to the endpoint service and sets the time of the next dial.
+func (b *BaselineCoordinator) handleListLost(now statemachine.Seconds) {
+	b.list.conn = 0
 	b.list.retryAt = now + baselineReconnectDelay
 }
 
+// readListMessages handles the complete messages that the endpoint service sent.
 func (b *BaselineCoordinator) readListMessages(now statemachine.Seconds) {
 	for {
 		message, err := b.list.reader.Next()
 		if err != nil {
-			b.out.Abort(b.list.stream)
-			b.listLost(now)
+			b.out.Abort(b.list.conn)
+			b.handleListLost(now)
 			return
 		}
 		switch message := message.(type) {
@@ -116,8 +119,8 @@
 			b.list.reader.HandshakeDone()
 		case proto.EndpointUpdate:
 			if message.Kind == proto.UpdateFailed {
-				b.out.Close(b.list.stream)
-				b.listLost(now)
+				b.out.Close(b.list.conn)
+				b.handleListLost(now)
 				return
 			}
 			b.applyUpdate(message)
@@ -125,12 +128,13 @@
 	}
 }
 
-// applyUpdate takes an endpoint update over and pushes what changed to all proxies.
+// applyUpdate applies an endpoint update and pushes the resulting table changes to all proxies. A backend that is not open gets the
+// weight 0, which removes it.
 func (b *BaselineCoordinator) applyUpdate(update proto.EndpointUpdate) {
 	var ops []proto.TableOp
 	set := func(entry proto.TableEntry) {
-		if b.setOpen(entry) {
-			ops = append(ops, proto.TableOp{Kind: proto.OpSetEntry, Table: baselineTable, Entries: []proto.TableEntry{entry}})
+		if b.updateOpenEntry(entry) {
+			ops = append(ops, proto.TableOp{Kind: proto.OpSetEntry, Table: baselineTableNumber, Entries: []proto.TableEntry{entry}})
 		}
 	}
 	listed := map[proto.BackendID]bool{}
@@ -160,29 +164,32 @@
 	}
 }
 
-// setOpen adds, changes or, with a weight of 0, removes an entry, and tells whether that changed anything.
-func (b *BaselineCoordinator) setOpen(entry proto.TableEntry) bool {
-	previous, held := b.open[entry.Backend]
+// updateOpenEntry adds, changes or, with a weight of 0, removes an entry. It reports whether anything changed.
+func (b *BaselineCoordinator) updateOpenEntry(entry proto.TableEntry) bool {
+	previous, held := b.openEntries[entry.Backend]
 	if previous == entry || !held && entry.Weight == 0 {
 		return false
 	}
 	if entry.Weight > 0 {
-		b.open[entry.Backend] = entry
+		b.openEntries[entry.Backend] = entry
 	} else {
-		delete(b.open, entry.Backend)
+		delete(b.openEntries, entry.Backend)
 	}
 	return true
 }
 
+// openBackends returns the open backends, sorted by ID.
 func (b *BaselineCoordinator) openBackends() []proto.BackendID {
-	return slices.Sorted(maps.Keys(b.open))
+	return slices.Sorted(maps.Keys(b.openEntries))
 }
 
+// push sends table operations to a proxy, under the next sequence number.
 func (b *BaselineCoordinator) push(conn statemachine.Conn, proxy *baselineProxy, ops []proto.TableOp) {
-	proxy.sequence++
-	b.out.Write(conn, proto.Append(nil, proto.Push{Sequence: proxy.sequence, Ops: ops}))
+	proxy.lastPushSequence++
+	b.out.Write(conn, proto.Append(nil, proto.Push{Sequence: proxy.lastPushSequence, Ops: ops}))
 }
 
+// readProxyMessages handles the complete messages that a proxy sent. An invalid one ends the connection.
 func (b *BaselineCoordinator) readProxyMessages(conn statemachine.Conn, proxy *baselineProxy) {
 	for {
 		message, err := proxy.reader.Next()
@@ -202,16 +209,16 @@
 	}
 }
 
-// welcome answers a proxy's hello and pushes it the whole table.
+// welcome answers a proxy's hello and pushes the whole table to it.
 func (b *BaselineCoordinator) welcome(conn statemachine.Conn, proxy *baselineProxy) {
 	proxy.reader.HandshakeDone()
 	proxy.joined = true
 	b.out.Write(conn, proto.Append(nil, proto.Welcome{
 		Version: proto.Version, Name: b.name, ReportPeriod: b.reportPeriod, Methods: b.methods,
 	}))
-	bind := proto.TableOp{Kind: proto.OpBind, Table: baselineTable}
+	bind := proto.TableOp{Kind: proto.OpBind, Table: baselineTableNumber}
 	for _, backend := range b.openBackends() {
-		bind.Entries = append(bind.Entries, b.open[backend])
+		bind.Entries = append(bind.Entries, b.openEntries[backend])
 	}
 	b.push(conn, proxy, []proto.TableOp{bind})
 }
--- a/internal/fake/command.go
+++ b/internal/fake/command.go
@@ -2,9 +2,9 @@
 
 import "gingerfork/internal/statemachine"
 
-const logWarning = 2
+const logWarning = 2 // statemachine.LogWarning
 
-// logUnknownCommand reports a scenario's command that a fake does not know.
+// logUnknownCommand logs a scenario's command that a fake does not know.
 func logUnknownCommand(out *statemachine.Effects, text string) {
 	out.Log(logWarning, "unknown command", "command", text)
 }
--- a/internal/fake/conns.go
+++ b/internal/fake/conns.go
@@ -7,7 +7,7 @@
 	"gingerfork/internal/statemachine"
 )
 
-// sortedConns lists the keys of a map of connections in order, so that runs with the same seed repeat exactly.
+// sortedConns returns the keys of a map by connection, sorted, so that runs with the same seed are identical.
 func sortedConns[T any](byConn map[statemachine.Conn]T) []statemachine.Conn {
 	return slices.Sorted(maps.Keys(byConn))
 }
--- a/internal/fake/endpointcommands.go
+++ b/internal/fake/endpointcommands.go
@@ -8,7 +8,7 @@
 	"gingerfork/internal/statemachine"
 )
 
-// commandArguments are the arguments of a scenario's command. Those that are missing or malformed count as empty and 0.
+// commandArguments are the arguments of a scenario's command. A missing argument counts as empty, a malformed number as 0.
 type commandArguments []string
 
 func (c commandArguments) text(index int) string {
@@ -19,7 +19,7 @@
 }
 
 func (c commandArguments) number(index int) float64 {
-	value, _ := strconv.ParseFloat(c.text(index), 64) // 0 if malformed, see the type
+	value, _ := strconv.ParseFloat(c.text(index), 64) // 0 if missing or malformed, as commandArguments says
 	return value
 }
 
@@ -33,12 +33,12 @@
 	"gone":     proto.BackendGone,
 }
 
-// handleCommand carries out a scenario's command:
+// handleCommand executes a scenario's command. EP is the number of a backend:
 //
 //	state EP open|draining|gone   restart EP [ADDR]   add EP ZONE KIND CELL WEIGHT ADDR   weight EP W
 //	late SECONDS   fail on|off   stale on|off   show all|none|EP…   break
 //
-// Commands for backends that the list never had change nothing.
+// State and weight change nothing for a backend that is not listed, and restart nothing for one that never was.
 func (s *EndpointService) handleCommand(now statemachine.Seconds, text string) {
 	command, rest, _ := strings.Cut(text, " ")
 	arguments := commandArguments(strings.Fields(rest))
@@ -66,7 +66,7 @@
 	}
 }
 
-// changeEndpoint carries out the commands that change one endpoint.
+// changeEndpoint executes a command that changes one endpoint.
 func (s *EndpointService) changeEndpoint(now statemachine.Seconds, command string, arguments commandArguments) {
 	backend := arguments.backend(0)
 	endpoint, known := s.listed[backend]
@@ -84,7 +84,7 @@
 			endpoint.Addr = addr
 		}
 	case "add":
-		cell, _ := strconv.ParseUint(arguments.text(3), 10, 64) // 0 if malformed, see commandArguments
+		cell, _ := strconv.ParseUint(arguments.text(3), 10, 64) // 0 if missing or malformed, as commandArguments says
 		endpoint = Endpoint{
 			Backend: backend, State: proto.BackendOpen, Zone: arguments.text(1), Kind: arguments.text(2), Cell: cell,
 			Weight: arguments.number(4), Addr: arguments.text(5), Started: now, Incarnation: s.version + 1,
@@ -96,7 +96,7 @@
 	}
 }
 
-// setVisible makes the service show all backends, none or only those given, and sends the watchers full lists.
+// setVisible has the service show all backends, none or only those given, and sends the watchers full lists.
 func (s *EndpointService) setVisible(now statemachine.Seconds, arguments commandArguments) {
 	s.faults.visible = nil
 	if arguments.text(0) != "all" {
--- a/internal/fake/endpoints.go
+++ b/internal/fake/endpoints.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// maxHistory is how many changes are kept; when there are more, the older half goes.
-	maxHistory = 4096
-	// heartbeatPeriod is the time between two empty updates to a watcher.
+	// maxHistoryLength is the maximum number of changes that are kept. When there are more, only the newer half of them is kept.
+	maxHistoryLength = 4096
+	// heartbeatPeriod is the time between two heartbeats, which are empty updates, to a watcher.
 	heartbeatPeriod statemachine.Seconds = 1
 )
 
@@ -24,21 +24,21 @@
 	State       proto.BackendState
 	Kind        string
 	Zone        string
-	Cell        uint64
+	Cell        uint64 // group of backends that may fail together
 	Weight      float64
 	Addr        string
-	Started     statemachine.Seconds // of its process; 0: long ago
-	Incarnation uint64
+	Started     statemachine.Seconds // start time of its process; 0: long ago
+	Incarnation uint64               // changes with each start of its process
 }
 
-// EndpointService is a fake endpoint list service with numbered versions, full and incremental updates, and watchers. On
-// command it is late, stale, wrong, empty or failing. It implements statemachine.Machine.
+// EndpointService is a fake endpoint list service with numbered versions, full and incremental updates, and watchers. On command
+// its updates are late, stale, incomplete, empty or failing. It implements statemachine.Machine.
 type EndpointService struct {
-	// RewriteAddr gives the address at which a watcher is to reach a backend; nil: the backend's own.
+	// RewriteAddr returns the address at which a watcher reaches a backend, such as that of a relay. nil: the backend's own address.
 	RewriteAddr func(watcher, addr string) string
 
 	listed        map[proto.BackendID]Endpoint
-	everListed    map[proto.BackendID]Endpoint // as last listed, those that are gone included
+	everListed    map[proto.BackendID]Endpoint // last entry of every backend, including those that are gone
 	version       uint64
 	history       []endpointChange // oldest first
 	watchers      map[statemachine.Conn]*watcher
@@ -49,27 +49,30 @@
 	out           *statemachine.Effects
 }
 
+// endpointServiceFaults are the faults that commands inject.
 type endpointServiceFaults struct {
-	delay   statemachine.Seconds     // of updates
-	failing bool                     // every request fails
-	stale   bool                     // watchers get no updates
-	visible map[proto.BackendID]bool // the only backends that are shown; nil: all
+	delay   statemachine.Seconds     // of updates after a change
+	failing bool                     // every request is answered with a failure
+	stale   bool                     // watchers get no updates after a change
+	visible map[proto.BackendID]bool // the backends that the list shows; nil: all
 }
 
+// endpointChange is an endpoint as it was after the change that made a version.
 type endpointChange struct {
 	version  uint64
 	endpoint Endpoint
 }
 
+// watcher is a connected client of the service.
 type watcher struct {
 	conn        statemachine.Conn
 	reader      proto.Reader
 	name        string
-	watching    bool
-	sentVersion uint64 // 0: none, or one that no longer holds
+	watching    bool   // it gets updates
+	sentVersion uint64 // last version that it was sent; 0: none, or it needs a full list
 }
 
-// NewEndpointService makes a service whose first version lists these endpoints.
+// NewEndpointService returns a service whose first version lists the given endpoints.
 func NewEndpointService(endpoints []Endpoint) *EndpointService {
 	service := &EndpointService{
 		listed: map[proto.BackendID]Endpoint{}, everListed: map[proto.BackendID]Endpoint{}, version: 1,
@@ -117,7 +120,7 @@
 	}
 }
 
-// sendHeartbeats sends every watcher an empty incremental update of the version that it has.
+// sendHeartbeats sends every watcher an empty incremental update from the version that it has to the same version.
 func (s *EndpointService) sendHeartbeats() {
 	for _, conn := range sortedConns(s.watchers) {
 		if client := s.watchers[conn]; client.watching {
@@ -128,6 +131,7 @@
 	}
 }
 
+// readRequests handles the complete messages that a client sent. An invalid one is rejected and ends the connection.
 func (s *EndpointService) readRequests(now statemachine.Seconds, client *watcher) {
 	for s.watchers[client.conn] == client {
 		message, err := client.reader.Next()
@@ -157,7 +161,8 @@
 	}
 }
 
-// answer sends what changed since a version if the history reaches back to it, else the full list.
+// answer sends a client the changes since a version if the history reaches back to it, else the full list. From then on the client
+// gets updates. While requests fail, the answer is a failure.
 func (s *EndpointService) answer(now statemachine.Seconds, client *watcher, since uint64) {
 	if s.faults.failing {
 		s.out.Write(client.conn, proto.Append(nil, proto.EndpointUpdate{
@@ -173,6 +178,7 @@
 	s.sendUpdate(now, client)
 }
 
+// historyReaches reports whether the history has all changes after a version.
 func (s *EndpointService) historyReaches(since uint64) bool {
 	if since == 0 || since > s.version {
 		return false
@@ -180,14 +186,14 @@
 	return since == s.version || len(s.history) > 0 && s.history[0].version <= since+1
 }
 
-// notify sends a watcher an update if it lacks one and the service is not stale.
+// notify sends a watcher an update if it does not have the current version and the service is not stale.
 func (s *EndpointService) notify(now statemachine.Seconds, client *watcher) {
 	if !s.faults.stale && client.sentVersion != s.version {
 		s.sendUpdate(now, client)
 	}
 }
 
-// sendUpdate sends a watcher what it lacks, or an empty update.
+// sendUpdate sends a watcher the changes since its version, which may be none, or the full list.
 func (s *EndpointService) sendUpdate(now statemachine.Seconds, client *watcher) {
 	update := proto.EndpointUpdate{Kind: proto.UpdateFull, BaseVersion: client.sentVersion, Version: s.version}
 	var endpoints []Endpoint
@@ -198,14 +204,14 @@
 		endpoints = s.changedSince(client.sentVersion)
 	}
 	for _, endpoint := range endpoints {
-		update.Endpoints = append(update.Endpoints, s.encode(now, client, endpoint))
+		update.Endpoints = append(update.Endpoints, s.toProto(now, client, endpoint))
 	}
 	client.sentVersion = s.version
 	s.out.Write(client.conn, proto.Append(nil, update))
 	s.record(now, client.name, update.Kind, endpoints)
 }
 
-// changedSince lists the endpoints that changed after a version, each once, as it is now.
+// changedSince returns the endpoints that changed after a version, each once and in its current state.
 func (s *EndpointService) changedSince(version uint64) []Endpoint {
 	var changed []Endpoint
 	positions := map[proto.BackendID]int{}
@@ -223,7 +229,8 @@
 	return changed
 }
 
-func (s *EndpointService) encode(now statemachine.Seconds, client *watcher, endpoint Endpoint) proto.Endpoint {
+// toProto converts an endpoint to the protocol's form, with the address that the watcher is to use.
+func (s *EndpointService) toProto(now statemachine.Seconds, client *watcher, endpoint Endpoint) proto.Endpoint {
 	entry := proto.Endpoint{
 		Backend: endpoint.Backend, State: endpoint.State, Kind: endpoint.Kind, Zone: endpoint.Zone, Cell: endpoint.Cell,
 		Weight: endpoint.Weight, StartedLongAgo: endpoint.Started == 0, Incarnation: endpoint.Incarnation, Addr: endpoint.Addr,
@@ -237,7 +244,7 @@
 	return entry
 }
 
-// visibleEndpoints are the listed endpoints that are shown, by backend.
+// visibleEndpoints returns the listed endpoints that are visible, sorted by backend.
 func (s *EndpointService) visibleEndpoints() []Endpoint {
 	var visible []Endpoint
 	for backend, endpoint := range s.listed {
@@ -249,11 +256,13 @@
 	return visible
 }
 
+// recordFullList writes the visible list to the trace, as the list that is now true.
 func (s *EndpointService) recordFullList(now statemachine.Seconds) {
 	s.record(now, "", proto.UpdateFull, s.visibleEndpoints())
 }
 
-// record writes an update to the trace. Without a watcher's name it is the truth that the invariant checker goes by.
+// record writes an update to the trace. A record without a client's name is the actual list, with which the invariant checker
+// compares.
 func (s *EndpointService) record(now statemachine.Seconds, client string, kind proto.UpdateKind, endpoints []Endpoint) {
 	prefix := "changes "
 	if kind == proto.UpdateFull {
@@ -264,7 +273,7 @@
 	})
 }
 
-// describeEndpoints writes endpoints in the trace's format: number, state (o, d or g), start and zone.
+// describeEndpoints formats endpoints as in the trace: backend number, state (o, d or g), start time of the process and zone.
 func describeEndpoints(endpoints []Endpoint) string {
 	descriptions := make([]string, 0, len(endpoints))
 	for _, endpoint := range endpoints {
@@ -274,7 +283,7 @@
 	return strings.Join(descriptions, " ")
 }
 
-// change makes a new version with an endpoint as it is from now on, and notifies the watchers.
+// change makes a new version in which an endpoint is replaced, and notifies the watchers.
 func (s *EndpointService) change(now statemachine.Seconds, endpoint Endpoint) {
 	s.version++
 	s.everListed[endpoint.Backend] = endpoint
@@ -284,14 +293,14 @@
 		s.listed[endpoint.Backend] = endpoint
 	}
 	s.history = append(s.history, endpointChange{s.version, endpoint})
-	if len(s.history) > maxHistory {
-		s.history = slices.Clone(s.history[len(s.history)-maxHistory/2:])
+	if len(s.history) > maxHistoryLength {
+		s.history = slices.Clone(s.history[len(s.history)-maxHistoryLength/2:])
 	}
 	s.record(now, "", proto.UpdateDelta, []Endpoint{endpoint})
 	s.notifyAll(now)
 }
 
-// notifyAll notifies the watchers, after the delay if there is one.
+// notifyAll sends all watchers the updates that they lack, after the injected delay if there is one.
 func (s *EndpointService) notifyAll(now statemachine.Seconds) {
 	notifyWatchers := func(now statemachine.Seconds) {
 		for _, conn := range sortedConns(s.watchers) {
@@ -307,6 +316,7 @@
 	}
 }
 
+// abortWatchers resets the connections of all clients.
 func (s *EndpointService) abortWatchers() {
 	for _, conn := range sortedConns(s.watchers) {
 		s.out.Abort(conn)
--- a/internal/fake/endpoints_test.go
+++ b/internal/fake/endpoints_test.go
@@ -14,7 +14,7 @@
 	now     statemachine.Seconds
 }
 
-// step gives the updates that a step sent, heartbeats left out.
+// step steps the service and returns the updates that it sent, without heartbeats.
 func (r *endpointServiceRun) step(inputs ...statemachine.Input) []proto.EndpointUpdate {
 	r.now += 0.01
 	var out statemachine.Effects
@@ -33,7 +33,7 @@
 	return updates
 }
 
-// command steps the service with commands.
+// command steps the service with commands and returns the updates that it sent.
 func (r *endpointServiceRun) command(texts ...string) []proto.EndpointUpdate {
 	var inputs []statemachine.Input
 	for _, text := range texts {
@@ -42,11 +42,12 @@
 	return r.step(inputs...)
 }
 
-// watch asks for the updates since a version.
+// watch requests the updates since a version and returns those that the service sent.
 func (r *endpointServiceRun) watch(since uint64) []proto.EndpointUpdate {
 	return r.step(statemachine.Input{Kind: statemachine.ConnData, Conn: 1, Data: proto.Append(nil, proto.WatchEndpoints{On: true, SinceVersion: since})})
 }
 
+// startEndpointService starts a service and connects the watcher, which has not requested updates yet.
 func startEndpointService(endpoints []Endpoint) *endpointServiceRun {
 	run := &endpointServiceRun{service: NewEndpointService(endpoints), now: 10}
 	run.reader.HandshakeDone()
@@ -69,49 +70,50 @@
 	return len(updates) == 1 && updates[0].Kind == kind && len(updates[0].Endpoints) == entries
 }
 
-// A watcher gets what changed since its version, the full list if the service can't tell, and nothing twice.
+// A watcher gets the changes since its version, each endpoint once, or the full list if the service does not know the version.
 func TestEndpointUpdates(t *testing.T) {
 	run := startEndpointService(twoEndpoints())
 	if updates := run.watch(0); !isOneUpdate(updates, proto.UpdateFull, 2) {
-		t.Fatal(updates)
+		t.Fatal("the first watch did not give the full list:", updates)
 	}
 	updates := run.command("state 1 draining")
 	if !isOneUpdate(updates, proto.UpdateDelta, 1) || updates[0].BaseVersion != 1 || updates[0].Version != 2 || updates[0].Endpoints[0].State != proto.BackendDraining {
-		t.Fatal(updates)
+		t.Fatal("a change of state did not give one incremental update from version 1 to 2:", updates)
 	}
 	if updates := run.command("stale on", "state 1 gone", "restart 1"); len(updates) != 0 {
 		t.Fatal("updates while stale:", updates)
 	}
 	updates = run.command("stale off")
 	if !isOneUpdate(updates, proto.UpdateDelta, 1) {
-		t.Fatal("not the last state of each endpoint, once:", updates)
+		t.Fatal("want one incremental update with one endpoint:", updates)
 	}
 	if endpoint := updates[0].Endpoints[0]; endpoint.State != proto.BackendOpen || endpoint.StartedLongAgo || endpoint.Incarnation != 2 {
-		t.Fatal("not the last state of each endpoint, once:", updates)
+		t.Fatal("the update does not have the last state of the endpoint:", updates)
 	}
 	if updates := run.watch(2); len(updates) != 1 || updates[0].BaseVersion != 2 || updates[0].Version != 4 {
-		t.Fatal(updates)
+		t.Fatal("want one update from version 2 to 4:", updates)
 	}
 	if updates := run.watch(9); len(updates) != 1 || updates[0].Kind != proto.UpdateFull {
-		t.Fatal("for a version that never was:", updates)
+		t.Fatal("a watch from a version that never existed did not give the full list:", updates)
 	}
 }
 
+// The commands show and fail take effect at once, also after an endpoint restarted while the list was stale.
 func TestEndpointServiceFaults(t *testing.T) {
 	run := startEndpointService(twoEndpoints())
 	run.watch(0)
 	run.command("state 1 draining")
 	run.command("stale on")
 	run.command("state 1 gone")
-	run.command("restart 1") // the history is that of an endpoint that restarted while the list was stale
+	run.command("restart 1") // leaves a history in which an endpoint restarted while the list was stale
 	run.command("stale off")
 	if updates := run.command("show none"); !isOneUpdate(updates, proto.UpdateFull, 0) {
-		t.Fatal(updates)
+		t.Fatal("after show none, want one empty full list:", updates)
 	}
 	if updates := run.command("show all"); len(updates) != 1 || len(updates[0].Endpoints) != 2 {
-		t.Fatal(updates)
+		t.Fatal("after show all, want one update with both endpoints:", updates)
 	}
 	if updates := run.command("fail on"); len(updates) != 0 || len(run.service.watchers) != 0 {
-		t.Fatal(updates)
+		t.Fatal("after fail on, want no update and no watcher:", updates)
 	}
 }
--- a/internal/fake/freezer.go
+++ b/internal/fake/freezer.go
@@ -8,20 +8,22 @@
 	"gingerfork/internal/statemachine"
 )
 
-// TableFreezer freezes what coordinators push, to compare with: from FreezeAt on, every proxy keeps the tables that it had
-// then. A coordinator process that starts later gives them to the proxies that join again.
+// TableFreezer freezes the tables that coordinators push, for comparison: from FreezeAt on, every proxy keeps the tables that it
+// had then. A coordinator process that starts later pushes the same tables to the proxies that join again.
 type TableFreezer struct {
 	FreezeAt statemachine.Seconds
-	byProxy  map[string]map[uint64]*frozenTable // by name of the proxy and number of the table
+	byProxy  map[string]map[uint64]*frozenTable // by the proxy's name and the table's number
 	welcome  []byte                             // the encoded welcome of the last coordinator that sent one
 }
 
+// frozenTable is a table as a coordinator last pushed it.
 type frozenTable struct {
-	methods uint64
+	methods uint64 // bit set of the methods that use the table; 0: all
 	entries map[proto.BackendID]proto.TableEntry
 }
 
-// Wrap gives a machine that behaves as the coordinator until FreezeAt, and from then on repeats the frozen tables.
+// Wrap returns a machine that behaves like the coordinator until FreezeAt. From then on it only welcomes proxies, pushes their frozen
+// tables to them and acknowledges their reports.
 func (t *TableFreezer) Wrap(coordinator statemachine.Machine) statemachine.Machine {
 	if t.byProxy == nil {
 		t.byProxy = map[string]map[uint64]*frozenTable{}
@@ -29,17 +31,17 @@
 	return &frozenCoordinator{freezer: t, inner: coordinator, streams: map[statemachine.Conn]*observedStream{}}
 }
 
-// frozenCoordinator is a coordinator whose streams are observed until it is frozen.
+// frozenCoordinator runs a coordinator until it is frozen, and records the tables that the coordinator pushes.
 type frozenCoordinator struct {
 	freezer *TableFreezer
 	inner   statemachine.Machine
 	streams map[statemachine.Conn]*observedStream
 }
 
-// observedStream decodes both directions of a stream that the coordinator accepted.
+// observedStream decodes both directions of a connection that the coordinator accepted.
 type observedStream struct {
 	received, sent proto.Reader
-	proxy          string // name; empty before its hello, and if the peer is none
+	proxy          string // name of the proxy; empty before its hello, or if the peer is not a proxy
 }
 
 // Step implements statemachine.Machine.
@@ -73,7 +75,7 @@
 	out.WakeBy(c.freezer.FreezeAt)
 }
 
-// readReceived learns the names of proxies, and answers proxies in the place of a frozen coordinator.
+// readReceived notes the names of proxies. Once the coordinator is frozen, it answers the proxies in its place.
 func (c *frozenCoordinator) readReceived(conn statemachine.Conn, stream *observedStream, frozen bool, out *statemachine.Effects) {
 	for {
 		message, err := stream.received.Next()
@@ -98,7 +100,7 @@
 	}
 }
 
-// recordSent records the tables that the coordinator pushes to a proxy.
+// recordSent records the welcome and the table operations that the coordinator sends on a connection.
 func (c *frozenCoordinator) recordSent(stream *observedStream) {
 	for {
 		message, err := stream.sent.Next()
@@ -116,6 +118,7 @@
 	}
 }
 
+// applyOp applies a table operation to the recorded tables of a proxy. Operations on exclusions and admission levels are ignored.
 func (t *TableFreezer) applyOp(proxy string, operation proto.TableOp) {
 	tables := t.byProxy[proxy]
 	if tables == nil {
@@ -141,6 +144,7 @@
 	}
 }
 
+// set adds, replaces or, with a weight of 0, removes an entry.
 func (t *frozenTable) set(entry proto.TableEntry) {
 	if entry.Weight == 0 {
 		delete(t.entries, entry.Backend)
@@ -149,8 +153,8 @@
 	t.entries[entry.Backend] = entry
 }
 
-// bindOps are the operations that give a proxy its frozen tables. Exclusions and admission levels are not kept, as nobody
-// would lift them again.
+// bindOps returns the operations that set a proxy's frozen tables. Exclusions and admission levels are left out, because nothing
+// would ever lift them again.
 func (t *TableFreezer) bindOps(proxy string) []proto.TableOp {
 	tables := t.byProxy[proxy]
 	ops := make([]proto.TableOp, 0, len(tables))
--- a/internal/fake/frontend.go
+++ b/internal/fake/frontend.go
@@ -17,26 +17,26 @@
 	Zone         string
 	Coordinators []string // addresses, tried in this order
 	Methods      []MethodConfig
-	Rate         float64              // RPCs a second that clients send to it
-	TrafficStart statemachine.Seconds // when the traffic shape's day begins; 0: at the first step
-	Shape        traffic.Shape
-	Keys         *traffic.Zipf // distribution of cache keys; nil: RPCs have none
-	Policy       string        // how backends are picked: even, weight, pair or report
+	Rate         float64              // RPCs per second that clients send to it
+	TrafficStart statemachine.Seconds // start of the traffic shape's first day; 0: at the first step
+	Shape        traffic.Shape        // how the rate changes over time
+	Keys         *traffic.Zipf        // distribution of cache keys; nil: RPCs have none
+	Policy       string               // how backends are picked: even (round robin), pair, report, or any other name: at random by weight
 	// FailureLimit is the number of consecutive failures of a backend after which the front end avoids it for AvoidFor;
-	// 0: it never does.
+	// 0: it never avoids one.
 	FailureLimit      int
 	AvoidFor          statemachine.Seconds
-	AttemptTimeout    float64              // of an attempt that may be retried, as a share of the soft deadline
-	ApplyTimePerEntry statemachine.Seconds // that it stands still for each entry of a push
-	AdmissionIsRate   bool                 // admission levels are RPCs a second instead of shares
+	AttemptTimeout    float64              // of an attempt that may be retried, as a multiple of the soft deadline
+	ApplyTimePerEntry statemachine.Seconds // for which applying a push pauses the front end, for each entry of the push
+	AdmissionIsRate   bool                 // admission levels are RPCs per second instead of shares
 	ReportPeriod      statemachine.Seconds
-	RecordDelay       bool               // it records in the trace how late it handled arrivals
-	StaticTable       []proto.TableEntry // its one table if it follows no coordinator
+	RecordDelay       bool               // write to the trace how late the front end handled arrivals
+	StaticTable       []proto.TableEntry // its only table if it follows no coordinator; nil: it follows one
 	ConnectTimeout    statemachine.Seconds
 	Seed              uint64
-	// ClientRetryChance is the chance that a client sends a failed RPC again, after about ClientRetryBackoff, which
-	// doubles each time, at most ClientRetryLimit times. Non-idempotent RPCs are only sent again if they were rejected,
-	// which proves that they were not executed.
+	// ClientRetryChance is the probability that a client sends a failed RPC again, at most ClientRetryLimit times. The client
+	// waits for about ClientRetryBackoff, which doubles with each retry. Non-idempotent RPCs are only sent again if they were
+	// rejected, which proves that they were not executed.
 	ClientRetryChance  float64
 	ClientRetryBackoff statemachine.Seconds
 	ClientRetryLimit   int
@@ -45,35 +45,35 @@
 // FrontEnd is a proxy that follows the tables of one coordinator and sends the RPCs of its clients to backends. It
 // implements statemachine.Machine.
 type FrontEnd struct {
-	config  FrontEndConfig
-	random  emulator.Random
-	timers  timers
-	out     *statemachine.Effects
-	started bool
-	conns   statemachine.Conn // the last connection that it dialed
+	config     FrontEndConfig
+	random     emulator.Random
+	timers     timers
+	out        *statemachine.Effects
+	started    bool
+	lastDialed statemachine.Conn // number of the last connection that it dialed
 
-	clients      clientTraffic
-	session      session
-	pausedUntil  statemachine.Seconds
-	queuedInputs []statemachine.Input // that came while it was paused
+	clientTraffic clientTraffic
+	session       session
+	pausedUntil   statemachine.Seconds
+	queuedInputs  []statemachine.Input // received and not handled yet, for example during a pause
 
-	tables        map[uint64]*table
-	methodTables  []*table // by method
-	excluded      map[proto.BackendID]bool
+	tables        map[uint64]*table        // by table number
+	methodTables  []*table                 // the table that each method uses; nil: none yet
+	excluded      map[proto.BackendID]bool // gets no attempts, whatever the tables say
 	failures      map[proto.BackendID]failureRecord
 	pool          connPool
-	rpcs          map[uint64]*rpc // by RPC ID
-	sequence      uint64          // numbers RPCs and attempts
+	rpcs          map[uint64]*rpc // unfinished RPCs by ID
+	sequence      uint64          // last number that was given to an RPC or attempt
 	reportSamples reportSamples
 }
 
-// NewFrontEnd makes a front end, which connects at its first step.
+// NewFrontEnd returns a front end. It connects to a coordinator in its first step.
 func NewFrontEnd(config FrontEndConfig) *FrontEnd {
 	return &FrontEnd{
 		config:        config,
 		random:        emulator.NewRandom(config.Seed),
-		conns:         statemachine.Dialed,
-		clients:       clientTraffic{rate: config.Rate},
+		lastDialed:    statemachine.Dialed,
+		clientTraffic: clientTraffic{rate: config.Rate},
 		tables:        map[uint64]*table{},
 		methodTables:  make([]*table, len(config.Methods)),
 		excluded:      map[proto.BackendID]bool{},
@@ -103,7 +103,7 @@
 	}
 }
 
-// start connects to a coordinator or takes the static table, and begins to report and to receive RPCs.
+// start dials a coordinator or applies the static table, and starts the reports and the clients' traffic.
 func (f *FrontEnd) start(now statemachine.Seconds) {
 	f.reportSamples.since = now
 	if f.config.StaticTable == nil {
@@ -115,13 +115,14 @@
 	f.startTraffic(now)
 }
 
-// processInputs handles what has come until the application of a push pauses the front end, and tells whether it did.
+// processInputs handles the queued inputs until there are none left or the front end is paused, for example by the application of a
+// push. It reports whether the front end is paused.
 func (f *FrontEnd) processInputs(now statemachine.Seconds) (paused bool) {
 	for {
 		if now < f.pausedUntil {
 			return true
 		}
-		f.applyPending(now)
+		f.applyPendingPushes(now)
 		if len(f.queuedInputs) == 0 {
 			f.queuedInputs = nil
 			return false
@@ -132,6 +133,7 @@
 	}
 }
 
+// handleInput handles a command, or an input on the connection to a backend or to the coordinator.
 func (f *FrontEnd) handleInput(now statemachine.Seconds, input statemachine.Input) {
 	if input.Kind == statemachine.OperatorCommand {
 		f.handleCommand(now, input.Text)
@@ -141,12 +143,13 @@
 		f.handleBackendInput(now, conn, input)
 		return
 	}
-	if input.Conn == f.session.stream {
+	if input.Conn == f.session.conn {
 		f.handleCoordinatorInput(now, input)
 	}
 }
 
-// handleCommand carries out a scenario's command: rate RPCS, still SECONDS or reset.
+// handleCommand executes a scenario's command: "rate RPCS" sets the clients' rate, "still SECONDS" pauses the front end and
+// "reset" resets the connection to the coordinator.
 func (f *FrontEnd) handleCommand(now statemachine.Seconds, text string) {
 	command, argument, _ := strings.Cut(text, " ")
 	value, err := strconv.ParseFloat(argument, 64)
@@ -159,8 +162,8 @@
 	case "still":
 		f.pausedUntil = max(f.pausedUntil, now+value)
 	case "reset":
-		if f.session.stream != 0 {
-			f.out.Abort(f.session.stream)
+		if f.session.conn != 0 {
+			f.out.Abort(f.session.conn)
 			f.endSession(now, "reset by the script")
 		}
 	default:
@@ -168,12 +171,12 @@
 	}
 }
 
-// jitter is a random factor between 0.5 and 1.5, which keeps front ends from acting at the same moment.
+// jitter returns a random factor between 0.5 and 1.5. It keeps front ends from acting at the same time.
 func (f *FrontEnd) jitter() float64 {
 	return 0.5 + f.random.Uniform()
 }
 
-// idPrefix is the upper half of the RPC IDs of one front end's run, by which IDs differ between front ends.
+// idPrefix returns the upper 32 bits of the front end's RPC IDs, which differ between front ends.
 func (f *FrontEnd) idPrefix() uint64 {
 	return DeriveSeed(0, fmt.Sprint(f.config.Name, f.config.Seed)) << 32
 }
--- a/internal/fake/frontend_test.go
+++ b/internal/fake/frontend_test.go
@@ -12,13 +12,13 @@
 	"gingerfork/internal/trace"
 )
 
-// fakeCoordinator welcomes proxies and pushes them one table.
+// fakeCoordinator welcomes proxies and sends each one push.
 type fakeCoordinator struct {
-	ops              []proto.TableOp
+	ops              []proto.TableOp // of the push
 	readers          map[statemachine.Conn]*proto.Reader
 	acknowledgements int
 	hellos           int
-	silent           bool // after the push
+	silent           bool // it does not answer reports
 }
 
 func (c *fakeCoordinator) Step(_ statemachine.Seconds, inputs []statemachine.Input, out *statemachine.Effects) {
@@ -53,17 +53,18 @@
 	}
 }
 
-// runResult is what the trace of a run says.
+// runResult is what the trace of a run shows.
 type runResult struct {
 	attempts map[uint32]int // by backend
-	statuses map[string]int // RPCs by how they ended
+	statuses map[string]int // number of RPCs by final status, as in the trace
 	records  []trace.Record
 }
 
-func (r runResult) count(counted func(trace.Record) bool) int {
+// count returns the number of trace records that match.
+func (r runResult) count(matches func(trace.Record) bool) int {
 	count := 0
 	for _, record := range r.records {
-		if counted(record) {
+		if matches(record) {
 			count++
 		}
 	}
@@ -72,7 +73,7 @@
 
 func isRetry(record trace.Record) bool { return record.Kind == trace.AttemptSent && record.Count == 2 }
 
-// run runs a front end under one coordinator with backends for a time.
+// run simulates a front end, its coordinator and its backends for a time span in seconds.
 func run(t *testing.T, span float64, config FrontEndConfig, coordinator *fakeCoordinator, backends ...emulator.Config) runResult {
 	t.Helper()
 	network := simnet.New(1, 1e6, 0.0003, 0.0006)
@@ -107,7 +108,8 @@
 	return result
 }
 
-// coordinatorWith pushes a table of backends 1, 2 and so on with these weights.
+// coordinatorWith returns a coordinator that pushes a table of the backends 1, 2 and so on with the given weights. If admission is
+// not nil, it is the admission level and the retry policy of all methods.
 func coordinatorWith(admission *proto.Admission, weights ...float64) *fakeCoordinator {
 	bind := proto.TableOp{Kind: proto.OpBind}
 	for i, weight := range weights {
@@ -119,14 +121,15 @@
 	return &fakeCoordinator{ops: []proto.TableOp{bind}}
 }
 
-// backendWith carries so many RPCs a second on so many cores.
-func backendWith(id proto.BackendID, capacity float64, cores, queue int) emulator.Config {
+// backendWith returns a backend with a capacity in RPCs per second over all its cores, and a limit on the length of its queue.
+func backendWith(id proto.BackendID, capacity float64, cores, queueLimit int) emulator.Config {
 	return emulator.Config{
-		Backend: id, Cores: cores, Speed: 1, Work: []emulator.Work{{Mean: float64(cores) / capacity}}, QueueLimit: queue,
+		Backend: id, Cores: cores, Speed: 1, Work: []emulator.Work{{Mean: float64(cores) / capacity}}, QueueLimit: queueLimit,
 		Seed: uint64(id), CancelPolicy: emulator.DropQueued,
 	}
 }
 
+// fastBackend answers every RPC of these tests in time.
 func fastBackend(id proto.BackendID) emulator.Config {
 	return backendWith(id, 5000, 50, 100)
 }
@@ -136,11 +139,12 @@
 	return backendWith(id, 1, 0, 0)
 }
 
-// hangingBackend takes RPCs and does not answer in time.
+// hangingBackend accepts RPCs and does not answer them before their deadlines.
 func hangingBackend(id proto.BackendID) emulator.Config {
 	return backendWith(id, 0.001, 100000, 9)
 }
 
+// Random and round robin picks follow the weights; a least-request pick gives a slow backend less than its weight.
 func TestPoliciesFollowWeights(t *testing.T) {
 	for policy, tolerance := range map[string]float64{"lottery": 0.03, "even": 0.002} {
 		got := run(t, 40, FrontEndConfig{Rate: 100, Policy: policy}, coordinatorWith(nil, 1, 2, 5), fastBackend(1), fastBackend(2), fastBackend(3))
@@ -151,17 +155,18 @@
 			}
 		}
 		if got.statuses["ok"] < 3000 || got.statuses["aborted"] > 0 {
-			t.Error(policy, got.statuses)
+			t.Errorf("%s: want at least 3000 RPCs ok and none aborted, got %v", policy, got.statuses)
 		}
 	}
-	// Of two candidates the one with fewer attempts in flight is picked: a slow backend gets less than its weight.
+	// Of two candidates the one with fewer attempts in flight is picked.
 	slow := backendWith(1, 30, 20, 100)
 	got := run(t, 40, FrontEndConfig{Rate: 60, Policy: "pair"}, coordinatorWith(nil, 1, 1), slow, fastBackend(2))
 	if share := float64(got.attempts[1]) / float64(got.attempts[1]+got.attempts[2]); share > 0.35 || share < 0.02 {
-		t.Errorf("pair: the slow backend has %.2f of the attempts", share)
+		t.Errorf("pair: the slow backend has %.2f of the attempts, want 0.02 to 0.35", share)
 	}
 }
 
+// Each retry policy retries after the failures that it allows, at most as often as it allows, and after no others.
 func TestRetryPolicies(t *testing.T) {
 	for name, test := range map[string]struct {
 		first   emulator.Config
@@ -181,34 +186,37 @@
 		retries := got.count(isRetry)
 		failed := got.statuses["aborted"]+got.statuses["pushed back"] > 0
 		if (retries > 0) != test.retries || test.retries == failed {
-			t.Errorf("%s: %d retries, %v", name, retries, got.statuses)
+			t.Errorf("%s: %d retries, want any: %v; statuses of the RPCs: %v", name, retries, test.retries, got.statuses)
 		}
 	}
 }
 
+// An admission level admits its share of the RPCs, or its number of RPCs per second if levels are rates.
 func TestAdmissionLevels(t *testing.T) {
 	got := run(t, 40, FrontEndConfig{Rate: 100, Policy: "even"}, coordinatorWith(&proto.Admission{Level: 0.25}, 1), fastBackend(1))
 	admitted, rejected := got.statuses["ok"], got.statuses["pushed back"]
 	if share := float64(admitted) / float64(admitted+rejected); math.Abs(share-0.25) > 0.03 {
-		t.Errorf("an admission level of 0.25 admits %.3f", share)
+		t.Errorf("an admission level of 0.25 admits a share of %.3f", share)
 	}
 	config := FrontEndConfig{Rate: 100, Policy: "even", AdmissionIsRate: true}
 	got = run(t, 40, config, coordinatorWith(&proto.Admission{Level: 20}, 1), fastBackend(1))
 	if admitted := got.statuses["ok"]; admitted < 700 || admitted > 900 {
-		t.Errorf("an admission level of 20 RPCs a second admits %d in 40 s", admitted)
+		t.Errorf("an admission level of 20 RPCs per second admits %d in 40 s, want 700 to 900", admitted)
 	}
 }
 
+// With a failure limit, a backend that rejects everything gets few attempts, but is tried again now and then.
 func TestFailingBackendIsAvoided(t *testing.T) {
 	config := FrontEndConfig{Rate: 50, Policy: "lottery"}
 	without := run(t, 30, config, coordinatorWith(nil, 1, 1), rejectingBackend(1), fastBackend(2)).attempts[1]
 	config.FailureLimit, config.AvoidFor = 3, 5
 	with := run(t, 30, config, coordinatorWith(nil, 1, 1), rejectingBackend(1), fastBackend(2)).attempts[1]
 	if with*5 > without || with < 6 {
-		t.Errorf("%d attempts at a backend that rejects everything with a failure limit, %d without", with, without)
+		t.Errorf("a backend that rejects everything got %d attempts with a failure limit and %d without", with, without)
 	}
 }
 
+// A front end ends the session with a coordinator that answers no reports, and connects again.
 func TestSilentCoordinatorIsLeft(t *testing.T) {
 	coordinator := coordinatorWith(nil, 1)
 	coordinator.silent = true
@@ -239,11 +247,12 @@
 		config.ClientRetryChance = 0
 		without := failures()
 		if ratio := with / without; test.retries && (ratio < 2.7 || ratio > 3.3) || !test.retries && (ratio < 0.8 || ratio > 1.25) {
-			t.Errorf("%s: %.0f RPCs failed, %.0f without client retries", name, with, without)
+			t.Errorf("%s: %.0f RPCs failed with client retries, %.0f without", name, with, without)
 		}
 	}
 }
 
+// A backend with a cold cache collapses under a load that it carries when it is warm, and carries a lower load when cold.
 func TestOverloadedColdBackendCollapses(t *testing.T) {
 	for _, test := range []struct {
 		rate      float64
@@ -255,17 +264,17 @@
 		got := run(t, 10, config, coordinatorWith(nil, 1), cold)
 		collapses := got.count(func(record trace.Record) bool { return record.Kind == trace.BackendCollapsed })
 		if (collapses == 1) != test.collapses || collapses > 1 || test.collapses && got.statuses["ok"] > 100 {
-			t.Errorf("at %v RPCs a second, %d collapses, %v", test.rate, collapses, got.statuses)
+			t.Errorf("at %v RPCs per second: %d collapses, statuses of the RPCs %v", test.rate, collapses, got.statuses)
 		}
 		warm := cold
 		warm.StartsCold = false
 		if got := run(t, 10, config, coordinatorWith(nil, 1), warm); got.statuses["aborted"] > 0 {
-			t.Errorf("a warm backend collapsed at %v RPCs a second: %v", test.rate, got.statuses)
+			t.Errorf("a warm backend at %v RPCs per second let RPCs be aborted: %v", test.rate, got.statuses)
 		}
 	}
 }
 
-// RPCs with one idempotency key are executed once, whichever backends they reach.
+// RPCs with the same idempotency key are executed only once, also if they reach different backends.
 func TestKeyStoreDropsRepeats(t *testing.T) {
 	store := &emulator.KeyStore{Window: 5}
 	slow := backendWith(1, 2, 50, 100)
@@ -287,6 +296,6 @@
 		}
 	}
 	if retries := got.count(isRetry); retries < 20 {
-		t.Fatalf("only %d retries: too few to show anything", retries)
+		t.Fatalf("only %d retries, want at least 20 for the check to mean anything", retries)
 	}
 }
--- a/internal/fake/method.go
+++ b/internal/fake/method.go
@@ -5,16 +5,16 @@
 	"gingerfork/internal/statemachine"
 )
 
-// Repeatability tells what a second execution of an RPC does.
+// Repeatability tells whether an RPC may be executed more than once.
 type Repeatability uint8
 
-// The kinds of methods by what a second execution does.
+// The kinds of methods by repeatability.
 const (
 	// Idempotent methods may be executed any number of times.
 	Idempotent Repeatability = iota
-	// IdempotentWithKey methods carry an idempotency key by which backends drop a second execution.
+	// IdempotentWithKey methods carry an idempotency key, by which backends detect and skip a second execution.
 	IdempotentWithKey
-	// NonIdempotent methods must not be repeated unless the first attempt was never executed.
+	// NonIdempotent methods may only be repeated if it is certain that the earlier attempt was not executed.
 	NonIdempotent
 )
 
@@ -28,20 +28,21 @@
 	Share         float64 // of the RPCs, 0 to 1
 }
 
-// Defaults of a method's settings, as the coordinator has them.
+// Defaults of a method's settings, the same as those of the coordinator.
 const (
 	defaultCriticality  = 1
 	defaultSoftDeadline = 1 // seconds
 	defaultDeadline     = 2 // seconds
 )
 
+// repeatabilityByName has the values of the method setting "effect".
 var repeatabilityByName = map[string]Repeatability{
 	"idempotent":     Idempotent,
 	"tokened":        IdempotentWithKey,
 	"non-idempotent": NonIdempotent,
 }
 
-// MethodConfigs converts the methods of a fleet's settings; each gets an equal share of the RPCs.
+// MethodConfigs converts the methods of a fleet's settings. Each gets an equal share of the RPCs.
 func MethodConfigs(methods []choice.MethodSettings) []MethodConfig {
 	configs := make([]MethodConfig, 0, len(methods))
 	for _, method := range methods {
--- a/internal/fake/multiplexer.go
+++ b/internal/fake/multiplexer.go
@@ -7,42 +7,43 @@
 	"gingerfork/internal/wakeup"
 )
 
-// minWakeDelay is the least time between two steps of a member that asks to be stepped at once, in seconds.
+// minWakeDelay is the minimum time in seconds until the next step of a member that asks to be stepped again at once.
 const minWakeDelay = 1e-6
 
-// allMembers addresses a command to every member.
+// allMembers is the name in a command that addresses every member.
 const allMembers = "*"
 
-// Multiplexer runs many machines as one, so that a single event loop can drive thousands of fakes. Each member has as many
-// listeners as it asks for, in the order of the members. The first word of a command is the name of the member that gets
-// the rest, or * for all. It implements statemachine.Machine.
+// Multiplexer runs many state machines, its members, as one, so that a single event loop can drive thousands of fakes. Its
+// listeners are those of its members, in the order in which the members were added. The first word of a command is the name of
+// the member that gets the rest, or * for all members. It implements statemachine.Machine.
 type Multiplexer struct {
 	members       []*member
 	byName        map[string]*member
-	listeners     []*member // by listener of the multiplexer
-	firstListener map[*member]int
-	conns         map[statemachine.Conn]memberConn
+	listeners     []*member                        // the member that each listener belongs to
+	firstListener map[*member]int                  // the multiplexer's number of each member's first listener
+	conns         map[statemachine.Conn]memberConn // by the multiplexer's number of the connection
 	lastDialed    statemachine.Conn
 	wakeups       wakeup.Queue[*member]
 	memberOut     statemachine.Effects
 }
 
+// member is one of the machines that a multiplexer runs.
 type member struct {
 	name         string
 	machine      statemachine.Machine
-	conns        map[statemachine.Conn]statemachine.Conn // the multiplexer's number of each of its connections
+	conns        map[statemachine.Conn]statemachine.Conn // from the member's to the multiplexer's number of a connection
 	inputs       []statemachine.Input
 	lastAccepted statemachine.Conn
 	wakeup       *wakeup.Entry[*member]
 }
 
-// memberConn is a connection by the number that its member knows.
+// memberConn is a connection under the number that its member uses.
 type memberConn struct {
 	owner *member
 	conn  statemachine.Conn
 }
 
-// NewMultiplexer makes a multiplexer without members.
+// NewMultiplexer returns a multiplexer without members.
 func NewMultiplexer() *Multiplexer {
 	return &Multiplexer{
 		byName: map[string]*member{}, firstListener: map[*member]int{}, conns: map[statemachine.Conn]memberConn{},
@@ -50,7 +51,7 @@
 	}
 }
 
-// Add adds a member with a number of listeners. It must not be called after the first step.
+// Add adds a member with the given number of listeners. It must not be called after the first step.
 func (m *Multiplexer) Add(name string, machine statemachine.Machine, listeners int) {
 	added := &member{name: name, machine: machine, conns: map[statemachine.Conn]statemachine.Conn{}}
 	m.members = append(m.members, added)
@@ -91,6 +92,7 @@
 	}
 }
 
+// routeCommand delivers a command to the member that its first word names, or to all members.
 func (m *Multiplexer) routeCommand(text string, deliver func(*member, statemachine.Input)) {
 	name, command, _ := strings.Cut(text, " ")
 	input := statemachine.Input{Kind: statemachine.OperatorCommand, Text: command}
@@ -103,7 +105,7 @@
 	}
 }
 
-// routeConnInput gives an input to the owner of its connection, under the number and the listener that the owner knows.
+// routeConnInput delivers an input to the owner of its connection, under the owner's numbers of the connection and the listener.
 func (m *Multiplexer) routeConnInput(input statemachine.Input, deliver func(*member, statemachine.Input)) {
 	local, known := m.conns[input.Conn]
 	switch {
@@ -124,6 +126,7 @@
 	deliver(local.owner, input)
 }
 
+// stepMember steps a member with its queued inputs, passes its effects on and reschedules its wake-up.
 func (m *Multiplexer) stepMember(now statemachine.Seconds, stepped *member, out *statemachine.Effects) {
 	inputs := stepped.inputs
 	stepped.inputs = nil
@@ -140,7 +143,7 @@
 	m.wakeups.Reschedule(stepped.wakeup, max(m.memberOut.WakeAt, now+minWakeDelay))
 }
 
-// forwardAction passes a member's action on under the multiplexer's number of the connection.
+// forwardAction adds a member's action to the effects, under the multiplexer's number of the connection.
 func (m *Multiplexer) forwardAction(from *member, action statemachine.Action, out *statemachine.Effects) {
 	if action.Kind == statemachine.ActionDial {
 		m.lastDialed++
--- a/internal/fake/multiplexer_test.go
+++ b/internal/fake/multiplexer_test.go
@@ -10,7 +10,7 @@
 	"gingerfork/internal/statemachine"
 )
 
-// Members are stepped when they have an input, and see only their own connections.
+// Members receive only the inputs of their own connections and the commands that name them.
 func TestMultiplexer(t *testing.T) {
 	multiplexer := NewMultiplexer()
 	for i := range 3 {
--- a/internal/fake/policy.go
+++ b/internal/fake/policy.go
@@ -7,15 +7,15 @@
 	"gingerfork/internal/statemachine"
 )
 
-// The names of the policies by which a backend is picked, as the settings have them. With any other name a backend is
-// picked at random by weight.
+// The names of the policies for picking a backend, as in the settings. With any other name a backend is picked at random by
+// weight.
 const (
-	policyRoundRobin        = "even"
+	policyRoundRobin        = "even"   // smooth weighted round robin
 	policyLeastRequest      = "pair"   // of two backends picked by weight, the one with fewer attempts in flight
 	policyLeastReportedLoad = "report" // of two backends picked by weight, the one that reported less load
 )
 
-// pickBackend picks a table entry for the next attempt of an RPC; nil: there is no candidate.
+// pickBackend picks a table entry for the next attempt of an RPC. It returns nil if there is no candidate.
 func (f *FrontEnd) pickBackend(now statemachine.Seconds, call *rpc) *tableEntry {
 	candidates := f.candidates(now, call)
 	if len(candidates) == 0 {
@@ -40,16 +40,16 @@
 	return f.pickByWeight(candidates)
 }
 
-// candidates are the entries that are not excluded and were not tried before; those that are avoided after failures only
-// count if there are no others.
+// candidates returns the table entries that an RPC may be sent to: those that are not excluded and were not tried before. Entries
+// that are avoided after failures are only returned if there are no others.
 func (f *FrontEnd) candidates(now statemachine.Seconds, call *rpc) []*tableEntry {
-	bound := f.methodTables[call.method]
-	if bound == nil {
+	methodTable := f.methodTables[call.method]
+	if methodTable == nil {
 		return nil
 	}
 	var usable, preferred []*tableEntry
-	for i := range bound.entries {
-		entry := &bound.entries[i]
+	for i := range methodTable.entries {
+		entry := &methodTable.entries[i]
 		if f.excluded[entry.backend] || entry.weight <= 0 || slices.Contains(call.triedBackends, entry.backend) {
 			continue
 		}
@@ -64,7 +64,7 @@
 	return usable
 }
 
-// pickByWeight picks at random, with a chance in proportion to the weight.
+// pickByWeight picks at random, with a probability proportional to the weight.
 func (f *FrontEnd) pickByWeight(candidates []*tableEntry) *tableEntry {
 	total := 0.0
 	for _, entry := range candidates {
@@ -77,11 +77,11 @@
 			return entry
 		}
 	}
-	return candidates[len(candidates)-1] // rounding left a remainder
+	return candidates[len(candidates)-1] // a rounding error left a remainder above 0
 }
 
-// pickRoundRobin is smooth weighted round robin: each candidate gains its weight as credit, and the one with the most is
-// picked and pays the sum.
+// pickRoundRobin implements smooth weighted round robin: each candidate's credit grows by its weight, the candidate with the most
+// credit is picked, and the sum of the weights is subtracted from its credit.
 func pickRoundRobin(candidates []*tableEntry) *tableEntry {
 	total := 0.0
 	best := candidates[0]
@@ -96,7 +96,8 @@
 	return best
 }
 
-// inFlight counts the attempts at a backend that are not answered. One that waits for its connection counts twice.
+// inFlight returns the number of attempts at a backend that are not answered yet. An attempt that waits for the connection to be
+// established counts twice.
 func (f *FrontEnd) inFlight(backend proto.BackendID) int {
 	if conn := f.pool.byBackend[backend]; conn != nil {
 		return len(conn.attempts) + len(conn.queued)
@@ -104,7 +105,8 @@
 	return 0
 }
 
-// estimatedLoad is the load that a backend reported within the last report period, else the number of attempts in flight.
+// estimatedLoad returns the load that a backend reported within the last report period. Without such a report it returns the number
+// of attempts in flight.
 func (f *FrontEnd) estimatedLoad(now statemachine.Seconds, backend proto.BackendID) float64 {
 	conn := f.pool.byBackend[backend]
 	if conn != nil && conn.loadReportedAt > 0 && now < conn.loadReportedAt+f.config.ReportPeriod {
--- a/internal/fake/pool.go
+++ b/internal/fake/pool.go
@@ -8,7 +8,7 @@
 	"gingerfork/internal/statemachine"
 )
 
-// connPool has the connections to backends, at most one to each.
+// connPool holds the connections to backends, at most one to each backend.
 type connPool struct {
 	byBackend map[proto.BackendID]*backendConn
 	byConn    map[statemachine.Conn]*backendConn
@@ -18,7 +18,7 @@
 type backendConn struct {
 	backend        proto.BackendID
 	addr           string
-	conn           statemachine.Conn
+	id             statemachine.Conn
 	established    bool
 	reader         proto.Reader
 	attempts       map[uint64]*rpc // in flight, by attempt ID
@@ -27,42 +27,45 @@
 	loadReportedAt statemachine.Seconds // 0: never
 }
 
+// add adds a connection to both indexes.
 func (p *connPool) add(conn *backendConn) {
 	p.byBackend[conn.backend] = conn
-	p.byConn[conn.conn] = conn
+	p.byConn[conn.id] = conn
 }
 
+// remove removes a connection from both indexes.
 func (p *connPool) remove(conn *backendConn) {
-	delete(p.byConn, conn.conn)
+	delete(p.byConn, conn.id)
 	if p.byBackend[conn.backend] == conn {
 		delete(p.byBackend, conn.backend)
 	}
 }
 
-// connTo gives the connection to a backend's address and dials it if there is none.
-func (f *FrontEnd) connTo(now statemachine.Seconds, backend proto.BackendID, addr string) *backendConn {
+// connForBackend returns the connection to a backend. If there is none, or the backend's address changed, it dials a new one, which
+// is given up after ConnectTimeout.
+func (f *FrontEnd) connForBackend(now statemachine.Seconds, backend proto.BackendID, addr string) *backendConn {
 	existing := f.pool.byBackend[backend]
 	if existing != nil && existing.addr == addr {
 		return existing
 	}
 	if existing != nil {
-		f.out.Close(existing.conn)
+		f.out.Close(existing.id)
 		f.connLost(now, existing)
 	}
-	f.conns++
-	dialed := &backendConn{backend: backend, addr: addr, conn: f.conns, attempts: map[uint64]*rpc{}}
+	f.lastDialed++
+	dialed := &backendConn{backend: backend, addr: addr, id: f.lastDialed, attempts: map[uint64]*rpc{}}
 	f.pool.add(dialed)
-	f.out.Dial(dialed.conn, addr)
+	f.out.Dial(dialed.id, addr)
 	f.timers.schedule(now+f.config.ConnectTimeout, func(now statemachine.Seconds) {
-		if !dialed.established && f.pool.byConn[dialed.conn] == dialed {
-			f.out.Abort(dialed.conn)
+		if !dialed.established && f.pool.byConn[dialed.id] == dialed {
+			f.out.Abort(dialed.id)
 			f.connLost(now, dialed)
 		}
 	})
 	return dialed
 }
 
-// closeUnusedConns closes the idle connections to addresses that no table has any more.
+// closeUnusedConns closes the idle connections to addresses that no method may use any more.
 func (f *FrontEnd) closeUnusedConns() {
 	addresses := f.usableAddresses()
 	for _, id := range sortedConns(f.pool.byConn) {
@@ -75,6 +78,7 @@
 	}
 }
 
+// handleBackendInput handles an input on the connection to a backend.
 func (f *FrontEnd) handleBackendInput(now statemachine.Seconds, conn *backendConn, input statemachine.Input) {
 	switch input.Kind {
 	case statemachine.ConnOpened:
@@ -87,12 +91,12 @@
 	}
 }
 
-// connEstablished starts the protocol and writes the attempts that waited for the connection.
+// connEstablished sends the hello and writes the attempts that waited for the connection.
 func (f *FrontEnd) connEstablished(now statemachine.Seconds, conn *backendConn) {
 	conn.established = true
 	conn.reader.HandshakeDone()
-	f.out.Write(conn.conn, proto.Append(nil, proto.Hello{
-		Version: proto.Version, Role: proto.RoleClient, Name: f.config.Name, Zone: f.config.Zone, TablesOf: f.session.tablesOf,
+	f.out.Write(conn.id, proto.Append(nil, proto.Hello{
+		Version: proto.Version, Role: proto.RoleClient, Name: f.config.Name, Zone: f.config.Zone, TablesOf: f.session.tablesFrom,
 	}))
 	for _, attempt := range conn.queued {
 		if call := conn.attempts[attempt]; call != nil && !call.finished {
@@ -102,11 +106,12 @@
 	conn.queued = nil
 }
 
+// readReplies handles the complete replies that a backend sent. An invalid message ends the connection.
 func (f *FrontEnd) readReplies(now statemachine.Seconds, conn *backendConn) {
-	for f.pool.byConn[conn.conn] == conn {
+	for f.pool.byConn[conn.id] == conn {
 		message, err := conn.reader.Next()
 		if err != nil {
-			f.out.Close(conn.conn)
+			f.out.Close(conn.id)
 			f.connLost(now, conn)
 			return
 		}
@@ -119,8 +124,8 @@
 	}
 }
 
-// connLost fails the attempts of a connection that is gone. Those that were written may have been executed; on a
-// connection that was never established none was.
+// connLost removes a connection that ended and fails its attempts. On an established connection they may have been executed; on one
+// that was never established none was.
 func (f *FrontEnd) connLost(now statemachine.Seconds, conn *backendConn) {
 	f.pool.remove(conn)
 	for _, attempt := range slices.Sorted(maps.Keys(conn.attempts)) {
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -7,54 +7,54 @@
 	"gingerfork/internal/statemachine"
 )
 
-// Relay forwards bytes between clients and targets, with a listener for each target, and injects network faults on
-// command, into each listener's traffic by itself. It implements statemachine.Machine.
+// Relay forwards bytes between clients and targets, with one listener for each target. On command it injects network faults into
+// the traffic of single listeners. It implements statemachine.Machine.
 type Relay struct {
-	targets    []string    // by listener
+	targets    []string    // address, by listener
 	faults     []linkFault // by listener
-	tunnels    map[statemachine.Conn]*tunnel
+	pairs      map[statemachine.Conn]*connPair
 	lastDialed statemachine.Conn
 	timers     timers
 	out        *statemachine.Effects
 }
 
-// linkFault is what hinders the traffic of one listener.
+// linkFault describes the faults of one listener's traffic. The zero value is no fault.
 type linkFault struct {
-	partitioned bool // holds the traffic back until the partition ends, as a network that comes back does
-	reset       bool // resets existing and new connections
-	latency     statemachine.Seconds
-	bandwidth   float64 // bytes a second of each tunnel and direction; 0: unbounded
+	partitioned bool                 // hold traffic until the partition ends and then deliver it, as a network that recovers does
+	reset       bool                 // reset open and new connections
+	latency     statemachine.Seconds // that the relay adds, one way
+	bandwidth   float64              // bytes per second of each connection pair and direction; 0: unlimited
 }
 
-// The two ends of a tunnel.
+// The two ends of a connection pair.
 const (
 	clientEnd = 0
 	targetEnd = 1
 )
 
-// tunnel is a client's connection and the one to the target.
-type tunnel struct {
-	listener    int
-	ends        [2]statemachine.Conn
-	established bool
-	beforeDial  [][]byte  // from the client, until the target is connected
-	held        []segment // during a partition
-	lastNumber  int
-	freeAt      [2]statemachine.Seconds // by sending end, when the next bytes may leave
+// connPair is a client's connection to the relay and the relay's connection to the target.
+type connPair struct {
+	listener     int
+	ends         [2]statemachine.Conn
+	established  bool
+	pendingData  [][]byte                // from the client, while the connection to the target is not established
+	heldSegments []segment               // held during a partition, sorted by sequence
+	lastSequence int                     // sequence number of the pair's last segment
+	nextSendAt   [2]statemachine.Seconds // by sending end: the earliest time at which the next segment may be sent on
 }
 
-// segment is bytes from one end, or that end's close.
+// segment is data that one end sent, or the notice that its connection was closed.
 type segment struct {
-	number int // the order within its tunnel, from 1 on
-	from   int // the sending end
-	data   []byte
-	closed bool
+	sequence   int // from 1, counted for each connection pair; 0: not assigned yet
+	sendingEnd int // clientEnd or targetEnd
+	data       []byte
+	closes     bool
 }
 
-// NewRelay makes a relay with a listener for each target address.
+// NewRelay returns a relay with a listener for each target address.
 func NewRelay(targets ...string) *Relay {
 	return &Relay{
-		targets: targets, faults: make([]linkFault, len(targets)), tunnels: map[statemachine.Conn]*tunnel{},
+		targets: targets, faults: make([]linkFault, len(targets)), pairs: map[statemachine.Conn]*connPair{},
 		lastDialed: statemachine.Dialed,
 	}
 }
@@ -64,117 +64,122 @@
 	r.out = out
 	r.timers.runDue(now)
 	for _, input := range inputs {
-		existing := r.tunnels[input.Conn]
+		pair := r.pairs[input.Conn]
 		switch {
 		case input.Kind == statemachine.OperatorCommand:
 			r.handleCommand(now, input.Text)
-		case input.Kind == statemachine.ConnOpened && existing == nil:
+		case input.Kind == statemachine.ConnOpened && pair == nil:
 			r.accept(input)
-		case existing != nil:
-			r.handleTunnelInput(now, existing, input)
+		case pair != nil:
+			r.handlePairInput(now, pair, input)
 		}
 	}
 	r.timers.requestWakeup(out)
 }
 
+// accept dials the target for a client's new connection, or resets the connection if the listener's fault says so.
 func (r *Relay) accept(input statemachine.Input) {
 	if r.faults[input.Listener].reset {
 		r.out.Abort(input.Conn)
 		return
 	}
 	r.lastDialed++
-	opened := &tunnel{listener: input.Listener, ends: [2]statemachine.Conn{input.Conn, r.lastDialed}}
-	r.tunnels[input.Conn] = opened
-	r.tunnels[r.lastDialed] = opened
+	pair := &connPair{listener: input.Listener, ends: [2]statemachine.Conn{input.Conn, r.lastDialed}}
+	r.pairs[input.Conn] = pair
+	r.pairs[r.lastDialed] = pair
 	r.out.Dial(r.lastDialed, r.targets[input.Listener])
 }
 
-func (r *Relay) handleTunnelInput(now statemachine.Seconds, through *tunnel, input statemachine.Input) {
-	from := clientEnd
-	if input.Conn == through.ends[targetEnd] {
-		from = targetEnd
+// handlePairInput handles an input on one of the two connections of a pair.
+func (r *Relay) handlePairInput(now statemachine.Seconds, pair *connPair, input statemachine.Input) {
+	sendingEnd := clientEnd
+	if input.Conn == pair.ends[targetEnd] {
+		sendingEnd = targetEnd
 	}
 	switch input.Kind {
 	case statemachine.ConnOpened:
-		through.established = true
-		for _, data := range through.beforeDial {
-			r.forward(now, through, segment{data: data})
+		pair.established = true
+		for _, data := range pair.pendingData {
+			r.forward(now, pair, segment{data: data})
 		}
-		through.beforeDial = nil
+		pair.pendingData = nil
 	case statemachine.ConnData:
-		if from == clientEnd && !through.established {
-			through.beforeDial = append(through.beforeDial, input.Data)
+		if sendingEnd == clientEnd && !pair.established {
+			pair.pendingData = append(pair.pendingData, input.Data)
 		} else {
-			r.forward(now, through, segment{from: from, data: input.Data})
+			r.forward(now, pair, segment{sendingEnd: sendingEnd, data: input.Data})
 		}
 	case statemachine.ConnClosed:
-		delete(r.tunnels, input.Conn)
-		r.forward(now, through, segment{from: from, closed: true})
+		delete(r.pairs, input.Conn)
+		r.forward(now, pair, segment{sendingEnd: sendingEnd, closes: true})
 	}
 }
 
-// forward sends a segment on with the listener's latency and bandwidth, and never before an earlier one.
-func (r *Relay) forward(now statemachine.Seconds, through *tunnel, sent segment) {
-	if sent.number == 0 {
-		through.lastNumber++
-		sent.number = through.lastNumber
+// forward sends a segment to the other end with the listener's latency and bandwidth, and never before an earlier segment of the
+// same end. During a partition it holds the segment.
+func (r *Relay) forward(now statemachine.Seconds, pair *connPair, sent segment) {
+	if sent.sequence == 0 {
+		pair.lastSequence++
+		sent.sequence = pair.lastSequence
 	}
-	if r.holdsBack(through) {
-		through.hold(sent)
+	if r.mustHold(pair) {
+		pair.hold(sent)
 		return
 	}
-	fault := r.faults[through.listener]
-	sendAt := max(now+fault.latency, through.freeAt[sent.from])
+	fault := r.faults[pair.listener]
+	sendAt := max(now+fault.latency, pair.nextSendAt[sent.sendingEnd])
 	if fault.bandwidth > 0 {
 		sendAt += float64(len(sent.data)) / fault.bandwidth
 	}
-	through.freeAt[sent.from] = sendAt
+	pair.nextSendAt[sent.sendingEnd] = sendAt
 	if sendAt <= now {
-		r.deliver(through, sent)
+		r.deliver(pair, sent)
 		return
 	}
 	r.timers.schedule(sendAt, func(statemachine.Seconds) {
-		if r.holdsBack(through) {
-			through.hold(sent)
+		if r.mustHold(pair) {
+			pair.hold(sent)
 			return
 		}
-		r.deliver(through, sent)
+		r.deliver(pair, sent)
 	})
 }
 
-// holdsBack tells whether a tunnel's traffic must wait for the end of a partition.
-func (r *Relay) holdsBack(through *tunnel) bool {
-	return r.faults[through.listener].partitioned || len(through.held) > 0
+// mustHold reports whether a pair's segments must be held: during a partition, and while earlier segments are held.
+func (r *Relay) mustHold(pair *connPair) bool {
+	return r.faults[pair.listener].partitioned || len(pair.heldSegments) > 0
 }
 
-// hold keeps a segment for later. One that was delayed when a partition began goes before those that came during it.
-func (t *tunnel) hold(sent segment) {
-	index := len(t.held)
-	for index > 0 && t.held[index-1].number > sent.number {
+// hold keeps a segment until the partition ends. The order is that of the sequence numbers: a segment that was delayed by latency
+// when the partition began precedes those that came during it.
+func (p *connPair) hold(held segment) {
+	index := len(p.heldSegments)
+	for index > 0 && p.heldSegments[index-1].sequence > held.sequence {
 		index--
 	}
-	t.held = slices.Insert(t.held, index, sent)
+	p.heldSegments = slices.Insert(p.heldSegments, index, held)
 }
 
-func (r *Relay) deliver(through *tunnel, sent segment) {
-	receiver := through.ends[1-sent.from]
-	if r.tunnels[receiver] != through {
+// deliver writes a segment to the other end, or closes it. It does nothing if that end is closed.
+func (r *Relay) deliver(pair *connPair, sent segment) {
+	receiver := pair.ends[1-sent.sendingEnd]
+	if r.pairs[receiver] != pair {
 		return
 	}
-	if sent.closed {
+	if sent.closes {
 		r.out.Close(receiver)
-		delete(r.tunnels, receiver)
+		delete(r.pairs, receiver)
 		return
 	}
 	r.out.Write(receiver, sent.data)
 }
 
-// handleCommand carries out a scenario's command: set LISTENER PARTITIONED RESET LATENCY BANDWIDTH (flags as 0 and 1), or
-// reset LISTENER.
+// handleCommand executes a scenario's command: "set LISTENER PARTITIONED RESET LATENCY BANDWIDTH" sets a listener's fault, where
+// PARTITIONED and RESET are 0 or 1, and "reset LISTENER" resets its open connections.
 func (r *Relay) handleCommand(now statemachine.Seconds, text string) {
 	var listener, partitioned, reset int
 	var fault linkFault
-	// A text that does not fit the format is tried as the next one: the count of fields says so as well as the error.
+	// The error is not needed: a text in another format has fewer scanned fields.
 	fields, _ := fmt.Sscanf(text, "set %d %d %d %g %g", &listener, &partitioned, &reset, &fault.latency, &fault.bandwidth)
 	if fields == 5 && listener < len(r.targets) {
 		fault.partitioned = partitioned == 1
@@ -189,38 +194,40 @@
 	logUnknownCommand(r.out, text)
 }
 
+// setFault replaces the fault of a listener, resets its connections if the new fault says so, and ends a partition if it does not.
 func (r *Relay) setFault(now statemachine.Seconds, listener int, fault linkFault) {
 	r.faults[listener] = fault
 	if fault.reset {
 		r.resetConns(listener)
 	}
 	if !fault.partitioned {
-		r.release(now, listener)
+		r.releaseHeld(now, listener)
 	}
 }
 
-// release forwards what a partition held back.
-func (r *Relay) release(now statemachine.Seconds, listener int) {
-	released := map[*tunnel]bool{}
-	for _, conn := range sortedConns(r.tunnels) {
-		through := r.tunnels[conn]
-		if through == nil || through.listener != listener || released[through] {
+// releaseHeld forwards the segments of a listener that were held during a partition.
+func (r *Relay) releaseHeld(now statemachine.Seconds, listener int) {
+	visited := map[*connPair]bool{}
+	for _, conn := range sortedConns(r.pairs) {
+		pair := r.pairs[conn]
+		if pair == nil || pair.listener != listener || visited[pair] {
 			continue
 		}
-		released[through] = true
-		held := through.held
-		through.held = nil
+		visited[pair] = true
+		held := pair.heldSegments
+		pair.heldSegments = nil
 		for _, sent := range held {
-			r.forward(now, through, sent)
+			r.forward(now, pair, sent)
 		}
 	}
 }
 
+// resetConns resets all connections of a listener, at both ends.
 func (r *Relay) resetConns(listener int) {
-	for _, conn := range sortedConns(r.tunnels) {
-		if r.tunnels[conn].listener == listener {
+	for _, conn := range sortedConns(r.pairs) {
+		if r.pairs[conn].listener == listener {
 			r.out.Abort(conn)
-			delete(r.tunnels, conn)
+			delete(r.pairs, conn)
 		}
 	}
 }
--- a/internal/fake/relay_test.go
+++ b/internal/fake/relay_test.go
@@ -7,7 +7,7 @@
 	"gingerfork/internal/statemachine"
 )
 
-// relayRun steps a relay and collects what it writes.
+// relayRun steps a relay and collects what it writes and closes.
 type relayRun struct {
 	relay  *Relay
 	dialed statemachine.Conn
@@ -30,7 +30,7 @@
 	}
 }
 
-// A relay keeps the order, holds back what a partition stops, and adds latency.
+// A relay keeps the order of data, also when the latency changes, and holds data during a partition.
 func TestRelay(t *testing.T) {
 	run := &relayRun{relay: NewRelay("target")}
 	send := func(text string) statemachine.Input {
--- a/internal/fake/rpc.go
+++ b/internal/fake/rpc.go
@@ -7,7 +7,7 @@
 	"gingerfork/internal/traffic"
 )
 
-// maxClientBackoffDoublings bounds the exponential backoff of clients.
+// maxClientBackoffDoublings is the maximum number of doublings of a client's retry backoff.
 const maxClientBackoffDoublings = 10
 
 // rpc is one RPC of a client.
@@ -18,24 +18,25 @@
 	idempotencyKey uint64 // 0: none
 	cacheKey       uint64 // 0: none
 	finished       bool
-	clientRetries  int // how often its client sent it again before
+	clientRetries  int // number of earlier RPCs of which this is the client's retry
 
-	attempt       uint64       // the one in flight; 0: none
-	conn          *backendConn // of that attempt
-	sentAt        statemachine.Seconds
-	attemptCount  int
+	attemptID     uint64       // of the attempt in flight; 0: none
+	conn          *backendConn // of the attempt in flight
+	attemptSentAt statemachine.Seconds
+	attemptCount  int // attempts sent so far
 	triedBackends []proto.BackendID
 }
 
-// clientTraffic draws the RPCs that clients send.
+// clientTraffic generates the RPCs that clients send to a front end.
 type clientTraffic struct {
-	source     *traffic.Source
-	rate       float64 // RPCs a second
-	generation uint64  // counts scheduled arrivals, so that one that was replaced is ignored
-	maxDelay   statemachine.Seconds
-	idPrefix   uint64
+	source            *traffic.Source
+	rate              float64              // RPCs per second
+	arrivalGeneration uint64               // counts scheduled arrivals; the timer of an arrival that was replaced has an older number and is ignored
+	maxDelay          statemachine.Seconds // by which an arrival was handled late, since the last report
+	idPrefix          uint64               // upper 32 bits of RPC IDs
 }
 
+// startTraffic creates the source of the clients' RPCs and schedules the first arrival.
 func (f *FrontEnd) startTraffic(now statemachine.Seconds) {
 	start := f.config.TrafficStart
 	if start == 0 {
@@ -45,37 +46,38 @@
 	for _, method := range f.config.Methods {
 		mix = append(mix, method.Share)
 	}
-	f.clients.idPrefix = f.idPrefix()
-	f.clients.source = traffic.NewSource(f.config.Seed, f.clients.rate, f.config.Shape, mix, f.config.Keys, start)
+	f.clientTraffic.idPrefix = f.idPrefix()
+	f.clientTraffic.source = traffic.NewSource(f.config.Seed, f.clientTraffic.rate, f.config.Shape, mix, f.config.Keys, start)
 	f.scheduleArrival(now)
 }
 
-// setRate changes the rate of the traffic and draws the next arrival anew.
+// setRate changes the rate of the traffic and draws the next arrival again.
 func (f *FrontEnd) setRate(now statemachine.Seconds, rate float64) {
-	f.clients.rate = rate
-	f.clients.source.SetRate(rate)
+	f.clientTraffic.rate = rate
+	f.clientTraffic.source.SetRate(rate)
 	f.scheduleArrival(now)
 }
 
-// scheduleArrival sets the timer of the next arrival and replaces the one that was set before. Arrivals follow from when
-// they are due and not from when they are handled, so that a pause does not thin out the traffic.
+// scheduleArrival sets the timer of the next arrival and replaces an earlier one. Each arrival is drawn from the time at which the
+// one before was due, not from when it was handled, so that a pause does not reduce the traffic.
 func (f *FrontEnd) scheduleArrival(after statemachine.Seconds) {
-	f.clients.generation++
-	generation := f.clients.generation
-	arrival, ok := f.clients.source.Next(after)
+	f.clientTraffic.arrivalGeneration++
+	generation := f.clientTraffic.arrivalGeneration
+	arrival, ok := f.clientTraffic.source.Next(after)
 	if !ok {
 		return
 	}
 	f.timers.schedule(arrival.At, func(now statemachine.Seconds) {
-		if f.clients.generation != generation {
+		if f.clientTraffic.arrivalGeneration != generation {
 			return
 		}
-		f.clients.maxDelay = max(f.clients.maxDelay, now-max(arrival.At, f.pausedUntil))
+		f.clientTraffic.maxDelay = max(f.clientTraffic.maxDelay, now-max(arrival.At, f.pausedUntil))
 		f.scheduleArrival(arrival.At)
 		f.handleArrival(now, arrival)
 	})
 }
 
+// handleArrival starts an RPC that arrived from a client.
 func (f *FrontEnd) handleArrival(now statemachine.Seconds, arrival traffic.Arrival) {
 	call := &rpc{id: f.nextRPCID(), arrivedAt: arrival.At, method: arrival.Method, cacheKey: arrival.Key}
 	if f.config.Methods[call.method].Repeatability == IdempotentWithKey {
@@ -84,12 +86,13 @@
 	f.startRPC(now, call)
 }
 
+// nextRPCID returns an ID that is unique among all front ends.
 func (f *FrontEnd) nextRPCID() uint64 {
 	f.sequence++
-	return f.clients.idPrefix | f.sequence
+	return f.clientTraffic.idPrefix | f.sequence
 }
 
-// startRPC admits or rejects an RPC, sets its deadline and sends its first attempt.
+// startRPC admits or rejects an RPC, sets the timer of its deadline and sends its first attempt.
 func (f *FrontEnd) startRPC(now statemachine.Seconds, call *rpc) {
 	f.rpcs[call.id] = call
 	f.reportSamples.addRPC(call.method)
@@ -106,6 +109,8 @@
 	f.sendAttempt(now, call, "")
 }
 
+// finishRPC ends an RPC with a status, unless it has ended already: it counts and traces the result and lets the client retry. RPCs
+// that failed before the first attempt are not reported as failures.
 func (f *FrontEnd) finishRPC(now statemachine.Seconds, call *rpc, status proto.Status) {
 	if call.finished {
 		return
@@ -122,7 +127,8 @@
 	f.retryByClient(now, call, status)
 }
 
-// retryByClient lets the client of a failed RPC send it again, as a new RPC with the idempotency key of the first.
+// retryByClient simulates the retry of a client: with the configured probability, a failed RPC is sent again after a backoff, as a
+// new RPC with the same idempotency key.
 func (f *FrontEnd) retryByClient(now statemachine.Seconds, call *rpc, status proto.Status) {
 	repeatable := f.config.Methods[call.method].Repeatability != NonIdempotent || status == proto.StatusRejected
 	if status == proto.StatusOK || !repeatable || call.clientRetries >= f.config.ClientRetryLimit {
--- a/internal/fake/session.go
+++ b/internal/fake/session.go
@@ -9,88 +9,90 @@
 )
 
 const (
-	// reconnectBackoffStep is added to the wait before the next dial with each failure in a row.
+	// reconnectBackoffStep is by how much the time until the next dial grows with each consecutive failure.
 	reconnectBackoffStep statemachine.Seconds = 0.1
-	// maxReconnectBackoff bounds the wait before the next dial, before jitter.
+	// maxReconnectBackoff is the maximum time until the next dial, without jitter.
 	maxReconnectBackoff statemachine.Seconds = 2
-	// silentReportPeriods is after how many report periods without a message a coordinator counts as unreachable.
-	silentReportPeriods = 4
+	// maxSilentReportPeriods is the number of report periods without a message after which a coordinator counts as unreachable.
+	maxSilentReportPeriods = 4
 )
 
-// session is the connection to a coordinator.
+// session is the state of the connection to a coordinator, and what is kept from one connection to the next.
 type session struct {
-	stream           statemachine.Conn // 0: none
-	joined           bool
-	coordinator      string // the name in the last welcome
-	tablesOf         string // the coordinator whose tables are in use
-	nonce            uint64 // of the last push that was acknowledged
-	sequence         uint64 // of the last push on this stream
-	coordinatorIndex int    // of the address that is dialed, not reduced by the number of addresses
-	failedDials      int    // in a row
-	reader           proto.Reader
-	lastReceived     statemachine.Seconds
-	pendingPushes    []proto.Push // received, to be applied when the pause ends
+	conn                statemachine.Conn // 0: none
+	joined              bool              // the coordinator has welcomed the front end
+	coordinator         string            // name in the last welcome
+	tablesFrom          string            // name of the coordinator whose tables are in use; empty: none
+	lastAckedNonce      uint64            // nonce of the last acknowledged push
+	lastPushSequence    uint64            // sequence number of the last push on this connection
+	coordinatorIndex    int               // of the address to dial; the index modulo the number of addresses is used
+	consecutiveFailures int               // failed dials and lost connections since the last welcome
+	reader              proto.Reader
+	lastReceivedAt      statemachine.Seconds
+	pendingPushes       []proto.Push // received during a pause and applied when it ends
 }
 
+// dialCoordinator dials the coordinator whose turn it is.
 func (f *FrontEnd) dialCoordinator(now statemachine.Seconds) {
-	f.conns++
-	f.session.stream = f.conns
+	f.lastDialed++
+	f.session.conn = f.lastDialed
 	f.session.reader = proto.Reader{}
-	f.session.lastReceived = now
-	f.session.sequence = 0
+	f.session.lastReceivedAt = now
+	f.session.lastPushSequence = 0
 	addresses := f.config.Coordinators
-	f.out.Dial(f.session.stream, addresses[f.session.coordinatorIndex%len(addresses)])
+	f.out.Dial(f.session.conn, addresses[f.session.coordinatorIndex%len(addresses)])
 }
 
-// endSession forgets the stream and schedules the next dial. The tables stay in force. The first failure is followed by a
-// dial to the same coordinator, further ones by dials to the next.
+// endSession forgets the connection and schedules the next dial. The tables stay in use. After the first failure the same
+// coordinator is dialed again, after each further one the next coordinator.
 func (f *FrontEnd) endSession(now statemachine.Seconds, reason string) {
 	if f.session.joined {
 		f.out.Record(trace.Record{Time: now, Kind: trace.ProxyLeft, Party: f.config.Name, Coordinator: f.session.coordinator, Text: reason})
-		f.session.failedDials = 0
+		f.session.consecutiveFailures = 0
 	}
-	f.session.stream = 0
+	f.session.conn = 0
 	f.session.joined = false
-	f.session.pendingPushes = nil // not acknowledged, so the next session brings them again
-	f.session.failedDials++
-	if f.session.failedDials > 1 {
+	f.session.pendingPushes = nil // they were not acknowledged, so the coordinator pushes them again in the next session
+	f.session.consecutiveFailures++
+	if f.session.consecutiveFailures > 1 {
 		f.session.coordinatorIndex++
 	}
-	backoff := min(reconnectBackoffStep*float64(f.session.failedDials), maxReconnectBackoff) * f.jitter()
+	backoff := min(reconnectBackoffStep*float64(f.session.consecutiveFailures), maxReconnectBackoff) * f.jitter()
 	f.timers.schedule(now+backoff, func(now statemachine.Seconds) {
-		if f.session.stream == 0 {
+		if f.session.conn == 0 {
 			f.dialCoordinator(now)
 		}
 	})
 }
 
-// coordinatorSilent tells whether nothing came from the coordinator for too long.
+// coordinatorSilent reports whether nothing has come from the coordinator for too long.
 func (f *FrontEnd) coordinatorSilent(now statemachine.Seconds) bool {
-	return now-f.session.lastReceived > silentReportPeriods*f.config.ReportPeriod
+	return now-f.session.lastReceivedAt > maxSilentReportPeriods*f.config.ReportPeriod
 }
 
+// handleCoordinatorInput handles an input on the connection to the coordinator.
 func (f *FrontEnd) handleCoordinatorInput(now statemachine.Seconds, input statemachine.Input) {
 	switch input.Kind {
 	case statemachine.ConnOpened:
-		f.session.lastReceived = now
-		f.out.Write(f.session.stream, proto.Append(nil, proto.Hello{
-			Version: proto.Version, Role: proto.RoleProxy, Name: f.config.Name, Zone: f.config.Zone, Rate: f.clients.rate,
-			Fresh: f.session.tablesOf == "", TablesOf: f.session.tablesOf, Nonce: f.session.nonce,
+		f.session.lastReceivedAt = now
+		f.out.Write(f.session.conn, proto.Append(nil, proto.Hello{
+			Version: proto.Version, Role: proto.RoleProxy, Name: f.config.Name, Zone: f.config.Zone, Rate: f.clientTraffic.rate,
+			Fresh: f.session.tablesFrom == "", TablesOf: f.session.tablesFrom, Nonce: f.session.lastAckedNonce,
 		}))
 	case statemachine.ConnClosed:
 		f.endSession(now, input.Text)
 	case statemachine.ConnData:
-		f.session.lastReceived = now
+		f.session.lastReceivedAt = now
 		f.session.reader.Feed(input.Data)
 		f.readCoordinatorMessages(now)
 	}
 }
 
-// readCoordinatorMessages handles the complete messages that the stream brought. An invalid one ends the session, with
-// the reason sent to the coordinator.
+// readCoordinatorMessages handles the complete messages that the coordinator sent. An invalid one ends the session; the reason is
+// sent to the coordinator.
 func (f *FrontEnd) readCoordinatorMessages(now statemachine.Seconds) {
-	stream := f.session.stream
-	for f.session.stream == stream {
+	stream := f.session.conn
+	for f.session.conn == stream {
 		message, err := f.session.reader.Next()
 		if err == nil && message == nil {
 			return
@@ -106,21 +108,21 @@
 	}
 }
 
-// handleCoordinatorMessage acts on one message. The text of its errors goes out on the wire.
+// handleCoordinatorMessage handles one message. The text of its errors is sent to the coordinator.
 func (f *FrontEnd) handleCoordinatorMessage(now statemachine.Seconds, message proto.Message) error {
 	switch message := message.(type) {
 	case proto.Welcome:
 		f.session.reader.HandshakeDone()
 		f.session.joined = true
 		f.session.coordinator = message.Name
-		f.session.failedDials = 0
+		f.session.consecutiveFailures = 0
 		f.out.Record(trace.Record{Time: now, Kind: trace.ProxyJoined, Party: f.config.Name, Coordinator: message.Name, Zone: f.config.Zone})
 	case proto.Push:
 		return f.receivePush(now, message)
 	case proto.ReportsReceived:
-		// It acknowledges a report; that something came is noted for every message.
+		// This acknowledges a report. handleCoordinatorInput has already noted when the data arrived.
 	case proto.Reject:
-		f.out.Close(f.session.stream)
+		f.out.Close(f.session.conn)
 		f.endSession(now, message.Reason)
 	default:
 		return fmt.Errorf("a %s on a proxy's stream", proto.WireName(message))
@@ -128,11 +130,12 @@
 	return nil
 }
 
-// receivePush applies a push, or queues it for the end of the pause that its application takes.
+// receivePush checks the sequence number of a push and applies the push. If its application pauses the front end, the push is queued
+// until the pause ends.
 func (f *FrontEnd) receivePush(now statemachine.Seconds, push proto.Push) error {
-	f.session.sequence++
-	if !f.session.joined || push.Sequence != f.session.sequence {
-		return fmt.Errorf("push %d, %d wanted", push.Sequence, f.session.sequence)
+	f.session.lastPushSequence++
+	if !f.session.joined || push.Sequence != f.session.lastPushSequence {
+		return fmt.Errorf("push %d, %d wanted", push.Sequence, f.session.lastPushSequence)
 	}
 	size := pushSize(push)
 	f.out.Record(trace.Record{
@@ -148,7 +151,7 @@
 	return nil
 }
 
-// pushSize counts the operations, table entries and admission levels of a push.
+// pushSize returns the number of operations, table entries and admission levels of a push.
 func pushSize(push proto.Push) int {
 	size := 0
 	for _, operation := range push.Ops {
@@ -157,8 +160,8 @@
 	return size
 }
 
-// applyPending applies the pushes that were received during the pause that is now over.
-func (f *FrontEnd) applyPending(now statemachine.Seconds) {
+// applyPendingPushes applies the pushes that were received during the pause that is now over.
+func (f *FrontEnd) applyPendingPushes(now statemachine.Seconds) {
 	for _, push := range f.session.pendingPushes {
 		f.applyPush(now, push)
 	}
--- a/internal/fake/tables.go
+++ b/internal/fake/tables.go
@@ -11,10 +11,10 @@
 	"gingerfork/internal/trace"
 )
 
-// table is one weighted set of backends, and the admission levels of the methods that use it.
+// table is a weighted set of backends with the admission levels of the methods that use it.
 type table struct {
-	entries   []tableEntry // sorted by backend
-	admission map[int]admissionState
+	entries   []tableEntry           // sorted by backend
+	admission map[int]admissionState // by method
 }
 
 // tableEntry is one backend of a table.
@@ -22,21 +22,21 @@
 	backend proto.BackendID
 	weight  float64
 	addr    string
-	credit  float64 // of the smooth weighted round robin
+	credit  float64 // for smooth weighted round robin, see pickRoundRobin
 }
 
 func newTable() *table {
 	return &table{admission: map[int]admissionState{}}
 }
 
-// applyPush acknowledges a push and applies its operations.
+// applyPush acknowledges a push and applies its operations. It does nothing if the session has ended.
 func (f *FrontEnd) applyPush(now statemachine.Seconds, push proto.Push) {
-	if f.session.stream == 0 {
+	if f.session.conn == 0 {
 		return
 	}
 	if push.HasNonce {
-		f.out.Write(f.session.stream, proto.Append(nil, proto.Acknowledgement{Nonce: push.Nonce}))
-		f.session.nonce = push.Nonce
+		f.out.Write(f.session.conn, proto.Append(nil, proto.Acknowledgement{Nonce: push.Nonce}))
+		f.session.lastAckedNonce = push.Nonce
 	}
 	var description strings.Builder
 	for _, operation := range push.Ops {
@@ -52,7 +52,7 @@
 	f.closeUnusedConns()
 }
 
-// applyOp applies one table operation and adds its description, in the trace's format.
+// applyOp applies a table operation and appends its description in the trace's format.
 func (f *FrontEnd) applyOp(operation proto.TableOp, description *strings.Builder) {
 	switch operation.Kind {
 	case proto.OpBind:
@@ -82,23 +82,23 @@
 	}
 }
 
-// bindTable replaces a table and lets its methods use it.
+// bindTable replaces the table of a number, has the operation's methods use it, and replaces the set of excluded backends.
 func (f *FrontEnd) bindTable(operation proto.TableOp, description *strings.Builder) {
-	if f.session.tablesOf != f.session.coordinator {
-		// The numbers of tables are those of one coordinator: what another one pushed can't be changed any more.
-		f.session.tablesOf = f.session.coordinator
+	if f.session.tablesFrom != f.session.coordinator {
+		// Table numbers are valid for one coordinator only, so the tables of the previous coordinator can't be changed any more.
+		f.session.tablesFrom = f.session.coordinator
 		clear(f.tables)
 		clear(f.methodTables)
 	}
-	bound := newTable()
-	f.tables[operation.Table] = bound
+	boundTable := newTable()
+	f.tables[operation.Table] = boundTable
 	clear(f.excluded)
 	fmt.Fprintf(description, "bind %d %d", operation.Table, operation.Methods)
 	for _, entry := range operation.Entries {
-		f.setEntry(bound, entry, description)
+		f.setEntry(boundTable, entry, description)
 	}
 	for _, level := range operation.Admissions {
-		f.setAdmission(bound, level)
+		f.setAdmission(boundTable, level)
 	}
 	for _, backend := range operation.Backends {
 		f.excluded[backend] = true
@@ -106,17 +106,17 @@
 	}
 	for method := range f.methodTables {
 		if inMethodSet(operation.Methods, method) {
-			f.methodTables[method] = bound
+			f.methodTables[method] = boundTable
 		}
 	}
 }
 
-// inMethodSet tells whether a bit set of methods contains one; the empty set stands for all methods.
+// inMethodSet reports whether a bit set of methods contains a method. The empty set stands for all methods.
 func inMethodSet(methods uint64, method int) bool {
 	return methods == 0 || methods>>method&1 == 1
 }
 
-// setEntry adds, changes or, with a weight of 0, removes a table's entry, and excludes or restores its backend.
+// setEntry adds, changes or, with a weight of 0, removes an entry of a table, and excludes or restores the entry's backend.
 func (f *FrontEnd) setEntry(target *table, entry proto.TableEntry, description *strings.Builder) {
 	fmt.Fprintf(description, " %d:%.6g", entry.Backend, entry.Weight)
 	target.set(entry)
@@ -128,6 +128,7 @@
 	}
 }
 
+// set adds, changes or, with a weight of 0, removes an entry. A changed entry keeps its credit.
 func (t *table) set(entry proto.TableEntry) {
 	index, found := slices.BinarySearchFunc(t.entries, entry.Backend, func(candidate tableEntry, backend proto.BackendID) int {
 		return cmp.Compare(candidate.backend, backend)
@@ -144,14 +145,14 @@
 	}
 }
 
-// usableAddresses maps the backends that some method may use to their addresses.
+// usableAddresses returns the addresses of the backends that at least one method may use.
 func (f *FrontEnd) usableAddresses() map[proto.BackendID]string {
 	addresses := map[proto.BackendID]string{}
-	for _, bound := range f.methodTables {
-		if bound == nil {
+	for _, methodTable := range f.methodTables {
+		if methodTable == nil {
 			continue
 		}
-		for _, entry := range bound.entries {
+		for _, entry := range methodTable.entries {
 			if !f.excluded[entry.backend] {
 				addresses[entry.backend] = entry.addr
 			}
@@ -160,11 +161,11 @@
 	return addresses
 }
 
-// retryPolicyOf is what the table orders for an RPC's method.
+// retryPolicyOf returns the retry policy that the method's table has for it, or retryNever if there is none.
 func (f *FrontEnd) retryPolicyOf(method int) retryPolicy {
-	bound := f.methodTables[method]
-	if bound == nil {
+	methodTable := f.methodTables[method]
+	if methodTable == nil {
 		return retryNever
 	}
-	return bound.admission[method].retry
+	return methodTable.admission[method].retryPolicy
 }
