--- a/internal/fake/attempts.go
+++ b/internal/fake/attempts.go
@@ -18,7 +18,7 @@
 	retryTwice                // two retries after any failure
 )
 
-// minTimeLeftForRetry is how much time must be left until an RPC's deadline for a retry: only with more than that is it retried.
+// minTimeLeftForRetry limits retries: an RPC is retried only if more than this time is left until its deadline.
 const minTimeLeftForRetry statemachine.Seconds = 0.05
 
 // Reasons of retries, as written to the trace.
@@ -88,10 +88,10 @@
 
 // scheduleAttemptTimeout has the RPC's current attempt fail if it is still in flight after the attempt timeout.
 func (f *FrontEnd) scheduleAttemptTimeout(now statemachine.Seconds, call *rpc) {
-	attempt := call.attemptID
+	attemptID := call.attemptID
 	timeout := f.config.AttemptTimeout * f.config.Methods[call.method].SoftDeadline
 	f.timers.schedule(now+timeout, func(now statemachine.Seconds) {
-		if !call.finished && call.attemptID == attempt {
+		if !call.finished && call.attemptID == attemptID {
 			f.attemptFailed(now, call, true)
 		}
 	})
--- a/internal/fake/baseline.go
+++ b/internal/fake/baseline.go
@@ -132,7 +132,7 @@
 // weight 0, which removes it.
 func (b *BaselineCoordinator) applyUpdate(update proto.EndpointUpdate) {
 	var ops []proto.TableOp
-	set := func(entry proto.TableEntry) {
+	setEntry := func(entry proto.TableEntry) {
 		if b.updateOpenEntry(entry) {
 			ops = append(ops, proto.TableOp{Kind: proto.OpSetEntry, Table: baselineTableNumber, Entries: []proto.TableEntry{entry}})
 		}
@@ -144,12 +144,12 @@
 			entry.Weight = endpoint.Weight
 		}
 		listed[endpoint.Backend] = true
-		set(entry)
+		setEntry(entry)
 	}
 	if update.Kind == proto.UpdateFull {
 		for _, backend := range b.openBackends() {
 			if !listed[backend] {
-				set(proto.TableEntry{Backend: backend})
+				setEntry(proto.TableEntry{Backend: backend})
 			}
 		}
 	}
@@ -166,8 +166,8 @@
 
 // updateOpenEntry adds, changes or, with a weight of 0, removes an entry. It reports whether anything changed.
 func (b *BaselineCoordinator) updateOpenEntry(entry proto.TableEntry) bool {
-	previous, held := b.openEntries[entry.Backend]
-	if previous == entry || !held && entry.Weight == 0 {
+	previous, present := b.openEntries[entry.Backend]
+	if previous == entry || !present && entry.Weight == 0 {
 		return false
 	}
 	if entry.Weight > 0 {
--- a/internal/fake/frontend.go
+++ b/internal/fake/frontend.go
@@ -21,7 +21,9 @@
 	TrafficStart statemachine.Seconds // start of the traffic shape's first day; 0: at the first step
 	Shape        traffic.Shape        // how the rate changes over time
 	Keys         *traffic.Zipf        // distribution of cache keys; nil: RPCs have none
-	Policy       string               // how backends are picked: even (round robin), pair, report, or any other name: at random by weight
+	// Policy tells how backends are picked: even (round robin by weight), pair or report; with any other name, such as lottery,
+	// at random by weight.
+	Policy string
 	// FailureLimit is the number of consecutive failures of a backend after which the front end avoids it for AvoidFor;
 	// 0: it never avoids one.
 	FailureLimit      int
--- a/internal/fake/pool.go
+++ b/internal/fake/pool.go
@@ -98,8 +98,8 @@
 	f.out.Write(conn.id, proto.Append(nil, proto.Hello{
 		Version: proto.Version, Role: proto.RoleClient, Name: f.config.Name, Zone: f.config.Zone, TablesOf: f.session.tablesFrom,
 	}))
-	for _, attempt := range conn.queued {
-		if call := conn.attempts[attempt]; call != nil && !call.finished {
+	for _, attemptID := range conn.queued {
+		if call := conn.attempts[attemptID]; call != nil && !call.finished {
 			f.writeAttempt(now, conn, call)
 		}
 	}
@@ -128,7 +128,7 @@
 // that was never established none was.
 func (f *FrontEnd) connLost(now statemachine.Seconds, conn *backendConn) {
 	f.pool.remove(conn)
-	for _, attempt := range slices.Sorted(maps.Keys(conn.attempts)) {
-		f.attemptFailed(now, conn.attempts[attempt], conn.established)
+	for _, attemptID := range slices.Sorted(maps.Keys(conn.attempts)) {
+		f.attemptFailed(now, conn.attempts[attemptID], conn.established)
 	}
 }
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -20,7 +20,8 @@
 
 // linkFault describes the faults of one listener's traffic. The zero value is no fault.
 type linkFault struct {
-	partitioned bool                 // hold traffic until the partition ends and then deliver it, as a network that recovers does
+	// partitioned holds traffic until the partition ends and then delivers it, as a network that recovers does.
+	partitioned bool
 	reset       bool                 // reset open and new connections
 	latency     statemachine.Seconds // that the relay adds, one way
 	bandwidth   float64              // bytes per second of each connection pair and direction; 0: unlimited
--- a/internal/fake/rpc.go
+++ b/internal/fake/rpc.go
@@ -29,9 +29,10 @@
 
 // clientTraffic generates the RPCs that clients send to a front end.
 type clientTraffic struct {
-	source            *traffic.Source
-	rate              float64              // RPCs per second
-	arrivalGeneration uint64               // counts scheduled arrivals; the timer of an arrival that was replaced has an older number and is ignored
+	source *traffic.Source
+	rate   float64 // RPCs per second
+	// arrivalGeneration counts scheduled arrivals. The timer of an arrival that was replaced has a lower number and is ignored.
+	arrivalGeneration uint64
 	maxDelay          statemachine.Seconds // by which an arrival was handled late, since the last report
 	idPrefix          uint64               // upper 32 bits of RPC IDs
 }
--- a/internal/fake/session.go
+++ b/internal/fake/session.go
@@ -91,8 +91,8 @@
 // readCoordinatorMessages handles the complete messages that the coordinator sent. An invalid one ends the session; the reason is
 // sent to the coordinator.
 func (f *FrontEnd) readCoordinatorMessages(now statemachine.Seconds) {
-	stream := f.session.conn
-	for f.session.conn == stream {
+	conn := f.session.conn
+	for f.session.conn == conn {
 		message, err := f.session.reader.Next()
 		if err == nil && message == nil {
 			return
@@ -101,8 +101,8 @@
 			err = f.handleCoordinatorMessage(now, message)
 		}
 		if err != nil {
-			f.out.Write(stream, proto.Append(nil, proto.Reject{Reason: err.Error()}))
-			f.out.Close(stream)
+			f.out.Write(conn, proto.Append(nil, proto.Reject{Reason: err.Error()}))
+			f.out.Close(conn)
 			f.endSession(now, err.Error())
 		}
 	}
--- a/internal/simnet/connection.go
+++ b/internal/simnet/connection.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// accept opens a connection at the listening node at once, and at the dialing node one one-way delay later.
+// accept opens a connection: at the listening node at once, and at the dialing node after the one-way delay.
 func (n *Network) accept(dialed *connEnd, target listener, oneWayDelay statemachine.Seconds) {
 	target.node.lastAccepted++
 	accepted := &connEnd{
--- a/internal/simnet/network_test.go
+++ b/internal/simnet/network_test.go
@@ -111,7 +111,8 @@
 	network.SendCommand("a", "close")
 	network.RunUntil(102)
 	if server.received.String() != "bye" || server.lastEvent() != "closed by the other side" || len(client.events) != 1 {
-		t.Fatalf("the server received %q and the events %q; the client's events: %q", server.received.String(), server.events, client.events)
+		t.Fatalf("the server received %q and the events %q, the client the events %q",
+			server.received.String(), server.events, client.events)
 	}
 }
 
--- a/internal/simnet/storage.go
+++ b/internal/simnet/storage.go
@@ -11,8 +11,8 @@
 // meanSyncSeconds is the mean duration of a sync of a simulated disk.
 const meanSyncSeconds = 0.005
 
-// OpenStore opens the store on a node's simulated disk and returns the records that earlier incarnations wrote. The node's
-// NodeFactory must call it.
+// OpenStore opens the store on a node's simulated disk and returns the records that earlier incarnations wrote. Only the
+// node's NodeFactory may call it.
 func (n *Network) OpenStore(name string) (iter.Seq2[string, []byte], error) {
 	owner := n.nodes[name]
 	if owner.disk == nil {
