--- a/internal/fake/frontend.go
+++ b/internal/fake/frontend.go
@@ -74,7 +74,7 @@
 	return &FrontEnd{
 		config:        config,
 		random:        emulator.NewRandom(config.Seed),
-		lastDialed:    statemachine.Dialed,
+		lastDialed:    statemachine.DialedBit,
 		clientTraffic: clientTraffic{rate: config.Rate},
 		tables:        map[uint64]*table{},
 		methodTables:  make([]*table, len(config.Methods)),
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -56,7 +56,7 @@
 func NewRelay(targets ...string) *Relay {
 	return &Relay{
 		targets: targets, faults: make([]linkFault, len(targets)), pairs: map[statemachine.Conn]*connPair{},
-		lastDialed: statemachine.Dialed,
+		lastDialed: statemachine.DialedBit,
 	}
 }
 
