--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -12,19 +12,21 @@
 	"gingerfork/internal/trace"
 )
 
+// logWarning has the value of statemachine.LogWarning.
 const logWarning = 2
 
-// Backend is an emulated backend with its wire protocol. It implements statemachine.Machine.
+// Backend connects a Model to the wire protocol: it decodes the messages of clients and encodes the model's replies. It
+// implements statemachine.Machine.
 type Backend struct {
-	config       Config
-	model        *Model // nil before the first step
-	readers      map[statemachine.Conn]*proto.Reader
-	out          *statemachine.Effects
-	nextSampleAt Seconds
-	maxDelay     Seconds // of timers, since the last sample
+	config        Config
+	model         *Model // nil before the first step
+	readers       map[statemachine.Conn]*proto.Reader
+	out           *statemachine.Effects
+	nextSampleAt  Seconds
+	maxTimerDelay Seconds // the longest delay of a timer since the last sample
 }
 
-// NewBackend makes a backend whose process starts at its first step.
+// NewBackend returns a backend whose emulated process starts at the first step.
 func NewBackend(config Config) *Backend {
 	return &Backend{config: config, readers: map[statemachine.Conn]*proto.Reader{}}
 }
@@ -39,7 +41,7 @@
 			out.Record(trace.Record{Time: now, Kind: trace.BackendStarted, Backend: b.config.Backend, Value: capacity})
 		}
 	}
-	b.maxDelay = max(b.maxDelay, now-b.model.NextTimer())
+	b.maxTimerDelay = max(b.maxTimerDelay, now-b.model.NextTimer())
 	b.advance(now)
 	for _, input := range inputs {
 		b.handleInput(input)
@@ -61,7 +63,7 @@
 	switch input.Kind {
 	case statemachine.ConnOpened:
 		b.readers[input.Conn] = &proto.Reader{}
-		b.model.Connect(ConnID(input.Conn), "") // the hello tells the coordinator
+		b.model.Connect(ConnID(input.Conn), "") // the client's Hello names its coordinator
 	case statemachine.ConnClosed:
 		delete(b.readers, input.Conn)
 		b.model.Disconnect(ConnID(input.Conn))
@@ -81,17 +83,18 @@
 	out.Log(logWarning, "command rejected", "command", text, "error", err.Error())
 }
 
-// recordSample records the backend's state and how late it handled its timers.
+// recordSample writes trace records of the backend's state and of the longest delay of its timers since the last sample.
 func (b *Backend) recordSample(now statemachine.Seconds) {
 	_, queued, coreUsage := b.model.Load()
 	b.out.Record(trace.Record{
 		Time: now, Kind: trace.BackendSampled, Backend: b.config.Backend, Value: b.model.Capacity(now, 0), Count: int64(queued),
 		Text: strconv.FormatFloat(coreUsage, 'g', 3, 64),
 	})
-	b.out.Record(trace.Record{Time: now, Kind: trace.ScheduleDelay, Backend: b.config.Backend, Value: max(0, b.maxDelay)})
-	b.maxDelay = 0
+	b.out.Record(trace.Record{Time: now, Kind: trace.ScheduleDelay, Backend: b.config.Backend, Value: max(0, b.maxTimerDelay)})
+	b.maxTimerDelay = 0
 }
 
+// readMessages handles the complete messages that a connection has received. Invalid data closes the connection.
 func (b *Backend) readMessages(conn statemachine.Conn, reader *proto.Reader) {
 	connID := ConnID(conn)
 	for b.readers[conn] == reader {
@@ -122,8 +125,8 @@
 	}
 }
 
-// Capacity is the RPCs a second of a method that the backend can execute at present; 0 before the first step. It is for
-// those who watch a scenario from outside.
+// Capacity returns how many RPCs of a method per second the backend can execute at present; 0 before the first step. It
+// serves observers of the backend's true state, such as the scenario player.
 func (b *Backend) Capacity(now statemachine.Seconds, method int) float64 {
 	if b.model == nil {
 		return 0
@@ -131,8 +134,7 @@
 	return b.model.Capacity(now, method)
 }
 
-// Load gives the RPCs in flight, those of them that are queued, and the share of the cores that are busy; zeros before the
-// first step. It is for those who watch a scenario from outside.
+// Load returns what Model.Load returns, or zeros before the first step. It serves observers of the backend's true state, such as the scenario player.
 func (b *Backend) Load() (inFlight, queued int, coreUsage float64) {
 	if b.model == nil {
 		return 0, 0, 0
@@ -140,7 +142,7 @@
 	return b.model.Load()
 }
 
-// advance brings the model to the present and carries out its effects.
+// advance advances the model to now and applies its effects.
 func (b *Backend) advance(now statemachine.Seconds) {
 	for _, effect := range b.model.Advance(now) {
 		b.apply(now, effect)
@@ -171,10 +173,10 @@
 	}
 }
 
-func (b *Backend) recordExecution(now statemachine.Seconds, call RPC) {
-	record := trace.Record{Time: now, Kind: trace.EffectExecuted, Backend: b.config.Backend, RPCID: call.ID, Method: call.Method}
-	if call.IdempotencyKey != 0 {
-		record.Text = strconv.FormatUint(call.IdempotencyKey, 10)
+func (b *Backend) recordExecution(now statemachine.Seconds, rpc RPC) {
+	record := trace.Record{Time: now, Kind: trace.EffectExecuted, Backend: b.config.Backend, RPCID: rpc.ID, Method: rpc.Method}
+	if rpc.IdempotencyKey != 0 {
+		record.Text = strconv.FormatUint(rpc.IdempotencyKey, 10)
 	}
 	b.out.Record(record)
 }
--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -1,47 +1,47 @@
 package emulator
 
-// CancelPolicy tells what a backend does with an RPC whose client has given up, at its deadline or by closing the
+// CancelPolicy is what a backend does with a cancelled RPC: one whose deadline has passed or whose client has closed the
 // connection.
 type CancelPolicy uint8
 
 // The cancel policies.
 const (
-	// IgnoreCancel executes RPCs all the same.
+	// IgnoreCancel executes cancelled RPCs like any other.
 	IgnoreCancel CancelPolicy = iota
-	// DropQueued drops a cancelled RPC when it reaches the head of the queue; one that is being executed goes on.
+	// DropQueued drops a cancelled RPC when it reaches the head of the queue, but completes one that is being executed.
 	DropQueued
-	// CancelRunning drops queued RPCs and stops running ones at once.
+	// CancelRunning drops cancelled RPCs from the queue like DropQueued, and stops those that are being executed at once.
 	CancelRunning
 )
 
 // Config configures an emulated backend.
 type Config struct {
-	Backend      uint32
+	Backend      uint32 // its ID
 	Zone         string
 	Cell         int
 	Cores        int
-	Speed        float64 // of a core: seconds of work that it does in a second
-	Work         []Work  // by method; the last holds for all further methods
+	Speed        float64 // of a core: seconds of work that it does per second
+	Work         []Work  // by method; the last also applies to all further methods
 	QueueLimit   int     // RPCs that may wait for a core
 	CancelPolicy CancelPolicy
 
-	// A cold backend's cores run at ColdSpeed times Speed at its start and get faster evenly until WarmupTime is over.
-	// Other backends started long ago.
+	// With StartsCold the cores run at ColdSpeed times Speed at first, and their speed increases linearly to Speed over
+	// WarmupTime. Without it the backend is warm from the start.
 	StartsCold bool
 	ColdSpeed  float64
 	WarmupTime Seconds
-	// A backend that is warming up collapses if the work that arrives within OverloadWindow is more than OverloadMultiple
-	// times what it can do in that time; a window of 0: it never does.
+	// A backend that is warming up collapses if the work that arrives within OverloadWindow exceeds OverloadMultiple times
+	// what it can do in that time. With an OverloadWindow of 0 it never collapses.
 	OverloadMultiple float64
 	OverloadWindow   Seconds
 
 	ConnLimit  int     // 0: unlimited
-	ConnWork   Seconds // of accepting a connection
-	ProbeWork  Seconds
-	ProbeLimit int // probes at once; 0: unlimited
+	ConnWork   Seconds // work of accepting a connection
+	ProbeWork  Seconds // work of a probe
+	ProbeLimit int     // concurrent probes; 0: unlimited
 
-	// With ReportsLoad each reply has the load as it was ReportDelay before, multiplied by noise with the coefficient of
-	// variation ReportNoise.
+	// With ReportsLoad each reply reports the load as it was ReportDelay earlier, multiplied by lognormal noise whose
+	// coefficient of variation is ReportNoise.
 	ReportsLoad bool
 	ReportDelay Seconds
 	ReportNoise float64
@@ -49,13 +49,14 @@
 	CacheSize    int     // keys; 0: no cache
 	CacheSavings float64 // share of the work that a cache hit saves
 
-	SampleInterval Seconds // between samples of its state in the trace; 0: none
+	SampleInterval Seconds // between samples of the backend's state in the trace; 0: no samples
 	Seed           uint64
 	KeyStore       *KeyStore     // nil: repeated idempotency keys are not detected
 	Executions     *ExecutionLog // nil: executions are not logged
 }
 
-// Capacity is the RPCs a second that the backend executes when it is warm, for shares of methods.
+// Capacity returns how many RPCs per second the backend can execute when it is warm. mix has the methods' shares of the
+// RPCs.
 func (c Config) Capacity(mix []float64) float64 {
 	mean, total := 0.0, 0.0
 	for method, share := range mix {
@@ -65,6 +66,7 @@
 	return float64(c.Cores) * c.Speed * total / mean
 }
 
+// workOf returns the work of the RPCs of a method.
 func (c Config) workOf(method int) Work {
 	return c.Work[min(method, len(c.Work)-1)]
 }
--- a/internal/emulator/connections.go
+++ b/internal/emulator/connections.go
@@ -2,12 +2,13 @@
 
 // clientConn is a connection of a client.
 type clientConn struct {
-	coordinator string // whose tables the client follows
-	handshaking bool   // slowed down by a fault
-	pending     []RPC  // that came during the handshake
+	coordinator string // whose tables the client uses
+	handshaking bool   // a fault delays the end of the handshake
+	pendingRPCs []RPC  // that arrived during the handshake
 }
 
-// Connect opens a connection of a client that follows a coordinator's tables, or rejects it.
+// Connect opens a connection of a client that uses the tables of a coordinator, or rejects it if the backend has collapsed
+// or its connection limit is reached.
 func (m *Model) Connect(connID ConnID, coordinator string) {
 	limit := m.config.ConnLimit
 	if m.faults.connLimit > 0 {
@@ -27,22 +28,23 @@
 	}
 }
 
+// finishHandshake submits the RPCs that arrived during the handshake.
 func (m *Model) finishHandshake(connID ConnID, conn *clientConn) {
 	conn.handshaking = false
-	for _, call := range conn.pending {
-		m.Submit(connID, call)
+	for _, rpc := range conn.pendingRPCs {
+		m.Submit(connID, rpc)
 	}
-	conn.pending = nil
+	conn.pendingRPCs = nil
 }
 
-// SetCoordinator tells whose tables a connection's client follows from now on.
+// SetCoordinator sets the coordinator whose tables the client of a connection uses.
 func (m *Model) SetCoordinator(connID ConnID, coordinator string) {
 	if conn := m.conns[connID]; conn != nil {
 		conn.coordinator = coordinator
 	}
 }
 
-// Disconnect ends a connection, which cancels its RPCs.
+// Disconnect closes a connection and cancels its RPCs.
 func (m *Model) Disconnect(connID ConnID) {
 	delete(m.conns, connID)
 	if m.config.CancelPolicy == IgnoreCancel {
@@ -56,9 +58,9 @@
 	}
 }
 
-// reply ends an attempt if its connection still stands.
-func (m *Model) reply(connID ConnID, callID uint64, status Status) {
+// reply sends the reply to an attempt if its connection is still open.
+func (m *Model) reply(connID ConnID, rpcID uint64, status Status) {
 	if m.conns[connID] != nil {
-		m.emit(Reply{connID, callID, status, m.reportedLoad()})
+		m.emit(Reply{connID, rpcID, status, m.reportedLoad()})
 	}
 }
--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -1,9 +1,12 @@
-// Package emulator emulates backends closely enough that a decision that would cause an overload or a lost RPC in
-// production does so here: work drawn from distributions, cores behind a bounded queue, warm-up and collapse under
-// overload, connections, handshakes, cancellation, idempotency keys, health checks, load reports and a cache. Model is one
-// backend as a plain state machine of typed events. Backend puts the wire protocol around it and is a
-// statemachine.Machine, which runs on sockets and in virtual time alike; Fleet runs many backends as one machine.
+// Package emulator emulates backends in enough detail that a load balancing decision that would cause an overload or a lost
+// RPC in production causes it here, too. Emulated are: work drawn from distributions, cores behind a bounded queue, warm-up
+// and collapse under overload, connections, handshakes, cancellation, idempotency keys, health checks, load reports and a
+// cache.
+//
+// Model is the state machine of one backend; its inputs are method calls and its outputs are values of the Effect types.
+// Backend connects a Model to the wire protocol; it is a statemachine.Machine, which runs on sockets as well as in simulated
+// time. Fleet runs many backends as one machine.
 package emulator
 
-// Seconds are seconds with fractions.
+// Seconds is a time or a duration in seconds.
 type Seconds = float64
--- a/internal/emulator/effects.go
+++ b/internal/emulator/effects.go
@@ -1,6 +1,6 @@
 package emulator
 
-// Status is how an attempt ends at the backend. The numbers are those of the wire protocol.
+// Status is the outcome of an attempt at the backend. The values are those of the wire protocol.
 type Status uint8
 
 // The statuses of an attempt.
@@ -10,44 +10,44 @@
 	StatusAborted         // the RPC may have been executed
 )
 
-// ConnID is a connection, by the number that the driver of a model gives it.
+// ConnID identifies a connection. The driver of the model assigns it.
 type ConnID uint64
 
-// RPC is one attempt as it reaches the backend.
+// RPC is one attempt of an RPC as it arrives at the backend.
 type RPC struct {
 	ID             uint64
 	Method         int
-	IdempotencyKey uint64 // 0: none
-	CacheKey       uint64 // 0: none
-	TimeLeft       Seconds
+	IdempotencyKey uint64  // 0: none
+	CacheKey       uint64  // 0: none
+	TimeLeft       Seconds // until the client's deadline
 }
 
-// Effect is something that a model did and that its driver carries out or records: one of the types below.
+// Effect is an output of a model, one of the types below. The driver of the model performs or records it.
 type Effect any
 
 type (
-	// Reply ends an attempt.
+	// Reply is the reply to an attempt.
 	Reply struct {
 		Conn   ConnID
 		ID     uint64
 		Status Status
-		Load   float64 // reported; below 0: none is
+		Load   float64 // jobs per core, as reported in the reply; negative: no report
 	}
-	// Executed tells that the execution of an RPC began.
+	// Executed says that the execution of an RPC began.
 	Executed struct{ RPC RPC }
-	// ProbeReply answers a probe.
+	// ProbeReply is the reply to a probe.
 	ProbeReply struct {
 		Conn   ConnID
 		ID     uint64
 		Status Status
 	}
-	// OverloadApproached tells that a backend that is warming up came closer to its collapse than before.
+	// OverloadApproached says that a backend that is warming up came closer to its collapse than ever before.
 	OverloadApproached struct {
-		Ratio float64 // of the work that arrived to what makes it collapse
-		RPCs  int     // within the overload window
+		Ratio float64 // of the work that arrived within the overload window to the work above which the backend collapses
+		RPCs  int     // that arrived within the overload window
 	}
-	// Collapsed tells that a backend was overloaded while it was warming up. It does nothing any more.
+	// Collapsed says that the backend was overloaded while it was warming up. It has stopped working for good.
 	Collapsed struct{}
-	// ConnRejected closes a connection without an answer.
+	// ConnRejected asks to close a connection without a reply.
 	ConnRejected struct{ Conn ConnID }
 )
--- a/internal/emulator/executionlog.go
+++ b/internal/emulator/executionlog.go
@@ -1,13 +1,14 @@
 package emulator
 
-// maxRepeatedExecutions is how many repeated executions are kept with their details.
+// maxRepeatedExecutions is the number of repeated executions that are kept with their details.
 const maxRepeatedExecutions = 1000
 
-// ExecutionLog records which backends executed an RPC, whatever path it came by, and so finds repeated executions.
+// ExecutionLog detects repeated executions: it records which backends executed each RPC, whichever client, proxy or attempt
+// the RPC came from.
 type ExecutionLog struct {
 	first       map[uint64]Execution // by RPC ID
-	Repeated    []RepeatedExecution  // at most 1000 of them
-	RepeatCount int                  // all of them
+	Repeated    []RepeatedExecution  // the first 1000
+	RepeatCount int                  // of all repeated executions
 }
 
 // Execution is where and when an RPC was executed.
@@ -16,26 +17,26 @@
 	At      Seconds
 }
 
-// RepeatedExecution is an RPC that was executed again.
+// RepeatedExecution is an RPC that was executed more than once. Each execution after the first has one.
 type RepeatedExecution struct {
 	RPC          uint64
 	Method       int
 	First, Again Execution
 }
 
-// Record records an execution.
-func (l *ExecutionLog) Record(call RPC, backend uint32, now Seconds) {
+// Record records the execution of an RPC by a backend.
+func (l *ExecutionLog) Record(rpc RPC, backend uint32, now Seconds) {
 	if l.first == nil {
 		l.first = map[uint64]Execution{}
 	}
 	execution := Execution{backend, now}
-	first, repeated := l.first[call.ID]
+	first, repeated := l.first[rpc.ID]
 	if !repeated {
-		l.first[call.ID] = execution
+		l.first[rpc.ID] = execution
 		return
 	}
 	l.RepeatCount++
 	if len(l.Repeated) < maxRepeatedExecutions {
-		l.Repeated = append(l.Repeated, RepeatedExecution{call.ID, call.Method, first, execution})
+		l.Repeated = append(l.Repeated, RepeatedExecution{rpc.ID, rpc.Method, first, execution})
 	}
 }
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -8,69 +8,69 @@
 	"strings"
 )
 
-// The errors that commands wrap.
+// The errors that the errors of Model.command wrap.
 var (
 	errUnknownFault  = errors.New("unknown fault")
-	errFaultArgument = errors.New("invalid argument of a fault")
+	errFaultArgument = errors.New("invalid fault argument")
 )
 
 const (
-	// expensiveShare is the share of RPCs that the fault dear makes expensive.
+	// expensiveShare is the share of RPCs that the fault "dear" makes expensive.
 	expensiveShare = 0.1
-	// noMethod is the failing method if none is.
+	// noMethod is the value of failingMethod if no method fails.
 	noMethod = -1
 )
 
-// faults are the faults in force.
+// faults is the set of faults in force.
 type faults struct {
-	hangs           int     // reasons why no work proceeds
-	slowdown        float64 // factor on the time that work needs
+	hangCount       int     // hang faults in force; no work is done while there are any
+	slowdown        float64 // factor on the time that work takes
 	failAll         bool
 	failShare       float64
-	failMethod      int     // noMethod: none
-	failCoordinator string  // RPCs of the clients that follow it fail; empty: none
-	expensiveFactor float64 // by which some RPCs' work is more; 0: no fault
+	failingMethod   int     // noMethod: none
+	failClientsOf   string  // the coordinator whose tables' clients get failures; empty: none
+	expensiveFactor float64 // on the work of a share of the RPCs; 0: none are expensive
 	handshakeDelay  Seconds
 	connLimit       int // 0: as configured
 }
 
 func noFaults() faults {
-	return faults{slowdown: 1, failMethod: noMethod}
+	return faults{slowdown: 1, failingMethod: noMethod}
 }
 
-// failsMethod tells whether every RPC of a method fails.
+// failsMethod reports whether all RPCs of a method fail.
 func (f *faults) failsMethod(method int) bool {
-	return f.failAll || f.failMethod == method
+	return f.failAll || f.failingMethod == method
 }
 
-// meanCost is the factor by which the mean work of RPCs is more.
-func (f *faults) meanCost() float64 {
+// meanWorkFactor returns the factor by which expensive RPCs increase the mean work.
+func (f *faults) meanWorkFactor() float64 {
 	if f.expensiveFactor > 0 {
 		return 1 - expensiveShare + expensiveShare*f.expensiveFactor
 	}
 	return 1
 }
 
-// drawCostFactor draws the factor by which an RPC's work is more.
-func (m *Model) drawCostFactor() float64 {
+// drawWorkFactor draws at random whether an RPC is expensive, and returns the factor on its work.
+func (m *Model) drawWorkFactor() float64 {
 	if m.faults.expensiveFactor > 0 && m.random.Uniform() < expensiveShare {
 		return m.faults.expensiveFactor
 	}
 	return 1
 }
 
-// drawFailure tells whether a fault makes an RPC fail.
+// drawFailure reports whether a fault makes an RPC fail. The failure of a share of the RPCs is drawn at random.
 func (m *Model) drawFailure(method int, coordinator string) bool {
 	if m.faults.failsMethod(method) {
 		return true
 	}
-	if m.faults.failCoordinator != "" && m.faults.failCoordinator == coordinator {
+	if m.faults.failClientsOf != "" && m.faults.failClientsOf == coordinator {
 		return true
 	}
 	return m.faults.failShare > 0 && m.random.Uniform() < m.faults.failShare
 }
 
-// argumentKind is what a fault takes as its argument, as error texts call it.
+// argumentKind is the kind of argument that a fault takes, as named in error messages.
 type argumentKind string
 
 const (
@@ -82,12 +82,13 @@
 	secondsArgument     argumentKind = "SECONDS"
 )
 
-// faultArgument is a fault's argument as text and, if the kind is one of numbers, as a number.
+// faultArgument is the argument of a fault as text and, if its kind is numeric, as a number.
 type faultArgument struct {
 	text   string
 	number float64
 }
 
+// parse checks and parses an argument. Its errors wrap errFaultArgument.
 func (k argumentKind) parse(text string) (faultArgument, error) {
 	argument := faultArgument{text: text}
 	switch k {
@@ -98,7 +99,7 @@
 		return argument, nil
 	case coordinatorArgument:
 		if text == "" {
-			return argument, fmt.Errorf("%w: want a %s, got nothing", errFaultArgument, k)
+			return argument, fmt.Errorf("%w: want a %s, got none", errFaultArgument, k)
 		}
 		return argument, nil
 	}
@@ -111,7 +112,7 @@
 	return argument, nil
 }
 
-// faultKind is a fault that a command can inject and heal.
+// faultKind is a kind of fault that commands can inject and heal.
 type faultKind struct {
 	name     string // in commands
 	argument argumentKind
@@ -119,11 +120,12 @@
 	heal     func(m *Model)
 }
 
+// faultKinds has all faults. Their names are part of the command syntax.
 var faultKinds = []faultKind{
 	{
 		name: "hang", argument: noArgument,
-		inject: func(m *Model, _ faultArgument) { m.setHangs(m.faults.hangs + 1) },
-		heal:   func(m *Model) { m.setHangs(m.faults.hangs - 1) },
+		inject: func(m *Model, _ faultArgument) { m.setHangCount(m.faults.hangCount + 1) },
+		heal:   func(m *Model) { m.setHangCount(m.faults.hangCount - 1) },
 	},
 	{
 		name: "fast", argument: noArgument,
@@ -142,13 +144,13 @@
 	},
 	{
 		name: "method", argument: numberArgument,
-		inject: func(m *Model, argument faultArgument) { m.faults.failMethod = int(argument.number) },
-		heal:   func(m *Model) { m.faults.failMethod = noMethod },
+		inject: func(m *Model, argument faultArgument) { m.faults.failingMethod = int(argument.number) },
+		heal:   func(m *Model) { m.faults.failingMethod = noMethod },
 	},
 	{
 		name: "from", argument: coordinatorArgument,
-		inject: func(m *Model, argument faultArgument) { m.faults.failCoordinator = argument.text },
-		heal:   func(m *Model) { m.faults.failCoordinator = "" },
+		inject: func(m *Model, argument faultArgument) { m.faults.failClientsOf = argument.text },
+		heal:   func(m *Model) { m.faults.failClientsOf = "" },
 	},
 	{
 		name: "slow", argument: factorArgument,
@@ -172,7 +174,7 @@
 	},
 }
 
-func faultNamed(name string) (faultKind, error) {
+func findFaultKind(name string) (faultKind, error) {
 	for _, kind := range faultKinds {
 		if kind.name == name {
 			return kind, nil
@@ -181,22 +183,22 @@
 	return faultKind{}, fmt.Errorf("%w %q", errUnknownFault, name)
 }
 
-func (m *Model) setHangs(hangs int) {
-	m.changePace(func() { m.faults.hangs = max(hangs, 0) })
+func (m *Model) setHangCount(hangs int) {
+	m.changeSpeed(func() { m.faults.hangCount = max(hangs, 0) })
 }
 
 func (m *Model) setSlowdown(factor float64) {
-	m.changePace(func() { m.faults.slowdown = factor })
+	m.changeSpeed(func() { m.faults.slowdown = factor })
 }
 
-// command injects a fault, or heals one (`heal NAME`) or all (`heal`). Hangs add up: each has to be healed. Its errors wrap
-// errUnknownFault or errFaultArgument.
+// command runs an operator's command: `NAME` or `NAME ARGUMENT` injects a fault, `heal NAME` heals it, and `heal` heals all.
+// Hangs are counted: `heal hang` has to be repeated for each. The error wraps errUnknownFault or errFaultArgument.
 func (m *Model) command(text string) error {
 	name, argumentText, _ := strings.Cut(text, " ")
 	if name == "heal" {
 		return m.heal(argumentText)
 	}
-	kind, err := faultNamed(name)
+	kind, err := findFaultKind(name)
 	if err != nil {
 		return err
 	}
@@ -208,17 +210,17 @@
 	return nil
 }
 
-// heal ends a fault, of hangs the last one, or all faults if the name is empty.
+// heal ends the fault with a name, or all faults if the name is empty. By name it ends one hang only.
 func (m *Model) heal(name string) error {
 	if name != "" {
-		kind, err := faultNamed(name)
+		kind, err := findFaultKind(name)
 		if err != nil {
 			return err
 		}
 		kind.heal(m)
 		return nil
 	}
-	m.faults.hangs = min(m.faults.hangs, 1) // all hangs are healed, however many there are
+	m.faults.hangCount = min(m.faults.hangCount, 1) // the loop below heals one hang
 	for _, kind := range faultKinds {
 		kind.heal(m)
 	}
--- a/internal/emulator/faults_test.go
+++ b/internal/emulator/faults_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-func mustCommand(t *testing.T, model *Model, commands ...string) {
+// mustRunCommands runs commands and fails the test if one is invalid.
+func mustRunCommands(t *testing.T, model *Model, commands ...string) {
 	t.Helper()
 	for _, command := range commands {
 		if err := model.command(command); err != nil {
@@ -14,7 +15,8 @@
 	}
 }
 
-// A fault has its effect until it is healed.
+// Each fault affects replies until it is healed, and only the RPCs that it is meant for. RPCs are of method 0 and from a client
+// of coordinator c1.
 func TestFaults(t *testing.T) {
 	for command, want := range map[string]Status{
 		"fast": StatusAborted, "part 1": StatusAborted, "method 0": StatusAborted, "from c1": StatusAborted, "drain": StatusRejected,
@@ -22,12 +24,12 @@
 	} {
 		model := NewModel(testConfig(1, Work{Mean: 0.1, Family: Constant}), 0)
 		model.Connect(1, "c1")
-		mustCommand(t, model, command)
+		mustRunCommands(t, model, command)
 		model.Submit(1, RPC{ID: 1, TimeLeft: 9})
 		if statuses, _ := advanceUntil(model, 1); statuses[1] != want || len(statuses) != 1 {
 			t.Errorf("%s: %v", command, statuses)
 		}
-		mustCommand(t, model, "heal")
+		mustRunCommands(t, model, "heal")
 		model.Submit(1, RPC{ID: 2, TimeLeft: 9})
 		if statuses, _ := advanceUntil(model, 1.11); statuses[2] != StatusOK || len(statuses) != 1 {
 			t.Errorf("after %s was healed: %v", command, statuses)
@@ -48,26 +50,27 @@
 	}
 }
 
-// Two hangs that overlap end with the later.
+// A backend with two overlapping hangs replies again once both are healed.
 func TestHangsAddUp(t *testing.T) {
 	model := connectedModel(testConfig(1, Work{Mean: 0.1, Family: Constant}))
-	mustCommand(t, model, "hang", "hang")
+	mustRunCommands(t, model, "hang", "hang")
 	model.Submit(1, RPC{ID: 1, TimeLeft: 9})
 	model.Probe(1, 5)
-	mustCommand(t, model, "heal hang")
+	mustRunCommands(t, model, "heal hang")
 	if statuses, _ := advanceUntil(model, 5); len(statuses) != 0 {
 		t.Error("replies during a hang:", statuses)
 	}
-	mustCommand(t, model, "heal hang")
+	mustRunCommands(t, model, "heal hang")
 	if statuses, _ := advanceUntil(model, 6); statuses[1] != StatusOK {
 		t.Error("no reply after the hang:", statuses)
 	}
 }
 
+// With a limit of two connections the third is rejected, and an RPC is executed only after the delayed handshake.
 func TestConnectionFaults(t *testing.T) {
 	model := connectedModel(testConfig(1, Work{Mean: 0.1, Family: Constant}))
 	model.Advance(6)
-	mustCommand(t, model, "conns 2", "shake 0.5")
+	mustRunCommands(t, model, "conns 2", "shake 0.5")
 	model.Connect(2, "")
 	model.Connect(3, "")
 	rejected := 0
@@ -80,6 +83,6 @@
 	early, _ := advanceUntil(model, 6.55)
 	late, _ := advanceUntil(model, 6.65)
 	if rejected != 1 || len(early) != 0 || late[2] != StatusOK {
-		t.Error(rejected, early, late)
+		t.Errorf("%d connections rejected, want 1; replies during the handshake %v, after it %v", rejected, early, late)
 	}
 }
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -14,8 +14,9 @@
 )
 
 const (
+	// statsInterval is the time between two calls of onStats.
 	statsInterval Seconds = 1
-	// minWakeDelay is the least time between two steps of a backend that asks to be stepped at once.
+	// minWakeDelay is the minimum time until the next step of a backend that asks to be woken at once.
 	minWakeDelay Seconds = 1e-6
 	// allBackends addresses a command to every backend.
 	allBackends = "*"
@@ -23,26 +24,27 @@
 
 var errUnknownBackend = errors.New("unknown backend")
 
-// Fleet runs many emulated backends as one machine, each with a listener of its own, so that one event loop carries
-// hundreds. Commands are NAME kill and NAME start, for the backend's process, or NAME and one that injects or heals a fault of the backend; the name *
-// stands for all. It implements statemachine.Machine.
+// Fleet runs many emulated backends as one machine, so that one event loop can run hundreds. Each backend has its own
+// listener. The commands `NAME kill` and `NAME start` end and start the process of a backend; after NAME may also stand a
+// command that injects or heals a fault, see Model.command. The name * addresses all backends. Fleet implements
+// statemachine.Machine.
 type Fleet struct {
 	processes   []*process // by listener
 	byName      map[string]*process
 	byConn      map[statemachine.Conn]*process
 	wakeups     wakeup.Queue[*process]
 	startedAt   statemachine.Seconds
-	stats       FleetStats // of the present interval
+	stats       FleetStats // of the current interval
 	nextStatsAt statemachine.Seconds
 	onStats     func(FleetStats)
 }
 
-// process is a backend's process, which can be killed and started again.
+// process emulates the process of a backend, which can be killed and started again.
 type process struct {
 	name    string
 	config  Config
-	starts  int
-	backend *Backend // nil: killed
+	starts  int      // how often it was started
+	backend *Backend // nil while the process is killed
 	conns   map[statemachine.Conn]bool
 	inputs  []statemachine.Input
 	wakeup  *wakeup.Entry[*process]
@@ -50,8 +52,8 @@
 
 var _ statemachine.Machine = (*Fleet)(nil)
 
-// NewFleet makes a fleet without backends. If onStats is not nil, it gets the figures of each second, in the goroutine
-// that steps the fleet.
+// NewFleet returns a fleet without backends. If onStats is not nil, it is called with the statistics of each second, in the
+// goroutine that steps the fleet.
 func NewFleet(onStats func(FleetStats)) *Fleet {
 	return &Fleet{
 		byName: map[string]*process{}, byConn: map[statemachine.Conn]*process{}, onStats: onStats,
@@ -59,8 +61,8 @@
 	}
 }
 
-// AddBackend adds a backend on the next listener. Its processes after the first start cold. It must not be called after
-// the first step.
+// AddBackend adds a backend with the next listener. The first process starts cold if the config says so, and any later
+// process of the backend always does. AddBackend must not be called after the first step.
 func (f *Fleet) AddBackend(name string, config Config) {
 	added := &process{name: name, config: config, conns: map[statemachine.Conn]bool{}}
 	f.processes = append(f.processes, added)
@@ -69,6 +71,7 @@
 	added.wakeup = f.wakeups.Add(added)
 }
 
+// start starts a process with a random seed of its own.
 func (p *process) start() {
 	config := p.config
 	config.StartsCold = config.StartsCold || p.starts > 0
@@ -111,7 +114,7 @@
 	}
 }
 
-// route gives an input to the process that it is for.
+// route delivers an input to the processes that it is addressed to.
 func (f *Fleet) route(now statemachine.Seconds, input statemachine.Input, deliver func(*process, statemachine.Input), out *statemachine.Effects) {
 	switch input.Kind {
 	case statemachine.OperatorCommand:
@@ -120,7 +123,7 @@
 		}
 	case statemachine.ConnOpened:
 		owner := f.processes[input.Listener]
-		if owner.backend == nil { // the listener stays open while the process is killed
+		if owner.backend == nil { // the listener stays open while the process is killed, so the connection is reset here
 			out.Abort(input.Conn)
 			return
 		}
@@ -145,6 +148,7 @@
 	delete(owner.conns, conn)
 }
 
+// stepProcess steps a backend with the inputs that were delivered to it, and schedules its next wake-up.
 func (f *Fleet) stepProcess(now statemachine.Seconds, stepped *process, out *statemachine.Effects) {
 	inputs := stepped.inputs
 	stepped.inputs = nil
@@ -169,6 +173,7 @@
 	f.wakeups.Reschedule(stepped.wakeup, max(out.WakeAt, now+minWakeDelay))
 }
 
+// handleCommand handles kill and start, and delivers other commands to the backends that they are addressed to.
 func (f *Fleet) handleCommand(now statemachine.Seconds, text string, deliver func(*process, statemachine.Input), out *statemachine.Effects) error {
 	name, command, _ := strings.Cut(text, " ")
 	addressed := f.processes
@@ -193,7 +198,7 @@
 	return nil
 }
 
-// kill ends a process, which resets its connections.
+// kill ends a process and resets its connections.
 func (f *Fleet) kill(now statemachine.Seconds, killed *process, out *statemachine.Effects) {
 	if killed.backend == nil {
 		return
@@ -207,7 +212,7 @@
 	}
 }
 
-// reportStats completes the figures of an interval and begins the next.
+// reportStats completes the statistics of an interval, reports them and begins the next interval.
 func (f *Fleet) reportStats(now statemachine.Seconds) {
 	stats := f.stats
 	f.stats = FleetStats{}
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -11,7 +11,7 @@
 	"gingerfork/internal/trace"
 )
 
-// fleetRun drives a fleet as an event loop does and keeps what it did.
+// fleetRun drives a fleet as an event loop does, and records its actions, trace records, log messages and statistics.
 type fleetRun struct {
 	fleet    *Fleet
 	now      Seconds
@@ -20,8 +20,8 @@
 	answered int // RPCs with the status OK
 	trace    []trace.Record
 	logs     []string
-	stats    FleetStats // the last
-	maxDelay Seconds
+	stats    FleetStats // of the last interval
+	maxDelay Seconds    // over all intervals
 }
 
 func newFleetRun(now Seconds) *fleetRun {
@@ -88,8 +88,8 @@
 	r.step(statemachine.Input{Kind: statemachine.OperatorCommand, Text: text})
 }
 
-// startThree starts backends s0 to s2, connects to them as 1 to 3 and lets each answer an RPC.
-func startThree(t *testing.T) *fleetRun {
+// startThreeBackends starts backends s0 to s2, connects to them as 1 to 3 and lets each answer an RPC.
+func startThreeBackends(t *testing.T) *fleetRun {
 	t.Helper()
 	run := newFleetRun(100)
 	for i := range 3 {
@@ -105,22 +105,22 @@
 	run.runUntil(101.5)
 	stats := run.stats
 	if run.answered != 3 || stats.Running != 3 || stats.Executed != 3 || stats.Capacity < 299 || stats.Capacity > 301 {
-		t.Fatalf("%d answered; %v", run.answered, stats)
+		t.Fatalf("%d answered, want 3; %v", run.answered, stats)
 	}
 	return run
 }
 
-// A killed backend resets its own connections and takes none, and its next process starts cold.
+// A killed backend resets its own connections and rejects new ones, and its next process starts cold.
 func TestFleetKillAndStart(t *testing.T) {
-	run := startThree(t)
+	run := startThreeBackends(t)
 	run.command("s1 kill")
-	run.command("s1 kill") // the second changes nothing
+	run.command("s1 kill") // no effect
 	if !run.aborted[2] || run.aborted[1] || run.aborted[3] {
 		t.Fatalf("killing the second backend reset %v", run.aborted)
 	}
 	run.connect(7, 1)
 	if !run.aborted[7] {
-		t.Error("a killed backend took a connection")
+		t.Error("a killed backend accepted a connection")
 	}
 	run.submit(2, 50)
 	run.submit(1, 51)
@@ -149,8 +149,8 @@
 
 // Faults reach the backends that a command names, and invalid commands are logged and change nothing.
 func TestFleetCommands(t *testing.T) {
-	run := startThree(t)
-	run.command("s1 kill") // faults also apply to a backend that restarted
+	run := startThreeBackends(t)
+	run.command("s1 kill") // faults also apply to a restarted backend
 	run.command("s1 start")
 	run.command("s9 hang")
 	run.command("s0 hung")
@@ -158,7 +158,7 @@
 	run.submit(1, 70)
 	run.runUntil(103)
 	if len(run.logs) != 2 || !strings.Contains(run.logs[0], "s9") || run.stats.Capacity != 0 || run.answered != 3 {
-		t.Errorf("logs %q, %v, %d answered", run.logs, run.stats, run.answered)
+		t.Errorf("during the hang: logs %q, %v, %d answered", run.logs, run.stats, run.answered)
 	}
 	run.command("* heal hang")
 	run.runUntil(104)
@@ -167,13 +167,13 @@
 	}
 }
 
-// A fleet that is stepped late reports by how much.
+// A fleet that is stepped after its wake-up time reports the delay.
 func TestFleetReportsDelay(t *testing.T) {
 	run := newFleetRun(10)
 	run.fleet.AddBackend("s0", testConfig(1, Work{Mean: 0.01, Family: Constant}))
 	run.connect(1, 0)
 	run.submit(1, 1)
-	run.now = 10.31 // due at 10.01
+	run.now = 10.31 // the RPC was due at 10.01
 	run.step()
 	run.now = 11.5
 	run.step()
--- a/internal/emulator/fleetstats.go
+++ b/internal/emulator/fleetstats.go
@@ -6,29 +6,31 @@
 	"gingerfork/internal/trace"
 )
 
-// FleetStats is what a fleet did in about a second, and its state at the end.
+// FleetStats has the statistics of a fleet: what it did within about a second, and its state at the end. It is printed as
+// JSON, whose keys are the names of the fields.
 type FleetStats struct {
 	Elapsed       Seconds // since the fleet's start
 	Backends      int
 	Running       int     // backends whose processes run
 	WarmingUp     int     // of the running ones
 	Collapsed     int     // of the running ones
-	Capacity      float64 // RPCs a second that it can execute at present
+	Capacity      float64 // RPCs per second that the fleet can execute at present
 	CoreUsage     float64 // share of the cores that are busy
 	Queued        int     // RPCs
-	Executed      int     // RPCs whose execution began
-	OverloadRatio float64 // the most that a backend came near to its collapse, 1 being the collapse
-	MaxDelay      Seconds // the most that a timer was handled late
+	Executed      int     // RPCs whose execution began within the second
+	OverloadRatio float64 // the largest share of its overload bound that a warming backend reached; above 1 it collapses
+	MaxDelay      Seconds // the longest time by which a timer was handled late
 }
 
-// String describes the figures as text for people.
+// String returns the statistics as a line of text for people.
 func (s FleetStats) String() string {
 	const percent, msPerSecond = 100, 1e3
-	return fmt.Sprintf("%4.0f s: %d of %d servers up, %d cold, %d fallen; able %.0f RPCs/s, ran %d; cores %.0f%% busy, %d waiting; late %.1f ms",
+	return fmt.Sprintf("%4.0f s: %d of %d servers up, %d warming up, %d collapsed; capacity %.0f RPCs/s, %d executed; cores %.0f%% busy, %d queued; timers up to %.1f ms late",
 		s.Elapsed, s.Running, s.Backends, s.WarmingUp, s.Collapsed, s.Capacity, s.Executed, percent*s.CoreUsage, s.Queued, msPerSecond*s.MaxDelay)
 }
 
-// Add adds the figures of another part of the fleet for the same second.
+// Add returns the sum with the statistics of another part of the fleet for the same second. CoreUsage becomes the mean
+// weighted by the number of backends.
 func (s FleetStats) Add(other FleetStats) FleetStats {
 	if backends := s.Backends + other.Backends; backends > 0 {
 		s.CoreUsage = (s.CoreUsage*float64(s.Backends) + other.CoreUsage*float64(other.Backends)) / float64(backends)
@@ -46,7 +48,7 @@
 	return s
 }
 
-// addTrace counts what trace records say of a second.
+// addTrace adds what the trace records of a step show.
 func (s *FleetStats) addTrace(records []trace.Record) {
 	for _, record := range records {
 		switch record.Kind {
@@ -58,7 +60,7 @@
 	}
 }
 
-// addState adds the state of a running backend and gives its cores and how many of them are busy.
+// addState adds the state of a running backend, and returns the number of its cores and how many of them are busy.
 func (s *FleetStats) addState(model *Model, now Seconds) (cores, busyCores float64) {
 	s.Running++
 	if model.collapsed {
--- a/internal/emulator/jobs.go
+++ b/internal/emulator/jobs.go
@@ -2,54 +2,55 @@
 
 import "math"
 
-// fastFailureDelay is after how long an RPC that a fault makes fail is answered.
+// fastFailureDelay is the time from the arrival of an RPC that a fault makes fail to its reply.
 const fastFailureDelay Seconds = 0.002
 
-// job is an RPC, or overhead such as a probe, on its way through the queue and a core.
+// job is a unit of work that is queued or running on a core: an RPC, or overhead such as accepting a connection.
 type job struct {
-	conn       ConnID
-	rpc        RPC
-	deadline   Seconds // of its client
-	workLeft   Seconds
-	countedAt  Seconds // workLeft is as of then
-	overhead   bool    // nobody waits for it
-	generation int     // counts its timers, so that one that was replaced is ignored
-	cancelled  bool
+	conn            ConnID
+	rpc             RPC
+	deadline        Seconds // of its client
+	workLeft        Seconds
+	workLeftAt      Seconds // time that workLeft refers to
+	overhead        bool    // not an RPC: there is no reply
+	timerGeneration int     // number of timers set for it, by which a timer that was replaced is ignored
+	cancelled       bool
 }
 
-// Submit brings an attempt of an RPC.
-func (m *Model) Submit(connID ConnID, call RPC) {
+// Submit handles an attempt that arrives on a connection: it is queued, rejected or fails, or makes the backend collapse.
+func (m *Model) Submit(connID ConnID, rpc RPC) {
 	conn := m.conns[connID]
 	if conn == nil || m.collapsed {
 		return
 	}
 	if conn.handshaking {
-		conn.pending = append(conn.pending, call)
+		conn.pendingRPCs = append(conn.pendingRPCs, rpc)
 		return
 	}
-	work := m.config.workOf(call.Method).Sample(&m.random) * m.drawCostFactor()
+	work := m.config.workOf(rpc.Method).Sample(&m.random) * m.drawWorkFactor()
 	if m.addArrival(work) {
 		m.collapse()
 		return
 	}
 	queueFull := len(m.queue) >= m.config.QueueLimit
 	switch {
-	case m.faults.hangs > 0 && queueFull:
-		// A backend that hangs does not even reject.
-	case m.drawFailure(call.Method, conn.coordinator):
-		m.schedule(m.now+fastFailureDelay, func() { m.reply(connID, call.ID, StatusAborted) })
+	case m.faults.hangCount > 0 && queueFull:
+		// While the backend hangs, it does not reject RPCs either.
+	case m.drawFailure(rpc.Method, conn.coordinator):
+		m.schedule(m.now+fastFailureDelay, func() { m.reply(connID, rpc.ID, StatusAborted) })
 	case m.draining, queueFull && len(m.running) >= m.config.Cores:
-		m.reply(connID, call.ID, StatusRejected)
+		m.reply(connID, rpc.ID, StatusRejected)
 	default:
-		m.enqueue(connID, call, work)
+		m.enqueue(connID, rpc, work)
 	}
 }
 
-func (m *Model) enqueue(connID ConnID, call RPC, work Seconds) {
-	if m.config.CacheSize > 0 && call.CacheKey != 0 && m.cache.access(call.CacheKey) {
+// enqueue queues an RPC. A cache hit saves part of its work.
+func (m *Model) enqueue(connID ConnID, rpc RPC, work Seconds) {
+	if m.config.CacheSize > 0 && rpc.CacheKey != 0 && m.cache.access(rpc.CacheKey) {
 		work *= 1 - m.config.CacheSavings
 	}
-	queued := &job{conn: connID, rpc: call, deadline: m.now + call.TimeLeft, workLeft: work}
+	queued := &job{conn: connID, rpc: rpc, deadline: m.now + rpc.TimeLeft, workLeft: work}
 	m.queue = append(m.queue, queued)
 	if m.config.CancelPolicy == CancelRunning {
 		m.schedule(queued.deadline, func() {
@@ -60,15 +61,15 @@
 	m.dispatch()
 }
 
-// addOverhead adds work that nobody waits for.
+// addOverhead queues work that is not an RPC.
 func (m *Model) addOverhead(work Seconds) {
 	m.queue = append(m.queue, &job{workLeft: work, overhead: true, deadline: math.Inf(1)})
 	m.dispatch()
 }
 
-// dispatch gives queued jobs to free cores.
+// dispatch starts queued jobs on free cores.
 func (m *Model) dispatch() {
-	for len(m.running) < m.config.Cores && len(m.queue) > 0 && m.faults.hangs == 0 {
+	for len(m.running) < m.config.Cores && len(m.queue) > 0 && m.faults.hangCount == 0 {
 		next := m.queue[0]
 		m.queue[0] = nil
 		m.queue = m.queue[1:]
@@ -76,13 +77,13 @@
 			continue
 		}
 		m.recordExecution(next)
-		next.countedAt = m.now
+		next.workLeftAt = m.now
 		m.running = append(m.running, next)
 		m.scheduleFinish(next)
 	}
 }
 
-// recordExecution tells that a job takes effect, unless it is overhead or repeats an idempotency key.
+// recordExecution reports the execution of a job, unless it is overhead or repeats an idempotency key.
 func (m *Model) recordExecution(started *job) {
 	if started.overhead {
 		return
@@ -97,17 +98,18 @@
 	}
 }
 
-// scheduleFinish sets the timer for the end of a running job, as fast as work proceeds at present.
+// scheduleFinish sets the timer for the end of a running job at the current speed.
 func (m *Model) scheduleFinish(running *job) {
-	running.generation++
-	generation := running.generation
+	running.timerGeneration++
+	generation := running.timerGeneration
 	m.schedule(m.finishTime(m.now, running.workLeft), func() {
-		if running.generation == generation {
+		if running.timerGeneration == generation {
 			m.finish(running)
 		}
 	})
 }
 
+// finish ends a running job and frees its core.
 func (m *Model) finish(finished *job) {
 	for i, running := range m.running {
 		if running == finished {
@@ -121,12 +123,12 @@
 	m.dispatch()
 }
 
-// stopRunning takes the RPCs that match off their cores.
+// stopRunning stops the running RPCs that match, without a reply.
 func (m *Model) stopRunning(matches func(*job) bool) {
 	kept := m.running[:0]
 	for _, running := range m.running {
 		if matches(running) && !running.overhead {
-			running.generation++
+			running.timerGeneration++
 			continue
 		}
 		kept = append(kept, running)
@@ -136,19 +138,19 @@
 	m.dispatch()
 }
 
-// changePace makes a change to how fast work proceeds: first the running jobs are counted as far as they got, and then
-// their ends are scheduled anew.
-func (m *Model) changePace(change func()) {
-	if m.faults.hangs == 0 {
+// changeSpeed makes a change that affects the speed of running jobs. It first subtracts the work that they have done so far
+// at the old speed, and then schedules their ends at the new one.
+func (m *Model) changeSpeed(change func()) {
+	if m.faults.hangCount == 0 {
 		for _, running := range m.running {
-			running.workLeft = max(0, running.workLeft-m.workDone(running.countedAt, m.now))
+			running.workLeft = max(0, running.workLeft-m.workDone(running.workLeftAt, m.now))
 		}
 	}
 	change()
 	for _, running := range m.running {
-		running.countedAt = m.now
-		running.generation++
-		if m.faults.hangs == 0 {
+		running.workLeftAt = m.now
+		running.timerGeneration++
+		if m.faults.hangCount == 0 {
 			m.scheduleFinish(running)
 		}
 	}
--- a/internal/emulator/keystore.go
+++ b/internal/emulator/keystore.go
@@ -1,39 +1,40 @@
 package emulator
 
-// KeyScope tells which backends share a store of idempotency keys.
+// KeyScope is the set of backends within which an idempotency key counts as the same.
 type KeyScope uint8
 
 // The scopes of idempotency keys.
 const (
-	AllBackends KeyScope = iota
-	PerZone
-	PerCell
-	PerBackend
+	AllBackends KeyScope = iota // all backends
+	PerZone                     // the backends of a zone
+	PerCell                     // the backends of a cell
+	PerBackend                  // each backend on its own
 )
 
-// keyStoreExpiryWindows is how many windows pass between two removals of expired keys, which spares looking at all keys
-// with every RPC.
-const keyStoreExpiryWindows = 10
+// expiryIntervalWindows is the number of windows between two removals of expired keys. A removal visits all keys, which would
+// be too slow with every RPC.
+const expiryIntervalWindows = 10
 
-// KeyStore remembers idempotency keys, so that an RPC is executed once within the window in a scope.
+// KeyStore stores the idempotency keys of executed RPCs, so that an RPC is executed only once within Window in a scope.
 type KeyStore struct {
-	Scope      KeyScope
-	Window     Seconds
-	usedAt     map[scopedKey]Seconds
-	lastExpiry Seconds
+	Scope         KeyScope
+	Window        Seconds
+	usedAt        map[scopedKey]Seconds
+	lastRemovalAt Seconds
 }
 
 type scopedKey struct {
 	key   uint64
-	group any // zone, cell or backend, by the store's scope
+	group any // the backend's zone, cell or ID, depending on the store's scope; nil for AllBackends
 }
 
-// FirstUse tells whether a key is new in the scope of a backend, and remembers it.
+// FirstUse reports whether an idempotency key was not yet used within the window in the scope of a backend, and if so stores
+// it.
 func (s *KeyStore) FirstUse(idempotencyKey uint64, backend Config, now Seconds) bool {
 	if s.usedAt == nil {
 		s.usedAt = map[scopedKey]Seconds{}
 	}
-	s.expire(now)
+	s.removeExpired(now)
 	key := scopedKey{key: idempotencyKey}
 	switch s.Scope {
 	case AllBackends:
@@ -52,12 +53,12 @@
 	return true
 }
 
-// expire removes the keys that are past the window, now and then.
-func (s *KeyStore) expire(now Seconds) {
-	if now <= s.lastExpiry+keyStoreExpiryWindows*s.Window+1 {
+// removeExpired removes the keys whose window is over, if the last removal is long enough ago.
+func (s *KeyStore) removeExpired(now Seconds) {
+	if now <= s.lastRemovalAt+expiryIntervalWindows*s.Window+1 {
 		return
 	}
-	s.lastExpiry = now
+	s.lastRemovalAt = now
 	for key, usedAt := range s.usedAt {
 		if now > usedAt+s.Window {
 			delete(s.usedAt, key)
--- a/internal/emulator/keystore_test.go
+++ b/internal/emulator/keystore_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// modelsIn makes two backends of different zones and cells that share a key store and an execution log.
-func modelsIn(store *KeyStore, log *ExecutionLog) [2]*Model {
+// modelsSharing returns two backends of different zones and cells that share a key store and an execution log.
+func modelsSharing(store *KeyStore, log *ExecutionLog) [2]*Model {
 	var models [2]*Model
 	for i, zone := range []string{"a", "b"} {
 		config := testConfig(4, Work{Mean: 0.01, Family: Constant})
@@ -14,14 +14,14 @@
 	return models
 }
 
-// An idempotency key is good for one execution in its scope and window, and the log finds the executions beyond that.
+// An idempotency key allows one execution within its scope and window, and the execution log finds any further ones.
 func TestKeyStoreAndExecutionLog(t *testing.T) {
-	call := RPC{ID: 1, IdempotencyKey: 9, TimeLeft: 1}
+	rpc := RPC{ID: 1, IdempotencyKey: 9, TimeLeft: 1}
 	for scope, repeats := range map[KeyScope]bool{AllBackends: false, PerZone: true, PerCell: true, PerBackend: true} {
 		log := &ExecutionLog{}
-		models := modelsIn(&KeyStore{Scope: scope, Window: 5}, log)
+		models := modelsSharing(&KeyStore{Scope: scope, Window: 5}, log)
 		for _, model := range models {
-			model.Submit(1, call)
+			model.Submit(1, rpc)
 			if statuses, _ := advanceUntil(model, 1); statuses[1] != StatusOK {
 				t.Errorf("scope %d: the reply is %v", scope, statuses)
 			}
@@ -29,11 +29,11 @@
 		if (log.RepeatCount == 1) != repeats || repeats && (log.Repeated[0].First.Backend != 1 || log.Repeated[0].Again.Backend != 2) {
 			t.Errorf("scope %d: %d repeated executions: %+v", scope, log.RepeatCount, log.Repeated)
 		}
-		models[0].Submit(1, call)
+		models[0].Submit(1, rpc)
 		advanceUntil(models[0], 2)
 		before := log.RepeatCount
 		models[0].Advance(8)
-		models[0].Submit(1, call) // past the window
+		models[0].Submit(1, rpc) // past the window
 		if advanceUntil(models[0], 9); log.RepeatCount != before+1 {
 			t.Errorf("scope %d: a repeat past the window was not executed", scope)
 		}
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -1,20 +1,22 @@
 package emulator
 
-// noLoadReport is the load in replies of a backend that reports none.
+// noLoadReport is the Reply.Load of a backend that does not report its load.
 const noLoadReport = -1
 
+// loadSample is the load at a time, in jobs per core.
 type loadSample struct {
 	at   Seconds
 	load float64
 }
 
-// Load gives the RPCs in flight, those of them that are queued, and the share of the cores that are busy.
+// Load returns the number of jobs in flight, how many of them are queued, and the share of the cores that are busy. Besides
+// RPCs it counts the work of connections and probes.
 func (m *Model) Load() (inFlight, queued int, coreUsage float64) {
 	running := len(m.running)
 	return running + len(m.queue), len(m.queue), float64(running) / float64(m.config.Cores)
 }
 
-// reportedLoad is the load for a reply, with the delay and the noise of the reports.
+// reportedLoad returns the load to report in a reply, in jobs per core, with the configured delay and noise.
 func (m *Model) reportedLoad() float64 {
 	if !m.config.ReportsLoad {
 		return noLoadReport
@@ -29,15 +31,15 @@
 	return load
 }
 
-// delayedLoad adds a sample and gives the one of the report delay before; 0 if there is none that old.
+// delayedLoad stores the current load and returns the load that was stored last before the report delay; 0 if there is none.
 func (m *Model) delayedLoad(load float64) float64 {
-	m.loads = append(m.loads, loadSample{m.now, load})
+	m.loadSamples = append(m.loadSamples, loadSample{m.now, load})
 	reportedAt := m.now - m.config.ReportDelay
-	for len(m.loads) > 1 && m.loads[1].at <= reportedAt {
-		m.loads = m.loads[1:]
+	for len(m.loadSamples) > 1 && m.loadSamples[1].at <= reportedAt {
+		m.loadSamples = m.loadSamples[1:]
 	}
-	if m.loads[0].at <= reportedAt {
-		return m.loads[0].load
+	if m.loadSamples[0].at <= reportedAt {
+		return m.loadSamples[0].load
 	}
 	return 0
 }
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -6,7 +6,7 @@
 	"gingerfork/internal/eventqueue"
 )
 
-// Model is one backend. Its driver brings the model to the present with Advance before it calls anything else.
+// Model emulates one backend. Its driver has to call Advance with the current time before it calls any other method.
 type Model struct {
 	config    Config
 	startedAt Seconds
@@ -15,19 +15,19 @@
 	timers    eventqueue.Queue[func()]
 	effects   []Effect
 
-	conns     map[ConnID]*clientConn
-	queue     []*job
-	running   []*job // in the order in which they began
-	probes    int    // in flight
-	cache     cache
-	overload  overloadWindow
-	loads     []loadSample // with delayed reports, oldest first
-	faults    faults
-	draining  bool
-	collapsed bool
+	conns       map[ConnID]*clientConn
+	queue       []*job
+	running     []*job // in the order in which they started
+	probes      int    // in flight
+	cache       cache
+	overload    overloadWindow
+	loadSamples []loadSample // with delayed reports, oldest first
+	faults      faults
+	draining    bool
+	collapsed   bool
 }
 
-// NewModel makes a backend whose process starts now.
+// NewModel returns a backend whose process starts now; unless it starts cold, it is warm at once.
 func NewModel(config Config, now Seconds) *Model {
 	model := &Model{
 		config: config, startedAt: now, now: now, random: NewRandom(config.Seed), conns: map[ConnID]*clientConn{},
@@ -39,10 +39,11 @@
 	return model
 }
 
-// HasCollapsed tells whether the backend collapsed under overload.
+// HasCollapsed reports whether the backend has collapsed under overload.
 func (m *Model) HasCollapsed() bool { return m.collapsed }
 
-// Advance brings the model to a time and gives what it did on the way, and what calls since the last Advance made it do.
+// Advance runs the timers that are due by a time. It returns their effects, together with those of the method calls since
+// the last Advance.
 func (m *Model) Advance(now Seconds) []Effect {
 	for at, ok := m.timers.NextTime(); ok && at <= now; at, ok = m.timers.NextTime() {
 		callback := m.timers.Pop()
@@ -55,7 +56,7 @@
 	return effects
 }
 
-// NextTimer is when Advance must be called at the latest; +Inf: there is no need to.
+// NextTimer returns the time by which Advance has to be called next; +Inf if no timer is set.
 func (m *Model) NextTimer() Seconds {
 	if at, ok := m.timers.NextTime(); ok {
 		return at
@@ -69,10 +70,10 @@
 
 func (m *Model) emit(effect Effect) { m.effects = append(m.effects, effect) }
 
-// Drain makes the backend finish what it has and reject what is new.
+// Drain makes the backend complete the RPCs that it has and reject new ones.
 func (m *Model) Drain() { m.draining = true }
 
-// collapse ends all work and all connections for good.
+// collapse ends all work and all connections permanently.
 func (m *Model) collapse() {
 	m.collapsed = true
 	m.emit(Collapsed{})
@@ -82,13 +83,13 @@
 	clear(m.conns)
 }
 
-// Capacity is the RPCs a second of a method that the backend can execute at present, with its faults. That some clients
-// are rejected or get no answer does not count.
+// Capacity returns how many RPCs of a method per second the backend can execute at present, given its faults. Faults that
+// affect only some clients or connections are not considered.
 func (m *Model) Capacity(now Seconds, method int) float64 {
-	if m.collapsed || m.faults.hangs > 0 || m.faults.failsMethod(method) {
+	if m.collapsed || m.faults.hangCount > 0 || m.faults.failsMethod(method) {
 		return 0
 	}
-	meanWork := m.config.workOf(method).Mean * m.faults.meanCost()
+	meanWork := m.config.workOf(method).Mean * m.faults.meanWorkFactor()
 	workPerSecond := float64(m.config.Cores) * m.config.Speed * m.WarmupFactor(now) / m.faults.slowdown
 	return workPerSecond / meanWork * (1 - m.faults.failShare)
 }
--- a/internal/emulator/model_test.go
+++ b/internal/emulator/model_test.go
@@ -8,19 +8,20 @@
 	"pgregory.net/rapid"
 )
 
-// testConfig is a warm backend with an unbounded queue.
+// testConfig returns the configuration of a warm backend with a practically unlimited queue.
 func testConfig(cores int, work Work) Config {
 	return Config{Backend: 1, Cores: cores, Speed: 1, Work: []Work{work}, QueueLimit: 1 << 30, Seed: 7}
 }
 
-// connectedModel has a connection 1.
+// connectedModel returns a model with an open connection 1.
 func connectedModel(config Config) *Model {
 	model := NewModel(config, 0)
 	model.Connect(1, "")
 	return model
 }
 
-// advanceUntil advances a model to a time and gives the statuses of the replies and the executions on the way, by RPC.
+// advanceUntil advances a model to a time, timer by timer, and returns the status of each reply and the number of executions,
+// by RPC.
 func advanceUntil(model *Model, until Seconds) (statuses map[uint64]Status, executions map[uint64]int) {
 	statuses, executions = map[uint64]Status{}, map[uint64]int{}
 	for {
@@ -44,11 +45,12 @@
 	model       *Model
 	now         Seconds
 	submittedAt []Seconds // by RPC
-	executed    int
-	waited      int
+	executed    int       // RPCs
+	waited      int       // RPCs that did not start at once
 	totalWait   Seconds
 }
 
+// advance advances the model, and counts the executions that begin and their waits. Waits up to 1 ns are rounding errors.
 func (r *waitRun) advance(now Seconds) {
 	r.now = now
 	for _, effect := range r.model.Advance(now) {
@@ -64,8 +66,9 @@
 	}
 }
 
-// waits submits RPCs as a Poisson process and gives the mean wait for a core and the share that waited at all.
-func waits(config Config, load float64, count int) (mean, waited float64) {
+// measureWaits submits RPCs as a Poisson process at a load relative to the capacity, and returns the mean wait for a core and
+// the share of RPCs that waited at all.
+func measureWaits(config Config, load float64, count int) (mean, waited float64) {
 	run := &waitRun{model: connectedModel(config), submittedAt: make([]Seconds, count)}
 	random := NewRandom(3)
 	rate := load * config.Capacity([]float64{1})
@@ -82,7 +85,7 @@
 	return run.totalWait / float64(run.executed), float64(run.waited) / float64(run.executed)
 }
 
-// erlangC is the chance to wait in an M/M/c queue.
+// erlangC returns the probability of waiting in an M/M/c queue (the Erlang C formula).
 func erlangC(cores int, load float64) float64 {
 	offered := load * float64(cores)
 	blocked := 1.0
@@ -92,6 +95,7 @@
 	return blocked / (1 - load*(1-blocked))
 }
 
+// waitSamples returns the number of RPCs of a measurement of waits.
 func waitSamples() int {
 	if testing.Short() {
 		return 100000
@@ -99,11 +103,11 @@
 	return 400000
 }
 
-// With exponential work the waits are those of an M/M/c queue.
+// With exponentially distributed work, the share of RPCs that wait and the mean wait are those of an M/M/c queue.
 func TestWaitsFollowErlangC(t *testing.T) {
 	for _, cores := range []int{1, 4, 16} {
 		for _, load := range []float64{0.5, 0.7, 0.9} {
-			mean, waited := waits(testConfig(cores, Work{Mean: 0.05}), load, waitSamples())
+			mean, waited := measureWaits(testConfig(cores, Work{Mean: 0.05}), load, waitSamples())
 			chance := erlangC(cores, load)
 			want := chance * 0.05 / (float64(cores) * (1 - load))
 			if math.Abs(waited-chance) > 0.02 || math.Abs(mean-want) > 0.08*want {
@@ -113,7 +117,7 @@
 	}
 }
 
-// With one core and any distribution of work the mean wait is that of an M/G/1 queue.
+// With one core and any distribution of work, the mean wait is that of an M/G/1 queue (the Pollaczek-Khinchine formula).
 func TestWaitsFollowPollaczekKhinchine(t *testing.T) {
 	for _, text := range []string{"fixed", "exponential", "lognormal:1.5", "pareto:3.5"} {
 		work, err := ParseWork(text, 0.02)
@@ -121,7 +125,7 @@
 			t.Fatal(err)
 		}
 		for _, load := range []float64{0.4, 0.8} {
-			mean, _ := waits(testConfig(1, work), load, waitSamples())
+			mean, _ := measureWaits(testConfig(1, work), load, waitSamples())
 			rate := load / 0.02
 			want := rate * work.SecondMoment() / (2 * (1 - load))
 			if math.Abs(mean-want) > 0.12*want {
@@ -131,14 +135,14 @@
 	}
 }
 
-// workRun compares one RPC's execution with the work done by small steps of time.
+// workRun executes one RPC and computes the work done on it independently of the model, by numerical integration.
 type workRun struct {
 	model    *Model
 	now      Seconds
 	slowdown float64
 	hangs    bool
-	workDone Seconds
-	finished bool
+	workDone Seconds // by integration
+	finished bool    // the model has replied
 }
 
 func (r *workRun) collect(effects []Effect) {
@@ -149,6 +153,7 @@
 	}
 }
 
+// advance advances the model, and integrates the core's speed over the same time in 2000 steps.
 func (r *workRun) advance(until Seconds) {
 	const steps = 2000
 	length := (until - r.now) / steps
@@ -162,7 +167,7 @@
 	r.now = until
 }
 
-// changeFault slows the backend down, makes it hang or heals it, or does nothing.
+// changeFault randomly changes the slowdown, starts or heals a hang, or does nothing.
 func (r *workRun) changeFault(rapidT *rapid.T) error {
 	command := ""
 	switch rapid.IntRange(0, 3).Draw(rapidT, "fault") {
@@ -181,7 +186,8 @@
 	return r.model.command(command)
 }
 
-// An RPC is done when the integral of the core's speed is its work, whatever changes on the way.
+// An RPC is done when the integral of the core's speed over time reaches its work, however warm-up, slowdowns and hangs change
+// the speed meanwhile.
 func TestWorkIsConserved(t *testing.T) {
 	rapid.Check(t, func(rapidT *rapid.T) {
 		config := testConfig(1, Work{Mean: 1, Family: Constant})
@@ -207,13 +213,14 @@
 	})
 }
 
-// collapses tells whether a backend of an age collapses under a share of the work that overloads it.
-func collapses(age, load float64) bool {
+// collapsesUnderLoad reports whether a backend of an age in seconds collapses under a load relative to its overload bound. The
+// RPCs arrive within 20 ms.
+func collapsesUnderLoad(age, load float64) bool {
 	model := connectedModel(Config{
 		Backend: 1, Cores: 4, Speed: 1, Work: []Work{{Mean: 0.05, Family: Constant}}, QueueLimit: 1e6,
 		StartsCold: true, ColdSpeed: 0.25, WarmupTime: 10, OverloadMultiple: 2.5, OverloadWindow: 1, Seed: 1,
 	})
-	bound := 2.5*model.WarmupFactor(age)*80 + 2 // RPCs in a window
+	bound := 2.5*model.WarmupFactor(age)*80 + 2 // RPCs in a window: overloadSlackRPCs above OverloadMultiple times the capacity
 	collapsed := false
 	for i := range int(bound * load) {
 		at := age + float64(i)/(bound*load)*0.02
@@ -227,20 +234,21 @@
 	return collapsed || model.HasCollapsed()
 }
 
-// A backend that is warming up collapses just above its bound and not just below; a warm one does not collapse.
+// A backend that is warming up collapses slightly above its overload bound and not slightly below it; a warm one never does.
 func TestOverloadBound(t *testing.T) {
 	for _, age := range []float64{0, 5, 9, 30} {
 		for _, load := range []float64{0.9, 1.15} {
 			want := load > 1 && age < 10
-			if got := collapses(age, load); got != want {
+			if got := collapsesUnderLoad(age, load); got != want {
 				t.Errorf("at age %v s with %.2f of the bound: collapsed %v", age, load, got)
 			}
 		}
 	}
 }
 
-// modelWithThree has RPCs 1 and 2 of connection 1, of which the first runs, and RPC 3 of connection 2, each of a second.
-func modelWithThree(policy CancelPolicy, timeLeft [3]Seconds) *Model {
+// modelWithThreeRPCs returns a model with one core, RPC 1 of connection 1 running, and RPC 2 of connection 1 and RPC 3 of
+// connection 2 queued. Each takes a second.
+func modelWithThreeRPCs(policy CancelPolicy, timeLeft [3]Seconds) *Model {
 	config := testConfig(1, Work{Mean: 1, Family: Constant})
 	config.CancelPolicy = policy
 	model := connectedModel(config)
@@ -251,11 +259,12 @@
 	return model
 }
 
+// RPCs 1 and 2 pass their deadlines while RPC 1 runs: the cancel policy decides whether RPC 2 is executed and RPC 1 answered.
 func TestCancelByDeadline(t *testing.T) {
 	for policy, executed := range map[CancelPolicy][3]bool{
 		IgnoreCancel: {true, true, true}, DropQueued: {true, false, true}, CancelRunning: {true, false, true},
 	} {
-		statuses, executions := advanceUntil(modelWithThree(policy, [3]Seconds{0.5, 0.4, 9}), 20)
+		statuses, executions := advanceUntil(modelWithThreeRPCs(policy, [3]Seconds{0.5, 0.4, 9}), 20)
 		for i, want := range executed {
 			if (executions[uint64(i+1)] == 1) != want {
 				t.Errorf("policy %d: RPC %d was executed %d times", policy, i+1, executions[uint64(i+1)])
@@ -268,9 +277,10 @@
 	}
 }
 
+// After the connection of RPCs 1 and 2 is closed, the cancel policy decides how many of them delay the reply to RPC 3.
 func TestCancelByDisconnect(t *testing.T) {
 	for policy, finishedAt := range map[CancelPolicy]Seconds{IgnoreCancel: 3, DropQueued: 2, CancelRunning: 1} {
-		model := modelWithThree(policy, [3]Seconds{9, 9, 9})
+		model := modelWithThreeRPCs(policy, [3]Seconds{9, 9, 9})
 		model.Disconnect(1)
 		statuses, _ := advanceUntil(model, finishedAt-0.01)
 		if _, early := statuses[3]; early {
@@ -298,7 +308,7 @@
 		}
 	}
 	if inFlight != 5 || queued != 3 || coreUsage != 1 || rejected != 3 {
-		t.Error(inFlight, queued, coreUsage, statuses)
+		t.Errorf("%d in flight, want 5; %d queued, want 3; core usage %v, want 1; %d rejected, want 3: %v", inFlight, queued, coreUsage, rejected, statuses)
 	}
 }
 
@@ -318,16 +328,16 @@
 	}
 	advance(0.1)
 	if len(statuses) != 1 || statuses[2] != StatusRejected {
-		t.Error("want the second of two probes rejected:", statuses)
+		t.Error("want only the second of two probes rejected so far:", statuses)
 	}
 	advance(0.6)
 	if statuses[1] != StatusOK || len(statuses) != 2 {
-		t.Error(statuses)
+		t.Error("want the first probe answered with OK:", statuses)
 	}
 }
 
-// replyLoads gives the loads in the replies to 20 RPCs that came at once, of a backend with one core.
-func replyLoads(reports bool, delay Seconds, noise float64) []float64 {
+// reportedLoads returns the loads in the replies to 20 RPCs of 0.1 s that arrived at a backend with one core at once.
+func reportedLoads(reports bool, delay Seconds, noise float64) []float64 {
 	config := testConfig(1, Work{Mean: 0.1, Family: Constant})
 	config.ReportsLoad, config.ReportDelay, config.ReportNoise = reports, delay, noise
 	model := connectedModel(config)
@@ -345,25 +355,25 @@
 	return loads
 }
 
-// Load reports have the configured delay and noise; a backend without reports says so.
+// Load reports have the configured delay and noise. The replies of a backend without reports have a negative load.
 func TestLoadReports(t *testing.T) {
-	if loads := replyLoads(false, 0, 0); len(loads) != 20 || loads[0] >= 0 {
+	if loads := reportedLoads(false, 0, 0); len(loads) != 20 || loads[0] >= 0 {
 		t.Errorf("a backend without load reports reported %v", loads)
 	}
-	exact := replyLoads(true, 0, 0)
+	exact := reportedLoads(true, 0, 0)
 	for k, load := range exact {
 		if load != float64(19-k) {
 			t.Fatalf("reply %d reported %v", k+1, load)
 		}
 	}
-	delayed := replyLoads(true, 0.5, 0)
-	for k := 8; k < 20; k++ { // half a second is five replies
+	delayed := reportedLoads(true, 0.5, 0)
+	for k := 8; k < 20; k++ { // the backend sends five replies in half a second
 		if delayed[k] < exact[k]+4 || delayed[k] > exact[k]+6 {
 			t.Errorf("reply %d reported %v; the load was %v then and %v half a second before", k+1, delayed[k], exact[k], exact[k-5])
 		}
 	}
 	difference, unchanged := 0.0, 0
-	for k, load := range replyLoads(true, 0, 0.5) {
+	for k, load := range reportedLoads(true, 0, 0.5) {
 		difference += load - exact[k]
 		if load == exact[k] {
 			unchanged++
@@ -374,6 +384,7 @@
 	}
 }
 
+// With a cache of two keys, an RPC of 1 s takes 0.25 s if its key is one of the two that were used last.
 func TestCacheSavesWork(t *testing.T) {
 	config := testConfig(4, Work{Mean: 1, Family: Constant})
 	config.CacheSize, config.CacheSavings = 2, 0.75
@@ -385,10 +396,10 @@
 	}{{1, 1}, {1, 0.25}, {2, 1}, {1, 0.25}, {3, 1}, {2, 1}, {1, 1}, {0, 1}} {
 		model.Submit(1, RPC{ID: uint64(i + 1), CacheKey: access.key, TimeLeft: 9})
 		if statuses, _ := advanceUntil(model, startedAt+access.takes-0.01); len(statuses) > 0 {
-			t.Errorf("%d: key %d done too soon", i, access.key)
+			t.Errorf("RPC %d with key %d: reply before %v s", i+1, access.key, access.takes)
 		}
 		if statuses, _ := advanceUntil(model, startedAt+access.takes+0.01); len(statuses) != 1 {
-			t.Errorf("%d: key %d not done in %v s", i, access.key, access.takes)
+			t.Errorf("RPC %d with key %d: no reply after %v s", i+1, access.key, access.takes)
 		}
 		startedAt += access.takes + 0.01
 	}
--- a/internal/emulator/random.go
+++ b/internal/emulator/random.go
@@ -5,20 +5,21 @@
 	"math/rand/v2"
 )
 
-// randomStream is the second half of the generators' seed, so that other packages' streams of the same seed differ.
+// randomStream is the second word of the generators' seeds. It makes their streams differ from those that other packages
+// derive from the same seed.
 const randomStream = 0x9e3779b97f4a7c15
 
-// Random draws random numbers that depend on a seed alone. It is a full generator because a cheaper hash of a counter
-// gave correlated neighbours: arrivals came too evenly, and queues were shorter than queueing theory says.
+// Random draws random numbers that depend only on a seed. It uses PCG because successive values of a cheaper generator, a hash
+// of a counter, were correlated: arrivals were too evenly spaced, and queues shorter than queueing theory predicts.
 type Random struct{ generator *rand.Rand }
 
-// NewRandom makes a generator.
+// NewRandom returns a generator with a seed.
 func NewRandom(seed uint64) Random { return Random{rand.New(rand.NewPCG(seed, randomStream))} }
 
-// Uniform draws from 0 to 1, 1 excluded.
+// Uniform draws from the uniform distribution over [0, 1).
 func (r *Random) Uniform() float64 { return r.generator.Float64() }
 
-// Interarrival draws the time until the next arrival of a Poisson process with a rate a second; +Inf at a rate of 0.
+// Interarrival draws the time until the next arrival of a Poisson process with a rate per second; +Inf if the rate is 0.
 func (r *Random) Interarrival(rate float64) Seconds {
 	if rate <= 0 {
 		return math.Inf(1)
@@ -26,13 +27,13 @@
 	return r.exponential() / rate
 }
 
-// exponential draws from the exponential distribution with the mean 1.
+// exponential draws from the exponential distribution with mean 1.
 func (r *Random) exponential() float64 {
 	return r.generator.ExpFloat64()
 }
 
-// lognormal draws from the lognormal distribution with the mean 1 and a coefficient of variation.
-func (r *Random) lognormal(variation float64) float64 {
-	variance := math.Log(1 + variation*variation)
+// lognormal draws from the lognormal distribution with mean 1 and the given coefficient of variation.
+func (r *Random) lognormal(coefficientOfVariation float64) float64 {
+	variance := math.Log(1 + coefficientOfVariation*coefficientOfVariation)
 	return math.Exp(math.Sqrt(variance)*r.generator.NormFloat64() - variance/2)
 }
--- a/internal/emulator/warmup.go
+++ b/internal/emulator/warmup.go
@@ -3,15 +3,17 @@
 import "math"
 
 const (
-	// overloadSlack is how many RPCs of mean work the arrivals may exceed the overload bound by, as chance brings them.
-	overloadSlack = 2
-	// overloadRatioStep is by how much the overload ratio must grow to be reported again.
+	// overloadSlackRPCs is the number of RPCs of mean work that is added to the overload bound to allow for random clusters of
+	// arrivals.
+	overloadSlackRPCs = 2
+	// overloadRatioStep is the increase of the overload ratio at which it is reported again.
 	overloadRatioStep = 0.05
-	// minWarmupSlope is below which the warm-up is taken as constant, as the quadratic would divide by almost nothing.
+	// minWarmupSlope is the increase of the warm-up factor per second below which the factor is treated as constant, since
+	// the solution of the quadratic equation would divide by almost 0.
 	minWarmupSlope = 1e-12
 )
 
-// WarmupFactor is the share of its speed that the backend has, which grows evenly from ColdSpeed to 1.
+// WarmupFactor returns the current share of the full speed, which increases linearly from ColdSpeed to 1 during the warm-up.
 func (m *Model) WarmupFactor(now Seconds) float64 {
 	if age := now - m.startedAt; age < m.config.WarmupTime {
 		return m.config.ColdSpeed + (1-m.config.ColdSpeed)*max(age, 0)/m.config.WarmupTime
@@ -19,7 +21,7 @@
 	return 1
 }
 
-// workDone is the work that a core does between two times if it does not hang.
+// workDone returns the work that a core does between two times if the backend does not hang.
 func (m *Model) workDone(from, until Seconds) Seconds {
 	warmAt := m.startedAt + m.config.WarmupTime
 	fullSpeedTime := 0.0
@@ -35,8 +37,8 @@
 	return fullSpeedTime * m.config.Speed / m.faults.slowdown
 }
 
-// finishTime is when a core that begins at a time has done some work. During the warm-up the work done is a quadratic
-// function of time.
+// finishTime returns when a core that starts at a time has done an amount of work. During the warm-up the work done is a
+// quadratic function of time, as the speed increases linearly.
 func (m *Model) finishTime(from, work Seconds) Seconds {
 	warmAt := m.startedAt + m.config.WarmupTime
 	fullSpeedTime := work * m.faults.slowdown / m.config.Speed
@@ -45,42 +47,44 @@
 	}
 	factor := m.WarmupFactor(from)
 	slope := (1 - m.config.ColdSpeed) / m.config.WarmupTime
-	var takes float64
+	var duration float64
 	if slope < minWarmupSlope {
-		takes = fullSpeedTime / factor
+		duration = fullSpeedTime / factor
 	} else {
-		takes = (-factor + math.Sqrt(factor*factor+2*slope*fullSpeedTime)) / slope
+		duration = (-factor + math.Sqrt(factor*factor+2*slope*fullSpeedTime)) / slope
 	}
-	if from+takes <= warmAt {
-		return from + takes
+	if from+duration <= warmAt {
+		return from + duration
 	}
 	fullSpeedTime -= (factor + 1) / 2 * (warmAt - from)
 	return warmAt + fullSpeedTime
 }
 
-// overloadWindow is the work that arrived within the last overload window of a backend that is warming up.
+// overloadWindow tracks the work that arrived within the last Config.OverloadWindow while the backend is warming up.
 type overloadWindow struct {
 	arrivals []arrivedWork // oldest first
 	total    Seconds
-	maxRatio float64 // of those that were reported
+	maxRatio float64 // the largest ratio of total to the overload bound that was reported
 }
 
+// arrivedWork is the work of an RPC and its time of arrival.
 type arrivedWork struct {
 	at   Seconds
 	work Seconds
 }
 
-// add adds work and forgets what arrived before the window.
-func (o *overloadWindow) add(now, work, length Seconds) {
+// add adds work that arrives now, and removes the work that arrived before the window of windowLength.
+func (o *overloadWindow) add(now, work, windowLength Seconds) {
 	o.arrivals = append(o.arrivals, arrivedWork{now, work})
 	o.total += work
-	for o.arrivals[0].at < now-length {
+	for o.arrivals[0].at < now-windowLength {
 		o.total -= o.arrivals[0].work
 		o.arrivals = o.arrivals[1:]
 	}
 }
 
-// addArrival counts work that arrives at a backend that is warming up, and tells whether it overloads the backend.
+// addArrival adds the work of an RPC that arrives, and reports whether it makes the backend collapse. Only a backend that is
+// warming up can collapse.
 func (m *Model) addArrival(work Seconds) (overloaded bool) {
 	window := m.config.OverloadWindow
 	if window <= 0 || m.WarmupFactor(m.now) >= 1 {
@@ -95,9 +99,9 @@
 	return m.overload.total > bound
 }
 
-// overloadBound is the work within an overload window above which the backend collapses at present.
+// overloadBound returns the work within an overload window above which the backend would collapse at present.
 func (m *Model) overloadBound() Seconds {
 	config := &m.config
 	bound := config.OverloadMultiple * m.WarmupFactor(m.now) * config.Speed * float64(config.Cores) / m.faults.slowdown
-	return bound*config.OverloadWindow + overloadSlack*config.workOf(0).Mean
+	return bound*config.OverloadWindow + overloadSlackRPCs*config.workOf(0).Mean
 }
--- a/internal/emulator/work.go
+++ b/internal/emulator/work.go
@@ -11,30 +11,32 @@
 // Family is a family of distributions.
 type Family uint8
 
-// The families of distributions.
+// The families of distributions, and what Work.Param is in each.
 const (
-	Exponential Family = iota
-	Constant
-	Lognormal // Param: the coefficient of variation
-	Pareto    // Param: the tail exponent, above minParetoExponent
+	Exponential Family = iota // not used
+	Constant                  // not used
+	Lognormal                 // the coefficient of variation
+	Pareto                    // the tail exponent, above minParetoExponent
 )
 
 const (
-	// minParetoExponent is the exponent at and below which the variance of the work, and so the mean wait, is infinite.
+	// minParetoExponent is the exponent up to which the variance of the work is infinite, and with it the mean wait in a queue.
 	minParetoExponent = 2
-	maxWorkParam      = 1000
+	// maxWorkParam is the value that Work.Param must be below.
+	maxWorkParam = 1000
 )
 
-var errWork = errors.New("invalid work distribution")
+var errInvalidWork = errors.New("invalid work distribution")
 
 // Work is the distribution of the work of a method's RPCs, in seconds on one core of speed 1.
 type Work struct {
 	Mean   Seconds
 	Family Family
-	Param  float64
+	Param  float64 // its meaning depends on the family
 }
 
-// ParseWork reads exponential, fixed, lognormal:CV or pareto:EXPONENT.
+// ParseWork parses a distribution with a given mean: exponential, fixed, lognormal:CV or pareto:EXPONENT, where CV is the
+// coefficient of variation.
 func ParseWork(text string, mean Seconds) (Work, error) {
 	name, argument, hasArgument := strings.Cut(text, ":")
 	work := Work{Mean: mean}
@@ -42,7 +44,7 @@
 		var err error
 		work.Param, err = strconv.ParseFloat(argument, 64)
 		if err != nil || !(work.Param > 0 && work.Param < maxWorkParam) {
-			return work, fmt.Errorf("%w %q: want a number above 0 and below %d, got %q", errWork, text, maxWorkParam, argument)
+			return work, fmt.Errorf("%w %q: want a number above 0 and below %d, got %q", errInvalidWork, text, maxWorkParam, argument)
 		}
 	}
 	switch {
@@ -55,9 +57,9 @@
 	case name == "pareto" && hasArgument && work.Param > minParetoExponent:
 		work.Family = Pareto
 	case name == "pareto" && hasArgument:
-		return work, fmt.Errorf("%w %q: want an exponent above %d, got %v", errWork, text, minParetoExponent, work.Param)
+		return work, fmt.Errorf("%w %q: want an exponent above %d, got %v", errInvalidWork, text, minParetoExponent, work.Param)
 	default:
-		return work, fmt.Errorf("%w %q: want exponential, fixed, lognormal:CV or pareto:EXPONENT", errWork, text)
+		return work, fmt.Errorf("%w %q: want exponential, fixed, lognormal:CV or pareto:EXPONENT", errInvalidWork, text)
 	}
 	return work, nil
 }
@@ -75,7 +77,7 @@
 	return random.exponential() * w.Mean
 }
 
-// CDF is the chance that the work of an RPC is no more than a bound.
+// CDF returns the probability that the work of an RPC is at most bound.
 func (w Work) CDF(bound Seconds) float64 {
 	switch w.Family {
 	case Constant:
@@ -92,7 +94,7 @@
 	return 1 - math.Exp(-bound/w.Mean)
 }
 
-// SecondMoment is the mean of the work's square, on which the mean wait in a queue depends.
+// SecondMoment returns the mean of the square of the work, on which the mean wait in a queue depends.
 func (w Work) SecondMoment() float64 {
 	switch w.Family {
 	case Constant:
@@ -106,6 +108,7 @@
 	return 2 * w.Mean * w.Mean
 }
 
+// paretoMinimum returns the smallest work of the Pareto distribution.
 func (w Work) paretoMinimum() Seconds {
 	return w.Mean * (w.Param - 1) / w.Param
 }
--- a/internal/emulator/work_test.go
+++ b/internal/emulator/work_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The distributions have the mean and the second moment that they claim.
+// The samples of each distribution have the mean and the second moment that Work gives for it.
 func TestSampleMoments(t *testing.T) {
 	for _, text := range []string{"fixed", "exponential", "lognormal:0.5", "pareto:5"} {
 		work, err := ParseWork(text, 2)
@@ -28,13 +28,13 @@
 
 func TestParseWorkRejects(t *testing.T) {
 	for _, text := range []string{"pareto:2", "pareto", "lognormal", "fixed:1", "normal", "lognormal:-1", "exponential:2", "lognormal:NaN"} {
-		if _, err := ParseWork(text, 1); !errors.Is(err, errWork) {
-			t.Errorf("%s: got %v, want %v", text, err, errWork)
+		if _, err := ParseWork(text, 1); !errors.Is(err, errInvalidWork) {
+			t.Errorf("%s: got %v, want %v", text, err, errInvalidWork)
 		}
 	}
 }
 
-// The share of samples up to a bound is the cumulative distribution there.
+// The share of samples up to a bound is the value of the cumulative distribution function there.
 func TestCDF(t *testing.T) {
 	for _, work := range []Work{
 		{Mean: 0.1}, {Mean: 0.1, Family: Constant}, {Mean: 0.1, Family: Lognormal, Param: 1.5}, {Mean: 0.1, Family: Pareto, Param: 2.5},
--- a/internal/endpointfile/encoding.go
+++ b/internal/endpointfile/encoding.go
@@ -20,7 +20,7 @@
 
 // Encode returns the state of the list in its stored format.
 func (l *List) Encode() ([]byte, error) {
-	data, err := json.Marshal(storedList{Format: storedFormat, Version: l.version, Endpoints: l.Endpoints(), Rejected: l.rejected})
+	data, err := json.Marshal(storedList{Format: storedFormat, Version: l.version, Endpoints: l.Endpoints(), Rejected: l.rejectedFingerprint})
 	if err != nil {
 		return nil, fmt.Errorf("encode the endpoint list: %w", err)
 	}
@@ -37,7 +37,7 @@
 		return nil, fmt.Errorf("decode the endpoint list: %w %d, expected %d", ErrFormat, stored.Format, storedFormat)
 	}
 	list := New(settings)
-	list.version, list.rejected = stored.Version, stored.Rejected
+	list.version, list.rejectedFingerprint = stored.Version, stored.Rejected
 	for _, endpoint := range stored.Endpoints {
 		if list.endpoints[endpoint.ID] != nil || endpoint.State > Draining || !validWeight(endpoint.Weight) {
 			return nil, fmt.Errorf("decode the endpoint list: %w %d", ErrCorrupt, endpoint.ID)
--- a/internal/endpointfile/encoding_test.go
+++ b/internal/endpointfile/encoding_test.go
@@ -9,12 +9,12 @@
 func TestStoredFormat(t *testing.T) {
 	list := New(testSettings)
 	backends := makeBackends(4, 1)
-	apply(t, list, 5, backends)
+	mustApply(t, list, 5, backends)
 	backends[1].Addr = "o:1"
 	backends[2].Draining = true
-	apply(t, list, 6, backends)
-	apply(t, list, 7, backends[:3])
-	apply(t, list, 8, backends[:1])
+	mustApply(t, list, 6, backends)
+	mustApply(t, list, 7, backends[:3])
+	mustApply(t, list, 8, backends[:1])
 	if _, err := list.Apply(9, []Backend{{ID: 9, Name: "n", Addr: "h:9", Weight: 2}}); err == nil {
 		t.Fatal("a file without any of the open backends was accepted")
 	}
--- a/internal/endpointfile/invariants_test.go
+++ b/internal/endpointfile/invariants_test.go
@@ -53,8 +53,8 @@
 	return file
 }
 
-// requireFollows fails the test unless the list says what an accepted file says, and all else drains.
-func requireFollows(t *rapid.T, list *List, file []Backend) {
+// requireListFollowsFile fails the test unless the list says what an accepted file says, and all else drains.
+func requireListFollowsFile(t *rapid.T, list *List, file []Backend) {
 	byID := map[uint32]Backend{}
 	for _, backend := range file {
 		byID[backend.ID] = backend
@@ -93,7 +93,7 @@
 				rapidT.Fatalf("%d changes took the version from %d to %d", len(changed), version, list.Version())
 			}
 			drains.observe(now, changed)
-			requireFollows(rapidT, list, file)
+			requireListFollowsFile(rapidT, list, file)
 		}
 	})
 }
--- a/internal/endpointfile/list.go
+++ b/internal/endpointfile/list.go
@@ -51,10 +51,10 @@
 
 // List is the endpoint list that follows a file.
 type List struct {
-	settings  Settings
-	version   uint64
-	endpoints map[uint32]*Endpoint
-	rejected  string // the fingerprint of the file that was rejected last for its losses; empty after a file was applied
+	settings            Settings
+	version             uint64
+	endpoints           map[uint32]*Endpoint
+	rejectedFingerprint string // the fingerprint of the file that was rejected last for its losses; empty after a file was applied
 }
 
 // New returns an empty list.
@@ -80,19 +80,19 @@
 // Apply makes the list follow a file of backends and returns the endpoints that changed, by ID. A file that is rejected changes
 // no endpoint: the error is ErrNoBackends, a *DuplicateError, a *WeightError or a *LossError.
 func (l *List) Apply(now Seconds, backends []Backend) ([]Endpoint, error) {
-	byID, err := index(backends)
+	byID, err := indexByID(backends)
 	if err != nil {
 		return nil, err
 	}
-	if loss := l.loss(byID); loss != nil {
+	if loss := l.checkLoss(byID); loss != nil {
 		file := fingerprint(backends)
-		if l.rejected != file {
-			l.rejected = file
+		if l.rejectedFingerprint != file {
+			l.rejectedFingerprint = file
 			return nil, loss
 		}
 	}
-	l.rejected = ""
-	changed := append(l.update(now, backends), l.drainMissing(now, byID)...)
+	l.rejectedFingerprint = ""
+	changed := append(l.updateListed(now, backends), l.drainMissing(now, byID)...)
 	if len(changed) > 0 {
 		l.version++
 	}
@@ -100,8 +100,8 @@
 	return changed, nil
 }
 
-// index checks the backends of a file and returns them by ID.
-func index(backends []Backend) (map[uint32]Backend, error) {
+// indexByID checks the backends of a file and returns them by ID.
+func indexByID(backends []Backend) (map[uint32]Backend, error) {
 	byID := map[uint32]Backend{}
 	used := 0
 	for _, backend := range backends {
@@ -125,8 +125,8 @@
 // validWeight reports whether a weight is above zero; NaN is not.
 func validWeight(weight float64) bool { return weight > 0 }
 
-// loss returns an error if a file would take more open endpoints out of use than the settings allow, nil otherwise.
-func (l *List) loss(byID map[uint32]Backend) *LossError {
+// checkLoss returns an error if a file would take more open endpoints out of use than the settings allow, nil otherwise.
+func (l *List) checkLoss(byID map[uint32]Backend) *LossError {
 	open, lost := 0, 0
 	for _, endpoint := range l.endpoints {
 		if endpoint.State != Open {
@@ -143,8 +143,8 @@
 	return &LossError{Lost: lost, Open: open, MaxShare: l.settings.MaxLossShare}
 }
 
-// update adds or updates the endpoint of each backend of a file, and returns those that changed.
-func (l *List) update(now Seconds, backends []Backend) (changed []Endpoint) {
+// updateListed adds or updates the endpoint of each backend of a file, and returns those that changed.
+func (l *List) updateListed(now Seconds, backends []Backend) (changed []Endpoint) {
 	for _, backend := range backends {
 		state := Open
 		if backend.Draining {
--- a/internal/endpointfile/list_test.go
+++ b/internal/endpointfile/list_test.go
@@ -16,7 +16,7 @@
 	return backends
 }
 
-func apply(t *testing.T, list *List, now Seconds, backends []Backend) []Endpoint {
+func mustApply(t *testing.T, list *List, now Seconds, backends []Backend) []Endpoint {
 	t.Helper()
 	changed, err := list.Apply(now, backends)
 	if err != nil {
@@ -28,19 +28,19 @@
 // Only what differs between two files changes, and each change in its own way.
 func TestApplyChangesOnlyWhatDiffers(t *testing.T) {
 	list := New(testSettings)
-	if changed := apply(t, list, 0, makeBackends(4, 1)); len(changed) != 4 || changed[0].StartTime != 0 {
+	if changed := mustApply(t, list, 0, makeBackends(4, 1)); len(changed) != 4 || changed[0].StartTime != 0 {
 		t.Fatalf("the first file changed %v", changed)
 	}
-	if changed := apply(t, list, 1, makeBackends(4, 1)); len(changed) != 0 || list.Version() != 1 {
+	if changed := mustApply(t, list, 1, makeBackends(4, 1)); len(changed) != 0 || list.Version() != 1 {
 		t.Fatalf("the same file again changed %v", changed)
 	}
 	backends := makeBackends(4, 1)
 	backends[2].Weight = 7
-	if changed := apply(t, list, 2, backends); len(changed) != 1 || changed[0].Weight != 7 || changed[0].Incarnation != 1 || changed[0].StartTime != 0 {
+	if changed := mustApply(t, list, 2, backends); len(changed) != 1 || changed[0].Weight != 7 || changed[0].Incarnation != 1 || changed[0].StartTime != 0 {
 		t.Fatalf("a weight changed %v", changed)
 	}
 	backends[1].Addr = "other:1"
-	if changed := apply(t, list, 3, backends); len(changed) != 1 || changed[0].Incarnation != 2 || changed[0].StartTime != 3 {
+	if changed := mustApply(t, list, 3, backends); len(changed) != 1 || changed[0].Incarnation != 2 || changed[0].StartTime != 3 {
 		t.Fatalf("another address changed %v", changed)
 	}
 }
@@ -49,22 +49,22 @@
 func TestMissingBackendDrains(t *testing.T) {
 	list := New(testSettings)
 	backends := makeBackends(4, 1)
-	apply(t, list, 3, backends)
-	changed := apply(t, list, 4, backends[:3])
+	mustApply(t, list, 3, backends)
+	changed := mustApply(t, list, 4, backends[:3])
 	if len(changed) != 1 || changed[0].State != Draining || changed[0].RemovalTime != 14 {
 		t.Fatalf("a backend that left the file changed %v", changed)
 	}
 	if at, ok := list.NextRemoval(); !ok || at != 14 || len(list.RemoveDrained(13.9)) != 0 {
 		t.Fatal("the endpoint was removed before its drain was over")
 	}
-	if changed := apply(t, list, 6, backends); len(changed) != 1 || changed[0].State != Open || changed[0].Incarnation != 1 || changed[0].StartTime != 0 {
+	if changed := mustApply(t, list, 6, backends); len(changed) != 1 || changed[0].State != Open || changed[0].Incarnation != 1 || changed[0].StartTime != 0 {
 		t.Fatalf("a backend that returned to the file changed %v", changed)
 	}
-	apply(t, list, 7, backends[:3])
+	mustApply(t, list, 7, backends[:3])
 	if removed := list.RemoveDrained(17); len(removed) != 1 || removed[0].State != Gone || len(list.Endpoints()) != 3 {
 		t.Fatalf("after its drain: %v", removed)
 	}
-	if changed := apply(t, list, 18, backends); len(changed) != 1 || changed[0].StartTime != 18 {
+	if changed := mustApply(t, list, 18, backends); len(changed) != 1 || changed[0].StartTime != 18 {
 		t.Fatalf("a backend that joins others must warm up: %v", changed)
 	}
 }
@@ -73,7 +73,7 @@
 // file was applied in between.
 func TestFileThatLosesMostBackendsIsRejectedOnce(t *testing.T) {
 	list := New(testSettings)
-	apply(t, list, 0, makeBackends(10, 1))
+	mustApply(t, list, 0, makeBackends(10, 1))
 	for _, count := range []int{0, 4} {
 		if _, err := list.Apply(1, makeBackends(count, 1)); err == nil {
 			t.Fatalf("a file of %d of 10 backends was accepted", count)
@@ -82,7 +82,7 @@
 	if len(list.RemoveDrained(1e9)) > 0 || list.Version() != 1 {
 		t.Fatal("a rejected file changed the list")
 	}
-	apply(t, list, 2, makeBackends(10, 2))
+	mustApply(t, list, 2, makeBackends(10, 2))
 	_, err := list.Apply(3, makeBackends(4, 1))
 	if err == nil || !strings.Contains(err.Error(), "6 of 10") {
 		t.Fatalf("after another file: %v", err)
@@ -91,7 +91,7 @@
 	if !errors.As(err, &loss) || *loss != (LossError{Lost: 6, Open: 10, MaxShare: 0.5}) {
 		t.Errorf("error %#v", err)
 	}
-	if changed := apply(t, list, 4, makeBackends(4, 1)); len(changed) != 10 {
+	if changed := mustApply(t, list, 4, makeBackends(4, 1)); len(changed) != 10 {
 		t.Fatalf("applied again it changed %v", changed)
 	}
 }
@@ -99,7 +99,7 @@
 // The errors of files that are rejected however often they are applied, with the texts that operators see.
 func TestInvalidFileIsRejected(t *testing.T) {
 	list := New(testSettings)
-	apply(t, list, 0, makeBackends(4, 1))
+	mustApply(t, list, 0, makeBackends(4, 1))
 	for range 2 {
 		_, err := list.Apply(5, append(makeBackends(4, 1), Backend{ID: 2, Name: "x", Addr: "h", Weight: 1}))
 		var duplicate *DuplicateError
--- a/internal/endpointservice/fleet_test.go
+++ b/internal/endpointservice/fleet_test.go
@@ -22,12 +22,12 @@
 )
 
 const (
-	fleetEpoch     = 1e6 // when the simulated time begins, in seconds
-	fleetZone      = "dc-kewdale"
-	coordinators   = 2
-	frontEnds      = 8
-	fleetBackends  = 6
-	endpointServer = "list" // the address of the endpoint service
+	fleetEpoch          = 1e6 // when the simulated time begins, in seconds
+	fleetZone           = "dc-kewdale"
+	coordinatorCount    = 2
+	frontEndCount       = 8
+	backendCount        = 6
+	endpointServiceAddr = "list" // the address of the endpoint service
 )
 
 // fleet is a simulated fleet whose endpoint list follows files.
@@ -42,8 +42,8 @@
 
 // event is what happens to a fleet at a time in seconds from its start.
 type event struct {
-	at float64
-	do func(f *fleet)
+	at     float64
+	action func(f *fleet)
 }
 
 func fleetSettings(t *testing.T) *bootstrap.Settings {
@@ -66,16 +66,16 @@
 	simulated := &fleet{t: t, settings: fleetSettings(t), network: simnet.New(3, fleetEpoch, 0.0003, 0.0006)}
 	simulated.network.Trace = func(record trace.Record) { simulated.records = append(simulated.records, record) }
 	simulated.addEndpointService()
-	simulated.submit(makeBackends(fleetBackends, 1))
+	simulated.submit(makeBackends(backendCount, 1))
 	simulated.addBackends()
-	for i := range coordinators {
+	for i := range coordinatorCount {
 		simulated.addCoordinator(i)
 	}
-	for i := range frontEnds {
+	for i := range frontEndCount {
 		simulated.addFrontEnd(i)
 	}
 	for _, e := range events {
-		simulated.network.Schedule(fleetEpoch+e.at, func() { e.do(simulated) })
+		simulated.network.Schedule(fleetEpoch+e.at, func() { e.action(simulated) })
 	}
 	simulated.network.RunUntil(fleetEpoch + duration)
 	if len(simulated.network.Failures) > 0 {
@@ -96,11 +96,11 @@
 // submit submits a file; it is applied in the next step, as on sockets.
 func (f *fleet) submit(backends []endpointfile.Backend) {
 	f.service.Submit(backends)
-	f.network.SendCommand(endpointServer, "look")
+	f.network.SendCommand(endpointServiceAddr, "look")
 }
 
 func (f *fleet) addEndpointService() {
-	f.network.AddNode(endpointServer, fleetZone, func(_ statemachine.Seconds, files map[string][]byte) statemachine.Machine {
+	f.network.AddNode(endpointServiceAddr, fleetZone, func(_ statemachine.Seconds, files map[string][]byte) statemachine.Machine {
 		settings := endpointfile.Settings{DrainPeriod: 4, MaxLossShare: 0.5}
 		service, err := New("list", fleetZone, settings, files[StateFile], func(_ int, err error) {
 			if err != nil {
@@ -112,12 +112,12 @@
 		}
 		f.service = service
 		return newTracedService(service)
-	}, endpointServer)
-	f.network.Start(endpointServer)
+	}, endpointServiceAddr)
+	f.network.Start(endpointServiceAddr)
 }
 
 func (f *fleet) addBackends() {
-	for i, backend := range makeBackends(fleetBackends, 1) {
+	for i, backend := range makeBackends(backendCount, 1) {
 		f.network.AddNode(backend.Addr, fleetZone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
 			return emulator.NewBackend(emulator.Config{
 				Backend: backend.ID, Zone: fleetZone, Cores: 4, Speed: 1, Work: []emulator.Work{{Mean: 0.02}}, QueueLimit: 100, Seed: uint64(i),
@@ -132,7 +132,7 @@
 	f.network.AddNode(name, fleetZone, func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
 		config := f.settings.CoordinatorConfig(now)
 		values := maps.Clone(f.settings.Values)
-		values["self"], values["coordinators"] = float64(i), float64(coordinators)
+		values["self"], values["coordinators"] = float64(i), float64(coordinatorCount)
 		config.Settings, config.Seed = choice.DecodeSettings(values), uint64(i)+1
 		records, err := f.network.OpenStore(name)
 		if err != nil {
@@ -143,7 +143,7 @@
 			f.t.Fatal(err)
 		}
 		return coordinator.NewMachine(coordinator.Bootstrap{
-			Name: name, Zone: fleetZone, EndpointListAddr: endpointServer, ModuleConfig: config, HandshakeTimeout: 1, ProxyIdleTimeout: 10,
+			Name: name, Zone: fleetZone, EndpointListAddr: endpointServiceAddr, ModuleConfig: config, HandshakeTimeout: 1, ProxyIdleTimeout: 10,
 			EndpointListIdleTimeout: 5, ProbeTimeout: 1, MaxStreams: 100, MaxProbes: 10,
 		}, state)
 	}, name)
@@ -156,7 +156,7 @@
 	name := fmt.Sprint("f", i)
 	f.network.AddNode(name, fleetZone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
 		return fake.NewFrontEnd(fake.FrontEndConfig{
-			Name: name, Zone: fleetZone, Coordinators: []string{fmt.Sprint("c", i%coordinators), fmt.Sprint("c", 1-i%coordinators)},
+			Name: name, Zone: fleetZone, Coordinators: []string{fmt.Sprint("c", i%coordinatorCount), fmt.Sprint("c", 1-i%coordinatorCount)},
 			Methods: fake.MethodConfigs(settings.Methods), Rate: 15, Policy: settings.Pick, AvoidFor: 5, AttemptTimeout: 0.8,
 			ReportPeriod: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
 		})
@@ -172,9 +172,9 @@
 	}
 	simulated, report := runFleet(t, 40,
 		event{5, submit(5)},
-		event{7, func(f *fleet) { f.network.Kill(endpointServer) }},
+		event{7, func(f *fleet) { f.network.Kill(endpointServiceAddr) }},
 		event{10, func(f *fleet) { // the drain of the sixth backend ended meanwhile
-			f.network.Start(endpointServer)
+			f.network.Start(endpointServiceAddr)
 			f.submit(makeBackends(4, 1))
 		}},
 		event{16, submit(1)}, // truncated
--- a/internal/endpointservice/service.go
+++ b/internal/endpointservice/service.go
@@ -16,15 +16,15 @@
 
 // Service is an endpoint list service whose backends are all in one zone. It implements statemachine.Machine.
 type Service struct {
-	name      string
-	zone      string
-	list      *endpointfile.List
-	submitted [][]endpointfile.Backend
-	onApplied func(changed int, err error)
-	watchers  map[statemachine.Conn]*watcher
-	history   history
-	heartbeat statemachine.Seconds  // when the next one is due
-	effects   *statemachine.Effects // of the step that is running
+	name          string
+	zone          string
+	list          *endpointfile.List
+	submitted     [][]endpointfile.Backend
+	onApplied     func(changed int, err error)
+	watchers      map[statemachine.Conn]*watcher
+	history       history
+	nextHeartbeat statemachine.Seconds  // when the next one is due
+	effects       *statemachine.Effects // of the step that is running
 }
 
 // New returns a service. state is the StateFile of an earlier process, nil if there is none. If it cannot be decoded, New
@@ -60,10 +60,10 @@
 		s.save()
 	}
 	for _, input := range inputs {
-		s.handle(now, input)
+		s.handleInput(now, input)
 	}
 	s.sendHeartbeats(now)
-	effects.WakeBy(s.heartbeat)
+	effects.WakeBy(s.nextHeartbeat)
 	if at, ok := s.list.NextRemoval(); ok {
 		effects.WakeBy(at)
 	}
@@ -105,7 +105,7 @@
 	s.effects.SaveFile(StateFile, data)
 }
 
-func (s *Service) handle(now statemachine.Seconds, input statemachine.Input) {
+func (s *Service) handleInput(now statemachine.Seconds, input statemachine.Input) {
 	switch input.Kind {
 	case statemachine.ConnOpened:
 		s.watchers[input.Conn] = &watcher{conn: input.Conn}
@@ -121,10 +121,10 @@
 
 // sendHeartbeats sends each watcher an empty update when it is due, by which it can tell that the service is alive.
 func (s *Service) sendHeartbeats(now statemachine.Seconds) {
-	if now < s.heartbeat {
+	if now < s.nextHeartbeat {
 		return
 	}
-	s.heartbeat = now + heartbeatInterval
+	s.nextHeartbeat = now + heartbeatInterval
 	for _, client := range s.watchersByConn() {
 		if client.watching {
 			s.send(client, proto.EndpointUpdate{Kind: proto.UpdateDelta, BaseVersion: client.version, Version: client.version})
--- a/internal/endpointservice/service_test.go
+++ b/internal/endpointservice/service_test.go
@@ -76,14 +76,14 @@
 			if message.Kind == proto.UpdateDelta && len(message.Endpoints) == 0 {
 				continue // a heartbeat
 			}
-			h.received[action.Conn] = append(h.received[action.Conn], describe(message))
+			h.received[action.Conn] = append(h.received[action.Conn], describeUpdate(message))
 		case proto.Reject:
 			h.received[action.Conn] = append(h.received[action.Conn], "rejected")
 		}
 	}
 }
 
-func describe(update proto.EndpointUpdate) string {
+func describeUpdate(update proto.EndpointUpdate) string {
 	text := fmt.Sprintf("%s %d-%d", []string{"full", "delta", "failed"}[update.Kind], update.BaseVersion, update.Version)
 	for _, endpoint := range update.Endpoints {
 		text += fmt.Sprintf(" %d%s%g", endpoint.Backend, []string{"gone", "open", "draining"}[endpoint.State], endpoint.Weight)
@@ -91,7 +91,7 @@
 	return text
 }
 
-func data(conn statemachine.Conn, messages ...proto.Message) statemachine.Input {
+func connData(conn statemachine.Conn, messages ...proto.Message) statemachine.Input {
 	input := statemachine.Input{Kind: statemachine.ConnData, Conn: conn}
 	for _, message := range messages {
 		input.Data = proto.Append(input.Data, message)
@@ -102,7 +102,7 @@
 func (h *harness) watch(conn statemachine.Conn, since uint64) {
 	h.t.Helper()
 	h.step(0, statemachine.Input{Kind: statemachine.ConnOpened, Conn: conn},
-		data(conn, proto.Hello{Version: proto.Version, Role: proto.RoleWatcher, Name: "c0"}, proto.WatchEndpoints{On: true, SinceVersion: since}))
+		connData(conn, proto.Hello{Version: proto.Version, Role: proto.RoleWatcher, Name: "c0"}, proto.WatchEndpoints{On: true, SinceVersion: since}))
 }
 
 // requireReceived fails the test unless a watcher received just these messages since it was called last.
@@ -139,7 +139,7 @@
 	watched.requireReceived(1)
 	watched.step(0.2)
 	watched.requireReceived(1, "delta 3-4 3gone1")
-	watched.step(0, data(3, proto.FetchEndpoints{}), data(2, proto.ReportsReceived{}))
+	watched.step(0, connData(3, proto.FetchEndpoints{}), connData(2, proto.ReportsReceived{}))
 	watched.requireReceived(3, "delta 3-4 3gone1", "full 0-4 1open1 2open5")
 	watched.requireReceived(2, "delta 3-4 3gone1", "rejected", "closed")
 }
--- a/internal/endpointservice/trace_test.go
+++ b/internal/endpointservice/trace_test.go
@@ -86,12 +86,12 @@
 			continue
 		}
 		effects.Record(trace.Record{
-			Time: now, Kind: trace.EndpointsDelivered, Coordinator: s.names[action.Conn], Count: int64(update.Version), Text: traceText(now, update),
+			Time: now, Kind: trace.EndpointsDelivered, Coordinator: s.names[action.Conn], Count: int64(update.Version), Text: updateTraceText(now, update),
 		})
 	}
 }
 
-func traceText(now statemachine.Seconds, update proto.EndpointUpdate) string {
+func updateTraceText(now statemachine.Seconds, update proto.EndpointUpdate) string {
 	text := []string{"full", "changes"}[update.Kind]
 	for _, endpoint := range update.Endpoints {
 		start := now - endpoint.Age
--- a/internal/endpointservice/watcher.go
+++ b/internal/endpointservice/watcher.go
@@ -56,14 +56,14 @@
 		endpoints = s.list.Endpoints()
 	}
 	for _, endpoint := range endpoints {
-		update.Endpoints = append(update.Endpoints, s.message(now, endpoint))
+		update.Endpoints = append(update.Endpoints, s.endpointMessage(now, endpoint))
 	}
 	client.version = version
 	s.send(client, update)
 }
 
-// message returns an endpoint as the protocol has it.
-func (s *Service) message(now statemachine.Seconds, endpoint endpointfile.Endpoint) proto.Endpoint {
+// endpointMessage returns an endpoint as the protocol has it.
+func (s *Service) endpointMessage(now statemachine.Seconds, endpoint endpointfile.Endpoint) proto.Endpoint {
 	message := proto.Endpoint{
 		Backend: endpoint.ID, State: proto.BackendOpen, Kind: endpointKind, Zone: s.zone, Weight: endpoint.Weight,
 		StartedLongAgo: endpoint.StartTime == 0, Incarnation: endpoint.Incarnation, Addr: endpoint.Addr,
--- a/internal/optimum/maxflow.go
+++ b/internal/optimum/maxflow.go
@@ -11,39 +11,39 @@
 
 // flowGraph is a network for Dinic's algorithm. Edges are stored in pairs, each beside its reverse edge: e and e^1.
 type flowGraph struct {
-	newestEdge []int32 // by node, or noEdge
-	nextEdge   []int32 // by edge: the next one of the same node, or noEdge
-	target     []int32 // by edge
-	residual   []int64 // by edge: capacity that is left
-	level      []int32 // by node: distance from the source, or unreached
-	cursor     []int32 // by node: first edge that may still lead to the sink in this phase
+	firstEdge []int32 // by node, or noEdge
+	nextEdge  []int32 // by edge: the next one of the same node, or noEdge
+	target    []int32 // by edge
+	residual  []int64 // by edge: capacity that is left
+	level     []int32 // by node: distance from the source, or unreached
+	cursor    []int32 // by node: first edge that may still lead to the sink in this phase
 }
 
 // addNode adds a node and returns its number.
 func (g *flowGraph) addNode() int {
-	g.newestEdge = append(g.newestEdge, noEdge)
-	return len(g.newestEdge) - 1
+	g.firstEdge = append(g.firstEdge, noEdge)
+	return len(g.firstEdge) - 1
 }
 
 // addEdge adds an edge and its reverse edge, which has no capacity of its own.
 func (g *flowGraph) addEdge(from, to int, capacity int64) {
-	g.addDirected(from, to, capacity)
-	g.addDirected(to, from, 0)
+	g.addDirectedEdge(from, to, capacity)
+	g.addDirectedEdge(to, from, 0)
 }
 
-func (g *flowGraph) addDirected(from, to int, capacity int64) {
-	g.nextEdge = append(g.nextEdge, g.newestEdge[from])
+func (g *flowGraph) addDirectedEdge(from, to int, capacity int64) {
+	g.nextEdge = append(g.nextEdge, g.firstEdge[from])
 	g.target = append(g.target, int32(to))
 	g.residual = append(g.residual, capacity)
-	g.newestEdge[from] = int32(len(g.target) - 1)
+	g.firstEdge[from] = int32(len(g.target) - 1)
 }
 
 // maxFlow computes the maximum flow from source to sink, and uses up the residual capacities.
 func (g *flowGraph) maxFlow(source, sink int) int64 {
-	g.level, g.cursor = make([]int32, len(g.newestEdge)), make([]int32, len(g.newestEdge))
+	g.level, g.cursor = make([]int32, len(g.firstEdge)), make([]int32, len(g.firstEdge))
 	total := int64(0)
 	for g.assignLevels(source, sink) {
-		copy(g.cursor, g.newestEdge)
+		copy(g.cursor, g.firstEdge)
 		for {
 			sent := g.augment(int32(source), int32(sink), unlimited)
 			if sent == 0 {
@@ -65,7 +65,7 @@
 	for len(queue) > 0 {
 		node := queue[0]
 		queue = queue[1:]
-		for e := g.newestEdge[node]; e != noEdge; e = g.nextEdge[e] {
+		for e := g.firstEdge[node]; e != noEdge; e = g.nextEdge[e] {
 			to := g.target[e]
 			if g.residual[e] > 0 && g.level[to] == unreached {
 				g.level[to] = g.level[node] + 1
--- a/internal/optimum/optimum.go
+++ b/internal/optimum/optimum.go
@@ -65,10 +65,10 @@
 	return b.Achievable / b.Offered
 }
 
-// flowUnit is the number of RPCs that one unit of flow stands for. The flow is in integers, so that it terminates.
-const flowUnit = 1e-3
+// rpcsPerFlowUnit is the number of RPCs that one unit of flow stands for. The flow is in integers, so that it terminates.
+const rpcsPerFlowUnit = 1e-3
 
-func flowUnits(rpcs float64) int64 { return int64(math.Round(rpcs / flowUnit)) }
+func toFlowUnits(rpcs float64) int64 { return int64(math.Round(rpcs / rpcsPerFlowUnit)) }
 
 // Solve computes the bound. It fails with ErrBadDemand for a demand that names no method of methods, or that has a negative
 // slot or number.
@@ -108,7 +108,7 @@
 			continue
 		}
 		supplyNodes[i] = graph.addNode()
-		graph.addEdge(supplyNodes[i], sink, flowUnits(s.RPCs))
+		graph.addEdge(supplyNodes[i], sink, toFlowUnits(s.RPCs))
 		suppliesBySlot[s.Slot] = append(suppliesBySlot[s.Slot], i)
 	}
 	for _, d := range demand {
@@ -117,7 +117,7 @@
 			continue
 		}
 		demandNode := graph.addNode()
-		graph.addEdge(source, demandNode, flowUnits(d.RPCs*method.FeasibleShare))
+		graph.addEdge(source, demandNode, toFlowUnits(d.RPCs*method.FeasibleShare))
 		for slot := d.Slot; slot <= d.Slot+method.ExtraSlots; slot++ {
 			for _, i := range suppliesBySlot[slot] {
 				if supply[i].serves(d) {
@@ -126,5 +126,5 @@
 			}
 		}
 	}
-	return float64(graph.maxFlow(source, sink)) * flowUnit
+	return float64(graph.maxFlow(source, sink)) * rpcsPerFlowUnit
 }
--- a/internal/optimum/optimum_test.go
+++ b/internal/optimum/optimum_test.go
@@ -77,8 +77,8 @@
 	return demand, supply, methods
 }
 
-// bestBySearch searches all assignments of single RPCs to supplies.
-func bestBySearch(demand []Demand, supply []Supply, methods []Method) float64 {
+// exhaustiveOptimum searches all assignments of single RPCs to supplies.
+func exhaustiveOptimum(demand []Demand, supply []Supply, methods []Method) float64 {
 	left := make([]float64, len(supply))
 	for i := range supply {
 		left[i] = supply[i].RPCs
@@ -109,7 +109,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		demand, supply, methods := randomProblem(rt)
 		got, err := Solve(demand, supply, methods)
-		if want := bestBySearch(demand, supply, methods); err != nil || math.Abs(got.Achievable-want) > tolerance {
+		if want := exhaustiveOptimum(demand, supply, methods); err != nil || math.Abs(got.Achievable-want) > tolerance {
 			rt.Fatalf("got %v and error %v, want %v", got.Achievable, err, want)
 		}
 	})
