--- a/internal/optimum/maxflow.go
+++ b/internal/optimum/maxflow.go
@@ -5,18 +5,21 @@
 const (
 	// unlimited is the capacity of an edge that does not bound the flow.
 	unlimited = math.MaxInt64
-	noEdge    = -1
+	// noEdge ends a list of edges.
+	noEdge = -1
+	// unreached is the level of a node that cannot be reached from the source.
 	unreached = -1
 )
 
-// flowGraph is a network for Dinic's algorithm. Edges are stored in pairs, each beside its reverse edge: e and e^1.
+// flowGraph is a flow network for Dinic's maximum flow algorithm. The edges of a node are a linked list. Each edge is stored
+// next to its reverse edge: the reverse of edge e is e^1.
 type flowGraph struct {
-	firstEdge []int32 // by node, or noEdge
-	nextEdge  []int32 // by edge: the next one of the same node, or noEdge
-	target    []int32 // by edge
-	residual  []int64 // by edge: capacity that is left
-	level     []int32 // by node: distance from the source, or unreached
-	cursor    []int32 // by node: first edge that may still lead to the sink in this phase
+	firstEdge []int32 // by node: the first edge of its list, or noEdge
+	nextEdge  []int32 // by edge: the next one in the list of the node, or noEdge
+	target    []int32 // by edge: the node to which it leads
+	residual  []int64 // by edge: capacity that the flow does not use yet
+	level     []int32 // by node: distance from the source in edges, or unreached
+	cursor    []int32 // by node: the first edge that may still lead to the sink with the current levels
 }
 
 // addNode adds a node and returns its number.
@@ -25,7 +28,7 @@
 	return len(g.firstEdge) - 1
 }
 
-// addEdge adds an edge and its reverse edge, which has no capacity of its own.
+// addEdge adds an edge and its reverse edge, which has no capacity until there is a flow along the edge.
 func (g *flowGraph) addEdge(from, to int, capacity int64) {
 	g.addDirectedEdge(from, to, capacity)
 	g.addDirectedEdge(to, from, 0)
@@ -38,7 +41,7 @@
 	g.firstEdge[from] = int32(len(g.target) - 1)
 }
 
-// maxFlow computes the maximum flow from source to sink, and uses up the residual capacities.
+// maxFlow returns the maximum flow from source to sink. It reduces the residual capacities, so it can be called only once.
 func (g *flowGraph) maxFlow(source, sink int) int64 {
 	g.level, g.cursor = make([]int32, len(g.firstEdge)), make([]int32, len(g.firstEdge))
 	total := int64(0)
@@ -55,7 +58,7 @@
 	return total
 }
 
-// assignLevels sets each node's distance from the source, and tells whether the sink can be reached.
+// assignLevels sets the level of each node by a breadth-first search, and reports whether the sink can be reached.
 func (g *flowGraph) assignLevels(source, sink int) bool {
 	for i := range g.level {
 		g.level[i] = unreached
@@ -76,7 +79,8 @@
 	return g.level[sink] != unreached
 }
 
-// augment sends at most limit along one path of rising levels, and returns how much it sent.
+// augment sends a flow of at most limit from node to sink along one path of increasing levels. It returns the flow, 0 if there
+// is no such path.
 func (g *flowGraph) augment(node, sink int32, limit int64) int64 {
 	if node == sink {
 		return limit
--- a/internal/optimum/optimum.go
+++ b/internal/optimum/optimum.go
@@ -1,13 +1,14 @@
-// Package optimum computes an upper bound on the service that any coordinator could have given in a scenario: one that
-// knows at every moment which backends work and how fast, reaches all that the network allows, wastes no capacity, and
-// serves RPCs of high criticality first. No coordinator reaches it, as information takes time; the distance is the joint
-// cost of its design, of delayed information and of its own faults.
+// Package optimum computes an upper bound on the service that any coordinator could have achieved in a scenario: that of a
+// coordinator that knows at every moment which backends work and how fast, reaches every backend that the network allows,
+// wastes no capacity, and serves RPCs of high criticality first. No real coordinator achieves it, since information is
+// delayed. The gap is the combined cost of the coordinator's design, of delayed information and of its own faults.
 //
-// The bound is a maximum flow. RPCs that arrived in a time slot, from a zone, for a method, may be answered in that slot or
-// a later one until their soft deadline; backends can answer so many in each slot. The largest criticality that can be
-// answered in time is found for all levels of criticality at once: sets of RPCs that can be served together are the
-// independent sets of a transversal matroid, on which the greedy choice by weight is optimal. So the optimum is the sum
-// over the levels w1 > w2 > … of (w_i - w_{i+1}) times the maximum flow of the RPCs with at least w_i.
+// The bound is computed by maximum flows. RPCs that arrive in a time slot from a zone for a method may be answered in that
+// slot or a later one until their soft deadline, and backends can answer a limited number of RPCs in each slot. The sets of
+// RPCs that can all be answered in time are the independent sets of a transversal matroid, on which the greedy choice by
+// weight is optimal. So the largest total criticality that can be answered in time is the sum over the levels of criticality
+// w_1 > w_2 > … of (w_i - w_{i+1}) times the maximum flow of the RPCs with a criticality of at least w_i; the weight after
+// the last level is 0.
 package optimum
 
 import (
@@ -17,26 +18,26 @@
 	"slices"
 )
 
-// ErrBadDemand is wrapped by the error of a demand with a method, slot or number that cannot be.
+// ErrBadDemand is wrapped by the errors of Solve. They are for a demand with an unknown method or a negative number.
 var ErrBadDemand = errors.New("invalid demand")
 
-// Demand is a number of RPCs of a method that arrived from a zone within one time slot.
+// Demand is the number of RPCs of a method that arrived from a zone within a time slot.
 type Demand struct {
 	Slot   int
 	Zone   string
-	Method int
+	Method int // index of the methods
 	RPCs   float64
 }
 
-// Supply is what some backends could do within one time slot.
+// Supply is the capacity of a group of backends within a time slot.
 type Supply struct {
 	Slot          int
-	Unsupported   uint64   // bit set of the methods that they cannot serve
-	ReachableFrom []string // zones that reach them; none: all
-	RPCs          float64
+	Unsupported   uint64   // bit set of the methods that the backends cannot serve
+	ReachableFrom []string // zones from which the backends can be reached; empty: all
+	RPCs          float64  // that the backends can answer within the slot
 }
 
-// serves tells whether RPCs of a demand can be answered by the supply, as far as method and zone go.
+// serves reports whether the method and the zone of a demand allow the supply to answer its RPCs.
 func (s Supply) serves(demand Demand) bool {
 	if s.Unsupported>>demand.Method&1 != 0 {
 		return false
@@ -44,20 +45,20 @@
 	return len(s.ReachableFrom) == 0 || slices.Contains(s.ReachableFrom, demand.Zone)
 }
 
-// Method is the weight of a method's RPCs, and how long an answer is of use.
+// Method has the weight of the RPCs of a method, and how late their answers may come.
 type Method struct {
-	Criticality   float64
-	ExtraSlots    int     // slots after its own in which an RPC may still be answered in time
-	FeasibleShare float64 // share that an idle backend at full speed can answer in time
+	Criticality   float64 // weight of an RPC
+	ExtraSlots    int     // slots after the one of its arrival in which an RPC may still be answered in time
+	FeasibleShare float64 // share of the RPCs that an idle backend at full speed can answer in time
 }
 
-// Bound is the result, in sums of criticality.
+// Bound is the result. Its values are sums of the criticality of RPCs.
 type Bound struct {
 	Offered    float64
 	Achievable float64 // part of Offered that could be answered in time
 }
 
-// Share is the service that the bound allows; 1 where nothing was offered.
+// Share returns the achievable share of the offered criticality; 1 if nothing was offered.
 func (b Bound) Share() float64 {
 	if b.Offered == 0 {
 		return 1
@@ -65,19 +66,21 @@
 	return b.Achievable / b.Offered
 }
 
-// rpcsPerFlowUnit is the number of RPCs that one unit of flow stands for. The flow is in integers, so that it terminates.
+// rpcsPerFlowUnit is the number of RPCs that one unit of flow represents. Flows are integers so that the algorithm is sure to
+// terminate.
 const rpcsPerFlowUnit = 1e-3
 
+// toFlowUnits converts a number of RPCs to units of flow.
 func toFlowUnits(rpcs float64) int64 { return int64(math.Round(rpcs / rpcsPerFlowUnit)) }
 
-// Solve computes the bound. It fails with ErrBadDemand for a demand that names no method of methods, or that has a negative
-// slot or number.
+// Solve computes the bound. Its error wraps ErrBadDemand: a demand has a method that is not an index of methods, a negative
+// slot or a negative number of RPCs.
 func Solve(demand []Demand, supply []Supply, methods []Method) (Bound, error) {
 	var bound Bound
 	var levels []float64
 	for _, d := range demand {
 		if d.Method < 0 || d.Method >= len(methods) || d.RPCs < 0 || d.Slot < 0 {
-			return bound, fmt.Errorf("%w: %v RPCs of method %d in slot %d, of %d methods", ErrBadDemand, d.RPCs, d.Method, d.Slot, len(methods))
+			return bound, fmt.Errorf("%w: %v RPCs of method %d in slot %d, with %d methods", ErrBadDemand, d.RPCs, d.Method, d.Slot, len(methods))
 		}
 		criticality := methods[d.Method].Criticality
 		bound.Offered += criticality * d.RPCs
@@ -97,7 +100,7 @@
 	return bound, nil
 }
 
-// achievableRPCs is the largest number of RPCs of at least a criticality that can be answered in time.
+// achievableRPCs returns the largest number of RPCs with at least minCriticality that can be answered in time.
 func achievableRPCs(demand []Demand, supply []Supply, methods []Method, minCriticality float64) float64 {
 	graph := &flowGraph{}
 	source, sink := graph.addNode(), graph.addNode()
--- a/internal/optimum/optimum_test.go
+++ b/internal/optimum/optimum_test.go
@@ -9,9 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-// tolerance is by how much a bound may differ from the expected one: the flow is rounded to flowUnit.
+// tolerance is the allowed difference between a bound and its expected value, since the flow is rounded to multiples of
+// rpcsPerFlowUnit.
 const tolerance = 0.01
 
+// assertNear fails the test if a value differs from the expected one by more than tolerance.
 func assertNear(t *testing.T, name string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > tolerance {
@@ -19,6 +21,7 @@
 	}
 }
 
+// solve calls Solve and fails the test on an error.
 func solve(t *testing.T, demand []Demand, supply []Supply, methods []Method) Bound {
 	t.Helper()
 	bound, err := Solve(demand, supply, methods)
@@ -53,7 +56,7 @@
 	}
 }
 
-// randomProblem draws a problem of single RPCs and small integral supplies.
+// randomProblem draws demands of one RPC each and supplies of at most two RPCs each.
 func randomProblem(draws *rapid.T) (demand []Demand, supply []Supply, methods []Method) {
 	for range rapid.IntRange(1, 3).Draw(draws, "methods") {
 		methods = append(methods, Method{
@@ -77,11 +80,11 @@
 	return demand, supply, methods
 }
 
-// exhaustiveOptimum searches all assignments of single RPCs to supplies.
+// exhaustiveOptimum returns the largest total criticality of all assignments of RPCs to supplies. Each demand is one RPC.
 func exhaustiveOptimum(demand []Demand, supply []Supply, methods []Method) float64 {
-	left := make([]float64, len(supply))
+	remaining := make([]float64, len(supply))
 	for i := range supply {
-		left[i] = supply[i].RPCs
+		remaining[i] = supply[i].RPCs
 	}
 	var best func(i int) float64
 	best = func(i int) float64 {
@@ -94,10 +97,10 @@
 		for k, s := range supply {
 			reachable := len(s.ReachableFrom) == 0 || slices.Contains(s.ReachableFrom, rpc.Zone)
 			inTime := s.Slot >= rpc.Slot && s.Slot <= rpc.Slot+method.ExtraSlots
-			if left[k] >= 1 && inTime && reachable && s.Unsupported>>rpc.Method&1 == 0 {
-				left[k]--
+			if remaining[k] >= 1 && inTime && reachable && s.Unsupported>>rpc.Method&1 == 0 {
+				remaining[k]--
 				largest = max(largest, method.Criticality+best(i+1))
-				left[k]++
+				remaining[k]++
 			}
 		}
 		return largest
@@ -105,6 +108,7 @@
 	return best(0)
 }
 
+// For random problems the bound is the optimum that an exhaustive search finds.
 func TestSolveAgainstSearch(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		demand, supply, methods := randomProblem(rt)
