--- a/internal/endpointfile/encoding.go
+++ b/internal/endpointfile/encoding.go
@@ -10,7 +10,7 @@
 // storedFormat is the format that Encode writes and Decode accepts.
 const storedFormat = 1
 
-// storedList is a list as it is stored. The JSON keys are part of the stored format.
+// storedList is the stored form of a list. Its JSON keys are part of the stored format.
 type storedList struct {
 	Format    int
 	Version   uint64
@@ -18,7 +18,7 @@
 	Rejected  string     `json:"Held"`
 }
 
-// Encode returns the state of the list in its stored format.
+// Encode returns the state of the list in the stored format.
 func (l *List) Encode() ([]byte, error) {
 	data, err := json.Marshal(storedList{Format: storedFormat, Version: l.version, Endpoints: l.Endpoints(), Rejected: l.rejectedFingerprint})
 	if err != nil {
@@ -27,7 +27,7 @@
 	return data, nil
 }
 
-// Decode returns the list that Encode wrote. The error wraps ErrFormat or ErrCorrupt, or is the JSON decoder's.
+// Decode returns the list that Encode has encoded. Its error wraps ErrFormat, ErrCorrupt or an error of the JSON decoder.
 func Decode(settings Settings, data []byte) (*List, error) {
 	var stored storedList
 	if err := json.Unmarshal(data, &stored); err != nil {
@@ -47,8 +47,8 @@
 	return list, nil
 }
 
-// fingerprint identifies the content of a file regardless of the order of its backends. It is stored: its form, which is that
-// of fmt.Sprint, is part of the stored format.
+// fingerprint returns a text that identifies the content of a file regardless of the order of its backends. Since it is stored,
+// its form, the output of fmt.Sprint for a []Backend, is part of the stored format, and so is the order of Backend's fields.
 func fingerprint(backends []Backend) string {
 	sorted := slices.Clone(backends)
 	slices.SortFunc(sorted, func(a, b Backend) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/endpointfile/encoding_test.go
+++ b/internal/endpointfile/encoding_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The stored format is that of the first version: lists that it wrote are read, and what is written now it can read.
+// The stored format stays compatible in both directions with the first version of this package, which wrote the wanted text.
 func TestStoredFormat(t *testing.T) {
 	list := New(testSettings)
 	backends := makeBackends(4, 1)
@@ -33,10 +33,11 @@
 	}
 }
 
+// Data that is no JSON, has another format, or has an invalid or repeated endpoint is rejected.
 func TestDecodeRejectsInvalidData(t *testing.T) {
 	for _, test := range []struct {
 		data string
-		want error // nil: the JSON decoder's
+		want error // nil: any error of the JSON decoder
 	}{
 		{"", nil},
 		{"{", nil},
--- a/internal/endpointfile/invariants_test.go
+++ b/internal/endpointfile/invariants_test.go
@@ -7,13 +7,15 @@
 	"pgregory.net/rapid"
 )
 
-// drainCheck follows the changes of a list and fails the test if an endpoint is removed without a whole drain.
+// drainCheck tracks the changes of a list and fails the test if an endpoint is removed without having drained for the whole
+// DrainPeriod.
 type drainCheck struct {
 	t             *rapid.T
 	drainingSince map[uint32]Seconds
 	states        map[uint32]State
 }
 
+// observe checks and records endpoints that changed at a time.
 func (c *drainCheck) observe(now Seconds, changed []Endpoint) {
 	for _, endpoint := range changed {
 		previous, known := c.states[endpoint.ID]
@@ -29,7 +31,7 @@
 	}
 }
 
-// restart returns the list as it is after it was stored and decoded, which must be as it was.
+// restart returns a copy of the list that was encoded and decoded. It fails the test if the copy differs.
 func restart(t *rapid.T, list *List) *List {
 	data, err := list.Encode()
 	if err != nil {
@@ -37,11 +39,12 @@
 	}
 	decoded, err := Decode(testSettings, data)
 	if err != nil || !reflect.DeepEqual(decoded.Endpoints(), list.Endpoints()) || decoded.Version() != list.Version() {
-		t.Fatalf("decoded: %v, %v, wanted %v", err, decoded, list.Endpoints())
+		t.Fatalf("decoded: %v, error %v, wanted %v", decoded, err, list.Endpoints())
 	}
 	return decoded
 }
 
+// drawFile draws a file with some of six backends, with random weights, and some of them draining.
 func drawFile(t *rapid.T) (file []Backend) {
 	for _, backend := range makeBackends(6, 1) {
 		if rapid.IntRange(0, 3).Draw(t, "in") > 0 {
@@ -53,7 +56,8 @@
 	return file
 }
 
-// requireListFollowsFile fails the test unless the list says what an accepted file says, and all else drains.
+// requireListFollowsFile fails the test unless the list matches an accepted file and all endpoints that are not in the file
+// drain.
 func requireListFollowsFile(t *rapid.T, list *List, file []Backend) {
 	byID := map[uint32]Backend{}
 	for _, backend := range file {
@@ -68,8 +72,8 @@
 	}
 }
 
-// For any sequence of files, drains and restarts: no endpoint is removed without a whole drain, an accepted file is followed, a
-// rejected one changes nothing, and a list that was stored and decoded is as it was.
+// For any sequence of files, drains and restarts: no endpoint is removed before the end of its drain, the list follows an
+// accepted file, a rejected file changes nothing, and a restart does not change the list.
 func TestListInvariants(t *testing.T) {
 	rapid.Check(t, func(rapidT *rapid.T) {
 		list, now := New(testSettings), 100.0
--- a/internal/endpointfile/list_test.go
+++ b/internal/endpointfile/list_test.go
@@ -16,6 +16,7 @@
 	return backends
 }
 
+// mustApply applies a file and fails the test if the file is rejected.
 func mustApply(t *testing.T, list *List, now Seconds, backends []Backend) []Endpoint {
 	t.Helper()
 	changed, err := list.Apply(now, backends)
@@ -25,7 +26,8 @@
 	return changed
 }
 
-// Only what differs between two files changes, and each change in its own way.
+// Only the endpoints of backends that differ between two files change. A changed weight keeps the incarnation and the start
+// time; a changed address means a new process that has to warm up.
 func TestApplyChangesOnlyWhatDiffers(t *testing.T) {
 	list := New(testSettings)
 	if changed := mustApply(t, list, 0, makeBackends(4, 1)); len(changed) != 4 || changed[0].StartTime != 0 {
@@ -45,7 +47,8 @@
 	}
 }
 
-// A backend that leaves the file drains before its endpoint is removed; in between it may return as the same process.
+// A backend that is no longer in the file drains before its endpoint is removed. If it returns to the file while it drains, it
+// is the same process; if it returns later, it has to warm up.
 func TestMissingBackendDrains(t *testing.T) {
 	list := New(testSettings)
 	backends := makeBackends(4, 1)
@@ -65,12 +68,12 @@
 		t.Fatalf("after its drain: %v", removed)
 	}
 	if changed := mustApply(t, list, 18, backends); len(changed) != 1 || changed[0].StartTime != 18 {
-		t.Fatalf("a backend that joins others must warm up: %v", changed)
+		t.Fatalf("a backend that was added to other backends must warm up: %v", changed)
 	}
 }
 
-// A truncated file loses most backends: it is rejected and changes nothing. Applied a second time it is accepted, unless another
-// file was applied in between.
+// A file that lacks most backends, for example because it was truncated, is rejected and changes nothing. It is accepted when it
+// is applied a second time, unless another file was applied in between.
 func TestFileThatLosesMostBackendsIsRejectedOnce(t *testing.T) {
 	list := New(testSettings)
 	mustApply(t, list, 0, makeBackends(10, 1))
@@ -96,22 +99,23 @@
 	}
 }
 
-// The errors of files that are rejected however often they are applied, with the texts that operators see.
+// Files with a duplicate ID, a weight of 0 or no backends are rejected however often they are applied. The error texts are shown
+// to operators.
 func TestInvalidFileIsRejected(t *testing.T) {
 	list := New(testSettings)
 	mustApply(t, list, 0, makeBackends(4, 1))
 	for range 2 {
 		_, err := list.Apply(5, append(makeBackends(4, 1), Backend{ID: 2, Name: "x", Addr: "h", Weight: 1}))
 		var duplicate *DuplicateError
-		if !errors.As(err, &duplicate) || err.Error() != "servers s1 and x have the number 2" {
-			t.Errorf("an ID that stands twice: %v", err)
+		if !errors.As(err, &duplicate) || err.Error() != "servers s1 and x have the same ID 2" {
+			t.Errorf("a duplicate ID: %v", err)
 		}
 		_, err = list.Apply(5, makeBackends(4, 0))
 		var weight *WeightError
-		if !errors.As(err, &weight) || err.Error() != "server s0 has a weight of 0" {
+		if !errors.As(err, &weight) || err.Error() != "server s0 has a weight of 0, must be above 0" {
 			t.Errorf("a weight of 0: %v", err)
 		}
-		if _, err = list.Apply(5, nil); !errors.Is(err, ErrNoBackends) || err.Error() != "no server would be in use" {
+		if _, err = list.Apply(5, nil); !errors.Is(err, ErrNoBackends) || err.Error() != "the file leaves no server in use" {
 			t.Errorf("an empty file: %v", err)
 		}
 	}
--- a/internal/endpointservice/fleet_test.go
+++ b/internal/endpointservice/fleet_test.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	fleetEpoch          = 1e6 // when the simulated time begins, in seconds
+	fleetEpoch          = 1e6 // start of the simulated time in seconds
 	fleetZone           = "dc-kewdale"
 	coordinatorCount    = 2
 	frontEndCount       = 8
@@ -30,22 +30,23 @@
 	endpointServiceAddr = "list" // the address of the endpoint service
 )
 
-// fleet is a simulated fleet whose endpoint list follows files.
+// fleet is a simulated fleet with an endpoint service that follows files.
 type fleet struct {
 	t        *testing.T
 	network  *simnet.Network
 	settings *bootstrap.Settings
-	service  *Service // of the process that runs, or ran last
+	service  *Service // of the running process, or of the last one
 	records  []trace.Record
-	rejected []error // of rejected files
+	rejected []error // the errors of rejected files
 }
 
-// event is what happens to a fleet at a time in seconds from its start.
+// event is an action on a fleet at a time in seconds after its start.
 type event struct {
 	at     float64
 	action func(f *fleet)
 }
 
+// fleetSettings returns the settings of the perth.conf scenario file.
 func fleetSettings(t *testing.T) *bootstrap.Settings {
 	t.Helper()
 	text, err := scenario.File("perth.conf")
@@ -60,7 +61,7 @@
 	return settings
 }
 
-// runFleet simulates a fleet for a time in seconds and fails the test if an invariant is violated.
+// runFleet simulates a fleet with events for a duration in seconds. It fails the test if an invariant is violated.
 func runFleet(t *testing.T, duration float64, events ...event) (*fleet, invariant.Report) {
 	t.Helper()
 	simulated := &fleet{t: t, settings: fleetSettings(t), network: simnet.New(3, fleetEpoch, 0.0003, 0.0006)}
@@ -93,7 +94,8 @@
 	return simulated, report
 }
 
-// submit submits a file; it is applied in the next step, as on sockets.
+// submit submits a file. As on an event loop, a step follows, in which the file is applied: the command causes the step, and its
+// text is ignored.
 func (f *fleet) submit(backends []endpointfile.Backend) {
 	f.service.Submit(backends)
 	f.network.SendCommand(endpointServiceAddr, "look")
@@ -164,8 +166,8 @@
 	f.network.Start(name)
 }
 
-// The file loses a backend, the service is killed and restarted between two files, a file is truncated, a backend leaves and
-// returns repeatedly, a coordinator is killed: all invariants hold, and hardly an RPC is lost.
+// All invariants hold, no RPC is aborted and at least 97 % of the service is achieved while backends are removed from the file
+// and return to it, the endpoint service restarts between two files, a file is truncated, and a coordinator is killed.
 func TestInvariantsHoldWhileFilesChange(t *testing.T) {
 	submit := func(count int) func(*fleet) {
 		return func(f *fleet) { f.submit(makeBackends(count, 1)) }
@@ -173,7 +175,7 @@
 	simulated, report := runFleet(t, 40,
 		event{5, submit(5)},
 		event{7, func(f *fleet) { f.network.Kill(endpointServiceAddr) }},
-		event{10, func(f *fleet) { // the drain of the sixth backend ended meanwhile
+		event{10, func(f *fleet) { // while the service was down, the drain of the sixth backend ended
 			f.network.Start(endpointServiceAddr)
 			f.submit(makeBackends(4, 1))
 		}},
@@ -189,7 +191,7 @@
 	)
 	var loss *endpointfile.LossError
 	if len(simulated.rejected) != 1 || !errors.As(simulated.rejected[0], &loss) || !strings.Contains(loss.Error(), "out of use") {
-		t.Errorf("rejected: %v", simulated.rejected)
+		t.Errorf("rejected files: %v, want one that takes too many backends out of use", simulated.rejected)
 	}
 	if report.Service.Share() < 0.97 || report.Service.Aborted > 0 {
 		t.Errorf("service %.3f, %d aborted", report.Service.Share(), report.Service.Aborted)
@@ -205,7 +207,7 @@
 	}
 }
 
-// A changed weight is pushed to proxies as changed entries of their tables, not as new tables.
+// A changed weight is pushed to proxies as a changed entry of each of their tables, not as a new table.
 func TestChangedWeightIsPushedAsEntry(t *testing.T) {
 	const changedAt, until = fleetEpoch + 12, fleetEpoch + 14
 	heavier := makeBackends(6, 1)
@@ -228,7 +230,7 @@
 	}
 	const tables = 2
 	for proxy, count := range pushes {
-		if count > tables { // one entry for each table
+		if count > tables { // one entry per table
 			t.Errorf("%s got the changed weight %d times", proxy, count)
 		}
 	}
--- a/internal/endpointservice/service.go
+++ b/internal/endpointservice/service.go
@@ -1,5 +1,6 @@
-// Package endpointservice serves the endpoint list that follows a file of backends: watchers get the changes since the version
-// that they have, or the whole list. It is a state machine and does no I/O; its owner submits the files.
+// Package endpointservice serves an endpoint list that follows a file of backends. Its clients, the watchers, are sent the changes
+// since the version of the list that they have, or the whole list. The service is a state machine and does no I/O; its owner
+// reads the files and submits their backends.
 package endpointservice
 
 import (
@@ -8,28 +9,28 @@
 	"gingerfork/internal/statemachine"
 )
 
-// StateFile is the name of the file with the state that a restarted service needs.
+// StateFile is the name of the file in which the service stores its state for a restart.
 const StateFile = "followed.json"
 
-// heartbeatInterval is the time between empty updates in seconds. The protocol asks for one a second.
+// heartbeatInterval is the time between empty updates in seconds. The protocol requires one per second.
 const heartbeatInterval statemachine.Seconds = 1
 
-// Service is an endpoint list service whose backends are all in one zone. It implements statemachine.Machine.
+// Service is an endpoint list service for backends of one zone. It implements statemachine.Machine.
 type Service struct {
 	name          string
-	zone          string
+	zone          string // of all backends
 	list          *endpointfile.List
-	submitted     [][]endpointfile.Backend
+	submitted     [][]endpointfile.Backend // files to be applied in the next step
 	onApplied     func(changed int, err error)
 	watchers      map[statemachine.Conn]*watcher
 	history       history
-	nextHeartbeat statemachine.Seconds  // when the next one is due
-	effects       *statemachine.Effects // of the step that is running
+	nextHeartbeat statemachine.Seconds  // when it is due
+	effects       *statemachine.Effects // of the current step
 }
 
-// New returns a service. state is the StateFile of an earlier process, nil if there is none. If it cannot be decoded, New
-// returns the error together with a service whose list is empty. onApplied, if not nil, is called in a step with the outcome of
-// each submitted file: the number of endpoints that changed, or why the file was rejected.
+// New returns a service. state is the content of the StateFile of an earlier process, or nil. If it cannot be decoded, New returns
+// both the error and a service with an empty list. onApplied may be nil; otherwise it is called during a step with the result of
+// each submitted file: the number of endpoints that changed, or the reason why the file was rejected.
 func New(name, zone string, settings endpointfile.Settings, state []byte, onApplied func(changed int, err error)) (*Service, error) {
 	service := &Service{
 		name: name, zone: zone, list: endpointfile.New(settings), onApplied: onApplied,
@@ -46,7 +47,7 @@
 	return service, nil
 }
 
-// Submit queues the backends of a file for the next step. Only the owner may call it, between two steps.
+// Submit queues the backends of a file to be applied in the next step. It must not be called during a step.
 func (s *Service) Submit(backends []endpointfile.Backend) {
 	s.submitted = append(s.submitted, backends)
 }
@@ -69,14 +70,14 @@
 	}
 }
 
-// applySubmitted applies the submitted files, and reports whether the state has to be saved.
+// applySubmitted applies the submitted files in order, and reports whether the state has to be saved.
 func (s *Service) applySubmitted(now statemachine.Seconds) (changed bool) {
 	for _, backends := range s.submitted {
 		endpoints, err := s.list.Apply(now, backends)
 		if len(endpoints) > 0 {
 			s.publish(now, endpoints)
 		}
-		// A rejected file is part of the state, too: applied again after a restart, it is accepted.
+		// The state also has the last rejected file, which is accepted if it is applied again, even after a restart.
 		changed = changed || len(endpoints) > 0 || err != nil
 		if s.onApplied != nil {
 			s.onApplied(len(endpoints), err)
@@ -86,7 +87,7 @@
 	return changed
 }
 
-// removeDrained removes the endpoints whose drain is over, and reports whether there were any.
+// removeDrained removes the endpoints whose drain is over, and reports whether there were any such endpoints.
 func (s *Service) removeDrained(now statemachine.Seconds) bool {
 	removed := s.list.RemoveDrained(now)
 	if len(removed) == 0 {
@@ -96,6 +97,7 @@
 	return true
 }
 
+// save saves the state of the list to the StateFile.
 func (s *Service) save() {
 	data, err := s.list.Encode()
 	if err != nil {
@@ -119,7 +121,7 @@
 	}
 }
 
-// sendHeartbeats sends each watcher an empty update when it is due, by which it can tell that the service is alive.
+// sendHeartbeats sends each watcher an empty update when it is due. It shows the watcher that the service is alive.
 func (s *Service) sendHeartbeats(now statemachine.Seconds) {
 	if now < s.nextHeartbeat {
 		return
--- a/internal/endpointservice/service_test.go
+++ b/internal/endpointservice/service_test.go
@@ -20,7 +20,7 @@
 	return backends
 }
 
-// harness steps a service by hand and collects what its watchers receive, in words.
+// harness steps a service explicitly and records descriptions of the messages that its watchers receive.
 type harness struct {
 	t        *testing.T
 	service  *Service
@@ -62,6 +62,7 @@
 	}
 }
 
+// receive records what an action sends to a watcher. Heartbeats are left out.
 func (h *harness) receive(action statemachine.Action) {
 	if action.Kind != statemachine.ActionWrite {
 		h.received[action.Conn] = append(h.received[action.Conn], "closed")
@@ -83,6 +84,7 @@
 	}
 }
 
+// describeUpdate describes an update as its kind, the base version and the version, and for each endpoint ID, state and weight.
 func describeUpdate(update proto.EndpointUpdate) string {
 	text := fmt.Sprintf("%s %d-%d", []string{"full", "delta", "failed"}[update.Kind], update.BaseVersion, update.Version)
 	for _, endpoint := range update.Endpoints {
@@ -91,6 +93,7 @@
 	return text
 }
 
+// connData returns the input in which a connection delivers messages.
 func connData(conn statemachine.Conn, messages ...proto.Message) statemachine.Input {
 	input := statemachine.Input{Kind: statemachine.ConnData, Conn: conn}
 	for _, message := range messages {
@@ -99,13 +102,14 @@
 	return input
 }
 
+// watch opens a connection and asks for updates since a version.
 func (h *harness) watch(conn statemachine.Conn, since uint64) {
 	h.t.Helper()
 	h.step(0, statemachine.Input{Kind: statemachine.ConnOpened, Conn: conn},
 		connData(conn, proto.Hello{Version: proto.Version, Role: proto.RoleWatcher, Name: "c0"}, proto.WatchEndpoints{On: true, SinceVersion: since}))
 }
 
-// requireReceived fails the test unless a watcher received just these messages since it was called last.
+// requireReceived fails the test unless a watcher received exactly these messages since the last call.
 func (h *harness) requireReceived(conn statemachine.Conn, messages ...string) {
 	h.t.Helper()
 	if got, want := strings.Join(h.received[conn], "; "), strings.Join(messages, "; "); got != want {
@@ -114,8 +118,9 @@
 	h.received[conn] = nil
 }
 
-// A changed file is sent as a delta: a changed weight is one entry, and a backend that left the file drains and is then gone. A
-// watcher with an older version gets what it lacks, one with an unknown version the whole list.
+// A changed file is sent as a delta: a changed weight is one endpoint, and a backend that is no longer in the file is first
+// draining and then gone. A watcher with an older version gets the changes since then, one with an unknown version the whole
+// list.
 func TestWatchersGetDeltas(t *testing.T) {
 	watched := newHarness(t, nil, 100)
 	watched.watch(1, 0)
@@ -144,8 +149,8 @@
 	watched.requireReceived(2, "delta 3-4 3gone1", "rejected", "closed")
 }
 
-// A backend that the file drops while the service is down drains after the restart, and a drain goes on across a restart. A
-// rejected file is remembered across a restart, too.
+// A restarted service drains the backends that were removed from the file while it was down, continues the drains of the
+// process before it, and accepts a file that the process before it rejected.
 func TestRestartBetweenFiles(t *testing.T) {
 	first := newHarness(t, nil, 100)
 	first.service.Submit(makeBackends(4, 1))
@@ -161,7 +166,7 @@
 	third := newHarness(t, second.state, 205)
 	third.watch(1, 0)
 	third.requireReceived(1, "full 0-2 1open1 2open1 3open1 4draining1")
-	third.service.Submit(makeBackends(1, 1)) // loses two of three
+	third.service.Submit(makeBackends(1, 1)) // takes two of three open endpoints out of use
 	third.step(0.1)
 	third.requireReceived(1)
 	var loss *endpointfile.LossError
--- a/internal/endpointservice/trace_test.go
+++ b/internal/endpointservice/trace_test.go
@@ -9,13 +9,13 @@
 	"gingerfork/internal/trace"
 )
 
-// tracedService writes the trace records of a service that the invariant checker needs, as the fake endpoint service does.
+// tracedService adds to a service the trace records that the invariant checker needs. The fake endpoint service writes the same.
 type tracedService struct {
 	*Service
-	sent     map[statemachine.Conn]*proto.Reader // by the service
-	received map[statemachine.Conn]*proto.Reader
-	names    map[statemachine.Conn]string // of the coordinators that watch
-	version  uint64                       // that was recorded last
+	sent     map[statemachine.Conn]*proto.Reader // messages sent by the service
+	received map[statemachine.Conn]*proto.Reader // messages received by the service
+	names    map[statemachine.Conn]string        // of the coordinators that are watchers
+	version  uint64                              // of the list that was recorded last
 }
 
 func newTracedService(service *Service) *tracedService {
@@ -26,6 +26,7 @@
 	}
 }
 
+// Step steps the service and records the requests that it receives, the list and the updates that it sends.
 func (s *tracedService) Step(now statemachine.Seconds, inputs []statemachine.Input, effects *statemachine.Effects) {
 	for _, input := range inputs {
 		s.recordRequests(now, input, effects)
@@ -37,6 +38,7 @@
 	}
 }
 
+// recordRequests records the requests for the list.
 func (s *tracedService) recordRequests(now statemachine.Seconds, input statemachine.Input, effects *statemachine.Effects) {
 	switch input.Kind {
 	case statemachine.ConnOpened:
@@ -57,7 +59,7 @@
 	}
 }
 
-// recordList records the list itself, whoever received it.
+// recordList records each new version of the list, whether or not it is sent to a watcher.
 func (s *tracedService) recordList(now statemachine.Seconds, effects *statemachine.Effects) {
 	version := s.list.Version()
 	if version == s.version {
@@ -72,7 +74,7 @@
 	effects.Record(trace.Record{Time: now, Kind: trace.EndpointsDelivered, Count: int64(version), Text: text})
 }
 
-// recordUpdates records the updates that a coordinator is sent.
+// recordUpdates records the updates that are sent to a coordinator, except for heartbeats and failures.
 func (s *tracedService) recordUpdates(now statemachine.Seconds, action statemachine.Action, effects *statemachine.Effects) {
 	reader := s.sent[action.Conn]
 	if action.Kind != statemachine.ActionWrite || reader == nil {
@@ -91,6 +93,7 @@
 	}
 }
 
+// updateTraceText returns the text of the trace record of an update.
 func updateTraceText(now statemachine.Seconds, update proto.EndpointUpdate) string {
 	text := []string{"full", "changes"}[update.Kind]
 	for _, endpoint := range update.Endpoints {
--- a/internal/endpointservice/watcher.go
+++ b/internal/endpointservice/watcher.go
@@ -11,18 +11,18 @@
 	"gingerfork/internal/statemachine"
 )
 
-// endpointKind is the kind of each endpoint that comes from a file.
+// endpointKind is the kind of all endpoints that the service sends, as they come from an imported file.
 const endpointKind = "imported"
 
-// watcher is a client of the service.
+// watcher is a client of the service. It gets updates once it has asked for them.
 type watcher struct {
 	conn     statemachine.Conn
 	reader   proto.Reader
-	watching bool
-	version  uint64 // that it has; 0: none
+	watching bool   // the client wants updates
+	version  uint64 // of the list that the client has; 0: none
 }
 
-// watchersByConn returns the watchers in a fixed order, so that a run can be repeated.
+// watchersByConn returns the watchers in the order of their connections, so that runs are reproducible.
 func (s *Service) watchersByConn() []*watcher {
 	return slices.SortedFunc(maps.Values(s.watchers), func(a, b *watcher) int { return cmp.Compare(a.conn, b.conn) })
 }
@@ -31,7 +31,7 @@
 	s.effects.Write(client.conn, proto.Append(nil, message))
 }
 
-// publish adds a change to the history and sends it to all watchers.
+// publish adds a change to the history and sends an update to all watchers.
 func (s *Service) publish(now statemachine.Seconds, endpoints []endpointfile.Endpoint) {
 	s.history.add(change{version: s.list.Version(), endpoints: endpoints})
 	for _, client := range s.watchersByConn() {
@@ -41,7 +41,7 @@
 	}
 }
 
-// sendUpdate sends a watcher the changes since its version, or the whole list if the history does not have them all.
+// sendUpdate sends a watcher the changes since its version, or the whole list if the history does not have all of them.
 func (s *Service) sendUpdate(now statemachine.Seconds, client *watcher) {
 	version := s.list.Version()
 	if version == 0 {
@@ -62,7 +62,7 @@
 	s.send(client, update)
 }
 
-// endpointMessage returns an endpoint as the protocol has it.
+// endpointMessage returns an endpoint as a message of the protocol.
 func (s *Service) endpointMessage(now statemachine.Seconds, endpoint endpointfile.Endpoint) proto.Endpoint {
 	message := proto.Endpoint{
 		Backend: endpoint.ID, State: proto.BackendOpen, Kind: endpointKind, Zone: s.zone, Weight: endpoint.Weight,
@@ -80,7 +80,8 @@
 	return message
 }
 
-// handleMessages handles the messages that a watcher has sent. One that breaks the protocol is rejected and disconnected.
+// handleMessages handles the messages that a watcher has sent. A watcher that violates the protocol is sent a Reject and
+// disconnected.
 func (s *Service) handleMessages(now statemachine.Seconds, client *watcher) {
 	for {
 		message, err := client.reader.Next()
@@ -99,6 +100,7 @@
 	}
 }
 
+// handleMessage handles one message of a watcher. It returns an error if watchers must not send such messages.
 func (s *Service) handleMessage(now statemachine.Seconds, client *watcher, message proto.Message) error {
 	switch message := message.(type) {
 	case proto.Hello:
@@ -114,15 +116,15 @@
 		client.version = 0
 		s.respond(now, client)
 	default:
-		return fmt.Errorf("a %s to a list service", proto.WireName(message)) // the text goes out on the wire
+		return fmt.Errorf("a %s to a list service", proto.WireName(message)) // the text is sent on the wire
 	}
 	return nil
 }
 
-// respond answers a request for the list with an update, or with an error before the first file was applied.
+// respond answers a request for the list with an update, or with a failure if no file has been applied yet.
 func (s *Service) respond(now statemachine.Seconds, client *watcher) {
 	if s.list.Version() == 0 {
-		s.send(client, proto.EndpointUpdate{Kind: proto.UpdateFailed, Reason: "no file was taken yet"}) // the text goes out on the wire
+		s.send(client, proto.EndpointUpdate{Kind: proto.UpdateFailed, Reason: "no file was taken yet"}) // the text is sent on the wire
 		return
 	}
 	s.sendUpdate(now, client)
