--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -19,9 +19,9 @@
 // implements statemachine.Machine.
 type Backend struct {
 	config        Config
-	model         *Model // nil before the first step
-	readers       map[statemachine.Conn]*proto.Reader
-	out           *statemachine.Effects
+	model         *Model                              // nil before the first step
+	readers       map[statemachine.Conn]*proto.Reader // of the open connections
+	out           *statemachine.Effects               // of the current step
 	nextSampleAt  Seconds
 	maxTimerDelay Seconds // the longest delay of a timer since the last sample
 }
@@ -134,7 +134,8 @@
 	return b.model.Capacity(now, method)
 }
 
-// Load returns what Model.Load returns, or zeros before the first step. It serves observers of the backend's true state, such as the scenario player.
+// Load returns what Model.Load returns, or zeros before the first step. It serves observers of the backend's true state, such
+// as the scenario player.
 func (b *Backend) Load() (inFlight, queued int, coreUsage float64) {
 	if b.model == nil {
 		return 0, 0, 0
--- a/internal/emulator/executionlog.go
+++ b/internal/emulator/executionlog.go
@@ -7,7 +7,7 @@
 // the RPC came from.
 type ExecutionLog struct {
 	first       map[uint64]Execution // by RPC ID
-	Repeated    []RepeatedExecution  // the first 1000
+	Repeated    []RepeatedExecution  // the first maxRepeatedExecutions
 	RepeatCount int                  // of all repeated executions
 }
 
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -25,13 +25,13 @@
 type faults struct {
 	hangCount       int     // hang faults in force; no work is done while there are any
 	slowdown        float64 // factor on the time that work takes
-	failAll         bool
-	failShare       float64
-	failingMethod   int     // noMethod: none
-	failClientsOf   string  // the coordinator whose tables' clients get failures; empty: none
+	failAll         bool    // every RPC fails
+	failShare       float64 // of the RPCs, at random
+	failingMethod   int     // all RPCs of this method fail; noMethod: none
+	failClientsOf   string  // the RPCs of clients that use this coordinator's tables fail; empty: none
 	expensiveFactor float64 // on the work of a share of the RPCs; 0: none are expensive
-	handshakeDelay  Seconds
-	connLimit       int // 0: as configured
+	handshakeDelay  Seconds // from the opening of a connection until its RPCs are handled
+	connLimit       int     // 0: as configured
 }
 
 func noFaults() faults {
@@ -88,7 +88,7 @@
 	number float64
 }
 
-// parse checks and parses an argument. Its errors wrap errFaultArgument.
+// parse parses an argument and checks its range. Its errors wrap errFaultArgument.
 func (k argumentKind) parse(text string) (faultArgument, error) {
 	argument := faultArgument{text: text}
 	switch k {
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -33,8 +33,8 @@
 	byName      map[string]*process
 	byConn      map[statemachine.Conn]*process
 	wakeups     wakeup.Queue[*process]
-	startedAt   statemachine.Seconds
-	stats       FleetStats // of the current interval
+	startedAt   statemachine.Seconds // time of the first step; 0 before it
+	stats       FleetStats           // of the current interval
 	nextStatsAt statemachine.Seconds
 	onStats     func(FleetStats)
 }
@@ -71,7 +71,7 @@
 	added.wakeup = f.wakeups.Add(added)
 }
 
-// start starts a process with a random seed of its own.
+// start starts a process. Its random seed differs from those of the earlier processes of the backend.
 func (p *process) start() {
 	config := p.config
 	config.StartsCold = config.StartsCold || p.starts > 0
--- a/internal/emulator/fleetstats.go
+++ b/internal/emulator/fleetstats.go
@@ -16,7 +16,7 @@
 	Collapsed     int     // of the running ones
 	Capacity      float64 // RPCs per second that the fleet can execute at present
 	CoreUsage     float64 // share of the cores that are busy
-	Queued        int     // RPCs
+	Queued        int     // jobs that wait for a core
 	Executed      int     // RPCs whose execution began within the second
 	OverloadRatio float64 // the largest share of its overload bound that a warming backend reached; above 1 it collapses
 	MaxDelay      Seconds // the longest time by which a timer was handled late
--- a/internal/emulator/jobs.go
+++ b/internal/emulator/jobs.go
@@ -10,7 +10,7 @@
 	conn            ConnID
 	rpc             RPC
 	deadline        Seconds // of its client
-	workLeft        Seconds
+	workLeft        Seconds // in seconds on a core of speed 1
 	workLeftAt      Seconds // time that workLeft refers to
 	overhead        bool    // not an RPC: there is no reply
 	timerGeneration int     // number of timers set for it, by which a timer that was replaced is ignored
@@ -35,7 +35,7 @@
 	queueFull := len(m.queue) >= m.config.QueueLimit
 	switch {
 	case m.faults.hangCount > 0 && queueFull:
-		// While the backend hangs, it does not reject RPCs either.
+		// A backend that hangs does not even reject the RPCs that find its queue full.
 	case m.drawFailure(rpc.Method, conn.coordinator):
 		m.schedule(m.now+fastFailureDelay, func() { m.reply(connID, rpc.ID, StatusAborted) })
 	case m.draining, queueFull && len(m.running) >= m.config.Cores:
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -9,7 +9,7 @@
 // Model emulates one backend. Its driver has to call Advance with the current time before it calls any other method.
 type Model struct {
 	config    Config
-	startedAt Seconds
+	startedAt Seconds // when the process started; earlier than its creation by the warm-up time if it is warm at once
 	now       Seconds
 	random    Random
 	timers    eventqueue.Queue[func()]
@@ -21,7 +21,7 @@
 	probes      int    // in flight
 	cache       cache
 	overload    overloadWindow
-	loadSamples []loadSample // with delayed reports, oldest first
+	loadSamples []loadSample // only with a ReportDelay; oldest first
 	faults      faults
 	draining    bool
 	collapsed   bool
--- a/internal/emulator/probes.go
+++ b/internal/emulator/probes.go
@@ -1,7 +1,7 @@
 package emulator
 
-// Probe handles a health check. Its reply takes about as long as if it had waited in the queue like an RPC. While the backend hangs
-// there is no reply.
+// Probe handles a health check. Its reply takes about as long as if it had waited in the queue like an RPC. While the backend
+// hangs there is no reply.
 func (m *Model) Probe(connID ConnID, probeID uint64) {
 	if m.conns[connID] == nil || m.collapsed || m.faults.hangCount > 0 {
 		return
--- a/internal/emulator/work.go
+++ b/internal/emulator/work.go
@@ -11,12 +11,12 @@
 // Family is a family of distributions.
 type Family uint8
 
-// The families of distributions, and what Work.Param is in each.
+// The families of distributions, and their Work.Param.
 const (
-	Exponential Family = iota // not used
-	Constant                  // not used
-	Lognormal                 // the coefficient of variation
-	Pareto                    // the tail exponent, above minParetoExponent
+	Exponential Family = iota // no Param
+	Constant                  // no Param
+	Lognormal                 // Param is the coefficient of variation
+	Pareto                    // Param is the tail exponent, above minParetoExponent
 )
 
 const (
--- a/internal/endpointservice/fleet_test.go
+++ b/internal/endpointservice/fleet_test.go
@@ -27,7 +27,7 @@
 	coordinatorCount    = 2
 	frontEndCount       = 8
 	backendCount        = 6
-	endpointServiceAddr = "list" // the address of the endpoint service
+	endpointServiceAddr = "list"
 )
 
 // fleet is a simulated fleet with an endpoint service that follows files.
--- a/internal/endpointservice/trace_test.go
+++ b/internal/endpointservice/trace_test.go
@@ -9,7 +9,7 @@
 	"gingerfork/internal/trace"
 )
 
-// tracedService adds to a service the trace records that the invariant checker needs. The fake endpoint service writes the same.
+// tracedService adds to a service the trace records that the invariant checker needs, as the fake endpoint service writes them.
 type tracedService struct {
 	*Service
 	sent     map[statemachine.Conn]*proto.Reader // messages sent by the service
--- a/internal/optimum/optimum.go
+++ b/internal/optimum/optimum.go
@@ -1,7 +1,7 @@
 // Package optimum computes an upper bound on the service that any coordinator could have achieved in a scenario: that of a
 // coordinator that knows at every moment which backends work and how fast, reaches every backend that the network allows,
 // wastes no capacity, and serves RPCs of high criticality first. No real coordinator achieves it, since information is
-// delayed. The gap is the combined cost of the coordinator's design, of delayed information and of its own faults.
+// delayed. The gap is the combined cost of the coordinator's design, of delayed information and of the coordinator's own faults.
 //
 // The bound is computed by maximum flows. RPCs that arrive in a time slot from a zone for a method may be answered in that
 // slot or a later one until their soft deadline, and backends can answer a limited number of RPCs in each slot. The sets of
