--- a/internal/emulator/keystore.go
+++ b/internal/emulator/keystore.go
@@ -15,7 +15,7 @@
 // be too slow with every RPC.
 const expiryIntervalWindows = 10
 
-// KeyStore stores the idempotency keys of executed RPCs, so that an RPC is executed only once within Window in a scope.
+// KeyStore stores the idempotency keys of executed RPCs, so that an RPC is executed only once per scope within Window.
 type KeyStore struct {
 	Scope         KeyScope
 	Window        Seconds
