--- a/internal/endpointfile/encoding_test.go
+++ b/internal/endpointfile/encoding_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// The stored format is that of the first version: lists that it wrote are read, and what is written now it can read.
+// The stored format stays compatible in both directions with the first version of this package, which wrote the wanted text.
 func TestStoredFormat(t *testing.T) {
 	list := New(testSettings)
 	backends := makeBackends(4, 1)
-	apply(t, list, 5, backends)
+	mustApply(t, list, 5, backends)
 	backends[1].Addr = "o:1"
 	backends[2].Draining = true
-	apply(t, list, 6, backends)
-	apply(t, list, 7, backends[:3])
-	apply(t, list, 8, backends[:1])
+	mustApply(t, list, 6, backends)
+	mustApply(t, list, 7, backends[:3])
+	mustApply(t, list, 8, backends[:1])
 	if _, err := list.Apply(9, []Backend{{ID: 9, Name: "n", Addr: "h:9", Weight: 2}}); err == nil {
 		t.Fatal("a file without any of the open backends was accepted")
 	}
@@ -33,10 +33,11 @@
 	}
 }
 
+// Data that is no JSON, has another format, or has an invalid or repeated endpoint is rejected.
 func TestDecodeRejectsInvalidData(t *testing.T) {
 	for _, test := range []struct {
 		data string
-		want error // nil: the JSON decoder's
+		want error // nil: any error of the JSON decoder
 	}{
 		{"", nil},
 		{"{", nil},
--- a/internal/endpointservice/fleet_test.go
+++ b/internal/endpointservice/fleet_test.go
@@ -22,30 +22,31 @@
 )
 
 const (
-	fleetEpoch     = 1e6 // when the simulated time begins, in seconds
-	fleetZone      = "dc-kewdale"
-	coordinators   = 2
-	frontEnds      = 8
-	fleetBackends  = 6
-	endpointServer = "list" // the address of the endpoint service
+	fleetEpoch          = 1e6 // start of the simulated time in seconds
+	fleetZone           = "dc-kewdale"
+	coordinatorCount    = 2
+	frontEndCount       = 8
+	backendCount        = 6
+	endpointServiceAddr = "list"
 )
 
-// fleet is a simulated fleet whose endpoint list follows files.
+// fleet is a simulated fleet with an endpoint service that follows files.
 type fleet struct {
 	t        *testing.T
 	network  *simnet.Network
 	settings *bootstrap.Settings
-	service  *Service // of the process that runs, or ran last
+	service  *Service // of the running process, or of the last one
 	records  []trace.Record
-	rejected []error // of rejected files
+	rejected []error // the errors of rejected files
 }
 
-// event is what happens to a fleet at a time in seconds from its start.
+// event is an action on a fleet at a time in seconds after its start.
 type event struct {
-	at float64
-	do func(f *fleet)
+	at     float64
+	action func(f *fleet)
 }
 
+// fleetSettings returns the settings of the perth.conf scenario file.
 func fleetSettings(t *testing.T) *bootstrap.Settings {
 	t.Helper()
 	text, err := scenario.File("perth.conf")
@@ -60,22 +61,22 @@
 	return settings
 }
 
-// runFleet simulates a fleet for a time in seconds and fails the test if an invariant is violated.
+// runFleet simulates a fleet with events for a duration in seconds. It fails the test if an invariant is violated.
 func runFleet(t *testing.T, duration float64, events ...event) (*fleet, invariant.Report) {
 	t.Helper()
 	simulated := &fleet{t: t, settings: fleetSettings(t), network: simnet.New(3, fleetEpoch, 0.0003, 0.0006)}
 	simulated.network.Trace = func(record trace.Record) { simulated.records = append(simulated.records, record) }
 	simulated.addEndpointService()
-	simulated.submit(makeBackends(fleetBackends, 1))
+	simulated.submit(makeBackends(backendCount, 1))
 	simulated.addBackends()
-	for i := range coordinators {
+	for i := range coordinatorCount {
 		simulated.addCoordinator(i)
 	}
-	for i := range frontEnds {
+	for i := range frontEndCount {
 		simulated.addFrontEnd(i)
 	}
 	for _, e := range events {
-		simulated.network.Schedule(fleetEpoch+e.at, func() { e.do(simulated) })
+		simulated.network.Schedule(fleetEpoch+e.at, func() { e.action(simulated) })
 	}
 	simulated.network.RunUntil(fleetEpoch + duration)
 	if len(simulated.network.Failures) > 0 {
@@ -93,14 +94,15 @@
 	return simulated, report
 }
 
-// submit submits a file; it is applied in the next step, as on sockets.
+// submit submits a file. As on an event loop, a step follows, in which the file is applied: the command causes the step, and its
+// text is ignored.
 func (f *fleet) submit(backends []endpointfile.Backend) {
 	f.service.Submit(backends)
-	f.network.SendCommand(endpointServer, "look")
+	f.network.SendCommand(endpointServiceAddr, "look")
 }
 
 func (f *fleet) addEndpointService() {
-	f.network.AddNode(endpointServer, fleetZone, func(_ statemachine.Seconds, files map[string][]byte) statemachine.Machine {
+	f.network.AddNode(endpointServiceAddr, fleetZone, func(_ statemachine.Seconds, files map[string][]byte) statemachine.Machine {
 		settings := endpointfile.Settings{DrainPeriod: 4, MaxLossShare: 0.5}
 		service, err := New("list", fleetZone, settings, files[StateFile], func(_ int, err error) {
 			if err != nil {
@@ -112,12 +114,12 @@
 		}
 		f.service = service
 		return newTracedService(service)
-	}, endpointServer)
-	f.network.Start(endpointServer)
+	}, endpointServiceAddr)
+	f.network.Start(endpointServiceAddr)
 }
 
 func (f *fleet) addBackends() {
-	for i, backend := range makeBackends(fleetBackends, 1) {
+	for i, backend := range makeBackends(backendCount, 1) {
 		f.network.AddNode(backend.Addr, fleetZone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
 			return emulator.NewBackend(emulator.Config{
 				Backend: backend.ID, Zone: fleetZone, Cores: 4, Speed: 1, Work: []emulator.Work{{Mean: 0.02}}, QueueLimit: 100, Seed: uint64(i),
@@ -132,7 +134,7 @@
 	f.network.AddNode(name, fleetZone, func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
 		config := f.settings.CoordinatorConfig(now)
 		values := maps.Clone(f.settings.Values)
-		values["self"], values["coordinators"] = float64(i), float64(coordinators)
+		values["self"], values["coordinators"] = float64(i), float64(coordinatorCount)
 		config.Settings, config.Seed = choice.DecodeSettings(values), uint64(i)+1
 		records, err := f.network.OpenStore(name)
 		if err != nil {
@@ -143,7 +145,7 @@
 			f.t.Fatal(err)
 		}
 		return coordinator.NewMachine(coordinator.Bootstrap{
-			Name: name, Zone: fleetZone, EndpointListAddr: endpointServer, ModuleConfig: config, HandshakeTimeout: 1, ProxyIdleTimeout: 10,
+			Name: name, Zone: fleetZone, EndpointListAddr: endpointServiceAddr, ModuleConfig: config, HandshakeTimeout: 1, ProxyIdleTimeout: 10,
 			EndpointListIdleTimeout: 5, ProbeTimeout: 1, MaxStreams: 100, MaxProbes: 10,
 		}, state)
 	}, name)
@@ -156,7 +158,7 @@
 	name := fmt.Sprint("f", i)
 	f.network.AddNode(name, fleetZone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
 		return fake.NewFrontEnd(fake.FrontEndConfig{
-			Name: name, Zone: fleetZone, Coordinators: []string{fmt.Sprint("c", i%coordinators), fmt.Sprint("c", 1-i%coordinators)},
+			Name: name, Zone: fleetZone, Coordinators: []string{fmt.Sprint("c", i%coordinatorCount), fmt.Sprint("c", 1-i%coordinatorCount)},
 			Methods: fake.MethodConfigs(settings.Methods), Rate: 15, Policy: settings.Pick, AvoidFor: 5, AttemptTimeout: 0.8,
 			ReportPeriod: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
 		})
@@ -164,17 +166,17 @@
 	f.network.Start(name)
 }
 
-// The file loses a backend, the service is killed and restarted between two files, a file is truncated, a backend leaves and
-// returns repeatedly, a coordinator is killed: all invariants hold, and hardly an RPC is lost.
+// All invariants hold, no RPC is aborted and at least 97 % of the service is achieved while backends are removed from the file
+// and return to it, the endpoint service restarts between two files, a file is truncated, and a coordinator is killed.
 func TestInvariantsHoldWhileFilesChange(t *testing.T) {
 	submit := func(count int) func(*fleet) {
 		return func(f *fleet) { f.submit(makeBackends(count, 1)) }
 	}
 	simulated, report := runFleet(t, 40,
 		event{5, submit(5)},
-		event{7, func(f *fleet) { f.network.Kill(endpointServer) }},
-		event{10, func(f *fleet) { // the drain of the sixth backend ended meanwhile
-			f.network.Start(endpointServer)
+		event{7, func(f *fleet) { f.network.Kill(endpointServiceAddr) }},
+		event{10, func(f *fleet) { // while the service was down, the drain of the sixth backend ended
+			f.network.Start(endpointServiceAddr)
 			f.submit(makeBackends(4, 1))
 		}},
 		event{16, submit(1)}, // truncated
@@ -189,7 +191,7 @@
 	)
 	var loss *endpointfile.LossError
 	if len(simulated.rejected) != 1 || !errors.As(simulated.rejected[0], &loss) || !strings.Contains(loss.Error(), "out of use") {
-		t.Errorf("rejected: %v", simulated.rejected)
+		t.Errorf("rejected files: %v, want one that takes too many backends out of use", simulated.rejected)
 	}
 	if report.Service.Share() < 0.97 || report.Service.Aborted > 0 {
 		t.Errorf("service %.3f, %d aborted", report.Service.Share(), report.Service.Aborted)
@@ -205,7 +207,7 @@
 	}
 }
 
-// A changed weight is pushed to proxies as changed entries of their tables, not as new tables.
+// A changed weight is pushed to proxies as a changed entry of each of their tables, not as a new table.
 func TestChangedWeightIsPushedAsEntry(t *testing.T) {
 	const changedAt, until = fleetEpoch + 12, fleetEpoch + 14
 	heavier := makeBackends(6, 1)
@@ -228,7 +230,7 @@
 	}
 	const tables = 2
 	for proxy, count := range pushes {
-		if count > tables { // one entry for each table
+		if count > tables { // one entry per table
 			t.Errorf("%s got the changed weight %d times", proxy, count)
 		}
 	}
