--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -9,45 +9,46 @@
 	"gingerfork/internal/trace"
 )
 
-// Errors of a trace that cannot be checked; the returned error wraps one of them and names the record.
+// Errors for a trace that cannot be checked. Check wraps one of them in an error that names the record.
 var (
-	ErrTimeOrder    = errors.New("time runs back")
-	ErrUnknownKind  = errors.New("unknown kind")
+	ErrTimeOrder    = errors.New("time decreases")
+	ErrUnknownKind  = errors.New("unknown record kind")
 	ErrBadOperation = errors.New("malformed table operation")
 	ErrBadEndpoint  = errors.New("malformed endpoint")
 )
 
-// availabilityInterval is how often, in seconds, proxies are examined that write no records of their own.
-const availabilityInterval = 0.05
+// availabilityCheckInterval is the interval, in seconds, at which rule 1 is checked for all proxies, as some may write no record
+// for a long time.
+const availabilityCheckInterval = 0.05
 
 // endpointService is the name of the endpoint list service in traces.
 const endpointService = "list"
 
-// checker holds the state that the rules need, rebuilt from the records.
+// checker holds the state that the rules need, as the records show it.
 type checker struct {
 	limits       Limits
 	report       Report
 	coordinators map[string]*coordinator
 	proxies      map[string]*proxy
-	proxyNames   []string     // in the order of their first record
-	endpoints    endpointView // as the endpoint list service publishes it
-
-	begin            float64
-	now              float64
-	record           int // index of the present record, from 1
-	availabilityTime float64
-
-	unfinished   map[uint64]int // method of each RPC with an attempt and no end
-	firstAttempt map[uint64]float64
-	effects      map[uint64]effect
-	startTimes   map[uint32]float64
-	coldAttempts map[uint32][]coldAttempt
+	proxyNames   []string     // in the order of their first records
+	endpoints    endpointView // as the endpoint list service publishes them
+
+	startTime             float64
+	now                   float64
+	recordNumber          int // of the present record, from 1
+	lastAvailabilityCheck float64
+
+	unfinishedRPCs map[uint64]int           // by RPC ID: method of an RPC that was attempted and has not finished
+	firstAttempt   map[uint64]float64       // by RPC ID: time
+	effects        map[uint64]effect        // by RPC ID
+	startTimes     map[uint32]float64       // by backend: its latest cold start
+	coldAttempts   map[uint32][]coldAttempt // by backend: attempts within the collapse window
 }
 
 func newChecker(limits Limits) *checker {
 	c := &checker{
 		limits: limits, coordinators: map[string]*coordinator{}, proxies: map[string]*proxy{}, endpoints: endpointView{},
-		unfinished: map[uint64]int{}, firstAttempt: map[uint64]float64{}, effects: map[uint64]effect{},
+		unfinishedRPCs: map[uint64]int{}, firstAttempt: map[uint64]float64{}, effects: map[uint64]effect{},
 		startTimes: map[uint32]float64{}, coldAttempts: map[uint32][]coldAttempt{},
 	}
 	for i, name := range ruleNames {
@@ -56,60 +57,61 @@
 	return c
 }
 
-// Check examines a trace, whose records must be in the order of time. It fails with ErrTimeOrder, ErrUnknownKind,
-// ErrBadOperation or ErrBadEndpoint where the trace cannot be read, together with the report up to there.
+// Check checks a trace against the rules. Its records must be sorted by time. If a record cannot be interpreted, Check returns
+// the report up to that record and an error that wraps ErrTimeOrder, ErrUnknownKind, ErrBadOperation or ErrBadEndpoint.
 func Check(records []trace.Record, limits Limits) (Report, error) {
 	checker := newChecker(limits)
 	if len(records) > 0 {
-		checker.begin = records[0].Time
+		checker.startTime = records[0].Time
 	}
 	for i, record := range records {
 		if record.Time < checker.now {
 			return checker.report, fmt.Errorf("record %d: %w from %.6f to %.6f", i+1, ErrTimeOrder, checker.now, record.Time)
 		}
 		checker.advance(record.Time)
-		checker.now, checker.record = record.Time, i+1
+		checker.now, checker.recordNumber = record.Time, i+1
 		if err := checker.handle(record); err != nil {
 			return checker.report, fmt.Errorf("record %d (%s): %w", i+1, record.Kind, err)
 		}
 	}
 	if len(records) > 0 {
-		checker.availabilityTime = 0 // the end of the run is always examined
+		checker.lastAvailabilityCheck = 0 // so that the end of the run is checked in any case
 		checker.advance(checker.now)
 		checker.report.Duration = checker.now - records[0].Time
 	}
-	checker.report.Service.Unfinished = len(checker.unfinished)
+	checker.report.Service.Unfinished = len(checker.unfinishedRPCs)
 	return checker.report, nil
 }
 
-// measure keeps the largest share of a rule's limit that was reached, with a note on what reached it.
-func (c *checker) measure(rule int, share float64, note string, args ...any) {
-	if v := &c.report.Rules[rule-1]; share > v.Closest {
-		v.Closest, v.ClosestTime, v.ClosestNote = share, c.now-c.begin, fmt.Sprintf(note, args...)
+// recordClosest keeps the largest share of a rule's limit that the run used, with its time and a description.
+func (c *checker) recordClosest(rule int, share float64, note string, args ...any) {
+	if verdict := &c.report.Rules[rule-1]; share > verdict.Closest {
+		verdict.Closest, verdict.ClosestTime, verdict.ClosestNote = share, c.now-c.startTime, fmt.Sprintf(note, args...)
 	}
 }
 
-// violate counts a violation, and keeps the details of a rule's first one.
-func (c *checker) violate(rule int, party, reason string, args ...any) {
-	v := &c.report.Rules[rule-1]
-	v.Violations++
-	if v.Violations == 1 {
-		v.FirstTime, v.Party, v.Record, v.Reason = c.now, party, c.record, fmt.Sprintf(reason, args...)
+// recordViolation counts a violation of a rule, and keeps the details of the first one.
+func (c *checker) recordViolation(rule int, party, reason string, args ...any) {
+	verdict := &c.report.Rules[rule-1]
+	verdict.Violations++
+	if verdict.Violations == 1 {
+		verdict.FirstTime, verdict.Party, verdict.Record, verdict.Reason = c.now, party, c.recordNumber, fmt.Sprintf(reason, args...)
 	}
 }
 
-// advance applies what time alone brings about up to a time: backends become warm, proxies remain without a backend.
+// advance moves to a time without a new record: listed backends become warm, and rule 1 is checked for all proxies if the check
+// interval has passed.
 func (c *checker) advance(until float64) {
 	for _, coord := range c.coordinators {
-		if coord.nextWarm <= until {
-			coord.updateAvailability(coord.nextWarm, c.limits.WarmAfter)
+		if coord.nextWarmTime <= until {
+			coord.updateAvailability(coord.nextWarmTime, c.limits.WarmAfter)
 		}
 	}
-	// A change that a proxy's own records bring is examined when it happens; this finds proxies without any.
-	if until < c.availabilityTime+availabilityInterval && until >= c.availabilityTime {
+	// Changes by a proxy's own records are checked when they are applied. This check finds proxies that write no records.
+	if until < c.lastAvailabilityCheck+availabilityCheckInterval && until >= c.lastAvailabilityCheck {
 		return
 	}
-	c.availabilityTime = until
+	c.lastAvailabilityCheck = until
 	for _, name := range c.proxyNames {
 		c.checkAvailability(name, c.proxies[name], until)
 	}
@@ -139,7 +141,7 @@
 		c.startTimes[record.Backend] = record.Time
 		delete(c.coldAttempts, record.Backend)
 	case trace.LoadOffered:
-		c.measure(ruleColdBackend, record.Value, "server %d, cold, was sent %d RPCs in the window", record.Backend, record.Count)
+		c.recordClosest(ruleColdBackend, record.Value, "cold server %d was sent %d RPCs in the collapse window", record.Backend, record.Count)
 	case trace.BackendCollapsed:
 		c.checkCollapse(record)
 	case trace.RPCFinished:
@@ -158,7 +160,7 @@
 	case trace.CoordinatorStarted:
 		c.restartCoordinator(c.coordinator(record.Party), record.Time)
 	case trace.EndpointsRequested:
-		c.coordinator(record.Coordinator).polled(record.Time)
+		c.coordinator(record.Coordinator).recordPoll(record.Time)
 	case trace.EndpointsDelivered:
 		return c.handleEndpoints(record)
 	}
@@ -172,7 +174,7 @@
 	case trace.ProxyJoined:
 		p := c.proxy(record.Party)
 		p.coordinator, p.joinTime, p.pushTimes = record.Coordinator, record.Time, nil
-		p.updateCoverage(c.now)
+		p.updateNoBackendSince(c.now)
 	case trace.ProxyLeft:
 		if p := c.proxies[record.Party]; p != nil {
 			c.checkAvailability(record.Party, p, record.Time)
@@ -184,7 +186,7 @@
 	return nil
 }
 
-// killProxy forgets all that a killed process knew; faults of its links are not the process's and remain.
+// killProxy resets the state of a proxy whose process was killed. Partitions outlast the process, so they are kept.
 func (c *checker) killProxy(name string) {
 	p := c.proxies[name]
 	if p == nil {
@@ -195,7 +197,7 @@
 	c.proxy(name).partitions = p.partitions
 }
 
-// handlePause notes until when a process does not run.
+// handlePause records until when a process is paused.
 func (c *checker) handlePause(record trace.Record) {
 	if p := c.proxies[record.Party]; p != nil {
 		p.pausedUntil = max(p.pausedUntil, record.Time+record.Value)
@@ -205,45 +207,45 @@
 	coord.pausedUntil = max(coord.pausedUntil, record.Time+record.Value)
 }
 
-// handleProxyLink follows partitions between a proxy and a coordinator.
+// handleProxyLink applies the beginning or end of a partition between a proxy and a coordinator.
 func (c *checker) handleProxyLink(record trace.Record) {
-	linked := c.proxy(record.Party)
-	c.checkAvailability(record.Party, linked, record.Time)
+	state := c.proxy(record.Party)
+	c.checkAvailability(record.Party, state, record.Time)
 	if record.Kind == trace.LinkCut {
-		linked.partitions[record.Coordinator]++
+		state.partitions[record.Coordinator]++
 		return
 	}
-	linked.partitions[record.Coordinator]--
-	if linked.partitions[record.Coordinator] > 0 {
+	state.partitions[record.Coordinator]--
+	if state.partitions[record.Coordinator] > 0 {
 		return
 	}
-	delete(linked.partitions, record.Coordinator)
-	if linked.coordinator == record.Coordinator {
-		linked.joinTime = record.Time // what was held back arrives now
+	delete(state.partitions, record.Coordinator)
+	if state.coordinator == record.Coordinator {
+		state.joinTime = record.Time // messages that the partition held back arrive only now
 	}
 }
 
-// handleAttempt applies the rules for attempts to one that a proxy sent.
+// handleAttempt applies the rules about attempts to an attempt that a proxy sent.
 func (c *checker) handleAttempt(record trace.Record) {
 	c.report.Attempts++
-	c.unfinished[record.RPCID] = record.Method
+	c.unfinishedRPCs[record.RPCID] = record.Method
 	p := c.proxy(record.Party)
 	c.checkDrain(record, p)
 	c.checkRetry(record)
 	c.recordColdAttempt(record, p)
 }
 
-// coordinator returns the state of a coordinator, made at its first record.
+// coordinator returns the state of a coordinator, which is created when first asked for.
 func (c *checker) coordinator(name string) *coordinator {
 	coord := c.coordinators[name]
 	if coord == nil {
-		coord = &coordinator{endpoints: endpointView{}, availableSince: math.Inf(1), nextWarm: math.Inf(1)}
+		coord = &coordinator{endpoints: endpointView{}, availableSince: math.Inf(1), nextWarmTime: math.Inf(1)}
 		c.coordinators[name] = coord
 	}
 	return coord
 }
 
-// proxy returns the state of a proxy, made at its first record.
+// proxy returns the state of a proxy, which is created when first asked for.
 func (c *checker) proxy(name string) *proxy {
 	p := c.proxies[name]
 	if p == nil {
--- a/internal/invariant/checker_test.go
+++ b/internal/invariant/checker_test.go
@@ -16,7 +16,8 @@
 	},
 }
 
-// joinedProxy is the trace of a proxy that joined a coordinator, with backends 1 and 2 listed and in its table, and more.
+// joinedProxy returns the trace of a proxy that is joined to a coordinator, with backends 1 and 2 listed and in its table,
+// followed by more records.
 func joinedProxy(more ...trace.Record) []trace.Record {
 	return append([]trace.Record{
 		{Time: 0, Kind: trace.CoordinatorStarted, Party: "c0"},
@@ -36,22 +37,23 @@
 	return trace.Record{Time: t, Kind: trace.EndpointsDelivered, Coordinator: "c0", Count: int64(t), Text: text}
 }
 
-func attempt(t float64, ep uint32, rpc uint64, method int, why string) trace.Record {
-	return trace.Record{Time: t, Kind: trace.AttemptSent, Party: "f0", Coordinator: "c0", Backend: ep, RPCID: rpc, Method: method, Text: why}
+func attempt(t float64, backend uint32, rpc uint64, method int, retryReason string) trace.Record {
+	return trace.Record{Time: t, Kind: trace.AttemptSent, Party: "f0", Coordinator: "c0", Backend: backend, RPCID: rpc, Method: method, Text: retryReason}
 }
 
-func runEffect(t float64, ep uint32, rpc uint64, method int) trace.Record {
-	return trace.Record{Time: t, Kind: trace.EffectExecuted, Backend: ep, RPCID: rpc, Method: method}
+func runEffect(t float64, backend uint32, rpc uint64, method int) trace.Record {
+	return trace.Record{Time: t, Kind: trace.EffectExecuted, Backend: backend, RPCID: rpc, Method: method}
 }
 
-func linkChange(t float64, kind, who string) trace.Record {
-	return trace.Record{Time: t, Kind: kind, Party: who, Coordinator: "c0"}
+func linkChange(t float64, kind, party string) trace.Record {
+	return trace.Record{Time: t, Kind: kind, Party: party, Coordinator: "c0"}
 }
+
 func endOfRun(t float64) trace.Record { return trace.Record{Time: t, Kind: trace.FaultInjected} }
 
 func TestRulesAreChecked(t *testing.T) {
 	for name, test := range map[string]struct {
-		rule    int // that is violated; 0: none
+		rule    int // the one that is violated; 0: none
 		records []trace.Record
 	}{
 		"no violation":                             {0, joinedProxy(attempt(2, 1, 7, 1, ""), runEffect(2, 1, 7, 1), endOfRun(20))},
@@ -95,30 +97,30 @@
 			trace.Record{Time: 11.5, Kind: trace.PushSent, Party: "f0", Coordinator: "c0"})},
 		"queued entries above the bound": {5, joinedProxy(trace.Record{Time: 2, Kind: trace.PushSent, Party: "f0", Coordinator: "c0", Count: 101})},
 	} {
-		r, err := Check(test.records, limits)
+		report, err := Check(test.records, limits)
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		for _, v := range r.Rules {
-			if (v.Violations > 0) != (v.Rule == test.rule) {
-				t.Errorf("%s: rule %d violated %d times: %s", name, v.Rule, v.Violations, v.Reason)
+		for _, verdict := range report.Rules {
+			if (verdict.Violations > 0) != (verdict.Rule == test.rule) {
+				t.Errorf("%s: rule %d violated %d times: %s", name, verdict.Rule, verdict.Violations, verdict.Reason)
 			}
-			if v.Violations > 0 && (v.Record == 0 || v.Party == "" || v.Reason == "") {
-				t.Errorf("%s: rule %d has no details: %+v", name, v.Rule, v)
+			if verdict.Violations > 0 && (verdict.Record == 0 || verdict.Party == "" || verdict.Reason == "") {
+				t.Errorf("%s: rule %d has no details: %+v", name, verdict.Rule, verdict)
 			}
 		}
 	}
 }
 
 func TestServiceFigures(t *testing.T) {
-	done := func(rpc uint64, method int, text string, x float64) trace.Record {
-		return trace.Record{Time: 5, Kind: trace.RPCFinished, Party: "f0", RPCID: rpc, Method: method, Text: text, Value: x}
+	finished := func(rpc uint64, method int, outcome string, latency float64) trace.Record {
+		return trace.Record{Time: 5, Kind: trace.RPCFinished, Party: "f0", RPCID: rpc, Method: method, Text: outcome, Value: latency}
 	}
-	r, err := Check(joinedProxy(attempt(2, 1, 1, 0, ""), attempt(2, 1, 2, 1, ""), attempt(2, 1, 9, 1, ""), done(1, 0, "ok", 0.5), done(2, 1, "ok", 1.5), done(3, 1, "ok", 1),
-		done(4, 0, "pushed back", 0), done(5, 0, "aborted", 2)), limits)
-	if s := r.Service; err != nil || s.Offered != 7 || s.InTime != 3 || s.OK != 3 || s.Late != 1 || s.Rejected != 1 || s.Aborted != 1 || s.Unfinished != 1 || s.Share() != 3.0/7 {
-		t.Fatalf("%+v %v", r.Service, err)
+	report, err := Check(joinedProxy(attempt(2, 1, 1, 0, ""), attempt(2, 1, 2, 1, ""), attempt(2, 1, 9, 1, ""), finished(1, 0, "ok", 0.5), finished(2, 1, "ok", 1.5), finished(3, 1, "ok", 1),
+		finished(4, 0, "pushed back", 0), finished(5, 0, "aborted", 2)), limits)
+	if s := report.Service; err != nil || s.Offered != 7 || s.InTime != 3 || s.OK != 3 || s.Late != 1 || s.Rejected != 1 || s.Aborted != 1 || s.Unfinished != 1 || s.Share() != 3.0/7 {
+		t.Fatalf("%+v %v", report.Service, err)
 	}
 }
 
@@ -127,7 +129,7 @@
 		want    error
 		records []trace.Record
 	}{
-		"time runs back":     {ErrTimeOrder, []trace.Record{endOfRun(5), endOfRun(4)}},
+		"time decreases":     {ErrTimeOrder, []trace.Record{endOfRun(5), endOfRun(4)}},
 		"unknown kind":       {ErrUnknownKind, []trace.Record{{Time: 1, Kind: "x"}}},
 		"malformed endpoint": {ErrBadEndpoint, []trace.Record{endpointUpdate(1, "full 1:o")}},
 		"unknown operation":  {ErrBadOperation, []trace.Record{apply(1, "bend 0 1")}},
--- a/internal/invariant/coordinator.go
+++ b/internal/invariant/coordinator.go
@@ -9,47 +9,49 @@
 	"gingerfork/internal/trace"
 )
 
-// streamTimeoutMargin is by how many seconds a coordinator may give up its stream earlier than the configured timeout.
+// streamTimeoutMargin is how much shorter than the configured timeout, in seconds, a partition may be to count as long enough
+// for a coordinator to give up its stream to the endpoint list service.
 const streamTimeoutMargin = 1.5
 
-// States of an endpoint, as the trace writes them.
+// States of an endpoint in a trace.
 const (
 	stateOpen     = 'o'
 	stateDraining = 'd'
 	stateGone     = 'g'
 )
 
-// fullUpdate is the kind of an endpoint update that names all endpoints; others name those that changed.
+// fullUpdate is the kind of an endpoint update that lists all endpoints. Updates of other kinds list those that changed.
 const fullUpdate = "full"
 
-// endpoint is what a party knows of a backend.
+// endpoint is an endpoint as one process knows it.
 type endpoint struct {
 	state           byte
 	stateTime       float64 // since when this state is known
 	start           float64 // when the backend's process started; 0: long ago
-	startKnownSince float64
+	startKnownSince float64 // since when this start is known
 }
 
-// endpointView is an endpoint list as one party knows it.
+// endpointView is an endpoint list as one process knows it, by backend.
 type endpointView map[uint32]endpoint
 
-// coordinator is what a coordinator knows of the endpoint list, as its records show it.
+// coordinator is what a coordinator knows of the endpoint list, as the records show it.
 type coordinator struct {
 	endpoints      endpointView
 	availableSince float64        // since when it lists an open, warm backend without a break; infinite: it does not
-	nextWarm       float64        // when that may come about by time alone
+	nextWarmTime   float64        // when that may come about by time alone
 	pausedUntil    float64        // what arrives for it earlier is known to it then
 	partitions     int            // partitions from the endpoint list service
-	partitionTime  float64        // when the first of them began
+	partitionStart float64        // when the first of them began
 	delayed        []trace.Record // endpoint updates that wait behind a partition
 
 	// The stream to the endpoint list service ended in a partition, so the coordinator must poll.
-	mustPoll  bool
-	pollTime  float64         // when it last polled
-	uncertain map[uint32]bool // backends in updates that may or may not have arrived before that
+	mustPoll          bool
+	pollTime          float64         // when it last polled
+	uncertainBackends map[uint32]bool // backends in updates that may or may not have arrived before that
 }
 
-// restartCoordinator applies the start of a new process: what its predecessor was notified of does not bind it from earlier on.
+// restartCoordinator applies the start of a new process. It may know the endpoints that its predecessor knew, but counts as
+// notified of their states no earlier than now.
 func (c *checker) restartCoordinator(coord *coordinator, now float64) {
 	coord.pausedUntil, coord.delayed = 0, nil
 	for backend, e := range coord.endpoints {
@@ -60,28 +62,28 @@
 	coord.updateAvailability(now, c.limits.WarmAfter)
 }
 
-// polled notes a poll of the endpoint list service.
-func (c *coordinator) polled(now float64) {
+// recordPoll applies a poll of the endpoint list service.
+func (c *coordinator) recordPoll(now float64) {
 	c.pollTime = now
 	if c.partitions == 0 {
-		c.delayed = nil // the answer on the new stream holds all of it
+		c.delayed = nil // the answer to the poll contains all of it
 	}
 }
 
-// updateAvailability determines since when the list shows an open, warm backend.
+// updateAvailability updates since when the list has an open, warm backend, and when the next listed one becomes warm.
 func (c *coordinator) updateAvailability(now, warmAfter float64) {
 	warm, next := false, math.Inf(1)
 	for _, e := range c.endpoints {
 		if e.state != stateOpen {
 			continue
 		}
-		if at := e.start + warmAfter; e.start == 0 || at <= now {
+		if warmTime := e.start + warmAfter; e.start == 0 || warmTime <= now {
 			warm = true
 		} else {
-			next = min(next, at)
+			next = min(next, warmTime)
 		}
 	}
-	c.nextWarm = next
+	c.nextWarmTime = next
 	switch {
 	case !warm:
 		c.availableSince = math.Inf(1)
@@ -90,13 +92,13 @@
 	}
 }
 
-// handleEndpointLink follows partitions between a coordinator and the endpoint list service.
+// handleEndpointLink applies the beginning or end of a partition between a coordinator and the endpoint list service.
 func (c *checker) handleEndpointLink(record trace.Record) error {
 	coord := c.coordinator(record.Coordinator)
 	if record.Kind == trace.LinkCut {
 		coord.partitions++
 		if coord.partitions == 1 {
-			coord.partitionTime = record.Time
+			coord.partitionStart = record.Time
 		}
 		return nil
 	}
@@ -104,31 +106,31 @@
 	if coord.partitions > 0 {
 		return nil
 	}
-	if record.Time-coord.partitionTime > c.limits.EndpointStreamTimeout-streamTimeoutMargin {
+	if record.Time-coord.partitionStart > c.limits.EndpointStreamTimeout-streamTimeoutMargin {
 		coord.loseStream(record.Time)
 		return nil
 	}
 	return c.deliverDelayed(coord, record.Time)
 }
 
-// loseStream applies the end of a partition that was long enough for the stream to be given up. The stream may also have
-// survived: then the next update comes without a poll, and the delayed ones came before it.
+// loseStream applies the end of a partition that was long enough for the coordinator to give up its stream. The stream may also
+// have survived: in that case the next update comes without a poll, and the delayed updates arrived before it.
 func (c *coordinator) loseStream(now float64) {
-	c.mustPoll, c.pollTime, c.uncertain = true, max(c.pollTime, now), map[uint32]bool{}
+	c.mustPoll, c.pollTime, c.uncertainBackends = true, max(c.pollTime, now), map[uint32]bool{}
 	if len(c.delayed) > 0 {
-		c.availableSince, c.nextWarm = math.Inf(1), math.Inf(1) // what it lists is not known until it polls
+		c.availableSince, c.nextWarmTime = math.Inf(1), math.Inf(1) // which backends it lists is not known until it polls
 	}
 	for _, update := range c.delayed {
 		for _, word := range strings.Fields(update.Text) {
 			id, _, _ := strings.Cut(word, ":")
 			if backend, err := strconv.ParseUint(id, 10, 32); err == nil {
-				c.uncertain[uint32(backend)] = true
+				c.uncertainBackends[uint32(backend)] = true
 			}
 		}
 	}
 }
 
-// deliverDelayed applies the updates that waited behind a partition, as of now.
+// deliverDelayed applies the updates that a partition held back, as if they arrived now.
 func (c *checker) deliverDelayed(coord *coordinator, now float64) error {
 	delayed := coord.delayed
 	coord.delayed = nil
@@ -141,8 +143,8 @@
 	return nil
 }
 
-// handleEndpoints applies an endpoint update that a coordinator received; without a coordinator it is what the endpoint
-// list service publishes.
+// handleEndpoints applies an endpoint update that a coordinator received, or one that the endpoint list service published if the
+// record names no coordinator.
 func (c *checker) handleEndpoints(record trace.Record) error {
 	if record.Coordinator == "" {
 		return c.endpoints.update(record, c.limits.OnlyDraining)
@@ -164,8 +166,8 @@
 	return nil
 }
 
-// update applies an endpoint update. With onlyDraining a backend that drained keeps that state once it is gone, and one
-// that went without a drain stays bound by nothing.
+// update applies an endpoint update. With onlyDraining, a draining backend keeps that state when it is removed, so that rule 3
+// still applies to it; one that is removed without draining becomes gone, to which rule 3 does not apply then.
 func (v endpointView) update(record trace.Record, onlyDraining bool) error {
 	kind, entries, _ := strings.Cut(record.Text, " ")
 	named := map[uint32]bool{}
@@ -187,7 +189,8 @@
 	return nil
 }
 
-// continueFrom keeps the times of an earlier update where state and start did not change.
+// continueFrom keeps the times of an earlier update if the state or the start did not change. Removal after draining does not
+// count as a change of state.
 func (e *endpoint) continueFrom(earlier endpoint, onlyDraining bool) {
 	if earlier.state == e.state || earlier.state == stateDraining && e.state == stateGone {
 		e.stateTime = earlier.stateTime
@@ -200,7 +203,7 @@
 	}
 }
 
-// removeUnnamed sets the endpoints to gone that a full update does not name.
+// removeUnnamed marks the endpoints that a full update does not list as gone; with onlyDraining, draining ones stay draining.
 func (v endpointView) removeUnnamed(named map[uint32]bool, now float64, onlyDraining bool) {
 	for backend, e := range v {
 		if named[backend] || e.state == stateGone {
@@ -216,7 +219,7 @@
 	}
 }
 
-// parseEndpoint reads EP:STATE:START:ZONE.
+// parseEndpoint parses BACKEND:STATE:START:ZONE.
 func parseEndpoint(word string) (uint32, endpoint, error) {
 	const fieldCount = 4
 	fields := strings.Split(word, ":")
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,73 +1,75 @@
-// Package invariant reads the trace of a run and reports which of the five service rules were violated: when, by which
-// party, at which record, and how close the others came to their limits. It depends on the trace format and on the limits
-// only, and shares no code with the coordinator, the decision module or the protocol, so that a fault in those cannot hide
-// itself here.
+// Package invariant checks the trace of a run against the five service rules. For a violated rule it reports when, by which
+// participant and at which record that happened first; for every rule it reports how close the run came to the limit. It
+// depends only on the trace format and on the limits, and shares no code with the coordinator, the decision module or the
+// protocol, so that a defect in those cannot hide its own effect here.
 package invariant
 
 import "slices"
 
-// Rule numbers, as the operators' pages count them.
+// Numbers of the rules, as in the documentation for operators.
 const (
-	ruleBackendAvailable = 1 + iota // a proxy always has a usable backend
+	ruleBackendAvailable = 1 + iota // a proxy lacks a usable backend no longer than the limit
 	ruleEffectOnce                  // no RPC takes effect twice
-	ruleDrainRespected              // no attempt goes to a draining or removed backend
-	ruleColdBackend                 // no cold backend collapses under load that the coordinator caused
-	ruleQueueBounded                // queues of table entries and messages stay within their bounds
+	ruleDrainRespected              // no attempt goes to a draining or removed backend after the grace period
+	ruleColdBackend                 // no cold backend collapses under load that the coordinators caused
+	ruleQueueBounded                // queued table entries and the message rate stay within their bounds
 	ruleCount            = iota
 )
 
-// ruleNames are the names that reports print, by rule number less one.
+// ruleNames are the names that reports print, indexed by rule number minus one.
 var ruleNames = [ruleCount]string{
 	"no proxy without a backend", "no effect twice", "drains are kept", "no cold backend pushed over",
 	"the queue stays short",
 }
 
-// Method is what the checker needs to know of a method.
+// Method holds the properties of a method that the rules and the service figures depend on.
 type Method struct {
 	Name              string
-	NonIdempotent     bool    // a repeat is permitted only after proof that the first attempt had no effect
+	NonIdempotent     bool    // a retry is permitted only after proof that the earlier attempt had no effect
 	HasIdempotencyKey bool    // backends drop repeats that arrive within DedupWindow
 	DedupWindow       float64 // seconds
-	Criticality       float64 // weight of one RPC in the service figure
-	SoftDeadline      float64 // seconds within which an answer counts as in time
+	Criticality       float64 // weight of one RPC in the service figures
+	SoftDeadline      float64 // an answer within this many seconds counts as in time
 }
 
-// Limits are the figures that the rules hold a run to. Times are in seconds.
+// Limits are the limits that the rules hold a run to. Times are in seconds.
 type Limits struct {
-	NoBackendLimit        float64 // a proxy may lack a usable backend for so long
-	DrainGrace            float64 // attempts to a draining or removed backend are permitted for so long
-	WarmAfter             float64 // a backend counts as warm so long after its start
-	CollapseWindow        float64 // span over which the load on a cold backend is counted
-	MaxQueuedEntries      int     // table entries that may wait at a coordinator
-	MaxMessages           int     // messages to a proxy within MessageWindow; 0: any number
+	NoBackendLimit        float64 // longest time that a proxy may lack a usable backend
+	DrainGrace            float64 // longest time that attempts to a draining or removed backend are permitted
+	WarmAfter             float64 // time from its start after which a backend counts as warm
+	CollapseWindow        float64 // time window over which the load on a cold backend is counted
+	MaxQueuedEntries      int     // table entries that may be queued at a coordinator
+	MaxMessages           int     // messages to a proxy within MessageWindow; 0: unlimited
 	MessageWindow         float64
-	OnlyDraining          bool    // a backend that is gone without a drain does not bind proxies
+	OnlyDraining          bool    // rule 3 does not apply to a backend that was removed without draining
 	EndpointStreamTimeout float64 // silence after which a coordinator gives up its stream to the endpoint list service
-	PollInterval          float64 // a coordinator without a stream must poll within this
+	PollInterval          float64 // longest time within which a coordinator without that stream must poll
 	Methods               []Method
 }
 
-// Verdict is the result for one rule. Times named First and Record refer to the first violation.
+// Verdict is the result for one rule. FirstTime, Party, Record and Reason describe the first violation; the fields named Closest
+// describe the moment at which the run came closest to the limit.
 type Verdict struct {
 	Rule        int
 	Name        string
 	Violations  int
-	FirstTime   float64 // seconds, on the trace's clock
-	Party       string
-	Record      int // index in the trace, from 1
+	FirstTime   float64 // seconds, on the clock of the trace
+	Party       string  // name of the participant that violated the rule
+	Record      int     // number of the record in the trace, from 1
 	Reason      string
-	Closest     float64 // largest share of the limit that was reached; 1 and above: reached
+	Closest     float64 // largest share of the limit that was used; 1 or more: the limit was reached
 	ClosestTime float64 // seconds since the start of the run
 	ClosestNote string
 }
 
-// Service is what the clients received. Offered and InTime are sums of criticality, the others are numbers of RPCs.
+// Service sums up what the clients received. Offered and InTime are sums of criticality, the other fields are numbers of RPCs.
 type Service struct {
 	Offered, InTime                               float64
 	RPCs, OK, Late, Rejected, Aborted, Unfinished int
 }
 
-// Share is the criticality answered within the soft deadline over the criticality that was offered; 1 without any.
+// Share returns the criticality that was answered within the soft deadline as a share of the criticality that was offered; it is
+// 1 if none was offered.
 func (s Service) Share() float64 {
 	if s.Offered == 0 {
 		return 1
@@ -75,19 +77,19 @@
 	return s.InTime / s.Offered
 }
 
-// Report is the result of a check.
+// Report is the result of checking a trace.
 type Report struct {
 	Rules     [ruleCount]Verdict
 	Service   Service
 	Pushes    int
-	Entries   int // table entries in these pushes
+	Entries   int // total size of these pushes: operations, table entries and admission levels
 	Attempts  int
-	Collapses int // cold backends that collapsed under load
-	Faults    int // steps of the scenario
-	Duration  float64
+	Collapses int     // cold backends that collapsed under load
+	Faults    int     // steps of the scenario
+	Duration  float64 // of the run, in seconds
 }
 
-// Violated tells whether any rule was violated.
+// Violated reports whether any rule was violated.
 func (r Report) Violated() bool {
 	return slices.ContainsFunc(r.Rules[:], func(v Verdict) bool { return v.Violations > 0 })
 }
--- a/internal/invariant/proxy.go
+++ b/internal/invariant/proxy.go
@@ -9,41 +9,41 @@
 	"gingerfork/internal/trace"
 )
 
-// noTable stands for the table of a method that is bound to none.
-const noTable = -1
+// unboundTable is the table number of a method that has no table.
+const unboundTable = -1
 
-// proxyTable is one table of a proxy: the weight of each backend that it may use.
+// proxyTable is one table of a proxy: the weight of each backend in it.
 type proxyTable map[uint32]float64
 
 // proxy is the state of a proxy as its records show it.
 type proxy struct {
-	coordinator string // the one that it joined; "" while it is not joined
-	joinTime    float64
-	tables      map[int]proxyTable
-	tablesFrom  string // coordinator that bound the tables
-	methodTable []int  // table of each method, or noTable
-	excluded    map[uint32]bool
-	lastApply   float64
-	pushTimes   []float64
-	pausedUntil float64
-	partitions  map[string]int // partitions from each coordinator; a coordinator behind one cannot reach the proxy
-
-	uncoveredSince   []float64 // by method; infinite while it has a usable backend
-	violationCounted []bool    // by method: the present uncovered time was counted
+	coordinator     string             // the one that it is joined to; "" if there is none
+	joinTime        float64            // when it joined, or when a later partition from its coordinator ended
+	tables          map[int]proxyTable // by table number
+	tablesFrom      string             // coordinator that bound the tables
+	methodTable     []int              // table number of each method, or unboundTable
+	excluded        map[uint32]bool    // backends that the coordinator took out of use
+	lastPushApplied float64            // when it last put a push into effect
+	pushTimes       []float64          // of the pushes within the message window
+	pausedUntil     float64            // end of the last pause of its process
+	partitions      map[string]int     // by coordinator: number of present partitions between it and the proxy
+
+	noBackendSince   []float64 // by method: when it lost its last usable backend; infinite while it has one
+	noBackendCounted []bool    // by method: the present period without a backend was counted as a violation
 }
 
 func newProxy(methods int) *proxy {
 	p := &proxy{
 		tables: map[int]proxyTable{}, partitions: map[string]int{}, excluded: map[uint32]bool{},
-		methodTable: make([]int, methods), uncoveredSince: make([]float64, methods), violationCounted: make([]bool, methods),
+		methodTable: make([]int, methods), noBackendSince: make([]float64, methods), noBackendCounted: make([]bool, methods),
 	}
 	for m := range p.methodTable {
-		p.methodTable[m] = noTable
+		p.methodTable[m] = unboundTable
 	}
 	return p
 }
 
-// connectedTo is the coordinator whose messages can reach the proxy, "" if none's can.
+// connectedTo returns the coordinator that the proxy is joined to and not partitioned from; "" if there is none.
 func (p *proxy) connectedTo() string {
 	if p.partitions[p.coordinator] > 0 {
 		return ""
@@ -51,19 +51,19 @@
 	return p.coordinator
 }
 
-// updateCoverage determines anew which methods have a usable backend.
-func (p *proxy) updateCoverage(now float64) {
+// updateNoBackendSince updates since when each method has no usable backend, after a change to the tables or exclusions.
+func (p *proxy) updateNoBackendSince(now float64) {
 	for m, table := range p.methodTable {
 		switch {
 		case p.usable(p.tables[table]):
-			p.uncoveredSince[m], p.violationCounted[m] = math.Inf(1), false
-		case math.IsInf(p.uncoveredSince[m], 1):
-			p.uncoveredSince[m] = now
+			p.noBackendSince[m], p.noBackendCounted[m] = math.Inf(1), false
+		case math.IsInf(p.noBackendSince[m], 1):
+			p.noBackendSince[m] = now
 		}
 	}
 }
 
-// usable tells whether a table holds a backend that is not excluded.
+// usable reports whether a table has a backend that is not excluded.
 func (p *proxy) usable(table proxyTable) bool {
 	for backend, weight := range table {
 		if weight > 0 && !p.excluded[backend] {
@@ -73,13 +73,14 @@
 	return false
 }
 
-// applyPush follows the table operations that a proxy put into effect. They stand in the trace as "bind TABLE METHODS
-// EP:W[!]... -EP...", "line TABLE EP:W[!]", "clear TABLE", "level TABLE METHODS LEVEL TRIES", "withdraw EP" and "readmit EP";
-// ! and - stand for a backend that is excluded.
+// applyPush applies the table operations that a proxy put into effect. The trace has them, separated by semicolons, as "bind
+// TABLE METHODS BACKEND:WEIGHT[!]... -BACKEND...", "line TABLE BACKEND:WEIGHT[!]", "clear TABLE", "level TABLE METHODS LEVEL
+// TRIES", "withdraw BACKEND" and "readmit BACKEND". METHODS is a bit set, 0 for all methods. ! marks an entry whose backend is
+// excluded, - a backend that is excluded without an entry.
 func (c *checker) applyPush(record trace.Record) error {
 	p := c.proxy(record.Party)
 	c.checkAvailability(record.Party, p, record.Time)
-	p.lastApply = record.Time
+	p.lastPushApplied = record.Time
 	if record.Text != "" {
 		for _, operation := range strings.Split(record.Text, ";") {
 			if err := p.applyOperation(record.Coordinator, strings.Fields(operation)); err != nil {
@@ -87,11 +88,11 @@
 			}
 		}
 	}
-	p.updateCoverage(c.now)
+	p.updateNoBackendSince(c.now)
 	return nil
 }
 
-// parseNumber reads a word as a number that is not negative; false where there is none.
+// parseNumber parses the word at an index as a number that is not negative; it returns false if there is none.
 func parseNumber(words []string, index int) (int, bool) {
 	if index >= len(words) {
 		return 0, false
@@ -100,10 +101,10 @@
 	return n, err == nil && n >= 0
 }
 
-func (p *proxy) applyOperation(from string, words []string) error {
+func (p *proxy) applyOperation(coordinator string, words []string) error {
 	number, ok := parseNumber(words, 1)
 	if !ok {
-		return fmt.Errorf("%w: it has no number", ErrBadOperation)
+		return fmt.Errorf("%w: no table or backend number", ErrBadOperation)
 	}
 	table, bound := p.tables[number]
 	switch words[0] {
@@ -112,7 +113,7 @@
 	case "readmit":
 		delete(p.excluded, uint32(number))
 	case "bind":
-		return p.bind(from, number, words)
+		return p.bind(coordinator, number, words)
 	case "line":
 		if bound && len(words) > 2 {
 			return p.setEntry(table, words[2])
@@ -121,31 +122,32 @@
 		clear(table)
 	case "level":
 	default:
-		return fmt.Errorf("%w: unknown", ErrBadOperation)
+		return fmt.Errorf("%w: unknown operation %s", ErrBadOperation, words[0])
 	}
 	return nil
 }
 
-// bind gives the proxy a new table for some methods. The first one from another coordinator replaces all earlier tables.
-func (p *proxy) bind(from string, tableID int, words []string) error {
-	if p.tablesFrom != from {
-		p.tablesFrom, p.tables = from, map[int]proxyTable{}
+// bind gives the proxy a new table for a set of methods and replaces its exclusions. The first bind operation of another
+// coordinator than before removes all earlier tables, as table numbers are private to a coordinator.
+func (p *proxy) bind(coordinator string, tableID int, words []string) error {
+	if p.tablesFrom != coordinator {
+		p.tablesFrom, p.tables = coordinator, map[int]proxyTable{}
 		for m := range p.methodTable {
-			p.methodTable[m] = noTable
+			p.methodTable[m] = unboundTable
 		}
 	}
 	table := proxyTable{}
 	p.tables[tableID] = table
 	p.excluded = map[uint32]bool{}
 	if len(words) < 3 {
-		return fmt.Errorf("%w: it has no methods", ErrBadOperation)
+		return fmt.Errorf("%w: no set of methods", ErrBadOperation)
 	}
-	mask, err := strconv.ParseUint(words[2], 10, 64)
+	methods, err := strconv.ParseUint(words[2], 10, 64)
 	if err != nil {
 		return fmt.Errorf("%w: methods: %w", ErrBadOperation, err)
 	}
 	for m := range p.methodTable {
-		if mask == 0 || mask>>m&1 == 1 {
+		if methods == 0 || methods>>m&1 == 1 {
 			p.methodTable[m] = tableID
 		}
 	}
@@ -157,10 +159,11 @@
 	return nil
 }
 
-// setEntry sets a table entry, given as EP:W, EP:W! or -EP.
+// setEntry sets a table entry, given as BACKEND:WEIGHT or BACKEND:WEIGHT!, or excludes a backend, given as -BACKEND. An entry of
+// weight 0 is removed.
 func (p *proxy) setEntry(table proxyTable, entry string) error {
-	if removed, ok := strings.CutPrefix(entry, "-"); ok {
-		backend, err := parseBackend(removed)
+	if excludedID, ok := strings.CutPrefix(entry, "-"); ok {
+		backend, err := parseBackend(excludedID)
 		if err == nil {
 			p.excluded[backend] = true
 		}
--- a/internal/invariant/rule2_effects.go
+++ b/internal/invariant/rule2_effects.go
@@ -6,17 +6,17 @@
 	"gingerfork/internal/trace"
 )
 
-// retryAfterProof is the trace's reason of a retry whose first attempt is known to have had no effect.
+// retryAfterProof is the reason that the trace gives for a retry whose earlier attempt is known to have had no effect.
 const retryAfterProof = "after proof"
 
-// effect is when and where an RPC took effect.
+// effect is the last execution of an RPC.
 type effect struct {
 	time    float64
 	backend uint32
 }
 
-// checkRetry applies rule 2 to attempts: a non-idempotent RPC may not be retried without proof, and one with an idempotency
-// key only within the window in which backends drop repeats.
+// checkRetry applies rule 2 to attempts. Without proof that the earlier attempt had no effect, a non-idempotent RPC may not be
+// retried, and one with an idempotency key only within the window in which backends drop repeats.
 func (c *checker) checkRetry(record trace.Record) {
 	if record.Method >= len(c.limits.Methods) {
 		return
@@ -32,16 +32,16 @@
 	}
 	switch {
 	case method.NonIdempotent:
-		c.violate(ruleEffectOnce, record.Party, "%s sent again (%s): RPC %d", method.Name, record.Text, record.RPCID)
+		c.recordViolation(ruleEffectOnce, record.Party, "%s retried without proof that it had no effect (%s): RPC %d", method.Name, record.Text, record.RPCID)
 	case method.HasIdempotencyKey:
-		c.measure(ruleEffectOnce, (record.Time-first)/method.DedupWindow, "%s was sent again after %.2f s, within its window", method.Name, record.Time-first)
+		c.recordClosest(ruleEffectOnce, (record.Time-first)/method.DedupWindow, "%s was retried %.2f s after its first attempt", method.Name, record.Time-first)
 		if record.Time-first > method.DedupWindow {
-			c.violate(ruleEffectOnce, record.Party, "%s sent again %.2f s after the first, outside its window: RPC %d", method.Name, record.Time-first, record.RPCID)
+			c.recordViolation(ruleEffectOnce, record.Party, "%s retried %.2f s after its first attempt, outside its deduplication window: RPC %d", method.Name, record.Time-first, record.RPCID)
 		}
 	}
 }
 
-// checkEffect applies rule 2 to effects: an RPC that is not idempotent by itself may run once.
+// checkEffect applies rule 2 to executions: an RPC whose method is not idempotent by itself may be executed only once.
 func (c *checker) checkEffect(record trace.Record) {
 	if record.Method >= len(c.limits.Methods) {
 		return
@@ -49,7 +49,7 @@
 	method := c.limits.Methods[record.Method]
 	earlier, repeated := c.effects[record.RPCID]
 	if repeated && (method.NonIdempotent || method.HasIdempotencyKey) {
-		c.violate(ruleEffectOnce, fmt.Sprintf("server %d", record.Backend), "%s ran twice: RPC %d, first at %.3f on server %d",
+		c.recordViolation(ruleEffectOnce, fmt.Sprintf("server %d", record.Backend), "%s executed twice: RPC %d, before at %.3f on server %d",
 			method.Name, record.RPCID, earlier.time, earlier.backend)
 	}
 	c.effects[record.RPCID] = effect{record.Time, record.Backend}
--- a/internal/invariant/rule3_drain.go
+++ b/internal/invariant/rule3_drain.go
@@ -2,8 +2,8 @@
 
 import "gingerfork/internal/trace"
 
-// checkDrain applies rule 3: no attempt goes to a backend for longer than the grace after the proxy's coordinator was notified
-// that it drains or is gone.
+// checkDrain applies rule 3: once the proxy's coordinator was notified that a backend drains or is gone, the proxy may send
+// attempts to it for no longer than the grace period. The period begins anew when the proxy joins.
 func (c *checker) checkDrain(record trace.Record, sender *proxy) {
 	if sender.connectedTo() == "" {
 		return
@@ -13,22 +13,22 @@
 		return
 	}
 	elapsed := record.Time - max(notifiedTime, sender.joinTime)
-	c.measure(ruleDrainRespected, elapsed/c.limits.DrainGrace, "%s sent to server %d %.2f s after %s was told", record.Party, record.Backend, elapsed, sender.coordinator)
+	c.recordClosest(ruleDrainRespected, elapsed/c.limits.DrainGrace, "%s sent an attempt to server %d %.2f s after %s was notified of its drain or removal", record.Party, record.Backend, elapsed, sender.coordinator)
 	if elapsed > c.limits.DrainGrace {
-		c.violate(ruleDrainRespected, record.Party, "sent to server %d %.3f s after %s was told that it drains or is gone", record.Backend, elapsed, sender.coordinator)
+		c.recordViolation(ruleDrainRespected, record.Party, "attempt to server %d %.3f s after %s was notified of its drain or removal", record.Backend, elapsed, sender.coordinator)
 	}
 }
 
-// drainNotified gives the time at which a coordinator was notified that a backend drains or is gone, and whether that binds its
-// proxies.
+// drainNotified returns when a coordinator was notified that a backend drains or is gone, and whether rule 3 applies to attempts
+// that the coordinator's proxies send to that backend now.
 func (c *checker) drainNotified(now float64, coord *coordinator, backend uint32) (notifiedTime float64, binding bool) {
 	entry, known := coord.endpoints[backend]
 	binding = known && (entry.state == stateDraining || entry.state == stateGone && !c.limits.OnlyDraining)
-	binding = binding && (!coord.mustPoll || !coord.uncertain[backend])
+	binding = binding && (!coord.mustPoll || !coord.uncertainBackends[backend])
 	if binding || !coord.mustPoll || now <= coord.pollTime+c.limits.PollInterval {
 		return entry.stateTime, binding
 	}
-	// The coordinator does not poll as it must, and so counts as notified of what was published that long ago.
+	// The coordinator did not poll in time, so it counts as notified of everything that was published a poll interval ago.
 	entry, known = c.endpoints[backend]
 	if !known || entry.state == stateOpen {
 		return entry.stateTime, false
--- a/internal/invariant/rule4_coldstart.go
+++ b/internal/invariant/rule4_coldstart.go
@@ -3,9 +3,11 @@
 import "gingerfork/internal/trace"
 
 const (
-	// coldAttemptSlack is how long beyond the collapse window, in seconds, attempts are kept: they need time to arrive.
+	// coldAttemptSlack is how long attempts are kept beyond the collapse window, in seconds, as they take time to arrive at
+	// the backend.
 	coldAttemptSlack = 0.1
-	// startTolerance is by how many seconds a published start may precede the one that the backend wrote to the trace.
+	// startTolerance is how long a start time in the endpoint list may precede the one that the backend wrote to the trace, in
+	// seconds.
 	startTolerance = 1
 )
 
@@ -13,50 +15,51 @@
 type coldAttempt struct {
 	time        float64
 	proxy       string
-	knewOfStart bool // the proxy's coordinator had time to act on the backend's present start
+	knewOfStart bool // the proxy's coordinator knew of the backend's latest start and had time to act on it
 }
 
-// recordColdAttempt keeps an attempt to a cold backend for the length of the collapse window.
+// recordColdAttempt keeps an attempt to a cold backend for the duration of the collapse window.
 func (c *checker) recordColdAttempt(record trace.Record, p *proxy) {
 	start, started := c.startTimes[record.Backend]
 	if !started || record.Time >= start+c.limits.WarmAfter {
 		return
 	}
-	knew := false
+	knewOfStart := false
 	if p.coordinator != "" {
 		e := c.coordinator(p.coordinator).endpoints[record.Backend]
-		hadTime := record.Time > e.startKnownSince+c.limits.DrainGrace || p.lastApply > e.startKnownSince
-		knew = e.start >= start-startTolerance && e.state == stateOpen && hadTime
+		hadTime := record.Time > e.startKnownSince+c.limits.DrainGrace || p.lastPushApplied > e.startKnownSince
+		knewOfStart = e.start >= start-startTolerance && e.state == stateOpen && hadTime
 	}
 	attempts := c.coldAttempts[record.Backend]
-	attempts = append(attempts, coldAttempt{record.Time, record.Party, knew})
+	attempts = append(attempts, coldAttempt{record.Time, record.Party, knewOfStart})
 	for len(attempts) > 0 && attempts[0].time < record.Time-c.limits.CollapseWindow-coldAttemptSlack {
 		attempts = attempts[1:]
 	}
 	c.coldAttempts[record.Backend] = attempts
 }
 
-// checkCollapse applies rule 4 to a cold backend that collapsed. The coordinators caused it if two thirds of the attempts in
-// the window were sent with knowledge of the backend's start.
+// checkCollapse applies rule 4 to the collapse of a cold backend. It counts as caused by the coordinators if at least two thirds
+// of the attempts in the window were sent with knowledge of the backend's start. The violation names the proxy that sent the
+// most attempts.
 func (c *checker) checkCollapse(record trace.Record) {
 	c.report.Collapses++
-	attempts, knowing := c.coldAttempts[record.Backend], 0
-	byProxy := map[string]int{}
+	attempts, informedAttempts := c.coldAttempts[record.Backend], 0
+	attemptsByProxy := map[string]int{}
 	for _, a := range attempts {
 		if a.knewOfStart {
-			knowing++
+			informedAttempts++
 		}
-		byProxy[a.proxy]++
+		attemptsByProxy[a.proxy]++
 	}
-	if len(attempts) == 0 || 3*knowing < 2*len(attempts) {
+	if len(attempts) == 0 || 3*informedAttempts < 2*len(attempts) {
 		return
 	}
-	largest := ""
+	topSender := ""
 	for _, name := range c.proxyNames {
-		if largest == "" || byProxy[name] > byProxy[largest] {
-			largest = name
+		if topSender == "" || attemptsByProxy[name] > attemptsByProxy[topSender] {
+			topSender = name
 		}
 	}
-	c.violate(ruleColdBackend, largest, "server %d fell over while cold; %d of %d RPCs in the window were sent with knowledge of its start",
-		record.Backend, knowing, len(attempts))
+	c.recordViolation(ruleColdBackend, topSender, "server %d collapsed while cold; %d of %d attempts in the window were sent with knowledge of its start",
+		record.Backend, informedAttempts, len(attempts))
 }
--- a/internal/invariant/service.go
+++ b/internal/invariant/service.go
@@ -2,7 +2,7 @@
 
 import "gingerfork/internal/trace"
 
-// Outcomes of an RPC in the trace; any other text is an abort.
+// Outcomes of an RPC in the trace. Any other text counts as aborted.
 const (
 	outcomeOK       = "ok"
 	outcomeRejected = "pushed back"
@@ -10,7 +10,7 @@
 
 // countService adds a finished RPC to the service figures.
 func (c *checker) countService(record trace.Record) {
-	delete(c.unfinished, record.RPCID)
+	delete(c.unfinishedRPCs, record.RPCID)
 	if record.Method >= len(c.limits.Methods) {
 		return
 	}
--- a/internal/trace/kinds.go
+++ b/internal/trace/kinds.go
@@ -1,30 +1,32 @@
-// Package trace is the record of a run: what passed between coordinators, proxies, backends and the list service, one record a
-// line. The fakes, the emulator and the simulator write it, and the invariant checker and the reports read it.
+// Package trace defines the format of a run's trace, a text file with one record per line: the events among coordinators,
+// proxies, backends and the endpoint list service. The fakes, the emulator and the simulator write traces; the invariant checker
+// and the reports read them.
 //
-// A line is the time in seconds, the kind and then fields as key=value, separated by blanks. Names hold no blanks.
+// A line holds the time in seconds, the kind of the record and its fields as key=value, separated by spaces. Names contain no
+// spaces.
 package trace
 
-// Kinds of records, with the fields that each uses. The values are those of stored traces.
+// Kinds of records, each with the fields that it uses. Stored traces contain these strings.
 const (
-	CoordinatorStarted = "boot"    // Party: a coordinator whose process was started
-	ProcessKilled      = "kill"    // Party: a coordinator, proxy or backend whose process was ended
-	ProxyJoined        = "join"    // Party: a proxy, Coordinator: the one that welcomed it; Zone
-	ProxyLeft          = "leave"   // Party: a proxy, Coordinator: the one to which it lost its stream
-	PushSent           = "push"    // Party: a proxy, Coordinator, Nonce, Count: entries queued behind the push, Text: operations
-	PushApplied        = "apply"   // Party: a proxy, Coordinator, Nonce, Text: operations, when they took effect
-	EndpointsDelivered = "list"    // Coordinator: the receiver, Count: version, Text: kind and endpoints
-	EndpointsRequested = "ask"     // Coordinator: it asked the list service for changes or for the whole list
-	AttemptSent        = "try"     // Party: a proxy, Coordinator: the one it subscribes to, Backend, RPCID, Method, Count: number of the attempt, Text: reason for a retry
-	EffectExecuted     = "run"     // Backend: it began the effect of the RPC; RPCID, Method, Text: idempotency key if there is one
-	RPCFinished        = "end"     // Party: a proxy, RPCID, Method, Text: ok, pushed back or aborted, Value: seconds since its arrival
-	BackendStarted     = "start"   // Backend: its process started cold; Value: its full capacity, RPCs a second
-	BackendCollapsed   = "fall"    // Backend: it collapsed under load while cold, Text: who sent the load
-	BackendStopped     = "gone"    // Backend: its process ended
-	LinkCut            = "cut"     // Party: a proxy or the list service, Coordinator: nothing passes between them
-	LinkRestored       = "heal"    // Party: a proxy or the list service, Coordinator: the link between them works again
-	ProcessPaused      = "stall"   // Party: a coordinator or proxy whose process is not scheduled, Value: for how many seconds
-	FaultInjected      = "trouble" // Text: the step of the scenario, Value: for how many seconds
-	ScheduleDelay      = "late"    // Party or Backend: an emulated one, Value: seconds that it was behind schedule, the most in the last second
-	BackendSampled     = "glance"  // Backend, Value: capacity, RPCs a second, Count: RPCs queued, Text: busy share of its cores
-	LoadOffered        = "offer"   // Backend, Value: its capacity now, Count: RPCs that arrived in the window; only near the limit
+	CoordinatorStarted = "boot"    // Party: the coordinator whose process was started
+	ProcessKilled      = "kill"    // Party: the coordinator or proxy whose process was killed
+	ProxyJoined        = "join"    // Party: the proxy; Coordinator: the one that accepted its stream; Zone: the proxy's
+	ProxyLeft          = "leave"   // Party: the proxy; Coordinator: the other end of the stream that it lost; Text: reason
+	PushSent           = "push"    // Party: the proxy that received the push; Coordinator; Nonce; Count: entries queued behind the push; Value: size in operations, entries and admission levels
+	PushApplied        = "apply"   // Party: the proxy, at the time when the operations took effect; Coordinator; Nonce; Text: operations
+	EndpointsDelivered = "list"    // Coordinator: the receiver, empty: what the endpoint list service publishes; Count: version; Text: kind of the update and endpoints
+	EndpointsRequested = "ask"     // Coordinator: the one that asked the endpoint list service for changes or for the full list
+	AttemptSent        = "try"     // Party: the proxy; Coordinator: the one that it is joined to; Backend; RPCID; Method; Count: number of the attempt; Text: reason for a retry
+	EffectExecuted     = "run"     // Backend: the one that began to execute the RPC; RPCID; Method; Text: idempotency key, if there is one
+	RPCFinished        = "end"     // Party: the proxy; RPCID; Method; Text: ok, pushed back or aborted; Value: seconds since the RPC arrived
+	BackendStarted     = "start"   // Backend: the one whose process started cold; Value: its capacity when warm, in RPCs per second
+	BackendCollapsed   = "fall"    // Backend: the one that collapsed under load while cold
+	BackendStopped     = "gone"    // Backend: the one whose process ended
+	LinkCut            = "cut"     // Party: a proxy or the endpoint list service; Coordinator: nothing passes between the two
+	LinkRestored       = "heal"    // Party: a proxy or the endpoint list service; Coordinator: the link between the two works again
+	ProcessPaused      = "stall"   // Party: the coordinator or proxy whose process does not run; Value: duration in seconds
+	FaultInjected      = "trouble" // Text: the step of the scenario; Value: duration in seconds
+	ScheduleDelay      = "late"    // Party or Backend: an emulated one; Value: its largest delay behind its own schedule in the last second, in seconds
+	BackendSampled     = "glance"  // Backend; Value: capacity in RPCs per second; Count: queued RPCs; Text: share of its cores that is busy
+	LoadOffered        = "offer"   // Backend: a cold one; Value: work that arrived in the overload window, as a share of what makes the backend collapse; Count: RPCs in that window
 )
--- a/internal/trace/parse.go
+++ b/internal/trace/parse.go
@@ -9,18 +9,19 @@
 	"strings"
 )
 
+// Sizes of the buffer for one line, in bytes.
 const (
-	scanBufferSize = 1 << 16
-	maxLineSize    = 1 << 24
+	initialLineBuffer = 1 << 16
+	maxLineSize       = 1 << 24
 )
 
-// ErrUnknownField reports a key that no field of a Record has.
+// ErrUnknownField is wrapped by the error for a key that belongs to no field of a Record.
 var ErrUnknownField = errors.New("unknown field")
 
-// Read reads a whole trace. An error names the line; the records before it are returned.
+// Read reads a whole trace. If a line cannot be parsed, it returns the records before that line and an error with its number.
 func Read(in io.Reader) (records []Record, err error) {
 	scanner := bufio.NewScanner(in)
-	scanner.Buffer(make([]byte, scanBufferSize), maxLineSize)
+	scanner.Buffer(make([]byte, initialLineBuffer), maxLineSize)
 	for number := 1; scanner.Scan(); number++ {
 		record, err := Parse(scanner.Text())
 		if err != nil {
@@ -31,13 +32,13 @@
 	return records, scanner.Err()
 }
 
-// Parse reads one line, with or without its newline.
+// Parse parses one line, with or without its trailing newline.
 func Parse(line string) (Record, error) {
 	var record Record
 	var err error
-	time, rest, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
-	if record.Time, err = strconv.ParseFloat(time, 64); err != nil {
-		return record, fmt.Errorf("time %q: %w", time, err)
+	timeText, rest, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
+	if record.Time, err = strconv.ParseFloat(timeText, 64); err != nil {
+		return record, fmt.Errorf("time %q: %w", timeText, err)
 	}
 	record.Kind, rest, _ = strings.Cut(rest, " ")
 	for rest != "" {
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -2,26 +2,26 @@
 
 import "strconv"
 
-// timeDecimals is how many decimals the time of a record has: microseconds.
+// timeDecimals is the number of decimals of a record's time, which is written to the microsecond.
 const timeDecimals = 6
 
-// Record is one event of a run. Which fields it uses depends on its Kind.
+// Record is one event of a run. Its Kind determines which of the other fields it uses, and for what.
 type Record struct {
-	Time        float64 // in seconds
+	Time        float64 // seconds, on the clock of the run
 	Kind        string
-	Party       string
-	Coordinator string
+	Party       string // name of the process that the record is about
+	Coordinator string // name
 	Zone        string
 	Backend     uint32
 	RPCID       uint64
-	Method      int
-	Nonce       int
+	Method      int // index of the method in the settings
+	Nonce       int // of a push, which the proxy repeats in its acknowledgement
 	Count       int64
 	Value       float64
 	Text        string
 }
 
-// Keys of the fields in a line, in their order.
+// Keys of the fields, in the order in which a line has them.
 const (
 	partyKey       = "who"
 	coordinatorKey = "of"
@@ -32,10 +32,10 @@
 	nonceKey       = "mark"
 	countKey       = "n"
 	valueKey       = "x"
-	textKey        = "text" // quoted, and always the last
+	textKey        = "text" // its value is quoted and may contain spaces, so it is always the last field
 )
 
-// Append adds the line of the record, with its newline. Fields that are zero are left out.
+// Append appends the record as one line with its newline. Fields with the zero value are left out.
 func (r Record) Append(line []byte) []byte {
 	line = strconv.AppendFloat(line, r.Time, 'f', timeDecimals, 64)
 	line = append(line, ' ')
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -7,23 +7,23 @@
 )
 
 func TestRecordsRoundTrip(t *testing.T) {
-	all := []Record{
+	records := []Record{
 		{Time: 1.5, Kind: ProxyJoined, Party: "f0", Coordinator: "c0", Zone: "a"},
 		{Time: 2, Kind: PushSent, Party: "f0", Nonce: 65535, Count: 3, Text: `bind 0 3 1:1; "x"`},
 		{Time: 1e6, Kind: EffectExecuted, Backend: 1<<32 - 1, RPCID: 1<<64 - 1, Method: 2},
 		{Time: 3, Kind: LoadOffered, Value: 0.25, Backend: 4, Count: -1},
 	}
 	var lines []byte
-	for _, record := range all {
+	for _, record := range records {
 		lines = record.Append(lines)
 	}
 	got, err := Read(strings.NewReader(string(lines)))
-	if err != nil || len(got) != len(all) {
+	if err != nil || len(got) != len(records) {
 		t.Fatal(got, err)
 	}
-	for i := range all {
-		if got[i] != all[i] {
-			t.Errorf("%+v was read back as %+v", all[i], got[i])
+	for i := range records {
+		if got[i] != records[i] {
+			t.Errorf("%+v was read back as %+v", records[i], got[i])
 		}
 	}
 }
@@ -43,7 +43,7 @@
 	}
 }
 
-// A line holds each field under the key that stored traces have.
+// TestLineFormat guards the keys and the order of fields, which stored traces depend on.
 func TestLineFormat(t *testing.T) {
 	record := Record{
 		Time: 1.5, Kind: AttemptSent, Party: "f0", Coordinator: "c0", Zone: "a", Backend: 3, RPCID: 4, Method: 5, Nonce: 6, Count: 7,
