--- a/internal/invariant/coordinator.go
+++ b/internal/invariant/coordinator.go
@@ -37,17 +37,16 @@
 // coordinator is what a coordinator knows of the endpoint list, as the records show it.
 type coordinator struct {
 	endpoints      endpointView
-	availableSince float64        // since when it lists an open, warm backend without a break; infinite: it does not
-	nextWarmTime   float64        // when that may come about by time alone
-	pausedUntil    float64        // what arrives for it earlier is known to it then
-	partitions     int            // partitions from the endpoint list service
+	availableSince float64        // since when it has listed an open, warm backend without a break; infinite: it lists none
+	nextWarmTime   float64        // when the next listed open backend becomes warm; infinite: there is none
+	pausedUntil    float64        // end of the last pause of its process, which learns only then of what arrived meanwhile
+	partitions     int            // number of present partitions between it and the endpoint list service
 	partitionStart float64        // when the first of them began
-	delayed        []trace.Record // endpoint updates that wait behind a partition
+	delayed        []trace.Record // endpoint updates that partitions hold back
 
-	// The stream to the endpoint list service ended in a partition, so the coordinator must poll.
-	mustPoll          bool
+	mustPoll          bool            // a partition was long enough to end the stream to the endpoint list service
 	pollTime          float64         // when it last polled
-	uncertainBackends map[uint32]bool // backends in updates that may or may not have arrived before that
+	uncertainBackends map[uint32]bool // backends in the updates of that partition, which may or may not have arrived
 }
 
 // restartCoordinator applies the start of a new process. It may know the endpoints that its predecessor knew, but counts as
--- a/internal/scenario/builtin.go
+++ b/internal/scenario/builtin.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Folders and extension of the embedded scenario files.
+// Folders and file name extension of the embedded scripts.
 const (
 	builtinFolder  = "days"
 	incidentFolder = "incidents"
@@ -16,10 +16,10 @@
 //go:embed days incidents
 var embedded embed.FS
 
-// Builtin returns the names of the small scenarios that come with the program.
+// Builtin returns the names of the small scenarios that are embedded in the program.
 func Builtin() []string { return scenariosIn(builtinFolder) }
 
-// Incidents returns the names of the incidents that come with the program: larger scenarios with several faults at once.
+// Incidents returns the names of the incidents that are embedded in the program: larger scenarios with several faults at once.
 func Incidents() []string { return scenariosIn(incidentFolder) }
 
 func scenariosIn(folder string) []string {
@@ -36,8 +36,8 @@
 	return names
 }
 
-// File returns the text of an embedded file, be it a scenario or the settings that one names. It fails with an
-// *fs.PathError where there is none.
+// File returns the content of an embedded file, a script or a settings file. If there is no file of that name, the error is an
+// *fs.PathError.
 func File(name string) ([]byte, error) {
 	data, err := embedded.ReadFile(path.Join(builtinFolder, name))
 	if err != nil {
--- a/internal/scenario/compare.go
+++ b/internal/scenario/compare.go
@@ -34,26 +34,26 @@
 	Bound    optimum.Bound
 }
 
-// comparing is a comparison whose runs are still going on.
-type comparing struct {
+// pendingComparison is a comparison whose runs are still going on.
+type pendingComparison struct {
 	Comparison
-	errs [tableSourceCount]error
-	left sync.WaitGroup
+	errs          [tableSourceCount]error
+	remainingRuns sync.WaitGroup
 }
 
 // comparisonRun is one run of a comparison.
 type comparisonRun struct {
-	of     *comparing
-	source TableSource
+	comparison *pendingComparison
+	source     TableSource
 }
 
 // Compare plays scenarios in virtual time with each table source, on all cores. It calls done with each scenario in order,
 // until the first error, which it returns when all runs have ended.
 func Compare(ctx context.Context, scenarios []*Scenario, done func(Comparison) error) error {
-	all := make([]*comparing, len(scenarios))
+	all := make([]*pendingComparison, len(scenarios))
 	for i, scenario := range scenarios {
-		all[i] = &comparing{Comparison: Comparison{Scenario: scenario}}
-		all[i].left.Add(int(tableSourceCount))
+		all[i] = &pendingComparison{Comparison: Comparison{Scenario: scenario}}
+		all[i].remainingRuns.Add(int(tableSourceCount))
 	}
 	runs := make(chan comparisonRun)
 	var workers sync.WaitGroup
@@ -63,18 +63,18 @@
 	go func() {
 		defer workers.Done()
 		defer close(runs)
-		sendRuns(ctx, all, runs)
+		dispatchRuns(ctx, all, runs)
 	}()
-	return collect(all, done)
+	return deliverInOrder(all, done)
 }
 
-// sendRuns sends all runs to the workers; after the end of ctx they fail at once.
-func sendRuns(ctx context.Context, all []*comparing, runs chan<- comparisonRun) {
+// dispatchRuns sends all runs to the workers; after the end of ctx they fail at once.
+func dispatchRuns(ctx context.Context, all []*pendingComparison, runs chan<- comparisonRun) {
 	for _, comparison := range all {
 		for source := range tableSourceCount {
 			if err := ctx.Err(); err != nil {
 				comparison.errs[source] = err
-				comparison.left.Done()
+				comparison.remainingRuns.Done()
 				continue
 			}
 			runs <- comparisonRun{comparison, source}
@@ -82,11 +82,11 @@
 	}
 }
 
-// collect waits for each comparison in order and passes it on, up to the first error.
-func collect(all []*comparing, done func(Comparison) error) error {
+// deliverInOrder waits for each comparison in order and passes it on, up to the first error.
+func deliverInOrder(all []*pendingComparison, done func(Comparison) error) error {
 	var first error
 	for _, comparison := range all {
-		comparison.left.Wait()
+		comparison.remainingRuns.Wait()
 		for _, err := range comparison.errs {
 			if first == nil {
 				first = err
@@ -100,15 +100,15 @@
 }
 
 func (r comparisonRun) play() {
-	defer r.of.left.Done()
-	scenario := r.of.Scenario
+	defer r.comparison.remainingRuns.Done()
+	scenario := r.comparison.Scenario
 	result, err := PlayVirtual(scenario, Options{Tables: r.source, SampleTruth: r.source == Coordinated})
 	if err == nil && r.source == Coordinated {
-		r.of.Bound, err = scenario.Bound(result.Truth, result.Records)
+		r.comparison.Bound, err = scenario.Bound(result.Truth, result.Records)
 	}
 	if err != nil {
-		r.of.errs[r.source] = fmt.Errorf("play %s, %v: %w", scenario.Name, r.source, err)
+		r.comparison.errs[r.source] = fmt.Errorf("play %s, %v: %w", scenario.Name, r.source, err)
 	}
 	result.Records = nil // some hundred thousand each
-	r.of.Results[r.source] = result
+	r.comparison.Results[r.source] = result
 }
--- a/internal/scenario/coordinator_kills.go
+++ b/internal/scenario/coordinator_kills.go
@@ -10,14 +10,14 @@
 	"gingerfork/internal/bootstrap"
 )
 
-// killStream separates the random numbers of added kills from others of the same seed.
-const killStream = 3
+// killRandomStream separates the random numbers of added kills from others of the same seed.
+const killRandomStream = 3
 
 // Bounds of the added kills, in seconds.
 const (
-	killMargin = 3.0 // from the start and the end of the scenario
-	minDown    = 0.5
-	downRange  = 1.0
+	killMargin    = 3.0 // from the start and the end of the scenario
+	minDownTime   = 0.5
+	downTimeRange = 1.0
 )
 
 // AddCoordinatorKills adds kills of coordinators at times drawn from the scenario's seed. Each coordinator starts again after
@@ -26,11 +26,11 @@
 	if s.Coordinators == 0 {
 		return
 	}
-	random := rand.New(rand.NewPCG(s.Seed, killStream))
+	random := rand.New(rand.NewPCG(s.Seed, killRandomStream))
 	for range count {
 		at := killMargin + random.Float64()*max(0, s.Duration-2*killMargin)
 		index := random.IntN(s.Coordinators)
-		down := minDown + downRange*random.Float64()
+		down := minDownTime + downTimeRange*random.Float64()
 		words := strings.Fields(fmt.Sprintf("at %.0fms kill coordinators number %d for %.0fms", 1e3*at, index, 1e3*down))
 		s.Steps = append(s.Steps, Step{
 			Source: bootstrap.Line{File: "kills", Number: 1, Words: words}, At: at, Verb: VerbKill, Target: TargetCoordinators,
--- a/internal/scenario/coordinator_process.go
+++ b/internal/scenario/coordinator_process.go
@@ -23,14 +23,14 @@
 // instanceSection is the section of the settings that describes one coordinator.
 const instanceSection = "instance"
 
-// instanceKeywords are the keywords of that section that a scenario sets itself.
-var instanceKeywords = []string{"zone", "listen", "list-service", "state", "seed", "coordinators", "self", "peer"}
+// generatedInstanceKeywords are the keywords of that section that a scenario sets itself.
+var generatedInstanceKeywords = []string{"zone", "listen", "list-service", "state", "seed", "coordinators", "self", "peer"}
 
 // startCoordinator writes a coordinator's settings and starts its process.
 func (s *sockets) startCoordinator(starting *node) {
 	target := starting.participant
 	settingsFile := s.file(target, "conf")
-	text := s.player.scenario.instanceSettings(target, starting.addr, s.relays[target.name].address(endpointService), s.file(target, "state"))
+	text := s.player.scenario.coordinatorSettings(target, starting.addr, s.relays[target.name].address(endpointService), s.file(target, "state"))
 	target.incarnations++
 	if err := os.WriteFile(settingsFile, []byte(text), filePermissions); err != nil {
 		s.addFailure(target.name, err)
@@ -51,9 +51,9 @@
 		return
 	}
 	starting.cmd = cmd
-	s.work.Add(1)
+	s.coordinatorProcesses.Add(1)
 	go func() {
-		defer s.work.Done()
+		defer s.coordinatorProcesses.Done()
 		defer func() { _ = log.Close() }() // the process wrote to it, not this one
 		s.awaitExit(target.name, cmd)
 	}()
@@ -69,7 +69,7 @@
 	err := cmd.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err == nil && s.ending || err != nil && endedBySignal(err) {
+	if err == nil && s.shuttingDown || err != nil && endedBySignal(err) {
 		return
 	}
 	s.failures = append(s.failures, fmt.Sprintf("%s ended by itself: %v, see its log", name, cmd.ProcessState))
@@ -84,8 +84,8 @@
 	return ok && status.Signaled()
 }
 
-// instanceSettings writes the settings of one coordinator: those of the scenario, with an instance section of its own.
-func (s *Scenario) instanceSettings(target *participant, listen, listService, stateFile string) string {
+// coordinatorSettings writes the settings of one coordinator: those of the scenario, with an instance section of its own.
+func (s *Scenario) coordinatorSettings(target *participant, listen, listService, stateFile string) string {
 	var text strings.Builder
 	seed := (fake.DeriveSeed(s.Seed, target.name) + uint64(target.incarnations)) % maxSettingsSeed
 	fmt.Fprintf(&text, "instance %s\n  zone %s\n  listen %s\n  list-service %s\n  state %s\n  seed %d\n  coordinators %d\n  self %d\n",
@@ -96,7 +96,7 @@
 		if bootstrap.IsSection(word) {
 			section = word
 		}
-		if word == instanceSection || section == instanceSection && slices.Contains(instanceKeywords, word) {
+		if word == instanceSection || section == instanceSection && slices.Contains(generatedInstanceKeywords, word) {
 			continue
 		}
 		quoted := make([]string, 0, len(line.Words))
--- a/internal/scenario/emulate.go
+++ b/internal/scenario/emulate.go
@@ -128,7 +128,7 @@
 
 func newEmulation(e Emulation) *emulation {
 	running := &emulation{
-		Emulation: e, player: newPlayer(e.Scenario), clock: eventloop.NewClock(), owner: map[string]*eventloop.Loop{},
+		Emulation: e, player: newPlayer(e.Scenario), clock: eventloop.NewClock(), loopByBackend: map[string]*eventloop.Loop{},
 		tallies: map[int]pendingTally{},
 	}
 	running.player.env, running.player.record = running, running.addRecord
@@ -195,7 +195,7 @@
 	}
 	e.loops = append(e.loops, loop)
 	for _, backend := range backends {
-		e.owner[backend.name] = loop
+		e.loopByBackend[backend.name] = loop
 	}
 	return nil
 }
--- a/internal/scenario/emulation.go
+++ b/internal/scenario/emulation.go
@@ -17,7 +17,7 @@
 	Emulation
 	player          *player
 	clock           *eventloop.Clock
-	owner           map[string]*eventloop.Loop // by backend
+	loopByBackend   map[string]*eventloop.Loop // by backend
 	endpointService *eventloop.Loop            // nil: another process plays it
 	loops           []*eventloop.Loop
 	loopCount       int // loops that carry backends
@@ -130,7 +130,7 @@
 		}
 		return
 	}
-	if loop := e.owner[name]; loop != nil {
+	if loop := e.loopByBackend[name]; loop != nil {
 		loop.SendCommand(name + " " + strings.TrimSpace(text))
 	}
 }
--- a/internal/scenario/groundtruth.go
+++ b/internal/scenario/groundtruth.go
@@ -14,8 +14,8 @@
 // SampleInterval is how often the emulated backends' true state is sampled, in seconds.
 const SampleInterval = 0.25
 
-// maxMethodBits bounds the sets of failing methods that samples tell apart: those of the first eight methods.
-const maxMethodBits = 8
+// maxTrackedMethods bounds the sets of failing methods that samples tell apart: those of the first eight methods.
+const maxTrackedMethods = 8
 
 // GroundTruth is what the backends were able to do, and did, by slots of SampleInterval seconds. No participant knows it.
 type GroundTruth struct {
@@ -67,7 +67,7 @@
 	truth.Queued = append(truth.Queued, queued)
 	s.addSupply(pools)
 	s.slot++
-	s.after(SampleInterval, s.sample)
+	s.scheduleAfter(SampleInterval, s.sample)
 }
 
 // backendCapacity is the RPCs a second that a backend can do of its fastest method, and the set of those that it fails.
@@ -84,7 +84,7 @@
 
 // addSupply adds the slot's supplies in a fixed order, as the order of a map would make runs differ.
 func (s *sampler) addSupply(pools map[supplyPool]float64) {
-	methods := min(len(s.scenario.Settings.Methods), maxMethodBits)
+	methods := min(len(s.scenario.Settings.Methods), maxTrackedMethods)
 	for _, zone := range s.scenario.Zones() {
 		for unsupported := range uint64(1) << methods {
 			rpcs := pools[supplyPool{zone, unsupported}]
--- a/internal/scenario/link_faults.go
+++ b/internal/scenario/link_faults.go
@@ -22,7 +22,7 @@
 func (p *player) runDelay(step *runningStep) {
 	if step.Target == TargetList {
 		p.commandList("late %g", step.Value)
-		p.atEnd(step, func() { p.commandList("late 0") })
+		p.scheduleStepEnd(step, func() { p.commandList("late 0") })
 		return
 	}
 	p.addLinkFault(step, simnet.LinkFault{ExtraLatency: step.Value}, step.streams())
@@ -34,7 +34,7 @@
 // runListFault lets the endpoint list service fail, or stop its updates.
 func (p *player) runListFault(step *runningStep) {
 	p.commandList("%s on", step.Verb)
-	p.atEnd(step, func() { p.commandList("%s off", step.Verb) })
+	p.scheduleStepEnd(step, func() { p.commandList("%s off", step.Verb) })
 }
 
 // runListContent lets the endpoint list service show no backend, or one at random.
@@ -44,14 +44,14 @@
 	} else {
 		p.commandList("show none")
 	}
-	p.atEnd(step, func() { p.commandList("show all") })
+	p.scheduleStepEnd(step, func() { p.commandList("show all") })
 }
 
 // runPartition separates a zone, backends or the endpoint list service from all others.
 func (p *player) runPartition(step *runningStep) {
 	p.addLinkFault(step, simnet.LinkFault{Partitioned: true}, p.partitionedLinks(step))
 	p.countPartition(step, 1)
-	p.atEnd(step, func() { p.countPartition(step, -1) })
+	p.scheduleStepEnd(step, func() { p.countPartition(step, -1) })
 }
 
 // countPartition keeps count of what is separated at present, for the samples of the backends' state.
@@ -79,12 +79,12 @@
 
 // addLinkFault adds a fault to links until the step's end, and records partitions.
 func (p *player) addLinkFault(step *runningStep, fault simnet.LinkFault, match linkMatch) {
-	p.env.AddLinkFault(step.id, fault, match)
+	p.env.AddLinkFault(step.faultName, fault, match)
 	if fault.Partitioned {
 		p.recordPartitions(trace.LinkCut, match)
 	}
-	p.atEnd(step, func() {
-		p.env.RemoveLinkFault(step.id)
+	p.scheduleStepEnd(step, func() {
+		p.env.RemoveLinkFault(step.faultName)
 		if fault.Partitioned {
 			p.recordPartitions(trace.LinkRestored, match)
 		}
--- a/internal/scenario/minimize.go
+++ b/internal/scenario/minimize.go
@@ -10,10 +10,10 @@
 	// Attempts to shorten one line of a script.
 	maxHalvings   = 4
 	maxReductions = 8
-	// minHalvedTime is the shortest time, in milliseconds, that is halved.
-	minHalvedTime = 500
-	// tailTime is how many seconds a minimized scenario goes on after the violation, at least one of them whole.
-	tailTime = 2
+	// minHalvedMillis is the shortest time, in milliseconds, that is halved.
+	minHalvedMillis = 500
+	// timeAfterViolation is how many seconds a minimized scenario goes on after the violation, at least one of them whole.
+	timeAfterViolation = 2
 )
 
 // minimizer makes a script shorter while the same violation remains.
@@ -38,7 +38,7 @@
 
 // keepIfViolated keeps the changed lines if the violation still occurs, and tells whether it does.
 func (m *minimizer) keepIfViolated(lines []string) bool {
-	violation, result, err := judge(joinLines(lines))
+	violation, result, err := playScript(joinLines(lines))
 	if err != nil || violation != m.violation {
 		return false
 	}
@@ -79,7 +79,7 @@
 		return nil, false
 	}
 	var milliseconds int
-	if _, err := fmt.Sscanf(words[value], "%dms", &milliseconds); err != nil || milliseconds < minHalvedTime {
+	if _, err := fmt.Sscanf(words[value], "%dms", &milliseconds); err != nil || milliseconds < minHalvedMillis {
 		return nil, false
 	}
 	words[value] = fmt.Sprintf("%dms", milliseconds/2)
@@ -119,7 +119,7 @@
 		for _, verdict := range m.result.Report.Rules {
 			if m.violation == ruleViolation(verdict.Rule) && len(m.result.Records) > 0 {
 				elapsed := int(verdict.FirstTime - m.result.Records[0].Time)
-				m.keepLineIfViolated(i, []string{"length", fmt.Sprintf("%ds", elapsed+tailTime)})
+				m.keepLineIfViolated(i, []string{"length", fmt.Sprintf("%ds", elapsed+timeAfterViolation)})
 			}
 		}
 	}
--- a/internal/scenario/participants.go
+++ b/internal/scenario/participants.go
@@ -45,13 +45,13 @@
 	zones := scenario.Zones()
 	all := participants{byName: map[string]*participant{endpointService: {name: endpointService, zone: zones[0]}}}
 	for i := range scenario.Coordinators {
-		all.add(&all.coordinators, coordinatorPrefix, &participant{zone: zoneOf("", zones, i)})
+		all.add(&all.coordinators, coordinatorPrefix, &participant{zone: participantZone("", zones, i)})
 	}
 	for _, group := range scenario.Backends {
 		for range group.Count {
 			i := len(all.backends)
 			all.add(&all.backends, backendPrefix, &participant{
-				zone: zoneOf(group.Zone, zones, i), kind: group.Kind, backend: proto.BackendID(i + 1), group: group,
+				zone: participantZone(group.Zone, zones, i), kind: group.Kind, backend: proto.BackendID(i + 1), group: group,
 			})
 		}
 	}
@@ -59,15 +59,15 @@
 		factors := traffic.LognormalFactors(group.Count, group.RateVariation, fake.DeriveSeed(scenario.Seed, fmt.Sprint("uneven ", number)))
 		for _, factor := range factors {
 			all.add(&all.proxies, proxyPrefix, &participant{
-				zone: zoneOf(group.Zone, zones, len(all.proxies)), rate: group.Rate * factor, policy: group.BackendPolicy,
+				zone: participantZone(group.Zone, zones, len(all.proxies)), rate: group.Rate * factor, policy: group.BackendPolicy,
 			})
 		}
 	}
 	return all
 }
 
-// zoneOf is the zone of a group, or one of all zones in turn if the group names none.
-func zoneOf(groupZone string, zones []string, index int) string {
+// participantZone is the zone of a group, or one of all zones in turn if the group names none.
+func participantZone(groupZone string, zones []string, index int) string {
 	if groupZone == "" {
 		return zones[index%len(zones)]
 	}
--- a/internal/scenario/player.go
+++ b/internal/scenario/player.go
@@ -14,14 +14,14 @@
 // player carries out a scenario's steps on its participants, in an environment.
 type player struct {
 	participants
-	scenario  *Scenario
-	env       Environment
-	record    func(trace.Record)
-	random    emulator.Random
-	startTime statemachine.Seconds
-	stepCount int
-	overrides map[string]any // values given to coordinators in place of the settings'
-	ledger    *emulator.ExecutionLog
+	scenario     *Scenario
+	env          Environment
+	record       func(trace.Record)
+	random       emulator.Random
+	startTime    statemachine.Seconds
+	stepCount    int
+	overrides    map[string]any // values given to coordinators in place of the settings'
+	executionLog *emulator.ExecutionLog
 	// sampleInterval is how often backends and proxies record their own state, in seconds; 0: they do not.
 	sampleInterval float64
 	zonePartitions map[string]int // partitions that separate a zone from the others
@@ -30,14 +30,14 @@
 // runningStep is a step that is being carried out.
 type runningStep struct {
 	Step
-	id      string // for the link faults that it adds
-	targets []*participant
+	faultName string // for the link faults that it adds
+	targets   []*participant
 }
 
 func newPlayer(scenario *Scenario) *player {
 	return &player{
 		participants: newParticipants(scenario), scenario: scenario, random: emulator.NewRandom(scenario.Seed),
-		ledger: &emulator.ExecutionLog{}, zonePartitions: map[string]int{},
+		executionLog: &emulator.ExecutionLog{}, zonePartitions: map[string]int{},
 	}
 }
 
@@ -62,7 +62,7 @@
 // runStep records a step and carries it out.
 func (p *player) runStep(step Step) {
 	p.stepCount++
-	running := &runningStep{Step: step, id: strconv.Itoa(p.stepCount), targets: p.selectTargets(step.Target, step.Selector)}
+	running := &runningStep{Step: step, faultName: strconv.Itoa(p.stepCount), targets: p.selectTargets(step.Target, step.Selector)}
 	p.emit(trace.Record{Kind: trace.FaultInjected, Text: strings.Join(step.Source.Words[2:], " "), Value: p.faultDuration(running)})
 	verbSpecs[step.Verb].run(p, running)
 }
@@ -131,13 +131,15 @@
 	return remaining
 }
 
-// after schedules a function.
-func (p *player) after(delay statemachine.Seconds, do func()) { p.env.Schedule(p.env.Now()+delay, do) }
+// scheduleAfter schedules a function.
+func (p *player) scheduleAfter(delay statemachine.Seconds, do func()) {
+	p.env.Schedule(p.env.Now()+delay, do)
+}
 
-// atEnd schedules a function for the end of a step that has one.
-func (p *player) atEnd(step *runningStep, do func()) {
+// scheduleStepEnd schedules a function for the end of a step that has one.
+func (p *player) scheduleStepEnd(step *runningStep, do func()) {
 	if step.Duration > 0 {
-		p.after(step.Duration, do)
+		p.scheduleAfter(step.Duration, do)
 	}
 }
 
--- a/internal/scenario/process_faults.go
+++ b/internal/scenario/process_faults.go
@@ -60,7 +60,7 @@
 	if !target.isBackend() {
 		return
 	}
-	p.after(p.scenario.ExitDetectionDelay, func() {
+	p.scheduleAfter(p.scenario.ExitDetectionDelay, func() {
 		if !target.up {
 			p.commandList("state %d gone", target.backend)
 		}
@@ -75,7 +75,7 @@
 		} else {
 			p.crash(target)
 		}
-		p.atEnd(step, func() { p.restartProcess(target) })
+		p.scheduleStepEnd(step, func() { p.restartProcess(target) })
 	}
 }
 
@@ -91,12 +91,12 @@
 func (p *player) runIsolate(step *runningStep) {
 	for i, target := range step.targets {
 		restore := p.isolate(target, step.faultID(i))
-		p.atEnd(step, restore)
+		p.scheduleStepEnd(step, restore)
 	}
 }
 
 // faultID names the link fault that a step adds for one of its targets.
-func (s *runningStep) faultID(index int) string { return s.id + "." + strconv.Itoa(index) }
+func (s *runningStep) faultID(index int) string { return s.faultName + "." + strconv.Itoa(index) }
 
 // runBackendFault passes a fault to emulated backends, and ends it at the step's end.
 func (p *player) runBackendFault(step *runningStep) {
@@ -106,7 +106,7 @@
 	}
 	for _, target := range step.targets {
 		p.env.SendCommand(target.name, command)
-		p.atEnd(step, func() { p.endBackendFault(target, step.Verb) })
+		p.scheduleStepEnd(step, func() { p.endBackendFault(target, step.Verb) })
 	}
 }
 
@@ -129,8 +129,8 @@
 func (p *player) runPauses(step *runningStep) {
 	for _, target := range step.targets {
 		for t := 0.0; t < step.Duration; t += pauseInterval {
-			p.after(t+p.random.Uniform()*maxPause, func() { p.env.SendCommand(target.name, string(VerbHang)) })
-			p.after(t+maxPause+min(step.Value, maxPause), func() { p.endBackendFault(target, VerbHang) })
+			p.scheduleAfter(t+p.random.Uniform()*maxPause, func() { p.env.SendCommand(target.name, string(VerbHang)) })
+			p.scheduleAfter(t+maxPause+min(step.Value, maxPause), func() { p.endBackendFault(target, VerbHang) })
 		}
 	}
 }
@@ -140,9 +140,9 @@
 	halfPeriod := max(step.Value, minFlapTime)
 	for i, target := range step.targets {
 		for t := 0.0; t < step.Duration; t += 2 * halfPeriod {
-			p.after(t, func() {
+			p.scheduleAfter(t, func() {
 				restore := p.flapDown(target, step, i)
-				p.after(halfPeriod, restore)
+				p.scheduleAfter(halfPeriod, restore)
 			})
 		}
 	}
@@ -165,14 +165,14 @@
 // runDeploy drains backends one after another, ends them, and starts them again cold.
 func (p *player) runDeploy(step *runningStep) {
 	for i, target := range step.targets {
-		p.after(float64(i)*step.Deploy.Interval, func() {
+		p.scheduleAfter(float64(i)*step.Deploy.Interval, func() {
 			if !target.up {
 				return
 			}
 			p.commandList("state %d draining", target.backend)
-			p.after(step.Deploy.Drain, func() {
+			p.scheduleAfter(step.Deploy.Drain, func() {
 				p.crash(target)
-				p.after(step.Deploy.Down, func() { p.restartProcess(target) })
+				p.scheduleAfter(step.Deploy.Down, func() { p.restartProcess(target) })
 			})
 		})
 	}
@@ -183,6 +183,6 @@
 	setRate := func(target *participant, rate float64) { p.env.SendCommand(target.name, fmt.Sprintf("rate %g", rate)) }
 	for _, target := range step.targets {
 		setRate(target, target.rate*step.Value)
-		p.atEnd(step, func() { setRate(target, target.rate) })
+		p.scheduleStepEnd(step, func() { setRate(target, target.rate) })
 	}
 }
--- a/internal/scenario/processes.go
+++ b/internal/scenario/processes.go
@@ -53,7 +53,7 @@
 		ProbeWork: work.Mean / auxiliaryWorkDivisor, ProbeLimit: maxProbes,
 		ConnWork: work.Mean / auxiliaryWorkDivisor, ConnLimit: group.MaxConnections,
 		ReportsLoad: group.Reports, ReportDelay: group.ReportDelay, ReportNoise: group.ReportNoise,
-		CacheSize: group.CacheKeys, CacheSavings: group.CacheSaving, KeyStore: store, Executions: p.ledger,
+		CacheSize: group.CacheKeys, CacheSavings: group.CacheSaving, KeyStore: store, Executions: p.executionLog,
 	}
 }
 
--- a/internal/scenario/read.go
+++ b/internal/scenario/read.go
@@ -8,63 +8,62 @@
 	"gingerfork/internal/bootstrap"
 )
 
-// Bounds of a scenario.
+// Upper bounds of a scenario.
 const (
 	maxDuration     = 24 * 60 * 60 // seconds
 	maxCoordinators = 100
 )
 
-// SettingsLoader returns the text of the settings file that a scenario names.
+// SettingsLoader returns the content of the settings file that a script names.
 type SettingsLoader func(name string) ([]byte, error)
 
-// reader reads a script into a scenario and gathers the faults.
+// reader reads a script into a scenario and collects the faults in the script.
 type reader struct {
-	file     string
-	lines    []bootstrap.Line
-	load     SettingsLoader
-	scenario *Scenario
-	faults   bootstrap.Faults
+	file         string // name of the script, for faults
+	lines        []bootstrap.Line
+	loadSettings SettingsLoader
+	scenario     *Scenario
+	faults       bootstrap.Faults
 }
 
 // statement is a kind of script line.
 type statement struct {
-	word string
-	read func(r *reader, line bootstrap.Line) error
-	// single: the line takes exactly one value.
-	single bool
+	keyword       string // first word of the line
+	parse         func(r *reader, line bootstrap.Line) error
+	takesOneValue bool // exactly one value follows the keyword
 }
 
-// statements are the kinds of script lines by their first word.
+// statements are all kinds of script lines.
 var statements = []statement{
-	single("day", func(r *reader, value string) error {
+	singleValueStatement("day", func(r *reader, value string) error {
 		r.scenario.Name = value
 		return nil
 	}),
-	single("settings", (*reader).readSettings),
-	singleDuration("length", func(s *Scenario) *float64 { return &s.Duration }),
-	single("seed", func(r *reader, value string) (err error) {
+	singleValueStatement("settings", (*reader).readSettings),
+	durationStatement("length", func(s *Scenario) *float64 { return &s.Duration }),
+	singleValueStatement("seed", func(r *reader, value string) (err error) {
 		r.scenario.Seed, err = strconv.ParseUint(value, 10, 63)
 		return err
 	}),
-	single("coordinators", func(r *reader, value string) (err error) {
+	singleValueStatement("coordinators", func(r *reader, value string) (err error) {
 		r.scenario.Coordinators, err = bootstrap.ParseInteger(value, 1, maxCoordinators)
 		return err
 	}),
-	singleDuration("line-still", func(s *Scenario) *float64 { return &s.EntryApplyTime }),
-	singleDuration("connect-timeout", func(s *Scenario) *float64 { return &s.ConnectTimeout }),
-	singleDuration("keep-away", func(s *Scenario) *float64 { return &s.EjectionTime }),
-	singleDuration("notice", func(s *Scenario) *float64 { return &s.ExitDetectionDelay }),
-	multiple("latency", (*Scenario).readLatency),
-	multiple("traffic", (*Scenario).readTraffic),
-	single("tokens", func(r *reader, value string) (err error) {
+	durationStatement("line-still", func(s *Scenario) *float64 { return &s.EntryApplyTime }),
+	durationStatement("connect-timeout", func(s *Scenario) *float64 { return &s.ConnectTimeout }),
+	durationStatement("keep-away", func(s *Scenario) *float64 { return &s.EjectionTime }),
+	durationStatement("notice", func(s *Scenario) *float64 { return &s.ExitDetectionDelay }),
+	wordsStatement("latency", (*Scenario).readLatency),
+	wordsStatement("traffic", (*Scenario).readTraffic),
+	singleValueStatement("tokens", func(r *reader, value string) (err error) {
 		r.scenario.IdempotencyScope, err = parseChoice(value, idempotencyScopes)
 		return err
 	}),
-	multiple("clients", (*Scenario).readClients),
-	multiple("mix", (*Scenario).readMethodMix),
-	multiple("servers", (*Scenario).readBackends),
-	multiple("frontends", (*Scenario).readProxies),
-	{word: "at", read: func(r *reader, line bootstrap.Line) error {
+	wordsStatement("clients", (*Scenario).readClients),
+	wordsStatement("mix", (*Scenario).readMethodMix),
+	wordsStatement("servers", (*Scenario).readBackends),
+	wordsStatement("frontends", (*Scenario).readProxies),
+	{keyword: "at", parse: func(r *reader, line bootstrap.Line) error {
 		step, err := readStep(line)
 		if err == nil {
 			r.scenario.Steps = append(r.scenario.Steps, step)
@@ -73,28 +72,29 @@
 	}},
 }
 
-// single is a statement with exactly one value.
-func single(word string, read func(r *reader, value string) error) statement {
-	return statement{word: word, single: true, read: func(r *reader, line bootstrap.Line) error { return read(r, line.Words[1]) }}
+// singleValueStatement returns a statement with exactly one value, which parse receives.
+func singleValueStatement(keyword string, parse func(r *reader, value string) error) statement {
+	return statement{keyword: keyword, takesOneValue: true, parse: func(r *reader, line bootstrap.Line) error { return parse(r, line.Words[1]) }}
 }
 
-// singleDuration is a statement with a time.
-func singleDuration(word string, field func(*Scenario) *float64) statement {
-	return single(word, func(r *reader, value string) (err error) {
+// durationStatement returns a statement whose value is a duration, which it stores in a field of the scenario in seconds.
+func durationStatement(keyword string, field func(*Scenario) *float64) statement {
+	return singleValueStatement(keyword, func(r *reader, value string) (err error) {
 		*field(r.scenario), err = bootstrap.ParseDuration(value)
 		return err
 	})
 }
 
-// multiple is a statement with any number of words.
-func multiple(word string, read func(s *Scenario, words []string) error) statement {
-	return statement{word: word, read: func(r *reader, line bootstrap.Line) error { return read(r.scenario, line.Words[1:]) }}
+// wordsStatement returns a statement with any number of words after the keyword, which parse receives.
+func wordsStatement(keyword string, parse func(s *Scenario, words []string) error) statement {
+	return statement{keyword: keyword, parse: func(r *reader, line bootstrap.Line) error { return parse(r.scenario, line.Words[1:]) }}
 }
 
-// Read reads a script. Its error is a bootstrap.Faults that names every fault with file and line.
+// Read reads a script and the settings file that it names. Its error is a bootstrap.Faults with all faults in both, each with its
+// file and line.
 func Read(file, text string, load SettingsLoader) (*Scenario, error) {
 	lines, faults := bootstrap.Lex(file, text)
-	scriptReader := &reader{file: file, lines: lines, load: load, faults: faults, scenario: &Scenario{
+	scriptReader := &reader{file: file, lines: lines, loadSettings: load, faults: faults, scenario: &Scenario{
 		Seed: 1, Coordinators: 1, EntryApplyTime: 0.0002, ConnectTimeout: 0.25, EjectionTime: 5, ExitDetectionDelay: 1,
 		ZoneLatency: 0.0003, CrossZoneLatency: 0.0006,
 	}}
@@ -117,25 +117,25 @@
 }
 
 func (r *reader) readLine(line bootstrap.Line) error {
-	word := line.Words[0]
+	keyword := line.Words[0]
 	known := make([]string, 0, len(statements))
 	for _, s := range statements {
-		if s.word != word {
-			known = append(known, s.word)
+		if s.keyword != keyword {
+			known = append(known, s.keyword)
 			continue
 		}
-		if s.single && len(line.Words) != 2 {
-			return fmt.Errorf("%s takes one value, has %d", word, len(line.Words)-1)
+		if s.takesOneValue && len(line.Words) != 2 {
+			return fmt.Errorf("%s takes one value, has %d", keyword, len(line.Words)-1)
 		}
-		return s.read(r, line)
+		return s.parse(r, line)
 	}
-	return fmt.Errorf("unknown statement %s%s", word, suggestion(word, known))
+	return fmt.Errorf("unknown statement %s%s", keyword, suggestion(keyword, known))
 }
 
-// readSettings reads the settings file that the script names, with its faults.
+// readSettings reads the settings file that the script names, and adds its faults to those of the script.
 func (r *reader) readSettings(name string) error {
 	r.scenario.SettingsFile = name
-	data, err := r.load(name)
+	data, err := r.loadSettings(name)
 	if err != nil {
 		return err
 	}
@@ -146,28 +146,29 @@
 	return nil
 }
 
-// checkComplete adds a fault for each statement that every scenario needs and that is missing.
+// checkComplete adds a fault for each statement that every script needs and this one lacks.
 func (r *reader) checkComplete() {
-	lacks := func(what string) {
-		r.faults = append(r.faults, bootstrap.Fault{File: r.file, Line: 1, Message: what})
+	addFault := func(message string) {
+		r.faults = append(r.faults, bootstrap.Fault{File: r.file, Line: 1, Message: message})
 	}
 	if r.scenario.Settings == nil {
-		lacks("no settings (such as: settings perth.conf)")
+		addFault("the script names no settings file (such as: settings perth.conf)")
 	}
 	if r.scenario.Duration <= 0 || r.scenario.Duration > maxDuration {
-		lacks("no length of up to 24h (such as: length 60s)")
+		addFault("the script has no length above 0 and up to 24h (such as: length 60s)")
 	}
 	if !r.hasStatement("servers") || !r.hasStatement("frontends") {
-		lacks("no servers, or no frontends")
+		addFault("the script has no servers or no frontends (such as: servers 4)")
 	}
 }
 
-// hasStatement tells whether the script has such a line, be it a faulty one, which has its own message.
-func (r *reader) hasStatement(word string) bool {
-	return slices.ContainsFunc(r.lines, func(line bootstrap.Line) bool { return line.Words[0] == word })
+// hasStatement reports whether the script has a line with a keyword. A faulty line counts, as it has a fault of its own already.
+func (r *reader) hasStatement(keyword string) bool {
+	return slices.ContainsFunc(r.lines, func(line bootstrap.Line) bool { return line.Words[0] == keyword })
 }
 
-// checkAgainstSettings adds the faults that only show when script and settings are compared.
+// checkAgainstSettings adds the faults of lines that contradict the settings: unknown zones and methods, and shares of a mix
+// that do not match the number of methods.
 func (r *reader) checkAgainstSettings() {
 	zones, methods := r.scenario.Zones(), r.scenario.Settings.Methods
 	for _, line := range r.lines {
@@ -195,7 +196,7 @@
 	}
 }
 
-// completeMethodMix gives equal shares to methods that the script names none for.
+// completeMethodMix gives each method without a share in the script the share 1/n, where n is the number of methods.
 func (s *Scenario) completeMethodMix() {
 	methods := len(s.Settings.Methods)
 	for len(s.MethodMix) < methods {
--- a/internal/scenario/read_groups.go
+++ b/internal/scenario/read_groups.go
@@ -10,7 +10,7 @@
 	"gingerfork/internal/traffic"
 )
 
-// Bounds of numbers in scripts.
+// Upper bounds of numbers in scripts.
 const (
 	maxGroupSize     = 100000
 	maxCount         = 1e6
@@ -19,18 +19,20 @@
 	maxClientRetries = 100
 )
 
-// backendPolicies are the ways in which proxies choose among the backends of a table.
+// backendPolicies are the values of the option pick: how proxies choose among the backends of a table.
 var backendPolicies = []string{"even", "lottery", "pair", "report"}
 
+// cancelModes are the values of the option give-up.
 var cancelModes = []namedValue[emulator.CancelPolicy]{
 	{"runs-on", emulator.IgnoreCancel}, {"skips-wait", emulator.DropQueued}, {"stops", emulator.CancelRunning},
 }
 
+// idempotencyScopes are the values of the statement tokens.
 var idempotencyScopes = []namedValue[emulator.KeyScope]{
 	{"all", emulator.AllBackends}, {"zone", emulator.PerZone}, {"cell", emulator.PerCell}, {"server", emulator.PerBackend},
 }
 
-// readClients reads: clients again SHARE after TIME at-most N.
+// readClients reads a line of the form: clients again SHARE after TIME at-most N.
 func (s *Scenario) readClients(words []string) error {
 	s.ClientRetryDelay, s.ClientRetryMax = 0.1, 2
 	return parseOptions(words,
@@ -40,7 +42,7 @@
 	)
 }
 
-// readTraffic reads: traffic wave SHARE over TIME bursts SHARE every TIME lasting TIME keys N zipf X.
+// readTraffic reads a line of the form: traffic wave SHARE over TIME bursts PERCENT every TIME lasting TIME keys N zipf EXPONENT.
 func (s *Scenario) readTraffic(words []string) error {
 	keys, exponent := 0, 1.0
 	err := parseOptions(words,
@@ -61,16 +63,16 @@
 		}
 	}
 	if s.Shape.BurstFactor > 0 && s.Shape.BurstInterval == 0 {
-		return errors.New("bursts need every and a time")
+		return errors.New("bursts needs every and a time (such as: bursts 150% every 30s)")
 	}
 	return s.Shape.Validate()
 }
 
-// readBackends reads: servers N and the group's options.
+// readBackends reads a line of the form: servers N OPTION...
 func (s *Scenario) readBackends(words []string) error {
 	group := BackendGroup{Kind: "std", Workers: 2, Queue: 30, Weight: 1, Capacity: 20, CancelMode: emulator.DropQueued}
 	if len(words) == 0 {
-		return errors.New("servers takes their number")
+		return errors.New("servers needs their number (such as: servers 4)")
 	}
 	var err error
 	if group.Count, err = bootstrap.ParseInteger(words[0], 1, maxGroupSize); err != nil {
@@ -103,11 +105,11 @@
 	return nil
 }
 
-// readProxies reads: frontends N and the group's options.
+// readProxies reads a line of the form: frontends N OPTION...
 func (s *Scenario) readProxies(words []string) error {
 	group := ProxyGroup{Rate: 10}
 	if len(words) == 0 {
-		return errors.New("frontends takes their number")
+		return errors.New("frontends needs their number (such as: frontends 4)")
 	}
 	var err error
 	if group.Count, err = bootstrap.ParseInteger(words[0], 1, maxGroupSize); err != nil {
@@ -141,7 +143,7 @@
 	return value, nil
 }
 
-// readMethodMix reads: mix SHARE..., one share for each method of the settings.
+// readMethodMix reads a line of the form: mix SHARE..., with one share for each method of the settings.
 func (s *Scenario) readMethodMix(words []string) error {
 	for _, word := range words {
 		share, err := bootstrap.ParseShare(word)
@@ -153,10 +155,10 @@
 	return nil
 }
 
-// readLatency reads: latency TIME TIME.
+// readLatency reads a line of the form: latency TIME TIME, with the latencies within and between zones.
 func (s *Scenario) readLatency(words []string) error {
 	if len(words) != 2 {
-		return errors.New("latency takes two times, within and between zones")
+		return errors.New("latency needs two times, within a zone and between zones (such as: latency 300us 600us)")
 	}
 	var err error
 	if s.ZoneLatency, err = bootstrap.ParseDuration(words[0]); err != nil {
--- a/internal/scenario/read_options.go
+++ b/internal/scenario/read_options.go
@@ -9,16 +9,16 @@
 	"gingerfork/internal/bootstrap"
 )
 
-// errUnknownOption is wrapped by the error of a line that holds a word which its kind of line does not take.
+// errUnknownOption is wrapped by the error for an option that a statement does not have.
 var errUnknownOption = errors.New("unknown")
 
-// option is a word of a script line that takes one value.
+// option is a keyword in a statement that takes one value.
 type option struct {
 	name  string
 	parse func(value string) error
 }
 
-// parseOptions reads the rest of a line as pairs of option and value.
+// parseOptions parses the rest of a line, which consists of pairs of option and value.
 func parseOptions(words []string, options ...option) error {
 	if len(words)%2 != 0 {
 		return fmt.Errorf("%s has no value", words[len(words)-1])
@@ -42,7 +42,7 @@
 	return fmt.Errorf("%w%s", errUnknownOption, suggestion(name, names))
 }
 
-// suggestion names the known word that is closest to a misspelt one, in parentheses; "" if none is close.
+// suggestion returns the known word that is closest to a misspelt one, as a question in parentheses; "" if none is close.
 func suggestion(word string, known []string) string {
 	if nearest := bootstrap.ClosestWord(word, known); nearest != "" {
 		return " (did you mean " + nearest + "?)"
@@ -50,51 +50,51 @@
 	return ""
 }
 
-func textOption(name string, into *string) option {
+func textOption(name string, field *string) option {
 	return option{name, func(value string) error {
-		*into = value
+		*field = value
 		return nil
 	}}
 }
 
-// valueOption is an option whose value is read by a function.
-func valueOption[T any](name string, into *T, parse func(string) (T, error)) option {
+// valueOption returns an option whose value is parsed by a function and stored in a field.
+func valueOption[T any](name string, field *T, parse func(string) (T, error)) option {
 	return option{name, func(value string) error {
 		var err error
-		*into, err = parse(value)
+		*field, err = parse(value)
 		return err
 	}}
 }
 
-func durationOption(name string, into *float64) option {
-	return valueOption(name, into, bootstrap.ParseDuration)
+func durationOption(name string, field *float64) option {
+	return valueOption(name, field, bootstrap.ParseDuration)
 }
 
-func shareOption(name string, into *float64) option {
-	return valueOption(name, into, bootstrap.ParseShare)
+func shareOption(name string, field *float64) option {
+	return valueOption(name, field, bootstrap.ParseShare)
 }
 
-func numberOption(name string, into *float64) option {
-	return valueOption(name, into, bootstrap.ParseNumber)
+func numberOption(name string, field *float64) option {
+	return valueOption(name, field, bootstrap.ParseNumber)
 }
 
-func integerOption(name string, into *int, minimum, maximum int) option {
-	return valueOption(name, into, func(value string) (int, error) { return bootstrap.ParseInteger(value, minimum, maximum) })
+func integerOption(name string, field *int, minimum, maximum int) option {
+	return valueOption(name, field, func(value string) (int, error) { return bootstrap.ParseInteger(value, minimum, maximum) })
 }
 
-// namedValue is a word of a script with its meaning.
+// namedValue is a value that scripts give by a word.
 type namedValue[T any] struct {
-	name  string
+	word  string
 	value T
 }
 
-// parseChoice reads one of a few words.
+// parseChoice returns the value of the choice with a given word.
 func parseChoice[T any](word string, choices []namedValue[T]) (T, error) {
-	i := slices.IndexFunc(choices, func(c namedValue[T]) bool { return c.name == word })
+	i := slices.IndexFunc(choices, func(c namedValue[T]) bool { return c.word == word })
 	if i < 0 {
 		names := make([]string, 0, len(choices))
 		for _, c := range choices {
-			names = append(names, c.name)
+			names = append(names, c.word)
 		}
 		var none T
 		return none, fmt.Errorf("%q is none of %s", word, strings.Join(names, ", "))
@@ -102,7 +102,7 @@
 	return choices[i].value, nil
 }
 
-// ParsePercent reads a percentage that may exceed 100%, as a share.
+// ParsePercent parses a percentage, which may exceed 100%, and returns it as a share: 1.5 for 150%.
 func ParsePercent(word string) (float64, error) {
 	digits, isPercent := strings.CutSuffix(word, "%")
 	value, err := bootstrap.ParseNumber(digits)
--- a/internal/scenario/read_step.go
+++ b/internal/scenario/read_step.go
@@ -10,38 +10,39 @@
 	"gingerfork/internal/bootstrap"
 )
 
-// stepOptions are the words of a step that take a value.
+// stepOptions parse the value that follows an option of a step, by the option's keyword.
 var stepOptions = map[string]func(step *Step, value string) error{
-	"by":     textOf(func(step *Step) *string { return &step.Argument }),
+	"by":     textStepOption(func(step *Step) *string { return &step.Argument }),
 	"with":   (*Step).readFlapMode,
-	"for":    durationOf(func(step *Step) *float64 { return &step.Duration }),
-	"drain":  durationOf(func(step *Step) *float64 { return &step.Deploy.Drain }),
-	"down":   durationOf(func(step *Step) *float64 { return &step.Deploy.Down }),
+	"for":    durationStepOption(func(step *Step) *float64 { return &step.Duration }),
+	"drain":  durationStepOption(func(step *Step) *float64 { return &step.Deploy.Drain }),
+	"down":   durationStepOption(func(step *Step) *float64 { return &step.Deploy.Down }),
 	"every":  (*Step).readDeployInterval,
-	"zone":   textOf(func(step *Step) *string { return &step.Selector.Zone }),
-	"kind":   textOf(func(step *Step) *string { return &step.Selector.Kind }),
+	"zone":   textStepOption(func(step *Step) *string { return &step.Selector.Zone }),
+	"kind":   textStepOption(func(step *Step) *string { return &step.Selector.Kind }),
 	"number": (*Step).readIndexes,
 }
 
-// textOf reads an option as the text of a field.
-func textOf(field func(*Step) *string) func(*Step, string) error {
+// textStepOption returns a parser that stores the value in a field as it is.
+func textStepOption(field func(*Step) *string) func(*Step, string) error {
 	return func(step *Step, value string) error {
 		*field(step) = value
 		return nil
 	}
 }
 
-// durationOf reads an option as a time, into a field.
-func durationOf(field func(*Step) *float64) func(*Step, string) error {
+// durationStepOption returns a parser that stores the value, a duration, in a field in seconds.
+func durationStepOption(field func(*Step) *float64) func(*Step, string) error {
 	return func(step *Step, value string) error { return readDuration(field(step), value) }
 }
 
-// readStep reads: at TIME VERB TARGET [SELECTOR] [by X] [for TIME] [with MODE] [drain TIME] [down TIME] [every TIME].
+// readStep reads a line of the form: at TIME VERB TARGET [SELECTOR] [by ARGUMENT] [for TIME] [with MODE] [drain TIME] [down TIME]
+// [every TIME] [zone ZONE] [kind KIND] [number N,...].
 func readStep(line bootstrap.Line) (Step, error) {
 	step := Step{Source: line, Deploy: defaultDeploy}
 	words := line.Words
 	if len(words) < 4 {
-		return step, errors.New("at takes a time, a verb and a target (such as: at 10s kill servers 2 for 5s)")
+		return step, errors.New("at needs a time, a verb and a target (such as: at 10s kill servers 2 for 5s)")
 	}
 	if err := readDuration(&step.At, words[1]); err != nil {
 		return step, err
@@ -68,14 +69,14 @@
 	return strings.Join(names, " or ")
 }
 
-func readDuration(into *float64, value string) (err error) {
-	*into, err = bootstrap.ParseDuration(value)
+func readDuration(field *float64, value string) (err error) {
+	*field, err = bootstrap.ParseDuration(value)
 	return err
 }
 
 func (s *Step) readOptions(words []string) error {
 	for len(words) > 0 {
-		read, takesValue := stepOptions[words[0]]
+		parse, takesValue := stepOptions[words[0]]
 		if !takesValue {
 			if err := s.readSelector(words[0]); err != nil {
 				return err
@@ -86,7 +87,7 @@
 		if len(words) < 2 {
 			return fmt.Errorf("%s has no value", words[0])
 		}
-		if err := read(s, words[1]); err != nil {
+		if err := parse(s, words[1]); err != nil {
 			return err
 		}
 		words = words[2:]
@@ -94,10 +95,11 @@
 	return nil
 }
 
-// readSelector reads a word that says which parties are meant: all, a share, a zone or a number.
+// readSelector reads a word without an option before it, which selects participants: all, a percentage, a zone if the target is
+// one, or a count.
 func (s *Step) readSelector(word string) (err error) {
 	switch {
-	case word == "all": // as without any selector
+	case word == "all": // the same as no selector
 	case strings.HasSuffix(word, "%"):
 		s.Selector.Share, err = bootstrap.ParseShare(word)
 	case s.Target == TargetZone:
@@ -111,7 +113,7 @@
 func (s *Step) readFlapMode(value string) error {
 	s.FlapMode = FlapMode(value)
 	if s.Verb != VerbFlap || !slices.Contains(flapModes, s.FlapMode) {
-		return fmt.Errorf("with %s: only a flap takes with, and one of crash, silence, hang, fast", value)
+		return fmt.Errorf("with %s: only flap takes with, followed by crash, silence, hang or fast", value)
 	}
 	return nil
 }
@@ -132,7 +134,7 @@
 	return nil
 }
 
-// complete checks the argument and the duration against what the verb needs.
+// complete parses the argument, and checks that the step has the argument and the duration that its verb needs.
 func (s *Step) complete(spec verbSpec) error {
 	if spec.argument != noArgument && s.Argument == "" {
 		return fmt.Errorf("%s needs by and a %s", s.Verb, spec.argument)
@@ -144,12 +146,13 @@
 	return err
 }
 
-// readArgument reads the argument as the number that its kind says, if it is one.
+// readArgument parses an argument of a numeric kind, and rewrites shares and times as plain numbers, the form that emulated
+// backends take.
 func (s *Step) readArgument(kind argumentKind) (err error) {
 	switch kind {
 	case noArgument:
 		if s.Argument != "" {
-			return fmt.Errorf("%s takes no by", s.Verb)
+			return fmt.Errorf("%s does not take by", s.Verb)
 		}
 	case shareArgument:
 		parse := bootstrap.ParseShare
@@ -164,11 +167,11 @@
 	case factorArgument:
 		s.Value, err = bootstrap.ParseNumber(s.Argument)
 		if err == nil && s.Value <= 0 {
-			return fmt.Errorf("by %s is no factor above 0", s.Argument)
+			return fmt.Errorf("by %s: the factor must be above 0", s.Argument)
 		}
 	case integerArgument:
 		_, err = bootstrap.ParseInteger(s.Argument, 0, maxCount)
-	case methodArgument, coordinatorArgument: // names; the method is compared with the settings later
+	case methodArgument, coordinatorArgument: // names; checkAgainstSettings checks those of methods
 	}
 	return err
 }
--- a/internal/scenario/relay.go
+++ b/internal/scenario/relay.go
@@ -24,15 +24,15 @@
 
 // relay takes the connections of one participant to all others, on an address for each.
 type relay struct {
-	loop         *eventloop.Loop
-	targets      []string // names
-	addresses    []string // by target
-	lastCommands []string // by target
+	loop              *eventloop.Loop
+	targetNames       []string // names
+	addresses         []string // by target
+	lastFaultCommands []string // by target
 }
 
 // address is where the relay takes connections to a target.
 func (r *relay) address(target string) string {
-	if i := slices.Index(r.targets, target); i >= 0 {
+	if i := slices.Index(r.targetNames, target); i >= 0 {
 		return r.addresses[i]
 	}
 	return unreachableAddress
@@ -40,7 +40,7 @@
 
 // startRelay starts the relay of a participant.
 func (s *sockets) startRelay(name string, targets []string) (*relay, error) {
-	started := &relay{targets: targets, lastCommands: make([]string, len(targets))}
+	started := &relay{targetNames: targets, lastFaultCommands: make([]string, len(targets))}
 	to, listen := make([]string, 0, len(targets)), make([]string, 0, len(targets))
 	for _, target := range targets {
 		to = append(to, s.nodes[target].addr)
@@ -65,7 +65,7 @@
 func (s *sockets) ResetConnections(match linkMatch) {
 	all := linkFault{match: match}
 	for of, r := range s.relays {
-		for i, to := range r.targets {
+		for i, to := range r.targetNames {
 			if all.matches(of, to) {
 				r.loop.SendCommand(fmt.Sprintf("reset %d", i))
 			}
@@ -76,7 +76,7 @@
 // applyLinkFaults tells each relay the faults of its links, where they changed.
 func (s *sockets) applyLinkFaults() {
 	for of, r := range s.relays {
-		for i, to := range r.targets {
+		for i, to := range r.targetNames {
 			r.setFault(i, s.combinedFault(of, to))
 		}
 	}
@@ -101,17 +101,17 @@
 
 // setFault tells the relay the fault of a link, unless it stands already. A relay starts without faults.
 func (r *relay) setFault(target int, fault simnet.LinkFault) {
-	command := fmt.Sprintf("set %d %d %d %g %g", target, digit(fault.Partitioned), digit(fault.Reset), fault.ExtraLatency, fault.Bandwidth)
-	isFirst := r.lastCommands[target] == ""
-	if r.lastCommands[target] == command || isFirst && fault == (simnet.LinkFault{}) {
+	command := fmt.Sprintf("set %d %d %d %g %g", target, formatFlag(fault.Partitioned), formatFlag(fault.Reset), fault.ExtraLatency, fault.Bandwidth)
+	isFirst := r.lastFaultCommands[target] == ""
+	if r.lastFaultCommands[target] == command || isFirst && fault == (simnet.LinkFault{}) {
 		return
 	}
-	r.lastCommands[target] = command
+	r.lastFaultCommands[target] = command
 	r.loop.SendCommand(command)
 }
 
-// digit writes a flag as relays read it.
-func digit(flag bool) int {
+// formatFlag writes a flag as relays read it.
+func formatFlag(flag bool) int {
 	if flag {
 		return 1
 	}
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,6 +1,6 @@
-// Package scenario plays scenarios: a fleet, its traffic, and the faults that happen to it, read from a script. The same
-// script plays on sockets, with every coordinator in a process of its own, and in virtual time over a simulated network.
-// docs/days.md describes the scripts.
+// Package scenario reads scripts and plays the scenarios that they describe: a fleet, its traffic, and faults and operations at
+// given times. The same script can be played in real time on sockets, with each coordinator as a process of its own, and in
+// virtual time over a simulated network. docs/days.md describes the scripts.
 package scenario
 
 import (
@@ -14,10 +14,10 @@
 	"gingerfork/internal/traffic"
 )
 
-// Scenario is a script that was read. Times are in seconds.
+// Scenario is the content of a script. Times are in seconds.
 type Scenario struct {
 	Name         string
-	SettingsFile string // as the script names it
+	SettingsFile string // name of the file, as given in the script
 	Settings     *bootstrap.Settings
 	Duration     float64
 	Seed         uint64
@@ -26,55 +26,55 @@
 	Proxies      []ProxyGroup
 	Steps        []Step
 
-	EntryApplyTime     float64 // a proxy needs so long to apply one table entry
+	EntryApplyTime     float64 // time that a proxy takes to apply one table entry
 	ConnectTimeout     float64 // of proxies
-	EjectionTime       float64 // a proxy avoids a backend for so long after consecutive failures
-	ExitDetectionDelay float64 // until the endpoint list service knows that a backend's process ended
-	ZoneLatency        float64 // of the simulated network, within a zone
-	CrossZoneLatency   float64 // and between zones
+	EjectionTime       float64 // time for which a proxy avoids a backend after consecutive failures
+	ExitDetectionDelay float64 // time after which the endpoint list service learns that a backend's process ended
+	ZoneLatency        float64 // latency of the simulated network within a zone
+	CrossZoneLatency   float64 // latency of the simulated network between zones
 
-	MethodMix        []float64 // share of each method in the traffic
-	ClientRetryShare float64   // share of clients that send a failed RPC again
-	ClientRetryDelay float64   // about how long they wait, doubled with each retry
-	ClientRetryMax   int       // retries of one RPC
-	Shape            traffic.Shape
-	Keys             *traffic.Zipf
+	MethodMix        []float64         // share of each method in the traffic
+	ClientRetryShare float64           // share of the failed RPCs that clients send again
+	ClientRetryDelay float64           // approximate time before the first retry, doubled with each further one
+	ClientRetryMax   int               // retries per RPC
+	Shape            traffic.Shape     // variation of the request rate over time
+	Keys             *traffic.Zipf     // distribution of the RPCs' keys; nil: RPCs have no keys
 	IdempotencyScope emulator.KeyScope // which backends share their idempotency keys
 
 	settingsLines []bootstrap.Line
 }
 
-// BackendGroup is a number of equal backends.
+// BackendGroup is a number of backends with the same properties.
 type BackendGroup struct {
 	Count          int
-	Zone           string // "": the zones in turn
+	Zone           string // "": assigned to all zones in turn
 	Kind           string
-	Capacity       float64 // RPCs a second
-	Workers        int
-	Queue          int // RPCs that may wait
-	Weight         float64
-	Work           emulator.Work
+	Capacity       float64       // RPCs per second, when warm
+	Workers        int           // RPCs that a backend executes at once
+	Queue          int           // RPCs that may wait for a worker
+	Weight         float64       // in the endpoint list
+	Work           emulator.Work // distribution of the work of an RPC; its mean follows from Workers and Capacity
 	CancelMode     emulator.CancelPolicy
-	Cell           int
-	MaxConnections int
-	Reports        bool    // replies carry load reports,
-	ReportDelay    float64 // that are so many seconds old,
-	ReportNoise    float64 // and off by this share
-	CacheKeys      int
-	CacheSaving    float64 // share of the work that a cached key saves
+	Cell           int     // with which it shares idempotency keys, if they are kept per cell
+	MaxConnections int     // 0: unlimited
+	Reports        bool    // whether replies carry load reports
+	ReportDelay    float64 // age of the load in these reports, in seconds
+	ReportNoise    float64 // coefficient of variation of their error
+	CacheKeys      int     // keys that the cache holds; 0: no cache
+	CacheSaving    float64 // share of the work that a cache hit saves
 }
 
-// ProxyGroup is a number of equal proxies.
+// ProxyGroup is a number of proxies with the same properties, apart from their rates.
 type ProxyGroup struct {
 	Count         int
-	Zone          string  // "": the zones in turn
-	Rate          float64 // RPCs a second of each
-	RateVariation float64 // coefficient of variation of their rates
-	BackendPolicy string  // "": as the settings say
+	Zone          string  // "": assigned to all zones in turn
+	Rate          float64 // mean rate of a proxy, in RPCs per second
+	RateVariation float64 // coefficient of variation of the proxies' rates
+	BackendPolicy string  // how they choose backends; "": as the settings say
 }
 
-// Scale multiplies the numbers of backends and proxies by a factor; each group keeps one at least. A deploy takes as long
-// as before.
+// Scale multiplies the numbers of backends and proxies by a factor, also those that steps select; each group keeps at least one.
+// It divides the interval that a deploy step gives by the factor, so that the deploy takes about as long as before.
 func (s *Scenario) Scale(factor float64) {
 	for i := range s.Backends {
 		s.Backends[i].Count = scaleCount(s.Backends[i].Count, factor)
@@ -96,7 +96,7 @@
 // Zones returns the zones of the settings.
 func (s *Scenario) Zones() []string { return s.decodedSettings().Zones }
 
-// Limits returns the figures of the service rules, from the settings.
+// Limits returns the limits of the service rules that the settings give.
 func (s *Scenario) Limits() invariant.Limits {
 	settings := s.decodedSettings()
 	limits := invariant.Limits{
@@ -130,7 +130,7 @@
 	return choice.DecodeSettings(s.Settings.Values)
 }
 
-// proxyMethods returns the methods as the proxies know them.
+// proxyMethods returns the methods as proxies are configured with them, with their shares of the traffic.
 func (s *Scenario) proxyMethods() []fake.MethodConfig {
 	methods := fake.MethodConfigs(s.decodedSettings().Methods)
 	for i := range methods {
--- a/internal/scenario/schedule.go
+++ b/internal/scenario/schedule.go
@@ -9,8 +9,8 @@
 
 // scheduled is a function that runs at a time.
 type scheduled struct {
-	at statemachine.Seconds
-	do func()
+	time statemachine.Seconds
+	run  func()
 }
 
 // schedule holds the functions that are to run in real time. It belongs to one goroutine.
@@ -26,7 +26,7 @@
 func (s *schedule) next() (int, bool) {
 	earliest := -1
 	for i, candidate := range s.pending {
-		if earliest < 0 || candidate.at < s.pending[earliest].at {
+		if earliest < 0 || candidate.time < s.pending[earliest].time {
 			earliest = i
 		}
 	}
@@ -36,10 +36,10 @@
 // runDue runs the earliest function if it is due, and tells whether it was.
 func (s *schedule) runDue(now statemachine.Seconds) bool {
 	i, ok := s.next()
-	if !ok || s.pending[i].at > now {
+	if !ok || s.pending[i].time > now {
 		return false
 	}
-	do := s.pending[i].do
+	do := s.pending[i].run
 	s.pending = slices.Delete(s.pending, i, i+1)
 	do()
 	return true
@@ -48,7 +48,7 @@
 // wait is how long nothing is due, until a time at most.
 func (s *schedule) wait(now, until statemachine.Seconds) time.Duration {
 	if i, ok := s.next(); ok {
-		until = min(until, s.pending[i].at)
+		until = min(until, s.pending[i].time)
 	}
 	return time.Duration(max(0, until-now) * float64(time.Second))
 }
--- a/internal/scenario/search.go
+++ b/internal/scenario/search.go
@@ -8,11 +8,11 @@
 	"sync"
 )
 
-// searchStream separates the random numbers of searched scripts from others of the same seed.
-const searchStream = 1
+// searchRandomStream separates the random numbers of searched scripts from others of the same seed.
+const searchRandomStream = 1
 
-// defectViolation is the violation of a run in which a state machine failed.
-const defectViolation = "defect"
+// machineFailureViolation is the violation of a run in which a state machine failed.
+const machineFailureViolation = "defect"
 
 // durationPlaceholder stands for a duration in stepTemplates.
 const durationPlaceholder = "%s"
@@ -69,7 +69,7 @@
 
 // RandomScript writes a script of two to four steps, determined by the seed alone.
 func RandomScript(seed uint64) string {
-	random := rand.New(rand.NewPCG(seed, searchStream))
+	random := rand.New(rand.NewPCG(seed, searchRandomStream))
 	var text strings.Builder
 	fmt.Fprintf(&text, "day search-%d\nsettings perth.conf\nlength 30s\nseed %d\ncoordinators %d\n", seed, seed%1000+1, 1+random.IntN(3))
 	fmt.Fprintf(&text, "servers %d zone dc-kewdale capacity 30\nservers %d zone dc-malaga capacity 30\n", 3+random.IntN(4), 2+random.IntN(4))
@@ -84,8 +84,8 @@
 	return text.String()
 }
 
-// judge plays a script and returns its violation, "" if there is none.
-func judge(script string) (violation string, result Result, err error) {
+// playScript plays a script and returns its violation, "" if there is none.
+func playScript(script string) (violation string, result Result, err error) {
 	scenario, err := Read("search.day", script, File)
 	if err != nil {
 		return "", Result{}, err
@@ -95,7 +95,7 @@
 		return "", result, err
 	}
 	if len(result.Failures) > 0 {
-		return defectViolation, result, nil
+		return machineFailureViolation, result, nil
 	}
 	for _, verdict := range result.Report.Rules {
 		if verdict.Violations > 0 {
@@ -162,7 +162,7 @@
 
 func searchSeed(seed uint64) searchOutcome {
 	script := RandomScript(seed)
-	violation, result, err := judge(script)
+	violation, result, err := playScript(script)
 	if err != nil || violation == "" {
 		return searchOutcome{err: err}
 	}
--- a/internal/scenario/search_test.go
+++ b/internal/scenario/search_test.go
@@ -53,7 +53,7 @@
 		if len(short) > len(text) || !res.Report.Violated() {
 			t.Errorf("seed %d: minimized to %s", seed, short)
 		}
-		again, _, err := judge(short)
+		again, _, err := playScript(short)
 		if err != nil || again != what {
 			t.Errorf("seed %d: its minimized script gives %q, %v", seed, again, err)
 		}
--- a/internal/scenario/sockets.go
+++ b/internal/scenario/sockets.go
@@ -31,20 +31,20 @@
 // sockets is an environment of real sockets on the loopback address, in real time. Coordinators are processes, all others are
 // event loops of this one; between any two participants stands a relay that can apply link faults.
 type sockets struct {
-	player     *player
-	command    CoordinatorCommand
-	clock      *eventloop.Clock
-	ctx        context.Context // of the event loops: they outlive the caller's, so that they end in order
-	nodes      map[string]*node
-	relays     map[string]*relay // by the participant whose connections it takes
-	linkFaults []linkFault
-	schedule   schedule
-	work       sync.WaitGroup // waits for coordinators' processes
-
-	mu       sync.Mutex
-	records  []trace.Record
-	failures []string
-	ending   bool
+	player               *player
+	command              CoordinatorCommand
+	clock                *eventloop.Clock
+	ctx                  context.Context // of the event loops: they outlive the caller's, so that they end in order
+	nodes                map[string]*node
+	relays               map[string]*relay // by the participant whose connections it takes
+	linkFaults           []linkFault
+	schedule             schedule
+	coordinatorProcesses sync.WaitGroup // waits for coordinators' processes
+
+	mu           sync.Mutex
+	records      []trace.Record
+	failures     []string
+	shuttingDown bool
 }
 
 // node is a participant's process or event loop.
@@ -73,7 +73,7 @@
 func PlaySockets(ctx context.Context, scenario *Scenario, command CoordinatorCommand) (Result, error) {
 	player := newPlayer(scenario)
 	// Backends run in event loops of their own and cannot share a ledger; the checker finds duplicate effects in the trace.
-	player.sampleInterval, player.ledger = socketSampleInterval, nil
+	player.sampleInterval, player.executionLog = socketSampleInterval, nil
 	loopContext, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	environment := &sockets{
@@ -132,7 +132,7 @@
 // shutdown ends all processes and event loops, and waits for them.
 func (s *sockets) shutdown() {
 	s.mu.Lock()
-	s.ending = true
+	s.shuttingDown = true
 	s.mu.Unlock()
 	for _, n := range s.nodes {
 		if n.cmd != nil {
@@ -163,7 +163,7 @@
 	for _, r := range s.relays {
 		_ = r.loop.Wait() // as above
 	}
-	s.work.Wait()
+	s.coordinatorProcesses.Wait()
 }
 
 // Now is the time of the event loops' common clock.
--- a/internal/scenario/sockets_build.go
+++ b/internal/scenario/sockets_build.go
@@ -50,19 +50,19 @@
 	return addresses, nil
 }
 
-// topology is what connects the nodes while they are built.
-type topology struct {
+// topologyBuilder is what connects the nodes while they are built.
+type topologyBuilder struct {
 	*sockets
-	free         []string          // addresses that no node has yet
-	nameOf       map[string]string // by any address at which a node can be reached
-	backendNames []string
-	coordinators []string
+	unusedAddresses []string          // addresses that no node has yet
+	nameOf          map[string]string // by any address at which a node can be reached
+	backendNames    []string
+	coordinators    []string
 }
 
 // build makes all nodes and the relays between them.
 func (s *sockets) build(free []string) error {
-	built := &topology{
-		sockets: s, free: free, nameOf: map[string]string{},
+	built := &topologyBuilder{
+		sockets: s, unusedAddresses: free, nameOf: map[string]string{},
 		backendNames: names(s.player.backends), coordinators: names(s.player.coordinators),
 	}
 	store := s.player.newIdempotencyStore()
@@ -87,15 +87,15 @@
 }
 
 // addListening adds a node with an address of its own.
-func (t *topology) addListening(of *participant, newMachine func() statemachine.Machine) {
-	address := t.free[0]
-	t.free = t.free[1:]
+func (t *topologyBuilder) addListening(of *participant, newMachine func() statemachine.Machine) {
+	address := t.unusedAddresses[0]
+	t.unusedAddresses = t.unusedAddresses[1:]
 	t.nodes[of.name] = &node{participant: of, addr: address, newMachine: newMachine}
 	t.nameOf[address] = of.name
 }
 
 // newEndpointService makes the endpoint list service; each coordinator learns the addresses of its own relay.
-func (t *topology) newEndpointService() statemachine.Machine {
+func (t *topologyBuilder) newEndpointService() statemachine.Machine {
 	list := fake.NewEndpointService(t.player.initialEndpoints(func(backend *participant) string { return t.nodes[backend.name].addr }))
 	list.RewriteAddr = func(watcher, address string) string {
 		if r := t.relays[watcher]; r != nil {
@@ -106,12 +106,12 @@
 	return list
 }
 
-func (t *topology) connectCoordinator(target *participant) error {
+func (t *topologyBuilder) connectCoordinator(target *participant) error {
 	started, err := t.startRelay(target.name, append([]string{endpointService}, t.backendNames...))
 	if err != nil {
 		return err
 	}
-	for i, name := range started.targets {
+	for i, name := range started.targetNames {
 		t.nameOf[started.addresses[i]] = name
 	}
 	return nil
@@ -119,7 +119,7 @@
 
 // connectProxy adds a proxy, which listens nowhere. It knows backends by the addresses of its coordinator's relay, and these
 // are translated to those of its own.
-func (t *topology) connectProxy(proxy *participant) error {
+func (t *topologyBuilder) connectProxy(proxy *participant) error {
 	started, err := t.startRelay(proxy.name, slices.Concat(t.coordinators, t.backendNames))
 	if err != nil {
 		return err
--- a/internal/scenario/step.go
+++ b/internal/scenario/step.go
@@ -7,39 +7,39 @@
 	"gingerfork/internal/bootstrap"
 )
 
-// Verb is what a step does, as scripts spell it.
+// Verb is the fault or operation of a step, as spelled in scripts.
 type Verb string
 
-// The verbs; docs/days.md describes each.
+// The verbs. docs/days.md describes them.
 const (
-	VerbKill          Verb = "kill"    // end the process
-	VerbVanish        Verb = "vanish"  // end the process, unnoticed by the endpoint list service
-	VerbIsolate       Verb = "silence" // the machine loses power: no reset is sent
-	VerbPause         Verb = "stall"   // the process does not run
-	VerbHang          Verb = "hang"    // all is accepted and nothing answered
-	VerbFailFast      Verb = "fast"    // RPCs are aborted at once
-	VerbFailShare     Verb = "part"    // a share of the RPCs is aborted
-	VerbFailMethod    Verb = "method"  // RPCs of one method are aborted
-	VerbFailFrom      Verb = "from"    // RPCs of one coordinator's proxies are aborted
-	VerbSlow          Verb = "slow"    // work takes longer by a factor
+	VerbKill          Verb = "kill"    // processes are killed
+	VerbVanish        Verb = "vanish"  // processes are killed, and the endpoint list service does not learn of it
+	VerbIsolate       Verb = "silence" // machines lose power: their connections are not even reset
+	VerbPause         Verb = "stall"   // processes do not run
+	VerbHang          Verb = "hang"    // backends accept everything and answer nothing
+	VerbFailFast      Verb = "fast"    // backends abort all RPCs at once
+	VerbFailShare     Verb = "part"    // backends abort a share of the RPCs
+	VerbFailMethod    Verb = "method"  // backends abort the RPCs of one method
+	VerbFailFrom      Verb = "from"    // backends abort the RPCs from the proxies of one coordinator
+	VerbSlow          Verb = "slow"    // work or pushes take longer by a factor
 	VerbHeavyTail     Verb = "dear"    // one RPC in ten takes longer by a factor
-	VerbSlowHandshake Verb = "shake"   // a new connection waits
-	VerbConnections   Verb = "conns"   // connections are limited
-	VerbPauses        Verb = "pauses"  // short hangs, once a second
-	VerbFlap          Verb = "flap"    // down and up again, periodically
-	VerbDeploy        Verb = "deploy"  // drain and restart, one after another
+	VerbSlowHandshake Verb = "shake"   // new connections are delayed
+	VerbConnections   Verb = "conns"   // the number of connections to a backend is limited
+	VerbPauses        Verb = "pauses"  // backends hang for a short time once a second
+	VerbFlap          Verb = "flap"    // backends go down and up again, periodically
+	VerbDeploy        Verb = "deploy"  // backends are drained and restarted one after another
 	VerbBreak         Verb = "break"   // streams are reset
-	VerbDelay         Verb = "late"    // updates or streams are delayed
+	VerbDelay         Verb = "late"    // endpoint updates or streams are delayed
 	VerbStale         Verb = "stale"   // the endpoint list is not updated
 	VerbEmpty         Verb = "empty"   // the endpoint list shows no backend
-	VerbOne           Verb = "one"     // the endpoint list shows one backend only
+	VerbOne           Verb = "one"     // the endpoint list shows only one backend
 	VerbFail          Verb = "fail"    // the endpoint list service answers with errors
-	VerbPartition     Verb = "cut"     // nothing passes on the links
-	VerbLoseZone      Verb = "lose"    // all backends of a zone end
-	VerbLoad          Verb = "load"    // the request rate changes by a factor
+	VerbPartition     Verb = "cut"     // nothing passes on the links of the targets
+	VerbLoseZone      Verb = "lose"    // all backends of a zone are killed
+	VerbLoad          Verb = "load"    // the request rate of proxies changes by a factor
 )
 
-// Target is what a step happens to, as scripts spell it.
+// Target is the kind of participant or link that a step affects, as spelled in scripts.
 type Target string
 
 // The targets.
@@ -47,15 +47,15 @@
 	TargetBackends     Target = "servers"
 	TargetProxies      Target = "frontends"
 	TargetCoordinators Target = "coordinators"
-	TargetList         Target = "list" // the endpoint list service
-	TargetZone         Target = "zone"
-	TargetStreams      Target = "streams" // between coordinators and the selected proxies
+	TargetList         Target = "list"    // the endpoint list service
+	TargetZone         Target = "zone"    // all of a zone, or its links to others
+	TargetStreams      Target = "streams" // the streams between the selected proxies and coordinators
 )
 
-// FlapMode is how a flapping backend goes down, as scripts spell it.
+// FlapMode is how a flapping backend goes down, as spelled in scripts.
 type FlapMode string
 
-// The flap modes; none given is FlapCrash.
+// The flap modes. A step that gives none uses FlapCrash.
 const (
 	FlapCrash    FlapMode = "crash"
 	FlapIsolate  FlapMode = "silence"
@@ -67,40 +67,40 @@
 
 // Step is one fault or operation of a scenario.
 type Step struct {
-	Source   bootstrap.Line
-	At       float64 // seconds after the start
+	Source   bootstrap.Line // the script line
+	At       float64        // seconds after the start of the scenario
 	Verb     Verb
 	Target   Target
 	Selector Selector
-	Duration float64  // seconds; 0: until the end, where the verb permits it
-	Argument string   // in the form that the emulated backends take; "": none
-	Value    float64  // Argument as a number, where it is one: share, factor or seconds
+	Duration float64  // seconds; 0: until the end of the scenario, if the verb permits it
+	Argument string   // the word after "by", with numbers in the form that emulated backends take; "": none
+	Value    float64  // Argument as a number, if it is a share, a factor or a time in seconds
 	FlapMode FlapMode // of VerbFlap
 	Deploy   Deploy   // of VerbDeploy
 }
 
 // Deploy is the schedule of a rolling restart, in seconds.
 type Deploy struct {
-	Drain         float64 // between the announcement and the end of the process
-	Down          float64 // between the end of a process and its restart
-	Interval      float64 // between one backend and the next
-	IntervalGiven bool    // the script names the interval: it scales with the fleet
+	Drain         float64 // between the beginning of the drain and the end of the process
+	Down          float64 // between the end of the process and its restart
+	Interval      float64 // between the drains of one backend and the next
+	IntervalGiven bool    // whether the script gives the interval; Scale changes only a given one
 }
 
-// defaultDeploy is the schedule of a deploy that gives none.
+// defaultDeploy has the times that a deploy step uses where it gives none.
 var defaultDeploy = Deploy{Drain: 3, Down: 1, Interval: 1}
 
-// Selector says which parties of a kind a step happens to: all that meet its conditions, or a random choice of them if it
-// has a share or a count.
+// Selector selects the participants that a step affects: those that match Zone, Kind and Indexes, or a random subset of them if
+// it has a share or a count.
 type Selector struct {
 	Count   int     // 0: not given
 	Share   float64 // 0: not given
 	Zone    string  // "": any
 	Kind    string  // "": any
-	Indexes []int   // none: any
+	Indexes []int   // among the participants of the target's kind, from 0; empty: any
 }
 
-// argumentKind says what the word after "by" is.
+// argumentKind is the kind of word that a verb expects after "by", as error messages name it.
 type argumentKind string
 
 const (
@@ -110,15 +110,15 @@
 	coordinatorArgument argumentKind = "coordinator"
 	factorArgument      argumentKind = "factor"
 	timeArgument        argumentKind = "time"
-	integerArgument     argumentKind = "whole"
+	integerArgument     argumentKind = "whole number"
 )
 
-// verbSpec describes a verb: what it may happen to, what it needs, and what carries it out.
+// verbSpec describes a verb.
 type verbSpec struct {
-	targets       []Target
+	targets       []Target // those that it applies to
 	argument      argumentKind
 	needsDuration bool
-	run           func(p *player, step *runningStep)
+	run           func(p *player, step *runningStep) // carries out a step
 }
 
 var verbSpecs = map[Verb]verbSpec{
@@ -149,7 +149,7 @@
 	VerbLoad:          {targets: []Target{TargetProxies}, argument: shareArgument, run: (*player).runLoad},
 }
 
-// Verbs returns the spellings of all verbs in order, for messages and documentation.
+// Verbs returns the spellings of all verbs in alphabetical order, for messages and documentation.
 func Verbs() []string {
 	verbs := make([]string, 0, len(verbSpecs))
 	for verb := range maps.Keys(verbSpecs) {
--- a/internal/scenario/virtual.go
+++ b/internal/scenario/virtual.go
@@ -76,7 +76,7 @@
 	}
 	run.network.RunUntil(epoch + scenario.Duration)
 	result, err := newResult(scenario, run.records, run.network.Failures)
-	result.Truth, result.DuplicateEffects, result.MachineSteps = truth, run.ledger.Repeated, run.network.Steps
+	result.Truth, result.DuplicateEffects, result.MachineSteps = truth, run.executionLog.Repeated, run.network.Steps
 	return result, err
 }
 
