--- a/internal/scenario/emulate.go
+++ b/internal/scenario/emulate.go
@@ -12,26 +12,26 @@
 	"gingerfork/internal/trace"
 )
 
-// Ports that an emulated fleet may use.
+// Range of the ports that an emulated fleet may use.
 const (
 	minPort = 1024
 	maxPort = 65535
 )
 
-// ErrLoopEnded is returned by Emulation.Run when an event loop ended by itself.
-var ErrLoopEnded = errors.New("a part of the fleet ended by itself")
+// ErrLoopEnded is returned by Emulation.Run if an event loop ended before the scenario did.
+var ErrLoopEnded = errors.New("an event loop of the emulated fleet ended unexpectedly")
 
-// PortRangeError is returned by Emulation.Check when the fleet's ports would leave the permitted range.
+// PortRangeError is returned by Emulation.Check if the ports of the fleet would leave the permitted range.
 type PortRangeError struct {
 	Port     int // of the endpoint list service
 	Backends int
 }
 
 func (e *PortRangeError) Error() string {
-	return fmt.Sprintf("ports from %d on do not hold a list service and %d servers", e.Port, e.Backends)
+	return fmt.Sprintf("port %d for the list service and the next %d for servers are not all between %d and %d", e.Port, e.Backends, minPort, maxPort)
 }
 
-// NoPartError is returned by Emulation.Check when the part to play is not one of the parts.
+// NoPartError is returned by Emulation.Check if the number of the part to play is not one of the parts.
 type NoPartError struct {
 	Part, Parts int
 }
@@ -40,25 +40,26 @@
 	return fmt.Sprintf("part %d of %d does not exist", e.Part, e.Parts)
 }
 
-// Emulation is a scenario's backends and endpoint list service on the loopback address, for coordinators and proxies that the
-// user runs. It may be spread over processes: each plays a part of the backends, the first one the endpoint list service, too.
+// Emulation runs the backends and the endpoint list service of a scenario on the loopback address, for coordinators and proxies
+// that the user runs. It may be split over several processes, each of which runs a part of the backends; the process of the first
+// part also runs the endpoint list service.
 type Emulation struct {
 	Scenario    *Scenario
-	Port        int                       // of the endpoint list service; backends have those behind it
-	Part, Parts int                       // from 1; 0: all in this process
-	EventLoops  int                       // that the backends are spread over; 0: one
-	OnTally     func(emulator.FleetStats) // is called with the figures of each second
-	OnStep      func(text string)         // is called with each step
-	Trace       func([]trace.Record)
+	Port        int                       // of the endpoint list service; the backends have the ports after it
+	Part, Parts int                       // number of this process's part, from 1, and of all parts; 0: this process runs everything
+	EventLoops  int                       // number of event loops for the backends; 0: one
+	OnTally     func(emulator.FleetStats) // called with the figures of each second; may be nil
+	OnStep      func(text string)         // called with each step; may be nil
+	Trace       func([]trace.Record)      // called with records of the trace; may be nil
 }
 
-// ListAddr is where the endpoint list service listens.
+// ListAddr returns the address of the endpoint list service.
 func (e Emulation) ListAddr() string { return loopbackAddress(e.Port) }
 
-// Addr is where a backend listens.
+// Addr returns the address of a backend, given by its index from 0.
 func (e Emulation) Addr(backend int) string { return loopbackAddress(e.Port + 1 + backend) }
 
-// needsMoreThanFleet tells whether a step needs links, coordinators or proxies, which an emulated fleet does not have.
+// needsMoreThanFleet reports whether a step needs links, coordinators or proxies, which an emulation does not control.
 func needsMoreThanFleet(step Step) bool {
 	switch step.Target {
 	case TargetBackends:
@@ -71,13 +72,14 @@
 	return true
 }
 
-// Check returns a bootstrap.Faults with the steps that cannot be emulated, a *PortRangeError or a *NoPartError.
+// Check checks whether the emulation can run. Its error is a bootstrap.Faults with the steps that cannot be emulated, a
+// *PortRangeError or a *NoPartError.
 func (e Emulation) Check() error {
 	var faults bootstrap.Faults
 	for _, step := range e.Scenario.Steps {
 		if needsMoreThanFleet(step) {
 			faults = append(faults, step.Source.Fault(
-				"%s %s is not in an emulated fleet's hands: play the day by rehearse, or take the line out", step.Verb, step.Target))
+				"%s %s is not in an emulated fleet's hands: play the scenario with rehearse, or remove the line", step.Verb, step.Target))
 		}
 	}
 	if len(faults) > 0 {
@@ -96,7 +98,7 @@
 	return nil
 }
 
-// Run plays the emulation until the scenario or ctx ends.
+// Run runs the emulation until the end of the scenario or of ctx.
 func (e Emulation) Run(ctx context.Context) (err error) {
 	if err := e.Check(); err != nil {
 		return err
@@ -144,7 +146,7 @@
 	}
 }
 
-// ownBackends are the backends of this process's part.
+// ownBackends returns the backends of this process's part: every Parts-th one.
 func (e *emulation) ownBackends() []*participant {
 	var own []*participant
 	for i, backend := range e.player.backends {
@@ -155,7 +157,7 @@
 	return own
 }
 
-// startBackends spreads the backends of this part over event loops.
+// startBackends distributes the backends of this part evenly over event loops and starts them.
 func (e *emulation) startBackends(ctx context.Context) error {
 	own := e.ownBackends()
 	e.loopCount = min(max(1, e.EventLoops), max(1, len(own)))
@@ -175,14 +177,14 @@
 	return nil
 }
 
-// startLoop starts an event loop with some backends.
+// startLoop starts an event loop that runs some of the backends.
 func (e *emulation) startLoop(ctx context.Context, backends []*participant, store *emulator.KeyStore) error {
 	fleet := emulator.NewFleet(e.addTally)
 	config := eventloop.Bootstrap{Machine: fleet, Clock: e.clock, Trace: e.Trace}
 	for _, backend := range backends {
 		backendConfig := e.player.backendConfig(backend, store)
 		if e.loopCount > 1 || e.Parts > 1 {
-			// What belongs to one loop or process cannot be seen by another.
+			// Loops and processes cannot share state, so each loop has its own store of idempotency keys and no execution log.
 			backendConfig.Executions = nil
 			backendConfig.KeyStore = &emulator.KeyStore{Scope: e.Scenario.IdempotencyScope, Window: store.Window}
 		}
@@ -200,7 +202,7 @@
 	return nil
 }
 
-// startEndpointService starts the endpoint list service, in the first part.
+// startEndpointService starts the endpoint list service, unless this process plays another part than the first.
 func (e *emulation) startEndpointService(ctx context.Context) error {
 	if e.Part > 1 {
 		return nil
--- a/internal/scenario/emulation.go
+++ b/internal/scenario/emulation.go
@@ -17,23 +17,24 @@
 	Emulation
 	player          *player
 	clock           *eventloop.Clock
-	loopByBackend   map[string]*eventloop.Loop // by backend
-	endpointService *eventloop.Loop            // nil: another process plays it
+	loopByBackend   map[string]*eventloop.Loop // by name of the backend; only those of this process's part
+	endpointService *eventloop.Loop            // nil: the process that plays the first part runs it
 	loops           []*eventloop.Loop
-	loopCount       int // loops that carry backends
+	loopCount       int // number of loops that run backends
 	schedule        schedule
 
 	mu      sync.Mutex
-	tallies map[int]pendingTally // by second
+	tallies map[int]pendingTally // by second since the start
 }
 
-// pendingTally is the sum of a second's figures from the loops that have reported so far.
+// pendingTally is the sum of the figures for one second from the loops that have reported them so far.
 type pendingTally struct {
 	sum     emulator.FleetStats
 	reports int
 }
 
-// addTally adds a loop's figures of a second, and passes the sum on once all loops have reported. Loops call it.
+// addTally adds the figures of one loop for a second, and calls OnTally with the sum once all loops have reported theirs. It is
+// called from the goroutines of the loops.
 func (e *emulation) addTally(tally emulator.FleetStats) {
 	if e.OnTally == nil {
 		return
@@ -43,6 +44,7 @@
 	}
 }
 
+// sumTally adds the figures of one loop, and returns the sum of that second and whether it is complete.
 func (e *emulation) sumTally(tally emulator.FleetStats) (emulator.FleetStats, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -62,7 +64,7 @@
 	return pending.sum, false
 }
 
-// run runs what is scheduled, until a time or the end of ctx. It fails with ErrLoopEnded.
+// run runs the scheduled functions until a time or the end of ctx. It fails with ErrLoopEnded if an event loop ends.
 func (e *emulation) run(ctx context.Context, until statemachine.Seconds) error {
 	stopped := make(chan struct{})
 	var watchers sync.WaitGroup
@@ -98,11 +100,11 @@
 	}
 }
 
-// Now is the time of the event loops' common clock.
+// Now returns the time of the clock that all event loops share.
 func (e *emulation) Now() statemachine.Seconds { return e.clock.Now() }
 
-// Schedule schedules a function.
-func (e *emulation) Schedule(at statemachine.Seconds, do func()) { e.schedule.add(at, do) }
+// Schedule schedules a function to run at a time.
+func (e *emulation) Schedule(at statemachine.Seconds, run func()) { e.schedule.add(at, run) }
 
 // Start starts an emulated backend.
 func (e *emulation) Start(name string) { e.SendCommand(name, "start") }
@@ -110,7 +112,7 @@
 // Kill ends an emulated backend.
 func (e *emulation) Kill(name string) { e.SendCommand(name, "kill") }
 
-// Pause does nothing: Emulation.Check rejects the steps that need it, as it does for links.
+// Pause does nothing, as Emulation.Check rejects the steps that pause processes. The same holds for link faults below.
 func (e *emulation) Pause(string, statemachine.Seconds) {}
 
 // AddLinkFault does nothing.
@@ -122,7 +124,7 @@
 // ResetConnections does nothing.
 func (e *emulation) ResetConnections(linkMatch) {}
 
-// SendCommand passes a command to the endpoint list service or to a backend.
+// SendCommand sends a command to the endpoint list service or to a backend, if this process runs it.
 func (e *emulation) SendCommand(name, text string) {
 	if name == endpointService {
 		if e.endpointService != nil {
--- a/internal/scenario/link_faults.go
+++ b/internal/scenario/link_faults.go
@@ -5,10 +5,10 @@
 	"gingerfork/internal/trace"
 )
 
-// defaultPushTime is the usual time of a push in seconds, where the settings give none.
+// defaultPushTime is the usual time that a push takes, in seconds, if the settings give none.
 const defaultPushTime = 0.1
 
-// runSlow slows backends down, or the streams of proxies by a multiple of the usual push time.
+// runSlow slows backends down, or delays the streams of proxies so that a push takes a multiple of its usual time.
 func (p *player) runSlow(step *runningStep) {
 	if step.Target == TargetBackends {
 		p.runBackendFault(step)
@@ -18,7 +18,7 @@
 	p.addLinkFault(step, simnet.LinkFault{ExtraLatency: (step.Value - 1) * pushTime}, step.streams())
 }
 
-// runDelay delays endpoint updates, or all that passes on the streams of proxies.
+// runDelay delays endpoint updates, or all traffic on the streams of proxies.
 func (p *player) runDelay(step *runningStep) {
 	if step.Target == TargetList {
 		p.commandList("late %g", step.Value)
@@ -31,13 +31,13 @@
 // runBreak resets the streams of proxies.
 func (p *player) runBreak(step *runningStep) { p.env.ResetConnections(step.streams()) }
 
-// runListFault lets the endpoint list service fail, or stop its updates.
+// runListFault makes the endpoint list service answer with errors, or stop sending updates.
 func (p *player) runListFault(step *runningStep) {
 	p.commandList("%s on", step.Verb)
 	p.scheduleStepEnd(step, func() { p.commandList("%s off", step.Verb) })
 }
 
-// runListContent lets the endpoint list service show no backend, or one at random.
+// runListContent makes the endpoint list service show no backend, or a single one that is chosen at random.
 func (p *player) runListContent(step *runningStep) {
 	if step.Verb == VerbOne {
 		p.commandList("show %d", p.backends[int(p.random.Uniform()*float64(len(p.backends)))].backend)
@@ -47,14 +47,14 @@
 	p.scheduleStepEnd(step, func() { p.commandList("show all") })
 }
 
-// runPartition separates a zone, backends or the endpoint list service from all others.
+// runPartition separates a zone, backends or the endpoint list service from all other participants.
 func (p *player) runPartition(step *runningStep) {
 	p.addLinkFault(step, simnet.LinkFault{Partitioned: true}, p.partitionedLinks(step))
 	p.countPartition(step, 1)
 	p.scheduleStepEnd(step, func() { p.countPartition(step, -1) })
 }
 
-// countPartition keeps count of what is separated at present, for the samples of the backends' state.
+// countPartition changes the number of present partitions of the step's targets, which the samples of the backends' state use.
 func (p *player) countPartition(step *runningStep, change int) {
 	switch step.Target {
 	case TargetZone:
@@ -66,18 +66,18 @@
 	}
 }
 
-// isolate lets a backend's machine lose its power: its process ends, and nobody learns of it, not even by a reset. What it
-// returns brings the backend up again.
-func (p *player) isolate(target *participant, faultID string) (restore func()) {
-	p.env.AddLinkFault(faultID, simnet.LinkFault{Partitioned: true}, func(a, b string) bool { return a == target.name || b == target.name })
+// isolate simulates a loss of power of a backend's machine: its process ends and its links are cut, so that its connections are
+// not reset. It returns a function that brings the backend up again.
+func (p *player) isolate(target *participant, faultName string) (restore func()) {
+	p.env.AddLinkFault(faultName, simnet.LinkFault{Partitioned: true}, func(a, b string) bool { return a == target.name || b == target.name })
 	p.crash(target)
 	return func() {
-		p.env.RemoveLinkFault(faultID)
+		p.env.RemoveLinkFault(faultName)
 		p.restartProcess(target)
 	}
 }
 
-// addLinkFault adds a fault to links until the step's end, and records partitions.
+// addLinkFault adds a fault to the links that match until the end of the step, and writes partitions to the trace.
 func (p *player) addLinkFault(step *runningStep, fault simnet.LinkFault, match linkMatch) {
 	p.env.AddLinkFault(step.faultName, fault, match)
 	if fault.Partitioned {
@@ -91,7 +91,7 @@
 	})
 }
 
-// recordPartitions records the links of coordinators that match: to proxies and to the endpoint list service.
+// recordPartitions writes a record for each matching link between a coordinator and a proxy or the endpoint list service.
 func (p *player) recordPartitions(kind string, match linkMatch) {
 	matches := func(a, b string) bool { return match(a, b) || match(b, a) }
 	for _, proxy := range p.proxies {
@@ -108,7 +108,7 @@
 	}
 }
 
-// targetNames is the set of the targets' names.
+// targetNames returns the names of the step's targets as a set.
 func (s *runningStep) targetNames() map[string]bool {
 	set := make(map[string]bool, len(s.targets))
 	for _, target := range s.targets {
@@ -117,7 +117,7 @@
 	return set
 }
 
-// streams matches the links between coordinators and the proxies that the step selected.
+// streams returns a match for the links between coordinators and the proxies that the step selected.
 func (s *runningStep) streams() linkMatch {
 	selected := s.targetNames()
 	return func(a, b string) bool {
@@ -125,7 +125,7 @@
 	}
 }
 
-// partitionedLinks matches the links that a partition interrupts.
+// partitionedLinks returns a match for the links that a partition step interrupts.
 func (p *player) partitionedLinks(step *runningStep) linkMatch {
 	switch step.Target {
 	case TargetList:
--- a/internal/scenario/participants.go
+++ b/internal/scenario/participants.go
@@ -8,27 +8,27 @@
 	"gingerfork/internal/traffic"
 )
 
-// Prefixes of participants' names, which traces show; a number from 0 follows.
+// Prefixes of the names of participants, which appear in traces. The index of the participant follows, from 0.
 const (
 	coordinatorPrefix = "c"
 	backendPrefix     = "s"
 	proxyPrefix       = "f"
 )
 
-// participant is a party of a scenario.
+// participant is a coordinator, proxy, backend or endpoint list service of a scenario. It outlives the processes that play it.
 type participant struct {
 	name         string
 	zone         string
-	kind         string
-	index        int             // among those of its kind
+	kind         string          // of a backend
+	index        int             // among the coordinators, proxies or backends, from 0
 	backend      proto.BackendID // 0: not a backend
-	group        BackendGroup
-	rate         float64 // of a proxy, RPCs a second
-	policy       string  // of a proxy: how it chooses backends, "": as the settings say
-	up           bool
-	incarnations int // processes that were started
-	downCount    int // faults that keep it down at present
-	partitions   int // partitions that separate a backend from all others
+	group        BackendGroup    // of a backend
+	rate         float64         // of a proxy, in RPCs per second
+	policy       string          // of a proxy: how it chooses backends; "": as the settings say
+	up           bool            // whether its process runs
+	incarnations int             // number of its processes so far
+	downCount    int             // number of faults that keep it down at present
+	partitions   int             // of a backend: number of present partitions that separate it from all others
 }
 
 func (p *participant) isBackend() bool { return p.backend > 0 }
@@ -66,7 +66,7 @@
 	return all
 }
 
-// participantZone is the zone of a group, or one of all zones in turn if the group names none.
+// participantZone returns the zone of a group, or one of all zones in turn if the group has none.
 func participantZone(groupZone string, zones []string, index int) string {
 	if groupZone == "" {
 		return zones[index%len(zones)]
@@ -74,19 +74,19 @@
 	return groupZone
 }
 
-// add names a participant and adds it to its kind.
-func (a *participants) add(kind *[]*participant, prefix string, added *participant) {
-	added.index = len(*kind)
+// add sets the index and the name of a participant and appends it to one of the lists.
+func (a *participants) add(list *[]*participant, prefix string, added *participant) {
+	added.index = len(*list)
 	added.name = fmt.Sprintf("%s%d", prefix, added.index)
-	*kind = append(*kind, added)
+	*list = append(*list, added)
 	a.byName[added.name] = added
 }
 
-// names returns the participants' names in order.
-func names(of []*participant) []string {
-	all := make([]string, 0, len(of))
-	for _, p := range of {
-		all = append(all, p.name)
+// participantNames returns the names of participants, in their order.
+func participantNames(list []*participant) []string {
+	names := make([]string, 0, len(list))
+	for _, p := range list {
+		names = append(names, p.name)
 	}
-	return all
+	return names
 }
--- a/internal/scenario/player.go
+++ b/internal/scenario/player.go
@@ -11,7 +11,7 @@
 	"gingerfork/internal/trace"
 )
 
-// player carries out a scenario's steps on its participants, in an environment.
+// player starts a scenario's participants in an environment and carries out the scenario's steps on them.
 type player struct {
 	participants
 	scenario     *Scenario
@@ -20,17 +20,17 @@
 	random       emulator.Random
 	startTime    statemachine.Seconds
 	stepCount    int
-	overrides    map[string]any // values given to coordinators in place of the settings'
-	executionLog *emulator.ExecutionLog
-	// sampleInterval is how often backends and proxies record their own state, in seconds; 0: they do not.
+	overrides    map[string]any         // values that coordinators get in place of those in the settings
+	executionLog *emulator.ExecutionLog // shared by all backends; nil: executions are not logged
+	// sampleInterval is the interval at which backends and proxies record their own state, in seconds; 0: they do not.
 	sampleInterval float64
-	zonePartitions map[string]int // partitions that separate a zone from the others
+	zonePartitions map[string]int // by zone: number of present partitions that separate it from the others
 }
 
 // runningStep is a step that is being carried out.
 type runningStep struct {
 	Step
-	faultName string // for the link faults that it adds
+	faultName string // name of the link faults that it adds
 	targets   []*participant
 }
 
@@ -41,7 +41,7 @@
 	}
 }
 
-// start starts all participants and schedules the steps.
+// start starts the processes of all participants and schedules the steps.
 func (p *player) start() {
 	p.startTime = p.env.Now()
 	p.startProcess(p.byName[endpointService])
@@ -59,7 +59,7 @@
 	}
 }
 
-// runStep records a step and carries it out.
+// runStep writes a step to the trace and carries it out.
 func (p *player) runStep(step Step) {
 	p.stepCount++
 	running := &runningStep{Step: step, faultName: strconv.Itoa(p.stepCount), targets: p.selectTargets(step.Target, step.Selector)}
@@ -67,14 +67,14 @@
 	verbSpecs[step.Verb].run(p, running)
 }
 
-// emit records something that happens now.
+// emit writes a record to the trace with the present time.
 func (p *player) emit(record trace.Record) {
 	record.Time = p.env.Now()
 	p.record(record)
 }
 
-// selectTargets chooses the participants that a step happens to: at random by the scenario's seed where the selector gives a
-// share or a count only.
+// selectTargets returns the participants that a step affects. If the selector gives a share or a count, it chooses among those
+// that match the other conditions at random, by the scenario's seed.
 func (p *player) selectTargets(target Target, selector Selector) []*participant {
 	var matching []*participant
 	for _, candidate := range p.candidates(target) {
@@ -116,7 +116,7 @@
 	return len(s.Indexes) == 0 || slices.Contains(s.Indexes, candidate.index)
 }
 
-// faultDuration is how long a step's effects last, in seconds.
+// faultDuration returns how long the effects of a step last, in seconds.
 func (p *player) faultDuration(step *runningStep) statemachine.Seconds {
 	remaining := p.scenario.Duration - step.At
 	switch {
@@ -131,19 +131,19 @@
 	return remaining
 }
 
-// scheduleAfter schedules a function.
-func (p *player) scheduleAfter(delay statemachine.Seconds, do func()) {
-	p.env.Schedule(p.env.Now()+delay, do)
+// scheduleAfter schedules a function to run after a delay.
+func (p *player) scheduleAfter(delay statemachine.Seconds, run func()) {
+	p.env.Schedule(p.env.Now()+delay, run)
 }
 
-// scheduleStepEnd schedules a function for the end of a step that has one.
-func (p *player) scheduleStepEnd(step *runningStep, do func()) {
+// scheduleStepEnd schedules a function to run at the end of a step, if the step has a duration.
+func (p *player) scheduleStepEnd(step *runningStep, run func()) {
 	if step.Duration > 0 {
-		p.scheduleAfter(step.Duration, do)
+		p.scheduleAfter(step.Duration, run)
 	}
 }
 
-// commandList passes a command to the endpoint list service.
+// commandList sends a command to the endpoint list service.
 func (p *player) commandList(format string, args ...any) {
 	p.env.SendCommand(endpointService, fmt.Sprintf(format, args...))
 }
--- a/internal/scenario/process_faults.go
+++ b/internal/scenario/process_faults.go
@@ -9,11 +9,12 @@
 )
 
 const (
-	// pauseInterval is the interval of VerbPauses in seconds, and maxPause the longest of its pauses. Each begins within
-	// half of the interval and ends by the interval's own clock.
+	// pauseInterval is the interval between the pauses of VerbPauses in seconds. A pause begins at a random time in the first
+	// maxPause seconds of the interval, and ends at the same time of each interval: maxPause seconds after the interval's
+	// start and then the pause time of the step, or maxPause if that is shorter.
 	pauseInterval = 1.0
 	maxPause      = 0.5
-	// minFlapTime is the shortest time, in seconds, for which a flapping backend is up or down.
+	// minFlapTime is the shortest time for which a flapping backend is up or down, in seconds.
 	minFlapTime = 0.1
 )
 
@@ -26,8 +27,8 @@
 	p.env.Start(target.name)
 }
 
-// stopProcess ends a participant's process, unless another fault did so. Faults overlap: it stays down until each of them
-// has called restartProcess.
+// stopProcess kills a participant's process, unless an earlier fault did. As faults may overlap, the process stays down until
+// restartProcess was called for each of them.
 func (p *player) stopProcess(target *participant) {
 	target.downCount++
 	if target.downCount > 1 {
@@ -42,7 +43,7 @@
 	p.emit(trace.Record{Kind: trace.ProcessKilled, Party: target.name})
 }
 
-// restartProcess starts a participant again once no fault keeps it down.
+// restartProcess ends one fault that keeps a participant down, and starts its process again if it was the last one.
 func (p *player) restartProcess(target *participant) {
 	target.downCount--
 	if target.downCount > 0 {
@@ -54,7 +55,7 @@
 	}
 }
 
-// crash ends a participant's process; the endpoint list service learns of a backend's end after the detection delay.
+// crash kills a participant's process. The endpoint list service learns of the end of a backend after the detection delay.
 func (p *player) crash(target *participant) {
 	p.stopProcess(target)
 	if !target.isBackend() {
@@ -67,7 +68,7 @@
 	})
 }
 
-// runKill ends processes, and starts them again at the step's end.
+// runKill kills processes, and starts them again at the end of the step.
 func (p *player) runKill(step *runningStep) {
 	for _, target := range step.targets {
 		if step.Verb == VerbVanish {
@@ -79,7 +80,7 @@
 	}
 }
 
-// runPause keeps processes from running.
+// runPause keeps processes from running for the duration of the step.
 func (p *player) runPause(step *runningStep) {
 	for _, target := range step.targets {
 		p.env.Pause(target.name, step.Duration)
@@ -87,18 +88,20 @@
 	}
 }
 
-// runIsolate lets backends' machines lose their power.
+// runIsolate simulates a loss of power of the machines of backends.
 func (p *player) runIsolate(step *runningStep) {
 	for i, target := range step.targets {
-		restore := p.isolate(target, step.faultID(i))
+		restore := p.isolate(target, step.targetFaultName(i))
 		p.scheduleStepEnd(step, restore)
 	}
 }
 
-// faultID names the link fault that a step adds for one of its targets.
-func (s *runningStep) faultID(index int) string { return s.faultName + "." + strconv.Itoa(index) }
+// targetFaultName returns the name of the link fault that a step adds for one of its targets.
+func (s *runningStep) targetFaultName(index int) string {
+	return s.faultName + "." + strconv.Itoa(index)
+}
 
-// runBackendFault passes a fault to emulated backends, and ends it at the step's end.
+// runBackendFault starts a fault in emulated backends, and ends it at the end of the step.
 func (p *player) runBackendFault(step *runningStep) {
 	command := string(step.Verb)
 	if argument := p.backendArgument(step); argument != "" {
@@ -114,7 +117,8 @@
 	p.env.SendCommand(target.name, "heal "+string(verb))
 }
 
-// backendArgument is a step's argument as emulated backends take it: methods go by number, coordinators by name.
+// backendArgument returns the argument of a step in the form that emulated backends take: methods by number, coordinators by
+// name.
 func (p *player) backendArgument(step *runningStep) string {
 	switch step.Verb {
 	case VerbFailMethod:
@@ -125,22 +129,22 @@
 	return step.Argument
 }
 
-// runPauses lets backends hang for a short time in each interval.
+// runPauses makes backends hang for a short time in each pause interval.
 func (p *player) runPauses(step *runningStep) {
 	for _, target := range step.targets {
-		for t := 0.0; t < step.Duration; t += pauseInterval {
-			p.scheduleAfter(t+p.random.Uniform()*maxPause, func() { p.env.SendCommand(target.name, string(VerbHang)) })
-			p.scheduleAfter(t+maxPause+min(step.Value, maxPause), func() { p.endBackendFault(target, VerbHang) })
+		for start := 0.0; start < step.Duration; start += pauseInterval {
+			p.scheduleAfter(start+p.random.Uniform()*maxPause, func() { p.env.SendCommand(target.name, string(VerbHang)) })
+			p.scheduleAfter(start+maxPause+min(step.Value, maxPause), func() { p.endBackendFault(target, VerbHang) })
 		}
 	}
 }
 
-// runFlap lets backends go down and up again, for equal times.
+// runFlap takes backends down and up again, for equal times, until the end of the step.
 func (p *player) runFlap(step *runningStep) {
 	halfPeriod := max(step.Value, minFlapTime)
 	for i, target := range step.targets {
-		for t := 0.0; t < step.Duration; t += 2 * halfPeriod {
-			p.scheduleAfter(t, func() {
+		for start := 0.0; start < step.Duration; start += 2 * halfPeriod {
+			p.scheduleAfter(start, func() {
 				restore := p.flapDown(target, step, i)
 				p.scheduleAfter(halfPeriod, restore)
 			})
@@ -148,11 +152,11 @@
 	}
 }
 
-// flapDown takes a backend down in the way that the step says; what it returns brings the backend up again.
+// flapDown takes a backend down in the step's flap mode, and returns a function that brings it up again.
 func (p *player) flapDown(target *participant, step *runningStep, index int) (restore func()) {
 	switch step.FlapMode {
 	case FlapIsolate:
-		return p.isolate(target, step.faultID(index))
+		return p.isolate(target, step.targetFaultName(index))
 	case FlapHang, FlapFailFast:
 		verb := Verb(step.FlapMode)
 		p.env.SendCommand(target.name, string(verb))
@@ -162,7 +166,7 @@
 	return func() { p.restartProcess(target) }
 }
 
-// runDeploy drains backends one after another, ends them, and starts them again cold.
+// runDeploy drains backends one after another, kills them, and starts them again cold. It skips backends that are down already.
 func (p *player) runDeploy(step *runningStep) {
 	for i, target := range step.targets {
 		p.scheduleAfter(float64(i)*step.Deploy.Interval, func() {
@@ -178,7 +182,7 @@
 	}
 }
 
-// runLoad changes the request rate of proxies.
+// runLoad multiplies the request rate of proxies by a factor, until the end of the step.
 func (p *player) runLoad(step *runningStep) {
 	setRate := func(target *participant, rate float64) { p.env.SendCommand(target.name, fmt.Sprintf("rate %g", rate)) }
 	for _, target := range step.targets {
--- a/internal/scenario/schedule.go
+++ b/internal/scenario/schedule.go
@@ -7,22 +7,22 @@
 	"gingerfork/internal/statemachine"
 )
 
-// scheduled is a function that runs at a time.
+// scheduled is a function with the time at which it is to run.
 type scheduled struct {
 	time statemachine.Seconds
 	run  func()
 }
 
-// schedule holds the functions that are to run in real time. It belongs to one goroutine.
+// schedule holds functions that are to run at given times. It is not safe for concurrent use.
 type schedule struct {
 	pending []scheduled
 }
 
-func (s *schedule) add(at statemachine.Seconds, do func()) {
-	s.pending = append(s.pending, scheduled{at, do})
+func (s *schedule) add(at statemachine.Seconds, run func()) {
+	s.pending = append(s.pending, scheduled{at, run})
 }
 
-// next returns the index of the earliest function, of equal ones the first that was added; false if there is none.
+// next returns the index of the earliest function, the first added among those of equal times; it returns false if there is none.
 func (s *schedule) next() (int, bool) {
 	earliest := -1
 	for i, candidate := range s.pending {
@@ -33,19 +33,19 @@
 	return earliest, earliest >= 0
 }
 
-// runDue runs the earliest function if it is due, and tells whether it was.
+// runDue runs the earliest function if it is due, and reports whether it was.
 func (s *schedule) runDue(now statemachine.Seconds) bool {
 	i, ok := s.next()
 	if !ok || s.pending[i].time > now {
 		return false
 	}
-	do := s.pending[i].run
+	run := s.pending[i].run
 	s.pending = slices.Delete(s.pending, i, i+1)
-	do()
+	run()
 	return true
 }
 
-// wait is how long nothing is due, until a time at most.
+// wait returns how long it takes until the next function is due or until is reached, whichever is first.
 func (s *schedule) wait(now, until statemachine.Seconds) time.Duration {
 	if i, ok := s.next(); ok {
 		until = min(until, s.pending[i].time)
--- a/internal/scenario/sockets_build.go
+++ b/internal/scenario/sockets_build.go
@@ -63,7 +63,7 @@
 func (s *sockets) build(free []string) error {
 	built := &topologyBuilder{
 		sockets: s, unusedAddresses: free, nameOf: map[string]string{},
-		backendNames: names(s.player.backends), coordinators: names(s.player.coordinators),
+		backendNames: participantNames(s.player.backends), coordinators: participantNames(s.player.coordinators),
 	}
 	store := s.player.newIdempotencyStore()
 	for _, backend := range s.player.backends {
--- a/internal/scenario/virtual.go
+++ b/internal/scenario/virtual.go
@@ -83,7 +83,7 @@
 // addNodes adds all participants to the network; each listens at its own name.
 func (r *virtualRun) addNodes() {
 	ownName := func(p *participant) string { return p.name }
-	store, coordinatorNames := r.newIdempotencyStore(), names(r.coordinators)
+	store, coordinatorNames := r.newIdempotencyStore(), participantNames(r.coordinators)
 	r.network.AddNode(endpointService, r.byName[endpointService].zone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
 		return fake.NewEndpointService(r.initialEndpoints(ownName))
 	}, endpointService)
--- a/internal/scenario/workers.go
+++ b/internal/scenario/workers.go
@@ -5,7 +5,8 @@
 	"sync"
 )
 
-// startWorkers starts a worker for each core; they run jobs until the channel is closed. The caller waits for them.
+// startWorkers starts one worker goroutine per available core. They run jobs until the channel is closed; the caller waits for
+// them.
 func startWorkers[J any](workers *sync.WaitGroup, jobs <-chan J, run func(J)) {
 	for range runtime.GOMAXPROCS(0) {
 		workers.Add(1)
