--- a/internal/scenario/compare.go
+++ b/internal/scenario/compare.go
@@ -8,14 +8,14 @@
 	"gingerfork/internal/optimum"
 )
 
-// TableSource is how proxies get their tables in a run.
+// TableSource determines the tables of proxies in a run.
 type TableSource uint8
 
 // The table sources.
 const (
-	Coordinated  TableSource = iota // from coordinators, as in production
-	AllBackends                     // one table of all backends in the endpoint list
-	FrozenTables                    // the coordinators' tables as they were FreezeDelay seconds after the start
+	Coordinated  TableSource = iota // tables from coordinators, as in production
+	AllBackends                     // one table of all open backends in the endpoint list, from a simple baseline coordinator
+	FrozenTables                    // tables from coordinators that no longer change FreezeDelay seconds after the start
 	tableSourceCount
 )
 
@@ -24,20 +24,20 @@
 	return [...]string{"coordinator", "all servers", "frozen", "?"}[min(s, tableSourceCount)]
 }
 
-// FreezeDelay is when the tables of FrozenTables are frozen, in seconds after the start.
+// FreezeDelay is the time after the start at which FrozenTables freezes the tables, in seconds.
 const FreezeDelay = 4.0
 
-// Comparison is a scenario played with each table source on the same seed, beside what could have been reached.
+// Comparison holds the results of a scenario with each table source on the same seed, and an upper bound on the service.
 type Comparison struct {
 	Scenario *Scenario
 	Results  [tableSourceCount]Result
 	Bound    optimum.Bound
 }
 
-// pendingComparison is a comparison whose runs are still going on.
+// pendingComparison is a comparison some of whose runs have not ended yet.
 type pendingComparison struct {
 	Comparison
-	errs          [tableSourceCount]error
+	errs          [tableSourceCount]error // by table source
 	remainingRuns sync.WaitGroup
 }
 
@@ -47,8 +47,8 @@
 	source     TableSource
 }
 
-// Compare plays scenarios in virtual time with each table source, on all cores. It calls done with each scenario in order,
-// until the first error, which it returns when all runs have ended.
+// Compare plays scenarios in virtual time with each table source, on all cores. It calls done with the comparison of each
+// scenario in order, until the first error, which it returns after all runs have ended.
 func Compare(ctx context.Context, scenarios []*Scenario, done func(Comparison) error) error {
 	all := make([]*pendingComparison, len(scenarios))
 	for i, scenario := range scenarios {
@@ -68,7 +68,7 @@
 	return deliverInOrder(all, done)
 }
 
-// dispatchRuns sends all runs to the workers; after the end of ctx they fail at once.
+// dispatchRuns sends all runs to the workers. Runs that are left at the end of ctx fail with its error.
 func dispatchRuns(ctx context.Context, all []*pendingComparison, runs chan<- comparisonRun) {
 	for _, comparison := range all {
 		for source := range tableSourceCount {
@@ -82,21 +82,21 @@
 	}
 }
 
-// deliverInOrder waits for each comparison in order and passes it on, up to the first error.
+// deliverInOrder waits for each comparison in order and calls done with it, until the first error.
 func deliverInOrder(all []*pendingComparison, done func(Comparison) error) error {
-	var first error
+	var firstErr error
 	for _, comparison := range all {
 		comparison.remainingRuns.Wait()
 		for _, err := range comparison.errs {
-			if first == nil {
-				first = err
+			if firstErr == nil {
+				firstErr = err
 			}
 		}
-		if first == nil {
-			first = done(comparison.Comparison)
+		if firstErr == nil {
+			firstErr = done(comparison.Comparison)
 		}
 	}
-	return first
+	return firstErr
 }
 
 func (r comparisonRun) play() {
@@ -109,6 +109,6 @@
 	if err != nil {
 		r.comparison.errs[r.source] = fmt.Errorf("play %s, %v: %w", scenario.Name, r.source, err)
 	}
-	result.Records = nil // some hundred thousand each
+	result.Records = nil // to save memory: a run has some hundred thousand records
 	r.comparison.Results[r.source] = result
 }
--- a/internal/scenario/compare_test.go
+++ b/internal/scenario/compare_test.go
@@ -7,8 +7,9 @@
 	"gingerfork/internal/invariant"
 )
 
-// The incidents, at a tenth of their size: coordinators keep all rules and stay below the bound, and the comparison shows that
-// frozen tables send to backends that are gone.
+// TestIncidentsAgainstBaselines plays the incidents at a tenth of their size. The coordinators must keep all rules, stay below the
+// bound and give better service than one table of all backends. At least one run with frozen tables must violate rule 3, which
+// shows that the rule detects attempts to backends that are gone.
 func TestIncidentsAgainstBaselines(t *testing.T) {
 	var scenarios []*Scenario
 	for i, name := range Incidents() {
@@ -33,13 +34,13 @@
 		t.Fatal(err)
 	}
 	n := float64(len(scenarios))
-	t.Logf("service %.3f, with one table of all servers %.3f", coordinated/n, allBackends/n)
+	t.Logf("mean service %.3f, with one table of all backends %.3f", coordinated/n, allBackends/n)
 	if coordinated <= allBackends || frozenViolations == 0 {
-		t.Errorf("service %.3f beside %.3f; frozen tables violated rule 3 in %d scenarios", coordinated/n, allBackends/n, frozenViolations)
+		t.Errorf("mean service %.3f, with one table of all backends %.3f; frozen tables violated rule 3 in %d scenarios", coordinated/n, allBackends/n, frozenViolations)
 	}
 }
 
-// assertCoordinated fails the test for failed state machines, and for a coordinated run that violates a rule or exceeds the
+// assertCoordinated fails the test if a state machine failed in any run, or if the coordinated run violates a rule or exceeds the
 // bound.
 func assertCoordinated(t *testing.T, comparison Comparison) {
 	t.Helper()
@@ -49,7 +50,7 @@
 		if len(result.Failures) > 0 {
 			t.Errorf("%s, %v: %v", name, source, result.Failures)
 		}
-		// The bound knows the backends' state, not how long each RPC takes: chance may favour a run by a little.
+		// The bound is computed from mean work, not from the actual work of each RPC, so a run may exceed it slightly by chance.
 		if source == Coordinated && result.Report.Service.Share() > comparison.Bound.Share()+0.005 {
 			t.Errorf("%s: service %.3f, above the bound of %.3f", name, result.Report.Service.Share(), comparison.Bound.Share())
 		}
@@ -61,32 +62,32 @@
 	}
 }
 
-func violated(r invariant.Report, rule int) bool { return r.Rules[rule-1].Violations > 0 }
+func violated(report invariant.Report, rule int) bool { return report.Rules[rule-1].Violations > 0 }
 
-// The bound of a scenario without faults is all that can be answered in time; with all backends hanging half of the time,
-// about half; with a partition, what each side can serve.
+// TestBoundOfScenarios checks the upper bound on the service: about 1 without faults, about half if all backends hang half of the
+// time, and with a partition no more than what each side can serve by itself.
 func TestBoundOfScenarios(t *testing.T) {
-	share := func(steps string, rate string) float64 {
-		d := readScript(t, "day bound\nsettings perth.conf\nlength 20s\nseed 5\nservers 4 zone dc-kewdale capacity 30\nservers 4 zone dc-malaga capacity 30\n"+
+	boundShare := func(steps string, rate string) float64 {
+		scenario := readScript(t, "day bound\nsettings perth.conf\nlength 20s\nseed 5\nservers 4 zone dc-kewdale capacity 30\nservers 4 zone dc-malaga capacity 30\n"+
 			"frontends 3 zone dc-kewdale rate "+rate+"\nfrontends 3 zone dc-malaga rate 5\nmix 70% 30%\n"+steps)
-		r, err := PlayVirtual(d, Options{SampleTruth: true})
+		result, err := PlayVirtual(scenario, Options{SampleTruth: true})
 		if err != nil {
 			t.Fatal(err)
 		}
-		b, err := d.Bound(r.Truth, r.Records)
+		bound, err := scenario.Bound(result.Truth, result.Records)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return b.Share()
+		return bound.Share()
 	}
-	if s := share("", "20"); s < 0.999 {
-		t.Errorf("without faults the bound is %.3f", s)
+	if share := boundShare("", "20"); share < 0.999 {
+		t.Errorf("without faults the bound is %.3f", share)
 	}
-	if s := share("at 5s hang servers all for 10s", "20"); s < 0.4 || s > 0.65 {
-		t.Errorf("with all backends hanging half the time the bound is %.3f", s)
+	if share := boundShare("at 5s hang servers all for 10s", "20"); share < 0.4 || share > 0.65 {
+		t.Errorf("with all backends hanging half the time the bound is %.3f", share)
 	}
-	whole, partitioned := share("", "70"), share("at 0s cut zone dc-malaga", "70")
-	if whole < 0.98 || partitioned > 0.75 {
-		t.Errorf("one side offers 210 RPCs a second to a capacity of 120: bound %.3f, and %.3f behind a partition", whole, partitioned)
+	connected, partitioned := boundShare("", "70"), boundShare("at 0s cut zone dc-malaga", "70")
+	if connected < 0.98 || partitioned > 0.75 {
+		t.Errorf("one zone sends 210 RPCs per second and has a capacity of 120: bound %.3f, during a partition %.3f", connected, partitioned)
 	}
 }
--- a/internal/scenario/coordinator_kills.go
+++ b/internal/scenario/coordinator_kills.go
@@ -13,15 +13,15 @@
 // killRandomStream separates the random numbers of added kills from others of the same seed.
 const killRandomStream = 3
 
-// Bounds of the added kills, in seconds.
+// Times of the added kills, in seconds.
 const (
-	killMargin    = 3.0 // from the start and the end of the scenario
-	minDownTime   = 0.5
-	downTimeRange = 1.0
+	killMargin    = 3.0 // time at the start and at the end of the scenario without kills
+	minDownTime   = 0.5 // shortest time for which a coordinator is down
+	downTimeRange = 1.0 // by how much that time may be longer
 )
 
-// AddCoordinatorKills adds kills of coordinators at times drawn from the scenario's seed. Each coordinator starts again after
-// half a second to one and a half, from what its store had kept.
+// AddCoordinatorKills adds steps that kill a coordinator, at times that the scenario's seed determines. Each coordinator starts
+// again after 0.5 s to 1.5 s, with what its store kept.
 func (s *Scenario) AddCoordinatorKills(count int) {
 	if s.Coordinators == 0 {
 		return
@@ -30,11 +30,11 @@
 	for range count {
 		at := killMargin + random.Float64()*max(0, s.Duration-2*killMargin)
 		index := random.IntN(s.Coordinators)
-		down := minDownTime + downTimeRange*random.Float64()
-		words := strings.Fields(fmt.Sprintf("at %.0fms kill coordinators number %d for %.0fms", 1e3*at, index, 1e3*down))
+		downTime := minDownTime + downTimeRange*random.Float64()
+		words := strings.Fields(fmt.Sprintf("at %.0fms kill coordinators number %d for %.0fms", 1e3*at, index, 1e3*downTime))
 		s.Steps = append(s.Steps, Step{
 			Source: bootstrap.Line{File: "kills", Number: 1, Words: words}, At: at, Verb: VerbKill, Target: TargetCoordinators,
-			Selector: Selector{Indexes: []int{index}}, Duration: down, Deploy: defaultDeploy,
+			Selector: Selector{Indexes: []int{index}}, Duration: downTime, Deploy: defaultDeploy,
 		})
 	}
 	slices.SortStableFunc(s.Steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
--- a/internal/scenario/coordinator_kills_test.go
+++ b/internal/scenario/coordinator_kills_test.go
@@ -2,19 +2,19 @@
 
 import "testing"
 
-// Coordinators are killed twenty times during a deploy, each time with any part of the unsynced sectors of their stores lost:
-// every one opens its store again, and the rules are kept.
+// TestDeployWithCoordinatorKills kills coordinators twenty times during a deploy. Each kill loses a random part of the unsynced
+// sectors of the coordinator's store. Every coordinator must open its store again, and all rules must be kept.
 func TestDeployWithCoordinatorKills(t *testing.T) {
 	for seed := range uint64(4) {
-		d := builtinScenario(t, "deploy")
-		d.Seed = seed + 1
-		d.AddCoordinatorKills(20)
-		r, err := PlayVirtual(d, Options{})
+		scenario := builtinScenario(t, "deploy")
+		scenario.Seed = seed + 1
+		scenario.AddCoordinatorKills(20)
+		result, err := PlayVirtual(scenario, Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.Report.Violated() || len(r.Failures) > 0 {
-			t.Errorf("seed %d: %v %v", d.Seed, r.Report, r.Failures)
+		if result.Report.Violated() || len(result.Failures) > 0 {
+			t.Errorf("seed %d: %v %v", scenario.Seed, result.Report, result.Failures)
 		}
 	}
 }
--- a/internal/scenario/coordinator_process.go
+++ b/internal/scenario/coordinator_process.go
@@ -14,16 +14,17 @@
 	"gingerfork/internal/fake"
 )
 
-// filePermissions of the settings and logs that are written for coordinators.
+// filePermissions are the permissions of the settings files and logs of coordinators.
 const filePermissions = 0o644
 
-// maxSettingsSeed bounds the seeds in settings files, which are read as floating-point numbers.
+// maxSettingsSeed limits the seeds in settings files, as these are read as floating-point numbers.
 const maxSettingsSeed = 1 << 50
 
-// instanceSection is the section of the settings that describes one coordinator.
+// instanceSection is the section of the settings that describes a single coordinator.
 const instanceSection = "instance"
 
-// generatedInstanceKeywords are the keywords of that section that a scenario sets itself.
+// generatedInstanceKeywords are the keywords of that section that a scenario sets for each coordinator; lines of the scenario's
+// settings with these keywords are left out.
 var generatedInstanceKeywords = []string{"zone", "listen", "list-service", "state", "seed", "coordinators", "self", "peer"}
 
 // startCoordinator writes a coordinator's settings and starts its process.
@@ -54,17 +55,18 @@
 	s.coordinatorProcesses.Add(1)
 	go func() {
 		defer s.coordinatorProcesses.Done()
-		defer func() { _ = log.Close() }() // the process wrote to it, not this one
+		defer func() { _ = log.Close() }() // the coordinator wrote to it, not this process
 		s.awaitExit(target.name, cmd)
 	}()
 }
 
-// file is a coordinator's file of a kind.
+// file returns the path of a coordinator's file with an extension.
 func (s *sockets) file(target *participant, extension string) string {
 	return filepath.Join(s.command.Dir, target.name+"."+extension)
 }
 
-// awaitExit waits for a coordinator's process. An exit by itself is a failure, one by a signal the scenario's own doing.
+// awaitExit waits for a coordinator's process to exit. An exit is a failure, unless a signal ended the process, as steps do, or
+// it exited successfully during the shutdown.
 func (s *sockets) awaitExit(name string, cmd *exec.Cmd) {
 	err := cmd.Wait()
 	s.mu.Lock()
@@ -72,7 +74,7 @@
 	if err == nil && s.shuttingDown || err != nil && endedBySignal(err) {
 		return
 	}
-	s.failures = append(s.failures, fmt.Sprintf("%s ended by itself: %v, see its log", name, cmd.ProcessState))
+	s.failures = append(s.failures, fmt.Sprintf("%s exited unexpectedly: %v; see its log", name, cmd.ProcessState))
 }
 
 func endedBySignal(err error) bool {
@@ -84,7 +86,7 @@
 	return ok && status.Signaled()
 }
 
-// coordinatorSettings writes the settings of one coordinator: those of the scenario, with an instance section of its own.
+// coordinatorSettings returns the settings file of one coordinator: that of the scenario, with an instance section of its own.
 func (s *Scenario) coordinatorSettings(target *participant, listen, listService, stateFile string) string {
 	var text strings.Builder
 	seed := (fake.DeriveSeed(s.Seed, target.name) + uint64(target.incarnations)) % maxSettingsSeed
@@ -100,8 +102,8 @@
 			continue
 		}
 		quoted := make([]string, 0, len(line.Words))
-		for _, w := range line.Words {
-			quoted = append(quoted, bootstrap.Quote(w))
+		for _, unquoted := range line.Words {
+			quoted = append(quoted, bootstrap.Quote(unquoted))
 		}
 		text.WriteString(strings.Join(quoted, " ") + "\n")
 	}
--- a/internal/scenario/emulate_test.go
+++ b/internal/scenario/emulate_test.go
@@ -7,18 +7,18 @@
 	"gingerfork/internal/bootstrap"
 )
 
-// An emulation that cannot be played is rejected with an error that tells why.
+// TestEmulationCheck checks that ports, parts and steps that cannot be emulated are rejected with the error for each.
 func TestEmulationCheck(t *testing.T) {
-	quiet := readScript(t, "day quiet\n"+fleetOfTwelve)
-	if err := (Emulation{Scenario: quiet, Port: 20000}).Check(); err != nil {
+	withoutSteps := readScript(t, "day quiet\n"+fleetOfTwelve)
+	if err := (Emulation{Scenario: withoutSteps, Port: 20000}).Check(); err != nil {
 		t.Errorf("a fleet without steps: got error %v", err)
 	}
 	var portRange *PortRangeError
-	if err := (Emulation{Scenario: quiet, Port: 65530}).Check(); !errors.As(err, &portRange) || portRange.Backends != 12 {
+	if err := (Emulation{Scenario: withoutSteps, Port: 65530}).Check(); !errors.As(err, &portRange) || portRange.Backends != 12 {
 		t.Errorf("ports above the range: got error %v, want a PortRangeError", err)
 	}
 	var noPart *NoPartError
-	if err := (Emulation{Scenario: quiet, Port: 20000, Part: 3, Parts: 2}).Check(); !errors.As(err, &noPart) {
+	if err := (Emulation{Scenario: withoutSteps, Port: 20000, Part: 3, Parts: 2}).Check(); !errors.As(err, &noPart) {
 		t.Errorf("part 3 of 2: got error %v, want a NoPartError", err)
 	}
 	for step, possible := range map[string]bool{
--- a/internal/scenario/groundtruth.go
+++ b/internal/scenario/groundtruth.go
@@ -14,25 +14,26 @@
 // SampleInterval is how often the emulated backends' true state is sampled, in seconds.
 const SampleInterval = 0.25
 
-// maxTrackedMethods bounds the sets of failing methods that samples tell apart: those of the first eight methods.
+// maxTrackedMethods limits the sets of failing methods that addSupply goes through to those of the first eight methods, as the
+// number of sets doubles with each method. Backends that fail a later method add no supply.
 const maxTrackedMethods = 8
 
-// GroundTruth is what the backends were able to do, and did, by slots of SampleInterval seconds. No participant knows it.
+// GroundTruth is the true state of the backends in time slots of SampleInterval seconds. No participant of the scenario knows it.
 type GroundTruth struct {
 	Start       statemachine.Seconds
 	Supply      []optimum.Supply
-	Capacity    [][]float32 // by slot and backend: RPCs a second that it can do
-	Utilization [][]float32 // share of its cores that is busy
-	Queued      [][]float32 // RPCs that wait there
+	Capacity    [][]float32 // by slot and backend: RPCs per second that the backend can execute
+	Utilization [][]float32 // by slot and backend: share of its cores that is busy
+	Queued      [][]float32 // by slot and backend: RPCs that are queued there
 }
 
-// supplyPool is the backends of a zone that fail the same methods.
+// supplyPool identifies the backends of a zone that fail the same methods.
 type supplyPool struct {
 	zone        string
-	unsupported uint64
+	unsupported uint64 // bit set of methods
 }
 
-// sampler samples the backends' true state in a simulated network.
+// sampler samples the backends' true state in a simulated network, once per time slot.
 type sampler struct {
 	*player
 	network *simnet.Network
@@ -40,7 +41,7 @@
 	slot    int
 }
 
-// sampleBackends samples the backends until the scenario ends, from the middle of the first slot on.
+// sampleBackends schedules the samples of the backends, in the middle of each time slot until the scenario ends.
 func (p *player) sampleBackends(network *simnet.Network, truth *GroundTruth) {
 	truth.Start = network.Now()
 	s := &sampler{player: p, network: network, truth: truth}
@@ -50,44 +51,45 @@
 func (s *sampler) sample() {
 	count := len(s.backends)
 	capacity, utilization, queued := make([]float32, count), make([]float32, count), make([]float32, count)
-	pools := map[supplyPool]float64{}
+	rpcsByPool := map[supplyPool]float64{}
 	for i, backend := range s.backends {
-		server, running := s.network.Machine(backend.name).(*emulator.Backend)
+		machine, running := s.network.Machine(backend.name).(*emulator.Backend)
 		if !running || backend.partitions > 0 {
 			continue
 		}
-		largest, unsupported := s.backendCapacity(server)
-		pools[supplyPool{backend.zone, unsupported}] += largest * SampleInterval
-		_, waiting, busy := server.Load()
-		capacity[i], utilization[i], queued[i] = float32(largest), float32(busy), float32(waiting)
+		maxCapacity, unsupported := s.backendCapacity(machine)
+		rpcsByPool[supplyPool{backend.zone, unsupported}] += maxCapacity * SampleInterval
+		_, queuedRPCs, coreUsage := machine.Load()
+		capacity[i], utilization[i], queued[i] = float32(maxCapacity), float32(coreUsage), float32(queuedRPCs)
 	}
 	truth := s.truth
 	truth.Capacity = append(truth.Capacity, capacity)
 	truth.Utilization = append(truth.Utilization, utilization)
 	truth.Queued = append(truth.Queued, queued)
-	s.addSupply(pools)
+	s.addSupply(rpcsByPool)
 	s.slot++
 	s.scheduleAfter(SampleInterval, s.sample)
 }
 
-// backendCapacity is the RPCs a second that a backend can do of its fastest method, and the set of those that it fails.
-func (s *sampler) backendCapacity(server *emulator.Backend) (largest float64, unsupported uint64) {
+// backendCapacity returns the RPCs per second of its fastest method that a backend can execute, and the set of the methods that
+// it fails.
+func (s *sampler) backendCapacity(machine *emulator.Backend) (maxCapacity float64, unsupported uint64) {
 	for method := range s.scenario.Settings.Methods {
-		if able := server.Capacity(s.network.Now(), method); able > 0 {
-			largest = max(largest, able)
+		if capacity := machine.Capacity(s.network.Now(), method); capacity > 0 {
+			maxCapacity = max(maxCapacity, capacity)
 		} else {
 			unsupported |= 1 << method
 		}
 	}
-	return largest, unsupported
+	return maxCapacity, unsupported
 }
 
-// addSupply adds the slot's supplies in a fixed order, as the order of a map would make runs differ.
-func (s *sampler) addSupply(pools map[supplyPool]float64) {
+// addSupply adds the supplies of the present slot, in an order that does not depend on the map, so that runs are reproducible.
+func (s *sampler) addSupply(rpcsByPool map[supplyPool]float64) {
 	methods := min(len(s.scenario.Settings.Methods), maxTrackedMethods)
 	for _, zone := range s.scenario.Zones() {
 		for unsupported := range uint64(1) << methods {
-			rpcs := pools[supplyPool{zone, unsupported}]
+			rpcs := rpcsByPool[supplyPool{zone, unsupported}]
 			if rpcs <= 0 {
 				continue
 			}
@@ -98,7 +100,7 @@
 	}
 }
 
-// reachableFrom are the zones that reach a zone's backends; nil: all, as nothing is partitioned.
+// reachableFrom returns the zones that can reach the backends of a zone; nil: all of them, as no zone is partitioned.
 func (s *sampler) reachableFrom(zone string) []string {
 	if !s.anyZonePartitioned() {
 		return nil
@@ -121,38 +123,40 @@
 	return false
 }
 
-// Bound computes an upper bound on the service that the scenario allowed, from the backends' true state and from the RPCs that
-// a run recorded.
+// Bound computes an upper bound on the service that was possible in a run, from the backends' true state and from the RPCs in
+// the trace.
 func (s *Scenario) Bound(truth *GroundTruth, records []trace.Record) (optimum.Bound, error) {
 	return optimum.Solve(s.demand(truth.Start, records), truth.Supply, s.optimumMethods())
 }
 
-// optimumMethods are the methods with the share of their RPCs that the fastest backends can answer in time.
+// optimumMethods returns the methods with the share of their RPCs that the fastest group of backends can answer in time when
+// idle.
 func (s *Scenario) optimumMethods() []optimum.Method {
 	limits := s.Limits()
 	methods := make([]optimum.Method, 0, len(limits.Methods))
 	for _, method := range limits.Methods {
-		feasible := 0.0
+		feasibleShare := 0.0
 		for _, group := range s.Backends {
 			work := group.Work
 			work.Mean = float64(group.Workers) / group.Capacity
-			feasible = max(feasible, work.CDF(method.SoftDeadline))
+			feasibleShare = max(feasibleShare, work.CDF(method.SoftDeadline))
 		}
 		methods = append(methods, optimum.Method{
-			Criticality: method.Criticality, FeasibleShare: feasible,
+			Criticality: method.Criticality, FeasibleShare: feasibleShare,
 			ExtraSlots: int(math.Ceil(method.SoftDeadline / SampleInterval)),
 		})
 	}
 	return methods
 }
 
-// demandKey is what RPCs of one demand have in common.
+// demandKey identifies RPCs that are counted together.
 type demandKey struct {
 	slot, method int
 	zone         string
 }
 
-// demand counts the RPCs of a run by the slot in which they arrived, their zone and method, in the order of slots.
+// demand counts the RPCs in a trace by the slot in which they arrived, by zone and by method, and returns the counts sorted by
+// slot.
 func (s *Scenario) demand(start statemachine.Seconds, records []trace.Record) []optimum.Demand {
 	proxies := newParticipants(s).byName
 	counts := map[demandKey]float64{}
--- a/internal/scenario/minimize.go
+++ b/internal/scenario/minimize.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// Attempts to shorten one line of a script.
-	maxHalvings   = 4
-	maxReductions = 8
-	// minHalvedMillis is the shortest time, in milliseconds, that is halved.
+	maxHalvings   = 4 // of the duration in one line of a script
+	maxReductions = 8 // of the number in one line of a script
+	// minHalvedMillis is the shortest duration that is halved, in milliseconds.
 	minHalvedMillis = 500
-	// timeAfterViolation is how many seconds a minimized scenario goes on after the violation, at least one of them whole.
+	// timeAfterViolation is the length of a minimized scenario, in seconds, after the whole seconds that have passed at the
+	// violation. So the scenario lasts for more than one more second, and two at most.
 	timeAfterViolation = 2
 )
 
-// minimizer makes a script shorter while the same violation remains.
+// minimizer simplifies a script as long as the same violation occurs.
 type minimizer struct {
 	violation string
-	lines     []string
-	result    Result
+	lines     []string // of the script
+	result    Result   // of the script
 }
 
-// Minimize makes a script shorter as long as the same violation occurs: it removes steps, then shortens their times, then
-// reduces the fleet, then ends the scenario earlier. It returns the script and its result.
+// Minimize simplifies a script as long as the same violation occurs: it removes steps, halves their durations, reduces the fleet
+// and shortens the scenario, in this order. It returns the simplified script and its result.
 func Minimize(script, violation string, result Result) (string, Result) {
 	m := &minimizer{violation: violation, lines: strings.Split(strings.TrimSpace(script), "\n"), result: result}
 	m.removeSteps()
@@ -36,7 +36,7 @@
 
 func joinLines(lines []string) string { return strings.Join(lines, "\n") + "\n" }
 
-// keepIfViolated keeps the changed lines if the violation still occurs, and tells whether it does.
+// keepIfViolated replaces the script by a changed one if the violation still occurs with it, and reports whether it does.
 func (m *minimizer) keepIfViolated(lines []string) bool {
 	violation, result, err := playScript(joinLines(lines))
 	if err != nil || violation != m.violation {
@@ -46,7 +46,7 @@
 	return true
 }
 
-// keepLineIfViolated is keepIfViolated with another wording of one line.
+// keepLineIfViolated is keepIfViolated for a change to a single line.
 func (m *minimizer) keepLineIfViolated(line int, words []string) bool {
 	changed := slices.Clone(m.lines)
 	changed[line] = strings.Join(words, " ")
@@ -61,7 +61,7 @@
 	}
 }
 
-// shortenSteps halves the steps' durations.
+// shortenSteps halves the durations of steps, several times each.
 func (m *minimizer) shortenSteps() {
 	for i := range m.lines {
 		for range maxHalvings {
@@ -86,7 +86,7 @@
 	return words, true
 }
 
-// reduceFleet removes participants one by one.
+// reduceFleet reduces the numbers of backends, proxies and coordinators, one participant at a time.
 func (m *minimizer) reduceFleet() {
 	for i := range m.lines {
 		for range maxReductions {
@@ -110,7 +110,7 @@
 	return words, true
 }
 
-// shortenScenario lets the scenario end soon after the violation.
+// shortenScenario makes the scenario end soon after the violation of a rule.
 func (m *minimizer) shortenScenario() {
 	for i, line := range m.lines {
 		if !strings.HasPrefix(line, "length ") {
--- a/internal/scenario/process_faults.go
+++ b/internal/scenario/process_faults.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// pauseInterval is the interval between the pauses of VerbPauses in seconds. A pause begins at a random time in the first
-	// maxPause seconds of the interval, and ends at the same time of each interval: maxPause seconds after the interval's
-	// start and then the pause time of the step, or maxPause if that is shorter.
+	// pauseInterval is the interval of VerbPauses, in seconds. In each interval a pause begins at a random time within the
+	// first maxPause seconds, and ends after maxPause seconds plus the pause time of the step, which counts as maxPause if it
+	// is longer.
 	pauseInterval = 1.0
 	maxPause      = 0.5
 	// minFlapTime is the shortest time for which a flapping backend is up or down, in seconds.
--- a/internal/scenario/processes.go
+++ b/internal/scenario/processes.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	// auxiliaryWorkDivisor: a probe or a new connection costs so many times less than an RPC.
+	// auxiliaryWorkDivisor is the mean work of an RPC divided by that of a probe or a new connection.
 	auxiliaryWorkDivisor = 10
-	// maxProbes is how many probes a backend serves at once.
+	// maxProbes is the number of probes that a backend serves at once.
 	maxProbes = 10
 )
 
-// initialEndpoints is what the endpoint list service knows at the start; addressOf tells where a backend is reached.
+// initialEndpoints returns the endpoints that the endpoint list service knows at the start. addressOf returns the address of a
+// backend.
 func (p *player) initialEndpoints(addressOf func(*participant) string) []fake.Endpoint {
 	endpoints := make([]fake.Endpoint, 0, len(p.backends))
 	for _, backend := range p.backends {
@@ -30,7 +31,7 @@
 	return endpoints
 }
 
-// newBackend makes the next incarnation of an emulated backend; all but the first start cold.
+// newBackend makes the next incarnation of an emulated backend. All incarnations but the first start cold.
 func (p *player) newBackend(backend *participant, store *emulator.KeyStore) *emulator.Backend {
 	backend.incarnations++
 	config := p.backendConfig(backend, store)
@@ -40,7 +41,7 @@
 	return emulator.NewBackend(config)
 }
 
-// backendConfig is what a backend of its group is.
+// backendConfig returns the configuration of a backend, from its group and the settings.
 func (p *player) backendConfig(backend *participant, store *emulator.KeyStore) emulator.Config {
 	settings, group := p.scenario.decodedSettings(), backend.group
 	work := group.Work
@@ -57,7 +58,8 @@
 	}
 }
 
-// newProxy makes the next incarnation of a proxy. It contacts the coordinators in order, from its own index on.
+// newProxy makes the next incarnation of a proxy. It tries the coordinators in turn, starting with the one at its own index, so
+// that proxies spread over the coordinators.
 func (p *player) newProxy(proxy *participant, coordinators []string) *fake.FrontEnd {
 	scenario, settings := p.scenario, p.scenario.decodedSettings()
 	order := make([]string, 0, len(coordinators))
@@ -80,7 +82,8 @@
 	})
 }
 
-// newIdempotencyStore makes what backends share of idempotency keys, as the settings' groups allow.
+// newIdempotencyStore makes the store of idempotency keys that backends share. It keeps keys for the longest deduplication window
+// of all methods.
 func (p *player) newIdempotencyStore() *emulator.KeyStore {
 	store := &emulator.KeyStore{Scope: p.scenario.IdempotencyScope}
 	for _, method := range p.scenario.decodedSettings().Methods {
@@ -89,7 +92,8 @@
 	return store
 }
 
-// coordinatorConfig is what the next incarnation of a coordinator is started with.
+// coordinatorConfig returns the configuration of the next incarnation of a coordinator, which differs from earlier ones in its
+// seed.
 func (p *player) coordinatorConfig(target *participant, now statemachine.Seconds, listAddress string) coordinator.Bootstrap {
 	settings := p.scenario.Settings
 	values := maps.Clone(settings.Values)
--- a/internal/scenario/relay.go
+++ b/internal/scenario/relay.go
@@ -12,25 +12,26 @@
 // unreachableAddress is an address on which nothing listens.
 const unreachableAddress = "127.0.0.1:1"
 
-// linkFault is a fault of the links that match.
+// linkFault is a fault of all links that match.
 type linkFault struct {
 	name  string
 	fault simnet.LinkFault
 	match linkMatch
 }
 
-// matches tells whether the fault is one of a link, in either direction.
+// matches reports whether the fault affects the link between two participants, given in either order.
 func (f linkFault) matches(a, b string) bool { return f.match(a, b) || f.match(b, a) }
 
-// relay takes the connections of one participant to all others, on an address for each.
+// relay forwards the connections that one participant opens to others. It listens on an address for each of these targets.
 type relay struct {
 	loop              *eventloop.Loop
-	targetNames       []string // names
+	targetNames       []string
 	addresses         []string // by target
-	lastFaultCommands []string // by target
+	lastFaultCommands []string // by target: the last command that set its link's fault
 }
 
-// address is where the relay takes connections to a target.
+// address returns the address at which the relay accepts connections to a target, or one that cannot be reached if the target
+// is unknown.
 func (r *relay) address(target string) string {
 	if i := slices.Index(r.targetNames, target); i >= 0 {
 		return r.addresses[i]
@@ -38,15 +39,15 @@
 	return unreachableAddress
 }
 
-// startRelay starts the relay of a participant.
+// startRelay starts the relay of a participant to the given targets.
 func (s *sockets) startRelay(name string, targets []string) (*relay, error) {
 	started := &relay{targetNames: targets, lastFaultCommands: make([]string, len(targets))}
-	to, listen := make([]string, 0, len(targets)), make([]string, 0, len(targets))
+	targetAddresses, listenAddresses := make([]string, 0, len(targets)), make([]string, 0, len(targets))
 	for _, target := range targets {
-		to = append(to, s.nodes[target].addr)
-		listen = append(listen, loopbackAddress(0))
+		targetAddresses = append(targetAddresses, s.nodes[target].addr)
+		listenAddresses = append(listenAddresses, loopbackAddress(0))
 	}
-	loop, err := eventloop.Start(s.ctx, eventloop.Bootstrap{Machine: fake.NewRelay(to...), Listen: listen, Clock: s.clock})
+	loop, err := eventloop.Start(s.ctx, eventloop.Bootstrap{Machine: fake.NewRelay(targetAddresses...), Listen: listenAddresses, Clock: s.clock})
 	if err != nil {
 		return nil, fmt.Errorf("start the relay of %s: %w", name, err)
 	}
@@ -55,7 +56,7 @@
 	return started, nil
 }
 
-// RemoveLinkFault removes the link faults of a name.
+// RemoveLinkFault removes the link faults with a name.
 func (s *sockets) RemoveLinkFault(name string) {
 	s.linkFaults = slices.DeleteFunc(s.linkFaults, func(f linkFault) bool { return f.name == name })
 	s.applyLinkFaults()
@@ -63,43 +64,43 @@
 
 // ResetConnections closes the connections on the links that match.
 func (s *sockets) ResetConnections(match linkMatch) {
-	all := linkFault{match: match}
-	for of, r := range s.relays {
-		for i, to := range r.targetNames {
-			if all.matches(of, to) {
+	selected := linkFault{match: match}
+	for source, r := range s.relays {
+		for i, target := range r.targetNames {
+			if selected.matches(source, target) {
 				r.loop.SendCommand(fmt.Sprintf("reset %d", i))
 			}
 		}
 	}
 }
 
-// applyLinkFaults tells each relay the faults of its links, where they changed.
+// applyLinkFaults sends each relay the faults of its links that changed.
 func (s *sockets) applyLinkFaults() {
-	for of, r := range s.relays {
-		for i, to := range r.targetNames {
-			r.setFault(i, s.combinedFault(of, to))
+	for source, r := range s.relays {
+		for i, target := range r.targetNames {
+			r.setFault(i, s.combinedFault(source, target))
 		}
 	}
 }
 
-// combinedFault is the sum of all faults of a link.
+// combinedFault combines all faults of a link: latencies are added, and the lowest bandwidth limit holds.
 func (s *sockets) combinedFault(a, b string) simnet.LinkFault {
-	var sum simnet.LinkFault
+	var combined simnet.LinkFault
 	for _, f := range s.linkFaults {
 		if !f.matches(a, b) {
 			continue
 		}
-		sum.Partitioned = sum.Partitioned || f.fault.Partitioned
-		sum.Reset = sum.Reset || f.fault.Reset
-		sum.ExtraLatency += f.fault.ExtraLatency
-		if f.fault.Bandwidth > 0 && (sum.Bandwidth == 0 || f.fault.Bandwidth < sum.Bandwidth) {
-			sum.Bandwidth = f.fault.Bandwidth
+		combined.Partitioned = combined.Partitioned || f.fault.Partitioned
+		combined.Reset = combined.Reset || f.fault.Reset
+		combined.ExtraLatency += f.fault.ExtraLatency
+		if f.fault.Bandwidth > 0 && (combined.Bandwidth == 0 || f.fault.Bandwidth < combined.Bandwidth) {
+			combined.Bandwidth = f.fault.Bandwidth
 		}
 	}
-	return sum
+	return combined
 }
 
-// setFault tells the relay the fault of a link, unless it stands already. A relay starts without faults.
+// setFault sends the relay the fault of the link to a target, unless the relay has it already. A relay starts without faults.
 func (r *relay) setFault(target int, fault simnet.LinkFault) {
 	command := fmt.Sprintf("set %d %d %d %g %g", target, formatFlag(fault.Partitioned), formatFlag(fault.Reset), fault.ExtraLatency, fault.Bandwidth)
 	isFirst := r.lastFaultCommands[target] == ""
@@ -110,7 +111,7 @@
 	r.loop.SendCommand(command)
 }
 
-// formatFlag writes a flag as relays read it.
+// formatFlag returns a flag in the form that relay commands have.
 func formatFlag(flag bool) int {
 	if flag {
 		return 1
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -9,7 +9,8 @@
 	"gingerfork/internal/trace"
 )
 
-// Each built-in scenario keeps all rules, with a service that a build without one of the remedies would not reach.
+// TestBuiltinScenarios checks that each built-in scenario keeps all rules and reaches a service that a build without one of the
+// countermeasures against the faults would not reach.
 func TestBuiltinScenarios(t *testing.T) {
 	for _, name := range Builtin() {
 		result, err := PlayVirtual(builtinScenario(t, name), Options{})
@@ -28,32 +29,33 @@
 	}
 }
 
-// The same seed gives the same trace to the byte, another seed another one.
+// TestVirtualTimeIsDeterministic checks that the same seed gives the same trace byte for byte, and another seed a different one.
 func TestVirtualTimeIsDeterministic(t *testing.T) {
 	play := func(seed uint64) []byte {
-		d := readScript(t, RandomScript(11))
-		d.Seed = seed
-		r, err := PlayVirtual(d, Options{})
+		scenario := readScript(t, RandomScript(11))
+		scenario.Seed = seed
+		result, err := PlayVirtual(scenario, Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		var b []byte
-		for _, x := range r.Records {
-			b = x.Append(b)
+		var lines []byte
+		for _, record := range result.Records {
+			lines = record.Append(lines)
 		}
-		return b
+		return lines
 	}
-	one, same, other := play(3), play(3), play(4)
-	if !bytes.Equal(one, same) {
-		t.Fatal("the same seed gave another trace")
+	first, repeated, other := play(3), play(3), play(4)
+	if !bytes.Equal(first, repeated) {
+		t.Fatal("the same seed gave a different trace")
 	}
-	if bytes.Equal(one, other) || len(one) < 10000 {
-		t.Fatalf("another seed gave the same trace of %d bytes", len(one))
+	if bytes.Equal(first, other) || len(first) < 10000 {
+		t.Fatalf("another seed gave the same trace, or the trace of %d bytes is too short", len(first))
 	}
 }
 
-// A proxy that joins while all backends are excluded holds tables of an earlier stream, and must be notified of the exclusions.
-// Found by search (seed 5480): it continued to send.
+// TestProxyJoinsAfterTheEndpointListEmptied guards against a proxy that continues to send attempts to excluded backends: it joined
+// while all backends were excluded, still had the tables of an earlier stream, and was not notified of the exclusions. The scenario
+// search found this with seed 5480.
 func TestProxyJoinsAfterTheEndpointListEmptied(t *testing.T) {
 	result, err := PlayVirtual(readScript(t, `
 settings perth.conf
--- a/internal/scenario/schedule_test.go
+++ b/internal/scenario/schedule_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Functions run in the order of their times, those of equal times as they were added, and not before they are due.
+// TestScheduleOrder checks that functions run in the order of their times, those of equal times in the order in which they were
+// added, and none before it is due.
 func TestScheduleOrder(t *testing.T) {
 	var pending schedule
 	var ran []string
--- a/internal/scenario/search.go
+++ b/internal/scenario/search.go
@@ -8,16 +8,16 @@
 	"sync"
 )
 
-// searchRandomStream separates the random numbers of searched scripts from others of the same seed.
+// searchRandomStream separates the random numbers of generated scripts from others of the same seed.
 const searchRandomStream = 1
 
 // machineFailureViolation is the violation of a run in which a state machine failed.
 const machineFailureViolation = "defect"
 
-// durationPlaceholder stands for a duration in stepTemplates.
+// durationPlaceholder is replaced by a random duration in stepTemplates.
 const durationPlaceholder = "%s"
 
-// Finding is a script on which a rule was violated or a state machine failed.
+// Finding is a generated script in whose run a rule was violated or a state machine failed.
 type Finding struct {
 	Seed      uint64
 	Violation string // "rule N" or "defect"
@@ -25,7 +25,7 @@
 	Result    Result
 }
 
-// stepTemplates are the steps that a search draws from: each verb, with each kind of target.
+// stepTemplates are the steps that generated scripts consist of: all verbs except VerbIsolate, each with all of its targets.
 var stepTemplates = []string{
 	"deploy servers 60% drain 3s down 1s every 1s",
 	"deploy servers 30% drain 1s down 2s every 200ms",
@@ -67,7 +67,7 @@
 	"load frontends 1 by 400% for %s",
 }
 
-// RandomScript writes a script of two to four steps, determined by the seed alone.
+// RandomScript generates a script with two to four steps. It depends on nothing but the seed.
 func RandomScript(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, searchRandomStream))
 	var text strings.Builder
@@ -84,7 +84,8 @@
 	return text.String()
 }
 
-// playScript plays a script and returns its violation, "" if there is none.
+// playScript plays a script in virtual time and returns its violation: "rule N" for the first violated rule, "defect" if a state
+// machine failed, "" if there is none.
 func playScript(script string) (violation string, result Result, err error) {
 	scenario, err := Read("search.day", script, File)
 	if err != nil {
@@ -107,29 +108,29 @@
 
 func ruleViolation(rule int) string { return fmt.Sprintf("rule %d", rule) }
 
-// searchOutcome is the result of one seed.
+// searchOutcome is the outcome of the script of one seed.
 type searchOutcome struct {
 	finding *Finding // nil: no violation
 	err     error
 }
 
-// Search plays random scripts from a first seed on, on all cores, and minimizes those with a violation. It calls found in the
-// order of seeds, and played with the number of scripts so far; the same seeds give the same findings. It returns the first
-// error of a seed, or that of ctx.
+// Search plays the random scripts of count seeds from the first one on, on all cores, and minimizes those with a violation. It
+// calls found with each finding in the order of seeds, and played with the number of seeds done so far. The same seeds give the
+// same findings. It returns the error of ctx if that ends first, else the first error of a seed.
 func Search(ctx context.Context, first uint64, count int, found func(Finding), played func(int)) error {
 	outcomes := make([]chan searchOutcome, count)
 	for i := range outcomes {
 		outcomes[i] = make(chan searchOutcome, 1)
 	}
-	next := make(chan int)
+	indexes := make(chan int)
 	var workers sync.WaitGroup
 	defer workers.Wait()
-	startWorkers(&workers, next, func(i int) { outcomes[i] <- searchSeed(first + uint64(i)) })
+	startWorkers(&workers, indexes, func(i int) { outcomes[i] <- searchSeed(first + uint64(i)) })
 	workers.Add(1)
 	go func() {
 		defer workers.Done()
-		defer close(next)
-		sendIndexes(ctx, count, next)
+		defer close(indexes)
+		sendIndexes(ctx, count, indexes)
 	}()
 	var firstErr error
 	for i := range count {
@@ -149,17 +150,18 @@
 	return firstErr
 }
 
-// sendIndexes sends the numbers below count, until the end of ctx.
-func sendIndexes(ctx context.Context, count int, next chan<- int) {
+// sendIndexes sends the numbers from 0 to count-1 to a channel, until the end of ctx.
+func sendIndexes(ctx context.Context, count int, indexes chan<- int) {
 	for i := range count {
 		select {
-		case next <- i:
+		case indexes <- i:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
+// searchSeed plays the script of a seed, and minimizes it if there is a violation.
 func searchSeed(seed uint64) searchOutcome {
 	script := RandomScript(seed)
 	violation, result, err := playScript(script)
--- a/internal/scenario/search_test.go
+++ b/internal/scenario/search_test.go
@@ -8,18 +8,19 @@
 	"gingerfork/internal/statemachine"
 )
 
-// knownViolations are the seeds whose scripts violate a rule by a decision of the module; docs/incidents/rehearsed.md tells why.
+// knownViolations are the violations, by seed, that random scripts cause through decisions of the decision module.
+// docs/incidents/rehearsed.md explains them.
 var knownViolations = map[uint64]string{248: "rule 4"}
 
-// Some hundreds of random scripts violate nothing but what is known.
+// TestSearchFindsNoNewViolation checks that 250 random scripts, or 50 in short mode, cause only known violations.
 func TestSearchFindsNoNewViolation(t *testing.T) {
-	n := 250
+	count := 250
 	if testing.Short() {
-		n = 50
+		count = 50
 	}
-	err := Search(context.Background(), 1, n, func(f Finding) {
-		if knownViolations[f.Seed] != f.Violation {
-			t.Errorf("seed %d: %s %v\n%s", f.Seed, f.Violation, f.Result.Failures, f.Script)
+	err := Search(context.Background(), 1, count, func(finding Finding) {
+		if knownViolations[finding.Seed] != finding.Violation {
+			t.Errorf("seed %d: %s %v\n%s", finding.Seed, finding.Violation, finding.Result.Failures, finding.Script)
 		}
 	}, func(int) {})
 	if err != nil {
@@ -27,7 +28,7 @@
 	}
 }
 
-// failingMachine reports a failure of the decision module after a number of steps.
+// failingMachine is a coordinator that reports a failure of the decision module after 200 steps.
 type failingMachine struct {
 	inner statemachine.Machine
 	steps int
@@ -41,21 +42,22 @@
 	}
 }
 
-// A failing state machine is reported, and minimizing keeps the violation.
+// TestFailuresAndMinimizing checks that a failing state machine is reported, and that a minimized script still causes the same
+// violation.
 func TestFailuresAndMinimizing(t *testing.T) {
-	r, err := PlayVirtual(readScript(t, tamperScript), Options{Wrap: func(_ string, m statemachine.Machine) statemachine.Machine { return &failingMachine{inner: m} }})
-	if err != nil || len(r.Failures) == 0 || !strings.Contains(r.Failures[0], "c0: the module failed") {
-		t.Fatal(err, r.Failures)
+	result, err := PlayVirtual(readScript(t, tamperScript), Options{Wrap: func(_ string, m statemachine.Machine) statemachine.Machine { return &failingMachine{inner: m} }})
+	if err != nil || len(result.Failures) == 0 || !strings.Contains(result.Failures[0], "c0: the module failed") {
+		t.Fatal(err, result.Failures)
 	}
-	for seed, what := range knownViolations {
-		text := RandomScript(seed)
-		short, res := Minimize(text, what, Result{})
-		if len(short) > len(text) || !res.Report.Violated() {
-			t.Errorf("seed %d: minimized to %s", seed, short)
+	for seed, violation := range knownViolations {
+		script := RandomScript(seed)
+		minimized, minimizedResult := Minimize(script, violation, Result{})
+		if len(minimized) > len(script) || !minimizedResult.Report.Violated() {
+			t.Errorf("seed %d: minimized to %s", seed, minimized)
 		}
-		again, _, err := playScript(short)
-		if err != nil || again != what {
-			t.Errorf("seed %d: its minimized script gives %q, %v", seed, again, err)
+		repeated, _, err := playScript(minimized)
+		if err != nil || repeated != violation {
+			t.Errorf("seed %d: its minimized script gives %q, %v", seed, repeated, err)
 		}
 		break
 	}
--- a/internal/scenario/sockets.go
+++ b/internal/scenario/sockets.go
@@ -15,31 +15,31 @@
 )
 
 const (
-	// socketSampleInterval is how often backends and proxies on sockets record their own state, in seconds.
+	// socketSampleInterval is the interval at which backends and proxies on sockets record their own state, in seconds.
 	socketSampleInterval = 1
-	// shutdownTimeout is how long a coordinator may take to end before it is killed.
+	// shutdownTimeout is the time that coordinators have to end after the signal to terminate; then they are killed.
 	shutdownTimeout = 10 * time.Second
 )
 
-// CoordinatorCommand tells how a coordinator's process is started; its settings file follows as the last argument.
+// CoordinatorCommand is the command that starts a coordinator's process.
 type CoordinatorCommand struct {
-	Command []string
-	Env     []string // beside this process's own
-	Dir     string   // for settings, state and logs; it must exist
+	Command []string // program and first arguments; the settings file is added as the last argument
+	Env     []string // added to the environment of this process
+	Dir     string   // folder for settings, state and logs; it must exist
 }
 
-// sockets is an environment of real sockets on the loopback address, in real time. Coordinators are processes, all others are
-// event loops of this one; between any two participants stands a relay that can apply link faults.
+// sockets is an environment of real sockets on the loopback address, in real time. Coordinators are processes of their own, all
+// other participants are event loops in this process. Connections go through relays, which can apply link faults.
 type sockets struct {
 	player               *player
 	command              CoordinatorCommand
 	clock                *eventloop.Clock
-	ctx                  context.Context // of the event loops: they outlive the caller's, so that they end in order
+	ctx                  context.Context // of the event loops, which outlive the caller's context so that shutdown can end them in order
 	nodes                map[string]*node
-	relays               map[string]*relay // by the participant whose connections it takes
+	relays               map[string]*relay // by the participant whose connections it forwards
 	linkFaults           []linkFault
 	schedule             schedule
-	coordinatorProcesses sync.WaitGroup // waits for coordinators' processes
+	coordinatorProcesses sync.WaitGroup // goroutines that wait for coordinators' processes to exit
 
 	mu           sync.Mutex
 	records      []trace.Record
@@ -50,15 +50,15 @@
 // node is a participant's process or event loop.
 type node struct {
 	participant *participant
-	addr        string
-	newMachine  func() statemachine.Machine // nil: a coordinator
-	loop        *eventloop.Loop
-	closingLoop *eventloop.Loop // of the earlier incarnation, which may still hold the port
-	cmd         *exec.Cmd
-	translate   func(addr string) string
+	addr        string                      // "": it does not listen
+	newMachine  func() statemachine.Machine // nil: a coordinator, which is a process
+	loop        *eventloop.Loop             // nil: not started, or stopped
+	closingLoop *eventloop.Loop             // of the earlier incarnation, which may still hold the port
+	cmd         *exec.Cmd                   // the process of a coordinator; nil: not started, or killed
+	rewriteAddr func(addr string) string    // if set, replaces each address to which the node connects
 }
 
-// loops returns the node's event loops that may run.
+// loops returns the node's event loops that may still run.
 func (n *node) loops() []*eventloop.Loop {
 	var running []*eventloop.Loop
 	for _, loop := range []*eventloop.Loop{n.loop, n.closingLoop} {
@@ -69,10 +69,11 @@
 	return running
 }
 
-// PlaySockets plays a scenario on sockets, in real time. It ends early, with what was recorded so far, when ctx does.
+// PlaySockets plays a scenario on sockets, in real time. If ctx ends first, it returns the result of what was recorded so far.
 func PlaySockets(ctx context.Context, scenario *Scenario, command CoordinatorCommand) (Result, error) {
 	player := newPlayer(scenario)
-	// Backends run in event loops of their own and cannot share a ledger; the checker finds duplicate effects in the trace.
+	// Backends run in event loops of their own and cannot share an execution log; the checker finds duplicate effects in the
+	// trace.
 	player.sampleInterval, player.executionLog = socketSampleInterval, nil
 	loopContext, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -111,7 +112,7 @@
 	s.failures = append(s.failures, fmt.Sprintf("%s: %v", name, err))
 }
 
-// run runs what is scheduled, until a time or the end of ctx.
+// run runs the scheduled functions until a time or the end of ctx.
 func (s *sockets) run(ctx context.Context, until statemachine.Seconds) {
 	for {
 		now := s.clock.Now()
@@ -136,7 +137,7 @@
 	s.mu.Unlock()
 	for _, n := range s.nodes {
 		if n.cmd != nil {
-			// A process that has ended meanwhile is no fault here; a paused one must run to receive the signal.
+			// Errors are ignored, as the process may have ended meanwhile. A paused process must run to handle the signal.
 			_ = n.cmd.Process.Signal(syscall.SIGCONT)
 			_ = n.cmd.Process.Signal(syscall.SIGTERM)
 		}
@@ -150,10 +151,11 @@
 	s.waitForEnd()
 }
 
+// waitForEnd waits for all event loops and processes to end, and kills coordinators after the shutdown timeout.
 func (s *sockets) waitForEnd() {
 	for _, n := range s.nodes {
 		for _, loop := range n.loops() {
-			_ = loop.Wait() // what ended it early shows in the trace
+			_ = loop.Wait() // an early end shows in the trace
 		}
 		if n.cmd != nil {
 			kill := time.AfterFunc(shutdownTimeout, func() { _ = n.cmd.Process.Kill() }) // it may have ended by then
@@ -161,16 +163,16 @@
 		}
 	}
 	for _, r := range s.relays {
-		_ = r.loop.Wait() // as above
+		_ = r.loop.Wait() // an early end shows in the trace
 	}
 	s.coordinatorProcesses.Wait()
 }
 
-// Now is the time of the event loops' common clock.
+// Now returns the time of the clock that all event loops share.
 func (s *sockets) Now() statemachine.Seconds { return s.clock.Now() }
 
-// Schedule schedules a function.
-func (s *sockets) Schedule(at statemachine.Seconds, do func()) { s.schedule.add(at, do) }
+// Schedule schedules a function to run at a time.
+func (s *sockets) Schedule(at statemachine.Seconds, run func()) { s.schedule.add(at, run) }
 
 // Start starts a participant's process or event loop.
 func (s *sockets) Start(name string) {
@@ -180,10 +182,10 @@
 		return
 	}
 	if started.closingLoop != nil {
-		_ = started.closingLoop.Wait() // it was killed; it holds the port until then
+		_ = started.closingLoop.Wait() // it was stopped, but may hold the port until it has ended
 		started.closingLoop = nil
 	}
-	config := eventloop.Bootstrap{Machine: started.newMachine(), Clock: s.clock, RewriteDialAddress: started.translate, Trace: s.addRecords}
+	config := eventloop.Bootstrap{Machine: started.newMachine(), Clock: s.clock, RewriteDialAddress: started.rewriteAddr, Trace: s.addRecords}
 	if started.addr != "" {
 		config.Listen = []string{started.addr}
 	}
@@ -199,7 +201,7 @@
 func (s *sockets) Kill(name string) {
 	n := s.nodes[name]
 	if n.cmd != nil {
-		_ = n.cmd.Process.Kill() // one that ended by itself is reported by the goroutine that waits for it
+		_ = n.cmd.Process.Kill() // it may have ended already, which awaitExit reports
 		n.cmd = nil
 	}
 	if n.loop != nil {
@@ -208,26 +210,26 @@
 	}
 }
 
-// Pause keeps a participant from running for a time.
-func (s *sockets) Pause(name string, span statemachine.Seconds) {
+// Pause keeps a participant from running for a duration: a process by signals, an event loop by a command.
+func (s *sockets) Pause(name string, duration statemachine.Seconds) {
 	n := s.nodes[name]
 	if n.cmd == nil {
-		s.SendCommand(name, fmt.Sprintf("still %g", span))
+		s.SendCommand(name, fmt.Sprintf("still %g", duration))
 		return
 	}
 	process := n.cmd.Process
-	_ = process.Signal(syscall.SIGSTOP) // it may have ended by itself, which is reported elsewhere
-	s.Schedule(s.Now()+span, func() { _ = process.Signal(syscall.SIGCONT) })
+	_ = process.Signal(syscall.SIGSTOP) // it may have ended already, which awaitExit reports
+	s.Schedule(s.Now()+duration, func() { _ = process.Signal(syscall.SIGCONT) })
 }
 
-// SendCommand passes a command to a participant's event loop.
+// SendCommand sends a command to a participant's event loop, if it runs.
 func (s *sockets) SendCommand(name, text string) {
 	if n := s.nodes[name]; n != nil && n.loop != nil {
 		n.loop.SendCommand(text)
 	}
 }
 
-// AddLinkFault adds a link fault.
+// AddLinkFault adds a fault to the links that match.
 func (s *sockets) AddLinkFault(name string, fault simnet.LinkFault, match linkMatch) {
 	s.linkFaults = append(s.linkFaults, linkFault{name, fault, match})
 	s.applyLinkFaults()
--- a/internal/scenario/sockets_build.go
+++ b/internal/scenario/sockets_build.go
@@ -11,29 +11,34 @@
 	"gingerfork/internal/statemachine"
 )
 
-// Ports are taken below those that systems give to outgoing connections, so that none of these can take one between a
-// process's end and its restart. Processes start their search at different ones.
+// Range of the ports of participants. It lies below the ports that systems use for outgoing connections, so that none of these
+// can take a participant's port between the end of a process and its restart.
 const (
-	firstPort    = 12000
-	lastPort     = 32000
-	portStride   = 37
-	portStartMod = 16000
+	firstPort = 12000
+	lastPort  = 32000
+)
+
+// The search for free ports starts at an offset from firstPort that depends on the process ID, so that concurrent processes
+// start at different ports.
+const (
+	portsPerProcessID = 37
+	maxStartOffset    = 16000
 )
 
 var errNoFreePorts = errors.New("no free ports on the loopback address")
 
 func loopbackAddress(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
 
-// freeAddresses finds loopback addresses whose ports are free.
+// freeAddresses returns loopback addresses whose ports are free. It holds all ports until it has found enough.
 func freeAddresses(count int) ([]string, error) {
 	addresses := make([]string, 0, count)
 	listeners := make([]net.Listener, 0, count)
 	defer func() {
 		for _, listener := range listeners {
-			_ = listener.Close() // it served to hold the port, and took no connection
+			_ = listener.Close() // it only held the port, and accepted no connection
 		}
 	}()
-	first := firstPort + os.Getpid()*portStride%portStartMod
+	first := firstPort + os.Getpid()*portsPerProcessID%maxStartOffset
 	for port := first; len(addresses) < count; port++ {
 		if port > lastPort {
 			port = firstPort
@@ -50,89 +55,91 @@
 	return addresses, nil
 }
 
-// topologyBuilder is what connects the nodes while they are built.
+// topologyBuilder creates the nodes and relays of an environment.
 type topologyBuilder struct {
 	*sockets
-	unusedAddresses []string          // addresses that no node has yet
-	nameOf          map[string]string // by any address at which a node can be reached
-	backendNames    []string
-	coordinators    []string
+	unusedAddresses  []string          // addresses that no node has yet
+	nameByAddress    map[string]string // participant that each address of a node, or of a coordinator's relay, leads to
+	backendNames     []string
+	coordinatorNames []string
 }
 
-// build makes all nodes and the relays between them.
-func (s *sockets) build(free []string) error {
-	built := &topologyBuilder{
-		sockets: s, unusedAddresses: free, nameOf: map[string]string{},
-		backendNames: participantNames(s.player.backends), coordinators: participantNames(s.player.coordinators),
+// build creates all nodes and the relays between them.
+func (s *sockets) build(addresses []string) error {
+	builder := &topologyBuilder{
+		sockets: s, unusedAddresses: addresses, nameByAddress: map[string]string{},
+		backendNames: participantNames(s.player.backends), coordinatorNames: participantNames(s.player.coordinators),
 	}
 	store := s.player.newIdempotencyStore()
 	for _, backend := range s.player.backends {
-		built.addListening(backend, func() statemachine.Machine { return s.player.newBackend(backend, store) })
+		builder.addListeningNode(backend, func() statemachine.Machine { return s.player.newBackend(backend, store) })
 	}
 	for _, target := range s.player.coordinators {
-		built.addListening(target, nil)
+		builder.addListeningNode(target, nil)
 	}
-	built.addListening(s.player.byName[endpointService], built.newEndpointService)
+	builder.addListeningNode(s.player.byName[endpointService], builder.newEndpointService)
 	for _, target := range s.player.coordinators {
-		if err := built.connectCoordinator(target); err != nil {
+		if err := builder.connectCoordinator(target); err != nil {
 			return err
 		}
 	}
 	for _, proxy := range s.player.proxies {
-		if err := built.connectProxy(proxy); err != nil {
+		if err := builder.connectProxy(proxy); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// addListening adds a node with an address of its own.
-func (t *topologyBuilder) addListening(of *participant, newMachine func() statemachine.Machine) {
+// addListeningNode adds the node of a participant, with an address of its own.
+func (t *topologyBuilder) addListeningNode(added *participant, newMachine func() statemachine.Machine) {
 	address := t.unusedAddresses[0]
 	t.unusedAddresses = t.unusedAddresses[1:]
-	t.nodes[of.name] = &node{participant: of, addr: address, newMachine: newMachine}
-	t.nameOf[address] = of.name
+	t.nodes[added.name] = &node{participant: added, addr: address, newMachine: newMachine}
+	t.nameByAddress[address] = added.name
 }
 
-// newEndpointService makes the endpoint list service; each coordinator learns the addresses of its own relay.
+// newEndpointService makes the endpoint list service. It gives each coordinator the addresses of backends at the coordinator's
+// own relay.
 func (t *topologyBuilder) newEndpointService() statemachine.Machine {
 	list := fake.NewEndpointService(t.player.initialEndpoints(func(backend *participant) string { return t.nodes[backend.name].addr }))
 	list.RewriteAddr = func(watcher, address string) string {
 		if r := t.relays[watcher]; r != nil {
-			return r.address(t.nameOf[address])
+			return r.address(t.nameByAddress[address])
 		}
 		return address
 	}
 	return list
 }
 
+// connectCoordinator starts the relay of a coordinator, to the endpoint list service and all backends.
 func (t *topologyBuilder) connectCoordinator(target *participant) error {
 	started, err := t.startRelay(target.name, append([]string{endpointService}, t.backendNames...))
 	if err != nil {
 		return err
 	}
 	for i, name := range started.targetNames {
-		t.nameOf[started.addresses[i]] = name
+		t.nameByAddress[started.addresses[i]] = name
 	}
 	return nil
 }
 
-// connectProxy adds a proxy, which listens nowhere. It knows backends by the addresses of its coordinator's relay, and these
-// are translated to those of its own.
+// connectProxy adds the node of a proxy, which does not listen, and starts its relay. Coordinators tell the proxy the addresses of
+// backends at their own relays, so the node replaces these by the addresses at the proxy's relay.
 func (t *topologyBuilder) connectProxy(proxy *participant) error {
-	started, err := t.startRelay(proxy.name, slices.Concat(t.coordinators, t.backendNames))
+	started, err := t.startRelay(proxy.name, slices.Concat(t.coordinatorNames, t.backendNames))
 	if err != nil {
 		return err
 	}
-	coordinatorAddresses := make([]string, 0, len(t.coordinators))
-	for _, name := range t.coordinators {
+	coordinatorAddresses := make([]string, 0, len(t.coordinatorNames))
+	for _, name := range t.coordinatorNames {
 		coordinatorAddresses = append(coordinatorAddresses, started.address(name))
 	}
 	t.nodes[proxy.name] = &node{
 		participant: proxy,
 		newMachine:  func() statemachine.Machine { return t.player.newProxy(proxy, coordinatorAddresses) },
-		translate: func(address string) string {
-			if name, known := t.nameOf[address]; known {
+		rewriteAddr: func(address string) string {
+			if name, known := t.nameByAddress[address]; known {
 				return started.address(name)
 			}
 			return address
--- a/internal/scenario/tampering_test.go
+++ b/internal/scenario/tampering_test.go
@@ -11,18 +11,18 @@
 // tamperingCoordinator is a coordinator whose pushes are changed before they are sent.
 type tamperingCoordinator struct {
 	inner     statemachine.Machine
-	tamper    func(p *proto.Push) (extraPushes int) // so many empty ones follow it
-	sequences map[statemachine.Conn]uint64
+	tamper    func(push *proto.Push) (extraPushes int) // changes a push; that many empty pushes are sent after it
+	sequences map[statemachine.Conn]uint64             // number of the last push on each stream
 }
 
 func (s *tamperingCoordinator) Step(now statemachine.Seconds, in []statemachine.Input, out *statemachine.Effects) {
 	s.inner.Step(now, in, out)
 	var actions []statemachine.Action
 	for _, action := range out.Actions {
-		var r proto.Reader
-		r.HandshakeDone()
-		r.Feed(action.Data)
-		message, _ := r.Next()
+		var reader proto.Reader
+		reader.HandshakeDone()
+		reader.Feed(action.Data)
+		message, _ := reader.Next()
 		push, ok := message.(proto.Push)
 		if action.Kind != statemachine.ActionWrite || !ok {
 			actions = append(actions, action)
@@ -54,7 +54,7 @@
 at 6s slow servers all by 6 for 6s
 `
 
-// clearTables replaces each table entry by the removal of all.
+// clearTables replaces each operation that sets a table entry by one that clears the table.
 func clearTables(push *proto.Push) int {
 	for i, operation := range push.Ops {
 		if operation.Kind == proto.OpSetEntry {
@@ -64,7 +64,7 @@
 	return 0
 }
 
-// allowTwoTries permits a second attempt for each method.
+// allowTwoTries permits a second attempt for the RPCs of each method.
 func allowTwoTries(push *proto.Push) int {
 	for _, operation := range push.Ops {
 		for i := range operation.Admissions {
@@ -83,7 +83,8 @@
 	return 0
 }
 
-// Each fault of a coordinator is detected by the rule that it violates; without a fault none is.
+// TestTamperedPushesAreDetected checks that each fault of a coordinator violates the rule that is meant to detect it, and no other.
+// Without a fault, no rule is violated.
 func TestTamperedPushesAreDetected(t *testing.T) {
 	for name, test := range map[string]struct {
 		rule   int
@@ -112,7 +113,8 @@
 	}
 }
 
-// A coordinator that takes cold backends for warm violates rule 4, and no other.
+// TestColdBackendTreatedAsWarmIsDetected checks that a coordinator which treats cold backends as warm violates rule 4, and no
+// other.
 func TestColdBackendTreatedAsWarmIsDetected(t *testing.T) {
 	for cold, values := range map[bool]map[string]any{false: nil, true: {"warm_after": 0.001}} {
 		result, err := PlayVirtual(readScript(t, `
@@ -131,7 +133,7 @@
 		}
 		for _, verdict := range result.Report.Rules {
 			if (verdict.Violations > 0) != (cold && verdict.Rule == 4) {
-				t.Errorf("cold servers taken for warm: %v, rule %d violated %d times: %s", cold, verdict.Rule, verdict.Violations, verdict.Reason)
+				t.Errorf("cold backends treated as warm: %v, rule %d violated %d times: %s", cold, verdict.Rule, verdict.Violations, verdict.Reason)
 			}
 		}
 	}
--- a/internal/scenario/virtual.go
+++ b/internal/scenario/virtual.go
@@ -15,53 +15,54 @@
 	"gingerfork/internal/trace"
 )
 
-// epoch is the virtual time at which a scenario starts, in seconds. Any would do; one that is not 0 shows code that takes 0
-// for "never".
+// epoch is the virtual time at which a scenario starts, in seconds. Any value would do; one that is not 0 reveals code that
+// takes 0 for "never".
 const epoch = 1e6
 
 // Result is the outcome of a scenario.
 type Result struct {
 	Scenario         *Scenario
 	Report           invariant.Report
-	Records          []trace.Record
-	Failures         []string                     // of state machines: defects of the program, whatever the rules say
-	MachineSteps     int                          // of all state machines, in virtual time
-	Truth            *GroundTruth                 // nil unless Options.SampleTruth
-	DuplicateEffects []emulator.RepeatedExecution // RPCs that took effect twice, by the backends' own ledger
+	Records          []trace.Record               // the trace, sorted by time
+	Failures         []string                     // failed state machines and processes: defects of the program, apart from any violated rule
+	MachineSteps     int                          // steps of all state machines; 0 on sockets
+	Truth            *GroundTruth                 // nil unless Options.SampleTruth is set
+	DuplicateEffects []emulator.RepeatedExecution // RPCs that took effect twice, by the backends' own log; nil on sockets
 }
 
-// newResult sorts what was recorded by time and checks it.
+// newResult sorts the records by time and checks them against the rules.
 func newResult(scenario *Scenario, records []trace.Record, failures []string) (Result, error) {
 	slices.SortStableFunc(records, func(a, b trace.Record) int { return cmp.Compare(a.Time, b.Time) })
 	report, err := invariant.Check(records, scenario.Limits())
 	return Result{Scenario: scenario, Report: report, Records: records, Failures: failures}, err
 }
 
-// Options of a scenario in virtual time; the zero value plays it as it is.
+// Options change how a scenario is played in virtual time. The zero value plays it unchanged.
 type Options struct {
-	Log func(t statemachine.Seconds, node string, n statemachine.LogEntry)
-	// Wrap may put another state machine in a coordinator's place, such as one with a deliberate fault.
-	Wrap func(name string, m statemachine.Machine) statemachine.Machine
-	// Overrides are given to coordinators in place of the settings' own values.
+	// Log, if set, is called with each log entry of a participant.
+	Log func(now statemachine.Seconds, node string, entry statemachine.LogEntry)
+	// Wrap, if set, returns the state machine that runs in place of a coordinator's, such as one with a deliberate fault.
+	Wrap func(name string, coordinator statemachine.Machine) statemachine.Machine
+	// Overrides are values that coordinators get in place of those in the settings.
 	Overrides   map[string]any
 	Tables      TableSource
-	SampleTruth bool // the backends' true state is sampled
+	SampleTruth bool // sample the backends' true state
 }
 
-// virtualRun is a scenario that plays in virtual time.
+// virtualRun is a run of a scenario in virtual time.
 type virtualRun struct {
 	*player
 	options Options
 	network *simnet.Network
-	frozen  *fake.TableFreezer // of FrozenTables
+	freezer *fake.TableFreezer // for FrozenTables
 	records []trace.Record
 }
 
-// PlayVirtual plays a scenario in virtual time. Its error is one of the trace or of the settings; faults of the program and
-// violations of the rules are in the result.
+// PlayVirtual plays a scenario in virtual time. It returns an error if the trace cannot be checked; defects of the program and
+// violations of rules are in the result.
 func PlayVirtual(scenario *Scenario, options Options) (Result, error) {
 	run := &virtualRun{
-		player: newPlayer(scenario), options: options, frozen: &fake.TableFreezer{FreezeAt: epoch + FreezeDelay},
+		player: newPlayer(scenario), options: options, freezer: &fake.TableFreezer{FreezeAt: epoch + FreezeDelay},
 		network: simnet.New(scenario.Seed, epoch, scenario.ZoneLatency, scenario.CrossZoneLatency),
 	}
 	run.overrides, run.env = options.Overrides, run.network
@@ -80,7 +81,7 @@
 	return result, err
 }
 
-// addNodes adds all participants to the network; each listens at its own name.
+// addNodes adds all participants to the network. Each of them except proxies listens at its own name.
 func (r *virtualRun) addNodes() {
 	ownName := func(p *participant) string { return p.name }
 	store, coordinatorNames := r.newIdempotencyStore(), participantNames(r.coordinators)
@@ -104,19 +105,19 @@
 	}
 }
 
-// newCoordinator makes the next incarnation of a coordinator, or of what stands in its place.
+// newCoordinator makes the state machine of a coordinator's next process, or of what the options put in its place.
 func (r *virtualRun) newCoordinator(target *participant, now statemachine.Seconds) statemachine.Machine {
 	config := r.coordinatorConfig(target, now, endpointService)
 	if r.options.Tables == AllBackends {
 		return fake.NewBaselineCoordinator(target.name, endpointService, r.scenario.Settings.Methods, config.ModuleConfig.Settings.ReportPeriod.Or(1))
 	}
-	kept, err := r.checkpoint(target.name)
+	restored, err := r.checkpoint(target.name)
 	if err != nil {
 		r.network.Failures = append(r.network.Failures, fmt.Sprintf("%s: %v", target.name, err))
 	}
-	machine := statemachine.Machine(coordinator.NewMachine(config, kept))
+	machine := statemachine.Machine(coordinator.NewMachine(config, restored))
 	if r.options.Tables == FrozenTables {
-		machine = r.frozen.Wrap(machine)
+		machine = r.freezer.Wrap(machine)
 	}
 	if r.options.Wrap != nil {
 		machine = r.options.Wrap(target.name, machine)
@@ -124,7 +125,7 @@
 	return machine
 }
 
-// checkpoint opens a node's store and reads what its earlier incarnation left.
+// checkpoint opens a node's store and reads the checkpoint that its earlier process left.
 func (r *virtualRun) checkpoint(name string) (*checkpoint.State, error) {
 	records, err := r.network.OpenStore(name)
 	if err != nil {
