--- a/internal/scenario/emulate.go
+++ b/internal/scenario/emulate.go
@@ -28,7 +28,7 @@
 }
 
 func (e *PortRangeError) Error() string {
-	return fmt.Sprintf("port %d for the list service and the next %d for servers are not all between %d and %d", e.Port, e.Backends, minPort, maxPort)
+	return fmt.Sprintf("ports from %d on do not hold the list service and %d servers: ports must be %d to %d", e.Port, e.Backends, minPort, maxPort)
 }
 
 // NoPartError is returned by Emulation.Check if the number of the part to play is not one of the parts.
--- a/internal/scenario/faults_test.go
+++ b/internal/scenario/faults_test.go
@@ -32,10 +32,10 @@
 		checkEffect func(result Result) string // returns which effect is missing; "": none
 	}{
 		"restart in place under the same id, connections held": {"at 8s kill servers number 3 for 50ms\n", 0.97, restartedInPlace},
-		"drain during a hang":              {"at 6s hang servers number 2,3 for 8s\nat 8s deploy servers number 2,3 drain 3s down 1s every 1s\n", 0.9, drainedDuringHang},
-		"a pause longer than the deadline": {"at 8s hang servers 30% for 6s\n", 0.8, endedAtDeadline},
-		"a coordinator's time jumps":       {"at 8s stall coordinators number 0 for 15s\n", 0.95, proxiesMovedAway},
-		"a lost machine sends no reset":    {"at 8s silence servers 3 for 8s\n", 0.85, silenceIsNoReset},
+		"drain during a hang":                    {"at 6s hang servers number 2,3 for 8s\nat 8s deploy servers number 2,3 drain 3s down 1s every 1s\n", 0.9, drainedDuringHang},
+		"a hang longer than the deadline":        {"at 8s hang servers 30% for 6s\n", 0.8, endedAtDeadline},
+		"a long pause of a coordinator":          {"at 8s stall coordinators number 0 for 15s\n", 0.95, proxiesMovedAway},
+		"a machine without power sends no reset": {"at 8s silence servers 3 for 8s\n", 0.85, noResetOnPowerLoss},
 		"each flap mode": {"at 6s flap servers number 0 by 1s for 8s with crash\nat 6s flap servers number 1 by 1s for 8s with silence\n" +
 			"at 6s flap servers number 2 by 1s for 8s with hang\nat 6s flap servers number 3 by 1s for 8s with fast\n", 0.8, flappedInEachMode},
 	} {
@@ -108,8 +108,8 @@
 	return ""
 }
 
-// silenceIsNoReset checks that an RPC waited about until its deadline, as no reset came.
-func silenceIsNoReset(result Result) string {
+// noResetOnPowerLoss checks that an RPC waited about until its deadline, as no reset came.
+func noResetOnPowerLoss(result Result) string {
 	for _, record := range result.Records {
 		if record.Kind == trace.RPCFinished && record.Text == "aborted" && record.Value > 1.9 {
 			return ""
--- a/internal/scenario/minimize.go
+++ b/internal/scenario/minimize.go
@@ -11,8 +11,8 @@
 	maxReductions = 8 // of the number in one line of a script
 	// minHalvedMillis is the shortest duration that is halved, in milliseconds.
 	minHalvedMillis = 500
-	// timeAfterViolation is the length of a minimized scenario, in seconds, after the whole seconds that have passed at the
-	// violation. So the scenario lasts for more than one more second, and two at most.
+	// timeAfterViolation is added to the time of the violation, rounded down to whole seconds, to give the length of a
+	// minimized scenario. So the scenario ends between one and two seconds after the violation.
 	timeAfterViolation = 2
 )
 
--- a/internal/scenario/participants.go
+++ b/internal/scenario/participants.go
@@ -33,7 +33,7 @@
 
 func (p *participant) isBackend() bool { return p.backend > 0 }
 
-// participants are all parties of a scenario.
+// participants are all participants of a scenario. The endpoint list service is only in byName.
 type participants struct {
 	backends     []*participant
 	proxies      []*participant
--- a/internal/scenario/read.go
+++ b/internal/scenario/read.go
@@ -148,17 +148,17 @@
 
 // checkComplete adds a fault for each statement that every script needs and this one lacks.
 func (r *reader) checkComplete() {
-	addFault := func(message string) {
+	addScriptFault := func(message string) {
 		r.faults = append(r.faults, bootstrap.Fault{File: r.file, Line: 1, Message: message})
 	}
 	if r.scenario.Settings == nil {
-		addFault("the script names no settings file (such as: settings perth.conf)")
+		addScriptFault("the script names no settings file (such as: settings perth.conf)")
 	}
 	if r.scenario.Duration <= 0 || r.scenario.Duration > maxDuration {
-		addFault("the script has no length above 0 and up to 24h (such as: length 60s)")
+		addScriptFault("the script has no length above 0 and up to 24h (such as: length 60s)")
 	}
 	if !r.hasStatement("servers") || !r.hasStatement("frontends") {
-		addFault("the script has no servers or no frontends (such as: servers 4)")
+		addScriptFault("the script has no servers or no frontends (such as: servers 4)")
 	}
 }
 
--- a/internal/scenario/tampering_test.go
+++ b/internal/scenario/tampering_test.go
@@ -64,7 +64,7 @@
 	return 0
 }
 
-// allowTwoTries permits a second attempt for the RPCs of each method.
+// allowTwoTries sets the retry policy of each method to 2, which permits one retry after any failure.
 func allowTwoTries(push *proto.Push) int {
 	for _, operation := range push.Ops {
 		for i := range operation.Admissions {
