--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -47,8 +47,8 @@
 	Methods               []Method
 }
 
-// Verdict is the result for one rule. FirstTime, Party, Record and Reason describe the first violation; the fields named Closest
-// describe the moment at which the run came closest to the limit.
+// Verdict is the result for one rule. FirstTime, Party, Record and Reason describe the first violation, the last three fields the
+// moment at which the run came closest to the limit.
 type Verdict struct {
 	Rule        int
 	Name        string
--- a/internal/scenario/emulate.go
+++ b/internal/scenario/emulate.go
@@ -72,8 +72,8 @@
 	return true
 }
 
-// Check checks whether the emulation can run. Its error is a bootstrap.Faults with the steps that cannot be emulated, a
-// *PortRangeError or a *NoPartError.
+// Check checks whether the emulation can run. Its error is a bootstrap.Faults with the steps that cannot be emulated, or the
+// error type for a wrong port or part.
 func (e Emulation) Check() error {
 	var faults bootstrap.Faults
 	for _, step := range e.Scenario.Steps {
--- a/internal/scenario/emulate_test.go
+++ b/internal/scenario/emulate_test.go
@@ -19,7 +19,7 @@
 	}
 	var noPart *NoPartError
 	if err := (Emulation{Scenario: withoutSteps, Port: 20000, Part: 3, Parts: 2}).Check(); !errors.As(err, &noPart) {
-		t.Errorf("part 3 of 2: got error %v, want a NoPartError", err)
+		t.Errorf("part 3 of 2: got error %v, want a %T", err, noPart)
 	}
 	for step, possible := range map[string]bool{
 		"at 1s kill servers 1":                           true,
--- a/internal/scenario/process_faults.go
+++ b/internal/scenario/process_faults.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// pauseInterval is the interval of VerbPauses, in seconds. In each interval a pause begins at a random time within the
-	// first maxPause seconds, and ends after maxPause seconds plus the pause time of the step, which counts as maxPause if it
-	// is longer.
+	// pauseInterval is the interval at which a pauses step makes backends hang, in seconds. In each interval the hang begins
+	// at a random time within the first maxPause seconds, and ends maxPause seconds plus the step's pause time after the
+	// start of the interval. A pause time above maxPause counts as maxPause.
 	pauseInterval = 1.0
 	maxPause      = 0.5
 	// minFlapTime is the shortest time for which a flapping backend is up or down, in seconds.
@@ -88,10 +88,10 @@
 	}
 }
 
-// runIsolate simulates a loss of power of the machines of backends.
-func (p *player) runIsolate(step *runningStep) {
+// runPowerLoss simulates a loss of power of the machines of backends.
+func (p *player) runPowerLoss(step *runningStep) {
 	for i, target := range step.targets {
-		restore := p.isolate(target, step.targetFaultName(i))
+		restore := p.startPowerLoss(target, step.targetFaultName(i))
 		p.scheduleStepEnd(step, restore)
 	}
 }
@@ -156,7 +156,7 @@
 func (p *player) flapDown(target *participant, step *runningStep, index int) (restore func()) {
 	switch step.FlapMode {
 	case FlapIsolate:
-		return p.isolate(target, step.targetFaultName(index))
+		return p.startPowerLoss(target, step.targetFaultName(index))
 	case FlapHang, FlapFailFast:
 		verb := Verb(step.FlapMode)
 		p.env.SendCommand(target.name, string(verb))
--- a/internal/scenario/search.go
+++ b/internal/scenario/search.go
@@ -25,7 +25,7 @@
 	Result    Result
 }
 
-// stepTemplates are the steps that generated scripts consist of: all verbs except VerbIsolate, each with all of its targets.
+// stepTemplates are the steps that generated scripts consist of: all verbs except silence, each with all of its targets.
 var stepTemplates = []string{
 	"deploy servers 60% drain 3s down 1s every 1s",
 	"deploy servers 30% drain 1s down 2s every 200ms",
--- a/internal/scenario/step.go
+++ b/internal/scenario/step.go
@@ -124,7 +124,7 @@
 var verbSpecs = map[Verb]verbSpec{
 	VerbKill:          {targets: []Target{TargetBackends, TargetProxies, TargetCoordinators}, run: (*player).runKill},
 	VerbVanish:        {targets: []Target{TargetBackends}, run: (*player).runKill},
-	VerbIsolate:       {targets: []Target{TargetBackends}, run: (*player).runIsolate},
+	VerbIsolate:       {targets: []Target{TargetBackends}, run: (*player).runPowerLoss},
 	VerbPause:         {targets: []Target{TargetProxies, TargetCoordinators}, needsDuration: true, run: (*player).runPause},
 	VerbHang:          {targets: []Target{TargetBackends}, run: (*player).runBackendFault},
 	VerbFailFast:      {targets: []Target{TargetBackends}, run: (*player).runBackendFault},
