--- a/internal/scenario/link_faults.go
+++ b/internal/scenario/link_faults.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// startPowerLoss simulates a loss of power of a backend's machine: its process ends and its links are cut, so that its connections are
-// not reset. It returns a function that brings the backend up again.
+// startPowerLoss simulates a loss of power of a backend's machine: its process ends and its links are cut, so that its
+// connections are not reset. It returns a function that brings the backend up again.
 func (p *player) startPowerLoss(target *participant, faultName string) (restore func()) {
 	p.env.AddLinkFault(faultName, simnet.LinkFault{Partitioned: true}, func(a, b string) bool { return a == target.name || b == target.name })
 	p.crash(target)
