--- a/cmd/gingerfork/instance.go
+++ b/cmd/gingerfork/instance.go
@@ -110,7 +110,7 @@
 // wait returns the error of the event loop when it ends.
 func (i *instance) wait() error {
 	err := i.loop.Wait()
-	machine, loop := i.machine.Stats(), i.loop.Figures()
+	machine, loop := i.machine.Stats(), i.loop.Stats()
 	i.log.Info("coordinator ended", "joins", machine.Joins, "pushes", machine.Pushes, "table_entries", machine.Entries, "steps", loop.Steps,
 		"longest_step_s", loop.LongestStep.Seconds())
 	return err
--- a/cmd/gingerfork/node.go
+++ b/cmd/gingerfork/node.go
@@ -103,7 +103,7 @@
 		return nil, err
 	}
 	log.Info("coordinator started", "listen", start.Listen, "discovery", start.Discovery, "cores", start.Cores,
-		"memory_bytes", start.Memory, "sockets", start.Sockets, "proxies", start.Values["proxies"], "listing", start.Values["listing"])
+		"memory_bytes", start.MemoryBytes, "sockets", start.Sockets, "proxies", start.Settings["proxies"], "listing", start.Settings["listing"])
 	return &runningNode{start: start, machine: machine, loop: loop, clock: clock, log: log}, nil
 }
 
@@ -114,9 +114,9 @@
 		MaxConnections: start.MaxLoopConnections(),
 		DialTimeout:    nodeDialTimeout,
 	}
-	if start.Memory > 0 {
-		config.MaxWriteBuffer = int(min(largestWriteBuffer, start.Memory/writeBufferMemoryShare))
-		config.MaxPendingInput = int(min(largestPendingInput, start.Memory/pendingInputMemoryShare))
+	if start.MemoryBytes > 0 {
+		config.MaxWriteBuffer = int(min(largestWriteBuffer, start.MemoryBytes/writeBufferMemoryShare))
+		config.MaxPendingInput = int(min(largestPendingInput, start.MemoryBytes/pendingInputMemoryShare))
 	}
 	return config
 }
@@ -159,7 +159,7 @@
 		n.log.Error("configuration reload failed, the old configuration stays in force", "cause", err.Error())
 		return
 	}
-	if fresh.Listen != n.start.Listen || fresh.Name != n.start.Name || !reflect.DeepEqual(fresh.Values, n.start.Values) {
+	if fresh.Listen != n.start.Listen || fresh.Name != n.start.Name || !reflect.DeepEqual(fresh.Settings, n.start.Settings) {
 		n.log.Warn("changes of name, listen address and settings need a restart")
 	}
 	n.loop.RunBetweenSteps(func() { n.machine.Reload(fresh.Bootstrap(n.clock.Now())) })
@@ -167,7 +167,7 @@
 }
 
 func (n *runningNode) logEnd() {
-	machine, loop := n.machine.Stats(), n.loop.Figures()
+	machine, loop := n.machine.Stats(), n.loop.Stats()
 	n.log.Info("coordinator ended", "joins", machine.Joins, "messages", machine.Messages, "bytes", machine.Bytes,
 		"steps", machine.Steps, "refused_connections", machine.Rejected, "malformed_messages", machine.InvalidMessages,
 		"longest_step_s", loop.LongestStep.Seconds(), "busy_s", loop.BusyTime.Seconds())
@@ -195,8 +195,8 @@
 	if start.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(start.Cores)))
 	}
-	if start.Memory > 0 {
+	if start.MemoryBytes > 0 {
 		// The limit covers what the runtime holds; the program's own pages and the kernel's buffers come on top.
-		debug.SetMemoryLimit(start.Memory / 2)
+		debug.SetMemoryLimit(start.MemoryBytes / 2)
 	}
 }
--- a/internal/coordinator/machine.go
+++ b/internal/coordinator/machine.go
@@ -56,7 +56,7 @@
 		bootstrap:    bootstrap,
 		controller:   newController(bootstrap.ModuleConfig, saved),
 		sessions:     map[statemachine.Conn]*session{},
-		lastDialed:   statemachine.Dialed,
+		lastDialed:   statemachine.DialedBit,
 		lastExpiryAt: bootstrap.ModuleConfig.Now,
 		rejections:   rejectionLog{},
 		peerSessions: map[choice.PeerID]*session{},
@@ -144,7 +144,7 @@
 	case statemachine.ConnOpened:
 		if session != nil {
 			m.sendHello(step, session)
-		} else if input.Conn&statemachine.Dialed == 0 {
+		} else if input.Conn&statemachine.DialedBit == 0 {
 			m.accept(step, input.Conn)
 		}
 	case statemachine.ConnClosed:
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -90,7 +90,7 @@
 	step.effects.Close(session.conn)
 	if times, logIt := m.rejections.count(reason); logIt {
 		step.effects.Log(logWarning, "stream rejected",
-			"peer", session.name, "conn", uint64(session.conn&^statemachine.Dialed), "reason", reason, "count", times)
+			"peer", session.name, "conn", uint64(session.conn&^statemachine.DialedBit), "reason", reason, "count", times)
 	}
 }
 
--- a/internal/eventloop/connection_test.go
+++ b/internal/eventloop/connection_test.go
@@ -27,7 +27,7 @@
 	machine.writeOnOpen = 0
 	machine.mu.Unlock()
 	mustEcho(t, dial(t, loop.Addrs()[0]), "x")
-	if n := loop.Figures().SlowReadersClosed; n != 1 {
+	if n := loop.Stats().SlowReadersClosed; n != 1 {
 		t.Fatalf("%d slow readers are counted, 1 was closed", n)
 	}
 }
--- a/internal/eventloop/dialer_test.go
+++ b/internal/eventloop/dialer_test.go
@@ -18,7 +18,7 @@
 	})
 	loop.SendCommand("dial other")
 	machine.awaitCount(t, "the dialed connection", 1, func(input statemachine.Input) bool {
-		return isOpened(input) && input.Conn == statemachine.Dialed+1
+		return isOpened(input) && input.Conn == statemachine.DialedBit+1
 	})
 	other.Stop()
 	machine.awaitCount(t, "its end", 1, isClosed)
@@ -36,9 +36,9 @@
 	for _, input := range in {
 		switch {
 		case input.Kind == statemachine.OperatorCommand && input.Text != "":
-			out.Dial(statemachine.Dialed+1, input.Text)
+			out.Dial(statemachine.DialedBit+1, input.Text)
 		case input.Kind == statemachine.OperatorCommand:
-			out.Abort(statemachine.Dialed + 1)
+			out.Abort(statemachine.DialedBit + 1)
 		}
 	}
 }
--- a/internal/eventloop/figures.go
+++ b/internal/eventloop/figures.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Figures are counts since the start of a loop.
-type Figures struct {
+// Stats are counts since the start of a loop.
+type Stats struct {
 	// Steps counts the steps of the machine, Inputs what they were handed.
 	Steps, Inputs int
 	// LongestStep is the duration of the longest step.
@@ -16,8 +16,8 @@
 	ConnectionFailures int
 }
 
-// Figures returns the counts since the start.
-func (l *Loop) Figures() Figures {
+// Stats returns the counts since the start.
+func (l *Loop) Stats() Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.figures
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -116,7 +116,7 @@
 	case "wake":
 		m.wakeAt = now + 0.01
 	case "dial":
-		out.Dial(statemachine.Dialed+1, argument)
+		out.Dial(statemachine.DialedBit+1, argument)
 	case "close":
 		out.Close(m.conns[len(m.conns)-1])
 	case "save":
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -67,10 +67,10 @@
 		t.Fatal(err)
 	}
 	defer waiting.Close()
-	eventually(t, "the shortage", func() bool { return loop.Figures().ConnectionFailures > 0 })
+	eventually(t, "the shortage", func() bool { return loop.Stats().ConnectionFailures > 0 })
 	loop.SendCommand("dial " + loop.Addrs()[0])
 	machine.awaitCount(t, "the dial that had no descriptor", 1, func(input statemachine.Input) bool {
-		return isClosed(input) && input.Conn == statemachine.Dialed+1 && input.LocalFailure
+		return isClosed(input) && input.Conn == statemachine.DialedBit+1 && input.LocalFailure
 	})
 	mustEcho(t, old, "y")
 	release()
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -39,7 +39,7 @@
 	connectionCount int               // open or being dialed
 	lastAccepted    statemachine.Conn // number of the connection that was accepted last
 	stopping        bool              // nobody may wait for spaceFreed any more
-	figures         Figures
+	figures         Stats
 
 	tasksMu sync.Mutex
 	tasks   map[gnet.EventLoop][]connectionTask // what each event loop is still to do, in order
--- a/internal/fake/baseline.go
+++ b/internal/fake/baseline.go
@@ -49,7 +49,7 @@
 // what it tells proxies.
 func NewBaselineCoordinator(name, listAddr string, methods []string, reportPeriod float64) *BaselineCoordinator {
 	return &BaselineCoordinator{
-		name: name, listAddr: listAddr, methods: methods, reportPeriod: reportPeriod, conns: statemachine.Dialed,
+		name: name, listAddr: listAddr, methods: methods, reportPeriod: reportPeriod, conns: statemachine.DialedBit,
 		open: map[proto.BackendID]proto.TableEntry{}, proxies: map[statemachine.Conn]*baselineProxy{},
 	}
 }
@@ -61,7 +61,7 @@
 		switch {
 		case input.Conn == b.list.stream && b.list.stream != 0:
 			b.handleListInput(now, input)
-		case input.Kind == statemachine.ConnOpened && input.Conn&statemachine.Dialed == 0:
+		case input.Kind == statemachine.ConnOpened && input.Conn&statemachine.DialedBit == 0:
 			b.proxies[input.Conn] = &baselineProxy{}
 		case input.Kind == statemachine.ConnClosed:
 			delete(b.proxies, input.Conn)
--- a/internal/fake/freezer.go
+++ b/internal/fake/freezer.go
@@ -47,7 +47,7 @@
 	frozen := now >= c.freezer.FreezeAt
 	for _, input := range inputs {
 		switch {
-		case input.Kind == statemachine.ConnOpened && input.Conn&statemachine.Dialed == 0:
+		case input.Kind == statemachine.ConnOpened && input.Conn&statemachine.DialedBit == 0:
 			stream := &observedStream{}
 			stream.received.HandshakeDone()
 			stream.sent.HandshakeDone()
--- a/internal/fake/frontend.go
+++ b/internal/fake/frontend.go
@@ -72,7 +72,7 @@
 	return &FrontEnd{
 		config:        config,
 		random:        emulator.NewRandom(config.Seed),
-		conns:         statemachine.Dialed,
+		conns:         statemachine.DialedBit,
 		clients:       clientTraffic{rate: config.Rate},
 		tables:        map[uint64]*table{},
 		methodTables:  make([]*table, len(config.Methods)),
--- a/internal/fake/multiplexer.go
+++ b/internal/fake/multiplexer.go
@@ -46,7 +46,7 @@
 func NewMultiplexer() *Multiplexer {
 	return &Multiplexer{
 		byName: map[string]*member{}, firstListener: map[*member]int{}, conns: map[statemachine.Conn]memberConn{},
-		lastDialed: statemachine.Dialed,
+		lastDialed: statemachine.DialedBit,
 	}
 }
 
@@ -107,7 +107,7 @@
 func (m *Multiplexer) routeConnInput(input statemachine.Input, deliver func(*member, statemachine.Input)) {
 	local, known := m.conns[input.Conn]
 	switch {
-	case !known && input.Kind == statemachine.ConnOpened && input.Conn&statemachine.Dialed == 0:
+	case !known && input.Kind == statemachine.ConnOpened && input.Conn&statemachine.DialedBit == 0:
 		owner := m.listeners[input.Listener]
 		owner.lastAccepted++
 		local = memberConn{owner, owner.lastAccepted}
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -55,7 +55,7 @@
 func NewRelay(targets ...string) *Relay {
 	return &Relay{
 		targets: targets, faults: make([]linkFault, len(targets)), tunnels: map[statemachine.Conn]*tunnel{},
-		lastDialed: statemachine.Dialed,
+		lastDialed: statemachine.DialedBit,
 	}
 }
 
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -17,10 +17,10 @@
 	Name, Listen, Discovery string
 	Seed                    uint64
 	Cores                   float64 // 0: no limit
-	Memory                  int64   // bytes; 0: no limit
+	MemoryBytes             int64   // bytes; 0: no limit
 	Sockets                 int     // 0: no limit
 	CachedList              json.RawMessage
-	Values                  map[string]any // settings of the decision module
+	Settings                map[string]any // settings of the decision module
 }
 
 // Env returns the value of an environment variable, "" if it is not set.
@@ -78,7 +78,7 @@
 	config := &NodeConfig{
 		Name: firstNonEmpty(doc.Name, env(envName)), Listen: firstNonEmpty(doc.Listen, env(envListen)),
 		Discovery: firstNonEmpty(doc.Discovery, env(envDiscovery)),
-		Cores:     doc.Limits.Cores, Memory: int64(doc.Limits.Memory * bytesPerMB), Sockets: int(doc.Limits.Sockets), CachedList: doc.Known,
+		Cores:     doc.Limits.Cores, MemoryBytes: int64(doc.Limits.Memory * bytesPerMB), Sockets: int(doc.Limits.Sockets), CachedList: doc.Known,
 	}
 	if string(config.CachedList) == "null" {
 		config.CachedList = nil
@@ -91,9 +91,9 @@
 		return nil, err
 	}
 	config.Seed = seed
-	config.Values = flatten(doc.Settings)
-	adjustSettings(config.Values)
-	if err := checkSettings(config.Values); err != nil {
+	config.Settings = flatten(doc.Settings)
+	adjustSettings(config.Settings)
+	if err := checkSettings(config.Settings); err != nil {
 		return nil, err
 	}
 	return config, nil
@@ -114,8 +114,8 @@
 		return errNoDiscoveryAddress
 	case settingsCount == 0:
 		return errNoSettings
-	case math.IsNaN(c.Cores) || c.Cores < 0 || c.Memory < 0 || c.Sockets < 0 || c.Sockets > 0 && c.Sockets < minSockets:
-		return fmt.Errorf("limits out of range: %v cores, %v bytes, %d sockets (at least %d are needed)", c.Cores, c.Memory, c.Sockets, minSockets)
+	case math.IsNaN(c.Cores) || c.Cores < 0 || c.MemoryBytes < 0 || c.Sockets < 0 || c.Sockets > 0 && c.Sockets < minSockets:
+		return fmt.Errorf("limits out of range: %v cores, %v bytes, %d sockets (at least %d are needed)", c.Cores, c.MemoryBytes, c.Sockets, minSockets)
 	}
 	return nil
 }
@@ -186,15 +186,15 @@
 func (c *NodeConfig) Bootstrap(now statemachine.Seconds) Bootstrap {
 	boot := Bootstrap{
 		Name: c.Name, Discovery: c.Discovery, CachedList: c.CachedList,
-		Module:         choice.Config{Seed: c.Seed, Now: now, Settings: choice.DecodeSettings(c.Values)},
+		Module:         choice.Config{Seed: c.Seed, Now: now, Settings: choice.DecodeSettings(c.Settings)},
 		MaxConnections: math.MaxInt, MaxProbes: defaultMaxProbes, MaxResponseBytes: defaultMaxResponseBytes, HandshakeTimeout: handshakeTimeout,
 	}
 	if c.Sockets > 0 {
 		boot.MaxConnections = c.Sockets - otherFiles - extraConnections
 		boot.MaxProbes = max(1, min(boot.MaxProbes, boot.MaxConnections/connectionsPerProbe))
 	}
-	if c.Memory > 0 {
-		boot.MaxResponseBytes = int(max(minResponseBytes, min(int64(boot.MaxResponseBytes), c.Memory/memoryPerResponseByte)))
+	if c.MemoryBytes > 0 {
+		boot.MaxResponseBytes = int(max(minResponseBytes, min(int64(boot.MaxResponseBytes), c.MemoryBytes/memoryPerResponseByte)))
 	}
 	return boot
 }
--- a/internal/platform/fake_fleet_test.go
+++ b/internal/platform/fake_fleet_test.go
@@ -53,7 +53,7 @@
 	fleet := &fakeFleet{
 		t: t, addrs: addrs, known: known, byConn: map[statemachine.Conn]*fakeProxy{}, collectors: map[string][]statemachine.Conn{},
 		unjoined: map[statemachine.Conn]statemachine.Seconds{}, healthy: map[string]bool{},
-		dice: rand.New(rand.NewPCG(7, 7)), lastConn: statemachine.Dialed,
+		dice: rand.New(rand.NewPCG(7, 7)), lastConn: statemachine.DialedBit,
 	}
 	for i := range proxies {
 		fleet.proxies = append(fleet.proxies, &fakeProxy{
--- a/internal/platform/harness_steps_test.go
+++ b/internal/platform/harness_steps_test.go
@@ -42,7 +42,7 @@
 	out.Reset()
 	s.machine.Step(now, in, out)
 	for _, action := range out.Actions {
-		conn := action.Conn &^ statemachine.Dialed
+		conn := action.Conn &^ statemachine.DialedBit
 		switch action.Kind {
 		case statemachine.ActionDial:
 			dials = append(dials, action.Addr)
--- a/internal/platform/machine.go
+++ b/internal/platform/machine.go
@@ -66,7 +66,7 @@
 // New returns a coordinator. If the cached list can't be read, New returns an error and a coordinator that works without it.
 func New(boot Bootstrap) (*Machine, error) {
 	m := &Machine{
-		boot: boot, endpoints: newEndpointRegistry(), sessions: map[statemachine.Conn]*session{}, lastDialed: statemachine.Dialed,
+		boot: boot, endpoints: newEndpointRegistry(), sessions: map[statemachine.Conn]*session{}, lastDialed: statemachine.DialedBit,
 		problemCounts: map[problem]int{}, loggedUnhealthy: map[choice.BackendID]string{},
 	}
 	m.discovery = discoveryClient{machine: m, addr: boot.Discovery, response: responseParser{maxBytes: boot.MaxResponseBytes}}
@@ -173,7 +173,7 @@
 
 func (m *Machine) connectionOpened(now statemachine.Seconds, peer *session, conn statemachine.Conn, out *statemachine.Effects) {
 	switch {
-	case peer == nil && conn&statemachine.Dialed == 0:
+	case peer == nil && conn&statemachine.DialedBit == 0:
 		m.accept(now, conn, out)
 	case peer != nil && peer.role == roleDiscovery:
 		m.discovery.connectionOpened(now, out)
--- a/internal/platform/recording_faults_test.go
+++ b/internal/platform/recording_faults_test.go
@@ -180,5 +180,5 @@
 
 func (s *script) unknownConnection() {
 	kind := oneOf(s.dice, []statemachine.InputKind{statemachine.ConnData, statemachine.ConnClosed, statemachine.ConnOpened})
-	s.input(statemachine.Input{Kind: kind, Conn: statemachine.Dialed | 1<<40, Data: []byte("hb\r\n"), Text: "unknown"})
+	s.input(statemachine.Input{Kind: kind, Conn: statemachine.DialedBit | 1<<40, Data: []byte("hb\r\n"), Text: "unknown"})
 }
--- a/internal/platform/recording_test.go
+++ b/internal/platform/recording_test.go
@@ -98,8 +98,8 @@
 func exact(value float64) string { return strconv.FormatFloat(value, 'g', -1, 64) }
 
 func connName(conn statemachine.Conn) string {
-	if conn&statemachine.Dialed != 0 {
-		return fmt.Sprintf("out/%d", conn&^statemachine.Dialed)
+	if conn&statemachine.DialedBit != 0 {
+		return fmt.Sprintf("out/%d", conn&^statemachine.DialedBit)
 	}
 	return fmt.Sprintf("in/%d", conn)
 }
--- a/internal/simnet/network_test.go
+++ b/internal/simnet/network_test.go
@@ -39,7 +39,7 @@
 	verb, argument, _ := strings.Cut(text, " ")
 	switch verb {
 	case "dial":
-		r.conn = statemachine.Dialed + 1
+		r.conn = statemachine.DialedBit + 1
 		out.Dial(r.conn, argument)
 	case "write":
 		out.Write(r.conn, []byte(argument))
--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -18,8 +18,8 @@
 // the connection is open.
 type Conn uint64
 
-// Dialed is the bit that is set in the numbers of the connections that the machine has dialed.
-const Dialed Conn = 1 << 63
+// DialedBit is the bit that is set in the numbers of the connections that the machine has dialed.
+const DialedBit Conn = 1 << 63
 
 // Machine is one party of the system.
 type Machine interface {
