--- a/internal/scenario/minimize.go
+++ b/internal/scenario/minimize.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// Attempts to shorten one line of a script.
-	maxHalvings   = 4
-	maxReductions = 8
-	// minHalvedTime is the shortest time, in milliseconds, that is halved.
-	minHalvedTime = 500
-	// tailTime is how many seconds a minimized scenario goes on after the violation, at least one of them whole.
-	tailTime = 2
+	maxHalvings   = 4 // of the duration in one line of a script
+	maxReductions = 8 // of the number in one line of a script
+	// minHalvedMillis is the shortest duration that is halved, in milliseconds.
+	minHalvedMillis = 500
+	// timeAfterViolation is added to the time of the violation, rounded down to whole seconds, to give the length of a
+	// minimized scenario. So the scenario ends between one and two seconds after the violation.
+	timeAfterViolation = 2
 )
 
-// minimizer makes a script shorter while the same violation remains.
+// minimizer simplifies a script as long as the same violation occurs.
 type minimizer struct {
 	violation string
-	lines     []string
-	result    Result
+	lines     []string // of the script
+	result    Result   // of the script
 }
 
-// Minimize makes a script shorter as long as the same violation occurs: it removes steps, then shortens their times, then
-// reduces the fleet, then ends the scenario earlier. It returns the script and its result.
+// Minimize simplifies a script as long as the same violation occurs: it removes steps, halves their durations, reduces the fleet
+// and shortens the scenario, in this order. It returns the simplified script and its result.
 func Minimize(script, violation string, result Result) (string, Result) {
 	m := &minimizer{violation: violation, lines: strings.Split(strings.TrimSpace(script), "\n"), result: result}
 	m.removeSteps()
@@ -36,9 +36,9 @@
 
 func joinLines(lines []string) string { return strings.Join(lines, "\n") + "\n" }
 
-// keepIfViolated keeps the changed lines if the violation still occurs, and tells whether it does.
+// keepIfViolated replaces the script by a changed one if the violation still occurs with it, and reports whether it does.
 func (m *minimizer) keepIfViolated(lines []string) bool {
-	violation, result, err := judge(joinLines(lines))
+	violation, result, err := playScript(joinLines(lines))
 	if err != nil || violation != m.violation {
 		return false
 	}
@@ -46,7 +46,7 @@
 	return true
 }
 
-// keepLineIfViolated is keepIfViolated with another wording of one line.
+// keepLineIfViolated is keepIfViolated for a change to a single line.
 func (m *minimizer) keepLineIfViolated(line int, words []string) bool {
 	changed := slices.Clone(m.lines)
 	changed[line] = strings.Join(words, " ")
@@ -61,7 +61,7 @@
 	}
 }
 
-// shortenSteps halves the steps' durations.
+// shortenSteps halves the durations of steps, several times each.
 func (m *minimizer) shortenSteps() {
 	for i := range m.lines {
 		for range maxHalvings {
@@ -79,14 +79,14 @@
 		return nil, false
 	}
 	var milliseconds int
-	if _, err := fmt.Sscanf(words[value], "%dms", &milliseconds); err != nil || milliseconds < minHalvedTime {
+	if _, err := fmt.Sscanf(words[value], "%dms", &milliseconds); err != nil || milliseconds < minHalvedMillis {
 		return nil, false
 	}
 	words[value] = fmt.Sprintf("%dms", milliseconds/2)
 	return words, true
 }
 
-// reduceFleet removes participants one by one.
+// reduceFleet reduces the numbers of backends, proxies and coordinators, one participant at a time.
 func (m *minimizer) reduceFleet() {
 	for i := range m.lines {
 		for range maxReductions {
@@ -110,7 +110,7 @@
 	return words, true
 }
 
-// shortenScenario lets the scenario end soon after the violation.
+// shortenScenario makes the scenario end soon after the violation of a rule.
 func (m *minimizer) shortenScenario() {
 	for i, line := range m.lines {
 		if !strings.HasPrefix(line, "length ") {
@@ -119,7 +119,7 @@
 		for _, verdict := range m.result.Report.Rules {
 			if m.violation == ruleViolation(verdict.Rule) && len(m.result.Records) > 0 {
 				elapsed := int(verdict.FirstTime - m.result.Records[0].Time)
-				m.keepLineIfViolated(i, []string{"length", fmt.Sprintf("%ds", elapsed+tailTime)})
+				m.keepLineIfViolated(i, []string{"length", fmt.Sprintf("%ds", elapsed+timeAfterViolation)})
 			}
 		}
 	}
--- a/internal/scenario/process_faults.go
+++ b/internal/scenario/process_faults.go
@@ -9,11 +9,12 @@
 )
 
 const (
-	// pauseInterval is the interval of VerbPauses in seconds, and maxPause the longest of its pauses. Each begins within
-	// half of the interval and ends by the interval's own clock.
+	// pauseInterval is the interval at which a pauses step makes backends hang, in seconds. In each interval the hang begins
+	// at a random time within the first maxPause seconds, and ends maxPause seconds plus the step's pause time after the
+	// start of the interval. A pause time above maxPause counts as maxPause.
 	pauseInterval = 1.0
 	maxPause      = 0.5
-	// minFlapTime is the shortest time, in seconds, for which a flapping backend is up or down.
+	// minFlapTime is the shortest time for which a flapping backend is up or down, in seconds.
 	minFlapTime = 0.1
 )
 
@@ -26,8 +27,8 @@
 	p.env.Start(target.name)
 }
 
-// stopProcess ends a participant's process, unless another fault did so. Faults overlap: it stays down until each of them
-// has called restartProcess.
+// stopProcess kills a participant's process, unless an earlier fault did. As faults may overlap, the process stays down until
+// restartProcess was called for each of them.
 func (p *player) stopProcess(target *participant) {
 	target.downCount++
 	if target.downCount > 1 {
@@ -42,7 +43,7 @@
 	p.emit(trace.Record{Kind: trace.ProcessKilled, Party: target.name})
 }
 
-// restartProcess starts a participant again once no fault keeps it down.
+// restartProcess ends one fault that keeps a participant down, and starts its process again if it was the last one.
 func (p *player) restartProcess(target *participant) {
 	target.downCount--
 	if target.downCount > 0 {
@@ -54,20 +55,20 @@
 	}
 }
 
-// crash ends a participant's process; the endpoint list service learns of a backend's end after the detection delay.
+// crash kills a participant's process. The endpoint list service learns of the end of a backend after the detection delay.
 func (p *player) crash(target *participant) {
 	p.stopProcess(target)
 	if !target.isBackend() {
 		return
 	}
-	p.after(p.scenario.ExitDetectionDelay, func() {
+	p.scheduleAfter(p.scenario.ExitDetectionDelay, func() {
 		if !target.up {
 			p.commandList("state %d gone", target.backend)
 		}
 	})
 }
 
-// runKill ends processes, and starts them again at the step's end.
+// runKill kills processes, and starts them again at the end of the step.
 func (p *player) runKill(step *runningStep) {
 	for _, target := range step.targets {
 		if step.Verb == VerbVanish {
@@ -75,11 +76,11 @@
 		} else {
 			p.crash(target)
 		}
-		p.atEnd(step, func() { p.restartProcess(target) })
+		p.scheduleStepEnd(step, func() { p.restartProcess(target) })
 	}
 }
 
-// runPause keeps processes from running.
+// runPause keeps processes from running for the duration of the step.
 func (p *player) runPause(step *runningStep) {
 	for _, target := range step.targets {
 		p.env.Pause(target.name, step.Duration)
@@ -87,18 +88,20 @@
 	}
 }
 
-// runIsolate lets backends' machines lose their power.
-func (p *player) runIsolate(step *runningStep) {
+// runPowerLoss simulates a loss of power of the machines of backends.
+func (p *player) runPowerLoss(step *runningStep) {
 	for i, target := range step.targets {
-		restore := p.isolate(target, step.faultID(i))
-		p.atEnd(step, restore)
+		restore := p.startPowerLoss(target, step.targetFaultName(i))
+		p.scheduleStepEnd(step, restore)
 	}
 }
 
-// faultID names the link fault that a step adds for one of its targets.
-func (s *runningStep) faultID(index int) string { return s.id + "." + strconv.Itoa(index) }
+// targetFaultName returns the name of the link fault that a step adds for one of its targets.
+func (s *runningStep) targetFaultName(index int) string {
+	return s.faultName + "." + strconv.Itoa(index)
+}
 
-// runBackendFault passes a fault to emulated backends, and ends it at the step's end.
+// runBackendFault starts a fault in emulated backends, and ends it at the end of the step.
 func (p *player) runBackendFault(step *runningStep) {
 	command := string(step.Verb)
 	if argument := p.backendArgument(step); argument != "" {
@@ -106,7 +109,7 @@
 	}
 	for _, target := range step.targets {
 		p.env.SendCommand(target.name, command)
-		p.atEnd(step, func() { p.endBackendFault(target, step.Verb) })
+		p.scheduleStepEnd(step, func() { p.endBackendFault(target, step.Verb) })
 	}
 }
 
@@ -114,7 +117,8 @@
 	p.env.SendCommand(target.name, "heal "+string(verb))
 }
 
-// backendArgument is a step's argument as emulated backends take it: methods go by number, coordinators by name.
+// backendArgument returns the argument of a step in the form that emulated backends take: methods by number, coordinators by
+// name.
 func (p *player) backendArgument(step *runningStep) string {
 	switch step.Verb {
 	case VerbFailMethod:
@@ -125,34 +129,34 @@
 	return step.Argument
 }
 
-// runPauses lets backends hang for a short time in each interval.
+// runPauses makes backends hang for a short time in each pause interval.
 func (p *player) runPauses(step *runningStep) {
 	for _, target := range step.targets {
-		for t := 0.0; t < step.Duration; t += pauseInterval {
-			p.after(t+p.random.Uniform()*maxPause, func() { p.env.SendCommand(target.name, string(VerbHang)) })
-			p.after(t+maxPause+min(step.Value, maxPause), func() { p.endBackendFault(target, VerbHang) })
+		for start := 0.0; start < step.Duration; start += pauseInterval {
+			p.scheduleAfter(start+p.random.Uniform()*maxPause, func() { p.env.SendCommand(target.name, string(VerbHang)) })
+			p.scheduleAfter(start+maxPause+min(step.Value, maxPause), func() { p.endBackendFault(target, VerbHang) })
 		}
 	}
 }
 
-// runFlap lets backends go down and up again, for equal times.
+// runFlap takes backends down and up again, for equal times, until the end of the step.
 func (p *player) runFlap(step *runningStep) {
 	halfPeriod := max(step.Value, minFlapTime)
 	for i, target := range step.targets {
-		for t := 0.0; t < step.Duration; t += 2 * halfPeriod {
-			p.after(t, func() {
+		for start := 0.0; start < step.Duration; start += 2 * halfPeriod {
+			p.scheduleAfter(start, func() {
 				restore := p.flapDown(target, step, i)
-				p.after(halfPeriod, restore)
+				p.scheduleAfter(halfPeriod, restore)
 			})
 		}
 	}
 }
 
-// flapDown takes a backend down in the way that the step says; what it returns brings the backend up again.
+// flapDown takes a backend down in the step's flap mode, and returns a function that brings it up again.
 func (p *player) flapDown(target *participant, step *runningStep, index int) (restore func()) {
 	switch step.FlapMode {
 	case FlapIsolate:
-		return p.isolate(target, step.faultID(index))
+		return p.startPowerLoss(target, step.targetFaultName(index))
 	case FlapHang, FlapFailFast:
 		verb := Verb(step.FlapMode)
 		p.env.SendCommand(target.name, string(verb))
@@ -162,27 +166,27 @@
 	return func() { p.restartProcess(target) }
 }
 
-// runDeploy drains backends one after another, ends them, and starts them again cold.
+// runDeploy drains backends one after another, kills them, and starts them again cold. It skips backends that are down already.
 func (p *player) runDeploy(step *runningStep) {
 	for i, target := range step.targets {
-		p.after(float64(i)*step.Deploy.Interval, func() {
+		p.scheduleAfter(float64(i)*step.Deploy.Interval, func() {
 			if !target.up {
 				return
 			}
 			p.commandList("state %d draining", target.backend)
-			p.after(step.Deploy.Drain, func() {
+			p.scheduleAfter(step.Deploy.Drain, func() {
 				p.crash(target)
-				p.after(step.Deploy.Down, func() { p.restartProcess(target) })
+				p.scheduleAfter(step.Deploy.Down, func() { p.restartProcess(target) })
 			})
 		})
 	}
 }
 
-// runLoad changes the request rate of proxies.
+// runLoad multiplies the request rate of proxies by a factor, until the end of the step.
 func (p *player) runLoad(step *runningStep) {
 	setRate := func(target *participant, rate float64) { p.env.SendCommand(target.name, fmt.Sprintf("rate %g", rate)) }
 	for _, target := range step.targets {
 		setRate(target, target.rate*step.Value)
-		p.atEnd(step, func() { setRate(target, target.rate) })
+		p.scheduleStepEnd(step, func() { setRate(target, target.rate) })
 	}
 }
