--- a/cmd/gingerfork/fake.go
+++ b/cmd/gingerfork/fake.go
@@ -95,17 +95,17 @@
 		return err
 	}
 	config := emulator.Config{
-		Backend:      c.ID,
-		Cores:        c.Workers,
-		Speed:        1,
-		Work:         []emulator.Work{work},
-		QueueLimit:   c.Queue,
-		CancelPolicy: emulator.DropQueued,
-		StartsCold:   c.Cold,
-		ProbeWork:    work.Mean / fakeProbeWorkDivisor,
-		ConnWork:     work.Mean / fakeProbeWorkDivisor,
-		Seed:         c.Seed,
-		KeyStore:     &emulator.KeyStore{},
+		Backend:         c.ID,
+		Cores:           c.Workers,
+		Speed:           1,
+		Work:            []emulator.Work{work},
+		QueueLimit:      c.Queue,
+		CancelPolicy:    emulator.DropQueued,
+		StartsCold:      c.Cold,
+		ProbeWork:       work.Mean / fakeProbeWorkDivisor,
+		ConnWork:        work.Mean / fakeProbeWorkDivisor,
+		Seed:            c.Seed,
+		IdempotencyKeys: &emulator.IdempotencyKeyStore{},
 	}
 	if c.Settings != "" {
 		settings, err := bootstrap.Read(c.Settings)
--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -49,10 +49,10 @@
 	CacheSize    int     // keys; 0: no cache
 	CacheSavings float64 // share of the work that a cache hit saves
 
-	SampleInterval Seconds // between samples of the backend's state in the trace; 0: no samples
-	Seed           uint64
-	KeyStore       *KeyStore     // nil: repeated idempotency keys are not detected
-	Executions     *ExecutionLog // nil: executions are not logged
+	SampleInterval  Seconds // between samples of the backend's state in the trace; 0: no samples
+	Seed            uint64
+	IdempotencyKeys *IdempotencyKeyStore // nil: repeated idempotency keys are not detected
+	Executions      *ExecutionLog        // nil: executions are not logged
 }
 
 // Capacity returns how many RPCs per second the backend can execute when it is warm. mix has the methods' shares of the
--- a/internal/emulator/keystore.go
+++ b/internal/emulator/keystore.go
@@ -1,23 +1,23 @@
 package emulator
 
-// KeyScope is the set of backends within which an idempotency key counts as the same.
-type KeyScope uint8
+// IdempotencyScope is the set of backends within which an idempotency key counts as the same.
+type IdempotencyScope uint8
 
 // The scopes of idempotency keys.
 const (
-	AllBackends KeyScope = iota // all backends
-	PerZone                     // the backends of a zone
-	PerCell                     // the backends of a cell
-	PerBackend                  // each backend on its own
+	AllBackends IdempotencyScope = iota // all backends
+	PerZone                             // the backends of a zone
+	PerCell                             // the backends of a cell
+	PerBackend                          // each backend on its own
 )
 
 // expiryIntervalWindows is the number of windows between two removals of expired keys. A removal visits all keys, which would
 // be too slow with every RPC.
 const expiryIntervalWindows = 10
 
-// KeyStore stores the idempotency keys of executed RPCs, so that an RPC is executed only once per scope within Window.
-type KeyStore struct {
-	Scope         KeyScope
+// IdempotencyKeyStore stores the idempotency keys of executed RPCs, so that an RPC is executed only once per scope within Window.
+type IdempotencyKeyStore struct {
+	Scope         IdempotencyScope
 	Window        Seconds
 	usedAt        map[scopedKey]Seconds
 	lastRemovalAt Seconds
@@ -30,7 +30,7 @@
 
 // FirstUse reports whether an idempotency key was not yet used within the window in the scope of a backend, and if so stores
 // it.
-func (s *KeyStore) FirstUse(idempotencyKey uint64, backend Config, now Seconds) bool {
+func (s *IdempotencyKeyStore) FirstUse(idempotencyKey uint64, backend Config, now Seconds) bool {
 	if s.usedAt == nil {
 		s.usedAt = map[scopedKey]Seconds{}
 	}
@@ -54,7 +54,7 @@
 }
 
 // removeExpired removes the keys whose window is over, if the last removal is long enough ago.
-func (s *KeyStore) removeExpired(now Seconds) {
+func (s *IdempotencyKeyStore) removeExpired(now Seconds) {
 	if now <= s.lastRemovalAt+expiryIntervalWindows*s.Window+1 {
 		return
 	}
--- a/internal/emulator/keystore_test.go
+++ b/internal/emulator/keystore_test.go
@@ -3,12 +3,12 @@
 import "testing"
 
 // modelsSharing returns two backends of different zones and cells that share a key store and an execution log.
-func modelsSharing(store *KeyStore, log *ExecutionLog) [2]*Model {
+func modelsSharing(store *IdempotencyKeyStore, log *ExecutionLog) [2]*Model {
 	var models [2]*Model
 	for i, zone := range []string{"a", "b"} {
 		config := testConfig(4, Work{Mean: 0.01, Family: Constant})
 		config.Backend, config.Zone, config.Cell = uint32(i+1), zone, i+1
-		config.KeyStore, config.Executions = store, log
+		config.IdempotencyKeys, config.Executions = store, log
 		models[i] = connectedModel(config)
 	}
 	return models
@@ -17,9 +17,9 @@
 // An idempotency key allows one execution within its scope and window, and the execution log finds any further ones.
 func TestKeyStoreAndExecutionLog(t *testing.T) {
 	rpc := RPC{ID: 1, IdempotencyKey: 9, TimeLeft: 1}
-	for scope, repeats := range map[KeyScope]bool{AllBackends: false, PerZone: true, PerCell: true, PerBackend: true} {
+	for scope, repeats := range map[IdempotencyScope]bool{AllBackends: false, PerZone: true, PerCell: true, PerBackend: true} {
 		log := &ExecutionLog{}
-		models := modelsSharing(&KeyStore{Scope: scope, Window: 5}, log)
+		models := modelsSharing(&IdempotencyKeyStore{Scope: scope, Window: 5}, log)
 		for _, model := range models {
 			model.Submit(1, rpc)
 			if statuses, _ := advanceUntil(model, 1); statuses[1] != StatusOK {
--- a/internal/fake/attempts.go
+++ b/internal/fake/attempts.go
@@ -89,7 +89,7 @@
 // scheduleAttemptTimeout has the RPC's current attempt fail if it is still in flight after the attempt timeout.
 func (f *FrontEnd) scheduleAttemptTimeout(now statemachine.Seconds, call *rpc) {
 	attemptID := call.attemptID
-	timeout := f.config.AttemptTimeout * f.config.Methods[call.method].SoftDeadline
+	timeout := f.config.AttemptTimeoutRatio * f.config.Methods[call.method].SoftDeadline
 	f.timers.schedule(now+timeout, func(now statemachine.Seconds) {
 		if !call.finished && call.attemptID == attemptID {
 			f.attemptFailed(now, call, true)
@@ -167,7 +167,7 @@
 	} else {
 		record.consecutive++
 		if f.config.FailureLimit > 0 && record.consecutive >= f.config.FailureLimit {
-			record = failureRecord{avoidUntil: now + f.config.AvoidFor}
+			record = failureRecord{avoidUntil: now + f.config.AvoidDuration}
 		}
 	}
 	if record == (failureRecord{}) {
--- a/internal/fake/frontend.go
+++ b/internal/fake/frontend.go
@@ -24,24 +24,24 @@
 	// Policy tells how backends are picked: even (round robin by weight), pair or report; with any other name, such as lottery,
 	// at random by weight.
 	Policy string
-	// FailureLimit is the number of consecutive failures of a backend after which the front end avoids it for AvoidFor;
+	// FailureLimit is the number of consecutive failures of a backend after which the front end avoids it for AvoidDuration;
 	// 0: it never avoids one.
-	FailureLimit      int
-	AvoidFor          statemachine.Seconds
-	AttemptTimeout    float64              // of an attempt that may be retried, as a multiple of the soft deadline
-	ApplyTimePerEntry statemachine.Seconds // for which applying a push pauses the front end, for each entry of the push
-	AdmissionIsRate   bool                 // admission levels are RPCs per second instead of shares
-	ReportPeriod      statemachine.Seconds
-	RecordDelay       bool               // write to the trace how late the front end handled arrivals
-	StaticTable       []proto.TableEntry // its only table if it follows no coordinator; nil: it follows one
-	ConnectTimeout    statemachine.Seconds
-	Seed              uint64
-	// ClientRetryChance is the probability that a client sends a failed RPC again, at most ClientRetryLimit times. The client
+	FailureLimit        int
+	AvoidDuration       statemachine.Seconds
+	AttemptTimeoutRatio float64              // of an attempt that may be retried, as a multiple of the soft deadline
+	ApplyTimePerEntry   statemachine.Seconds // for which applying a push pauses the front end, for each entry of the push
+	AdmissionIsRate     bool                 // admission levels are RPCs per second instead of shares
+	ReportPeriod        statemachine.Seconds
+	RecordScheduleDelay bool               // write to the trace how late the front end handled arrivals
+	StaticTable         []proto.TableEntry // its only table if it follows no coordinator; nil: it follows one
+	ConnectTimeout      statemachine.Seconds
+	Seed                uint64
+	// ClientRetryProbability is the probability that a client sends a failed RPC again, at most ClientRetryLimit times. The client
 	// waits for about ClientRetryBackoff, which doubles with each retry. Non-idempotent RPCs are only sent again if they were
 	// rejected, which proves that they were not executed.
-	ClientRetryChance  float64
-	ClientRetryBackoff statemachine.Seconds
-	ClientRetryLimit   int
+	ClientRetryProbability float64
+	ClientRetryBackoff     statemachine.Seconds
+	ClientRetryLimit       int
 }
 
 // FrontEnd is a proxy that follows the tables of one coordinator and sends the RPCs of its clients to backends. It
--- a/internal/fake/reports.go
+++ b/internal/fake/reports.go
@@ -87,7 +87,7 @@
 // heartbeat. If the coordinator was silent for too long, report ends the session instead. With a static table nothing is sent.
 func (f *FrontEnd) report(now statemachine.Seconds) {
 	f.timers.schedule(now+f.config.ReportPeriod, f.report)
-	if f.config.RecordDelay {
+	if f.config.RecordScheduleDelay {
 		f.out.Record(trace.Record{Time: now, Kind: trace.ScheduleDelay, Party: f.config.Name, Value: f.clientTraffic.maxDelay})
 		f.clientTraffic.maxDelay = 0
 	}
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -85,8 +85,8 @@
 
 // recordClosest keeps the largest share of a rule's limit that the run used, with its time and a description.
 func (c *checker) recordClosest(rule int, share float64, note string, args ...any) {
-	if verdict := &c.report.Rules[rule-1]; share > verdict.Closest {
-		verdict.Closest, verdict.ClosestTime, verdict.ClosestNote = share, c.now-c.startTime, fmt.Sprintf(note, args...)
+	if verdict := &c.report.Rules[rule-1]; share > verdict.ClosestShare {
+		verdict.ClosestShare, verdict.ClosestTime, verdict.ClosestNote = share, c.now-c.startTime, fmt.Sprintf(note, args...)
 	}
 }
 
--- a/internal/invariant/coordinator.go
+++ b/internal/invariant/coordinator.go
@@ -146,7 +146,7 @@
 // record names no coordinator.
 func (c *checker) handleEndpoints(record trace.Record) error {
 	if record.Coordinator == "" {
-		return c.endpoints.update(record, c.limits.OnlyDraining)
+		return c.endpoints.update(record, c.limits.OnlyDrainingBinds)
 	}
 	coord := c.coordinator(record.Coordinator)
 	if coord.partitions > 0 {
@@ -158,7 +158,7 @@
 	if err := c.deliverDelayed(coord, record.Time); err != nil {
 		return err
 	}
-	if err := coord.endpoints.update(record, c.limits.OnlyDraining); err != nil {
+	if err := coord.endpoints.update(record, c.limits.OnlyDrainingBinds); err != nil {
 		return err
 	}
 	coord.updateAvailability(record.Time, c.limits.WarmAfter)
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -41,7 +41,7 @@
 	MaxQueuedEntries      int     // table entries that may be queued at a coordinator
 	MaxMessages           int     // messages to a proxy within MessageWindow; 0: unlimited
 	MessageWindow         float64
-	OnlyDraining          bool    // rule 3 does not apply to a backend that was removed without draining
+	OnlyDrainingBinds     bool    // rule 3 does not apply to a backend that was removed without draining
 	EndpointStreamTimeout float64 // silence after which a coordinator gives up its stream to the endpoint list service
 	PollInterval          float64 // longest time within which a coordinator without that stream must poll
 	Methods               []Method
@@ -50,16 +50,16 @@
 // Verdict is the result for one rule. FirstTime, Party, Record and Reason describe the first violation, the last three fields the
 // moment at which the run came closest to the limit.
 type Verdict struct {
-	Rule        int
-	Name        string
-	Violations  int
-	FirstTime   float64 // seconds, on the clock of the trace
-	Party       string  // name of the participant that violated the rule
-	Record      int     // number of the record in the trace, from 1
-	Reason      string
-	Closest     float64 // largest share of the limit that was used; 1 or more: the limit was reached
-	ClosestTime float64 // seconds since the start of the run
-	ClosestNote string
+	Rule         int
+	Name         string
+	Violations   int
+	FirstTime    float64 // seconds, on the clock of the trace
+	Party        string  // name of the participant that violated the rule
+	Record       int     // number of the record in the trace, from 1
+	Reason       string
+	ClosestShare float64 // largest share of the limit that was used; 1 or more: the limit was reached
+	ClosestTime  float64 // seconds since the start of the run
+	ClosestNote  string
 }
 
 // Service sums up what the clients received. Offered and InTime are sums of criticality, the other fields are numbers of RPCs.
--- a/internal/scenario/link_faults.go
+++ b/internal/scenario/link_faults.go
@@ -20,7 +20,7 @@
 
 // runDelay delays endpoint updates, or all traffic on the streams of proxies.
 func (p *player) runDelay(step *runningStep) {
-	if step.Target == TargetList {
+	if step.Target == TargetEndpointService {
 		p.commandList("late %g", step.Value)
 		p.scheduleStepEnd(step, func() { p.commandList("late 0") })
 		return
@@ -39,7 +39,7 @@
 
 // runListContent makes the endpoint list service show no backend, or a single one that is chosen at random.
 func (p *player) runListContent(step *runningStep) {
-	if step.Verb == VerbOne {
+	if step.Verb == VerbListOne {
 		p.commandList("show %d", p.backends[int(p.random.Uniform()*float64(len(p.backends)))].backend)
 	} else {
 		p.commandList("show none")
@@ -128,7 +128,7 @@
 // partitionedLinks returns a match for the links that a partition step interrupts.
 func (p *player) partitionedLinks(step *runningStep) linkMatch {
 	switch step.Target {
-	case TargetList:
+	case TargetEndpointService:
 		return func(a, b string) bool { return a == endpointService || b == endpointService }
 	case TargetBackends:
 		selected := step.targetNames()
--- a/internal/scenario/process_faults.go
+++ b/internal/scenario/process_faults.go
@@ -155,7 +155,7 @@
 // flapDown takes a backend down in the step's flap mode, and returns a function that brings it up again.
 func (p *player) flapDown(target *participant, step *runningStep, index int) (restore func()) {
 	switch step.FlapMode {
-	case FlapIsolate:
+	case FlapPowerLoss:
 		return p.startPowerLoss(target, step.targetFaultName(index))
 	case FlapHang, FlapFailFast:
 		verb := Verb(step.FlapMode)
--- a/internal/scenario/processes.go
+++ b/internal/scenario/processes.go
@@ -32,7 +32,7 @@
 }
 
 // newBackend makes the next incarnation of an emulated backend. All incarnations but the first start cold.
-func (p *player) newBackend(backend *participant, store *emulator.KeyStore) *emulator.Backend {
+func (p *player) newBackend(backend *participant, store *emulator.IdempotencyKeyStore) *emulator.Backend {
 	backend.incarnations++
 	config := p.backendConfig(backend, store)
 	config.StartsCold = backend.incarnations > 1
@@ -42,7 +42,7 @@
 }
 
 // backendConfig returns the configuration of a backend, from its group and the settings.
-func (p *player) backendConfig(backend *participant, store *emulator.KeyStore) emulator.Config {
+func (p *player) backendConfig(backend *participant, store *emulator.IdempotencyKeyStore) emulator.Config {
 	settings, group := p.scenario.decodedSettings(), backend.group
 	work := group.Work
 	work.Mean = float64(group.Workers) / group.Capacity
@@ -54,7 +54,7 @@
 		ProbeWork: work.Mean / auxiliaryWorkDivisor, ProbeLimit: maxProbes,
 		ConnWork: work.Mean / auxiliaryWorkDivisor, ConnLimit: group.MaxConnections,
 		ReportsLoad: group.Reports, ReportDelay: group.ReportDelay, ReportNoise: group.ReportNoise,
-		CacheSize: group.CacheKeys, CacheSavings: group.CacheSaving, KeyStore: store, Executions: p.executionLog,
+		CacheSize: group.CacheKeys, CacheSavings: group.CacheSaving, IdempotencyKeys: store, Executions: p.executionLog,
 	}
 }
 
@@ -74,18 +74,18 @@
 	return fake.NewFrontEnd(fake.FrontEndConfig{
 		Name: proxy.name, Zone: proxy.zone, Coordinators: order, Methods: scenario.proxyMethods(),
 		Rate: proxy.rate, Policy: policy, TrafficStart: p.startTime, Shape: scenario.Shape, Keys: scenario.Keys,
-		FailureLimit: int(settings.Strikes.Or(0)), AvoidFor: scenario.EjectionTime, AttemptTimeout: settings.TryWait.Or(0.8),
+		FailureLimit: int(settings.Strikes.Or(0)), AvoidDuration: scenario.EjectionTime, AttemptTimeoutRatio: settings.TryWait.Or(0.8),
 		ApplyTimePerEntry: scenario.EntryApplyTime, AdmissionIsRate: settings.LevelKind == "rate", ReportPeriod: settings.ReportPeriod.Or(1),
-		RecordDelay: p.sampleInterval > 0, ConnectTimeout: scenario.ConnectTimeout,
-		ClientRetryChance: scenario.ClientRetryShare, ClientRetryBackoff: scenario.ClientRetryDelay, ClientRetryLimit: scenario.ClientRetryMax,
+		RecordScheduleDelay: p.sampleInterval > 0, ConnectTimeout: scenario.ConnectTimeout,
+		ClientRetryProbability: scenario.ClientRetryShare, ClientRetryBackoff: scenario.ClientRetryDelay, ClientRetryLimit: scenario.ClientRetryMax,
 		Seed: fake.DeriveSeed(scenario.Seed, proxy.name) + uint64(proxy.incarnations),
 	})
 }
 
 // newIdempotencyStore makes the store of idempotency keys that backends share. It keeps keys for the longest deduplication window
 // of all methods.
-func (p *player) newIdempotencyStore() *emulator.KeyStore {
-	store := &emulator.KeyStore{Scope: p.scenario.IdempotencyScope}
+func (p *player) newIdempotencyStore() *emulator.IdempotencyKeyStore {
+	store := &emulator.IdempotencyKeyStore{Scope: p.scenario.IdempotencyScope}
 	for _, method := range p.scenario.decodedSettings().Methods {
 		store.Window = max(store.Window, method.Window.Or(0))
 	}
--- a/internal/scenario/read_groups.go
+++ b/internal/scenario/read_groups.go
@@ -28,7 +28,7 @@
 }
 
 // idempotencyScopes are the values of the statement tokens.
-var idempotencyScopes = []namedValue[emulator.KeyScope]{
+var idempotencyScopes = []namedValue[emulator.IdempotencyScope]{
 	{"all", emulator.AllBackends}, {"zone", emulator.PerZone}, {"cell", emulator.PerCell}, {"server", emulator.PerBackend},
 }
 
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -33,13 +33,13 @@
 	ZoneLatency        float64 // latency of the simulated network within a zone
 	CrossZoneLatency   float64 // latency of the simulated network between zones
 
-	MethodMix        []float64         // share of each method in the traffic
-	ClientRetryShare float64           // share of the failed RPCs that clients send again
-	ClientRetryDelay float64           // approximate time before the first retry, doubled with each further one
-	ClientRetryMax   int               // retries per RPC
-	Shape            traffic.Shape     // variation of the request rate over time
-	Keys             *traffic.Zipf     // distribution of the RPCs' keys; nil: RPCs have no keys
-	IdempotencyScope emulator.KeyScope // which backends share their idempotency keys
+	MethodMix        []float64                 // share of each method in the traffic
+	ClientRetryShare float64                   // share of the failed RPCs that clients send again
+	ClientRetryDelay float64                   // approximate time before the first retry, doubled with each further one
+	ClientRetryMax   int                       // retries per RPC
+	Shape            traffic.Shape             // variation of the request rate over time
+	Keys             *traffic.Zipf             // distribution of the RPCs' keys; nil: RPCs have no keys
+	IdempotencyScope emulator.IdempotencyScope // which backends share their idempotency keys
 
 	settingsLines []bootstrap.Line
 }
@@ -109,7 +109,7 @@
 		MessageWindow:         settings.MessagesSpan.Or(10),
 		EndpointStreamTimeout: s.Settings.Number("list-silence"),
 		PollInterval:          settings.AskWithin.Or(10),
-		OnlyDraining:          settings.OnlyDrainingBinds,
+		OnlyDrainingBinds:     settings.OnlyDrainingBinds,
 	}
 	for i, name := range s.Settings.Methods {
 		method := settings.Methods[i]
--- a/internal/scenario/search_test.go
+++ b/internal/scenario/search_test.go
@@ -45,7 +45,7 @@
 // TestFailuresAndMinimizing checks that a failing state machine is reported, and that a minimized script still causes the same
 // violation.
 func TestFailuresAndMinimizing(t *testing.T) {
-	result, err := PlayVirtual(readScript(t, tamperScript), Options{Wrap: func(_ string, m statemachine.Machine) statemachine.Machine { return &failingMachine{inner: m} }})
+	result, err := PlayVirtual(readScript(t, tamperScript), Options{WrapCoordinator: func(_ string, m statemachine.Machine) statemachine.Machine { return &failingMachine{inner: m} }})
 	if err != nil || len(result.Failures) == 0 || !strings.Contains(result.Failures[0], "c0: the module failed") {
 		t.Fatal(err, result.Failures)
 	}
--- a/internal/scenario/step.go
+++ b/internal/scenario/step.go
@@ -12,31 +12,31 @@
 
 // The verbs. docs/days.md describes them.
 const (
-	VerbKill          Verb = "kill"    // processes are killed
-	VerbVanish        Verb = "vanish"  // processes are killed, and the endpoint list service does not learn of it
-	VerbIsolate       Verb = "silence" // machines lose power: their connections are not even reset
-	VerbPause         Verb = "stall"   // processes do not run
-	VerbHang          Verb = "hang"    // backends accept everything and answer nothing
-	VerbFailFast      Verb = "fast"    // backends abort all RPCs at once
-	VerbFailShare     Verb = "part"    // backends abort a share of the RPCs
-	VerbFailMethod    Verb = "method"  // backends abort the RPCs of one method
-	VerbFailFrom      Verb = "from"    // backends abort the RPCs from the proxies of one coordinator
-	VerbSlow          Verb = "slow"    // work or pushes take longer by a factor
-	VerbHeavyTail     Verb = "dear"    // one RPC in ten takes longer by a factor
-	VerbSlowHandshake Verb = "shake"   // new connections are delayed
-	VerbConnections   Verb = "conns"   // the number of connections to a backend is limited
-	VerbPauses        Verb = "pauses"  // backends hang for a short time once a second
-	VerbFlap          Verb = "flap"    // backends go down and up again, periodically
-	VerbDeploy        Verb = "deploy"  // backends are drained and restarted one after another
-	VerbBreak         Verb = "break"   // streams are reset
-	VerbDelay         Verb = "late"    // endpoint updates or streams are delayed
-	VerbStale         Verb = "stale"   // the endpoint list is not updated
-	VerbEmpty         Verb = "empty"   // the endpoint list shows no backend
-	VerbOne           Verb = "one"     // the endpoint list shows only one backend
-	VerbFail          Verb = "fail"    // the endpoint list service answers with errors
-	VerbPartition     Verb = "cut"     // nothing passes on the links of the targets
-	VerbLoseZone      Verb = "lose"    // all backends of a zone are killed
-	VerbLoad          Verb = "load"    // the request rate of proxies changes by a factor
+	VerbKill             Verb = "kill"    // processes are killed
+	VerbVanish           Verb = "vanish"  // processes are killed, and the endpoint list service does not learn of it
+	VerbPowerLoss        Verb = "silence" // machines lose power: their connections are not even reset
+	VerbPause            Verb = "stall"   // processes do not run
+	VerbHang             Verb = "hang"    // backends accept everything and answer nothing
+	VerbFailFast         Verb = "fast"    // backends abort all RPCs at once
+	VerbFailShare        Verb = "part"    // backends abort a share of the RPCs
+	VerbFailMethod       Verb = "method"  // backends abort the RPCs of one method
+	VerbFailFrom         Verb = "from"    // backends abort the RPCs from the proxies of one coordinator
+	VerbSlow             Verb = "slow"    // work or pushes take longer by a factor
+	VerbHeavyTail        Verb = "dear"    // one RPC in ten takes longer by a factor
+	VerbSlowHandshake    Verb = "shake"   // new connections are delayed
+	VerbLimitConnections Verb = "conns"   // the number of connections to a backend is limited
+	VerbRepeatedHangs    Verb = "pauses"  // backends hang for a short time once a second
+	VerbFlap             Verb = "flap"    // backends go down and up again, periodically
+	VerbDeploy           Verb = "deploy"  // backends are drained and restarted one after another
+	VerbResetStreams     Verb = "break"   // streams are reset
+	VerbDelay            Verb = "late"    // endpoint updates or streams are delayed
+	VerbListStale        Verb = "stale"   // the endpoint list is not updated
+	VerbListEmpty        Verb = "empty"   // the endpoint list shows no backend
+	VerbListOne          Verb = "one"     // the endpoint list shows only one backend
+	VerbListFail         Verb = "fail"    // the endpoint list service answers with errors
+	VerbPartition        Verb = "cut"     // nothing passes on the links of the targets
+	VerbLoseZone         Verb = "lose"    // all backends of a zone are killed
+	VerbLoad             Verb = "load"    // the request rate of proxies changes by a factor
 )
 
 // Target is the kind of participant or link that a step affects, as spelled in scripts.
@@ -44,12 +44,12 @@
 
 // The targets.
 const (
-	TargetBackends     Target = "servers"
-	TargetProxies      Target = "frontends"
-	TargetCoordinators Target = "coordinators"
-	TargetList         Target = "list"    // the endpoint list service
-	TargetZone         Target = "zone"    // all of a zone, or its links to others
-	TargetStreams      Target = "streams" // the streams between the selected proxies and coordinators
+	TargetBackends        Target = "servers"
+	TargetProxies         Target = "frontends"
+	TargetCoordinators    Target = "coordinators"
+	TargetEndpointService Target = "list"    // the endpoint list service
+	TargetZone            Target = "zone"    // all of a zone, or its links to others
+	TargetStreams         Target = "streams" // the streams between the selected proxies and coordinators
 )
 
 // FlapMode is how a flapping backend goes down, as spelled in scripts.
@@ -57,13 +57,13 @@
 
 // The flap modes. A step that gives none uses FlapCrash.
 const (
-	FlapCrash    FlapMode = "crash"
-	FlapIsolate  FlapMode = "silence"
-	FlapHang     FlapMode = "hang"
-	FlapFailFast FlapMode = "fast"
+	FlapCrash     FlapMode = "crash"
+	FlapPowerLoss FlapMode = "silence"
+	FlapHang      FlapMode = "hang"
+	FlapFailFast  FlapMode = "fast"
 )
 
-var flapModes = []FlapMode{FlapCrash, FlapIsolate, FlapHang, FlapFailFast}
+var flapModes = []FlapMode{FlapCrash, FlapPowerLoss, FlapHang, FlapFailFast}
 
 // Step is one fault or operation of a scenario.
 type Step struct {
@@ -122,31 +122,31 @@
 }
 
 var verbSpecs = map[Verb]verbSpec{
-	VerbKill:          {targets: []Target{TargetBackends, TargetProxies, TargetCoordinators}, run: (*player).runKill},
-	VerbVanish:        {targets: []Target{TargetBackends}, run: (*player).runKill},
-	VerbIsolate:       {targets: []Target{TargetBackends}, run: (*player).runPowerLoss},
-	VerbPause:         {targets: []Target{TargetProxies, TargetCoordinators}, needsDuration: true, run: (*player).runPause},
-	VerbHang:          {targets: []Target{TargetBackends}, run: (*player).runBackendFault},
-	VerbFailFast:      {targets: []Target{TargetBackends}, run: (*player).runBackendFault},
-	VerbFailShare:     {targets: []Target{TargetBackends}, argument: shareArgument, run: (*player).runBackendFault},
-	VerbFailMethod:    {targets: []Target{TargetBackends}, argument: methodArgument, run: (*player).runBackendFault},
-	VerbFailFrom:      {targets: []Target{TargetBackends}, argument: coordinatorArgument, run: (*player).runBackendFault},
-	VerbSlow:          {targets: []Target{TargetBackends, TargetStreams}, argument: factorArgument, run: (*player).runSlow},
-	VerbHeavyTail:     {targets: []Target{TargetBackends}, argument: factorArgument, run: (*player).runBackendFault},
-	VerbSlowHandshake: {targets: []Target{TargetBackends}, argument: timeArgument, run: (*player).runBackendFault},
-	VerbConnections:   {targets: []Target{TargetBackends}, argument: integerArgument, run: (*player).runBackendFault},
-	VerbPauses:        {targets: []Target{TargetBackends}, argument: timeArgument, needsDuration: true, run: (*player).runPauses},
-	VerbFlap:          {targets: []Target{TargetBackends}, argument: timeArgument, needsDuration: true, run: (*player).runFlap},
-	VerbDeploy:        {targets: []Target{TargetBackends}, run: (*player).runDeploy},
-	VerbBreak:         {targets: []Target{TargetStreams}, run: (*player).runBreak},
-	VerbDelay:         {targets: []Target{TargetList, TargetStreams}, argument: timeArgument, run: (*player).runDelay},
-	VerbStale:         {targets: []Target{TargetList}, needsDuration: true, run: (*player).runListFault},
-	VerbEmpty:         {targets: []Target{TargetList}, needsDuration: true, run: (*player).runListContent},
-	VerbOne:           {targets: []Target{TargetList}, needsDuration: true, run: (*player).runListContent},
-	VerbFail:          {targets: []Target{TargetList}, run: (*player).runListFault},
-	VerbPartition:     {targets: []Target{TargetZone, TargetBackends, TargetList}, run: (*player).runPartition},
-	VerbLoseZone:      {targets: []Target{TargetZone}, run: (*player).runKill},
-	VerbLoad:          {targets: []Target{TargetProxies}, argument: shareArgument, run: (*player).runLoad},
+	VerbKill:             {targets: []Target{TargetBackends, TargetProxies, TargetCoordinators}, run: (*player).runKill},
+	VerbVanish:           {targets: []Target{TargetBackends}, run: (*player).runKill},
+	VerbPowerLoss:        {targets: []Target{TargetBackends}, run: (*player).runPowerLoss},
+	VerbPause:            {targets: []Target{TargetProxies, TargetCoordinators}, needsDuration: true, run: (*player).runPause},
+	VerbHang:             {targets: []Target{TargetBackends}, run: (*player).runBackendFault},
+	VerbFailFast:         {targets: []Target{TargetBackends}, run: (*player).runBackendFault},
+	VerbFailShare:        {targets: []Target{TargetBackends}, argument: shareArgument, run: (*player).runBackendFault},
+	VerbFailMethod:       {targets: []Target{TargetBackends}, argument: methodArgument, run: (*player).runBackendFault},
+	VerbFailFrom:         {targets: []Target{TargetBackends}, argument: coordinatorArgument, run: (*player).runBackendFault},
+	VerbSlow:             {targets: []Target{TargetBackends, TargetStreams}, argument: factorArgument, run: (*player).runSlow},
+	VerbHeavyTail:        {targets: []Target{TargetBackends}, argument: factorArgument, run: (*player).runBackendFault},
+	VerbSlowHandshake:    {targets: []Target{TargetBackends}, argument: timeArgument, run: (*player).runBackendFault},
+	VerbLimitConnections: {targets: []Target{TargetBackends}, argument: integerArgument, run: (*player).runBackendFault},
+	VerbRepeatedHangs:    {targets: []Target{TargetBackends}, argument: timeArgument, needsDuration: true, run: (*player).runPauses},
+	VerbFlap:             {targets: []Target{TargetBackends}, argument: timeArgument, needsDuration: true, run: (*player).runFlap},
+	VerbDeploy:           {targets: []Target{TargetBackends}, run: (*player).runDeploy},
+	VerbResetStreams:     {targets: []Target{TargetStreams}, run: (*player).runBreak},
+	VerbDelay:            {targets: []Target{TargetEndpointService, TargetStreams}, argument: timeArgument, run: (*player).runDelay},
+	VerbListStale:        {targets: []Target{TargetEndpointService}, needsDuration: true, run: (*player).runListFault},
+	VerbListEmpty:        {targets: []Target{TargetEndpointService}, needsDuration: true, run: (*player).runListContent},
+	VerbListOne:          {targets: []Target{TargetEndpointService}, needsDuration: true, run: (*player).runListContent},
+	VerbListFail:         {targets: []Target{TargetEndpointService}, run: (*player).runListFault},
+	VerbPartition:        {targets: []Target{TargetZone, TargetBackends, TargetEndpointService}, run: (*player).runPartition},
+	VerbLoseZone:         {targets: []Target{TargetZone}, run: (*player).runKill},
+	VerbLoad:             {targets: []Target{TargetProxies}, argument: shareArgument, run: (*player).runLoad},
 }
 
 // Verbs returns the spellings of all verbs in alphabetical order, for messages and documentation.
--- a/internal/scenario/virtual.go
+++ b/internal/scenario/virtual.go
@@ -41,8 +41,8 @@
 type Options struct {
 	// Log, if set, is called with each log entry of a participant.
 	Log func(now statemachine.Seconds, node string, entry statemachine.LogEntry)
-	// Wrap, if set, returns the state machine that runs in place of a coordinator's, such as one with a deliberate fault.
-	Wrap func(name string, coordinator statemachine.Machine) statemachine.Machine
+	// WrapCoordinator, if set, returns the state machine that runs in place of a coordinator's, such as one with a deliberate fault.
+	WrapCoordinator func(name string, coordinator statemachine.Machine) statemachine.Machine
 	// Overrides are values that coordinators get in place of those in the settings.
 	Overrides   map[string]any
 	Tables      TableSource
@@ -119,8 +119,8 @@
 	if r.options.Tables == FrozenTables {
 		machine = r.freezer.Wrap(machine)
 	}
-	if r.options.Wrap != nil {
-		machine = r.options.Wrap(target.name, machine)
+	if r.options.WrapCoordinator != nil {
+		machine = r.options.WrapCoordinator(target.name, machine)
 	}
 	return machine
 }
