--- a/choice/admission_test.go
+++ b/choice/admission_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// The settings may limit a method's retries below what its effect permits, and never raise them.
-func TestRetryPolicyHeldBySettings(t *testing.T) {
-	for most, want := range map[string][]RetryPolicy{
+// The settings may limit a method's retries below what its effect permits, but never raise them above that.
+func TestSettingsLimitRetryPolicy(t *testing.T) {
+	for retryLimit, want := range map[string][]RetryPolicy{
 		"":       {RetryIfUnprocessed, RetryIfUnprocessed, RetryOnce},
 		"free":   {RetryIfUnprocessed, RetryIfUnprocessed, RetryOnce},
 		"proven": {RetryIfUnprocessed, RetryIfUnprocessed, RetryIfUnprocessed},
 		"once":   {RetryNever, RetryIfUnprocessed, RetryNever},
 	} {
-		t.Run(most, func(t *testing.T) {
-			planner := New(testConfig(map[string]any{"method.0.most_tries": most, "method.2.most_tries": most}))
+		t.Run(retryLimit, func(t *testing.T) {
+			planner := New(testConfig(map[string]any{"method.0.most_tries": retryLimit, "method.2.most_tries": retryLimit}))
 			if got := planner.admission.normalRetry; !slices.Equal(got, want) {
 				t.Errorf("retry policies %v, %v wanted", got, want)
 			}
@@ -22,7 +22,8 @@
 	}
 }
 
-// Failures of most backends together are an overload: none is ejected, and less is admitted, least of the lowest criticality.
+// If most backends fail requests at the same time, the fleet is overloaded: no backend is ejected, and a smaller share of the
+// requests is admitted, the smallest for the methods of the lowest criticality.
 func TestOverloadShedsLoadAndEjectsNoBackend(t *testing.T) {
 	fleet := startedFleet(t, nil, 8, 4)
 	failing := map[BackendID]float64{}
@@ -49,7 +50,8 @@
 	}
 }
 
-// Half of the backends failing beside quick answers of the rest is no overload: no load is shed for it.
+// If half of the backends fail requests while the others respond with low latency, the fleet is not overloaded, and no load is
+// shed.
 func TestFailingGroupIsNoOverload(t *testing.T) {
 	fleet := startedFleet(t, nil, 8, 4)
 	failing := map[BackendID]float64{backendID(0): 0.7, backendID(1): 0.7, backendID(2): 0.7, backendID(3): 0.7}
@@ -61,23 +63,25 @@
 	}
 }
 
-// Streams that break mean a cut or a crash before any report shows it: the fleet is not calm then.
-func TestBrokenStreamsEndCalm(t *testing.T) {
+// A stream that ends is a sign of a network failure or a crash that no report shows yet: an overload no longer counts as
+// unlikely then.
+func TestLostStreamClearsOverloadUnlikely(t *testing.T) {
 	fleet := startedFleet(t, nil, 8, 2)
 	for range 12 {
 		fleet.reportSecond(8, 0.1, nil, nil)
 	}
-	calm := fleet.planner.admission.overloadUnlikely
+	before := fleet.planner.admission.overloadUnlikely
 	fleet.step(0.1, ProxyLeft{1})
 	fleet.reportSecond(8, 0.1, nil, nil)
-	if !calm || fleet.planner.admission.overloadUnlikely {
-		t.Fatalf("calm before %v, after %v", calm, fleet.planner.admission.overloadUnlikely)
+	if !before || fleet.planner.admission.overloadUnlikely {
+		t.Fatalf("overload unlikely before the stream ended: %v, after: %v", before, fleet.planner.admission.overloadUnlikely)
 	}
 }
 
-// Reports that come after the endpoint list emptied must not count as an unbounded rate: it let in all cold backends, ejected
-// without bound and shed no load, for good. A search over random days found this.
-func TestEmptiedListKeepsTheBestAnswerRate(t *testing.T) {
+// Reports that arrive after the endpoint list became empty must not raise the peak success rate without bound. When they did,
+// the planner permanently let in all cold backends, ejected backends without limit and shed no load. A search over random
+// scenarios found this.
+func TestEmptyListKeepsPeakSuccessRate(t *testing.T) {
 	fleet, reports := usualLoadFleet(t)
 	before := fleet.planner.admission.peakSuccessRatePerWeight
 	fleet.step(0.1, EndpointUpdate{Kind: UpdateFull})
@@ -85,11 +89,12 @@
 		fleet.step(0.5, reports...)
 	}
 	if after := fleet.planner.admission.peakSuccessRatePerWeight; before <= 0 || after > 2*before {
-		t.Fatalf("the best rate of answers went from %v to %v", before, after)
+		t.Fatalf("the peak success rate went from %v to %v", before, after)
 	}
 }
 
-// usualLoadFleet returns eight warm backends, which have answered for a while at their usual rate, and the reports of a second.
+// usualLoadFleet returns a fleet with eight warm backends and four proxies after 15 seconds under its usual load, and the reports
+// of one of these seconds.
 func usualLoadFleet(t *testing.T) (fleet *fleetModel, reports []Event) {
 	t.Helper()
 	fleet = newFleetModel(t, map[string]any{"probes": false, "listing": "pushed", "proxies": 4.0})
--- a/choice/backends_test.go
+++ b/choice/backends_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Deploys under new ids and proxies that join and leave for a long time must not make steps more expensive: slots are released
-// and used again.
+// Deployments that give backends new ids, and proxies that join and leave under new ids, must not make steps more expensive over
+// time: the slots of backends and proxies that are gone are released and reused.
 func TestSlotsAreReleased(t *testing.T) {
 	for name, test := range map[string]struct {
 		deploys    int
@@ -15,39 +15,39 @@
 		t.Run(name, func(t *testing.T) {
 			fleet := newChangingFleet(t, test.checkRules)
 			fleet.step(BackendRetention)
-			before := fleet.idleStepAllocations()
-			mostBackends, mostProxies := 0, 0
+			allocationsBefore := fleet.idleStepAllocations()
+			maxBackends, maxProxies := 0, 0
 			for range test.deploys {
 				fleet.deploy()
-				mostBackends = max(mostBackends, len(fleet.planner.id))
-				mostProxies = max(mostProxies, len(fleet.planner.proxies))
+				maxBackends = max(maxBackends, len(fleet.planner.id))
+				maxProxies = max(maxProxies, len(fleet.planner.proxies))
 			}
 			for range 10 {
 				fleet.step(BackendRetention / 3)
 			}
-			if mostBackends > 4*changingBackends || mostProxies > changingProxies+5*40 {
-				t.Fatalf("slots of %d backends and %d proxies are kept", mostBackends, mostProxies)
+			if maxBackends > 4*changingBackends || maxProxies > changingProxies+5*40 {
+				t.Fatalf("up to %d slots of backends and %d of proxies are kept", maxBackends, maxProxies)
 			}
 			if known, proxies := len(fleet.planner.indexOf), len(fleet.planner.proxies); known > changingBackends || proxies > changingProxies {
-				t.Fatalf("slots of %d backends and %d proxies are kept in the end", known, proxies)
+				t.Fatalf("%d slots of backends and %d of proxies are kept in the end", known, proxies)
 			}
-			if after := fleet.idleStepAllocations(); after > 2*before+10 {
-				t.Fatalf("an idle step takes %v allocations, %v before", after, before)
+			if after := fleet.idleStepAllocations(); after > 2*allocationsBefore+10 {
+				t.Fatalf("an idle step takes %v allocations, %v before the deployments", after, allocationsBefore)
 			}
 		})
 	}
 }
 
-// The size of a changingFleet.
+// The numbers of backends and proxies of a changingFleet.
 const (
 	changingBackends = 20
 	changingProxies  = 5
 )
 
-// changingFleet is a fleet whose backends and proxies are replaced by others under new ids.
+// changingFleet is a fleet whose backends and proxies are replaced over time by others with new ids.
 type changingFleet struct {
 	*fleetModel
-	checkRules  bool // else the planner's commands are dropped
+	checkRules  bool // if false, the planner's commands are dropped and no rule is checked
 	backends    []BackendID
 	nextBackend BackendID
 	nextProxy   ProxyID
@@ -72,7 +72,7 @@
 	return fleet
 }
 
-// step takes a step and, where the rules are checked, acknowledges the newest push of each proxy.
+// step calls the planner for one step. If the rules are checked, it first acknowledges the newest push to each proxy.
 func (f *changingFleet) step(after Seconds, events ...Event) {
 	f.t.Helper()
 	if !f.checkRules {
@@ -88,7 +88,7 @@
 	f.fleetModel.step(after, events...)
 }
 
-// deploy replaces the oldest backend and all proxies.
+// deploy replaces the oldest backend, then each proxy, half a second apart.
 func (f *changingFleet) deploy() {
 	f.t.Helper()
 	f.step(30, deltaUpdate(
@@ -103,7 +103,7 @@
 	}
 }
 
-// idleStepAllocations returns the allocations of a step in which only time passes.
+// idleStepAllocations returns the mean number of allocations of a step in which only time passes.
 func (f *changingFleet) idleStepAllocations() float64 {
 	return testing.AllocsPerRun(20, func() {
 		f.now += tickInterval
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Endpoint lists of unusual sizes: empty, with one backend, doubled at once, in one zone with one proxy.
+// With one zone and one proxy, the endpoint list is empty, has one backend, is doubled at once or shrinks to one. Whenever it has a
+// backend, the proxy's table has a usable entry.
 func TestUnusualSizes(t *testing.T) {
 	fleet := newFleetModel(t, map[string]any{"zones.n": 1.0})
 	fleet.step(0, EndpointUpdate{Kind: UpdateFull})
@@ -20,24 +21,25 @@
 	}
 }
 
-// A fleet of ten times the usual size: all proxies are bound in one step, and each backend stays in enough arcs after a drain.
+// In a fleet of ten times the usual size, all proxies are bound to a table in one step, and each other backend is in at least
+// minArcsPerBackend arcs after one backend began to drain.
 func TestTenfoldSize(t *testing.T) {
 	const proxies = 2700
 	planner := New(testConfig(map[string]any{"channel_room": 1e9}))
 	planner.Step(100, []Event{fullUpdate(3500, 0)})
 	if bound := countCommands[BindTable](planner.Step(101, joinEvents(proxies))); bound != proxies {
-		t.Fatalf("%d of %d proxies were bound", bound, proxies)
+		t.Fatalf("%d of %d proxies were bound to a table", bound, proxies)
 	}
 	planner.Step(102, []Event{stateUpdate(0, BackendDraining)})
 	for i, arcs := range planner.arcCount {
 		if planner.state[i] == BackendOpen && arcs < minArcsPerBackend {
-			t.Fatalf("backend %d is in %d arcs", planner.id[i], arcs)
+			t.Fatalf("backend %d is in %d arcs, at least %d wanted", planner.id[i], arcs, minArcsPerBackend)
 		}
 	}
 }
 
-// Where slices are set the planner sends no tables.
-func TestSlicesStayAsStored(t *testing.T) {
+// If the settings have slices, the planner sends no tables.
+func TestNoTablesWithSlices(t *testing.T) {
 	fleet := newFleetModel(t, map[string]any{"slices": 8.0})
 	fleet.step(0, fullUpdate(4, 0))
 	commands := fleet.step(1, ProxyJoined{0, "a", 1, true}, SliceOwnership{0, true}, StoredSliceEntry{0, backendID(0), 1})
