--- a/choice/admission_test.go
+++ b/choice/admission_test.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// usualLoadFleet returns a fleet with eight warm backends and four proxies after 15 seconds under its usual load, and the reports
-// of one of these seconds.
+// usualLoadFleet returns a fleet with eight warm backends and four proxies after 15 seconds under its usual load, and the
+// reports of one of these seconds.
 func usualLoadFleet(t *testing.T) (fleet *fleetModel, reports []Event) {
 	t.Helper()
 	fleet = newFleetModel(t, map[string]any{"probes": false, "listing": "pushed", "proxies": 4.0})
--- a/choice/arcs_test.go
+++ b/choice/arcs_test.go
@@ -61,9 +61,9 @@
 	}
 }
 
-// A network failure between zones leaves a coordinator with the proxies of one zone. The proxies that left still send requests to
-// their own zone, so the backends of that zone must not look idle. Otherwise half of the remaining load would be sent across the
-// failed connection.
+// A network failure between zones leaves a coordinator with the proxies of one zone. The proxies that left still send requests
+// to their own zone, so the backends of that zone must not look idle. Otherwise half of the remaining load would be sent
+// across the failed connection.
 func TestProxiesThatLeftLoadTheirZone(t *testing.T) {
 	fleet := startedFleet(t, map[string]any{"proxies": 24.0}, 12, 12)
 	for range 12 {
@@ -111,8 +111,8 @@
 	return crossZone, all
 }
 
-// When all proxies of a large fleet join at once, the planner must not reassign all arcs so often that no time is left for other
-// work, and yet each proxy must get its table within a tick interval.
+// When all proxies of a large fleet join at once, the planner must not reassign all arcs so often that no time is left for
+// other work, and yet each proxy must get its table within a tick interval.
 func TestStormOfJoinsLeavesTime(t *testing.T) {
 	const (
 		proxies        = 2600
@@ -178,8 +178,8 @@
 	}
 }
 
-// Each backend is in at least minArcsPerBackend arcs even if one proxy has most of the usage, so that the arcs of the others are
-// short.
+// Each backend is in at least minArcsPerBackend arcs even if one proxy has most of the usage, so that the arcs of the others
+// are short.
 func TestUnevenUsageLeavesNoBackendOut(t *testing.T) {
 	fleet := newFleetModel(t, nil)
 	fleet.step(0, fullUpdate(60, 0))
@@ -211,8 +211,8 @@
 	}
 }
 
-// A proxy that joins, leaves and joins again between two assignments of all arcs has a table on its newest stream, and its usage
-// is counted once.
+// A proxy that joins, leaves and joins again between two assignments of all arcs has a table on its newest stream, and its
+// usage is counted once.
 func TestRejoinBetweenAssignments(t *testing.T) {
 	fleet := startedFleet(t, map[string]any{"proxies": 60.0}, 8, 40)
 	fleet.acknowledgeAll()
--- a/choice/backends_test.go
+++ b/choice/backends_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Deployments that give backends new ids, and proxies that join and leave under new ids, must not make steps more expensive over
-// time: the slots of backends and proxies that are gone are released and reused.
+// Deployments that give backends new ids, and proxies that join and leave under new ids, must not make steps more expensive
+// over time: the slots of backends and proxies that are gone are released and reused.
 func TestSlotsAreReleased(t *testing.T) {
 	for name, test := range map[string]struct {
 		deploys    int
--- a/choice/bench_test.go
+++ b/choice/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkGrowth measures how the durations of an assignment of all arcs and of a step without events grow with the size of the
-// fleet. The results are in docs/design.md.
+// BenchmarkGrowth measures how the durations of an assignment of all arcs and of a step without events grow with the size of
+// the fleet. The results are in docs/design.md.
 func BenchmarkGrowth(b *testing.B) {
 	for _, size := range []struct{ backends, proxies int }{{100, 100}, {350, 270}, {600, 770}} {
 		planner, now := loadedPlanner(size.backends, size.proxies)
@@ -24,8 +24,8 @@
 	}
 }
 
-// loadedPlanner returns a planner that has received attempt reports on all backends and acknowledgements from all proxies for ten
-// seconds, and the time of its last step.
+// loadedPlanner returns a planner that has received attempt reports on all backends and acknowledgements from all proxies for
+// ten seconds, and the time of its last step.
 func loadedPlanner(backends, proxies int) (planner *Planner, now Seconds) {
 	planner, now = New(testConfig(nil)), startTime
 	planner.Step(now, []Event{fullUpdate(backends, 0)})
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// With one zone and one proxy, the endpoint list is empty, has one backend, is doubled at once or shrinks to one. Whenever it has a
-// backend, the proxy's table has a usable entry.
+// With one zone and one proxy, the endpoint list is empty, has one backend, is doubled at once or shrinks to one. Whenever it
+// has a backend, the proxy's table has a usable entry.
 func TestUnusualSizes(t *testing.T) {
 	fleet := newFleetModel(t, map[string]any{"zones.n": 1.0})
 	fleet.step(0, EndpointUpdate{Kind: UpdateFull})
--- a/choice/ejection_test.go
+++ b/choice/ejection_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// A backend that fails intermittently is ejected for longer each time: a short time without failures does not reset its count of
-// ejections, only a longer one does.
+// A backend that fails intermittently is ejected for longer each time: a short time without failures does not reset its count
+// of ejections, only a longer one does.
 func TestOnlyALongSuccessResetsEjections(t *testing.T) {
 	fleet := newFleetModel(t, nil)
 	fleet.step(0, fullUpdate(8, 0))
--- a/choice/exclusion_test.go
+++ b/choice/exclusion_test.go
@@ -33,14 +33,16 @@
 			t.Fatalf("the exclusion of backend %d is not held back: %v", backendID(number), commands)
 		}
 	}
-	// The first exclusion has now waited for more than the hold time, half of what the push times leave of the drain grace of 2 s.
+	// The first exclusion has now waited for more than the hold time, half of what the push times leave of the drain grace of
+	// 2 s.
 	commands := fleet.step(0.5)
 	if excluded := countCommands[SetExclusion](commands); excluded != 3 {
 		t.Fatalf("%d exclusions are sent together, 3 wanted", excluded)
 	}
 }
 
-// Proxies that join in the same step in which a backend begins to drain get tables without it, and the exclusion is sent at once.
+// Proxies that join in the same step in which a backend begins to drain get tables without it, and the exclusion is sent at
+// once.
 func TestJoinsAndADrainInOneStep(t *testing.T) {
 	fleet := startedFleet(t, map[string]any{"proxies": 60.0}, 8, 40)
 	fleet.acknowledgeAll()
@@ -60,8 +62,8 @@
 	}
 }
 
-// A backend drains while hundreds of proxies wait for room in the channel for their first table. The exclusion is sent before those
-// tables, the channel stays within its limit, and all proxies have a table in the end.
+// A backend drains while hundreds of proxies wait for room in the channel for their first table. The exclusion is sent before
+// those tables, the channel stays within its limit, and all proxies have a table in the end.
 func TestExclusionWhileProxiesWaitForTables(t *testing.T) {
 	const proxies = 900
 	fleet := newFleetModel(t, map[string]any{
@@ -90,7 +92,8 @@
 	}
 }
 
-// Without room in the channel the planner sends neither tables nor lists of exclusions. Once there is room, all proxies get tables.
+// Without room in the channel the planner sends neither tables nor lists of exclusions. Once there is room, all proxies get
+// tables.
 func TestJoinsWithoutRoomInTheChannel(t *testing.T) {
 	fleet := newFleetModel(t, map[string]any{"proxies": 60.0, "channel_room": 800.0, "messages": 0.0})
 	fleet.step(0, fullUpdate(40, 0))
@@ -110,8 +113,8 @@
 	}
 }
 
-// First tables use only a small part of the channel's room, so that the queue stays short when many proxies join at once. A proxy
-// that waits for more than a part of the drain grace gets its table as soon as an ordinary push would have room.
+// First tables use only a small part of the channel's room, so that the queue stays short when many proxies join at once. A
+// proxy that waits for more than a part of the drain grace gets its table as soon as an ordinary push would have room.
 func TestLateFirstTablesUseMoreRoom(t *testing.T) {
 	fleet := newFleetModel(t, map[string]any{"proxies": 60.0, "channel_room": 1000.0, "messages": 0.0})
 	fleet.step(0, fullUpdate(40, 0))
@@ -131,8 +134,8 @@
 	}
 }
 
-// If all backends are excluded, a proxy that joins gets no table. It is notified of all exclusions at once if the channel has room,
-// and then of each further one.
+// If all backends are excluded, a proxy that joins gets no table. It is notified of all exclusions at once if the channel has
+// room, and then of each further one.
 func TestExclusionsWhereThereIsNoTable(t *testing.T) {
 	for queuedLines, hasRoom := range map[int]bool{0: true, 950: false} {
 		fleet := newFleetModel(t, map[string]any{"proxies": 60.0, "channel_room": 1000.0, "messages": 0.0})
--- a/choice/fleet_model_commands_test.go
+++ b/choice/fleet_model_commands_test.go
@@ -1,6 +1,7 @@
 package choice
 
-// messageOverheadLines is the number of lines that a message adds to those of its content: message_lines of testSettings, and the nonce.
+// messageOverheadLines is the number of lines that a message adds to those of its content: message_lines of testSettings, and
+// the nonce.
 const messageOverheadLines = 11
 
 // The bits of two methods of testSettings in the Methods field of a command.
@@ -59,8 +60,8 @@
 	m.stepLines += 1 + len(m.tables[command.Table])
 }
 
-// setExclusion applies an exclusion or its withdrawal. It counts a line for each proxy whose table has the backend; an exclusion
-// also costs a line for each proxy without a table that was informed of the earlier ones.
+// setExclusion applies an exclusion or its withdrawal. It counts a line for each proxy whose table has the backend; an
+// exclusion also costs a line for each proxy without a table that was informed of the earlier ones.
 func (m *fleetModel) setExclusion(command SetExclusion) {
 	m.excluded[command.Backend] = command.Excluded
 	for table, entries := range m.tables {
--- a/choice/fleet_model_rules_test.go
+++ b/choice/fleet_model_rules_test.go
@@ -6,8 +6,8 @@
 	maxExclusionDelay = 1.3 // seconds for which an exclusion may be due before it is sent
 	messageLimit      = 20  // messages that a proxy may get within messageSpan, as in testSettings
 	messageSpan       = 10  // seconds
-	// lateAckShare is the share of the acknowledgement timeout after which the model accepts that a push is sent again. It is less
-	// than 1 because the mean acknowledgement time, on which the timeout depends, changes within a step.
+	// lateAckShare is the share of the acknowledgement timeout after which the model accepts that a push is sent again. It is
+	// less than 1 because the mean acknowledgement time, on which the timeout depends, changes within a step.
 	lateAckShare = 0.7
 )
 
@@ -112,8 +112,8 @@
 	}
 }
 
-// checkRetryPolicy checks that a retry policy suits the methods that it is for: requests of a non-idempotent method may be retried
-// only if they were not processed, and those of a tokened method at most once.
+// checkRetryPolicy checks that a retry policy suits the methods that it is for: requests of a non-idempotent method may be
+// retried only if they were not processed, and those of a tokened method at most once.
 func (m *fleetModel) checkRetryPolicy(command SetAdmission) {
 	m.t.Helper()
 	unsafeRetry := command.Methods&nonIdempotentMethod != 0 && command.Retry > RetryIfUnprocessed
@@ -164,8 +164,8 @@
 	}
 }
 
-// sentUrgentCommand reports whether the last step has a command that does not wait for acknowledgements: an exclusion, or a table
-// entry of a cold backend.
+// sentUrgentCommand reports whether the last step has a command that does not wait for acknowledgements: an exclusion, or a
+// table entry of a cold backend.
 func (m *fleetModel) sentUrgentCommand() bool {
 	for _, command := range m.commands {
 		switch command := command.(type) {
--- a/choice/fleet_model_test.go
+++ b/choice/fleet_model_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// fleetModel is a model of the proxies. It applies the planner's commands to the state of the proxies and checks the rules after
-// each step.
+// fleetModel is a model of the proxies. It applies the planner's commands to the state of the proxies and checks the rules
+// after each step.
 type fleetModel struct {
 	t            *testing.T
 	planner      *Planner
@@ -189,8 +189,8 @@
 	return restarted
 }
 
-// reportSecond reports a second in which the backends responded with the given latency. At the backends in failing, that share of
-// the attempts failed. There are no reports on silent backends.
+// reportSecond reports a second in which the backends responded with the given latency. At the backends in failing, that share
+// of the attempts failed. There are no reports on silent backends.
 func (m *fleetModel) reportSecond(backends int, latency Seconds, failing map[BackendID]float64, silent map[BackendID]bool) {
 	m.t.Helper()
 	const attempts = 6
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// FuzzRules feeds random events to a model, which checks the rules after each step. It also checks that the same events give the
-// same commands.
+// FuzzRules feeds random events to a model, which checks the rules after each step. It also checks that the same events give
+// the same commands.
 func FuzzRules(f *testing.F) {
 	for seed := range int64(12) {
 		f.Add(seed)
--- a/choice/push_test.go
+++ b/choice/push_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// If an acknowledgement is still missing some time after the push must have left the channel, the whole table is sent again. It is
-// not sent again earlier, because the push may wait in a slow channel.
+// If an acknowledgement is still missing some time after the push must have left the channel, the whole table is sent again.
+// It is not sent again earlier, because the push may wait in a slow channel.
 func TestMissingAcknowledgementBringsTheWholeTable(t *testing.T) {
 	fleet := newFleetModel(t, nil)
 	fleet.step(0, fullUpdate(8, 0))
@@ -78,8 +78,8 @@
 	}
 }
 
-// Some endpoint lists lower the weight of a cold backend once it gets requests. This is not a restart, and its push can wait: an
-// urgent push for each such update would exceed the message limit.
+// Some endpoint lists lower the weight of a cold backend once it gets requests. This is not a restart, and its push can wait:
+// an urgent push for each such update would exceed the message limit.
 func TestLowerWeightOfAColdBackendCanWait(t *testing.T) {
 	fleet := startedFleet(t, map[string]any{"messages": 16.0, "level_kind": "none"}, 8, 4)
 	endpoint := fleet.restartFirst()
--- a/choice/settings_test.go
+++ b/choice/settings_test.go
@@ -45,7 +45,8 @@
 	"Zones":             "zones",
 }
 
-// methodSettingNames has, by the name of each field of MethodSettings, its name in the flat form after the prefix of the method.
+// methodSettingNames has, by the name of each field of MethodSettings, its name in the flat form after the prefix of the
+// method.
 var methodSettingNames = map[string]string{
 	"Name":         "name",
 	"Effect":       "effect",
@@ -86,8 +87,8 @@
 	}
 }
 
-// checkNamesMatchFields checks that each exported field of a struct type is among the names or the exceptions, and that each name
-// is that of a field.
+// checkNamesMatchFields checks that each exported field of a struct type is among the names or the exceptions, and that each
+// name is that of a field.
 func checkNamesMatchFields(t *testing.T, settings reflect.Type, names map[string]string, exceptions ...string) {
 	t.Helper()
 	fields := map[string]bool{}
--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// If table entries get few requests, a cold backend is used at once, so that a deployment does not overload the remaining backends.
-// It is not used if the reports show that proxies avoid many backends after failures, because requests then move to it in any
-// case.
+// If table entries get few requests, a cold backend is used at once, so that a deployment does not overload the remaining
+// backends. It is not used if the reports show that proxies avoid many backends after failures, because requests then move to
+// it in any case.
 func TestColdBackendIsUsedWhereNoRequestsMove(t *testing.T) {
 	for name, test := range map[string]struct {
 		failing float64
@@ -58,11 +58,11 @@
 	}
 }
 
-// A cold backend that is first listed as such during a detected overload, between two evaluations of the load, must not get into
-// the arcs because of the result of an evaluation from before the overload.
+// A cold backend that is first listed as such during a detected overload, between two evaluations of the load, must not get
+// into the arcs because of the result of an evaluation from before the overload.
 func TestColdBackendListedInAnOverloadStaysOut(t *testing.T) {
-	// With this many failures before proxies avoid a backend, the low rate of an entry would let the backend in, if there were no
-	// overload.
+	// With this many failures before proxies avoid a backend, the low rate of an entry would let the backend in, if there were
+	// no overload.
 	fleet := startedFleet(t, map[string]any{"strikes": 50.0}, 8, 6)
 	for range 8 {
 		fleet.reportSecond(8, 1.5, nil, nil)
@@ -74,8 +74,9 @@
 	}
 }
 
-// A backend that was unreachable returns with slow start, but according to the endpoint list it is warm. If it is the only one, it
-// must not be excluded, because its proxies would have no backend. A search over random scenarios found this (seed 110727).
+// A backend that was unreachable returns with slow start, but according to the endpoint list it is warm. If it is the only
+// one, it must not be excluded, because its proxies would have no backend. A search over random scenarios found this (seed
+// 110727).
 func TestSoleBackendReachableAgainStays(t *testing.T) {
 	fleet, _ := usualLoadFleet(t)
 	fleet.planner.returnedAt[0] = fleet.now
@@ -88,9 +89,9 @@
 	}
 }
 
-// The endpoint list shrinks to one cold backend: the backend is excluded as long as the load would make it collapse, and restored
-// once it is warm. With a warm backend beside it, with little usage, or with a whole fleet of cold backends, none is excluded. A
-// search over random scenarios found this.
+// The endpoint list shrinks to one cold backend: the backend is excluded as long as the load would make it collapse, and
+// restored once it is warm. With a warm backend beside it, with little usage, or with a whole fleet of cold backends, none is
+// excluded. A search over random scenarios found this.
 func TestSoleColdBackendIsExcluded(t *testing.T) {
 	for name, test := range map[string]struct {
 		cold     int     // number of cold backends in the list
@@ -139,9 +140,9 @@
 	return update
 }
 
-// If all backends of a zone return cold, they must not get the load above their share that arcs otherwise keep in their zone: the
-// proxies of that zone would bring each cold backend up to 1.5 times its share. Found on an emulated fleet (incident 01), where
-// rule 4 was broken.
+// If all backends of a zone return cold, they must not get the load above their share that arcs otherwise keep in their zone:
+// the proxies of that zone would bring each cold backend up to 1.5 times its share. Found on an emulated fleet (incident 01),
+// where rule 4 was broken.
 func TestColdZoneTakesItsShareOnly(t *testing.T) {
 	fleet := newFleetModel(t, map[string]any{
 		"probes": false, "listing": "pushed", "proxies": 120.0, "channel_room": 1e6, "price.crossing": 0.12,
@@ -177,8 +178,8 @@
 	}
 }
 
-// In an overload cold backends stay in use if each proxy sends a backend too few requests to avoid it after failures. They are not
-// used if proxies avoid backends, or if the load would make cold ones collapse.
+// In an overload cold backends stay in use if each proxy sends a backend too few requests to avoid it after failures. They are
+// not used if proxies avoid backends, or if the load would make cold ones collapse.
 func TestColdBackendsInAnOverload(t *testing.T) {
 	for name, test := range map[string]struct {
 		proxies            int
--- a/internal/bench/host/host.go
+++ b/internal/bench/host/host.go
@@ -1,5 +1,5 @@
-// Package host runs instances of the decision module for the simulator: it distributes the events of each batch to them and
-// gathers their commands. The instances share nothing but the process.
+// Package host runs instances of the decision module for the simulator. It distributes the events of each batch to the
+// instances and collects their commands. The instances share no state, only the process.
 package host
 
 import (
@@ -13,12 +13,12 @@
 )
 
 const (
-	// maxLists is how many endpoint lists may be defined at once; the simulator reuses their numbers.
+	// maxLists is the limit on the endpoint lists that are defined at once. The simulator reuses their numbers.
 	maxLists   = 16
-	bufferSize = 1 << 20
+	bufferSize = 1 << 20 // bytes
 )
 
-// What can be wrong with an event beside its encoding.
+// Problems of fields that are well-formed.
 var (
 	errOutOfRange      = errors.New("is out of range")
 	errUndefinedList   = errors.New("names an undefined list")
@@ -26,21 +26,23 @@
 	errUnknownMethod   = errors.New("names an unknown method")
 )
 
-// Host holds the running instances and the endpoint lists that were defined.
+// Host holds the running instances and the defined endpoint lists.
 type Host struct {
-	instances map[string]*instance
+	instances map[string]*instance // by coordinator name
 	lists     [maxLists]endpointList
 }
 
+// endpointList holds the endpoint list of one number, if one is defined.
 type endpointList struct {
 	endpoints []choice.Endpoint
 	defined   bool
 }
 
-// New makes a host without instances.
+// New returns a host without instances.
 func New() *Host { return &Host{instances: map[string]*instance{}} }
 
-// Run answers each line of in with one line on out until in ends.
+// Run processes a batch for each line of in, and writes its reply to out as one line, until in ends. It returns the first
+// error.
 func Run(in io.Reader, out io.Writer) error {
 	host := New()
 	reader := bufio.NewReaderSize(in, bufferSize)
@@ -59,6 +61,7 @@
 	}
 }
 
+// respond processes one batch, and writes and flushes its reply.
 func (h *Host) respond(line []byte, writer *bufio.Writer) error {
 	reply, err := h.Answer(line)
 	if err != nil {
@@ -70,20 +73,20 @@
 	return writer.Flush()
 }
 
-// Answer takes one batch and returns its reply.
+// Answer processes one batch and returns its reply, a line.
 func (h *Host) Answer(line []byte) ([]byte, error) {
 	batch, err := wire.Decode(line)
 	if err != nil {
 		return nil, err
 	}
-	var order []string // of the instances that have events, by the first of these
+	var order []string // names of the instances that have events, in the order of their first ones
 	for i, event := range batch.Events {
-		queuedAt, err := h.distribute(batch.Now, event)
+		newInBatch, err := h.distribute(batch.Now, event)
 		if err != nil {
 			return nil, fmt.Errorf("event %d: %w", i, err)
 		}
-		if queuedAt != "" {
-			order = append(order, queuedAt)
+		if newInBatch != "" {
+			order = append(order, newInBatch)
 		}
 	}
 	replies := make([]wire.Reply, 0, len(order))
@@ -96,9 +99,9 @@
 	return wire.Encode(replies)
 }
 
-// distribute applies an event to the host, or queues it for its instance, whose name is returned if it had no event in this batch
-// before.
-func (h *Host) distribute(now choice.Seconds, event wire.Event) (queuedAt string, err error) {
+// distribute applies an event to the host or queues it for its instance. It returns the name of the instance if this is its
+// first event in the batch, and an empty string otherwise.
+func (h *Host) distribute(now choice.Seconds, event wire.Event) (newInBatch string, err error) {
 	switch body := event.Body.(type) {
 	case wire.DefineList:
 		return "", h.defineList(body)
@@ -111,16 +114,17 @@
 	}
 	if !instance.queued {
 		instance.queued = true
-		queuedAt = event.Coordinator
+		newInBatch = event.Coordinator
 	}
 	if _, stop := event.Body.(wire.StopInstance); stop {
-		// The events that are queued for a stopped instance are dropped with it.
+		// The events that are still queued for the instance are dropped with it.
 		delete(h.instances, event.Coordinator)
-		return queuedAt, nil
+		return newInBatch, nil
 	}
-	return queuedAt, h.queue(instance, event.Body)
+	return newInBatch, h.queue(instance, event.Body)
 }
 
+// defineList stores an endpoint list under its number, in place of an earlier one.
 func (h *Host) defineList(list wire.DefineList) error {
 	if list.Number < 0 || list.Number >= maxLists {
 		return fieldError("Catalog", "Table", errOutOfRange, list.Number)
@@ -129,8 +133,8 @@
 	return nil
 }
 
-// queue adds an event to those of the instance's next step. Endpoint lists are resolved here, in the order of the events, because
-// their numbers are reused, also within a batch.
+// queue adds an event to those of the instance's next step. It already replaces list numbers by the endpoints, because numbers
+// are reused, even within a batch.
 func (h *Host) queue(instance *instance, body any) error {
 	switch body := body.(type) {
 	case wire.StartInstance:
@@ -161,6 +165,7 @@
 	return nil
 }
 
+// resolve returns an endpoint update with the endpoints of the list whose number it has.
 func (h *Host) resolve(update wire.EndpointUpdate) (choice.EndpointUpdate, error) {
 	resolved := choice.EndpointUpdate{Kind: update.Kind, Version: update.Version}
 	if update.Kind == choice.UpdateFailed {
@@ -173,6 +178,7 @@
 	return resolved, nil
 }
 
+// fieldError returns an error for a field of an event that is well-formed but can't be used.
 func fieldError(event, field string, problem error, value any) error {
 	return &wire.FieldError{Event: event, Field: field, Problem: problem, Value: fmt.Sprint(value)}
 }
--- a/internal/bench/host/instance.go
+++ b/internal/bench/host/instance.go
@@ -7,35 +7,36 @@
 	"gingerfork/internal/bench/wire"
 )
 
-// instance is one instance of the decision module.
+// instance is one instance of the decision module, which acts for one simulated coordinator.
 type instance struct {
 	planner *choice.Planner
 	methods map[string]choice.MethodID // by name
 	events  []choice.Event             // for the next step
-	queued  bool                       // it takes part in the current batch
-	failure string                     // why it can't go on; empty while it can
+	queued  bool                       // it has events in the current batch
+	failure string                     // error message of the panic that ended it; empty if there was none
 }
 
+// startInstance creates an instance. A panic of the module fails the instance.
 func startInstance(now choice.Seconds, start wire.StartInstance) *instance {
 	config := choice.Config{Seed: start.Seed, Now: now, Settings: choice.DecodeSettings(start.Settings)}
 	started := &instance{methods: map[string]choice.MethodID{}}
-	for number, method := range config.Settings.Methods {
-		started.methods[method.Name] = choice.MethodID(number)
+	for id, method := range config.Settings.Methods {
+		started.methods[method.Name] = choice.MethodID(id)
 	}
 	started.recoverPanic(func() { started.planner = choice.New(config) })
 	return started
 }
 
-// method returns the number of a method; event is the name of the event that names the method.
+// method returns the id of a method. The event is named in the error for an unknown method.
 func (in *instance) method(event, name string) (choice.MethodID, error) {
-	number, ok := in.methods[name]
+	id, ok := in.methods[name]
 	if !ok {
 		return 0, fieldError(event, "Category", errUnknownMethod, name)
 	}
-	return number, nil
+	return id, nil
 }
 
-// step gives the module the queued events and returns its commands.
+// step has the module process the queued events and returns its commands, or only InstanceFailed if the instance has failed.
 func (in *instance) step(now choice.Seconds) (commands []choice.Command) {
 	events := in.events
 	in.events = nil
@@ -46,7 +47,8 @@
 	return commands
 }
 
-// recoverPanic calls the module unless it has failed before. A panic fails the instance; the process and the other instances go on.
+// recoverPanic calls the function unless the instance has failed. A panic in it fails the instance; the process and the other
+// instances continue.
 func (in *instance) recoverPanic(call func()) {
 	if in.failure != "" {
 		return
--- a/internal/bench/wire/batch.go
+++ b/internal/bench/wire/batch.go
@@ -1,5 +1,5 @@
-// Package wire is the JSON codec of the simulator: it turns the simulator's names and milliseconds into the types and seconds of
-// package choice, and back. Names in quotes and in tags are the simulator's.
+// Package wire is the JSON codec for the simulator. It converts between the simulator's names and milliseconds and the types
+// and seconds of package choice. Names in string literals and struct tags are those of the simulator.
 package wire
 
 import (
@@ -24,14 +24,14 @@
 
 // Event is one event of a batch. Body is one of the types of this package or a choice.Event.
 type Event struct {
-	Coordinator string // the instance that it is for; empty for a DefineList
+	Coordinator string // name of the instance that it is for; empty for DefineList
 	Body        any
 }
 
-// errNotBatch reports a line that is not a batch at all.
+// errNotBatch is the error for a line that does not have the form of a batch.
 var errNotBatch = errors.New("not a batch")
 
-// Decode reads one line of input.
+// Decode decodes one line of input.
 func Decode(line []byte) (Batch, error) {
 	var message struct {
 		Now    *float64                      `json:"TMs"`
@@ -60,10 +60,10 @@
 	return batch, nil
 }
 
-// decodeEvent reads an object whose only key is the event's name and whose value holds the event's fields.
+// decodeEvent decodes an object whose only key is the name of the event and whose value is an object with its fields.
 func decodeEvent(object map[string]json.RawMessage) (Event, error) {
 	if len(object) != 1 {
-		return Event{}, fmt.Errorf("wants one key, has %d", len(object))
+		return Event{}, fmt.Errorf("object has %d keys, 1 expected", len(object))
 	}
 	for name, raw := range object {
 		return decodeNamedEvent(name, raw)
@@ -71,6 +71,7 @@
 	return Event{}, nil // not reached
 }
 
+// decodeNamedEvent decodes an event from its name and the object with its fields.
 func decodeNamedEvent(name string, raw json.RawMessage) (Event, error) {
 	decodeBody, ok := eventDecoders[name]
 	if !ok {
@@ -78,7 +79,7 @@
 	}
 	fields := &fieldReader{event: name}
 	if err := json.Unmarshal(raw, &fields.raw); err != nil {
-		return Event{}, fmt.Errorf("%s: its fields are not an object: %w", name, err)
+		return Event{}, fmt.Errorf("%s: fields are not an object: %w", name, err)
 	}
 	var event Event
 	if name != defineListEvent {
--- a/internal/bench/wire/commands.go
+++ b/internal/bench/wire/commands.go
@@ -23,8 +23,8 @@
 // InstanceFailed is the command that reports that an instance of the decision module has failed.
 type InstanceFailed struct{ Text string }
 
-// The bodies of the commands on the wire. Their fields stand in the order of the names on the wire, which is the order in which
-// they are written.
+// The bodies of the commands on the wire. Their fields are written in the order in which they are declared, which is the
+// alphabetical order of their names on the wire.
 type (
 	setTableEntry struct {
 		Backend     choice.BackendID `json:"Backend"`
@@ -78,7 +78,7 @@
 	sendToPeer struct {
 		To          choice.PeerID `json:"Addressee"`
 		Coordinator string        `json:"CoordinatorId"`
-		Data        string        `json:"Octets"` // in hexadecimal digits
+		Data        string        `json:"Octets"` // hexadecimal
 	}
 	logMessage struct {
 		Coordinator string `json:"CoordinatorId"`
@@ -86,7 +86,7 @@
 	}
 )
 
-// Encode writes the reply to one batch, with its newline.
+// Encode encodes the reply to one batch as a line, with its newline.
 func Encode(replies []Reply) ([]byte, error) {
 	message := struct {
 		Commands []map[string]any `json:"orders"`
@@ -94,7 +94,7 @@
 	for _, reply := range replies {
 		for _, command := range reply.Commands {
 			if _, unsupported := command.(choice.NotifyExclusions); unsupported {
-				continue // the simulator has no order that notifies a single proxy
+				continue // the simulator has no command that notifies a single proxy
 			}
 			name, body := encodeCommand(reply.Coordinator, command)
 			if name == "" {
@@ -107,7 +107,7 @@
 	return append(line, '\n'), err
 }
 
-// encodeCommand returns the name of a command on the wire and its body; the name is empty for a command without a wire form.
+// encodeCommand returns the name of a command on the wire and its body. The name is empty for a command that has no wire form.
 func encodeCommand(coordinator string, command choice.Command) (name string, body any) {
 	switch command := command.(type) {
 	case choice.SetTableEntry:
@@ -149,7 +149,8 @@
 	}
 }
 
-// timerMilliseconds rounds up to microseconds: a timer that fired a little early would be set again for the same moment.
+// timerMilliseconds converts the time of a timer to milliseconds. It rounds up to a microsecond, because a timer that fired a
+// little too early would be set again for the same time.
 func timerMilliseconds(at choice.Seconds) float64 {
 	return math.Ceil(at*microsecondsPerSecond) / microsecondsPerMillisecond
 }
--- a/internal/bench/wire/events.go
+++ b/internal/bench/wire/events.go
@@ -17,32 +17,34 @@
 	}
 	// StopInstance ends an instance.
 	StopInstance struct{}
-	// DefineList defines an endpoint list under a number.
+	// DefineList stores an endpoint list under a number, to which endpoint updates refer.
 	DefineList struct {
 		Number    int
 		Endpoints []choice.Endpoint
 	}
-	// EndpointUpdate is a choice.EndpointUpdate whose endpoints are those of the list that a DefineList defined.
+	// EndpointUpdate is a choice.EndpointUpdate that refers to a list of an earlier DefineList instead of containing its
+	// endpoints.
 	EndpointUpdate struct {
 		Kind    choice.UpdateKind
 		Version int64
-		List    int // without a meaning for choice.UpdateFailed
+		List    int // number of the list; unused for choice.UpdateFailed
 	}
-	// UsageReport is a choice.UsageReport with the name of its method in place of the number.
+	// UsageReport is a choice.UsageReport whose method is given by name; Report.Method is not set.
 	UsageReport struct {
 		Method string
 		Report choice.UsageReport
 	}
-	// SliceReport is a choice.SliceReport with the name of its method in place of the number.
+	// SliceReport is a choice.SliceReport whose method is given by name; Report.Method is not set.
 	SliceReport struct {
 		Method string
 		Report choice.SliceReport
 	}
 )
 
+// defineListEvent is the only event that is not for one instance.
 const defineListEvent = "Catalog"
 
-// eventDecoders has the decoder of each event by the event's name.
+// eventDecoders has the function that decodes the body of an event, by the name of the event.
 var eventDecoders = map[string]func(*fieldReader) any{
 	"Enlist":        decodeStartInstance,
 	"Detach":        func(*fieldReader) any { return StopInstance{} },
@@ -73,7 +75,7 @@
 		"disk":     choice.UpdateCached,
 		"error":    choice.UpdateFailed,
 	}
-	// probeSuccess tells for each outcome of a probe whether the backend is healthy.
+	// probeSuccess has, for each result of a probe, whether the backend is healthy.
 	probeSuccess = map[string]bool{
 		"success":       true,
 		"failure":       false,
@@ -86,6 +88,7 @@
 	}
 )
 
+// probeOverloaded is the result of a probe that the backend rejected because it had no capacity for it.
 const probeOverloaded = "overloaded"
 
 func decodeStartInstance(f *fieldReader) any {
--- a/internal/bench/wire/fields.go
+++ b/internal/bench/wire/fields.go
@@ -8,19 +8,19 @@
 	"gingerfork/choice"
 )
 
-// What can be wrong with a field, as the Problem of a FieldError.
+// Values of Problem in a FieldError.
 var (
 	ErrMissing      = errors.New("is missing")
-	ErrMistyped     = errors.New("is mistyped")
+	ErrMistyped     = errors.New("is malformed")
 	ErrUnknownValue = errors.New("has an unknown value")
 )
 
-// FieldError reports a field of an event that can't be used.
+// FieldError is the error for a field of an event that is missing or can't be used.
 type FieldError struct {
 	Event   string
 	Field   string
 	Problem error
-	Value   string // empty for a missing field
+	Value   string // as received; empty for a missing field
 }
 
 func (e *FieldError) Error() string {
@@ -33,20 +33,21 @@
 // Unwrap returns the Problem.
 func (e *FieldError) Unwrap() error { return e.Problem }
 
-// fieldReader reads the fields of one event and keeps the first error; after it all fields read as zero.
+// fieldReader decodes the fields of one event and keeps the first error. After an error all further fields are zero.
 type fieldReader struct {
 	event string
 	raw   map[string]json.RawMessage
 	err   error
 }
 
+// fail records an error unless there is an earlier one.
 func (f *fieldReader) fail(field string, problem error, value string) {
 	if f.err == nil {
 		f.err = &FieldError{Event: f.event, Field: field, Problem: problem, Value: value}
 	}
 }
 
-// optional reads a field into the variable that target points to, and leaves that as it is if there is no such field.
+// optional decodes a field into the variable that target points to. If there is no such field, the variable stays as it is.
 func (f *fieldReader) optional(field string, target any) {
 	raw, ok := f.raw[field]
 	if f.err != nil || !ok || string(raw) == "null" {
@@ -57,6 +58,7 @@
 	}
 }
 
+// required is like optional, but a missing field is an error.
 func (f *fieldReader) required(field string, target any) {
 	if raw, ok := f.raw[field]; !ok || string(raw) == "null" {
 		f.fail(field, ErrMissing, "")
@@ -65,15 +67,16 @@
 	f.optional(field, target)
 }
 
-// seconds reads a time that the simulator gives in milliseconds.
-func (f *fieldReader) seconds(field string) (milliseconds choice.Seconds) {
-	f.required(field, &milliseconds)
-	return milliseconds / millisecondsPerSecond
+// seconds decodes a required time in milliseconds and converts it to seconds.
+func (f *fieldReader) seconds(field string) (value choice.Seconds) {
+	f.required(field, &value)
+	return value / millisecondsPerSecond
 }
 
-func (f *fieldReader) optionalSeconds(field string) (milliseconds choice.Seconds) {
-	f.optional(field, &milliseconds)
-	return milliseconds / millisecondsPerSecond
+// optionalSeconds decodes a time in milliseconds and converts it to seconds. If there is no such field, the time is 0.
+func (f *fieldReader) optionalSeconds(field string) (value choice.Seconds) {
+	f.optional(field, &value)
+	return value / millisecondsPerSecond
 }
 
 func (f *fieldReader) number(field string) (value float64) {
@@ -88,7 +91,7 @@
 
 func (f *fieldReader) count(field string) int { return int(f.integer(field)) }
 
-// flag reads a flag that is off by default.
+// flag decodes a flag. If there is no such field, the flag is false.
 func (f *fieldReader) flag(field string) (value bool) {
 	f.optional(field, &value)
 	return value
@@ -115,12 +118,12 @@
 
 func (f *fieldReader) zone() choice.Zone { return choice.Zone(f.text("FailureDomain")) }
 
-// oneOf reads a word and returns what it stands for.
-func oneOf[T any](f *fieldReader, field string, meanings map[string]T) T {
-	word := f.text(field)
-	meaning, ok := meanings[word]
+// oneOf decodes a required text and returns the value that stands for it in the map.
+func oneOf[T any](f *fieldReader, field string, values map[string]T) T {
+	text := f.text(field)
+	value, ok := values[text]
 	if !ok {
-		f.fail(field, ErrUnknownValue, word)
+		f.fail(field, ErrUnknownValue, text)
 	}
-	return meaning
+	return value
 }
--- a/internal/bench/wire/settings.go
+++ b/internal/bench/wire/settings.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// listIndex stands for any index of a list in the patterns of settingNames.
+// listIndex stands for any index of a list in the paths and names of settingNames.
 const listIndex = "#"
 
-// settingNames has the name of a setting in package choice for each path in the simulator's settings that has another name there.
-// A # stands for an index of a list.
+// settingNames maps the path of a setting in the simulator's settings to its name in the flat form of package choice. A #
+// stands for an index of a list. A setting that is not listed keeps its path as its name.
 var settingNames = map[string]string{
 	"Az": "zone", "Zones.#": "zones.#", "Discovery": "listing", "SelfIndex": "self", "GroupSize": "coordinators",
 	"RoundMs": "tick", "WeightKind": "weight_kind", "Bounds.Probes": "probes", "Bounds.Peers": "peers",
@@ -33,25 +33,29 @@
 	"Profiles.#.RepeatWindowMs": "method.#.window", "Profiles.#.Worth": "method.#.criticality",
 }
 
-// settingValues has, by the last part of a setting's name in package choice, the values that are spelled otherwise there.
+// settingValues maps values of the simulator to those of package choice, by the last part of the setting's name there. Values
+// that are not listed stay as they are.
 var settingValues = map[string]map[string]string{
 	"effect":     {"at_most_once": "non-idempotent", "deduplicated": "tokened"},
 	"level_kind": {"ratio": "share", "rps": "rate"},
 	"listing":    {"on_request": "asked"},
 }
 
-// FlattenSettings turns the start-up settings, as decoded from JSON, into the flat form that choice.DecodeSettings reads: names to
-// numbers, flags and words, with times in seconds. A setting that package choice does not know keeps its path as its name.
+// FlattenSettings converts the settings of an instance, as decoded from JSON, to the flat form that choice.DecodeSettings
+// reads. It maps names to numbers, flags and texts, with times in seconds.
 func FlattenSettings(settings map[string]any) map[string]any {
 	flat := map[string]any{}
 	flatten(flat, settingPath{}, settings)
 	return flat
 }
 
-// settingPath is where a value stands in the settings: the keys and indexes that lead to it, and the same with listIndex for each
-// index.
-type settingPath struct{ parts, pattern []string }
+// settingPath is the path of a value in the settings.
+type settingPath struct {
+	parts   []string // keys and indexes that lead to the value
+	pattern []string // the same with listIndex in place of each index
+}
 
+// child returns the path of a value in the object or list at this path.
 func (p settingPath) child(part, pattern string) settingPath {
 	return settingPath{
 		parts:   append(p.parts[:len(p.parts):len(p.parts)], part),
@@ -59,7 +63,7 @@
 	}
 }
 
-// name returns the name of the setting in package choice, or its path.
+// name returns the name of the setting in the flat form, which is its path if settingNames does not have it.
 func (p settingPath) name() string {
 	pattern := strings.Join(p.pattern, ".")
 	if pattern == "Profiles" {
@@ -77,6 +81,8 @@
 	return name
 }
 
+// flatten adds the value at a path, with all values in it, to the flat form. For a list it also adds the length, as name.n.
+// Times, whose keys end in Ms, are converted to seconds.
 func flatten(flat map[string]any, path settingPath, value any) {
 	switch value := value.(type) {
 	case map[string]any:
--- a/internal/bench/wire/wire_test.go
+++ b/internal/bench/wire/wire_test.go
@@ -7,7 +7,7 @@
 	"gingerfork/choice"
 )
 
-// The bytes of each command are those that the first version of the codec wrote.
+// Each command is encoded to the same bytes as by the first version of the codec.
 func TestEncodeCommands(t *testing.T) {
 	for _, test := range []struct {
 		command choice.Command
@@ -48,10 +48,11 @@
 		}
 	}
 	if got, err := Encode(nil); err != nil || string(got) != "{\"orders\":[]}\n" {
-		t.Errorf("an empty reply: %s %v", got, err)
+		t.Errorf("empty reply: got %s %v", got, err)
 	}
 }
 
+// Settings of the simulator get their names and units in the flat form; unknown ones keep their paths as names.
 func TestFlattenSettings(t *testing.T) {
 	got := FlattenSettings(map[string]any{
 		"Az": "a", "Zones": []any{"a", "b"}, "RoundMs": 4.0, "Odd": map[string]any{"XMs": []any{5.0}, "Y": true},
@@ -69,7 +70,7 @@
 	}
 }
 
-// The simulator has no order that notifies a single proxy of the exclusions, so that command is left out.
+// The simulator has no command that notifies a single proxy of the exclusions, so NotifyExclusions is left out.
 func TestEncodeLeavesOutNotifications(t *testing.T) {
 	reply := Reply{Coordinator: "coordinator/0", Commands: []choice.Command{choice.NotifyExclusions{Proxy: 4}}}
 	got, err := Encode([]Reply{reply})
