--- a/internal/bench/wire/batch.go
+++ b/internal/bench/wire/batch.go
@@ -38,10 +38,10 @@
 		Events *[]map[string]json.RawMessage `json:"happened"`
 	}
 	err := json.Unmarshal(line, &message)
-	var mistyped *json.UnmarshalTypeError
+	var typeErr *json.UnmarshalTypeError
 	switch {
-	case errors.As(err, &mistyped):
-		return Batch{}, fmt.Errorf("%w: field %s %w", errNotBatch, mistyped.Field, ErrMistyped)
+	case errors.As(err, &typeErr):
+		return Batch{}, fmt.Errorf("%w: field %s %w", errNotBatch, typeErr.Field, ErrMistyped)
 	case err != nil:
 		return Batch{}, fmt.Errorf("%w: %w", errNotBatch, err)
 	case message.Now == nil:
