--- a/choice/arcs_test.go
+++ b/choice/arcs_test.go
@@ -27,7 +27,7 @@
 				fleet.step(0, ProxyJoined{Proxy: proxy, Zone: zone, Rate: 1})
 				reports = append(reports, UsageReport{Proxy: proxy, Method: 0, RPCs: 1, Span: 1})
 			}
-			reports = append(reports, quickReports(40)...)
+			reports = append(reports, lowLatencyReports(40)...)
 			fleet.repeat(30, reports)
 			inZone, all := 0.0, 0.0
 			for i, load := range fleet.planner.assignedLoad {
--- a/choice/helpers_test.go
+++ b/choice/helpers_test.go
@@ -89,8 +89,8 @@
 	return events
 }
 
-// quickReports returns reports of low latency at the first backends, each from its own zone.
-func quickReports(backends int) (reports []Event) {
+// lowLatencyReports returns reports of low latency at the first backends, each from its own zone.
+func lowLatencyReports(backends int) (reports []Event) {
 	for i := range backends {
 		reports = append(reports, AttemptReport{
 			Backend: backendID(i), Zone: homeZone(i), Attempts: 8, MeanLatency: 0.05, Span: 1,
--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -153,7 +153,7 @@
 		fleet.step(0, ProxyJoined{Proxy: proxy, Zone: homeZone(int(proxy)), Rate: 1})
 		reports = append(reports, UsageReport{Proxy: proxy, Method: 0, RPCs: 1, Span: 1})
 	}
-	reports = append(reports, quickReports(80)...)
+	reports = append(reports, lowLatencyReports(80)...)
 	fleet.repeat(20, reports)
 	if loadFactor := fleet.planner.admission.loadFactor; loadFactor < 1.45 {
 		t.Fatalf("at low latency the load factor is %v, at least 1.45 wanted", loadFactor)
@@ -173,7 +173,7 @@
 			warmLoad += load
 		}
 	}
-	if coldLoad == 0 || coldLoad > 2*warmLoad { // the ratio is 1.6, and was 2.5 when the share of cold backends was not reduced
+	if coldLoad == 0 || coldLoad > 2*warmLoad { // the ratio is 1.6, and 2.5 without the lower share of cold backends
 		t.Errorf("relative to their capacity cold backends take %.2f times the load of warm ones", coldLoad/warmLoad)
 	}
 }
