--- a/choice/admission.go
+++ b/choice/admission.go
@@ -29,12 +29,12 @@
 // the timeouts. So a retry needs proof that the first attempt was not processed, or a token that all backends surely still
 // remember at the second attempt.
 func (planner *Planner) normalRetry(method MethodSettings) RetryPolicy {
-	remembered := planner.settings.AttemptTimeoutShare*method.SoftDeadline.Or(1) < 0.9*method.Window.Or(0)
+	remembered := planner.settings.AttemptTimeoutShare*method.SoftDeadline.Or(1) < 0.9*method.TokenWindow.Or(0)
 	deduplicated := method.Effect == "tokened" && method.Group == "all" && remembered
 	switch {
-	case method.MostTries == "once":
+	case method.RetryLimit == "once":
 		return RetryNever
-	case method.MostTries != "proven" && deduplicated:
+	case method.RetryLimit != "proven" && deduplicated:
 		return RetryOnce
 	default:
 		return RetryIfUnprocessed
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -30,51 +30,51 @@
 	Name         string
 	Effect       string // "idempotent", "tokened" (idempotent thanks to an idempotency key) or "non-idempotent"
 	Group        string // which backends share their store of idempotency keys ("tokens"): "all", "zone" or "cell"
-	MostTries    string // limit on retries: "once" (none), "proven" (only of attempts that were not processed) or "free" (no limit)
+	RetryLimit   string // limit on retries: "once" (none), "proven" (only of attempts that were not processed) or "free" (no limit)
 	OwnZone      bool   // requests must stay in the proxy's zone
 	Criticality  Number // requests of the methods with the lowest are shed first
 	SoftDeadline Number
 	Deadline     Number
-	Window       Number // time for which a token is remembered
+	TokenWindow  Number // time for which a token is remembered
 }
 
 // Settings are a site's settings, decoded from the flat form in which the adapters pass them. Other values of the flat form are
 // ignored.
 type Settings struct {
-	AskWithin         Number // longest time between two polls of the endpoint list
-	BareLimit         Number // longest time that a proxy may be without a table entry while an open warm backend is listed
-	ChannelPace       Number // lines a second that leave the channel
-	ChannelRoom       Number // limit on the lines that wait in the channel
-	ColdShare         Number // capacity that a backend has at least just after its start, as a share of its usual one
-	Coordinators      Number
-	CrossingPrice     Number   // price of a request that leaves its zone
-	DrainGrace        Number   // time after which no request may be sent to a draining or gone backend
-	FallMultiple      Number   // a cold backend collapses under a load above this multiple of its capacity at that time
-	FallWindow        Number   // for this long
-	FeedbackColumns   []string // names of the columns of a load report
-	FeedbackSource    string
-	Intake            Number // lines of reports a second that the module takes
-	LevelKind         string // unit of admission levels: "share", "rate" (requests a second) or "none" (not applied)
-	Listing           string // "asked": the endpoint list has to be polled; "pushed": updates are sent without a poll
-	MessageLines      Number // lines of a message in addition to its own, for its header
-	Messages          Number // limit on the messages to a proxy within MessagesSpan; 0: none
-	MessagesSpan      Number // time over which messages are counted for the limit
-	Methods           []MethodSettings
-	OnlyDrainingBinds bool   // DrainGrace does not apply to a backend that is dropped from the list without draining
-	Pick              string // how proxies pick a backend: "lottery" or "even" (by weight) or "pair" (less busy of two)
-	Probes            bool   // backends may be probed
-	Proxies           Number // in all, at all coordinators
-	PushTime          Number // mean time of a push from the channel to the proxy
-	PushTimeWorst     Number // longest such time
-	ReportPeriod      Number // time between two reports of a proxy
-	Self              Number // number of this coordinator
-	Slices            Number // number of slices; 0: the site has none
-	Strikes           Number // failures in a row after which a proxy avoids a backend for some seconds; 0: never
-	Tick              Number // shortest time between two steps
-	TryWait           Number // timeout of an attempt that may be retried, as a share of the soft deadline
-	WarmAfter         Number // warm-up time: a backend is warm no later than this after its start
-	Zone              string // of this coordinator
-	Zones             []string
+	MaxPollInterval       Number // longest time between two polls of the endpoint list
+	MaxTimeWithoutEntry   Number // longest time that a proxy may be without a table entry while an open warm backend is listed
+	ChannelLinesPerSecond Number // lines a second that leave the channel
+	MaxChannelLines       Number // limit on the lines that wait in the channel
+	ColdCapacityShare     Number // capacity that a backend has at least just after its start, as a share of its usual one
+	Coordinators          Number
+	CrossZonePrice        Number   // price of a request that leaves its zone
+	DrainGrace            Number   // time after which no request may be sent to a draining or gone backend
+	CollapseLoadMultiple  Number   // a cold backend collapses under a load above this multiple of its capacity at that time
+	CollapseWindow        Number   // for this long
+	FeedbackColumns       []string // names of the columns of a load report
+	FeedbackSource        string
+	MaxReportsPerSecond   Number // lines of reports a second that the module takes
+	LevelKind             string // unit of admission levels: "share", "rate" (requests a second) or "none" (not applied)
+	EndpointListMode      string // "asked": the endpoint list has to be polled; "pushed": updates are sent without a poll
+	MessageHeaderLines    Number // lines of a message in addition to its own, for its header
+	MessageLimit          Number // limit on the messages to a proxy within MessageLimitSpan; 0: none
+	MessageLimitSpan      Number // time over which messages are counted for the limit
+	Methods               []MethodSettings
+	ExcludeOnlyDraining   bool   // DrainGrace does not apply to a backend that is dropped from the list without draining
+	PickPolicy            string // how proxies pick a backend: "lottery" or "even" (by weight) or "pair" (less busy of two)
+	ProbesAllowed         bool   // backends may be probed
+	ProxyCount            Number // in all, at all coordinators
+	MeanPushTime          Number // mean time of a push from the channel to the proxy
+	MaxPushTime           Number // longest such time
+	ReportPeriod          Number // time between two reports of a proxy
+	Self                  Number // number of this coordinator
+	SliceCount            Number // number of slices; 0: the site has none
+	AvoidAfterFailures    Number // failures in a row after which a proxy avoids a backend for some seconds; 0: never
+	Tick                  Number // shortest time between two steps
+	AttemptTimeoutShare   Number // timeout of an attempt that may be retried, as a share of the soft deadline
+	WarmupDuration        Number // warm-up time: a backend is warm no later than this after its start
+	Zone                  string // of this coordinator
+	Zones                 []string
 }
 
 // flatSettings reads single values of the flat form. A value of an unexpected type counts as absent.
@@ -121,12 +121,12 @@
 		Name:         f.text(prefix + "name"),
 		Effect:       f.text(prefix + "effect"),
 		Group:        f.text(prefix + "group"),
-		MostTries:    f.text(prefix + "most_tries"),
+		RetryLimit:   f.text(prefix + "most_tries"),
 		OwnZone:      f.flag(prefix + "own_zone"),
 		Criticality:  f.number(prefix + "criticality"),
 		SoftDeadline: f.number(prefix + "soft_deadline"),
 		Deadline:     f.number(prefix + "deadline"),
-		Window:       f.number(prefix + "window"),
+		TokenWindow:  f.number(prefix + "window"),
 	}
 }
 
@@ -135,39 +135,39 @@
 func DecodeSettings(values map[string]any) Settings {
 	flat := flatSettings(values)
 	settings := Settings{
-		AskWithin:         flat.number("ask_within"),
-		BareLimit:         flat.number("bare_limit"),
-		ChannelPace:       flat.number("channel_pace"),
-		ChannelRoom:       flat.number("channel_room"),
-		ColdShare:         flat.number("cold_share"),
-		Coordinators:      flat.number("coordinators"),
-		CrossingPrice:     flat.number("price.crossing"),
-		DrainGrace:        flat.number("drain_grace"),
-		FallMultiple:      flat.number("fall_multiple"),
-		FallWindow:        flat.number("fall_window"),
-		FeedbackColumns:   flat.texts("Feedback.Columns"),
-		FeedbackSource:    flat.text("Feedback.Source"),
-		Intake:            flat.number("intake"),
-		LevelKind:         flat.text("level_kind"),
-		Listing:           flat.text("listing"),
-		MessageLines:      flat.number("message_lines"),
-		Messages:          flat.number("messages"),
-		MessagesSpan:      flat.number("messages_span"),
-		OnlyDrainingBinds: flat.flag("only_draining_binds"),
-		Pick:              flat.text("pick"),
-		Probes:            flat.flag("probes"),
-		Proxies:           flat.number("proxies"),
-		PushTime:          flat.number("push_time"),
-		PushTimeWorst:     flat.number("push_time_worst"),
-		ReportPeriod:      flat.number("report_period"),
-		Self:              flat.number("self"),
-		Slices:            flat.number("slices"),
-		Strikes:           flat.number("strikes"),
-		Tick:              flat.number("tick"),
-		TryWait:           flat.number("try_wait"),
-		WarmAfter:         flat.number("warm_after"),
-		Zone:              flat.text("zone"),
-		Zones:             flat.zones(),
+		MaxPollInterval:       flat.number("ask_within"),
+		MaxTimeWithoutEntry:   flat.number("bare_limit"),
+		ChannelLinesPerSecond: flat.number("channel_pace"),
+		MaxChannelLines:       flat.number("channel_room"),
+		ColdCapacityShare:     flat.number("cold_share"),
+		Coordinators:          flat.number("coordinators"),
+		CrossZonePrice:        flat.number("price.crossing"),
+		DrainGrace:            flat.number("drain_grace"),
+		CollapseLoadMultiple:  flat.number("fall_multiple"),
+		CollapseWindow:        flat.number("fall_window"),
+		FeedbackColumns:       flat.texts("Feedback.Columns"),
+		FeedbackSource:        flat.text("Feedback.Source"),
+		MaxReportsPerSecond:   flat.number("intake"),
+		LevelKind:             flat.text("level_kind"),
+		EndpointListMode:      flat.text("listing"),
+		MessageHeaderLines:    flat.number("message_lines"),
+		MessageLimit:          flat.number("messages"),
+		MessageLimitSpan:      flat.number("messages_span"),
+		ExcludeOnlyDraining:   flat.flag("only_draining_binds"),
+		PickPolicy:            flat.text("pick"),
+		ProbesAllowed:         flat.flag("probes"),
+		ProxyCount:            flat.number("proxies"),
+		MeanPushTime:          flat.number("push_time"),
+		MaxPushTime:           flat.number("push_time_worst"),
+		ReportPeriod:          flat.number("report_period"),
+		Self:                  flat.number("self"),
+		SliceCount:            flat.number("slices"),
+		AvoidAfterFailures:    flat.number("strikes"),
+		Tick:                  flat.number("tick"),
+		AttemptTimeoutShare:   flat.number("try_wait"),
+		WarmupDuration:        flat.number("warm_after"),
+		Zone:                  flat.text("zone"),
+		Zones:                 flat.zones(),
 	}
 	for i := range int(flat.number("method.n").Or(defaultMethodCount)) {
 		settings.Methods = append(settings.Methods, flat.method(i))
@@ -226,29 +226,29 @@
 // newDecisionSettings fills in the defaults of omitted settings.
 func newDecisionSettings(settings Settings) decisionSettings {
 	return decisionSettings{
-		MaxPollInterval:       settings.AskWithin.Or(defaultMaxPollInterval),
-		ChannelLinesPerSecond: settings.ChannelPace.Or(defaultChannelLinesPerSecond),
-		MaxChannelLines:       settings.ChannelRoom.Or(math.Inf(1)),
-		ColdCapacityShare:     settings.ColdShare.Or(defaultColdCapacityShare),
-		CrossZonePrice:        settings.CrossingPrice.Or(0),
+		MaxPollInterval:       settings.MaxPollInterval.Or(defaultMaxPollInterval),
+		ChannelLinesPerSecond: settings.ChannelLinesPerSecond.Or(defaultChannelLinesPerSecond),
+		MaxChannelLines:       settings.MaxChannelLines.Or(math.Inf(1)),
+		ColdCapacityShare:     settings.ColdCapacityShare.Or(defaultColdCapacityShare),
+		CrossZonePrice:        settings.CrossZonePrice.Or(0),
 		DrainGrace:            settings.DrainGrace.Or(defaultDrainGrace),
-		CollapseLoadMultiple:  settings.FallMultiple.Or(defaultCollapseLoadMultiple),
+		CollapseLoadMultiple:  settings.CollapseLoadMultiple.Or(defaultCollapseLoadMultiple),
 		LevelKind:             settings.LevelKind,
-		EndpointListMode:      settings.Listing,
-		MessageHeaderLines:    settings.MessageLines.Or(defaultMessageHeaderLines),
-		MessageLimit:          settings.Messages.Or(0),
-		MessageLimitSpan:      settings.MessagesSpan.Or(defaultMessageLimitSpan),
+		EndpointListMode:      settings.EndpointListMode,
+		MessageHeaderLines:    settings.MessageHeaderLines.Or(defaultMessageHeaderLines),
+		MessageLimit:          settings.MessageLimit.Or(0),
+		MessageLimitSpan:      settings.MessageLimitSpan.Or(defaultMessageLimitSpan),
 		Methods:               settings.Methods,
-		ExcludeOnlyDraining:   settings.OnlyDrainingBinds,
-		PickPolicy:            settings.Pick,
-		ProbesAllowed:         settings.Probes,
-		ProxyCount:            settings.Proxies.Or(defaultProxyCount),
-		MeanPushTime:          settings.PushTime.Or(defaultMeanPushTime),
-		MaxPushTime:           settings.PushTimeWorst.Or(defaultMaxPushTime),
+		ExcludeOnlyDraining:   settings.ExcludeOnlyDraining,
+		PickPolicy:            settings.PickPolicy,
+		ProbesAllowed:         settings.ProbesAllowed,
+		ProxyCount:            settings.ProxyCount.Or(defaultProxyCount),
+		MeanPushTime:          settings.MeanPushTime.Or(defaultMeanPushTime),
+		MaxPushTime:           settings.MaxPushTime.Or(defaultMaxPushTime),
 		ReportPeriod:          settings.ReportPeriod.Or(defaultReportPeriod),
-		SliceCount:            settings.Slices.Or(0),
-		AvoidAfterFailures:    settings.Strikes.Or(0),
-		AttemptTimeoutShare:   settings.TryWait.Or(defaultAttemptTimeoutShare),
-		WarmupDuration:        settings.WarmAfter.Or(defaultWarmupDuration),
+		SliceCount:            settings.SliceCount.Or(0),
+		AvoidAfterFailures:    settings.AvoidAfterFailures.Or(0),
+		AttemptTimeoutShare:   settings.AttemptTimeoutShare.Or(defaultAttemptTimeoutShare),
+		WarmupDuration:        settings.WarmupDuration.Or(defaultWarmupDuration),
 	}
 }
--- a/cmd/gingerfork/fake.go
+++ b/cmd/gingerfork/fake.go
@@ -113,8 +113,8 @@
 			return err
 		}
 		module := settings.CoordinatorConfig(0).Settings
-		config.ColdSpeed, config.WarmupTime = module.ColdShare.Or(1), module.WarmAfter.Or(0)
-		config.OverloadMultiple, config.OverloadWindow = module.FallMultiple.Or(0), module.FallWindow.Or(0)
+		config.ColdSpeed, config.WarmupTime = module.ColdCapacityShare.Or(1), module.WarmupDuration.Or(0)
+		config.OverloadMultiple, config.OverloadWindow = module.CollapseLoadMultiple.Or(0), module.CollapseWindow.Or(0)
 	}
 	return c.run(ctx, cli, fmt.Sprint("backend-", c.ID), emulator.NewBackend(config), c.Listen)
 }
--- a/cmd/gingerfork/frontend.go
+++ b/cmd/gingerfork/frontend.go
@@ -19,10 +19,10 @@
 func frontEndConfig(settings *choice.Settings) fake.FrontEndConfig {
 	return fake.FrontEndConfig{
 		Methods:             fake.MethodConfigs(settings.Methods),
-		Policy:              settings.Pick,
-		FailureLimit:        int(settings.Strikes.Or(0)),
+		Policy:              settings.PickPolicy,
+		FailureLimit:        int(settings.AvoidAfterFailures.Or(0)),
 		AvoidDuration:       frontEndAvoidFor,
-		AttemptTimeoutRatio: settings.TryWait.Or(frontEndAttemptTimeout),
+		AttemptTimeoutRatio: settings.AttemptTimeoutShare.Or(frontEndAttemptTimeout),
 		ApplyTimePerEntry:   frontEndApplyTimePerEntry,
 		AdmissionIsRate:     settings.LevelKind == "rate",
 		ReportPeriod:        settings.ReportPeriod.Or(frontEndReportPeriod),
--- a/internal/bench/wire/batch.go
+++ b/internal/bench/wire/batch.go
@@ -41,7 +41,7 @@
 	var typeErr *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &typeErr):
-		return Batch{}, fmt.Errorf("%w: field %s %w", errNotBatch, typeErr.Field, ErrMistyped)
+		return Batch{}, fmt.Errorf("%w: field %s %w", errNotBatch, typeErr.Field, ErrMalformed)
 	case err != nil:
 		return Batch{}, fmt.Errorf("%w: %w", errNotBatch, err)
 	case message.Now == nil:
@@ -85,7 +85,7 @@
 	if name != defineListEvent {
 		event.Coordinator = fields.text("CoordinatorId")
 		if !strings.HasPrefix(event.Coordinator, coordinatorPrefix) {
-			fields.fail("CoordinatorId", ErrMistyped, event.Coordinator)
+			fields.fail("CoordinatorId", ErrMalformed, event.Coordinator)
 		}
 	}
 	event.Body = decodeBody(fields)
--- a/internal/bench/wire/events.go
+++ b/internal/bench/wire/events.go
@@ -25,9 +25,9 @@
 	// EndpointUpdate is a choice.EndpointUpdate that refers to a list of an earlier DefineList instead of containing its
 	// endpoints.
 	EndpointUpdate struct {
-		Kind    choice.UpdateKind
-		Version int64
-		List    int // number of the list; unused for choice.UpdateFailed
+		Kind       choice.UpdateKind
+		Version    int64
+		ListNumber int // number of the list; unused for choice.UpdateFailed
 	}
 	// UsageReport is a choice.UsageReport whose method is given by name; Report.Method is not set.
 	UsageReport struct {
@@ -98,7 +98,7 @@
 	f.required("Conf", &settings)
 	seed, err := strconv.ParseUint(strings.TrimPrefix(entropy.String(), "-"), 10, 64)
 	if err != nil {
-		f.fail("Entropy", ErrMistyped, entropy.String())
+		f.fail("Entropy", ErrMalformed, entropy.String())
 	}
 	return StartInstance{Seed: seed, Settings: FlattenSettings(settings)}
 }
@@ -132,7 +132,7 @@
 	update := EndpointUpdate{Kind: oneOf(f, "Kind", updateKinds)}
 	if update.Kind != choice.UpdateFailed {
 		update.Version = f.integer("Epoch")
-		update.List = f.count("Table")
+		update.ListNumber = f.count("Table")
 	}
 	return update
 }
@@ -155,7 +155,7 @@
 	octets := f.text("Octets")
 	data, err := hex.DecodeString(octets)
 	if err != nil {
-		f.fail("Octets", ErrMistyped, octets)
+		f.fail("Octets", ErrMalformed, octets)
 	}
 	return choice.PeerMessage{From: choice.PeerID(f.integer("From")), Data: data}
 }
--- a/internal/bench/wire/fields.go
+++ b/internal/bench/wire/fields.go
@@ -11,7 +11,7 @@
 // Values of Problem in a FieldError.
 var (
 	ErrMissing      = errors.New("is missing")
-	ErrMistyped     = errors.New("is malformed")
+	ErrMalformed    = errors.New("is malformed")
 	ErrUnknownValue = errors.New("has an unknown value")
 )
 
@@ -54,7 +54,7 @@
 		return
 	}
 	if json.Unmarshal(raw, target) != nil {
-		f.fail(field, ErrMistyped, string(raw))
+		f.fail(field, ErrMalformed, string(raw))
 	}
 }
 
--- a/internal/scenario/link_faults.go
+++ b/internal/scenario/link_faults.go
@@ -14,7 +14,7 @@
 		p.runBackendFault(step)
 		return
 	}
-	pushTime := p.scenario.decodedSettings().PushTime.Or(defaultPushTime)
+	pushTime := p.scenario.decodedSettings().MeanPushTime.Or(defaultPushTime)
 	p.addLinkFault(step, simnet.LinkFault{ExtraLatency: (step.Value - 1) * pushTime}, step.streams())
 }
 
--- a/internal/scenario/processes.go
+++ b/internal/scenario/processes.go
@@ -49,8 +49,8 @@
 	return emulator.Config{
 		Backend: backend.backend, Zone: backend.zone, Cell: group.Cell, Seed: fake.DeriveSeed(p.scenario.Seed, backend.name),
 		Cores: group.Workers, Speed: 1, Work: []emulator.Work{work}, QueueLimit: group.Queue, CancelPolicy: group.CancelMode,
-		ColdSpeed: settings.ColdShare.Or(0.3), WarmupTime: settings.WarmAfter.Or(10),
-		OverloadMultiple: settings.FallMultiple.Or(3), OverloadWindow: settings.FallWindow.Or(1),
+		ColdSpeed: settings.ColdCapacityShare.Or(0.3), WarmupTime: settings.WarmupDuration.Or(10),
+		OverloadMultiple: settings.CollapseLoadMultiple.Or(3), OverloadWindow: settings.CollapseWindow.Or(1),
 		ProbeWork: work.Mean / auxiliaryWorkDivisor, ProbeLimit: maxProbes,
 		ConnWork: work.Mean / auxiliaryWorkDivisor, ConnLimit: group.MaxConnections,
 		ReportsLoad: group.Reports, ReportDelay: group.ReportDelay, ReportNoise: group.ReportNoise,
@@ -67,14 +67,14 @@
 		order = append(order, coordinators[(proxy.index+i)%len(coordinators)])
 	}
 	proxy.incarnations++
-	policy := settings.Pick
+	policy := settings.PickPolicy
 	if proxy.policy != "" {
 		policy = proxy.policy
 	}
 	return fake.NewFrontEnd(fake.FrontEndConfig{
 		Name: proxy.name, Zone: proxy.zone, Coordinators: order, Methods: scenario.proxyMethods(),
 		Rate: proxy.rate, Policy: policy, TrafficStart: p.startTime, Shape: scenario.Shape, Keys: scenario.Keys,
-		FailureLimit: int(settings.Strikes.Or(0)), AvoidDuration: scenario.EjectionTime, AttemptTimeoutRatio: settings.TryWait.Or(0.8),
+		FailureLimit: int(settings.AvoidAfterFailures.Or(0)), AvoidDuration: scenario.EjectionTime, AttemptTimeoutRatio: settings.AttemptTimeoutShare.Or(0.8),
 		ApplyTimePerEntry: scenario.EntryApplyTime, AdmissionIsRate: settings.LevelKind == "rate", ReportPeriod: settings.ReportPeriod.Or(1),
 		RecordScheduleDelay: p.sampleInterval > 0, ConnectTimeout: scenario.ConnectTimeout,
 		ClientRetryProbability: scenario.ClientRetryShare, ClientRetryBackoff: scenario.ClientRetryDelay, ClientRetryLimit: scenario.ClientRetryMax,
@@ -87,7 +87,7 @@
 func (p *player) newIdempotencyStore() *emulator.IdempotencyKeyStore {
 	store := &emulator.IdempotencyKeyStore{Scope: p.scenario.IdempotencyScope}
 	for _, method := range p.scenario.decodedSettings().Methods {
-		store.Window = max(store.Window, method.Window.Or(0))
+		store.Window = max(store.Window, method.TokenWindow.Or(0))
 	}
 	return store
 }
