--- a/internal/proto/codec.go
+++ b/internal/proto/codec.go
@@ -2,6 +2,7 @@
 
 import "fmt"
 
+// Message types on the wire.
 const (
 	typeHello MessageType = iota + 1
 	typeWelcome
@@ -36,8 +37,8 @@
 func (PeerMessage) messageType() MessageType     { return typePeerMessage }
 func (ReportsReceived) messageType() MessageType { return typeReportsReceived }
 
-// codecs has, for each message type, its decoder and its name in the reason of a Reject. The names are those of the first
-// version of the protocol and part of the wire: they stay as they are, whatever the Go types are called.
+// codecs holds, for each message type, its decoder and its name in the reason of a Reject. The names are part of the wire
+// protocol: they are those of its first version and do not change when a Go type is renamed.
 var codecs = map[MessageType]struct {
 	wireName string
 	decode   func(*decoder) Message
@@ -59,9 +60,10 @@
 	typeReportsReceived: {"proto.Heard", decodeReportsReceived},
 }
 
-// WireName returns the name of a message for the reason of a Reject.
+// WireName returns the name of the message's type for the reason of a Reject.
 func WireName(m Message) string { return codecs[m.messageType()].wireName }
 
+// decodeMessage decodes the fields of a message, which must take up all bytes of fields.
 func decodeMessage(messageType MessageType, fields []byte) (Message, error) {
 	codec, ok := codecs[messageType]
 	if !ok {
--- a/internal/proto/codec_endpoints.go
+++ b/internal/proto/codec_endpoints.go
@@ -1,6 +1,6 @@
 package proto
 
-// minEndpointSize is the fewest bytes that an Endpoint takes.
+// minEndpointSize is a lower bound of the size of an encoded Endpoint, in bytes. The smallest one takes 24.
 const minEndpointSize = 21
 
 func (m WatchEndpoints) appendFields(buf []byte) []byte {
--- a/internal/proto/codec_push.go
+++ b/internal/proto/codec_push.go
@@ -1,6 +1,6 @@
 package proto
 
-// Fewest bytes that the items of a push's lists take.
+// Smallest sizes of the encoded items of a push's lists, in bytes.
 const (
 	minTableOpSize    = 2
 	minTableEntrySize = 11
--- a/internal/proto/codec_reports.go
+++ b/internal/proto/codec_reports.go
@@ -1,6 +1,6 @@
 package proto
 
-// Fewest bytes that the items of the lists in a Reports take.
+// Smallest sizes of the encoded items of the lists in a Reports, in bytes.
 const (
 	minUsageReportSize   = 3
 	minAttemptReportSize = 11
--- a/internal/proto/encoding.go
+++ b/internal/proto/encoding.go
@@ -8,12 +8,13 @@
 
 const float64Size = 8
 
-// decoder reads the fields of one frame and keeps the first error; after it all fields read as zero.
+// decoder reads the fields of one frame. It keeps the first error, after which every field is read as zero or empty.
 type decoder struct {
 	unread []byte
 	err    error
 }
 
+// fail records the first error and drops the unread bytes.
 func (d *decoder) fail(err error) {
 	if d.err == nil {
 		d.err = err
@@ -21,6 +22,7 @@
 	d.unread = nil
 }
 
+// integer reads an unsigned varint.
 func (d *decoder) integer() uint64 {
 	value, size := binary.Uvarint(d.unread)
 	if size <= 0 {
@@ -31,7 +33,8 @@
 	return value
 }
 
-// boundedInteger reads an integer of at most limit; field is its name in the error.
+// boundedInteger reads an integer of at most limit. field is the field's name in the error, whose text goes out on the wire: it
+// is the name in the first version of the protocol, such as "mark" for a nonce and "server" for a backend.
 func (d *decoder) boundedInteger(limit uint64, field string) uint64 {
 	value := d.integer()
 	if value > limit {
@@ -47,7 +50,7 @@
 
 func (d *decoder) backend() BackendID { return BackendID(d.boundedInteger(math.MaxUint32, "server")) }
 
-// number reads a finite number of 0 or above: no time, rate or weight of the protocol is anything else.
+// number reads a finite floating-point number of 0 or above. All times, rates and weights of the protocol are such numbers.
 func (d *decoder) number() float64 {
 	if len(d.unread) < float64Size {
 		d.fail(errTruncated)
@@ -62,7 +65,7 @@
 	return value
 }
 
-// bytes reads up to MaxString bytes with any content.
+// bytes reads a length of up to MaxString and that many bytes of any content.
 func (d *decoder) bytes() string {
 	size := int(d.boundedInteger(MaxString, "word length"))
 	if len(d.unread) < size {
@@ -74,6 +77,7 @@
 	return value
 }
 
+// text reads a string and checks that it is UTF-8.
 func (d *decoder) text() string {
 	value := d.bytes()
 	if !utf8.ValidString(value) {
@@ -83,8 +87,8 @@
 	return value
 }
 
-// count reads the length of a list whose items take at least minSize bytes each, so that a forged count can't make the
-// receiver allocate much more memory than the frame has bytes.
+// count reads the number of items of a list. Each item takes at least minSize bytes, and a count for which the unread bytes do
+// not suffice is an error, so that a forged count can't make the receiver allocate memory out of proportion to the frame.
 func (d *decoder) count(minSize int) int {
 	count := d.integer()
 	if count > uint64(len(d.unread)/minSize) {
@@ -94,12 +98,12 @@
 	return int(count)
 }
 
-// decodeEnum reads one of count constants that are numbered from 0.
+// decodeEnum reads one of count constants that are numbered from 0. field is the field's name in the error.
 func decodeEnum[T ~uint8](d *decoder, count T, field string) T {
 	return T(d.boundedInteger(uint64(count-1), field))
 }
 
-// decodeList reads a list whose items take at least minSize bytes each; an empty list is nil.
+// decodeList reads a list whose items take at least minSize bytes each. It returns nil for an empty list.
 func decodeList[T any](d *decoder, minSize int, decodeItem func(*decoder) T) []T {
 	count := d.count(minSize)
 	if count == 0 {
@@ -127,7 +131,8 @@
 	return binary.BigEndian.AppendUint64(buf, math.Float64bits(value))
 }
 
-// appendText cuts what is longer than MaxString: only reasons can be, since names are checked where they are configured.
+// appendText appends a string, truncated to MaxString bytes at a character boundary. Only reasons can be longer, since the length
+// of names is checked where they are configured.
 func appendText(buf []byte, value string) []byte {
 	if len(value) > MaxString {
 		value = value[:MaxString]
--- a/internal/proto/errors.go
+++ b/internal/proto/errors.go
@@ -6,13 +6,13 @@
 )
 
 // The texts of all errors of this package go out on the wire, as the reason of a Reject. They are those of the first version of
-// the protocol and stay as they are, whatever the identifiers are called.
+// the protocol and do not change when an identifier is renamed. In them a word is a string, and tries are attempts.
 var (
 	errTruncated = errors.New("it ends within a field")
 	errNotUTF8   = errors.New("a word is not UTF-8")
 )
 
-// frameSizeError reports a frame whose length, in bytes, is not allowed.
+// frameSizeError reports a frame with no bytes or more bytes than the limit.
 type frameSizeError struct{ size, limit int }
 
 func (e *frameSizeError) Error() string {
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("a frame of unknown type %d", e.messageType)
 }
 
-// trailingBytesError reports bytes behind the last field of a message.
+// trailingBytesError reports bytes after the last field of a message.
 type trailingBytesError struct{ count int }
 
 func (e *trailingBytesError) Error() string { return fmt.Sprintf("%d bytes too many", e.count) }
--- a/internal/proto/frame.go
+++ b/internal/proto/frame.go
@@ -1,77 +1,81 @@
-// Package proto is the wire protocol between coordinators, proxies, the endpoint list service and backends: its frames, the
-// messages in them, an incremental reader and the limits that it enforces. docs/protocol.md describes the same for those who
-// implement it elsewhere. The package does no I/O and keeps no state beside the unread bytes of a Reader.
+// Package proto implements the wire protocol between coordinators, proxies, the endpoint list service and backends: its frames,
+// the messages in them, an incremental reader and the limits that it enforces. docs/protocol.md describes the protocol for
+// other implementations. The package does no I/O; its only state is in a Reader, which holds unread bytes, its frame limit and
+// its first error.
 //
-// A frame is a length (4 bytes, big-endian, of what follows it), a message type (1 byte) and the fields of the message. Integers
-// are unsigned varints, seconds and weights 8 bytes IEEE 754 big-endian, strings a varint length and UTF-8 bytes, lists a varint
-// count and the items.
+// A frame consists of a length (4 bytes, big-endian, counting the bytes that follow it), a message type (1 byte) and the fields
+// of the message. Integers are unsigned varints. Floating-point numbers, such as times in seconds and weights, are 8 bytes in
+// IEEE 754 format, big-endian. A string is a varint length and that many bytes, which are UTF-8 except in the data of a
+// PeerMessage. A list is a varint count and its items. Flags and enum values are one byte.
 package proto
 
 import "encoding/binary"
 
 const (
-	// Version is the only version of the protocol so far.
+	// Version is the version of the protocol, the only one so far.
 	Version = 1
-	// MaxHandshakeFrame bounds a frame, in bytes, until the handshake is done, so that an unauthenticated party can't make a
-	// receiver buffer more.
+	// MaxHandshakeFrame is the largest size of a frame, in bytes, until the handshake is done, so that an unauthenticated
+	// party can't make a receiver buffer more.
 	MaxHandshakeFrame = 1 << 10
-	// MaxFrame bounds any frame, in bytes: a full endpoint list of some 10,000 backends fits.
+	// MaxFrame is the largest size of a frame, in bytes. A full endpoint list of some 10,000 backends fits.
 	MaxFrame = 1 << 20
-	// MaxString bounds a name, an address, a reason or a peer's message, in bytes.
+	// MaxString is the largest size, in bytes, of a name, an address, a reason or the data of a PeerMessage.
 	MaxString = 255
 
-	lengthSize = 4
-	// compactAbove is how many bytes a Reader has handed out before it moves the rest to the start of its buffer.
-	compactAbove = 4096
+	lengthPrefixSize = 4 // bytes of a frame's length, which does not count itself
+	// compactionThreshold is how many bytes a Reader must have consumed, in addition to more than half of its buffer, before
+	// Feed moves the unread bytes to the start of the buffer.
+	compactionThreshold = 4096
 )
 
-// MessageType is the byte that tells which message a frame holds.
+// MessageType identifies the type of the message in a frame.
 type MessageType uint8
 
-// Message is any of the messages of this package.
+// Message is implemented by all messages of the protocol.
 type Message interface {
 	messageType() MessageType
 	appendFields(buf []byte) []byte
 }
 
-// Append adds the frame of a message to buf.
+// Append appends a message to buf as a frame, and returns the extended buffer.
 func Append(buf []byte, m Message) []byte {
 	start := len(buf)
 	buf = append(buf, 0, 0, 0, 0, byte(m.messageType()))
 	buf = m.appendFields(buf)
-	binary.BigEndian.PutUint32(buf[start:], uint32(len(buf)-start-lengthSize))
+	binary.BigEndian.PutUint32(buf[start:], uint32(len(buf)-start-lengthPrefixSize))
 	return buf
 }
 
-// Reader cuts a stream of bytes into messages. The zero Reader takes frames of up to MaxHandshakeFrame bytes.
+// Reader splits a byte stream into messages. The zero value is ready for use, and accepts frames of up to MaxHandshakeFrame
+// bytes until HandshakeDone is called.
 type Reader struct {
 	buffer   []byte
-	consumed int // bytes at the start of buffer that Next has returned
-	maxFrame int
-	err      error
+	consumed int   // bytes at the start of buffer that Next has decoded
+	maxFrame int   // bytes; 0 until HandshakeDone
+	err      error // returned by all calls of Next after the first error
 }
 
-// HandshakeDone raises the limit to MaxFrame.
+// HandshakeDone raises the size limit of frames to MaxFrame.
 func (r *Reader) HandshakeDone() { r.maxFrame = MaxFrame }
 
-// Feed adds received bytes.
+// Feed appends received bytes to the buffer. It keeps no reference to them.
 func (r *Reader) Feed(received []byte) {
 	if r.consumed == len(r.buffer) {
 		r.buffer, r.consumed = r.buffer[:0], 0
-	} else if r.consumed > compactAbove && r.consumed > len(r.buffer)/2 {
+	} else if r.consumed > compactionThreshold && r.consumed > len(r.buffer)/2 {
 		r.buffer, r.consumed = append(r.buffer[:0], r.buffer[r.consumed:]...), 0
 	}
 	r.buffer = append(r.buffer, received...)
 }
 
-// Next returns the next message, or nil while it is incomplete. An error is final, and returned by all later calls: there is no
-// way to find the next frame's start in a stream after a malformed one.
+// Next returns the next message, or nil if its frame is not complete yet. After an error all later calls return the same error,
+// because the start of the next frame can't be found in a stream after a malformed frame.
 func (r *Reader) Next() (Message, error) {
 	if r.err != nil {
 		return nil, r.err
 	}
 	unread := r.buffer[r.consumed:]
-	if len(unread) < lengthSize {
+	if len(unread) < lengthPrefixSize {
 		return nil, nil
 	}
 	size := int(binary.BigEndian.Uint32(unread))
@@ -79,12 +83,12 @@
 		r.err = &frameSizeError{size: size, limit: limit}
 		return nil, r.err
 	}
-	end := lengthSize + size
+	end := lengthPrefixSize + size
 	if len(unread) < end {
 		return nil, nil
 	}
 	r.consumed += end
-	m, err := decodeMessage(MessageType(unread[lengthSize]), unread[lengthSize+1:end])
+	m, err := decodeMessage(MessageType(unread[lengthPrefixSize]), unread[lengthPrefixSize+1:end])
 	if err != nil {
 		r.err = err
 		return nil, err
@@ -92,5 +96,6 @@
 	return m, nil
 }
 
-// Buffered returns how many bytes of an incomplete frame are held.
+// Buffered returns the number of bytes that were fed but not yet decoded. Once Next has returned nil without an error, these
+// are the bytes of an incomplete frame.
 func (r *Reader) Buffered() int { return len(r.buffer) - r.consumed }
--- a/internal/proto/generators_test.go
+++ b/internal/proto/generators_test.go
@@ -2,7 +2,7 @@
 
 import "pgregory.net/rapid"
 
-// Generators of the parts of messages.
+// Generators of the values and structures in messages.
 var (
 	anyText     = rapid.StringMatching(`[a-z0-9.:é-]{0,30}`)
 	anyNumber   = rapid.Float64Range(0, 1e12)
@@ -61,7 +61,7 @@
 	}
 })
 
-// drawMessage has, for each message type, a generator of its messages.
+// drawMessage holds, for each message type, a function that draws a message of that type.
 var drawMessage = map[MessageType]func(t *rapid.T) Message{
 	typeHello: func(t *rapid.T) Message {
 		return Hello{
@@ -132,7 +132,7 @@
 	return drawMessage[messageType](t)
 })
 
-// drawList draws a short list; an empty one is nil, as a decoder returns it.
+// drawList draws a list of up to 5 items. An empty one is nil, as decodeList returns it.
 func drawList[T any](t *rapid.T, items *rapid.Generator[T]) []T {
 	list := rapid.SliceOfN(items, 0, 5).Draw(t, "list")
 	if len(list) == 0 {
--- a/internal/proto/proto_test.go
+++ b/internal/proto/proto_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// readAll returns all complete messages that the reader holds.
+// readAll decodes all complete messages that were fed to the reader.
 func readAll(t *rapid.T, reader *Reader) (messages []Message) {
 	for {
 		m, err := reader.Next()
@@ -25,7 +25,7 @@
 	}
 }
 
-// A sequence of messages is read back equal, however the stream is split into pieces.
+// A sequence of messages must be decoded unchanged, however the stream is split into pieces.
 func TestMessagesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(trial *rapid.T) {
 		sent := rapid.SliceOfN(anyMessage, 1, 6).Draw(trial, "messages")
@@ -46,11 +46,12 @@
 			got = append(got, readAll(trial, &reader)...)
 		}
 		if diff := cmp.Diff(sent, got); diff != "" || reader.Buffered() != 0 {
-			trial.Fatalf("read back otherwise, %d bytes left over: %s", reader.Buffered(), diff)
+			trial.Fatalf("the decoded messages differ, %d bytes were left over: %s", reader.Buffered(), diff)
 		}
 	})
 }
 
+// frame returns a frame with the given bytes as its fields.
 func frame(messageType MessageType, fields ...byte) []byte {
 	buf := binary.BigEndian.AppendUint32(nil, uint32(len(fields)+1))
 	buf = append(buf, byte(messageType))
@@ -62,7 +63,8 @@
 	return errors.As(err, &target)
 }
 
-// A malformed frame gives an error of its type, whose text is part of the wire, and the reader does not go on after it.
+// A malformed frame must cause an error of the right type and text (the text goes out on the wire), and all later calls must
+// return the same error, also if a valid frame follows.
 func TestMalformedFrames(t *testing.T) {
 	for name, test := range map[string]struct {
 		bytes  []byte
@@ -95,14 +97,15 @@
 		}
 		reader.Feed(Append(nil, Acknowledgement{1}))
 		if _, again := reader.Next(); again == nil || again != err { //nolint:errorlint // the very same error is meant
-			t.Errorf("%s: the reader went on after a malformed frame: %v", name, again)
+			t.Errorf("%s: after a malformed frame the next call returned %v, want the same error", name, again)
 		}
 	}
 }
 
 func isTruncated(err error) bool { return errors.Is(err, errTruncated) }
 
-// Until the handshake is done a peer can't make a reader buffer more than a Hello.
+// Until the handshake is done, a reader must refuse a frame above MaxHandshakeFrame, so that an unauthenticated party can't make
+// it buffer more. After the handshake the same frame must be accepted.
 func TestHandshakeFrameLimit(t *testing.T) {
 	big := Append(nil, EndpointUpdate{Reason: strings.Repeat("x", 200), Endpoints: make([]Endpoint, 100)})
 	var reader Reader
@@ -118,7 +121,8 @@
 	}
 }
 
-// No bytes make a decoder panic, or decode to a message that would not be encoded the same.
+// No input may make the decoder panic. A message that was decoded must have the same encoding after it was encoded and decoded
+// once more.
 func FuzzReader(f *testing.F) {
 	f.Add(Append(nil, Hello{Version: 1, Name: "f0", Zone: "a", Rate: 5}))
 	f.Add(Append(nil, Push{Sequence: 1, Ops: []TableOp{
@@ -143,12 +147,13 @@
 			second.Feed(encoded)
 			got, err := second.Next()
 			if err != nil || !bytes.Equal(Append(nil, got), encoded) {
-				t.Fatalf("%#v was decoded as %#v, %v", m, got, err)
+				t.Fatalf("%#v was encoded and decoded as %#v, %v", m, got, err)
 			}
 		}
 	})
 }
 
+// benchmarkEntries is the number of table entries in the push that the benchmark encodes and decodes.
 const benchmarkEntries = 1000
 
 func benchmarkPush() Push {
--- a/internal/proto/wire_test.go
+++ b/internal/proto/wire_test.go
@@ -36,7 +36,7 @@
 	}},
 }
 
-// The bytes of each message are those that the first version of the protocol wrote.
+// Each message must be encoded to the same bytes as in the first version of the protocol, and decoded from them.
 func TestWireBytes(t *testing.T) {
 	for _, test := range []struct {
 		message Message
@@ -82,12 +82,13 @@
 		reader.Feed(encoded)
 		decoded, err := reader.Next()
 		if diff := cmp.Diff(test.message, decoded); err != nil || diff != "" {
-			t.Errorf("%T is decoded otherwise: %v %s", test.message, err, diff)
+			t.Errorf("%T is decoded with a difference: %v %s", test.message, err, diff)
 		}
 	}
 }
 
-// The names of messages in the reasons of a Reject are part of the wire: they don't change with the names of the types.
+// The names of message types in the reason of a Reject are part of the wire protocol: they must not change when a Go type is
+// renamed.
 func TestWireNames(t *testing.T) {
 	for want, m := range map[string]Message{
 		"proto.Hello": Hello{}, "proto.Welcome": Welcome{}, "proto.Refuse": Reject{}, "proto.Push": Push{}, "proto.Answer": Acknowledgement{},
