--- a/internal/bootstrap/bootstrap_test.go
+++ b/internal/bootstrap/bootstrap_test.go
@@ -56,7 +56,8 @@
 	return settings, append(faults, parseFaults...)
 }
 
-// All settings of package choice are read from the file, under the names of that package and with times in seconds.
+// Parse must store the settings of package choice under that package's names and with times in seconds, and the defaults of those
+// that are not given.
 func TestDecisionSettings(t *testing.T) {
 	settings, faults := parse(t, validSettings)
 	if faults.Err() != nil {
@@ -86,28 +87,28 @@
 	}
 }
 
-// Each faulty file gives its message, with its line.
+// Each fault must be reported with its message and its line.
 func TestFaults(t *testing.T) {
-	replaced := func(was, is string) string { return strings.Replace(validSettings, was, is, 1) }
+	replaced := func(old, replacement string) string { return strings.Replace(validSettings, old, replacement, 1) }
 	for text, want := range map[string]string{
-		replaced("zone \"dc a\"", "zone dc"):                     "x.conf:3: zone dc is none of the fleet's zones dc a, dc b",
-		replaced("pick pair", "pick piar"):                       `x.conf:18: pick: "piar" is none of lottery, even, pair (did you mean pair?)`,
+		replaced("zone \"dc a\"", "zone dc"):                     "x.conf:3: zone dc is not among the fleet's zones dc a, dc b",
+		replaced("pick pair", "pick piar"):                       `x.conf:18: pick: "piar" is not one of lottery, even, pair (did you mean pair?)`,
 		replaced("warm-after 15s", "warm-after 15"):              `x.conf:11: warm-after: "15" has no unit`,
 		replaced("warm-after 15s", "warm-after 30%"):             `x.conf:11: warm-after: "30%" is no time`,
-		replaced("cold-share 28%", "cold-share 280%"):            `x.conf:12: cold-share: "280%" is no share`,
+		replaced("cold-share 28%", "cold-share 280%"):            `x.conf:12: cold-share: "280%" is not a share`,
 		replaced("cold-share 28%", "cold-share 0"):               `x.conf:12: cold-share: 0 is out of range, 0.01 to 1 expected`,
 		replaced("proxy-count 8", "proxy-count -8"):              `x.conf:10: proxy-count: "-8" is no whole number from 1 to 1048576`,
 		replaced("fall-multiple", "fall-multple"):                "x.conf:13: fall-multple is no keyword of fleet (did you mean fall-multiple?)",
 		replaced("  drain-grace 2100ms\n", ""):                   "x.conf:8: fleet lacks drain-grace (such as: drain-grace 2100ms)",
-		replaced("pace 14100", "pace 14100\n  pace 3"):           "x.conf:25: pace stands here a second time, first at x.conf:24",
-		replaced("method submit", "method read"):                 "x.conf:30: method read stands here a second time, first at x.conf:25",
-		replaced("deadline 2500ms", "deadline 500ms"):            "x.conf:29: the deadline 0.5s of read is before its soft deadline 1s",
+		replaced("pace 14100", "pace 14100\n  pace 3"):           "x.conf:25: pace is given a second time, first at x.conf:24",
+		replaced("method submit", "method read"):                 "x.conf:30: method read is given a second time, first at x.conf:25",
+		replaced("deadline 2500ms", "deadline 500ms"):            "x.conf:29: deadline 0.5s of method read is shorter than its soft deadline 1s",
 		replaced("7400", "99999"):                                "x.conf:4: listen: port \"99999\" is no whole number from 0 to 65535",
-		replaced("127.0.0.1:7300", "there"):                      `x.conf:5: list-service: "there" is no address`,
+		replaced("127.0.0.1:7300", "there"):                      `x.conf:5: list-service: "there" is not an address`,
 		replaced("zone \"dc a\"", "zone \"dc a"):                 "x.conf:3: a double quote is never closed",
 		replaced("channel\n", "channel one\n"):                   "x.conf:22: channel takes 0 names, has 1",
-		replaced("instance west-1", "state x\ninstance w"):       "x.conf:2: state stands outside of any section",
-		replaced("push-time-worst 340ms", "push-time-worst 1ms"): "x.conf:21: push-time-worst is shorter than push-time",
+		replaced("instance west-1", "state x\ninstance w"):       "x.conf:2: state is outside of any section",
+		replaced("push-time-worst 340ms", "push-time-worst 1ms"): "x.conf:21: push-time-worst 0.001s is shorter than push-time 0.135s",
 		"": "x.conf:1: there is no section instance",
 	} {
 		_, faults := parse(t, text)
@@ -116,7 +117,7 @@
 			t.Errorf("got %v\nwant %s", faults, want)
 		}
 	}
-	// A parse reports all faults of a file, each as an error of its own.
+	// Parse must report all faults of a file, each as a separate error.
 	_, faults := parse(t, strings.NewReplacer("15s", "15", "pick pair", "pick x", "28%", "x").Replace(validSettings))
 	if faults.Sort(); len(faults) != 3 || faults[0].Line != 11 || faults[1].Line != 12 || faults[2].Line != 18 {
 		t.Error(faults)
@@ -131,6 +132,7 @@
 	}
 }
 
+// An included file's path must be relative to the including file, and a cycle of includes and a missing file must be reported.
 func TestIncludes(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -143,13 +145,13 @@
 		}
 		return path
 	}
-	at := strings.Index(validSettings, "method read")
-	main := write("main.conf", validSettings[:at]+"include sub/methods.conf\n")
-	write("sub/methods.conf", validSettings[at:])
+	methodsStart := strings.Index(validSettings, "method read")
+	main := write("main.conf", validSettings[:methodsStart]+"include sub/methods.conf\n")
+	write("sub/methods.conf", validSettings[methodsStart:])
 	if _, err := Read(main); err != nil {
 		t.Fatal(err)
 	}
-	write("sub/methods.conf", validSettings[at:]+"include ../main.conf\n")
+	write("sub/methods.conf", validSettings[methodsStart:]+"include ../main.conf\n")
 	if _, err := Read(main); err == nil || !strings.Contains(err.Error(), "includes itself (2 files deep)") || !strings.Contains(err.Error(), "methods.conf:11") {
 		t.Errorf("a cycle of includes: %v", err)
 	}
@@ -159,39 +161,41 @@
 	}
 }
 
+// docs/settings.md must be up to date, and the example and the default of each keyword must be valid.
 func TestDocument(t *testing.T) {
 	page, err := os.ReadFile("../../docs/settings.md")
 	if err != nil || string(page) != Document() {
-		t.Fatalf("docs/settings.md is not what the keywords say (%v): go run ./cmd/gingerfork settings > docs/settings.md", err)
+		t.Fatalf("docs/settings.md differs from the definitions of the keywords (%v), regenerate it: go run ./cmd/gingerfork settings > docs/settings.md", err)
 	}
 	for _, k := range keywords {
 		words, err := splitWords(k.Example)
 		if err != nil || len(words) < 2 || words[0] != k.Name {
-			t.Fatalf("%s: its example is %q", k.Name, k.Example)
+			t.Fatalf("%s: the example is %q, want the keyword and a value", k.Name, k.Example)
 		}
-		if _, err := k.value(words[1:]); err != nil {
-			t.Errorf("%s: its example is bad: %v", k.Name, err)
+		if _, err := k.parseValue(words[1:]); err != nil {
+			t.Errorf("%s: the example is invalid: %v", k.Name, err)
 		}
 		if k.Default != required && k.Syntax != peerSyntax {
-			if _, err := k.value([]string{k.Default}); err != nil {
-				t.Errorf("%s: its default is bad: %v", k.Name, err)
+			if _, err := k.parseValue([]string{k.Default}); err != nil {
+				t.Errorf("%s: the default is invalid: %v", k.Name, err)
 			}
 		}
 	}
 }
 
-// A quoted word is read back the same.
+// Lex must read a word that Quote wrote unchanged.
 func TestQuote(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := rapid.StringMatching(`[a-z "'#\\\t]{0,12}`).Draw(t, "word")
-		lines, faults := Lex("x", "k "+Quote(w))
-		if len(faults) > 0 || len(lines) != 1 || len(lines[0].Words) != 2 || lines[0].Words[1] != w {
-			t.Fatalf("%q: %v %v", w, lines, faults)
+		word := rapid.StringMatching(`[a-z "'#\\\t]{0,12}`).Draw(t, "word")
+		lines, faults := Lex("x", "k "+Quote(word))
+		if len(faults) > 0 || len(lines) != 1 || len(lines[0].Words) != 2 || lines[0].Words[1] != word {
+			t.Fatalf("%q: %v %v", word, lines, faults)
 		}
 	})
 }
 
-// No text makes the parser panic, and what it accepts has no value out of range.
+// No input may make the parser panic. Each fault must have a line and a message of one line, and each accepted number must be
+// finite and within the bounds that are common to all keywords.
 func FuzzParse(f *testing.F) {
 	f.Add(validSettings)
 	f.Add("instance\nfleet x\nzones\n'")
@@ -200,16 +204,16 @@
 		lines, faults := Lex("x", text)
 		settings, parseFaults := Parse("x", lines)
 		if len(faults)+len(parseFaults) > 0 {
-			for _, x := range append(faults, parseFaults...) {
-				if x.Line < 1 || x.Message == "" || strings.Contains(x.Message, "\n") {
-					t.Fatalf("%q", x)
+			for _, fault := range append(faults, parseFaults...) {
+				if fault.Line < 1 || fault.Message == "" || strings.Contains(fault.Message, "\n") {
+					t.Fatalf("%q", fault)
 				}
 			}
 			return
 		}
-		for name, v := range settings.Values {
-			if n, ok := v.(float64); ok && !(n >= 0 && n < 1e17) {
-				t.Fatalf("%s is %v", name, n)
+		for name, value := range settings.Values {
+			if number, ok := value.(float64); ok && !(number >= 0 && number < 1e17) {
+				t.Fatalf("%s is %v, want 0 to 1e17", name, number)
 			}
 		}
 	})
--- a/internal/bootstrap/check.go
+++ b/internal/bootstrap/check.go
@@ -7,22 +7,24 @@
 	"gingerfork/choice"
 )
 
-// maxMethods is how many methods the bits of a table's methods have room for.
+// maxMethods is the largest number of methods, since a set of methods is a uint64 with a bit for each (proto.TableOp.Methods).
 const maxMethods = 64
 
-// check finds the faults that only show when several settings are compared.
+// check returns the faults that are found by comparing several settings.
 func (s *Settings) check() Faults {
 	settings := choice.DecodeSettings(s.Values)
 	faults := s.checkInstance(settings)
 	if settings.PushTimeWorst.Or(0) < settings.PushTime.Or(0) {
-		faults = append(faults, s.faultAt("proxies push-time-worst", "push-time-worst is shorter than push-time")...)
+		faults = append(faults, s.faultAt("proxies push-time-worst", "push-time-worst %vs is shorter than push-time %vs",
+			settings.PushTimeWorst.Or(0), settings.PushTime.Or(0))...)
 	}
 	return append(faults, s.checkMethods(settings)...)
 }
 
-// faultAt makes a fault of the line of a setting, and none if the setting has no line.
+// faultAt returns a fault at the line that sets a setting, or none if there is no such line. key is the setting's key in
+// Settings.settingLines.
 func (s *Settings) faultAt(key, format string, args ...any) Faults {
-	line, ok := s.lines[key]
+	line, ok := s.settingLines[key]
 	if !ok {
 		return nil
 	}
@@ -32,12 +34,12 @@
 func (s *Settings) checkInstance(settings choice.Settings) (faults Faults) {
 	zone, zones := settings.Zone, settings.Zones
 	if len(zones) > 0 && zone != "" && !slices.Contains(zones, zone) {
-		faults = append(faults, s.faultAt("instance "+s.Name+" zone", "zone %s is none of the fleet's zones %s%s",
+		faults = append(faults, s.faultAt("instance "+s.Name+" zone", "zone %s is not among the fleet's zones %s%s",
 			zone, strings.Join(zones, ", "), didYouMean(zone, zones))...)
 	}
 	if self, coordinators := settings.Self.Or(0), settings.Coordinators.Or(1); self >= coordinators {
 		faults = append(faults, s.faultAt("instance "+s.Name+" self",
-			"self %v is not below the number of coordinators, %v", self, coordinators)...)
+			"self %v must be less than the number of coordinators, %v", self, coordinators)...)
 	}
 	return faults
 }
@@ -48,12 +50,12 @@
 		soft, deadline := method.SoftDeadline.Or(0), method.Deadline.Or(0)
 		if soft > deadline && deadline > 0 {
 			faults = append(faults, s.faultAt(methodKey(name)+" deadline",
-				"the deadline %vs of %s is before its soft deadline %vs", deadline, name, soft)...)
+				"deadline %vs of method %s is shorter than its soft deadline %vs", deadline, name, soft)...)
 		}
 	}
 	if len(s.Methods) > maxMethods {
 		faults = append(faults, s.faultAt(methodKey(s.Methods[maxMethods])+" effect",
-			"there are %d methods, %d at most", len(s.Methods), maxMethods)...)
+			"there are %d methods, at most %d are allowed", len(s.Methods), maxMethods)...)
 	}
 	return faults
 }
--- a/internal/bootstrap/include.go
+++ b/internal/bootstrap/include.go
@@ -8,42 +8,43 @@
 )
 
 const (
-	// maxFileSize bounds a file, in bytes: a larger one was not meant as settings.
-	maxFileSize     = 4 << 20
-	maxIncludeDepth = 16
-	includeWord     = "include"
+	maxFileBytes    = 4 << 20 // a larger file was presumably not meant as settings
+	maxIncludeDepth = 16      // files below the first one
+	includeKeyword  = "include"
 )
 
-// loadFile reads a file and what it includes (`include FILE`, relative to the including file's directory), in the order of
-// reading. A file that includes itself, directly or by way of others, is a fault of the line that closes the cycle.
+// loadFile reads a file. Each line `include FILE` is replaced by the lines of that file; a relative path is relative to the
+// directory of the including file. If a file includes itself, directly or indirectly, the fault is at the line that closes the
+// cycle.
 func loadFile(path string) (lines []Line, faults Faults) {
-	first := source{path: path, shown: path, includedBy: Line{File: path, Number: 1}}
-	return first.load()
+	root := source{path: path, displayPath: path, includedBy: Line{File: path, Number: 1}}
+	return root.load()
 }
 
-// source is a file that is read.
+// source is a file to read.
 type source struct {
-	path       string
-	shown      string   // its path for faults
-	within     []string // resolved paths of the files that are being read, the outermost first
-	includedBy Line
+	path           string
+	displayPath    string   // path in messages
+	enclosingFiles []string // resolved paths of the files through which it is included, the outermost first
+	includedBy     Line     // for faults if the file can't be read; for the first file its line 1
 }
 
+// load returns the lines of the file and of the files that it includes.
 func (s source) load() (lines []Line, faults Faults) {
 	resolved := resolvePath(s.path)
-	if at := slices.Index(s.within, resolved); at >= 0 {
-		return nil, Faults{s.includedBy.Fault("%s includes itself (%d files deep)", s.shown, len(s.within)-at)}
+	if index := slices.Index(s.enclosingFiles, resolved); index >= 0 {
+		return nil, Faults{s.includedBy.Fault("%s includes itself (%d files deep)", s.displayPath, len(s.enclosingFiles)-index)}
 	}
-	if len(s.within) > maxIncludeDepth {
-		return nil, Faults{s.includedBy.Fault("includes are over %d deep", maxIncludeDepth)}
+	if len(s.enclosingFiles) > maxIncludeDepth {
+		return nil, Faults{s.includedBy.Fault("includes are nested more than %d levels deep", maxIncludeDepth)}
 	}
 	text, faults := s.read()
 	if len(faults) > 0 {
 		return nil, faults
 	}
-	own, faults := Lex(s.shown, text)
-	for _, line := range own {
-		if line.Words[0] != includeWord {
+	ownLines, faults := Lex(s.displayPath, text)
+	for _, line := range ownLines {
+		if line.Words[0] != includeKeyword {
 			lines = append(lines, line)
 			continue
 		}
@@ -51,27 +52,28 @@
 			faults = append(faults, line.Fault("include takes one file, has %d", len(line.Words)-1))
 			continue
 		}
-		includedLines, includedFaults := s.included(line, resolved).load()
+		includedLines, includedFaults := s.includedSource(line, resolved).load()
 		lines = append(lines, includedLines...)
 		faults = append(faults, includedFaults...)
 	}
 	return lines, faults
 }
 
-// included returns the file that a line includes; resolved is the resolved path of s.
-func (s source) included(line Line, resolved string) source {
-	path, shown := line.Words[1], line.Words[1]
+// includedSource returns the source for the file that a line includes. resolved is the resolved path of s.
+func (s source) includedSource(line Line, resolved string) source {
+	path, displayPath := line.Words[1], line.Words[1]
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(filepath.Dir(s.path), path)
-		shown = filepath.Join(filepath.Dir(s.shown), shown)
+		displayPath = filepath.Join(filepath.Dir(s.displayPath), displayPath)
 	}
-	return source{path: path, shown: shown, within: append(s.within, resolved), includedBy: line}
+	return source{path: path, displayPath: displayPath, enclosingFiles: append(s.enclosingFiles, resolved), includedBy: line}
 }
 
+// read returns the content of the file.
 func (s source) read() (string, Faults) {
 	info, err := os.Stat(s.path)
-	if err == nil && (info.IsDir() || info.Size() > maxFileSize) {
-		return "", Faults{s.includedBy.Fault("%s is no file of at most %d bytes", s.shown, maxFileSize)}
+	if err == nil && (info.IsDir() || info.Size() > maxFileBytes) {
+		return "", Faults{s.includedBy.Fault("%s is a directory or larger than %d bytes", s.displayPath, maxFileBytes)}
 	}
 	var data []byte
 	if err == nil {
@@ -82,12 +84,13 @@
 		err = pathError.Err
 	}
 	if err != nil {
-		return "", Faults{s.includedBy.Fault("%s can't be read: %v", s.shown, err)}
+		return "", Faults{s.includedBy.Fault("%s can't be read: %v", s.displayPath, err)}
 	}
 	return string(data), nil
 }
 
-// resolvePath returns a path by which two names of the same file are recognized, as far as that is possible.
+// resolvePath returns the absolute path without symbolic links, so that two names of the same file compare equal. If the links
+// can't be resolved, it returns the absolute path as it is.
 func resolvePath(path string) string {
 	absolute, err := filepath.Abs(path)
 	if err != nil {
--- a/internal/bootstrap/keyword.go
+++ b/internal/bootstrap/keyword.go
@@ -7,59 +7,59 @@
 	"strings"
 )
 
-// syntax is the form of a keyword's value.
+// syntax identifies how the value of a keyword is written.
 type syntax uint8
 
 const (
-	durationSyntax syntax = iota
-	shareSyntax
-	numberSyntax
-	integerSyntax
-	flagSyntax    // on or off
-	wordSyntax    // one of the keyword's choices, or any word if it has none
-	wordsSyntax   // one or more words
-	addressSyntax // HOST:PORT
-	pathSyntax    // relative to the file's directory
-	peerSyntax    // NUMBER HOST:PORT; the keyword may stand many times
+	durationSyntax syntax = iota // a number with a unit of time
+	shareSyntax                  // a percentage, or a number from 0 to 1
+	numberSyntax                 // a number of 0 or above
+	integerSyntax                // a whole number within the keyword's bounds
+	flagSyntax                   // on or off
+	wordSyntax                   // one of the keyword's choices, or any word if it has none
+	wordsSyntax                  // one or more words
+	addressSyntax                // HOST:PORT
+	pathSyntax                   // a path, relative to the directory of the file that sets it
+	peerSyntax                   // NUMBER HOST:PORT; the keyword may be repeated
 )
 
-// String returns the name of the syntax in the documentation.
+// String returns the name of the syntax in docs/settings.md.
 func (s syntax) String() string {
 	return [...]string{
 		"TIME", "SHARE", "NUMBER", "WHOLE", "on|off", "NAME", "NAME...", "HOST:PORT", "PATH", "NUMBER HOST:PORT",
 	}[s]
 }
 
-// required stands in the place of a default for a keyword that must be given.
+// required is the Default of a keyword that must be given.
 const required = ""
 
 const maxPort = 65535
 
-// keyword is one setting. docs/settings.md is written from its fields.
+// keyword defines a setting. docs/settings.md is generated from these definitions.
 type keyword struct {
 	Section      string
 	Name         string
 	Syntax       syntax
-	Choices      []string
-	Min          float64
-	Max          float64 // 0: no bound
-	Default      string  // or required
-	DecisionName string  // the setting's name in package choice; empty for a setting of the program around it
-	Doc          string
-	Example      string
+	Choices      []string // allowed words of wordSyntax; nil allows any
+	Min          float64  // smallest number; in seconds for a duration
+	Max          float64  // largest number; 0: no bound
+	Default      string   // as it would be given in a file; or required
+	DecisionName string   // the setting's key in Settings.Values; empty for a setting in Settings.processValues or Settings.Peers
+	Doc          string   // description in docs/settings.md
+	Example      string   // a line that sets the keyword
 }
 
-// sectionType is a kind of section.
+// sectionType defines a section of a settings file.
 type sectionType struct {
 	Name string
-	Arg  string // what stands behind the name on the line that opens the section; empty for nothing
-	Doc  string
+	Arg  string // placeholder of the argument on the line that opens the section; empty if it takes none
+	Doc  string // description in docs/settings.md
 }
 
-// methodSection is the section that may stand many times, with the name of a method.
+// methodSection is the only section that may be repeated, once for each method. Its argument is the method's name.
 const methodSection = "method"
 
-// IsSection tells whether a word opens a section of a settings file.
+// IsSection reports whether a word is the name of a section of a settings file.
 func IsSection(word string) bool { return slices.Contains(sectionNames(), word) }
 
 func sectionNames() []string {
@@ -79,7 +79,7 @@
 	return names
 }
 
-// findKeyword returns nil for an unknown keyword.
+// findKeyword returns the definition of a keyword, or nil if the section has no such keyword.
 func findKeyword(section, name string) *keyword {
 	for i := range keywords {
 		if keywords[i].Section == section && keywords[i].Name == name {
@@ -89,13 +89,14 @@
 	return nil
 }
 
-// value reads the words behind a keyword. It returns a float64, a string, a bool or, for words and peers, a []string.
-func (k *keyword) value(args []string) (any, error) {
+// parseValue parses the words after a keyword. It returns a float64, a string, a bool or, for wordsSyntax and peerSyntax, a
+// []string. Durations are in seconds.
+func (k *keyword) parseValue(args []string) (any, error) {
 	switch k.Syntax {
 	case wordsSyntax:
-		return k.words(args)
+		return k.parseWords(args)
 	case peerSyntax:
-		return k.peer(args)
+		return k.parsePeer(args)
 	}
 	if len(args) != 1 {
 		return nil, fmt.Errorf("%s takes one value, has %d", k.Name, len(args))
@@ -109,7 +110,7 @@
 		return word == "on", nil
 	case wordSyntax:
 		if k.Choices != nil && !slices.Contains(k.Choices, word) {
-			problem := fmt.Sprintf("is none of %s%s", strings.Join(k.Choices, ", "), didYouMean(word, k.Choices))
+			problem := fmt.Sprintf("is not one of %s%s", strings.Join(k.Choices, ", "), didYouMean(word, k.Choices))
 			return nil, fmt.Errorf("%s: %w", k.Name, &ValueError{word, problem})
 		}
 		return word, nil
@@ -118,23 +119,25 @@
 	case addressSyntax:
 		return word, checkAddress(k.Name, word)
 	default:
-		return k.numeric(word)
+		return k.parseInRange(word)
 	}
 }
 
-func (k *keyword) words(args []string) (any, error) {
+// parseWords checks that there is at least one word and that none is repeated.
+func (k *keyword) parseWords(args []string) (any, error) {
 	if len(args) == 0 {
 		return nil, fmt.Errorf("%s takes one or more names, has none", k.Name)
 	}
 	for i, word := range args {
 		if slices.Contains(args[:i], word) {
-			return nil, fmt.Errorf("%s names %s twice", k.Name, word)
+			return nil, fmt.Errorf("%s lists %s twice", k.Name, word)
 		}
 	}
 	return args, nil
 }
 
-func (k *keyword) peer(args []string) (any, error) {
+// parsePeer checks the number and the address of a peer.
+func (k *keyword) parsePeer(args []string) (any, error) {
 	if len(args) != 2 {
 		return nil, fmt.Errorf("%s takes a number and an address, has %d words", k.Name, len(args))
 	}
@@ -144,8 +147,8 @@
 	return args, checkAddress(k.Name, args[1])
 }
 
-// numeric reads a float64 within the keyword's bounds.
-func (k *keyword) numeric(word string) (any, error) {
+// parseInRange parses a number and checks that it is within the keyword's bounds.
+func (k *keyword) parseInRange(word string) (any, error) {
 	value, err := k.parseNumeric(word)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", k.Name, err)
@@ -163,6 +166,7 @@
 	return value, nil
 }
 
+// parseNumeric parses a number in the keyword's syntax.
 func (k *keyword) parseNumeric(word string) (float64, error) {
 	switch k.Syntax {
 	case durationSyntax:
@@ -177,10 +181,11 @@
 	}
 }
 
+// checkAddress returns an error if an address is not HOST:PORT. keyword is for the error.
 func checkAddress(keyword, address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || host == "" {
-		return fmt.Errorf("%s: %w", keyword, &ValueError{address, "is no address, HOST:PORT expected (such as 127.0.0.1:7400)"})
+		return fmt.Errorf("%s: %w", keyword, &ValueError{address, "is not an address, HOST:PORT expected (such as 127.0.0.1:7400)"})
 	}
 	if _, err := ParseInteger(port, 0, maxPort); err != nil {
 		return fmt.Errorf("%s: port %w", keyword, err)
--- a/internal/bootstrap/lexer.go
+++ b/internal/bootstrap/lexer.go
@@ -7,42 +7,43 @@
 	"unicode/utf8"
 )
 
-// Line is a line of a file that has words.
+// Line is a line of a file, split into words.
 type Line struct {
 	File   string
-	Number int // from 1
-	Words  []string
+	Number int      // from 1
+	Words  []string // never empty in lines returned by Lex
 }
 
-// Fault makes a fault of the line.
+// Fault returns a fault at the line.
 func (l Line) Fault(format string, args ...any) Fault {
 	return Fault{File: l.File, Line: l.Number, Message: fmt.Sprintf(format, args...)}
 }
 
 var (
-	errOpenSingleQuote = errors.New("a single quote is never closed")
-	errOpenDoubleQuote = errors.New("a double quote is never closed")
-	errBackslash       = errors.New("within double quotes a backslash stands before a quote or a backslash only")
+	errUnterminatedSingleQuote = errors.New("a single quote is never closed")
+	errUnterminatedDoubleQuote = errors.New("a double quote is never closed")
+	errInvalidEscape           = errors.New("within double quotes a backslash must be followed by a double quote or a backslash")
 )
 
 // controlCharacterError reports a control character outside of quotes.
 type controlCharacterError byte
 
 func (c controlCharacterError) Error() string {
-	return fmt.Sprintf("the control character %#02x can't stand here", byte(c))
+	return fmt.Sprintf("control character %#02x outside of quotes", byte(c))
 }
 
-const deleteCharacter = 0x7f
+const deleteCharacter = 0x7f // the ASCII control character DEL
 
-// Lex cuts a text into lines of words. Blanks separate words; a # at a word's start begins a comment; "double quotes"
-// hold blanks and, with a backslash, quotes and backslashes; 'single quotes' hold anything but themselves.
+// Lex splits a text into lines of words and leaves out lines without words. Blanks separate words. A # at the start of a word
+// begins a comment. Words in "double quotes" may contain blanks, and double quotes and backslashes after a backslash. Words in
+// 'single quotes' may contain anything except single quotes. file is the file's name in lines and faults.
 func Lex(file, text string) (lines []Line, faults Faults) {
 	if !utf8.ValidString(text) {
-		return nil, Faults{{File: file, Line: 1, Message: "it is not UTF-8 text"}}
+		return nil, Faults{{File: file, Line: 1, Message: "the file is not UTF-8 text"}}
 	}
-	for i, raw := range strings.Split(text, "\n") {
+	for i, rawLine := range strings.Split(text, "\n") {
 		line := Line{File: file, Number: i + 1}
-		words, err := splitWords(strings.TrimSuffix(raw, "\r"))
+		words, err := splitWords(strings.TrimSuffix(rawLine, "\r"))
 		if err != nil {
 			faults = append(faults, line.Fault("%v", err))
 			continue
@@ -55,21 +56,22 @@
 	return lines, faults
 }
 
-// wordSplitter splits one line.
+// wordSplitter splits a line into words.
 type wordSplitter struct {
-	rest   string
-	words  []string
-	word   strings.Builder
-	inWord bool // also for an empty word in quotes
+	rest   string          // the unread part of the line
+	words  []string        // the complete words
+	word   strings.Builder // the current word so far
+	inWord bool            // a word has begun; it may still be empty, as after ""
 }
 
+// splitWords returns the words of a line up to a comment.
 func splitWords(line string) ([]string, error) {
 	splitter := wordSplitter{rest: line}
 	for splitter.rest != "" {
 		if splitter.rest[0] == '#' && !splitter.inWord {
 			break
 		}
-		if err := splitter.next(); err != nil {
+		if err := splitter.readNext(); err != nil {
 			return nil, err
 		}
 	}
@@ -77,8 +79,8 @@
 	return splitter.words, nil
 }
 
-// next takes a character, or all between two quotes.
-func (s *wordSplitter) next() error {
+// readNext reads one character, or a whole part in quotes.
+func (s *wordSplitter) readNext() error {
 	character := s.rest[0]
 	s.rest = s.rest[1:]
 	switch {
@@ -91,26 +93,28 @@
 	s.inWord = true
 	switch character {
 	case '\'':
-		return s.singleQuoted()
+		return s.readSingleQuoted()
 	case '"':
-		return s.doubleQuoted()
+		return s.readDoubleQuoted()
 	default:
 		s.word.WriteByte(character)
 		return nil
 	}
 }
 
-func (s *wordSplitter) singleQuoted() error {
+// readSingleQuoted reads up to the closing quote; the opening one has been read.
+func (s *wordSplitter) readSingleQuoted() error {
 	quoted, rest, closed := strings.Cut(s.rest, "'")
 	if !closed {
-		return errOpenSingleQuote
+		return errUnterminatedSingleQuote
 	}
 	s.word.WriteString(quoted)
 	s.rest = rest
 	return nil
 }
 
-func (s *wordSplitter) doubleQuoted() error {
+// readDoubleQuoted reads up to the closing quote; the opening one has been read.
+func (s *wordSplitter) readDoubleQuoted() error {
 	for s.rest != "" {
 		character := s.rest[0]
 		s.rest = s.rest[1:]
@@ -119,16 +123,17 @@
 		}
 		if character == '\\' {
 			if s.rest == "" || s.rest[0] != '"' && s.rest[0] != '\\' {
-				return errBackslash
+				return errInvalidEscape
 			}
 			character = s.rest[0]
 			s.rest = s.rest[1:]
 		}
 		s.word.WriteByte(character)
 	}
-	return errOpenDoubleQuote
+	return errUnterminatedDoubleQuote
 }
 
+// endWord adds the current word, if there is one, to the words.
 func (s *wordSplitter) endWord() {
 	if !s.inWord {
 		return
@@ -138,7 +143,7 @@
 	s.inWord = false
 }
 
-// Quote writes a word so that Lex reads the same word.
+// Quote returns a word in quotes if it needs them, so that Lex reads the same word. The word must not contain a newline.
 func Quote(word string) string {
 	if word != "" && !strings.ContainsAny(word, " \t\"'#\\") {
 		return word
--- a/internal/bootstrap/parser.go
+++ b/internal/bootstrap/parser.go
@@ -8,87 +8,89 @@
 	"strings"
 )
 
-// noValue is the word for a path or name that is not set.
+// noValue in place of a path or name means that the setting has no value.
 const noValue = "-"
 
-// section is an open section of a file.
+// section is a section as it appears in a file.
 type section struct {
-	name  string
-	arg   string
-	open  Line            // the line that opens it; zero for a section that the file does not have
-	given map[string]Line // where each of its keywords stands
+	name         string
+	arg          string          // name of the instance or method
+	openingLine  Line            // zero for a section that the file does not have
+	keywordLines map[string]Line // the line of each keyword that is given; of a repeated one the last
 }
 
-// parser reads the lines of a file one by one.
+// parser converts lines to settings, one after the other.
 type parser struct {
 	settings *Settings
 	faults   Faults
-	current  *section // nil before the first section
-	sections map[string]*section
+	current  *section            // nil before the first section
+	sections map[string]*section // by section name, or by methodKey
 }
 
-// Parse reads settings from lines. File names the file in faults that belong to no line. With faults, the settings are incomplete.
+// Parse converts lines to settings. file is the name of the file in faults that belong to no line. If there are faults, the
+// settings are incomplete.
 func Parse(file string, lines []Line) (*Settings, Faults) {
-	reader := &parser{
+	p := &parser{
 		settings: &Settings{
-			Values:  map[string]any{},
-			Peers:   map[int]string{},
-			program: map[string]any{},
-			lines:   map[string]Line{},
+			Values:        map[string]any{},
+			Peers:         map[int]string{},
+			processValues: map[string]any{},
+			settingLines:  map[string]Line{},
 		},
 		sections: map[string]*section{},
 	}
 	for _, line := range lines {
-		if !reader.openSection(line) {
-			reader.setting(line)
+		if !p.openSection(line) {
+			p.parseSetting(line)
 		}
 	}
-	reader.complete(file)
-	reader.settings.Values["method.n"] = float64(len(reader.settings.Methods))
-	reader.settings.Values["slices"] = 0.0
-	return reader.settings, append(reader.faults, reader.settings.check()...)
+	p.completeSections(file)
+	p.settings.Values["method.n"] = float64(len(p.settings.Methods))
+	p.settings.Values["slices"] = 0.0 // only complete tables are supported, not slices of them
+	return p.settings, append(p.faults, p.settings.check()...)
 }
 
 func (p *parser) fault(line Line, format string, args ...any) {
 	p.faults = append(p.faults, line.Fault(format, args...))
 }
 
-// openSection tells whether a line opens a section.
+// openSection makes the section that a line opens the current one. It returns false if the line opens none.
 func (p *parser) openSection(line Line) bool {
-	at := slices.IndexFunc(sections, func(s sectionType) bool { return s.Name == line.Words[0] })
-	if at < 0 {
+	index := slices.IndexFunc(sections, func(s sectionType) bool { return s.Name == line.Words[0] })
+	if index < 0 {
 		return false
 	}
-	kind := sections[at]
-	p.current = &section{name: kind.Name, open: line, given: map[string]Line{}}
-	wanted := 0
-	if kind.Arg != "" {
-		wanted = 1
+	opened := sections[index]
+	p.current = &section{name: opened.Name, openingLine: line, keywordLines: map[string]Line{}}
+	wantedArgs := 0
+	if opened.Arg != "" {
+		wantedArgs = 1
 	}
-	if len(line.Words)-1 != wanted {
-		p.fault(line, "%s takes %d names, has %d", kind.Name, wanted, len(line.Words)-1)
+	if len(line.Words)-1 != wantedArgs {
+		p.fault(line, "%s takes %d names, has %d", opened.Name, wantedArgs, len(line.Words)-1)
 	}
 	if len(line.Words) > 1 {
 		p.current.arg = line.Words[1]
 	}
-	key := kind.Name
-	if kind.Name == methodSection {
+	key := opened.Name
+	if opened.Name == methodSection {
 		key = methodKey(p.current.arg)
 	}
 	if first := p.sections[key]; first != nil {
-		p.fault(line, "%s stands here a second time, first at %s:%d", key, first.open.File, first.open.Number)
+		p.fault(line, "%s is given a second time, first at %s:%d", key, first.openingLine.File, first.openingLine.Number)
 	} else {
 		p.sections[key] = p.current
 	}
-	p.name(p.current)
+	p.storeSectionName(p.current)
 	return true
 }
 
-// methodKey is the key of a method's section in parser.sections.
+// methodKey returns the key of a method's section in parser.sections. It also begins the keys of its settings in
+// Settings.settingLines.
 func methodKey(method string) string { return methodSection + " " + method }
 
-// name takes over the name of a section that has one.
-func (p *parser) name(opened *section) {
+// storeSectionName stores the name of an instance or a method in the settings.
+func (p *parser) storeSectionName(opened *section) {
 	switch opened.name {
 	case "instance":
 		p.settings.Name = opened.arg
@@ -99,41 +101,42 @@
 	}
 }
 
-// setting reads a line that sets a keyword of the current section.
-func (p *parser) setting(line Line) {
+// parseSetting parses and stores a line that sets a keyword of the current section.
+func (p *parser) parseSetting(line Line) {
 	word := line.Words[0]
 	if p.current == nil {
-		p.fault(line, "%s stands outside of any section%s", word, didYouMean(word, sectionNames()))
+		p.fault(line, "%s is outside of any section%s", word, didYouMean(word, sectionNames()))
 		return
 	}
-	found := findKeyword(p.current.name, word)
-	if found == nil {
-		known := append(keywordNames(p.current.name), sectionNames()...)
-		p.fault(line, "%s is no keyword of %s%s", word, p.current.name, didYouMean(word, known))
+	setting := findKeyword(p.current.name, word)
+	if setting == nil {
+		candidates := append(keywordNames(p.current.name), sectionNames()...)
+		p.fault(line, "%s is no keyword of %s%s", word, p.current.name, didYouMean(word, candidates))
 		return
 	}
-	if first, repeated := p.current.given[word]; repeated && found.Syntax != peerSyntax {
-		p.fault(line, "%s stands here a second time, first at %s:%d", word, first.File, first.Number)
+	if first, repeated := p.current.keywordLines[word]; repeated && setting.Syntax != peerSyntax {
+		p.fault(line, "%s is given a second time, first at %s:%d", word, first.File, first.Number)
 		return
 	}
-	p.current.given[word] = line
-	value, err := found.value(line.Words[1:])
+	p.current.keywordLines[word] = line
+	value, err := setting.parseValue(line.Words[1:])
 	if err != nil {
 		p.fault(line, "%v", err)
 		return
 	}
-	p.settings.set(p.current, found, value, line)
+	p.settings.set(p.current, setting, value, line)
 }
 
-// complete fills in the defaults, and reports the sections and settings that are missing.
-func (p *parser) complete(file string) {
+// completeSections stores the defaults of settings that are not given, and reports missing sections and missing required
+// settings. A section that is missing and has no required settings counts as empty.
+func (p *parser) completeSections(file string) {
 	for _, kind := range sections {
 		if kind.Name == methodSection {
 			p.completeMethods(file)
 			continue
 		}
 		if p.sections[kind.Name] == nil {
-			if hasRequired(kind.Name) {
+			if hasRequiredKeyword(kind.Name) {
 				p.fault(Line{File: file, Number: 1}, "there is no section %s", kind.Name)
 				continue
 			}
@@ -143,49 +146,53 @@
 	}
 }
 
+// completeMethods completes the sections of all methods, of which there must be at least one.
 func (p *parser) completeMethods(file string) {
 	if len(p.settings.Methods) == 0 {
-		p.fault(Line{File: file, Number: 1}, "there is no section method, one at least expected")
+		p.fault(Line{File: file, Number: 1}, "there is no section method, at least one expected")
 	}
 	for _, method := range p.settings.Methods {
 		p.completeSection(p.sections[methodKey(method)])
 	}
 }
 
-func hasRequired(section string) bool {
+// hasRequiredKeyword reports whether a section has a keyword that must be given.
+func hasRequiredKeyword(section string) bool {
 	return slices.ContainsFunc(keywords, func(k keyword) bool { return k.Section == section && k.Default == required })
 }
 
+// completeSection stores the defaults of a section's settings that are not given, and reports missing required ones.
 func (p *parser) completeSection(incomplete *section) {
 	for i := range keywords {
 		missing := &keywords[i]
 		if missing.Section != incomplete.name {
 			continue
 		}
-		if _, given := incomplete.given[missing.Name]; given {
+		if _, given := incomplete.keywordLines[missing.Name]; given {
 			continue
 		}
 		switch {
 		case missing.Default == required:
 			title := strings.TrimSpace(incomplete.name + " " + incomplete.arg)
-			p.fault(incomplete.open, "%s lacks %s (such as: %s)", title, missing.Name, missing.Example)
+			p.fault(incomplete.openingLine, "%s lacks %s (such as: %s)", title, missing.Name, missing.Example)
 		case missing.Syntax != peerSyntax:
-			p.settings.set(incomplete, missing, missing.defaultValue(), incomplete.open)
+			p.settings.set(incomplete, missing, missing.defaultValue(), incomplete.openingLine)
 		}
 	}
 }
 
+// defaultValue returns the parsed default.
 func (k *keyword) defaultValue() any {
-	value, err := k.value([]string{k.Default})
+	value, err := k.parseValue([]string{k.Default})
 	if err != nil {
-		panic("bootstrap: bad default: " + err.Error()) // a mistake in keywords, which a test would find
+		panic("bootstrap: bad default: " + err.Error()) // an error in the variable keywords, which TestDocument would find
 	}
 	return value
 }
 
-// set stores the value of a keyword that stands on a line of a section.
+// set stores the value of a setting. line is the line that gives it, or the section's opening line for a default.
 func (s *Settings) set(owner *section, setting *keyword, value any, line Line) {
-	s.lines[lineKey(owner.name, owner.arg, setting.Name)] = line
+	s.settingLines[lineKey(owner.name, owner.arg, setting.Name)] = line
 	switch setting.Syntax {
 	case peerSyntax:
 		s.setPeer(value.([]string))
@@ -194,11 +201,11 @@
 		s.setWords(setting.DecisionName, value.([]string))
 		return
 	case pathSyntax:
-		value = resolveSetting(value.(string), line.File)
+		value = resolvePathSetting(value.(string), line.File)
 	}
 	switch {
 	case setting.DecisionName == "":
-		s.program[setting.Name] = value
+		s.processValues[setting.Name] = value
 	case owner.name == methodSection:
 		number := slices.Index(s.Methods, owner.arg)
 		s.Values[fmt.Sprintf("method.%d.name", number)] = owner.arg
@@ -208,12 +215,13 @@
 	}
 }
 
-// setPeer stores a peer's number, which keyword.value has checked, and address.
+// setPeer stores the address of a peer under its number, which keyword.parseValue has checked.
 func (s *Settings) setPeer(args []string) {
 	number, _ := strconv.Atoi(args[0])
 	s.Peers[number] = args[1]
 }
 
+// setWords stores a list as choice.DecodeSettings reads it: its length as name.n, its items as name.0, name.1 and so on.
 func (s *Settings) setWords(name string, words []string) {
 	s.Values[name+".n"] = float64(len(words))
 	for i, word := range words {
@@ -221,8 +229,9 @@
 	}
 }
 
-// resolveSetting returns a path that a file sets, relative to the file's directory; empty for one that is not set.
-func resolveSetting(path, file string) string {
+// resolvePathSetting returns a path that a file sets; a relative one is relative to the file's directory. It returns "" for
+// noValue.
+func resolvePathSetting(path, file string) string {
 	switch {
 	case path == noValue:
 		return ""
@@ -233,7 +242,8 @@
 	}
 }
 
-// lineKey is the key of a setting in Settings.lines: its section, the section's name if it has one, and its keyword.
+// lineKey returns the key of a setting in Settings.settingLines: its section's name, the section's argument if it has one, and its
+// keyword.
 func lineKey(section, arg, keyword string) string {
 	return strings.Join(strings.Fields(section+" "+arg+" "+keyword), " ")
 }
--- a/internal/bootstrap/settings.go
+++ b/internal/bootstrap/settings.go
@@ -10,16 +10,17 @@
 
 // Settings are the settings of a coordinator.
 type Settings struct {
-	Name    string         // of the instance
-	Values  map[string]any // those of package choice, in the form that choice.DecodeSettings reads
-	Methods []string       // in the order of their numbers
+	Name    string         // name of the instance
+	Values  map[string]any // settings of the decision module, in the form that choice.DecodeSettings reads
+	Methods []string       // names, in the order of their numbers
 	Peers   map[int]string // addresses of the other coordinators, by number
 
-	program map[string]any  // those of the program around package choice, by keyword
-	lines   map[string]Line // where each setting stands, by section and keyword
+	processValues map[string]any  // settings of the program around the decision module, by keyword; times in seconds
+	settingLines  map[string]Line // line that gives each setting, by lineKey; for a default the section's opening line
 }
 
-// Read reads a settings file and what it includes. If there are faults it returns no settings, and the Faults as the error.
+// Read reads a settings file and the files that it includes. If there are faults, it returns no settings, and the sorted Faults
+// as the error.
 func Read(path string) (*Settings, error) {
 	lines, faults := loadFile(path)
 	settings, parseFaults := Parse(path, lines)
@@ -31,22 +32,22 @@
 	return settings, nil
 }
 
-// Text returns a setting of the program that is a word, an address or a path; empty if there is none.
+// Text returns a setting of the program around the decision module that is a word, an address or a path; "" if there is none.
 func (s *Settings) Text(keyword string) string {
-	text, _ := s.program[keyword].(string)
+	text, _ := s.processValues[keyword].(string)
 	return text
 }
 
-// Number returns a setting of the program that is a number or a time in seconds.
+// Number returns a setting of the program around the decision module that is a number or a time in seconds; 0 if there is none.
 func (s *Settings) Number(keyword string) float64 {
-	number, _ := s.program[keyword].(float64)
+	number, _ := s.processValues[keyword].(float64)
 	return number
 }
 
-// Canonical returns a text of all settings that is the same for the same settings: a line for each, sorted.
+// Canonical returns all settings as text: a line for each, sorted, so that equal settings have the same text.
 func (s *Settings) Canonical() string {
 	lines := []string{"instance " + s.Name}
-	for _, values := range []map[string]any{s.Values, s.program} {
+	for _, values := range []map[string]any{s.Values, s.processValues} {
 		for name, value := range values {
 			lines = append(lines, fmt.Sprintf("%s %v", name, value))
 		}
@@ -58,7 +59,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// CoordinatorConfig returns what package choice reads at the start of an instance.
+// CoordinatorConfig returns the configuration with which the decision module of an instance is started.
 func (s *Settings) CoordinatorConfig(now choice.Seconds) choice.Config {
 	return choice.Config{Seed: uint64(s.Number("seed")), Now: now, Settings: choice.DecodeSettings(s.Values)}
 }
--- a/internal/bootstrap/suggest.go
+++ b/internal/bootstrap/suggest.go
@@ -2,21 +2,22 @@
 
 import "fmt"
 
-// maxSuggestLength bounds the words that are compared, in bytes.
-const maxSuggestLength = 64
+// maxComparedBytes is the largest size, in bytes, of words for which editDistance is computed.
+const maxComparedBytes = 64
 
-// ClosestWord returns the known word that is most like word, or "" if none is like it.
+// ClosestWord returns the known word with the smallest edit distance to word, or "" if no distance is within half the length of
+// word.
 func ClosestWord(word string, known []string) string {
-	closest, least := "", len(word)/2+1
+	closest, leastDistance := "", len(word)/2+1
 	for _, candidate := range known {
-		if distance := editDistance(word, candidate); distance < least {
-			closest, least = candidate, distance
+		if distance := editDistance(word, candidate); distance < leastDistance {
+			closest, leastDistance = candidate, distance
 		}
 	}
 	return closest
 }
 
-// didYouMean returns the end of a fault's message that suggests a known word, or "".
+// didYouMean returns the end of a message that suggests the closest known word, or "" if there is none.
 func didYouMean(word string, known []string) string {
 	if closest := ClosestWord(word, known); closest != "" {
 		return fmt.Sprintf(" (did you mean %s?)", closest)
@@ -24,11 +25,13 @@
 	return ""
 }
 
-// editDistance counts the letters to insert, delete, change or swap that make one word of the other.
+// editDistance returns the smallest number of edits that change source into target (optimal string alignment distance). An edit
+// inserts, deletes or replaces a byte, or swaps two neighbouring ones. For words longer than maxComparedBytes it returns that.
 func editDistance(source, target string) int {
-	if len(source) > maxSuggestLength || len(target) > maxSuggestLength {
-		return maxSuggestLength
+	if len(source) > maxComparedBytes || len(target) > maxComparedBytes {
+		return maxComparedBytes
 	}
+	// rows[i][j] is the distance from the first i bytes of source to the first j bytes of target.
 	rows := make([][]int, len(source)+1)
 	for i := range rows {
 		rows[i] = make([]int, len(target)+1)
--- a/internal/bootstrap/values.go
+++ b/internal/bootstrap/values.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// maxDecimalLength bounds the digits of a number.
-const maxDecimalLength = 24
+// maxDecimalBytes is the largest length of a number, in bytes.
+const maxDecimalBytes = 24
 
-// ValueError reports a word that is not the value that was expected.
+// ValueError reports a word that can't be parsed as the expected kind of value.
 type ValueError struct {
 	Word    string
 	Problem string // what is wrong, and what was expected
@@ -17,12 +17,14 @@
 
 func (e *ValueError) Error() string { return fmt.Sprintf("%q %s", e.Word, e.Problem) }
 
+// timeUnits are the units of time. ParseDuration tries them in this order, and takes a unit only after a digit, so that ms is not
+// taken for s.
 var timeUnits = []struct {
 	name    string
 	seconds float64
 }{{"us", 1e-6}, {"ms", 1e-3}, {"s", 1}, {"m", 60}, {"h", 3600}}
 
-// ParseDuration reads a time and returns it in seconds: a number with the unit us, ms, s, m or h. "0" needs no unit.
+// ParseDuration parses a time and returns it in seconds. A time is a number with the unit us, ms, s, m or h; "0" needs no unit.
 func ParseDuration(word string) (float64, error) {
 	if word == "0" {
 		return 0, nil
@@ -43,7 +45,7 @@
 
 func isDigit(character byte) bool { return character >= '0' && character <= '9' }
 
-// ParseShare reads a part of a whole and returns it as 0 to 1: a percentage such as 30%, or a number from 0 to 1.
+// ParseShare parses a share, which is a percentage such as 30% or a number from 0 to 1, and returns it as a number from 0 to 1.
 func ParseShare(word string) (float64, error) {
 	digits, percent := strings.CutSuffix(word, "%")
 	value, err := parseDecimal(digits)
@@ -51,21 +53,21 @@
 		value /= 100
 	}
 	if err != nil || value > 1 {
-		return 0, &ValueError{word, "is no share, 0% to 100% or 0 to 1 expected"}
+		return 0, &ValueError{word, "is not a share, 0% to 100% or 0 to 1 expected"}
 	}
 	return value, nil
 }
 
-// ParseNumber reads a number of 0 or above.
+// ParseNumber parses a number of 0 or above.
 func ParseNumber(word string) (float64, error) {
 	value, err := parseDecimal(word)
 	if err != nil {
-		return 0, &ValueError{word, "is no number of 0 or above"}
+		return 0, &ValueError{word, "is not a number of 0 or above"}
 	}
 	return value, nil
 }
 
-// ParseInteger reads a whole number from lowest to highest.
+// ParseInteger parses a whole number from lowest to highest.
 func ParseInteger(word string, lowest, highest int) (int, error) {
 	value, err := strconv.Atoi(word)
 	if err != nil || value < lowest || value > highest {
@@ -74,10 +76,10 @@
 	return value, nil
 }
 
-// parseDecimal takes plain decimals only: no signs, exponents, hexadecimal digits or names of infinity.
+// parseDecimal parses a number in plain decimal notation. Signs, exponents, hexadecimal digits and names such as inf are errors.
 func parseDecimal(word string) (float64, error) {
-	if word == "" || word == "." || len(word) > maxDecimalLength || strings.Trim(word, "0123456789.") != "" || strings.Count(word, ".") > 1 {
-		return 0, &ValueError{word, "is no number"}
+	if word == "" || word == "." || len(word) > maxDecimalBytes || strings.Trim(word, "0123456789.") != "" || strings.Count(word, ".") > 1 {
+		return 0, &ValueError{word, "is not a number"}
 	}
 	return strconv.ParseFloat(word, 64)
 }
