--- a/internal/bootstrap/parser.go
+++ b/internal/bootstrap/parser.go
@@ -30,7 +30,7 @@
 // Parse converts lines to settings. file is the name of the file in faults that belong to no line. If there are faults, the
 // settings are incomplete.
 func Parse(file string, lines []Line) (*Settings, Faults) {
-	p := &parser{
+	state := &parser{
 		settings: &Settings{
 			Values:        map[string]any{},
 			Peers:         map[int]string{},
@@ -40,14 +40,14 @@
 		sections: map[string]*section{},
 	}
 	for _, line := range lines {
-		if !p.openSection(line) {
-			p.parseSetting(line)
+		if !state.openSection(line) {
+			state.parseSetting(line)
 		}
 	}
-	p.completeSections(file)
-	p.settings.Values["method.n"] = float64(len(p.settings.Methods))
-	p.settings.Values["slices"] = 0.0 // only complete tables are supported, not slices of them
-	return p.settings, append(p.faults, p.settings.check()...)
+	state.completeSections(file)
+	state.settings.Values["method.n"] = float64(len(state.settings.Methods))
+	state.settings.Values["slices"] = 0.0 // only complete tables are supported, not slices of them
+	return state.settings, append(state.faults, state.settings.check()...)
 }
 
 func (p *parser) fault(line Line, format string, args ...any) {
