--- a/internal/bootstrap/document.go
+++ b/internal/bootstrap/document.go
@@ -26,7 +26,7 @@
 
 const tableHeader = "| keyword | syntax | range | default | meaning | example |\n| --- | --- | --- | --- | --- | --- |\n"
 
-// Document returns the text of docs/settings.md, generated from sections and keywords. TestDocument compares the file with it.
+// Document returns the text of docs/settings.md, generated from sections and keywords. TestReferencePage compares the file with it.
 func Document() string {
 	var page strings.Builder
 	page.WriteString(documentIntroduction)
--- a/internal/bootstrap/parser.go
+++ b/internal/bootstrap/parser.go
@@ -185,7 +185,7 @@
 func (k *keyword) defaultValue() any {
 	value, err := k.parseValue([]string{k.Default})
 	if err != nil {
-		panic("bootstrap: bad default: " + err.Error()) // an error in the variable keywords, which TestDocument would find
+		panic("bootstrap: bad default: " + err.Error()) // an error in the variable keywords, which TestReferencePage would find
 	}
 	return value
 }
