--- a/internal/bootstrap/bootstrap_test.go
+++ b/internal/bootstrap/bootstrap_test.go
@@ -82,7 +82,7 @@
 			t.Errorf("%s is %q, want %q", name, got, want)
 		}
 	}
-	if !config.Settings.Probes || settings.Peers[1] != "127.0.0.1:7401" || settings.Text("state") != "here" || settings.Number("handshake") != 5 || settings.Name != "west-1" {
+	if !config.Settings.ProbesAllowed || settings.Peers[1] != "127.0.0.1:7401" || settings.Text("state") != "here" || settings.Number("handshake") != 5 || settings.Name != "west-1" {
 		t.Error(settings)
 	}
 }
--- a/internal/bootstrap/check.go
+++ b/internal/bootstrap/check.go
@@ -14,9 +14,9 @@
 func (s *Settings) check() Faults {
 	settings := choice.DecodeSettings(s.Values)
 	faults := s.checkInstance(settings)
-	if settings.PushTimeWorst.Or(0) < settings.PushTime.Or(0) {
+	if settings.MaxPushTime.Or(0) < settings.MeanPushTime.Or(0) {
 		faults = append(faults, s.faultAt("proxies push-time-worst", "push-time-worst %vs is shorter than push-time %vs",
-			settings.PushTimeWorst.Or(0), settings.PushTime.Or(0))...)
+			settings.MaxPushTime.Or(0), settings.MeanPushTime.Or(0))...)
 	}
 	return append(faults, s.checkMethods(settings)...)
 }
