--- a/internal/bootstrap/bootstrap_test.go
+++ b/internal/bootstrap/bootstrap_test.go
@@ -164,7 +164,7 @@
 // docs/settings.md must be up to date, and the example and the default of each keyword must be valid.
 func TestReferencePage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/settings.md")
-	if err != nil || string(page) != Document() {
+	if err != nil || string(page) != ReferencePage() {
 		t.Fatalf("docs/settings.md differs from the definitions of the keywords (%v), regenerate it: go run ./cmd/gingerfork settings > docs/settings.md", err)
 	}
 	for _, k := range keywords {
--- a/internal/bootstrap/document.go
+++ b/internal/bootstrap/document.go
@@ -26,8 +26,8 @@
 
 const tableHeader = "| keyword | syntax | range | default | meaning | example |\n| --- | --- | --- | --- | --- | --- |\n"
 
-// Document returns the text of docs/settings.md, generated from sections and keywords. TestReferencePage compares the file with it.
-func Document() string {
+// ReferencePage returns the text of docs/settings.md, generated from sections and keywords. TestReferencePage compares the file with it.
+func ReferencePage() string {
 	var page strings.Builder
 	page.WriteString(documentIntroduction)
 	for _, section := range sections {
--- a/internal/fake/session.go
+++ b/internal/fake/session.go
@@ -77,7 +77,7 @@
 		f.session.lastReceivedAt = now
 		f.out.Write(f.session.conn, proto.Append(nil, proto.Hello{
 			Version: proto.Version, Role: proto.RoleProxy, Name: f.config.Name, Zone: f.config.Zone, Rate: f.clientTraffic.rate,
-			Fresh: f.session.tablesFrom == "", TablesOf: f.session.tablesFrom, Nonce: f.session.lastAckedNonce,
+			HasNoTables: f.session.tablesFrom == "", TablesOf: f.session.tablesFrom, Nonce: f.session.lastAckedNonce,
 		}))
 	case statemachine.ConnClosed:
 		f.endSession(now, input.Text)
--- a/internal/proto/messages.go
+++ b/internal/proto/messages.go
@@ -78,14 +78,14 @@
 	// Hello is the first message on every stream. Name and Zone are those of the party that opens it. The fields from Rate on
 	// are for proxies only, except that a backend's client sends in TablesOf the coordinator whose tables it uses.
 	Hello struct {
-		Version  uint64
-		Role     Role
-		Name     string
-		Zone     string
-		Rate     float64 // RPCs per second that the proxy usually receives
-		Fresh    bool    // the proxy holds no table of any coordinator
-		TablesOf string  // name of the coordinator whose tables the proxy holds
-		Nonce    uint64  // of the last push from that coordinator that the proxy applied
+		Version     uint64
+		Role        Role
+		Name        string
+		Zone        string
+		Rate        float64 // RPCs per second that the proxy usually receives
+		HasNoTables bool    // the proxy holds no table of any coordinator
+		TablesOf    string  // name of the coordinator whose tables the proxy holds
+		Nonce       uint64  // of the last push from that coordinator that the proxy applied
 	}
 	// Welcome accepts a Hello.
 	Welcome struct {
