--- a/internal/route/file.go
+++ b/internal/route/file.go
@@ -6,12 +6,17 @@
 	"gingerfork/internal/bootstrap"
 )
 
-// The words of a file of routes, which has a line for each route, in the order in which they are tried:
+// The keywords of a route file. The file has one line for each route, in the order in which routes are tried:
 //
-//	route FRONT to POOL as METHOD [when ROW [or ROW]... | unless ROW [or ROW]...]
+//	route FRONTEND to POOL as METHOD [when TERM... [or TERM...]... | unless TERM... [or TERM...]...]
 //
-// A ROW is one or more terms, all of which must hold: [not] path|method|hdr(NAME) str|beg|end|sub|found [any-case] =PATTERN...
-// A term holds if any of its patterns matches. Patterns begin with =, so that none is taken for a word.
+// The word or separates alternatives. An alternative holds if all its terms hold. A route with when matches a request if any
+// alternative holds, a route with unless if none does. A TERM is:
+//
+//	[not] path|method|hdr(NAME) str|beg|end|sub|found [any-case] =PATTERN...
+//
+// A term holds if any of its patterns matches, or with not if none does. Patterns begin with =, so that they cannot be mistaken
+// for keywords.
 const (
 	wordRoute      = "route"
 	wordTo         = "to"
@@ -26,7 +31,7 @@
 	patternPrefix  = "="
 )
 
-// String returns the line of the route in a file.
+// String returns the route as a line of a route file, without the line end.
 func (r Route) String() string {
 	words := []string{wordRoute, r.Frontend, wordTo, r.Pool, wordAs, r.Method}
 	for i, alternative := range r.Alternatives {
@@ -48,6 +53,7 @@
 	return strings.Join(words, " ")
 }
 
+// words returns the unquoted words of the term in a route file.
 func (t Term) words() (words []string) {
 	if t.Negate {
 		words = append(words, wordNot)
@@ -66,10 +72,10 @@
 	return words
 }
 
-// Read reads a file of routes. It returns all faults, each with its line.
+// Read parses the text of a route file. It returns all faults of the file, each with its line number.
 func Read(file, text string) (routes []Route, faults bootstrap.Faults) {
 	lines, faults := bootstrap.Lex(file, text)
-	catchAll := map[string]bootstrap.Line{} // by front end: the route that always matches, behind which none is reached
+	catchAll := map[string]bootstrap.Line{} // by front end: its route without a condition, after which no route is reached
 	for _, line := range lines {
 		route, err := parse(line.Words)
 		if err != nil {
@@ -77,7 +83,7 @@
 			continue
 		}
 		if earlier, ok := catchAll[route.Frontend]; ok {
-			faults = append(faults, line.Fault("it is never reached: the route of line %d takes all that comes to %s", earlier.Number, route.Frontend))
+			faults = append(faults, line.Fault("route is never reached: the route at line %d matches all requests of front end %q", earlier.Number, route.Frontend))
 			continue
 		}
 		if len(route.Alternatives) == 0 {
--- a/internal/route/file_test.go
+++ b/internal/route/file_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 )
 
+// drawTerm draws a term that often tests an exact value, as Table indexes only such terms.
 func drawTerm(rapidT *rapid.T) Term {
 	pattern := rapid.StringMatching(`[ab]{1,2}|[ab/"' #=\\]{0,3}`)
 	term := Term{
@@ -41,6 +42,7 @@
 	return routes
 }
 
+// formatFile returns the text of a route file.
 func formatFile(routes []Route) string {
 	var file strings.Builder
 	for _, route := range routes {
@@ -49,36 +51,37 @@
 	return file.String()
 }
 
-// Routes that are written to a file are read as they were.
+// TestReadReturnsWhatStringWrote checks that Read returns the same routes that Route.String wrote.
 func TestReadReturnsWhatStringWrote(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routes := drawRoutes(t)
 		file := formatFile(routes)
 		read, faults := Read("routes", file)
 		if len(faults) > 0 || cmp.Diff(read, routes) != "" {
-			t.Fatalf("%s\n%v\n%s", file, faults, cmp.Diff(read, routes))
+			t.Fatalf("file:\n%s\nfaults %v\ndiff of the routes:\n%s", file, faults, cmp.Diff(read, routes))
 		}
 	})
 }
 
+// TestReadReportsFaults checks that a faulty line causes exactly one fault with the expected message.
 func TestReadReportsFaults(t *testing.T) {
 	for text, want := range map[string]string{
-		"rout f to p as m":                                "a route is",
-		"route f to p as m whenever path str =/":          "whenever is neither",
-		"route f to p as m when":                          "a term is",
-		"route f to p as m when path str =/ or":           "a term is",
-		"route f to p as m when path str":                 "without a pattern",
-		"route f to p as m when cookie str =a":            "cookie is none of",
-		"route f to p as m when hdr(Host) str =a":         "no header in lower case",
-		"route f to p as m when path reg =a":              "reg is none of",
-		"route f to p as m when path str =a b":            "a term is",
-		"route f to p as m\nroute f to q as m":            "line 3 takes all that comes to f",
+		"rout f to p as m":                                "invalid route, expected",
+		"route f to p as m whenever path str =/":          `expected when or unless, found "whenever"`,
+		"route f to p as m when":                          "invalid term, expected",
+		"route f to p as m when path str =/ or":           "invalid term, expected",
+		"route f to p as m when path str":                 "term has no pattern",
+		"route f to p as m when cookie str =a":            `unknown source "cookie"`,
+		"route f to p as m when hdr(Host) str =a":         "not a header name in lower case",
+		"route f to p as m when path reg =a":              `unknown match "reg"`,
+		"route f to p as m when path str =a b":            "invalid term, expected",
+		"route f to p as m\nroute f to q as m":            `line 3 matches all requests of front end "f"`,
 		"route f to p as m when path str \"=a":            "quote",
-		"route f to p as m when path str =a or or path a": "or is none of",
+		"route f to p as m when path str =a or or path a": `unknown source "or"`,
 	} {
-		_, faults := Read("r", "# a file\n\n"+text+"\nroute other to p as m\n")
+		_, faults := Read("r", "# comment\n\n"+text+"\nroute other to p as m\n")
 		if len(faults) != 1 || !strings.Contains(faults[0].Message, want) {
-			t.Errorf("%s: %v, wanted %s", text, faults, want)
+			t.Errorf("%s: faults %v, want one that contains %q", text, faults, want)
 		}
 	}
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,5 +1,6 @@
-// Package route decides which pool a request goes to, and as which of the pool's methods: ordered routes on path, HTTP method and
-// headers, in a file that proxies read. The package does no I/O.
+// Package route selects the pool that serves a request, and the method of that pool under which the request counts. Routes are
+// tried in order and test the path, the HTTP method and the headers of a request. Proxies read them from a file, whose format
+// this package parses and writes; it does no I/O itself.
 package route
 
 import (
@@ -7,51 +8,52 @@
 	"strings"
 )
 
-// The sources of the values that a Term looks at.
+// The properties of a request that a Term can test, as written in the file.
 const (
 	SourcePath   = "path"
 	SourceMethod = "method"
 	SourceHeader = "hdr"
 )
 
-// The ways in which a Term matches a value.
+// The ways in which a Term compares a value with its patterns, as written in the file.
 const (
 	MatchExact    = "str"
 	MatchPrefix   = "beg"
 	MatchSuffix   = "end"
 	MatchContains = "sub"
-	MatchPresent  = "found" // there is a value, whatever it is
+	MatchPresent  = "found" // the property exists, with any value
 )
 
-// Request is what routes look at.
+// Request holds the properties of an HTTP request that routes test.
 type Request struct {
 	Method  string
 	Path    string
 	Headers map[string][]string // names in lower case
 }
 
-// Term is a condition on one property of a request. It holds if one of the property's values matches one of the patterns.
+// Term is a condition on one property of a request. It holds if any value of the property matches any of the patterns or, with
+// Negate, if none does.
 type Term struct {
 	Negate     bool
 	Source     string // one of SourcePath, SourceMethod and SourceHeader
-	Header     string // the name in lower case, for SourceHeader
-	Match      string // one of MatchExact to MatchPresent
+	Header     string // header name in lower case, if Source is SourceHeader
+	Match      string // one of the Match constants
 	IgnoreCase bool
 	Patterns   []string
 }
 
-// Route sends requests of a front end to a pool.
+// Route sends the requests of a front end that meet its condition to a pool.
 type Route struct {
 	Frontend string
 	Pool     string
-	Method   string // of the pool, as which its requests count
-	// Alternatives are conditions of which one must hold, or none with Negate. Each is a conjunction of terms. A route without
-	// alternatives always matches.
+	Method   string // method of the pool under which the requests count
+	// Alternatives is the condition in disjunctive normal form: a list of conjunctions of terms, of which one must hold or, with
+	// Negate, none. A route without alternatives matches every request.
 	Alternatives [][]Term
 	Negate       bool
 }
 
-// Matches reports whether the route takes a request.
+// Matches reports whether the route's condition holds for a request.
 func (r Route) Matches(request Request) bool {
 	if len(r.Alternatives) == 0 {
 		return true
@@ -59,13 +61,13 @@
 	return slices.ContainsFunc(r.Alternatives, request.meetsAll) != r.Negate
 }
 
-// meetsAll reports whether all terms of a conjunction hold.
+// meetsAll reports whether all terms of a conjunction hold for the request.
 func (q Request) meetsAll(terms []Term) bool {
 	return !slices.ContainsFunc(terms, func(term Term) bool { return !term.holds(q) })
 }
 
-// Safe reports whether all requests of the route have a method that RFC 9110 (9.2.1) calls safe, so that a retry does no harm. A
-// route that does not ask for the method may get any.
+// Safe reports whether the route is known to match only requests with an HTTP method that RFC 9110 (9.2.1) calls safe, so that a
+// retry does no harm. A route that does not test the method can match requests with any method, so it is not safe.
 func (r Route) Safe() bool {
 	if r.Negate || len(r.Alternatives) == 0 {
 		return false
@@ -78,6 +80,8 @@
 	return true
 }
 
+// requiresSafeMethod reports whether the term holds only for requests with a safe HTTP method. A term that ignores case does not
+// count: HTTP methods are case-sensitive, so it also matches unknown methods such as "get".
 func (t Term) requiresSafeMethod() bool {
 	if t.Source != SourceMethod || t.Negate || t.Match != MatchExact || t.IgnoreCase {
 		return false
@@ -87,7 +91,7 @@
 	})
 }
 
-// values returns the values of a request that a term looks at.
+// values returns the values of the property that the term tests. Only a header can have several values or none.
 func (t Term) values(request Request) []string {
 	switch t.Source {
 	case SourcePath:
@@ -98,11 +102,12 @@
 	return request.Headers[t.Header]
 }
 
+// holds reports whether the term holds for a request.
 func (t Term) holds(request Request) bool {
 	return slices.ContainsFunc(t.values(request), t.matches) != t.Negate
 }
 
-// matches reports whether a value matches one of the patterns.
+// matches reports whether a value matches any of the patterns, regardless of Negate.
 func (t Term) matches(value string) bool {
 	if t.Match == MatchPresent {
 		return true
@@ -128,8 +133,8 @@
 	})
 }
 
-// Methods returns the methods that routes define for a pool, each once and in the order of the routes, and whether all routes of
-// a method are safe.
+// Methods returns the names of the methods that routes define for a pool, each once and in the order of the routes. The map safe
+// tells for each name whether all routes with that method are safe (see Route.Safe).
 func Methods(routes []Route, pool string) (names []string, safe map[string]bool) {
 	safe = map[string]bool{}
 	for _, route := range routes {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A method is safe if all of its routes ask for a safe one.
+// TestMethodsAreSafeIfAllRoutesAre checks that a method is safe only if each of its routes requires a safe HTTP method.
 func TestMethodsAreSafeIfAllRoutesAre(t *testing.T) {
 	routes, faults := Read("r", `route f to p as read when method str =GET =HEAD path beg =/a or method str =OPTIONS
 route f to p as mixed when method str =GET or path str =/x
@@ -17,11 +17,11 @@
 `)
 	names, safe := Methods(routes, "p")
 	if len(faults) > 0 || strings.Join(names, " ") != "read mixed not unless twice folded" {
-		t.Fatal(faults, names)
+		t.Fatalf("faults %v, methods %v", faults, names)
 	}
 	for _, name := range names {
 		if safe[name] != (name == "read") {
-			t.Errorf("%s: safe %v", name, safe[name])
+			t.Errorf("method %s: safe is %v", name, safe[name])
 		}
 	}
 }
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -6,21 +6,21 @@
 	"strings"
 )
 
-// Table is an index of routes. With ten thousand routes by host or by path, a lookup tries only the routes that ask for just the
-// request's value, and those that cannot be indexed.
+// Table finds the first route that matches a request. It indexes routes by the exact values that they require: with ten thousand
+// routes by host or path, a lookup tries only the routes that require a value of the request, and those that cannot be indexed.
 type Table struct {
 	frontends map[string]*index
 }
 
-// index has the routes of one front end.
+// index holds the routes of one front end.
 type index struct {
 	routes    []Route
-	unindexed []int            // positions of routes that do not ask for an exact value
-	byValue   map[string][]int // positions of the others, by Term.key of each value that they ask for
-	sources   []Term           // the properties that they ask for, without patterns
+	unindexed []int            // positions of the routes that do not require an exact value
+	byValue   map[string][]int // positions of the other routes, by Term.key of each value that they require
+	sources   []Term           // the properties whose values are keys of byValue, as terms without patterns
 }
 
-// NewTable returns a table of routes; those of a front end keep their order.
+// NewTable builds a table of routes. The routes of each front end keep their order.
 func NewTable(routes []Route) *Table {
 	table := &Table{frontends: map[string]*index{}}
 	for _, route := range routes {
@@ -39,7 +39,7 @@
 	return slices.Sorted(maps.Keys(t.frontends))
 }
 
-// Lookup returns the first route of a front end that matches a request; false if none does.
+// Lookup returns the first route of a front end that matches a request, or false if none does.
 func (t *Table) Lookup(frontend string, request Request) (Route, bool) {
 	entry := t.frontends[frontend]
 	if entry == nil {
@@ -48,6 +48,7 @@
 	return entry.lookup(request)
 }
 
+// add appends a route, and indexes it if each of its alternatives requires an exact value.
 func (x *index) add(route Route) {
 	position := len(x.routes)
 	x.routes = append(x.routes, route)
@@ -67,6 +68,7 @@
 	}
 }
 
+// addSource adds the property that a term tests to the properties that lookups search by.
 func (x *index) addSource(term Term) {
 	known := slices.ContainsFunc(x.sources, func(source Term) bool { return source.Source == term.Source && source.Header == term.Header })
 	if !known {
@@ -74,6 +76,7 @@
 	}
 }
 
+// lookup returns the first route that matches a request, or false if none does.
 func (x *index) lookup(request Request) (Route, bool) {
 	best := x.firstIndexed(request)
 	for _, position := range x.unindexed {
@@ -90,7 +93,7 @@
 	return x.routes[best], true
 }
 
-// firstIndexed returns the position of the first indexed route that matches a request; the number of routes if none does.
+// firstIndexed returns the position of the first indexed route that matches a request, or the number of routes if none does.
 func (x *index) firstIndexed(request Request) int {
 	best := len(x.routes)
 	for _, source := range x.sources {
@@ -105,8 +108,9 @@
 	return best
 }
 
-// exactTerms returns, for each alternative of a route, a term that asks for an exact value, by which the route can be indexed;
-// false if an alternative has none. Methods are too few to tell routes apart.
+// exactTerms returns, for each alternative of a route, a term that requires an exact value, by which the route can be indexed. It
+// returns false if an alternative has no such term. Terms on the HTTP method are not used, as there are too few methods for an
+// index to tell routes apart.
 func exactTerms(route Route) (terms []Term, ok bool) {
 	if route.Negate || len(route.Alternatives) == 0 {
 		return nil, false
@@ -123,7 +127,8 @@
 	return terms, true
 }
 
-// key is the index key of a value. Case is ignored for all values, as Route.Matches is asked about each route that is found.
+// key returns the index key of a value of the property that the term tests. Keys ignore case even if the term does not, because
+// a lookup calls Route.Matches for each route that it finds.
 func (t Term) key(value string) string {
 	return t.Source + "\x00" + t.Header + "\x00" + strings.ToLower(value)
 }
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -7,6 +7,7 @@
 	"pgregory.net/rapid"
 )
 
+// drawRequest draws a request from few values, so that routes of drawRoutes often match it.
 func drawRequest(t *rapid.T) Request {
 	request := Request{
 		Method: rapid.SampledFrom([]string{"a", "b", "A"}).Draw(t, "method"),
@@ -19,7 +20,7 @@
 	return request
 }
 
-// firstMatch is what Table.Lookup must find: the pool of the first route that matches, empty if none does.
+// firstMatch returns what Table.Lookup must find: the pool of the first route that matches, or "" if none does.
 func firstMatch(routes []Route, frontend string, request Request) string {
 	for _, route := range routes {
 		if route.Frontend == frontend && route.Matches(request) {
@@ -29,7 +30,7 @@
 	return ""
 }
 
-// A lookup finds what trying each route in turn finds.
+// TestLookupFindsFirstMatch checks that a lookup finds the same route as trying each route in order.
 func TestLookupFindsFirstMatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routes := drawRoutes(t)
@@ -39,7 +40,7 @@
 			for _, frontend := range []string{"f", "g", "none"} {
 				want := firstMatch(routes, frontend, request)
 				if got, ok := table.Lookup(frontend, request); got.Pool != want || ok != (want != "") {
-					t.Fatalf("%+v at %s: %q, %v, wanted %q\n%s", request, frontend, got.Pool, ok, want, formatFile(routes))
+					t.Fatalf("Lookup(%q, %+v) = %q, %v, want %q\n%s", frontend, request, got.Pool, ok, want, formatFile(routes))
 				}
 			}
 		}
