--- a/internal/haproxy/acl_match.go
+++ b/internal/haproxy/acl_match.go
@@ -56,7 +56,7 @@
 	term.Match = matchExact
 	if hasMatch {
 		if !slices.Contains([]string{matchBegin, matchEnd, matchPart}, match) {
-			return term, unsupported(name)
+			return term, unsupportedError(name)
 		}
 		term.Match = match
 	}
@@ -66,12 +66,14 @@
 	case (base == fetchHeader || name == "req.hdr") && hasArgument && argument != "":
 		term.Source, term.Header = fetchHeader, strings.ToLower(argument)
 	default:
-		return term, unsupported(word)
+		return term, unsupportedError(word)
 	}
 	return term, nil
 }
 
-func unsupported(word string) error { return classify(ErrUnsupported, "%s has no like here", word) }
+func unsupportedError(word string) error {
+	return classify(ErrUnsupported, "%s has no like here", word)
+}
 
 // parseMatchFlags applies the flags of a match and returns the patterns behind them.
 func parseMatchFlags(term *route.Term, words []string) (patterns []string, err error) {
--- a/internal/haproxy/address.go
+++ b/internal/haproxy/address.go
@@ -11,11 +11,11 @@
 
 // address is the address of a server or a listener (manual, 4.2 server, bind).
 type address struct {
-	Family string // the prefix before @, "" if there is none
-	Host   string // for a socket without a port its name
-	Port   int    // 0 if there is none
-	Offset bool   // Port is relative to the port that the client connected to
-	Last   int    // the last port of a range, 0 if it is none
+	Family       string // the prefix before @, "" if there is none
+	Host         string // for a socket without a port its name
+	Port         int    // 0 if there is none
+	RelativePort bool   // Port is relative to the port that the client connected to
+	LastPort     int    // the last port of a range, 0 if it is none
 }
 
 var addressFamilies = []string{
@@ -75,14 +75,14 @@
 func (a *address) setPort(text string) (err error) {
 	digits := text
 	if text[0] == '+' || text[0] == '-' {
-		a.Offset, digits = true, text[1:]
+		a.RelativePort, digits = true, text[1:]
 	}
 	first, last, isRange := strings.Cut(digits, "-")
 	if a.Port, err = parseInteger(first, 0, maxPort); err != nil {
 		return classify(ErrValue, "port %w", err)
 	}
 	if isRange {
-		if a.Last, err = parseInteger(last, a.Port, maxPort); err != nil {
+		if a.LastPort, err = parseInteger(last, a.Port, maxPort); err != nil {
 			return classify(ErrValue, "the range's end: %w", err)
 		}
 	}
--- a/internal/haproxy/bench_test.go
+++ b/internal/haproxy/bench_test.go
@@ -8,7 +8,7 @@
 	"gingerfork/internal/endpointfile"
 )
 
-func farm(servers int) string {
+func generateConfig(servers int) string {
 	var b strings.Builder
 	b.WriteString("defaults\n    mode http\n    balance leastconn\n    default-server inter 2s fall 3\n")
 	for i := range servers {
@@ -23,7 +23,7 @@
 // BenchmarkRead measures whether time and memory grow in proportion to the file's length.
 func BenchmarkRead(b *testing.B) {
 	for _, n := range []int{10, 1000, 100000} {
-		text := farm(n)
+		text := generateConfig(n)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/haproxy/block_condition.go
+++ b/internal/haproxy/block_condition.go
@@ -12,13 +12,13 @@
 // maxConditionDepth bounds the nesting of a condition, and with it the parser's recursion.
 const maxConditionDepth = 200
 
-// holds evaluates the condition of an .if or .elif: terms with !, && before ||, and parentheses.
-func (e Environment) holds(text string) (bool, error) {
+// conditionHolds evaluates the condition of an .if or .elif: terms with !, && before ||, and parentheses.
+func (e Environment) conditionHolds(text string) (bool, error) {
 	if strings.TrimSpace(text) == "" {
 		return false, nil // An empty condition is false.
 	}
 	p := &conditionParser{environment: e, rest: text}
-	value, err := p.disjunction()
+	value, err := p.parseDisjunction()
 	if err != nil {
 		return value, err
 	}
@@ -47,27 +47,27 @@
 	return found
 }
 
-func (p *conditionParser) disjunction() (bool, error) {
-	value, err := p.conjunction()
+func (p *conditionParser) parseDisjunction() (bool, error) {
+	value, err := p.parseConjunction()
 	for err == nil && p.accept("||") {
 		var operand bool
-		operand, err = p.conjunction()
+		operand, err = p.parseConjunction()
 		value = value || operand
 	}
 	return value, err
 }
 
-func (p *conditionParser) conjunction() (bool, error) {
-	value, err := p.term()
+func (p *conditionParser) parseConjunction() (bool, error) {
+	value, err := p.parseTerm()
 	for err == nil && p.accept("&&") {
 		var operand bool
-		operand, err = p.term()
+		operand, err = p.parseTerm()
 		value = value && operand
 	}
 	return value, err
 }
 
-func (p *conditionParser) term() (bool, error) {
+func (p *conditionParser) parseTerm() (bool, error) {
 	p.depth++
 	defer func() { p.depth-- }()
 	if p.depth > maxConditionDepth {
@@ -75,19 +75,19 @@
 	}
 	switch {
 	case p.accept("!"):
-		value, err := p.term()
+		value, err := p.parseTerm()
 		return !value, err
 	case p.accept("("):
-		value, err := p.disjunction()
+		value, err := p.parseDisjunction()
 		if err == nil && !p.accept(")") {
 			err = classify(ErrSyntax, "a parenthesis is never closed")
 		}
 		return value, err
 	}
-	return p.numberOrPredicate()
+	return p.parseNumberOrPredicate()
 }
 
-func (p *conditionParser) numberOrPredicate() (bool, error) {
+func (p *conditionParser) parseNumberOrPredicate() (bool, error) {
 	p.skipBlanks()
 	end := 0
 	for end < len(p.rest) && isNameByte(p.rest[end]) {
@@ -112,16 +112,16 @@
 	for i := range arguments {
 		arguments[i] = strings.TrimSpace(arguments[i])
 	}
-	return p.environment.predicate(name, arguments)
+	return p.environment.evaluatePredicate(name, arguments)
 }
 
-// predicateArguments are the numbers of arguments of the predicates that can be answered without a running HAProxy.
-var predicateArguments = map[string]int{
+// predicateArgumentCounts are the numbers of arguments of the predicates that can be answered without a running HAProxy.
+var predicateArgumentCounts = map[string]int{
 	"defined": 1, "feature": 1, "streq": 2, "strneq": 2, "strstr": 2, "version_atleast": 1, "version_before": 1,
 }
 
-func (e Environment) predicate(name string, arguments []string) (bool, error) {
-	expected, known := predicateArguments[name]
+func (e Environment) evaluatePredicate(name string, arguments []string) (bool, error) {
+	expected, known := predicateArgumentCounts[name]
 	switch {
 	case !known:
 		return false, classify(ErrUnsupported, "predicate %s can't be answered at an import", name)
--- a/internal/haproxy/blocks.go
+++ b/internal/haproxy/blocks.go
@@ -12,20 +12,20 @@
 
 // block is an .if that is not closed yet.
 type block struct {
-	opened   Position
-	selected bool // the lines of the current branch are kept
-	done     bool // no further branch can be selected
-	enclosed bool // the lines around the block are kept
-	elseSeen bool
+	opened            Position
+	selected          bool // the lines of the current branch are kept
+	branchDecided     bool // no further branch can be selected
+	enclosingSelected bool // the lines around the block are kept
+	elseSeen          bool
 }
 
 // blockSelector keeps the lines of the branches whose conditions hold (manual, 2.4).
 type blockSelector struct {
 	report
-	environment Environment
-	open        []block // the innermost last
-	kept        []Line
-	skipped     []Line
+	environment   Environment
+	openBlocks    []block // the innermost last
+	selectedLines []Line
+	skippedLines  []Line
 }
 
 // selectBlocks goes through a file's lines and keeps those that the blocks of .if, .elif, .else and .endif select. Messages
@@ -35,7 +35,7 @@
 	for _, line := range file.Lines {
 		s.addLine(line)
 	}
-	for _, unclosed := range s.open {
+	for _, unclosed := range s.openBlocks {
 		s.fault(unclosed.opened, ErrSyntax, "an .if that is never closed")
 	}
 	return s
@@ -48,75 +48,77 @@
 	case ".elif", ".else", ".endif":
 		s.continueBlock(line)
 	case ".notice", ".warning", ".diag":
-		if s.keeps() {
+		if s.isSelected() {
 			s.note(line, Differs, "said here instead of at HAProxy's start")
 		} else {
-			s.skipped = append(s.skipped, line)
+			s.skippedLines = append(s.skippedLines, line)
 		}
 	case ".alert":
-		if s.keeps() {
+		if s.isSelected() {
 			s.fault(line.Position, ErrAlert, ".alert: %s", directiveArguments(line))
 		} else {
-			s.skipped = append(s.skipped, line)
+			s.skippedLines = append(s.skippedLines, line)
 		}
 	default:
 		switch {
 		case strings.HasPrefix(word, "."):
 			s.fault(line.Position, ErrSyntax, "%s is no word of blocks", word)
-		case s.keeps():
-			s.kept = append(s.kept, line)
+		case s.isSelected():
+			s.selectedLines = append(s.selectedLines, line)
 		default:
-			s.skipped = append(s.skipped, line)
+			s.skippedLines = append(s.skippedLines, line)
 		}
 	}
 }
 
-// keeps tells whether the current line is in selected branches only.
-func (s *blockSelector) keeps() bool { return len(s.open) == 0 || s.open[len(s.open)-1].selected }
+// isSelected tells whether the current line is in selected branches only.
+func (s *blockSelector) isSelected() bool {
+	return len(s.openBlocks) == 0 || s.openBlocks[len(s.openBlocks)-1].selected
+}
 
 func directiveArguments(line Line) string { return strings.Join(line.Words()[1:], " ") }
 
 func (s *blockSelector) openBlock(line Line) {
-	opened := block{opened: line.Position, enclosed: s.keeps()}
-	if opened.enclosed {
-		s.evaluate(&opened, line)
+	opened := block{opened: line.Position, enclosingSelected: s.isSelected()}
+	if opened.enclosingSelected {
+		s.evaluateBranch(&opened, line)
 	}
-	s.open = append(s.open, opened)
+	s.openBlocks = append(s.openBlocks, opened)
 	s.noteDirective(line)
 }
 
 func (s *blockSelector) continueBlock(line Line) {
 	word := line.Word(0)
 	s.noteDirective(line)
-	if len(s.open) == 0 {
+	if len(s.openBlocks) == 0 {
 		s.fault(line.Position, ErrSyntax, "%s without .if", word)
 		return
 	}
-	innermost := &s.open[len(s.open)-1]
+	innermost := &s.openBlocks[len(s.openBlocks)-1]
 	switch {
 	case word == ".endif":
-		s.open = s.open[:len(s.open)-1]
+		s.openBlocks = s.openBlocks[:len(s.openBlocks)-1]
 	case innermost.elseSeen:
 		s.fault(line.Position, ErrSyntax, "%s after .else", word)
 	case word == ".else":
-		innermost.selected = innermost.enclosed && !innermost.done
-		innermost.done, innermost.elseSeen = true, true
+		innermost.selected = innermost.enclosingSelected && !innermost.branchDecided
+		innermost.branchDecided, innermost.elseSeen = true, true
 	default:
 		innermost.selected = false
-		if innermost.enclosed && !innermost.done {
-			s.evaluate(innermost, line)
+		if innermost.enclosingSelected && !innermost.branchDecided {
+			s.evaluateBranch(innermost, line)
 		}
 	}
 }
 
-// evaluate selects the branch if the condition of its .if or .elif holds. After a faulty condition no branch is selected.
-func (s *blockSelector) evaluate(branch *block, line Line) {
-	holds, err := s.environment.holds(directiveArguments(line))
+// evaluateBranch selects the branch if the condition of its .if or .elif holds. After a faulty condition no branch is selected.
+func (s *blockSelector) evaluateBranch(branch *block, line Line) {
+	holds, err := s.environment.conditionHolds(directiveArguments(line))
 	if err != nil {
 		s.fault(line.Position, ErrSyntax, "%s: %w", line.Word(0), err)
 	}
 	branch.selected = holds && err == nil
-	branch.done = branch.selected || err != nil
+	branch.branchDecided = branch.selected || err != nil
 }
 
 func (s *blockSelector) noteDirective(line Line) {
--- a/internal/haproxy/endpoints.go
+++ b/internal/haproxy/endpoints.go
@@ -16,13 +16,13 @@
 	for _, pool := range i.Pools {
 		names = append(names, pool.Name)
 		if pool.Name == poolName || poolName == "" && len(i.Pools) == 1 {
-			return pool.listedServers(), nil
+			return pool.endpointListBackends(), nil
 		}
 	}
 	return nil, classify(ErrNoPool, "no pool %q among %s", poolName, strings.Join(names, ", "))
 }
 
-func (p Pool) listedServers() []endpointfile.Backend {
+func (p Pool) endpointListBackends() []endpointfile.Backend {
 	numbers := p.Numbers()
 	listed := p.Listed()
 	servers := make([]endpointfile.Backend, 0, len(listed))
--- a/internal/haproxy/import.go
+++ b/internal/haproxy/import.go
@@ -54,10 +54,10 @@
 		m.Faults = append(m.Faults, faults...)
 		selected := selectBlocks(file, environment)
 		m.add(selected.report)
-		for _, line := range selected.skipped {
+		for _, line := range selected.skippedLines {
 			m.note(line, Dropped, "in a block whose condition does not hold")
 		}
-		lines = append(lines, selected.kept...)
+		lines = append(lines, selected.selectedLines...)
 	}
 	return lines
 }
--- a/internal/haproxy/import_test.go
+++ b/internal/haproxy/import_test.go
@@ -66,8 +66,8 @@
 		"defaults more from base\nbalance leastconn\nbackend c from more\ndefault-server no-disabled\nserver x 1.1.1.1:1 weight 9\nserver y 1.1.1.1:2\n")
 	want := []string{"x 1.1.1.1:1 5 open", "x 1.1.1.1:1 7 open", "x 1.1.1.1:1 9 open; y 1.1.1.1:2 7 open"}
 	for i, p := range got.Pools {
-		if listed(p) != want[i] {
-			t.Errorf("%s: %s, %s wanted", p.Name, listed(p), want[i])
+		if formatServers(p) != want[i] {
+			t.Errorf("%s: %s, %s wanted", p.Name, formatServers(p), want[i])
 		}
 	}
 	if len(got.Pools) != 3 || len(got.Faults) > 0 || got.Pools[2].Pick != "pair" {
--- a/internal/haproxy/keywords.go
+++ b/internal/haproxy/keywords.go
@@ -2,9 +2,9 @@
 
 // optionKeyword is an option of a server line.
 type optionKeyword struct {
-	values int // the number of words that follow it
-	class  Class
-	reason string
+	valueCount int // the number of words that follow it
+	class      Class
+	reason     string
 }
 
 // Reasons that several keywords share.
--- a/internal/haproxy/keywords_page.go
+++ b/internal/haproxy/keywords_page.go
@@ -57,6 +57,6 @@
 	fmt.Fprint(out, "\n## Options of server lines\n\n| option | values | what becomes of it | why |\n| --- | --- | --- | --- |\n")
 	for _, word := range slices.Sorted(maps.Keys(serverOptions)) {
 		option := serverOptions[word]
-		fmt.Fprintf(out, "| %s | %d | %s | %s |\n", word, option.values, option.class, option.reason)
+		fmt.Fprintf(out, "| %s | %d | %s | %s |\n", word, option.valueCount, option.class, option.reason)
 	}
 }
--- a/internal/haproxy/lex.go
+++ b/internal/haproxy/lex.go
@@ -17,7 +17,7 @@
 // lineLexer reads the arguments of one line.
 type lineLexer struct {
 	text      string
-	next      int // the first byte of text that is not read yet
+	offset    int // the first byte of text that is not read yet
 	variables map[string]string
 	tokens    []Token
 
@@ -32,12 +32,12 @@
 // everything is kept. A # outside quotes begins a comment.
 func lexLine(text string, variables map[string]string) ([]Token, *lineError) {
 	lexer := &lineLexer{text: text, variables: variables}
-	for lexer.next < len(text) {
+	for lexer.offset < len(text) {
 		var err *lineError
-		switch text[lexer.next] {
+		switch text[lexer.offset] {
 		case ' ', '\t':
 			lexer.endArgument()
-			lexer.next++
+			lexer.offset++
 		case '#':
 			lexer.endArgument()
 			return lexer.tokens, nil
@@ -65,7 +65,7 @@
 	if l.open {
 		return
 	}
-	l.begin, l.open, l.quoted = l.next, true, false
+	l.begin, l.open, l.quoted = l.offset, true, false
 	l.argument.Reset()
 }
 
@@ -83,35 +83,35 @@
 }
 
 func (l *lineLexer) readByte() {
-	l.argument.WriteByte(l.text[l.next])
-	l.next++
+	l.argument.WriteByte(l.text[l.offset])
+	l.offset++
 }
 
 func (l *lineLexer) readEscape(weak bool) {
-	text, length := unescape(l.text[l.next:], weak)
+	text, length := unescape(l.text[l.offset:], weak)
 	l.argument.WriteString(text)
-	l.next += length
+	l.offset += length
 }
 
 func (l *lineLexer) readStrongQuotes() *lineError {
 	l.beginQuoted()
-	content, _, closed := strings.Cut(l.text[l.next+1:], "'")
+	content, _, closed := strings.Cut(l.text[l.offset+1:], "'")
 	if !closed {
-		return &lineError{l.next + 1, classify(ErrSyntax, "a strong quote is never closed")}
+		return &lineError{l.offset + 1, classify(ErrSyntax, "a strong quote is never closed")}
 	}
 	l.argument.WriteString(content)
-	l.next += len(content) + len("''")
+	l.offset += len(content) + len("''")
 	return nil
 }
 
 func (l *lineLexer) readWeakQuotes() *lineError {
 	l.beginQuoted()
-	opening := l.next
-	l.next++
-	for l.next < len(l.text) {
-		switch l.text[l.next] {
+	opening := l.offset
+	l.offset++
+	for l.offset < len(l.text) {
+		switch l.text[l.offset] {
 		case '"':
-			l.next++
+			l.offset++
 			return nil
 		case '\\':
 			l.readEscape(true)
@@ -127,9 +127,9 @@
 }
 
 func (l *lineLexer) readVariable() *lineError {
-	variable, err := expandVariable(l.text[l.next:], l.variables)
+	variable, err := expandVariable(l.text[l.offset:], l.variables)
 	if err != nil {
-		return &lineError{l.next + 1, err}
+		return &lineError{l.offset + 1, err}
 	}
 	if !variable.isList {
 		l.argument.WriteString(variable.text)
@@ -137,7 +137,7 @@
 	if variable.isList {
 		l.addWords(strings.Fields(variable.text))
 	}
-	l.next += variable.length
+	l.offset += variable.length
 	return nil
 }
 
--- a/internal/haproxy/lex_test.go
+++ b/internal/haproxy/lex_test.go
@@ -24,7 +24,7 @@
 		file, faults := lexFile("a", input, map[string]string{"SITE": "perth", "LIST": "a b  c", "EMPTY": ""})
 		got := ""
 		if len(file.Lines) > 0 {
-			got = texts(file.Lines[0])
+			got = joinWords(file.Lines[0])
 		}
 		if got != want || len(faults) > 0 {
 			t.Errorf("%s: %q, %q wanted; %v", input, got, want, faults)
@@ -66,7 +66,7 @@
 			if strings.ContainsAny(quoted.String(), "\n\r") {
 				continue // a line end in an argument can only be written by an escape
 			}
-			if len(faults) > 0 || len(again.Lines) != 1 || texts(again.Lines[0]) != texts(line) {
+			if len(faults) > 0 || len(again.Lines) != 1 || joinWords(again.Lines[0]) != joinWords(line) {
 				t.Fatalf("%q became %q: %v %v", line.Words(), quoted.String(), again.Lines, faults)
 			}
 		}
--- a/internal/haproxy/proxy_keywords.go
+++ b/internal/haproxy/proxy_keywords.go
@@ -65,16 +65,16 @@
 	"default_backend": (*importer).importDefaultBackend,
 	"use-server":      (*importer).importUseServer,
 	"stick-table":     (*importer).importStickTable,
-	"bind":            drop("our proxies' own listeners"),
-	"maxconn":         drop(reasonProxyLimits),
-	"fullconn":        drop(reasonProxyLimits),
-	"rate-limit":      drop(reasonProxyLimits),
-	"description":     drop("for display only"),
-	"id":              drop("for display only"),
+	"bind":            dropWithReason("our proxies' own listeners"),
+	"maxconn":         dropWithReason(reasonProxyLimits),
+	"fullconn":        dropWithReason(reasonProxyLimits),
+	"rate-limit":      dropWithReason(reasonProxyLimits),
+	"description":     dropWithReason("for display only"),
+	"id":              dropWithReason("for display only"),
 }
 
-// drop reports a line as not carried over.
-func drop(reason string) func(*importer, proxyLine) {
+// dropWithReason reports a line as not carried over.
+func dropWithReason(reason string) func(*importer, proxyLine) {
 	return func(m *importer, line proxyLine) { m.note(line.Line, Dropped, "%s", reason) }
 }
 
--- a/internal/haproxy/recording_draw_test.go
+++ b/internal/haproxy/recording_draw_test.go
@@ -11,25 +11,25 @@
 // recordingDraw draws files from a seeded source, so that the same files come on every run and machine.
 type recordingDraw struct{ *rand.Rand }
 
-func (d recordingDraw) of(choices ...string) string { return choices[d.IntN(len(choices))] }
+func (d recordingDraw) oneOf(choices ...string) string { return choices[d.IntN(len(choices))] }
 
-func (d recordingDraw) some(most int, choices ...string) string {
+func (d recordingDraw) someOf(most int, choices ...string) string {
 	var words []string
 	for range d.IntN(most + 1) {
-		words = append(words, d.of(choices...))
+		words = append(words, d.oneOf(choices...))
 	}
 	return strings.Join(words, " ")
 }
 
 // mutation changes a few places of a sample.
 func (d recordingDraw) mutation(texts []string) string {
-	text := d.of(texts...)
+	text := d.oneOf(texts...)
 	for range 1 + d.IntN(6) {
 		at := d.IntN(len(text) + 1)
 		end := min(len(text), at+d.IntN(12))
 		var inserted strings.Builder
 		for range d.IntN(5) {
-			inserted.WriteString(d.of(strings.Split("ab1 \n\t\"'\\${}#.:[]!", "")...))
+			inserted.WriteString(d.oneOf(strings.Split("ab1 \n\t\"'\\${}#.:[]!", "")...))
 		}
 		text = text[:at] + inserted.String() + text[end:]
 	}
@@ -48,13 +48,13 @@
 			line := d.line()
 			switch d.IntN(60) {
 			case 0:
-				line = d.of(".if ", ".elif ", ".if ") + d.condition()
+				line = d.oneOf(".if ", ".elif ", ".if ") + d.condition()
 			case 1:
-				line = d.of(".endif", ".else", ".endif", ".notice a b", ".warning c", ".diag d", ".alert no", ".other")
+				line = d.oneOf(".endif", ".else", ".endif", ".notice a b", ".warning c", ".diag d", ".alert no", ".other")
 			case 2:
 				line = ".if " + d.condition() + "\n" + line + "\n.else\n" + d.line() + "\n.endif"
 			case 3:
-				line = d.of(`"open`, `'open`, `mode "${NO}"`, `log \x41\n`, `server "a b" h:1`, `mode "${LIST[*]}"`, `server "s${SITE}" h:1`)
+				line = d.oneOf(`"open`, `'open`, `mode "${NO}"`, `log \x41\n`, `server "a b" h:1`, `mode "${LIST[*]}"`, `server "s${SITE}" h:1`)
 			}
 			text.WriteString("    " + line + "\n")
 		}
@@ -62,58 +62,58 @@
 	return text.String()
 }
 
-func (d recordingDraw) name() string { return d.of("a", "b", "c", "d", "web") }
+func (d recordingDraw) name() string { return d.oneOf("a", "b", "c", "d", "web") }
 
 func (d recordingDraw) section() string {
 	switch d.IntN(12) {
 	case 0:
-		return d.of(sectionKinds...) + " " + d.some(2, "a", "from", "x/y")
+		return d.oneOf(sectionKinds...) + " " + d.someOf(2, "a", "from", "x/y")
 	case 1, 2:
-		return d.of("defaults", "defaults base", "defaults more from base", "defaults from base", "defaults a from a", "defaults from no", "defaults 'a b'")
+		return d.oneOf("defaults", "defaults base", "defaults more from base", "defaults from base", "defaults a from a", "defaults from no", "defaults 'a b'")
 	case 3, 4, 5:
-		return "frontend " + d.of("f", "g", "f from base", "")
+		return "frontend " + d.oneOf("f", "g", "f from base", "")
 	case 6:
-		return "listen " + d.of("l", d.name())
+		return "listen " + d.oneOf("l", d.name())
 	}
-	return "backend " + d.of(d.name(), d.name(), d.name(), d.name()+" from base", d.name()+" from more", d.name()+" beside", "", `"a\nb"`)
+	return "backend " + d.oneOf(d.name(), d.name(), d.name(), d.name()+" from base", d.name()+" from more", d.name()+" beside", "", `"a\nb"`)
 }
 
-func (d recordingDraw) value() string { return d.of(recordingValues...) }
+func (d recordingDraw) value() string { return d.oneOf(recordingValues...) }
 
 func (d recordingDraw) line() string {
 	switch d.IntN(22) {
 	case 0, 1, 2, 3, 4, 5:
-		return d.of("server", "server", "server", "server", "server", "server-template") + d.serverWords()
+		return d.oneOf("server", "server", "server", "server", "server", "server-template") + d.serverWords()
 	case 6:
 		return "default-server" + d.options()
 	case 7:
-		return "balance " + d.of("roundrobin", "static-rr", "leastconn", "random(2)", "first", "source", "uri whole", "hdr(host)", "hash x", "what", "")
+		return "balance " + d.oneOf("roundrobin", "static-rr", "leastconn", "random(2)", "first", "source", "uri whole", "hdr(host)", "hash x", "what", "")
 	case 8:
-		return "timeout " + d.of("server", "server", "connect", "client", "") + " " + d.value()
+		return "timeout " + d.oneOf("server", "server", "connect", "client", "") + " " + d.value()
 	case 9:
-		return "retries " + d.of("0", "1", "2", "3", "x", "1001", "")
+		return "retries " + d.oneOf("0", "1", "2", "3", "x", "1001", "")
 	case 10:
-		return "retry-on " + d.some(3, "none", "conn-failure", "all-retryable-errors", "503", "429", "empty-response", "404", "0rtt-rejected", "what")
+		return "retry-on " + d.someOf(3, "none", "conn-failure", "all-retryable-errors", "503", "429", "empty-response", "404", "0rtt-rejected", "what")
 	case 11:
-		return "option " + d.of("redispatch", "allbackups", "httplog", "")
+		return "option " + d.oneOf("redispatch", "allbackups", "httplog", "")
 	case 12:
-		return d.of("stick-table type ip size ", "stick-table type ip expire ", "stick-table size ") + d.value() + d.of("", " expire "+d.value())
+		return d.oneOf("stick-table type ip size ", "stick-table type ip expire ", "stick-table size ") + d.value() + d.oneOf("", " expire "+d.value())
 	case 13, 14, 15:
-		return "acl " + d.of("x", "y", "z") + " " + d.criterion()
+		return "acl " + d.oneOf("x", "y", "z") + " " + d.criterion()
 	case 16, 17, 18:
-		return "use_backend " + d.of(d.name(), d.name(), "%[hdr(host)]", "no") + d.routeCondition()
+		return "use_backend " + d.oneOf(d.name(), d.name(), "%[hdr(host)]", "no") + d.routeCondition()
 	case 19:
-		return d.of("default_backend "+d.name(), "use-server s1"+d.routeCondition(), "default_backend "+d.name())
+		return d.oneOf("default_backend "+d.name(), "use-server s1"+d.routeCondition(), "default_backend "+d.name())
 	case 20:
-		return d.of("mode http", "mode tcp", "mode", "hash-type consistent", "bind :80", "maxconn 5", "fullconn 3", "rate-limit 5", "description a", "id 3", "what now", "")
+		return d.oneOf("mode http", "mode tcp", "mode", "hash-type consistent", "bind :80", "maxconn 5", "fullconn 3", "rate-limit 5", "description a", "id 3", "what now", "")
 	}
-	return d.of(slices.Sorted(maps.Keys(unsupportedKeywords))...) + " " + d.some(2, "a", "'b c'")
+	return d.oneOf(slices.Sorted(maps.Keys(unsupportedKeywords))...) + " " + d.someOf(2, "a", "'b c'")
 }
 
 func (d recordingDraw) serverWords() string {
-	count := d.of("", "", "", d.of(" 2", " 1-3", " "+d.value()))
+	count := d.oneOf("", "", "", d.oneOf(" 2", " 1-3", " "+d.value()))
 	name := fmt.Sprint(" s", d.IntN(60))
-	return d.of(name, name, name, name, name, name, name, name, ` "s\n"`, "") + count + " " + d.of("h:1", "h:2", "10.0.0.1:80", "h:3", d.value()) + d.options()
+	return d.oneOf(name, name, name, name, name, name, name, name, ` "s\n"`, "") + count + " " + d.oneOf("h:1", "h:2", "10.0.0.1:80", "h:3", d.value()) + d.options()
 }
 
 func (d recordingDraw) options() string {
@@ -127,51 +127,51 @@
 func (d recordingDraw) option() string {
 	switch d.IntN(10) {
 	case 0:
-		return d.of("no-backup", "no-disabled", "no-check", "no-weight", "no-what", "what", "weight")
+		return d.oneOf("no-backup", "no-disabled", "no-check", "no-weight", "no-what", "what", "weight")
 	case 1, 2:
-		return d.of("backup", "disabled", "enabled", "check")
+		return d.oneOf("backup", "disabled", "enabled", "check")
 	case 3:
-		return "track " + d.of("s", "a/s", "b/s", "no/s") + fmt.Sprint(d.IntN(20))
+		return "track " + d.oneOf("s", "a/s", "b/s", "no/s") + fmt.Sprint(d.IntN(20))
 	case 4, 5:
-		return "weight " + d.of("0", "1", "5", "256", "257", "x")
+		return "weight " + d.oneOf("0", "1", "5", "256", "257", "x")
 	case 6:
-		return d.of("inter", "slowstart", "maxconn", "fall", "port", "addr", "id", "init-state", "downinter") + " " + d.value()
+		return d.oneOf("inter", "slowstart", "maxconn", "fall", "port", "addr", "id", "init-state", "downinter") + " " + d.value()
 	case 7:
-		return "init-state " + d.of("up", "fully-down", "what") + " id " + fmt.Sprint(d.IntN(9))
+		return "init-state " + d.oneOf("up", "fully-down", "what") + " id " + fmt.Sprint(d.IntN(9))
 	}
-	word := d.of(slices.Sorted(maps.Keys(serverOptions))...)
-	if serverOptions[word].values > 0 {
-		word += " " + d.of("1", "5s", "a", "up", "h:1")
+	word := d.oneOf(slices.Sorted(maps.Keys(serverOptions))...)
+	if serverOptions[word].valueCount > 0 {
+		word += " " + d.oneOf("1", "5s", "a", "up", "h:1")
 	}
 	return word
 }
 
 func (d recordingDraw) criterion() string {
-	fetch := d.of("path", "path_beg", "path_end", "path_sub", "path_reg", "method", "method_beg", "hdr(host)", "hdr_beg(host)", "hdr(accept)", "req.hdr(origin)",
+	fetch := d.oneOf("path", "path_beg", "path_end", "path_sub", "path_reg", "method", "method_beg", "hdr(host)", "hdr_beg(host)", "hdr(accept)", "req.hdr(origin)",
 		"hdr(x)", "hdr", "src", "path,lower", "hdr(a,b)", "hdr(", "")
-	flags := d.of("", "", "", " -i", " -n", " -m beg", " -m found", " -m reg", " -m", " -f /x", " -i -m sub", " --")
-	return fetch + flags + " " + d.some(3, "/a", "/b", "GET", "'a b'", "host.example", "-x", `"a\tb"`)
+	flags := d.oneOf("", "", "", " -i", " -n", " -m beg", " -m found", " -m reg", " -m", " -f /x", " -i -m sub", " --")
+	return fetch + flags + " " + d.someOf(3, "/a", "/b", "GET", "'a b'", "host.example", "-x", `"a\tb"`)
 }
 
 func (d recordingDraw) routeCondition() string {
 	if d.IntN(6) == 0 {
 		return ""
 	}
-	text := " " + d.of("if", "if", "if", "unless", "unless", "when")
+	text := " " + d.oneOf("if", "if", "if", "unless", "unless", "when")
 	for range d.IntN(6) {
-		text += " " + d.of("", "", "!", "! ", "!!") + d.of("x", "y", "z", "x", "y", "METH_GET", "METH_POST", "TRUE", "FALSE", "LOCALHOST", "no", "or", "||",
+		text += " " + d.oneOf("", "", "!", "! ", "!!") + d.oneOf("x", "y", "z", "x", "y", "METH_GET", "METH_POST", "TRUE", "FALSE", "LOCALHOST", "no", "or", "||",
 			"{ "+d.criterion()+" }", "{ path /x }", "{ path /x")
 	}
 	return text
 }
 
 func (d recordingDraw) condition() string {
-	text := d.of("", "!", "(")
+	text := d.oneOf("", "!", "(")
 	for i := range 1 + d.IntN(3) {
 		if i > 0 {
-			text += d.of(" && ", " || ", " ")
+			text += d.oneOf(" && ", " || ", " ")
 		}
-		text += d.of("", "", "!") + d.of("1", "0", "x", "defined(SITE)", "defined(NO)", "feature(QUIC)", "feature(NO)", "streq(a,a)", "strneq(a, b)", "strstr(abc,b)",
+		text += d.oneOf("", "", "!") + d.oneOf("1", "0", "x", "defined(SITE)", "defined(NO)", "feature(QUIC)", "feature(NO)", "streq(a,a)", "strneq(a, b)", "strstr(abc,b)",
 			"version_atleast(2.6)", "version_before(2.8.4)", "version_before(x)", "streq(a)", "what(a)", "defined(", "(1 || 0)")
 	}
 	return text
--- a/internal/haproxy/recording_test.go
+++ b/internal/haproxy/recording_test.go
@@ -35,7 +35,7 @@
 		if file.Name() != "many.cfg" { // It is long and repeats one kind of line.
 			texts = append(texts, text)
 		}
-		entry("sample "+file.Name(), func(out io.Writer) { recordImport(out, []Source{{"a.cfg", text}}, recordingGiven()) })
+		entry("sample "+file.Name(), func(out io.Writer) { recordImport(out, []Source{{"a.cfg", text}}, recordingEnvironment()) })
 	}
 	entry("page", WriteKeywords)
 	entry("values", recordValues)
@@ -45,7 +45,7 @@
 		draw := recordingDraw{rand.New(rand.NewPCG(uint64(group), 1))}
 		entry(fmt.Sprintf("mutated %d", group), func(out io.Writer) {
 			for range perGroup {
-				recordImport(out, []Source{{"a.cfg", draw.mutation(texts)}}, recordingGiven())
+				recordImport(out, []Source{{"a.cfg", draw.mutation(texts)}}, recordingEnvironment())
 			}
 		})
 		entry(fmt.Sprintf("composed %d", group), func(out io.Writer) {
@@ -54,7 +54,7 @@
 				if draw.IntN(4) == 0 {
 					sources = append(sources, Source{"b.cfg", draw.file()})
 				}
-				recordImport(out, sources, recordingGiven())
+				recordImport(out, sources, recordingEnvironment())
 			}
 		})
 	}
@@ -84,7 +84,7 @@
 	}
 }
 
-func recordingGiven() Environment {
+func recordingEnvironment() Environment {
 	return Environment{
 		Variables: map[string]string{"SITE": "perth", "LIST": "a b  c", "EMPTY": ""},
 		Version:   "2.8.3",
@@ -126,7 +126,7 @@
 		recordPool(out, got, pool)
 	}
 	fmt.Fprintln(out, got.Counts())
-	for _, change := range Diff(Read([]Source{{"a.cfg", routed}}, given), got) {
+	for _, change := range Diff(Read([]Source{{"a.cfg", routedConfig}}, given), got) {
 		fmt.Fprintf(out, "%q %q %q %q\n", change.Pool, change.Server, change.Before, change.After)
 	}
 }
@@ -155,7 +155,7 @@
 		size, err := parseSize(value)
 		fmt.Fprintln(out, size, err)
 		address, err := parseAddress(value)
-		fmt.Fprintln(out, address.Family, address.Host, address.Port, address.Offset, address.Last, address.String(), err)
+		fmt.Fprintln(out, address.Family, address.Host, address.Port, address.RelativePort, address.LastPort, address.String(), err)
 	}
 }
 
@@ -168,16 +168,16 @@
 		for i := range count {
 			fmt.Fprintf(&text, "use_backend p if { path /%d }\n", i)
 		}
-		recordImport(out, []Source{{"a.cfg", text.String() + "backend p\nserver a h:1\n"}}, recordingGiven())
+		recordImport(out, []Source{{"a.cfg", text.String() + "backend p\nserver a h:1\n"}}, recordingEnvironment())
 	}
 	for _, count := range []int{10, 11, 101} {
 		text := "frontend f\n" + strings.Repeat("acl x path /a\n", count)
-		recordImport(out, []Source{{"a.cfg", text + "use_backend p if x x\nuse_backend p if x\nbackend p\nserver a h:1\n"}}, recordingGiven())
-		recordImport(out, []Source{{"a.cfg", text + "use_backend p if x or x\nbackend p\nserver a h:1\n"}}, recordingGiven())
+		recordImport(out, []Source{{"a.cfg", text + "use_backend p if x x\nuse_backend p if x\nbackend p\nserver a h:1\n"}}, recordingEnvironment())
+		recordImport(out, []Source{{"a.cfg", text + "use_backend p if x or x\nbackend p\nserver a h:1\n"}}, recordingEnvironment())
 	}
 	for _, depth := range []int{198, 199, 200, 201} {
 		text := ".if " + strings.Repeat("!", depth) + "1\nbackend p\nserver a h:1\n.endif\n" + "log " + strings.Repeat("x ", depth-136)
-		recordImport(out, []Source{{"a.cfg", text}}, recordingGiven())
+		recordImport(out, []Source{{"a.cfg", text}}, recordingEnvironment())
 	}
 	recordImport(out, []Source{{"a.cfg", "backend p\nserver a h:1\n"}}, Environment{Version: "x.y"})
 	recordImport(out, []Source{{"a.cfg", ".if version_atleast(3.0)\nbackend p\nserver a h:1\n.endif"}}, Environment{Version: "x.y"})
--- a/internal/haproxy/route_condition.go
+++ b/internal/haproxy/route_condition.go
@@ -7,15 +7,15 @@
 	"gingerfork/internal/route"
 )
 
-// maxRows is the most rows that a route may have.
-const maxRows = 100
+// maxConjunctions is the most rows that a route may have.
+const maxConjunctions = 100
 
-var errTooManyRows = classify(ErrUnsupported, "it would take more than %d rows", maxRows)
+var errTooManyConjunctions = classify(ErrUnsupported, "it would take more than %d rows", maxConjunctions)
 
 // aclSet is the ACLs that a section has defined so far.
 type aclSet struct {
-	matches  map[string][]route.Term // the ACL holds if any of its matches does
-	problems map[string]error        // of ACLs with a match that a route cannot express
+	termsByName    map[string][]route.Term // the ACL holds if any of its matches does
+	problemsByName map[string]error        // of ACLs with a match that a route cannot express
 }
 
 // parseRouteCondition reads a condition as a disjunction of rows, each of which is a conjunction of terms. An ACL with
@@ -37,12 +37,12 @@
 		if word == "{" {
 			alternatives, words, err = parseAnonymousACL(words)
 		} else {
-			alternatives, err = acls.lookUp(word)
+			alternatives, err = acls.lookup(word)
 		}
 		if err != nil {
 			return nil, err
 		}
-		if conjunction, err = multiplyRows(conjunction, alternatives, negated); err != nil {
+		if conjunction, err = distribute(conjunction, alternatives, negated); err != nil {
 			return nil, err
 		}
 	}
@@ -50,8 +50,8 @@
 	if slices.ContainsFunc(rows, func(row []route.Term) bool { return len(row) == 0 }) {
 		return nil, classify(ErrSyntax, "a part of its condition is empty")
 	}
-	if len(rows) > maxRows {
-		return nil, errTooManyRows
+	if len(rows) > maxConjunctions {
+		return nil, errTooManyConjunctions
 	}
 	return rows, nil
 }
@@ -78,13 +78,13 @@
 	return []route.Term{term}, words[end+1:], err
 }
 
-// lookUp returns the matches of a named ACL.
-func (a aclSet) lookUp(name string) ([]route.Term, error) {
+// lookup returns the matches of a named ACL.
+func (a aclSet) lookup(name string) ([]route.Term, error) {
 	switch {
-	case a.problems[name] != nil:
-		return nil, classify(ErrUnsupported, "ACL %s: %w", name, a.problems[name])
-	case a.matches[name] != nil:
-		return a.matches[name], nil
+	case a.problemsByName[name] != nil:
+		return nil, classify(ErrUnsupported, "ACL %s: %w", name, a.problemsByName[name])
+	case a.termsByName[name] != nil:
+		return a.termsByName[name], nil
 	case methodACLs[name] != nil:
 		return []route.Term{{Source: fetchMethod, Match: matchExact, Patterns: methodACLs[name]}}, nil
 	case name == "TRUE" || name == "FALSE":
@@ -94,8 +94,8 @@
 	return nil, classify(ErrUnsupported, "ACL %s has no like here", name)
 }
 
-// multiplyRows adds a disjunction of terms to each row, or, if it is negated, the negation of every term.
-func multiplyRows(rows [][]route.Term, alternatives []route.Term, negated bool) ([][]route.Term, error) {
+// distribute adds a disjunction of terms to each row, or, if it is negated, the negation of every term.
+func distribute(rows [][]route.Term, alternatives []route.Term, negated bool) ([][]route.Term, error) {
 	if negated {
 		negations := slices.Clone(alternatives)
 		for i := range negations {
@@ -112,8 +112,8 @@
 			product = append(product, append(slices.Clone(row), term))
 		}
 	}
-	if len(product) > maxRows {
-		return nil, errTooManyRows
+	if len(product) > maxConjunctions {
+		return nil, errTooManyConjunctions
 	}
 	return product, nil
 }
--- a/internal/haproxy/routes.go
+++ b/internal/haproxy/routes.go
@@ -7,27 +7,27 @@
 	"gingerfork/internal/route"
 )
 
-// dynamicName marks the name of a backend that HAProxy computes for each request.
-const dynamicName = "%["
+// dynamicNameMarker marks the name of a backend that HAProxy computes for each request.
+const dynamicNameMarker = "%["
 
 // routeReader reads the routes of a frontend or listen section in their order. After the first that cannot be expressed
 // exactly none is carried over: it comes before the others, which would take requests that are meant for it.
 type routeReader struct {
-	section     *section
-	acls        aclSet
-	problems    map[int]string // by index of a line
-	routes      []route.Route
-	last        *route.Route    // from default_backend
-	takesAll    int             // the line of a route without a condition, which leaves nothing to later ones; 0 if none
-	blocked     string          // why no further route is carried over; "" if they are
-	usedMethods map[string]bool // the method names that are taken
+	section       *section
+	acls          aclSet
+	problems      map[int]string // by index of a line
+	routes        []route.Route
+	defaultRoute  *route.Route    // from default_backend
+	catchAllLine  int             // the line of a route without a condition, which leaves nothing to later ones; 0 if none
+	blockedReason string          // why no further route is carried over; "" if they are
+	usedMethods   map[string]bool // the method names that are taken
 }
 
 // importRoutes reads the routes of a frontend or listen section. Its lines are reported later, by their keywords.
 func (m *importer) importRoutes(proxy *section) {
 	reader := &routeReader{
 		section:     proxy,
-		acls:        aclSet{matches: map[string][]route.Term{}, problems: map[string]error{}},
+		acls:        aclSet{termsByName: map[string][]route.Term{}, problemsByName: map[string]error{}},
 		problems:    map[int]string{},
 		usedMethods: map[string]bool{proxy.name: true},
 	}
@@ -38,13 +38,13 @@
 		case "use_backend":
 			reader.readUseBackend(i, line)
 		case "default_backend":
-			reader.last = &route.Route{Frontend: proxy.name, Pool: line.Word(1), Method: proxy.name}
-			if reader.blocked != "" {
-				reader.problems[i] = reader.blocked
+			reader.defaultRoute = &route.Route{Frontend: proxy.name, Pool: line.Word(1), Method: proxy.name}
+			if reader.blockedReason != "" {
+				reader.problems[i] = reader.blockedReason
 			}
 		}
 	}
-	reader.addLast()
+	reader.addDefaultRoute()
 	m.routes = append(m.routes, reader.routes...)
 	proxy.routeProblems = reader.problems
 }
@@ -56,33 +56,33 @@
 	name := line.Word(1)
 	term, err := parseMatch(line.Words()[2:])
 	if err != nil {
-		r.acls.problems[name] = err
+		r.acls.problemsByName[name] = err
 		r.problems[index] = err.Error()
 		return
 	}
-	r.acls.matches[name] = append(r.acls.matches[name], term)
+	r.acls.termsByName[name] = append(r.acls.termsByName[name], term)
 }
 
 func (r *routeReader) readUseBackend(index int, line Line) {
 	switch {
-	case r.blocked != "":
-		r.problems[index] = r.blocked
+	case r.blockedReason != "":
+		r.problems[index] = r.blockedReason
 		return
-	case r.takesAll > 0:
-		r.problems[index] = fmt.Sprintf("it is never reached, for line %d takes all", r.takesAll)
+	case r.catchAllLine > 0:
+		r.problems[index] = fmt.Sprintf("it is never reached, for line %d takes all", r.catchAllLine)
 		return
 	}
 	added := route.Route{Frontend: r.section.name, Pool: line.Word(1), Method: r.section.name}
 	if len(line.Tokens) > 2 {
 		if err := r.readCondition(&added, line.Words()[2:]); err != nil {
 			r.problems[index] = err.Error()
-			r.blocked = fmt.Sprintf("the use_backend of line %d stands before it and is not carried", line.Line)
+			r.blockedReason = fmt.Sprintf("the use_backend of line %d stands before it and is not carried", line.Line)
 			return
 		}
 	}
 	r.routes = append(r.routes, added)
 	if len(added.Alternatives) == 0 {
-		r.takesAll = line.Line
+		r.catchAllLine = line.Line
 	}
 }
 
@@ -92,7 +92,7 @@
 	added.Method = r.methodName(condition)
 	added.Negate = keyword == "unless"
 	switch {
-	case strings.Contains(added.Pool, dynamicName):
+	case strings.Contains(added.Pool, dynamicNameMarker):
 		return classify(ErrUnsupported, "its pool is reckoned for each request")
 	case keyword != "if" && keyword != "unless":
 		return classify(ErrSyntax, "%s is neither if nor unless", keyword)
@@ -101,19 +101,19 @@
 	return err
 }
 
-// addLast adds the route of default_backend. A listen section without one serves the remaining requests itself.
-func (r *routeReader) addLast() {
+// addDefaultRoute adds the route of default_backend. A listen section without one serves the remaining requests itself.
+func (r *routeReader) addDefaultRoute() {
 	name := r.section.name
-	if r.last == nil && r.section.kind == kindListen && len(r.routes) > 0 {
-		r.last = &route.Route{Frontend: name, Pool: name, Method: name}
+	if r.defaultRoute == nil && r.section.kind == kindListen && len(r.routes) > 0 {
+		r.defaultRoute = &route.Route{Frontend: name, Pool: name, Method: name}
 	}
-	if r.last != nil && r.takesAll == 0 && r.blocked == "" {
-		r.routes = append(r.routes, *r.last)
+	if r.defaultRoute != nil && r.catchAllLine == 0 && r.blockedReason == "" {
+		r.routes = append(r.routes, *r.defaultRoute)
 	}
 }
 
-// maxMethodName is the length in bytes after which nothing more of a condition goes into a method's name.
-const maxMethodName = 50
+// maxMethodNameBytes is the length in bytes after which nothing more of a condition goes into a method's name.
+const maxMethodNameBytes = 50
 
 // methodName names the method of a route's requests after the frontend and the condition, so that the name stays when other
 // routes come and go. The method of requests without a condition has the frontend's name.
@@ -130,7 +130,7 @@
 			builder.WriteRune(c)
 		}
 		separate = !isWord
-		if builder.Len() > maxMethodName {
+		if builder.Len() > maxMethodNameBytes {
 			break
 		}
 	}
@@ -157,7 +157,7 @@
 
 func (m *importer) checkBackendExists(line proxyLine) {
 	name := line.argument()
-	if !strings.Contains(name, dynamicName) && m.backends[name] == nil {
+	if !strings.Contains(name, dynamicNameMarker) && m.backends[name] == nil {
 		m.fault(line.Position, ErrUndefined, "%s %s: there is no such backend", line.keyword(), name)
 	}
 }
--- a/internal/haproxy/routes_test.go
+++ b/internal/haproxy/routes_test.go
@@ -13,7 +13,7 @@
 	"gingerfork/internal/route"
 )
 
-const routed = `frontend www
+const routedConfig = `frontend www
     acl img path_end -i .png .jpg
     acl adm path_beg /admin
     acl adm hdr(host) -i admin.example
@@ -37,7 +37,7 @@
 
 // TestRoutes checks where requests go by the routes of a frontend.
 func TestRoutes(t *testing.T) {
-	got := read(routed)
+	got := read(routedConfig)
 	if len(got.Faults) > 0 || len(got.Routes) != 5 {
 		t.Fatalf("%v %v", got.Faults, got.Routes)
 	}
@@ -105,12 +105,12 @@
 
 // drawnCondition is a condition as a disjunction of conjunctions, evaluated straight from the words that it was drawn with.
 type drawnCondition struct {
-	prefixes map[string][]string // of the paths that an ACL matches
-	rows     [][]drawnACL
+	prefixes     map[string][]string // of the paths that an ACL matches
+	conjunctions [][]drawnACL
 }
 
 func (c drawnCondition) holds(path string) bool {
-	return slices.ContainsFunc(c.rows, func(row []drawnACL) bool {
+	return slices.ContainsFunc(c.conjunctions, func(row []drawnACL) bool {
 		return !slices.ContainsFunc(row, func(acl drawnACL) bool { return c.matches(acl.name, path) == acl.negated })
 	})
 }
@@ -144,7 +144,7 @@
 			row = append(row, acl)
 			frontend.WriteString(map[bool]string{true: " !", false: " "}[acl.negated] + acl.name)
 		}
-		condition.rows = append(condition.rows, row)
+		condition.conjunctions = append(condition.conjunctions, row)
 	}
 	return frontend.String() + "\n", condition, keyword
 }
--- a/internal/haproxy/samples_test.go
+++ b/internal/haproxy/samples_test.go
@@ -27,10 +27,10 @@
 	return Read([]Source{{"a.cfg", text}}, Environment{Variables: map[string]string{"SITE": "perth", "LIST": "a b  c", "EMPTY": ""}})
 }
 
-func texts(l Line) string { return strings.Join(l.Words(), "|") }
+func joinWords(l Line) string { return strings.Join(l.Words(), "|") }
 
-// listed is a pool's endpoint list in short.
-func listed(p Pool) string {
+// formatServers is a pool's endpoint list in short.
+func formatServers(p Pool) string {
 	var all []string
 	for _, s := range p.Listed() {
 		all = append(all, fmt.Sprintf("%s %s %d %s", s.Name, s.Addr, s.Weight, s.State))
@@ -86,8 +86,8 @@
 		}
 		for _, expected := range want.pools {
 			pool := pools[expected.name]
-			if listed(pool) != expected.list || pool.Pick != expected.pick {
-				t.Errorf("%s, pool %s: %s, %s; %s, %s wanted", file.Name(), expected.name, pool.Pick, listed(pool), expected.pick, expected.list)
+			if formatServers(pool) != expected.list || pool.Pick != expected.pick {
+				t.Errorf("%s, pool %s: %s, %s; %s, %s wanted", file.Name(), expected.name, pool.Pick, formatServers(pool), expected.pick, expected.list)
 			}
 			requireValidSettings(t, file.Name(), pool, got.Routes)
 		}
--- a/internal/haproxy/server.go
+++ b/internal/haproxy/server.go
@@ -150,9 +150,9 @@
 		return address{}, err
 	case parsed.isListedSocket():
 		return parsed, nil
-	case parsed.Offset:
+	case parsed.RelativePort:
 		return address{}, classify(ErrUnsupported, "a port relative to the client's can't be listed")
-	case parsed.Last > 0:
+	case parsed.LastPort > 0:
 		return address{}, classify(ErrValue, "a server has one port, not a range")
 	case parsed.Port == 0:
 		return address{}, classify(ErrValue, "%s has no port", word)
--- a/internal/haproxy/server_options.go
+++ b/internal/haproxy/server_options.go
@@ -23,7 +23,7 @@
 			m.note(line.part(i, len(line.Tokens)), Dropped, "unknown server option %s: what follows it can't be told apart", word)
 			return
 		}
-		end := i + 1 + option.values
+		end := i + 1 + option.valueCount
 		if end > len(line.Tokens) {
 			m.fault(line.part(i, i+1).Position, ErrSyntax, "%s needs a value", word)
 			m.note(line.part(i, len(line.Tokens)), Dropped, "its value is missing")
