--- a/internal/haproxy/acl.go
+++ b/internal/haproxy/acl.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// importACL reports an acl line; importRoutes has read its match.
+// importACL reports an acl line. In a frontend or listen section, importRoutes has already parsed its match.
 func (m *importer) importACL(line proxyLine) {
 	line.acls[line.argument()] = true
 	switch problem := line.section.routeProblems[line.index]; {
@@ -18,7 +18,8 @@
 	}
 }
 
-// checkConditionACLs reports ACLs that the condition of a line uses and that its section does not define before it.
+// checkConditionACLs reports a fault for each ACL in the condition of a line that is neither predefined nor defined before the
+// line in the same section.
 func (m *importer) checkConditionACLs(line proxyLine) {
 	begin := slices.IndexFunc(line.Tokens, func(token Token) bool { return token.Text == "if" || token.Text == "unless" })
 	if begin < 0 {
@@ -39,14 +40,14 @@
 	}
 }
 
-// predefinedACLs need no definition (manual, 7.4).
+// predefinedACLs are the ACLs that HAProxy itself defines (manual, 7.4).
 var predefinedACLs = []string{
 	"FALSE", "TRUE", "HTTP", "HTTP_1.0", "HTTP_1.1", "HTTP_2.0", "HTTP_3.0", "HTTP_CONTENT", "HTTP_URL_ABS", "HTTP_URL_SLASH", "HTTP_URL_STAR",
 	"LOCALHOST", "METH_CONNECT", "METH_DELETE", "METH_GET", "METH_HEAD", "METH_OPTIONS", "METH_POST", "METH_PUT", "METH_TRACE",
 	"RDP_COOKIE", "REQ_CONTENT", "WAIT_END",
 }
 
-// methodACLs are the predefined ACLs that match methods (manual, 7.4).
+// methodACLs are the predefined ACLs that match HTTP methods, each with the methods that it matches (manual, 7.4).
 var methodACLs = map[string][]string{
 	"METH_CONNECT": {"CONNECT"}, "METH_DELETE": {"DELETE"}, "METH_GET": {"GET", "HEAD"}, "METH_HEAD": {"HEAD"},
 	"METH_OPTIONS": {"OPTIONS"}, "METH_POST": {"POST"}, "METH_PUT": {"PUT"}, "METH_TRACE": {"TRACE"},
--- a/internal/haproxy/acl_match.go
+++ b/internal/haproxy/acl_match.go
@@ -8,7 +8,8 @@
 	"gingerfork/internal/route"
 )
 
-// The fetches and matches of route terms, which HAProxy has under the same names.
+// The sample fetches and match methods of HAProxy that routes support. They are spelled like the Source and Match constants of
+// package route, so that terms are built from them without translation.
 const (
 	fetchPath   = "path"
 	fetchMethod = "method"
@@ -21,11 +22,12 @@
 	matchFound = "found"
 )
 
-// singleValueHeaders hold one value. HAProxy takes other headers apart at their commas, which routes do not.
+// singleValueHeaders are headers with a single value. HAProxy splits the values of other headers at commas and matches each part;
+// routes do not, so that only the presence of other headers can be tested.
 var singleValueHeaders = []string{"host", "authorization", "content-type", "content-length", "origin"}
 
-// parseMatch reads the match of an ACL: a fetch with its flags and patterns. Only a match that a route can express exactly
-// is accepted.
+// parseMatch parses the match of an ACL: a sample fetch with its flags and patterns. It returns an error for a match that a route
+// cannot express exactly.
 func parseMatch(words []string) (route.Term, error) {
 	if len(words) == 0 {
 		return route.Term{}, classify(ErrSyntax, "it looks at nothing")
@@ -42,7 +44,7 @@
 	return term, checkMatch(term)
 }
 
-// parseFetch reads a fetch such as path_beg or hdr(host).
+// parseFetch parses a sample fetch such as path_beg or hdr(host), and returns a term with its source, header and match.
 func parseFetch(word string) (term route.Term, err error) {
 	name, argument, hasArgument := strings.Cut(word, "(")
 	if hasArgument {
@@ -71,11 +73,12 @@
 	return term, nil
 }
 
+// unsupportedError returns the error for a sample fetch that has no equivalent in routes.
 func unsupportedError(word string) error {
 	return classify(ErrUnsupported, "%s has no like here", word)
 }
 
-// parseMatchFlags applies the flags of a match and returns the patterns behind them.
+// parseMatchFlags applies the flags of a match to its term and returns the patterns that follow the flags.
 func parseMatchFlags(term *route.Term, words []string) (patterns []string, err error) {
 	for len(words) > 0 && strings.HasPrefix(words[0], "-") {
 		flag := words[0]
@@ -83,7 +86,7 @@
 		switch flag {
 		case "-i":
 			term.IgnoreCase = true
-		case "-n": // It keeps names from being resolved, which routes never do.
+		case "-n": // Forbids resolving names in patterns, which routes never do.
 		case "-m":
 			if len(words) == 0 || !slices.Contains([]string{matchExact, matchBegin, matchEnd, matchPart, matchFound}, words[0]) {
 				return nil, classify(ErrUnsupported, "this match has no like here")
@@ -98,6 +101,7 @@
 	return append(patterns, words...), nil
 }
 
+// checkMatch returns an error if a term has no patterns or cannot be expressed exactly by a route.
 func checkMatch(term route.Term) error {
 	hasControl := func(pattern string) bool { return strings.ContainsFunc(pattern, unicode.IsControl) }
 	switch {
--- a/internal/haproxy/address.go
+++ b/internal/haproxy/address.go
@@ -9,23 +9,24 @@
 
 const maxPort = 65535
 
-// address is the address of a server or a listener (manual, 4.2 server, bind).
+// address is the parsed address of a server or a listener (manual, 4.2 server, bind).
 type address struct {
-	Family       string // the prefix before @, "" if there is none
-	Host         string // for a socket without a port its name
+	Family       string // the prefix before @, "unix" for a path without one, otherwise ""
+	Host         string // for a family without ports, the name of the socket
 	Port         int    // 0 if there is none
 	RelativePort bool   // Port is relative to the port that the client connected to
-	LastPort     int    // the last port of a range, 0 if it is none
+	LastPort     int    // the last port of a range, 0 if Port is a single port
 }
 
+// addressFamilies are the prefixes that may precede the @ of an address.
 var addressFamilies = []string{
 	"ipv4", "ipv6", "unix", "abns", "abnsz", "sockpair", "fd", "quic4", "quic6", "rhttp", "udp4", "udp6", "udp", "uxst", "uxdg", "tcp", "tcp4", "tcp6",
 }
 
-// portlessFamilies are the families whose addresses are a name or a file descriptor.
+// portlessFamilies are the families whose addresses are a name or a file descriptor, without a port.
 var portlessFamilies = []string{"unix", "abns", "abnsz", "sockpair", "fd", "uxst", "uxdg", "rhttp"}
 
-// parseAddress reads an address in any of its forms.
+// parseAddress parses an address in any of the forms that HAProxy accepts.
 func parseAddress(text string) (parsed address, err error) {
 	family, rest, hasFamily := strings.Cut(text, "@")
 	switch {
@@ -52,7 +53,7 @@
 	return parsed, parsed.setPort(port)
 }
 
-// splitHostPort splits an address at its last colon. An IPv6 address may stand in brackets, and the port may be missing.
+// splitHostPort splits an address at its last colon. An IPv6 address may be enclosed in brackets, and the port may be missing.
 func splitHostPort(text string) (host, port string, err error) {
 	inBrackets, isBracketed := strings.CutPrefix(text, "[")
 	if !isBracketed {
@@ -71,7 +72,7 @@
 	return host, strings.TrimPrefix(rest, ":"), nil
 }
 
-// setPort reads a port, a range of ports or a port relative to the client's.
+// setPort parses a port, a range of ports, or a port with a sign, which is relative to the port that the client connected to.
 func (a *address) setPort(text string) (err error) {
 	digits := text
 	if text[0] == '+' || text[0] == '-' {
@@ -92,10 +93,10 @@
 	return nil
 }
 
-// isListedSocket tells whether the endpoint list names the address as a socket without a port.
+// isListedSocket reports whether the address is a socket without a port that the endpoint list can hold.
 func (a address) isListedSocket() bool { return a.Family == "unix" || a.Family == "abns" }
 
-// String is the address as the endpoint list has it.
+// String returns the address as written in the endpoint list.
 func (a address) String() string {
 	if a.isListedSocket() {
 		return a.Family + "@" + a.Host
--- a/internal/haproxy/balance.go
+++ b/internal/haproxy/balance.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// importBalance translates the balancing algorithm to a pick policy.
+// importBalance sets the pool's pick policy to the one closest to the balancing algorithm.
 func (m *importer) importBalance(line proxyLine) {
 	pick, class, reason := pickLottery, Differs, ""
 	switch algorithm, _, _ := strings.Cut(line.argument(), "("); algorithm {
@@ -24,6 +24,7 @@
 	m.note(line.Line, class, "%s", reason)
 }
 
+// importHashType reports a hash-type line, which has no effect: proxies do not hash keys to servers.
 func (m *importer) importHashType(line proxyLine) {
 	m.note(line.Line, Differs, "our arcs are a ring of hashed servers for each proxy; keys are not hashed to servers")
 }
--- a/internal/haproxy/block_condition.go
+++ b/internal/haproxy/block_condition.go
@@ -6,13 +6,14 @@
 	"strings"
 )
 
-// defaultVersion is the HAProxy version that conditions are answered for where none is given.
+// defaultVersion is the HAProxy version that version predicates compare with if Environment.Version is empty.
 const defaultVersion = "3.0"
 
-// maxConditionDepth bounds the nesting of a condition, and with it the parser's recursion.
+// maxConditionDepth is the maximum nesting of a condition. It bounds the recursion of the parser.
 const maxConditionDepth = 200
 
-// conditionHolds evaluates the condition of an .if or .elif: terms with !, && before ||, and parentheses.
+// conditionHolds evaluates the condition of an .if or .elif line. The operators are !, && and ||, in decreasing precedence, and
+// parentheses.
 func (e Environment) conditionHolds(text string) (bool, error) {
 	if strings.TrimSpace(text) == "" {
 		return false, nil // An empty condition is false.
@@ -31,13 +32,14 @@
 // conditionParser evaluates a condition while it parses it, by recursive descent.
 type conditionParser struct {
 	environment Environment
-	rest        string
-	depth       int
+	rest        string // the text that is not parsed yet
+	depth       int    // number of nested terms that are being parsed
 }
 
+// skipBlanks skips blanks and tabs.
 func (p *conditionParser) skipBlanks() { p.rest = strings.TrimLeft(p.rest, " \t") }
 
-// accept skips the word if it comes next.
+// accept reports whether the next word, after any blanks, is the given one, and skips it if so.
 func (p *conditionParser) accept(word string) bool {
 	p.skipBlanks()
 	rest, found := strings.CutPrefix(p.rest, word)
@@ -47,6 +49,7 @@
 	return found
 }
 
+// parseDisjunction evaluates one or more conjunctions that are joined by ||.
 func (p *conditionParser) parseDisjunction() (bool, error) {
 	value, err := p.parseConjunction()
 	for err == nil && p.accept("||") {
@@ -57,6 +60,7 @@
 	return value, err
 }
 
+// parseConjunction evaluates one or more terms that are joined by &&.
 func (p *conditionParser) parseConjunction() (bool, error) {
 	value, err := p.parseTerm()
 	for err == nil && p.accept("&&") {
@@ -67,6 +71,7 @@
 	return value, err
 }
 
+// parseTerm evaluates a negation, a condition in parentheses, a number or a predicate.
 func (p *conditionParser) parseTerm() (bool, error) {
 	p.depth++
 	defer func() { p.depth-- }()
@@ -87,6 +92,7 @@
 	return p.parseNumberOrPredicate()
 }
 
+// parseNumberOrPredicate evaluates an integer, which is true unless it is 0, or a predicate with its arguments.
 func (p *conditionParser) parseNumberOrPredicate() (bool, error) {
 	p.skipBlanks()
 	end := 0
@@ -115,11 +121,12 @@
 	return p.environment.evaluatePredicate(name, arguments)
 }
 
-// predicateArgumentCounts are the numbers of arguments of the predicates that can be answered without a running HAProxy.
+// predicateArgumentCounts has the number of arguments of each predicate that can be evaluated without a running HAProxy.
 var predicateArgumentCounts = map[string]int{
 	"defined": 1, "feature": 1, "streq": 2, "strneq": 2, "strstr": 2, "version_atleast": 1, "version_before": 1,
 }
 
+// evaluatePredicate evaluates a predicate of the given name.
 func (e Environment) evaluatePredicate(name string, arguments []string) (bool, error) {
 	expected, known := predicateArgumentCounts[name]
 	switch {
@@ -145,7 +152,7 @@
 	return before == (name == "version_before"), err
 }
 
-// versionBefore tells whether the environment's version is older than another.
+// versionBefore reports whether the environment's HAProxy version is older than another.
 func (e Environment) versionBefore(other string) (bool, error) {
 	current := e.Version
 	if current == "" {
@@ -162,7 +169,8 @@
 	return slices.Compare(currentParts[:], otherParts[:]) < 0, nil
 }
 
-// parseVersion reads a version such as 3.0.1 or 3.0-dev4; what it lacks is 0.
+// parseVersion parses a version such as 3.0.1 or 3.0-dev4. Missing numbers are 0; a suffix after a hyphen is ignored, and so are
+// numbers after the third.
 func parseVersion(text string) (version [3]int, err error) {
 	text, _, _ = strings.Cut(text, "-")
 	parts := strings.Split(text, ".")
--- a/internal/haproxy/blocks.go
+++ b/internal/haproxy/blocks.go
@@ -2,34 +2,34 @@
 
 import "strings"
 
-// Environment is what variables and the conditions of conditional blocks are answered from. The environment of the running
-// process is never read.
+// Environment holds the values that variables and the conditions of conditional blocks are evaluated with. The environment of the
+// running process is never read.
 type Environment struct {
 	Variables map[string]string
-	Version   string   // for version_atleast and version_before; defaultVersion if empty
-	Features  []string // for the predicate feature
+	Version   string   // HAProxy version for the predicates version_atleast and version_before; defaultVersion if empty
+	Features  []string // features for which the predicate feature is true
 }
 
-// block is an .if that is not closed yet.
+// block is a conditional block that is not closed yet.
 type block struct {
-	opened            Position
-	selected          bool // the lines of the current branch are kept
-	branchDecided     bool // no further branch can be selected
-	enclosingSelected bool // the lines around the block are kept
+	opened            Position // of the .if
+	selected          bool     // the current branch is selected, so that its lines are kept
+	branchDecided     bool     // no later branch can be selected: one already was, or a condition is faulty
+	enclosingSelected bool     // the lines around the block are kept; otherwise no branch is selected
 	elseSeen          bool
 }
 
-// blockSelector keeps the lines of the branches whose conditions hold (manual, 2.4).
+// blockSelector selects the lines outside blocks and those of the branches whose conditions hold (manual, 2.4).
 type blockSelector struct {
 	report
 	environment   Environment
-	openBlocks    []block // the innermost last
+	openBlocks    []block // innermost last
 	selectedLines []Line
 	skippedLines  []Line
 }
 
-// selectBlocks goes through a file's lines and keeps those that the blocks of .if, .elif, .else and .endif select. Messages
-// of .notice, .warning and .diag are reported as notes. An .alert is a fault, because it stops HAProxy from starting.
+// selectBlocks evaluates the .if, .elif, .else and .endif lines of a file and separates the selected lines from the skipped ones.
+// The messages of .notice, .warning and .diag are reported as notes. An .alert is a fault, because it stops HAProxy from starting.
 func selectBlocks(file File, environment Environment) *blockSelector {
 	s := &blockSelector{environment: environment}
 	for _, line := range file.Lines {
@@ -41,6 +41,7 @@
 	return s
 }
 
+// addLine processes the next line of the file.
 func (s *blockSelector) addLine(line Line) {
 	switch word := line.Word(0); word {
 	case ".if":
@@ -71,13 +72,15 @@
 	}
 }
 
-// isSelected tells whether the current line is in selected branches only.
+// isSelected reports whether the current line is outside blocks or in a selected branch.
 func (s *blockSelector) isSelected() bool {
 	return len(s.openBlocks) == 0 || s.openBlocks[len(s.openBlocks)-1].selected
 }
 
+// directiveArguments returns the words after a directive such as .if, joined by blanks.
 func directiveArguments(line Line) string { return strings.Join(line.Words()[1:], " ") }
 
+// openBlock processes an .if line.
 func (s *blockSelector) openBlock(line Line) {
 	opened := block{opened: line.Position, enclosingSelected: s.isSelected()}
 	if opened.enclosingSelected {
@@ -87,6 +90,7 @@
 	s.noteDirective(line)
 }
 
+// continueBlock processes an .elif, .else or .endif line.
 func (s *blockSelector) continueBlock(line Line) {
 	word := line.Word(0)
 	s.noteDirective(line)
@@ -111,7 +115,8 @@
 	}
 }
 
-// evaluateBranch selects the branch if the condition of its .if or .elif holds. After a faulty condition no branch is selected.
+// evaluateBranch selects the branch that an .if or .elif line begins if its condition holds. After a faulty condition no branch
+// of the block is selected.
 func (s *blockSelector) evaluateBranch(branch *block, line Line) {
 	holds, err := s.environment.conditionHolds(directiveArguments(line))
 	if err != nil {
@@ -121,6 +126,7 @@
 	branch.branchDecided = branch.selected || err != nil
 }
 
+// noteDirective reports a line that begins, continues or ends a block.
 func (s *blockSelector) noteDirective(line Line) {
 	s.note(line, Carried, "a block's condition, answered at the import")
 }
--- a/internal/haproxy/checks.go
+++ b/internal/haproxy/checks.go
@@ -5,12 +5,13 @@
 	"strings"
 )
 
-// serverKey names a server across pools.
+// serverKey identifies a server by its pool and name.
 type serverKey struct{ pool, server string }
 
 func (k serverKey) String() string { return k.pool + "/" + k.server }
 
-// checkTracks checks the track options: a server that is tracked must exist, and no chain of tracks may be circular.
+// checkTracks checks the track options of all servers: a tracked server must exist, and no chain of tracked servers may be
+// circular.
 func (m *importer) checkTracks() {
 	servers := map[serverKey]Server{}
 	for _, pool := range m.pools {
@@ -21,7 +22,7 @@
 			}
 		}
 	}
-	reported := map[serverKey]bool{} // servers of circles that have a fault already
+	reported := map[serverKey]bool{} // servers of circular chains that were already reported
 	for _, pool := range m.pools {
 		for _, server := range pool.Servers {
 			if key := (serverKey{pool.Name, server.Name}); !reported[key] {
@@ -31,7 +32,8 @@
 	}
 }
 
-// checkTrack follows the chain of tracks that begins at a server.
+// checkTrack follows the chain of tracked servers that begins at a server, and reports a fault if a server of the chain does not
+// exist or the chain is circular.
 func (m *importer) checkTrack(first Server, key serverKey, servers map[serverKey]Server, reported map[serverKey]bool) {
 	visited := map[serverKey]bool{key: true}
 	current := first
--- a/internal/haproxy/diff.go
+++ b/internal/haproxy/diff.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// Change is a difference in the listing of a server between two imports.
+// Change is a difference between two imports in the endpoint list entry of a server.
 type Change struct {
 	Pool, Server  string
-	Before, After string // the server's listing, "" where it is not listed
+	Before, After string // the entry without the server's number and name, "" if the server is not listed
 }
 
-// Diff returns the changes of the endpoint lists between two imports, sorted by pool and server.
+// Diff returns the differences between the endpoint lists of two imports, sorted by pool and server.
 func Diff(before, after Import) (changes []Change) {
 	old, current := before.listings(), after.listings()
 	for key, listing := range old {
@@ -31,7 +31,7 @@
 	return changes
 }
 
-// listings returns what the endpoint lists say of each server.
+// listings returns the endpoint list entry of each listed server, without its number and name.
 func (i Import) listings() map[serverKey]string {
 	listings := map[serverKey]string{}
 	for _, pool := range i.Pools {
--- a/internal/haproxy/endpoints.go
+++ b/internal/haproxy/endpoints.go
@@ -6,8 +6,8 @@
 	"gingerfork/internal/endpointfile"
 )
 
-// Servers returns the servers of a pool as the endpoint list takes them. The pool's name may be empty if there is only one.
-// The error is a FaultsError if the files have faults, and ErrNoPool if there is no such pool.
+// Servers returns the listed servers of a pool as entries of an endpoint list. The pool's name may be empty if there is only one
+// pool. The error is a FaultsError if the files have faults, and wraps ErrNoPool if there is no such pool.
 func (i Import) Servers(poolName string) ([]endpointfile.Backend, error) {
 	if len(i.Faults) > 0 {
 		return nil, FaultsError(i.Faults)
@@ -22,6 +22,7 @@
 	return nil, classify(ErrNoPool, "no pool %q among %s", poolName, strings.Join(names, ", "))
 }
 
+// endpointListBackends returns the listed servers of the pool as entries of an endpoint list.
 func (p Pool) endpointListBackends() []endpointfile.Backend {
 	numbers := p.Numbers()
 	listed := p.Listed()
@@ -38,5 +39,6 @@
 	return servers
 }
 
-// listedWeight is the server's weight on the endpoint list, where a draining server has a weight as well.
+// listedWeight returns the server's weight on the endpoint list. It is at least 1, because a draining server, whose weight in
+// HAProxy is 0, has a weight on the list as well.
 func (s Server) listedWeight() int { return max(1, s.Weight) }
--- a/internal/haproxy/fault.go
+++ b/internal/haproxy/fault.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// The kinds of faults. errors.Is tells which of them a Fault is.
+// The kinds of faults. errors.Is reports whether a Fault is of a kind.
 var (
 	ErrSyntax      = errors.New("syntax error")
 	ErrValue       = errors.New("invalid value")
@@ -20,54 +20,55 @@
 	ErrUnsupported = errors.New("not supported by the import")
 )
 
-// ErrNoPool says that an import has no pool of the wanted name.
+// ErrNoPool is the error for a pool name that an import does not have.
 var ErrNoPool = errors.New("no such pool")
 
-// ValueError is a word that does not have the form that its keyword expects. It is an ErrValue.
+// ValueError is the error for a word that does not have the form that its keyword expects. It wraps ErrValue.
 type ValueError struct {
 	Value    string
-	Expected string // the form, as "time, such as 500, 30s or 5m"
+	Expected string // the expected form, for example "time, such as 500, 30s or 5m"
 }
 
-// Error names the value and the expected form.
+// Error returns the message, with the value and the expected form.
 func (e *ValueError) Error() string { return fmt.Sprintf("%q is no %s", e.Value, e.Expected) }
 
 // Unwrap returns ErrValue.
 func (e *ValueError) Unwrap() error { return ErrValue }
 
-// classifiedError adds a kind to an error without changing its text, which reports print as it is.
+// classifiedError adds a kind to an error. The text of the error is unchanged, because reports print it.
 type classifiedError struct{ kind, cause error }
 
 func (e *classifiedError) Error() string   { return e.cause.Error() }
 func (e *classifiedError) Unwrap() []error { return []error{e.kind, e.cause} }
 
-// classify builds an error of a kind from a format of fmt.Errorf.
+// classify returns an error of a kind. The format and the arguments are those of fmt.Errorf.
 func classify(kind error, format string, args ...any) error {
 	return &classifiedError{kind, fmt.Errorf(format, args...)}
 }
 
-// Fault is an error at a position. Files with a fault are not imported.
+// Fault is an error at a position in a file. An import with faults must not be used.
 type Fault struct {
 	Position
 	Message string
-	Cause   error // of one of the kinds above
+	Cause   error // wraps one of the kinds above
 }
 
+// newFault returns a fault with the text of its cause as the message.
 func newFault(position Position, cause error) Fault { return Fault{position, cause.Error(), cause} }
 
-// String is the position and the message.
+// String returns the position and the message.
 func (f Fault) String() string { return f.Position.String() + ": " + f.Message }
 
-// Error is String.
+// Error returns the same text as String.
 func (f Fault) Error() string { return f.String() }
 
 // Unwrap returns the cause.
 func (f Fault) Unwrap() error { return f.Cause }
 
-// FaultsError is all faults of an import as one error.
+// FaultsError is an error that consists of all faults of an import.
 type FaultsError []Fault
 
-// Error joins the faults' texts.
+// Error returns the texts of the faults, separated by semicolons.
 func (e FaultsError) Error() string {
 	texts := make([]string, 0, len(e))
 	for _, fault := range e {
--- a/internal/haproxy/file.go
+++ b/internal/haproxy/file.go
@@ -5,30 +5,30 @@
 	"strings"
 )
 
-// Position is a position in a file. Line and Column count from 1.
+// Position is a position in a file. Line and Column count from 1, and Column counts bytes.
 type Position struct {
 	File   string
 	Line   int
 	Column int
 }
 
-// String is the position as file:line.
+// String returns the position in the form file:line.
 func (p Position) String() string { return fmt.Sprintf("%s:%d", p.File, p.Line) }
 
-// Token is one argument of a line after quotes, escapes and variables were resolved (manual, 2.2 and 2.3).
+// Token is one argument of a line. Quotes, escapes and variables in it are already resolved (manual, 2.2 and 2.3).
 type Token struct {
 	Text   string
-	Column int  // where the argument begins, from 1
-	Quoted bool // part of it was quoted or escaped, so that it counts even when it is empty
+	Column int  // where the argument begins, counted from 1 in bytes
+	Quoted bool // part of it was quoted or escaped, so that it is kept even if it is empty
 }
 
-// Line is a line that has arguments.
+// Line is a line with at least one argument; blank lines and comments have none.
 type Line struct {
 	Position
 	Tokens []Token
 }
 
-// Word returns the text of an argument, or "" beyond the last one.
+// Word returns the text of the argument with index i, or "" if there are fewer arguments.
 func (l Line) Word(i int) string {
 	if i < len(l.Tokens) {
 		return l.Tokens[i].Text
@@ -45,7 +45,7 @@
 	return words
 }
 
-// part returns the line with the arguments in [from, to) only, positioned at the first of them.
+// part returns the line reduced to the arguments with indices in [from, to), at the position of the first of them.
 func (l Line) part(from, to int) Line {
 	to = min(to, len(l.Tokens))
 	part := Line{l.Position, l.Tokens[min(from, to):to]}
@@ -55,7 +55,7 @@
 	return part
 }
 
-// File is a file as read. Raw holds each line with its line end, so that the file can be written back unchanged.
+// File is a file that was read. Raw holds each line with its line end, so that the file can be written back unchanged.
 type File struct {
 	Name  string
 	Raw   []string
@@ -65,10 +65,10 @@
 // Text returns the file's text as it was read.
 func (f File) Text() string { return strings.Join(f.Raw, "") }
 
-// maxArguments is the most arguments that a line may have (manual, 2.2).
+// maxArguments is the maximum number of arguments of a line (manual, 2.2).
 const maxArguments = 64
 
-// lexFile splits a file into lines and arguments. A faulty line is reported and left out; the others are still read.
+// lexFile splits the text of a file into lines and arguments. A faulty line is reported and left out; the others are still read.
 func lexFile(name, text string, variables map[string]string) (file File, faults []Fault) {
 	file.Name = name
 	for number := 1; text != ""; number++ {
--- a/internal/haproxy/import.go
+++ b/internal/haproxy/import.go
@@ -2,10 +2,10 @@
 
 import "gingerfork/internal/route"
 
-// Source is the text of a file and its name.
+// Source is the name and the text of a file.
 type Source struct{ Name, Text string }
 
-// Import is the result of reading files. Pools, Notes and Faults are in the files' order.
+// Import is the result of importing files. Pools, Notes and Faults are in the order of the files.
 type Import struct {
 	Files  []File
 	Pools  []Pool
@@ -22,18 +22,19 @@
 	return counts
 }
 
-// importer holds the state of an import across sections.
+// importer holds the state of an import: the results so far, and the sections by which later lines are interpreted.
 type importer struct {
 	report
 	files    []File
 	pools    []Pool
 	routes   []route.Route
 	sections []*section
-	defaults map[string]*section // named defaults sections
+	defaults map[string]*section // named defaults sections by name
 	backends map[string]*section // backend and listen sections by name
 }
 
-// Read imports files in their order, as if they were one. It goes on after faults, so that all are reported at once.
+// Read imports files in the given order, as if they were one file. It continues after faults, so that all of them are reported at
+// once.
 func Read(sources []Source, environment Environment) Import {
 	m := &importer{defaults: map[string]*section{}, backends: map[string]*section{}}
 	m.splitSections(m.readLines(sources, environment))
@@ -46,7 +47,7 @@
 	return Import{Files: m.files, Pools: m.pools, Routes: m.routes, Notes: m.Notes, Faults: m.Faults}
 }
 
-// readLines returns the lines of all files that conditional blocks keep.
+// readLines returns the lines of all files that conditional blocks select.
 func (m *importer) readLines(sources []Source, environment Environment) (lines []Line) {
 	for _, source := range sources {
 		file, faults := lexFile(source.Name, source.Text, environment.Variables)
@@ -62,7 +63,7 @@
 	return lines
 }
 
-// importSection imports a section whose lines are complete.
+// importSection imports a section. All its lines must have been collected by splitSections.
 func (m *importer) importSection(current *section) {
 	switch current.kind {
 	case kindBackend, kindListen:
--- a/internal/haproxy/keywords.go
+++ b/internal/haproxy/keywords.go
@@ -1,13 +1,13 @@
 package haproxy
 
-// optionKeyword is an option of a server line.
+// optionKeyword describes how an option of a server line is imported.
 type optionKeyword struct {
-	valueCount int // the number of words that follow it
+	valueCount int // number of words that follow the option as its value
 	class      Class
-	reason     string
+	reason     string // explanation in the notes; may be empty for Carried
 }
 
-// Reasons that several keywords share.
+// Reasons in the notes of several keywords.
 const (
 	reasonHealthChecks     = "the coordinator judges servers by what proxies meet there, and probes those that are silent"
 	reasonTLS              = "our proxies' own connections to servers"
@@ -21,7 +21,7 @@
 	reasonTCP              = "our proxies' own handling of connections"
 )
 
-// serverOptions are the options of server lines (manual, 5.2).
+// serverOptions are the known options of server lines (manual, 5.2).
 var serverOptions = map[string]optionKeyword{
 	"weight":               {1, Carried, ""},
 	"disabled":             {0, Carried, "not listed: it gets nothing"},
@@ -112,7 +112,7 @@
 	"hash-key":             {1, Dropped, "our ring hashes servers by their numbers"},
 }
 
-// unsupportedKeywords are known keywords of proxy sections that are not carried over, each with the reason.
+// unsupportedKeywords are the known keywords of proxy sections that are not carried over, each with the reason for its notes.
 var unsupportedKeywords = map[string]string{
 	"log":                         reasonLogging,
 	"log-format":                  reasonLogging,
--- a/internal/haproxy/lex.go
+++ b/internal/haproxy/lex.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// lineError is an error at a column of a line.
+// lineError is an error at a column of a line, counted from 1 in bytes.
 type lineError struct {
 	column int
 	cause  error
@@ -14,22 +14,22 @@
 func (e *lineError) Error() string { return e.cause.Error() }
 func (e *lineError) Unwrap() error { return e.cause }
 
-// lineLexer reads the arguments of one line.
+// lineLexer splits one line into arguments.
 type lineLexer struct {
 	text      string
-	offset    int // the first byte of text that is not read yet
+	offset    int // index of the first byte of text that is not read yet
 	variables map[string]string
 	tokens    []Token
 
-	// The argument that is being read, if open.
+	// The argument that is being read. The other fields are valid only while open is set.
 	argument strings.Builder
-	begin    int
+	begin    int // index of its first byte in text
 	quoted   bool
 	open     bool
 }
 
-// lexLine reads a line's arguments. In weak quotes blanks are kept, and escapes and variables work; in strong quotes
-// everything is kept. A # outside quotes begins a comment.
+// lexLine splits a line into arguments. In weak quotes (") blanks are kept, and escapes and variables are interpreted; in strong
+// quotes (') everything is kept literally. A # outside quotes begins a comment.
 func lexLine(text string, variables map[string]string) ([]Token, *lineError) {
 	lexer := &lineLexer{text: text, variables: variables}
 	for lexer.offset < len(text) {
@@ -69,12 +69,13 @@
 	l.argument.Reset()
 }
 
+// beginQuoted begins an argument unless one is open already, and marks it as quoted.
 func (l *lineLexer) beginQuoted() {
 	l.beginArgument()
 	l.quoted = true
 }
 
-// endArgument keeps the open argument. An empty one counts only if it was quoted.
+// endArgument adds the open argument, if any, to the tokens. An empty argument is added only if it was quoted.
 func (l *lineLexer) endArgument() {
 	if l.open && (l.argument.Len() > 0 || l.quoted) {
 		l.tokens = append(l.tokens, Token{l.argument.String(), l.begin + 1, l.quoted})
@@ -82,17 +83,20 @@
 	l.open = false
 }
 
+// readByte appends the next byte to the argument.
 func (l *lineLexer) readByte() {
 	l.argument.WriteByte(l.text[l.offset])
 	l.offset++
 }
 
+// readEscape appends what the next escape sequence stands for; weak tells whether it is in weak quotes.
 func (l *lineLexer) readEscape(weak bool) {
 	text, length := unescape(l.text[l.offset:], weak)
 	l.argument.WriteString(text)
 	l.offset += length
 }
 
+// readStrongQuotes appends the text up to the closing strong quote.
 func (l *lineLexer) readStrongQuotes() *lineError {
 	l.beginQuoted()
 	content, _, closed := strings.Cut(l.text[l.offset+1:], "'")
@@ -104,6 +108,7 @@
 	return nil
 }
 
+// readWeakQuotes appends the text up to the closing weak quote, with escapes and variables replaced.
 func (l *lineLexer) readWeakQuotes() *lineError {
 	l.beginQuoted()
 	opening := l.offset
@@ -126,6 +131,7 @@
 	return &lineError{opening + 1, classify(ErrSyntax, "a weak quote is never closed")}
 }
 
+// readVariable appends the value of the next variable. The words of a list become separate arguments.
 func (l *lineLexer) readVariable() *lineError {
 	variable, err := expandVariable(l.text[l.offset:], l.variables)
 	if err != nil {
@@ -141,7 +147,8 @@
 	return nil
 }
 
-// addWords makes an argument of each word of ${NAME[*]}. The first continues the open argument, the last stays open.
+// addWords adds the words of a ${NAME[*]} as separate arguments. The first word continues the open argument, and the argument of
+// the last one stays open.
 func (l *lineLexer) addWords(words []string) {
 	for i, word := range words {
 		if i > 0 {
@@ -152,8 +159,8 @@
 	}
 }
 
-// unescape reads the escape sequence that text begins with and returns what it stands for and its length in bytes. A
-// backslash before any other character stays, as regular expressions need it.
+// unescape returns what the escape sequence at the beginning of text stands for, and its length in bytes. \$ is a sequence only in
+// weak quotes. A backslash that does not begin a known sequence is kept, because regular expressions need it.
 func unescape(text string, weak bool) (string, int) {
 	if len(text) < 2 {
 		return `\`, 1
@@ -186,5 +193,5 @@
 
 func isDigit(c byte) bool { return c >= '0' && c <= '9' }
 
-// isNameByte tells whether c may stand in the name of a variable or a predicate; a digit may.
+// isNameByte reports whether c is permitted in the name of a variable or a predicate: a letter, a digit or an underscore.
 func isNameByte(c byte) bool { return c == '_' || c|0x20 >= 'a' && c|0x20 <= 'z' || isDigit(c) }
--- a/internal/haproxy/list.go
+++ b/internal/haproxy/list.go
@@ -11,8 +11,9 @@
 	"gingerfork/internal/bootstrap"
 )
 
-// Numbers returns the number of each server on the endpoint list. It is a hash of the server's name, so that a server keeps
-// its number when others are added or removed. Where two hashes collide, the server that sorts later takes the next number.
+// Numbers returns the number of each server on the endpoint list, by server name. A number is a hash of the pool's and the server's
+// name, so that a server keeps it when others are added or removed. Where two hashes collide, the server whose name sorts later
+// takes the next free number. Number 0 is not used.
 func (p Pool) Numbers() map[string]uint32 {
 	names := make([]string, 0, len(p.Servers))
 	for _, server := range p.Servers {
@@ -30,7 +31,9 @@
 	return numbers
 }
 
-// List writes a pool's endpoint list, a line for each server: server NUMBER NAME weight W addr ADDRESS state open|draining.
+// List returns the pool's endpoint list. After a comment it has one line for each listed server:
+//
+//	server NUMBER NAME weight WEIGHT addr ADDRESS state open|draining
 func (p Pool) List() string {
 	var list strings.Builder
 	fmt.Fprintf(&list, "# pool %q, from %q line %d\n", p.Name, p.File, p.Line)
--- a/internal/haproxy/pool.go
+++ b/internal/haproxy/pool.go
@@ -1,32 +1,32 @@
 package haproxy
 
-// Pool is a backend or listen section as proxies would serve it.
+// Pool is an imported backend or listen section.
 type Pool struct {
 	Position
 	Name     string
 	Mode     string
 	Pick     string // the pick policy of the settings: lottery, even or pair
 	Servers  []Server
-	Deadline float64 // timeout server in seconds; 0 if none is set
-	Retries  int
+	Deadline float64 // in seconds, from timeout server; 0 if that is not set
+	Retries  int     // number of retries after the first attempt, as configured
 
-	index           int  // among the import's pools
-	neverRetries    bool // retry-on has no cause that proves that an RPC never ran
+	index           int  // position among the pools of the import, by which the pool's ports are chosen
+	neverRetries    bool // retry-on names no cause that proves that an RPC never ran, so that no RPC is retried
 	allBackups      bool // option allbackups
-	hasFaultyServer bool // a server was left out for a fault, so that a lack of servers is not reported as well
+	hasFaultyServer bool // a server was left out because of a fault, so that a lack of servers is not reported on top of it
 }
 
-// The pick policies of the settings.
+// The pick policies, as written in the settings.
 const (
 	pickLottery = "lottery"
 	pickEven    = "even"
 	pickPair    = "pair"
 )
 
-// defaultRetries is HAProxy's number of retries where none is set (manual, 4.2 retries).
+// defaultRetries is the number of retries that HAProxy makes if none is configured (manual, 4.2 retries).
 const defaultRetries = 3
 
-// Listed returns the servers that the endpoint list shows.
+// Listed returns the servers that are on the endpoint list: all except those whose state is Unused.
 func (p Pool) Listed() (servers []Server) {
 	for _, server := range p.Servers {
 		if server.State != Unused {
@@ -36,7 +36,7 @@
 	return servers
 }
 
-// importPool imports a backend or listen section.
+// importPool imports a backend or listen section as a pool.
 func (m *importer) importPool(proxy *section) {
 	pool := &Pool{index: len(m.pools), Position: proxy.Position, Name: proxy.name, Mode: "tcp", Pick: pickLottery, Retries: defaultRetries}
 	m.applyDefaults(proxy, pool)
@@ -49,8 +49,8 @@
 	m.pools = append(m.pools, *pool)
 }
 
-// applyDefaults applies the lines that a section inherits. Their notes and faults are discarded, because they were reported
-// when the defaults section itself was imported.
+// applyDefaults applies the lines that a section inherits from a defaults section to its pool. Notes and faults are discarded,
+// because they were reported when the defaults section itself was imported.
 func (m *importer) applyDefaults(proxy *section, pool *Pool) {
 	if proxy.defaults == nil {
 		return
@@ -61,6 +61,7 @@
 	}
 }
 
+// checkDuplicateServers reports servers of a pool that have the same name or the same id.
 func (m *importer) checkDuplicateServers(pool *Pool) {
 	names, ids := map[string]Server{}, map[int]Server{}
 	for _, server := range pool.Servers {
@@ -80,7 +81,8 @@
 	}
 }
 
-// assignStates sets the state of each server of a pool. Backups are used only where no other server is (manual, 5.2 backup).
+// assignStates sets the state of each server of a pool, and reports a fault if no server can be used. Backups are used only if no
+// other server can be (manual, 5.2 backup).
 func (m *importer) assignStates(pool *Pool) {
 	active := 0
 	for i := range pool.Servers {
@@ -102,7 +104,7 @@
 	}
 }
 
-// openBackups opens the first backup that can be used, or all of them with option allbackups. It tells whether there is one.
+// openBackups sets the first usable backup to Open, or all of them with option allbackups. It reports whether there is one.
 func (p *Pool) openBackups() bool {
 	opened := false
 	for i := range p.Servers {
@@ -118,6 +120,7 @@
 	return opened
 }
 
+// totalWeight returns the sum of the weights of all servers of the pool, used or not.
 func (p *Pool) totalWeight() (total int) {
 	for _, server := range p.Servers {
 		total += server.Weight
--- a/internal/haproxy/proxy_keywords.go
+++ b/internal/haproxy/proxy_keywords.go
@@ -2,25 +2,25 @@
 
 import "slices"
 
-// proxyLine is a line of a proxy section while it is imported.
+// proxyLine is a line of a defaults, frontend, backend or listen section that is being imported.
 type proxyLine struct {
 	Line
 	section *section
-	index   int             // of the line in its section, notInSection if it is inherited
-	pool    *Pool           // nil in frontend and defaults sections, which have no servers
-	acls    map[string]bool // the names that the section has defined so far
+	index   int             // index of the line in its section, or notInSection if it is inherited
+	pool    *Pool           // the pool of a backend or listen section; nil in frontend and defaults sections, which have no servers
+	acls    map[string]bool // names of the ACLs that the section has defined so far
 }
 
-// notInSection is the index of a line that a section inherits.
+// notInSection is the index of a line that a section inherits from its defaults section.
 const notInSection = -1
 
-// keyword is the line's first word.
+// keyword returns the line's first word.
 func (l proxyLine) keyword() string { return l.Word(0) }
 
-// argument is the line's second word.
+// argument returns the line's second word, or "".
 func (l proxyLine) argument() string { return l.Word(1) }
 
-// importLines imports the lines of a section; pool is nil where the section has no servers.
+// importLines imports the lines of a proxy section; pool is nil if the section has no servers.
 func (m *importer) importLines(proxy *section, pool *Pool) {
 	acls := map[string]bool{}
 	for i, line := range proxy.lines {
@@ -31,7 +31,7 @@
 	}
 }
 
-// importLine imports a line of a proxy section.
+// importLine imports or reports a line according to its keyword.
 func (m *importer) importLine(line proxyLine) {
 	if line.keyword() == "no" && len(line.Tokens) > 1 { // For example "no option httplog".
 		m.note(line.Line, Dropped, "it turns off what is not carried either")
@@ -48,7 +48,8 @@
 	m.note(line.Line, Dropped, "unknown keyword %s", line.keyword())
 }
 
-// proxyKeywords are the keywords whose lines are carried over or checked.
+// proxyKeywords has the function that imports, checks or reports the lines of each keyword of proxy sections. Known keywords that
+// are not in it are in unsupportedKeywords.
 var proxyKeywords = map[string]func(*importer, proxyLine){
 	"server":          (*importer).importServer,
 	"server-template": (*importer).importServer,
@@ -73,11 +74,12 @@
 	"id":              dropWithReason("for display only"),
 }
 
-// dropWithReason reports a line as not carried over.
+// dropWithReason returns a function that reports a line as not carried over.
 func dropWithReason(reason string) func(*importer, proxyLine) {
 	return func(m *importer, line proxyLine) { m.note(line.Line, Dropped, "%s", reason) }
 }
 
+// importMode sets the pool's mode, which has no effect on its settings.
 func (m *importer) importMode(line proxyLine) {
 	if line.pool != nil {
 		line.pool.Mode = line.argument()
@@ -85,6 +87,7 @@
 	m.note(line.Line, Differs, "our proxies know RPCs of methods, not %s", line.argument())
 }
 
+// importOption imports option redispatch and option allbackups. Other options have no equivalent.
 func (m *importer) importOption(line proxyLine) {
 	switch line.argument() {
 	case "redispatch":
@@ -99,7 +102,7 @@
 	}
 }
 
-// importStickTable checks the size and the expiry of a stick table; the table itself has no counterpart.
+// importStickTable checks the size and the expiry time of a stick table. The table itself has no equivalent.
 func (m *importer) importStickTable(line proxyLine) {
 	for i := 1; i+1 < len(line.Tokens); i++ {
 		var err error
@@ -116,7 +119,8 @@
 	m.note(line.Line, Dropped, "%s", reasonPersistence)
 }
 
-// importDefaultServer checks the options of a default-server line and keeps the line for the servers that follow.
+// importDefaultServer checks the options of a default-server line, and adds the line to those that apply to later servers of the
+// section, unless importLines already has.
 func (m *importer) importDefaultServer(line proxyLine) {
 	reason := "for the servers below it"
 	if line.section.kind == kindDefaults {
@@ -128,8 +132,8 @@
 		return
 	}
 	proxy := line.section
-	kept := slices.ContainsFunc(proxy.defaultServers, func(other Line) bool { return other.Position == line.Position })
-	if !kept {
+	alreadyAdded := slices.ContainsFunc(proxy.defaultServers, func(other Line) bool { return other.Position == line.Position })
+	if !alreadyAdded {
 		proxy.defaultServers = append(proxy.defaultServers, line.Line)
 	}
 }
--- a/internal/haproxy/report.go
+++ b/internal/haproxy/report.go
@@ -7,25 +7,25 @@
 	"strings"
 )
 
-// Class tells what became of a line or of some of its words.
+// Class tells how exactly a line, or part of it, was imported.
 type Class uint8
 
 // The classes of notes.
 const (
-	Carried Class = iota // exactly
+	Carried Class = iota // carried over exactly
 	Differs              // carried over, with a difference that the note explains
 	Dropped              // not carried over
 	classCount
 )
 
-// String is the class as reports print it.
+// String returns the class as printed in reports.
 func (c Class) String() string {
 	return [...]string{"carried", "carried with a difference", "not carried", "?"}[min(c, classCount)]
 }
 
-// Note tells what became of a line or of some of its words.
+// Note reports how a line, or part of it, was imported.
 type Note struct {
-	Line   Line // only with the words that the note is about
+	Line   Line // with only the words that the note is about
 	Class  Class
 	Reason string
 }
@@ -33,28 +33,29 @@
 // Text returns the words that the note is about.
 func (n Note) Text() string { return strings.Join(n.Line.Words(), " ") }
 
-// report collects what became of each line.
+// report collects the notes and faults of an import.
 type report struct {
 	Notes  []Note
 	Faults []Fault
 }
 
+// note adds a note; format and args are those of fmt.Sprintf.
 func (r *report) note(line Line, class Class, format string, args ...any) {
 	r.Notes = append(r.Notes, Note{line, class, fmt.Sprintf(format, args...)})
 }
 
-// fault reports a fault of a kind; format and args are those of fmt.Errorf.
+// fault adds a fault of a kind; format and args are those of fmt.Errorf.
 func (r *report) fault(position Position, kind error, format string, args ...any) {
 	r.Faults = append(r.Faults, newFault(position, classify(kind, format, args...)))
 }
 
-// add appends another report.
+// add appends the notes and faults of another report.
 func (r *report) add(other report) {
 	r.Notes = append(r.Notes, other.Notes...)
 	r.Faults = append(r.Faults, other.Faults...)
 }
 
-// sort brings notes and faults into the order of their positions, files in the order in which they were read.
+// sort sorts notes and faults by position, with files in the order in which they were read.
 func (r *report) sort(files []File) {
 	order := map[string]int{}
 	for i, file := range files {
--- a/internal/haproxy/retries.go
+++ b/internal/haproxy/retries.go
@@ -2,9 +2,11 @@
 
 import "slices"
 
-// maxRetries is the highest number of retries that a line may set.
+// maxRetries is the highest number of retries that a configuration may set.
 const maxRetries = 1000
 
+// importRetries imports the number of retries. If it is above 0, proxies make at most one retry, and only after proof that the RPC
+// did not run.
 func (m *importer) importRetries(line proxyLine) {
 	retries, err := parseInteger(line.argument(), 0, maxRetries)
 	if err != nil {
@@ -22,8 +24,8 @@
 	}
 }
 
-// importRetryOn imports the causes of retries. Without the line HAProxy has conn-failure. Whatever else the line names, an
-// RPC that may have run is not retried, because no HAProxy configuration says whether it is idempotent.
+// importRetryOn imports the causes of retries. HAProxy's default without the line is conn-failure. An RPC that may have run is not
+// retried whatever causes the line names, because no HAProxy configuration tells whether it is idempotent.
 func (m *importer) importRetryOn(line proxyLine) {
 	if len(line.Tokens) < 2 {
 		m.fault(line.Position, ErrSyntax, "retry-on without a cause")
@@ -40,12 +42,12 @@
 	}
 }
 
-// unsafeRetryCauses are causes after which an RPC may have run.
+// unsafeRetryCauses are the causes after which an RPC may have run.
 var unsafeRetryCauses = []string{
 	"empty-response", "junk-response", "response-timeout", "0rtt-rejected", "401", "403", "404", "408", "421", "425", "500", "501", "502", "504",
 }
 
-// importRetryCause imports one cause of a retry-on line and tells whether RPCs are retried for it.
+// importRetryCause imports the cause with the given index on a retry-on line and reports whether RPCs are retried after it.
 func (m *importer) importRetryCause(line proxyLine, index int) (retries bool) {
 	class, reason := Dropped, "after this an RPC may have run: none is run twice unless its method is marked tokened"
 	switch cause := line.Word(index); {
--- a/internal/haproxy/route_condition.go
+++ b/internal/haproxy/route_condition.go
@@ -7,56 +7,57 @@
 	"gingerfork/internal/route"
 )
 
-// maxConjunctions is the most rows that a route may have.
+// maxConjunctions is the maximum number of conjunctions in the condition of a route. Messages call them rows.
 const maxConjunctions = 100
 
 var errTooManyConjunctions = classify(ErrUnsupported, "it would take more than %d rows", maxConjunctions)
 
-// aclSet is the ACLs that a section has defined so far.
+// aclSet holds the ACLs that a section has defined so far.
 type aclSet struct {
-	termsByName    map[string][]route.Term // the ACL holds if any of its matches does
-	problemsByName map[string]error        // of ACLs with a match that a route cannot express
+	termsByName    map[string][]route.Term // an ACL holds if any of its terms does
+	problemsByName map[string]error        // why a route cannot express a match of the ACL
 }
 
-// parseRouteCondition reads a condition as a disjunction of rows, each of which is a conjunction of terms. An ACL with
-// several lines holds if any of them does, which multiplies the rows.
+// parseRouteCondition returns the disjunctive normal form of a condition: a list of conjunctions of terms, of which one must hold.
+// An ACL that is defined by several lines holds if any of them does, which multiplies the number of conjunctions.
 func parseRouteCondition(words []string, acls aclSet) ([][]route.Term, error) {
-	var rows [][]route.Term
-	conjunction := [][]route.Term{{}} // the rows of the conjunction that is being read
+	var conjunctions [][]route.Term
+	current := [][]route.Term{{}} // equivalent to the words since the last or
 	for len(words) > 0 {
 		var word string
 		var negated bool
 		word, negated, words = cutNegation(words)
 		if word == "or" || word == "||" {
-			rows = append(rows, conjunction...)
-			conjunction = [][]route.Term{{}}
+			conjunctions = append(conjunctions, current...)
+			current = [][]route.Term{{}}
 			continue
 		}
-		var alternatives []route.Term
+		var terms []route.Term
 		var err error
 		if word == "{" {
-			alternatives, words, err = parseAnonymousACL(words)
+			terms, words, err = parseAnonymousACL(words)
 		} else {
-			alternatives, err = acls.lookup(word)
+			terms, err = acls.lookup(word)
 		}
 		if err != nil {
 			return nil, err
 		}
-		if conjunction, err = distribute(conjunction, alternatives, negated); err != nil {
+		if current, err = distribute(current, terms, negated); err != nil {
 			return nil, err
 		}
 	}
-	rows = append(rows, conjunction...)
-	if slices.ContainsFunc(rows, func(row []route.Term) bool { return len(row) == 0 }) {
+	conjunctions = append(conjunctions, current...)
+	if slices.ContainsFunc(conjunctions, func(terms []route.Term) bool { return len(terms) == 0 }) {
 		return nil, classify(ErrSyntax, "a part of its condition is empty")
 	}
-	if len(rows) > maxConjunctions {
+	if len(conjunctions) > maxConjunctions {
 		return nil, errTooManyConjunctions
 	}
-	return rows, nil
+	return conjunctions, nil
 }
 
-// cutNegation returns the next word without the exclamation marks before it, which may stand apart from it.
+// cutNegation returns the next word without the exclamation marks before it, which may be separate words, and whether they negate
+// it: two of them cancel out.
 func cutNegation(words []string) (word string, negated bool, rest []string) {
 	word, rest = words[0], words[1:]
 	for strings.HasPrefix(word, "!") {
@@ -68,8 +69,9 @@
 	return word, negated, rest
 }
 
-// parseAnonymousACL reads a match up to its closing brace.
-func parseAnonymousACL(words []string) (alternatives []route.Term, rest []string, err error) {
+// parseAnonymousACL parses the match of an anonymous ACL, whose opening brace precedes words. It returns the words after the
+// closing brace.
+func parseAnonymousACL(words []string) (terms []route.Term, rest []string, err error) {
 	end := slices.Index(words, "}")
 	if end < 0 {
 		return nil, nil, classify(ErrSyntax, "a brace is never closed")
@@ -78,7 +80,7 @@
 	return []route.Term{term}, words[end+1:], err
 }
 
-// lookup returns the matches of a named ACL.
+// lookup returns the terms of a named ACL, which holds if any of them does.
 func (a aclSet) lookup(name string) ([]route.Term, error) {
 	switch {
 	case a.problemsByName[name] != nil:
@@ -88,28 +90,29 @@
 	case methodACLs[name] != nil:
 		return []route.Term{{Source: fetchMethod, Match: matchExact, Patterns: methodACLs[name]}}, nil
 	case name == "TRUE" || name == "FALSE":
-		// No request has a header without a name, so that it is never found.
+		// A header with an empty name is never found, because no request has one.
 		return []route.Term{{Source: fetchHeader, Match: matchFound, Negate: name == "TRUE"}}, nil
 	}
 	return nil, classify(ErrUnsupported, "ACL %s has no like here", name)
 }
 
-// distribute adds a disjunction of terms to each row, or, if it is negated, the negation of every term.
-func distribute(rows [][]route.Term, alternatives []route.Term, negated bool) ([][]route.Term, error) {
+// distribute returns the disjunctive normal form of a condition: one of the conjunctions holds, and also one of the terms or, if
+// negated, none of the terms. It may modify the slice of conjunctions.
+func distribute(conjunctions [][]route.Term, terms []route.Term, negated bool) ([][]route.Term, error) {
 	if negated {
-		negations := slices.Clone(alternatives)
+		negations := slices.Clone(terms)
 		for i := range negations {
 			negations[i].Negate = !negations[i].Negate
 		}
-		for i := range rows {
-			rows[i] = slices.Concat(rows[i], negations)
+		for i := range conjunctions {
+			conjunctions[i] = slices.Concat(conjunctions[i], negations)
 		}
-		return rows, nil
+		return conjunctions, nil
 	}
-	product := make([][]route.Term, 0, len(rows)*len(alternatives))
-	for _, row := range rows {
-		for _, term := range alternatives {
-			product = append(product, append(slices.Clone(row), term))
+	product := make([][]route.Term, 0, len(conjunctions)*len(terms))
+	for _, conjunction := range conjunctions {
+		for _, term := range terms {
+			product = append(product, append(slices.Clone(conjunction), term))
 		}
 	}
 	if len(product) > maxConjunctions {
--- a/internal/haproxy/routes.go
+++ b/internal/haproxy/routes.go
@@ -7,23 +7,24 @@
 	"gingerfork/internal/route"
 )
 
-// dynamicNameMarker marks the name of a backend that HAProxy computes for each request.
+// dynamicNameMarker is contained in a backend name that HAProxy computes for each request.
 const dynamicNameMarker = "%["
 
-// routeReader reads the routes of a frontend or listen section in their order. After the first that cannot be expressed
-// exactly none is carried over: it comes before the others, which would take requests that are meant for it.
+// routeReader reads the routes of a frontend or listen section in order. After the first route that cannot be expressed exactly,
+// no further route is carried over, because the later ones would also match requests that are meant for it.
 type routeReader struct {
 	section       *section
 	acls          aclSet
-	problems      map[int]string // by index of a line
+	problems      map[int]string // why a line is not carried over, by its index in the section
 	routes        []route.Route
-	defaultRoute  *route.Route    // from default_backend
-	catchAllLine  int             // the line of a route without a condition, which leaves nothing to later ones; 0 if none
-	blockedReason string          // why no further route is carried over; "" if they are
-	usedMethods   map[string]bool // the method names that are taken
+	defaultRoute  *route.Route    // from default_backend; nil if there is none
+	catchAllLine  int             // line number of a route without a condition, after which no route is reached; 0 if there is none
+	blockedReason string          // why no further route is carried over, or ""
+	usedMethods   map[string]bool // method names that are already in use
 }
 
-// importRoutes reads the routes of a frontend or listen section. Its lines are reported later, by their keywords.
+// importRoutes reads the routes of a frontend or listen section. The lines themselves are reported later, by importLines, which
+// looks up the reasons in routeProblems.
 func (m *importer) importRoutes(proxy *section) {
 	reader := &routeReader{
 		section:     proxy,
@@ -49,6 +50,7 @@
 	proxy.routeProblems = reader.problems
 }
 
+// readACL parses an acl line. Further lines with the same name add alternatives to the ACL.
 func (r *routeReader) readACL(index int, line Line) {
 	if len(line.Tokens) < 3 {
 		return
@@ -63,6 +65,7 @@
 	r.acls.termsByName[name] = append(r.acls.termsByName[name], term)
 }
 
+// readUseBackend adds the route of a use_backend line, or records why it is not carried over.
 func (r *routeReader) readUseBackend(index int, line Line) {
 	switch {
 	case r.blockedReason != "":
@@ -86,7 +89,7 @@
 	}
 }
 
-// readCondition reads the condition of a route, which begins with if or unless, and names the route's method after it.
+// readCondition parses the condition of a route, which begins with if or unless, and names the route's method after it.
 func (r *routeReader) readCondition(added *route.Route, words []string) (err error) {
 	keyword, condition := words[0], words[1:]
 	added.Method = r.methodName(condition)
@@ -101,7 +104,8 @@
 	return err
 }
 
-// addDefaultRoute adds the route of default_backend. A listen section without one serves the remaining requests itself.
+// addDefaultRoute adds the route of default_backend, unless an earlier route makes it unreachable or could not be carried over. A
+// listen section without default_backend serves the remaining requests itself.
 func (r *routeReader) addDefaultRoute() {
 	name := r.section.name
 	if r.defaultRoute == nil && r.section.kind == kindListen && len(r.routes) > 0 {
@@ -112,24 +116,25 @@
 	}
 }
 
-// maxMethodNameBytes is the length in bytes after which nothing more of a condition goes into a method's name.
+// maxMethodNameBytes is the length in bytes beyond which a method name is not extended with more words of the condition.
 const maxMethodNameBytes = 50
 
-// methodName names the method of a route's requests after the frontend and the condition, so that the name stays when other
-// routes come and go. The method of requests without a condition has the frontend's name.
+// methodName returns the name of the method for a route's requests. It is made of the frontend's name and the words of the
+// condition, so that it does not change when other routes are added or removed; a number is appended to a name that is in use.
+// Routes without a condition share the method that has the frontend's name.
 func (r *routeReader) methodName(condition []string) string {
 	var builder strings.Builder
 	builder.WriteString(r.section.name)
-	separate := true
+	atWordStart := true
 	for _, c := range strings.Join(condition, " ") {
 		isWord := isLetterOrDigit(c) || c == '_'
-		if isWord && separate {
+		if isWord && atWordStart {
 			builder.WriteByte('-')
 		}
 		if isWord {
 			builder.WriteRune(c)
 		}
-		separate = !isWord
+		atWordStart = !isWord
 		if builder.Len() > maxMethodNameBytes {
 			break
 		}
@@ -142,19 +147,21 @@
 	return name
 }
 
-// importUseBackend reports a use_backend line; importRoutes has read its route.
+// importUseBackend checks and reports a use_backend line. In a frontend or listen section, importRoutes has already read its route.
 func (m *importer) importUseBackend(line proxyLine) {
 	m.checkBackendExists(line)
 	m.checkConditionACLs(line)
 	m.noteRoute(line)
 }
 
-// importDefaultBackend reports a default_backend line; importRoutes has read its route.
+// importDefaultBackend checks and reports a default_backend line. In a frontend or listen section, importRoutes has already read
+// its route.
 func (m *importer) importDefaultBackend(line proxyLine) {
 	m.checkBackendExists(line)
 	m.noteRoute(line)
 }
 
+// checkBackendExists reports a fault if the backend that a line names does not exist in any of the files.
 func (m *importer) checkBackendExists(line proxyLine) {
 	name := line.argument()
 	if !strings.Contains(name, dynamicNameMarker) && m.backends[name] == nil {
@@ -162,6 +169,7 @@
 	}
 }
 
+// noteRoute reports whether the route of a line was carried over and, if not, why.
 func (m *importer) noteRoute(line proxyLine) {
 	switch problem := line.section.routeProblems[line.index]; {
 	case line.section.kind == kindDefaults:
@@ -173,15 +181,17 @@
 	}
 }
 
+// importUseServer checks the condition of a use-server line. The line has no equivalent: a table is for a whole pool, and an RPC
+// that is bound to one server could not be sent once that server is gone.
 func (m *importer) importUseServer(line proxyLine) {
 	m.checkConditionACLs(line)
 	m.note(line.Line, Dropped, "a table is a pool's: an RPC bound to one of its servers would have none when that one is gone")
 }
 
-// maxMethods is the most methods that a pool's settings may have.
+// maxMethods is the maximum number of methods in a pool's settings.
 const maxMethods = 64
 
-// mergeExcessMethods makes one method of all requests of a pool whose routes would give it more than maxMethods.
+// mergeExcessMethods replaces the methods of a pool by a single one if its routes would give it more than maxMethods.
 func (m *importer) mergeExcessMethods() {
 	for _, pool := range m.pools {
 		if names, _ := route.Methods(m.routes, pool.Name); len(names) <= maxMethods {
--- a/internal/haproxy/section.go
+++ b/internal/haproxy/section.go
@@ -19,21 +19,22 @@
 	"ring", "http-errors", "log-forward", "log-profile", "crt-store", "fcgi-app", "traces", "acme",
 }
 
+// isProxy reports whether sections of a kind configure proxies.
 func isProxy(kind string) bool {
 	return kind == kindDefaults || kind == kindFrontend || kind == kindBackend || kind == kindListen
 }
 
-// section is a section with a reference to the defaults that it inherits from.
+// section is a section of the files, with a reference to the defaults section that it inherits from.
 type section struct {
 	Position
 	kind, name     string
-	defaults       *section
+	defaults       *section // nil if it inherits nothing
 	lines          []Line
-	routeProblems  map[int]string // by index of a line: why its match or route is not carried over
-	defaultServers []Line         // default-server lines, those of the inherited defaults first
+	routeProblems  map[int]string // why the match or route of a line is not carried over, by the line's index in lines
+	defaultServers []Line         // default-server lines that were read so far, those of the inherited defaults first
 }
 
-// inheritedLines returns the lines of a defaults section after those that it inherits itself.
+// inheritedLines returns what a section inherits from this defaults section: its lines, after those that it inherits itself.
 func (s *section) inheritedLines() (lines []Line) {
 	if s.defaults != nil {
 		lines = s.defaults.inheritedLines()
@@ -41,8 +42,8 @@
 	return append(lines, s.lines...)
 }
 
-// splitSections makes sections of lines. A proxy inherits from the defaults that it names with from, else from the last
-// defaults section before it. A defaults section inherits only from one that it names (manual, 4).
+// splitSections groups lines into sections. A proxy inherits from the defaults section that it names with from, or else from the
+// last defaults section before it. A defaults section inherits only from one that it names (manual, 4).
 func (m *importer) splitSections(lines []Line) {
 	var current, defaults *section
 	for _, line := range lines {
@@ -63,6 +64,7 @@
 	}
 }
 
+// openSection begins the section of a line with a section keyword. defaults is the last defaults section before it.
 func (m *importer) openSection(line Line, defaults *section) *section {
 	opened := &section{Position: line.Position, kind: line.Word(0)}
 	arguments := line.Words()[1:]
@@ -83,6 +85,7 @@
 	return opened
 }
 
+// noteSection reports a line that begins a section.
 func (m *importer) noteSection(line Line) {
 	switch line.Word(0) {
 	case kindDefaults, kindBackend, kindListen:
@@ -94,7 +97,7 @@
 	}
 }
 
-// resolveDefaults follows the from that may stand after a section's name.
+// resolveDefaults sets the defaults section that a proxy names with from; arguments are the words after the section's name.
 func (m *importer) resolveDefaults(proxy *section, arguments []string) {
 	if len(arguments) == 0 {
 		return
@@ -114,6 +117,7 @@
 	}
 }
 
+// checkSectionName reports a name that is missing or contains a forbidden character.
 func (m *importer) checkSectionName(proxy *section) {
 	if proxy.kind != kindDefaults && proxy.name == "" {
 		m.fault(proxy.Position, ErrName, "a %s without a name", proxy.kind)
@@ -123,7 +127,7 @@
 	}
 }
 
-// registerSection makes a section known by its name to those that refer to it.
+// registerSection records a section under its name for lines that refer to it, and reports a name that is already in use.
 func (m *importer) registerSection(opened *section) {
 	switch opened.kind {
 	case kindDefaults:
@@ -144,8 +148,8 @@
 	}
 }
 
-// forbiddenCharacter returns the first character that no name may contain (manual, 4), or "". Names are written into files
-// and logs, so that a line end or a blank in one would change their meaning.
+// forbiddenCharacter returns the first character of a name that names may not contain (manual, 4), or "". Names are written into
+// files and logs, whose meaning a line end or a blank in a name would change.
 func forbiddenCharacter(name string) string {
 	for _, character := range name {
 		if !isAllowedInName(character) {
--- a/internal/haproxy/server.go
+++ b/internal/haproxy/server.go
@@ -6,34 +6,34 @@
 	"unicode"
 )
 
-// Server is one server of a server or server-template line.
+// Server is a server that a server or server-template line defines.
 type Server struct {
 	Position
 	Name      string
-	Addr      string
+	Addr      string // as written in the endpoint list
 	Weight    int
 	Backup    bool
 	Disabled  bool
 	SlowStart float64 // seconds
 	ID        int     // 0 if none is set
-	Track     string  // the server whose health this one shares, as name or pool/name
+	Track     string  // the server whose health state this one shares, as NAME or POOL/NAME; "" if none
 	State     State
 }
 
-// State is what proxies send to a server.
+// State tells which traffic proxies send to a server.
 type State uint8
 
 // The states of servers.
 const (
 	Open     State = iota
-	Draining       // weight 0: current sessions go on, new ones do not come
-	Unused         // disabled, or a backup while other servers are used
+	Draining       // weight 0: existing sessions continue, new ones are not started
+	Unused         // disabled, or a backup while other servers are in use; not on the endpoint list
 )
 
-// String is the state as the endpoint list has it.
+// String returns the state as written in the endpoint list.
 func (s State) String() string { return [...]string{"open", "draining", "unused", "?"}[min(s, 3)] }
 
-// initialState is the state of a server before backups are considered.
+// initialState returns the state of a server before assignStates decides whether backups are used.
 func (s Server) initialState() State {
 	switch {
 	case s.Disabled, s.Backup:
@@ -45,11 +45,11 @@
 }
 
 const (
-	// defaultWeight is HAProxy's weight of a server where none is set (manual, 5.2 weight).
+	// defaultWeight is the weight that HAProxy gives a server if none is configured (manual, 5.2 weight).
 	defaultWeight = 1
-	// maxTemplateServers is the most servers that a server-template line may stand for.
+	// maxTemplateServers is the maximum number of servers that a server-template line may define.
 	maxTemplateServers = 10000
-	// maxTemplateNumber is the highest number that a server-template line may append to its name.
+	// maxTemplateNumber is the highest number that a server-template line may append to its prefix.
 	maxTemplateNumber = 1_000_000
 )
 
@@ -91,8 +91,8 @@
 	pool.addServers(server, names)
 }
 
-// defaultServer returns a server as the default-server lines before it leave it. The options of those lines were reported
-// where they stand.
+// defaultServer returns a server with the options of the default-server lines before it. Notes and faults of those options are
+// discarded, because they were reported when the default-server lines themselves were imported.
 func defaultServer(line proxyLine) Server {
 	server := Server{Position: line.Position, Weight: defaultWeight}
 	silent := &importer{}
@@ -102,7 +102,7 @@
 	return server
 }
 
-// addServers adds a server under each of the names; their ids count up from the server's.
+// addServers adds a copy of a server under each of the names. If the server has an id, the copies get consecutive ids from it.
 func (p *Pool) addServers(server Server, names []string) {
 	for i, name := range names {
 		added := server
@@ -114,7 +114,8 @@
 	}
 }
 
-// templateNames returns the names of a server-template line, whose count is a number of servers or a range of numbers.
+// templateNames returns the server names of a server-template line. The count is a number of servers or a range of numbers to
+// append to the prefix.
 func templateNames(prefix, count string) ([]string, error) {
 	first, last, isRange := strings.Cut(count, "-")
 	if !isRange {
@@ -132,7 +133,8 @@
 	return names, nil
 }
 
-// serverAddress returns the address of a server line if the endpoint list can hold it.
+// serverAddress parses the address of a server line, which is the word with the given index. It returns an error if the endpoint
+// list cannot hold the address or the server's name.
 func serverAddress(line Line, index int) (address, error) {
 	word := line.Word(index)
 	switch {
--- a/internal/haproxy/server_options.go
+++ b/internal/haproxy/server_options.go
@@ -9,7 +9,7 @@
 // maxWeight is the highest weight of a server (manual, 5.2 weight).
 const maxWeight = 256
 
-// applyOptions applies the options of a server or default-server line, which begin at an index of its words.
+// applyOptions applies and reports the options of a server or default-server line. The first option is the word with index begin.
 func (m *importer) applyOptions(server *Server, line Line, begin int) {
 	for i := begin; i < len(line.Tokens); {
 		word := line.Word(i)
@@ -37,15 +37,17 @@
 	}
 }
 
+// negation is the prefix that turns an option off.
 const negation = "no-"
 
+// isNegatedOption reports whether a word is a known option with the negation prefix.
 func isNegatedOption(word string) bool {
 	option, negated := strings.CutPrefix(word, negation)
 	_, known := serverOptions[option]
 	return negated && known
 }
 
-// negateOption applies an option such as no-backup, which line consists of.
+// negateOption applies an option such as no-backup. The line consists of that word only.
 func (m *importer) negateOption(server *Server, line Line) {
 	class := Dropped
 	switch strings.TrimPrefix(line.Word(0), negation) {
@@ -57,13 +59,14 @@
 	m.note(line, class, "turned off")
 }
 
-// setOption sets or checks an option. The value of an option that takes none is ignored.
+// setOption sets an option of the server, or checks its value if the option is not carried over. The value is ignored for options
+// without one.
 func (s *Server) setOption(name, value string) (err error) {
 	switch name {
 	case "weight":
 		var weight int
 		if weight, err = parseInteger(value, 0, maxWeight); err == nil {
-			s.Weight = weight // A faulty one changes nothing, so that it causes no second fault.
+			s.Weight = weight // An invalid weight is not applied, so that it causes no second fault.
 		}
 	case "backup":
 		s.Backup = true
--- a/internal/haproxy/settings.go
+++ b/internal/haproxy/settings.go
@@ -10,24 +10,25 @@
 	"gingerfork/internal/route"
 )
 
-// What the settings have where the import says nothing, and the bounds of what they accept, all in seconds.
+// Times in the settings, in seconds: defaults for what the import does not have, and the bounds of what the settings accept.
 const (
-	minWarmAfter        = 10.0
-	defaultDeadline     = 30.0
+	minWarmAfter        = 10.0 // also used if no server has a slowstart
+	defaultDeadline     = 30.0 // used without timeout server
 	minDeadline         = 0.002
 	maxDeadline         = 3600.0
-	longestSoftDeadline = 1.0
+	longestSoftDeadline = 1.0 // a soft deadline is half the deadline, but at most this
 )
 
-// The ports of the settings: each pool takes two, counted up from the first.
+// The range of ports in the settings. Each pool takes the next two ports of the range; after the last it starts over.
 const (
 	firstPort = 7400
 	portCount = 50000
 )
 
+// notInImport is the comment in the settings on values that HAProxy's format does not have.
 const notInImport = "not in the import"
 
-// settingsFormat is the settings file without its methods.
+// settingsFormat is the format of the settings file without its methods.
 const settingsFormat = `# pool %q, from %q line %d
 instance %s
     zone            imported      # not in the import
@@ -56,11 +57,12 @@
     pace            10000         # not in the import
 `
 
-// Settings writes a pool's settings, which `gingerfork check` accepts. A figure that HAProxy's format does not have is
-// commented as not in the import; it needs a look before service.
+// Settings returns a pool's settings file, which `gingerfork check` accepts. Values that HAProxy's format does not have are marked
+// as not in the import by a comment, and need a review before use.
 //
-// The methods are those that the routes make of the pool's requests; without routes all requests are one method. A method
-// whose routes accept only what RFC 9110 calls safe is idempotent; of others that cannot be known.
+// The methods are those that the routes define for the pool; without routes there is one method for all requests. A method whose
+// routes match only HTTP methods that RFC 9110 calls safe is idempotent. For other methods this cannot be known from the
+// configuration, so they are non-idempotent.
 func (p Pool) Settings(routes []route.Route) string {
 	warmAfter, warmAfterSource := p.warmAfter()
 	port := firstPort + 2*p.index%portCount
@@ -68,7 +70,7 @@
 	return settings + p.methodSettings(routes)
 }
 
-// warmAfter returns the fleet's warm-up time in seconds and where it comes from.
+// warmAfter returns the warm-up time of the fleet in seconds, and a comment that tells where the value comes from.
 func (p Pool) warmAfter() (seconds float64, source string) {
 	seconds, source = minWarmAfter, notInImport+": how long your servers warm"
 	for _, server := range p.Servers {
@@ -79,7 +81,7 @@
 	return seconds, source
 }
 
-// deadline returns the deadline of the pool's methods in seconds and where it comes from.
+// deadline returns the deadline of the pool's methods in seconds, and a comment that tells where the value comes from.
 func (p Pool) deadline() (seconds float64, source string) {
 	if p.Deadline == 0 {
 		return defaultDeadline, notInImport
@@ -87,13 +89,15 @@
 	return min(max(p.Deadline, minDeadline), maxDeadline), "timeout server"
 }
 
+// milliseconds formats a time in whole milliseconds, such as 250ms.
 func milliseconds(seconds float64) string {
 	return strconv.FormatFloat(math.Round(seconds*1000), 'f', -1, 64) + "ms"
 }
 
-// allMethod is the only method of a pool whose requests the routes do not distinguish.
+// allMethod is the only method of a pool whose routes do not divide its requests into methods.
 const allMethod = "all"
 
+// methodFormat is the format of a method in the settings file.
 const methodFormat = `
 method %s
     effect          %s # %s
@@ -103,6 +107,7 @@
     deadline        %s       # %s
 `
 
+// methodSettings returns the methods of the settings file.
 func (p Pool) methodSettings(routes []route.Route) string {
 	names, safe := route.Methods(routes, p.Name)
 	if len(names) == 0 {
--- a/internal/haproxy/timeouts.go
+++ b/internal/haproxy/timeouts.go
@@ -1,6 +1,6 @@
 package haproxy
 
-// importTimeout makes the deadline of a pool of timeout server; other timeouts are only checked.
+// importTimeout sets the deadline of the pool's methods to timeout server. Other timeouts are only checked.
 func (m *importer) importTimeout(line proxyLine) {
 	timeout := line.argument()
 	seconds, err := parseDuration(line.Word(2))
--- a/internal/haproxy/value.go
+++ b/internal/haproxy/value.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// timeUnits are the units of times (manual, 2.5) in seconds. A unit that ends in another comes before it.
+// timeUnits are the units of times in seconds (manual, 2.5). A unit whose name ends in the name of another precedes that one.
 var timeUnits = []struct {
 	suffix  string
 	seconds float64
 }{{"us", 1e-6}, {"ms", 1e-3}, {"s", 1}, {"m", 60}, {"h", 3600}, {"d", 86400}}
 
-// parseDuration reads a time as seconds: a number with us, ms, s, m, h or d, or a number of milliseconds.
+// parseDuration parses a time and returns it in seconds: a number with the unit us, ms, s, m, h or d, or a number of milliseconds.
 func parseDuration(text string) (float64, error) {
 	for _, unit := range timeUnits {
 		digits, found := strings.CutSuffix(text, unit.suffix)
@@ -31,7 +31,7 @@
 	return float64(milliseconds) / 1000, nil
 }
 
-// parseSize reads a size in bytes: a number that k, m or g may follow.
+// parseSize parses a size and returns it in bytes: a number, optionally with the unit k, m or g.
 func parseSize(text string) (int64, error) {
 	digits, factor := text, int64(1)
 	if length := len(text); length > 1 {
@@ -51,11 +51,11 @@
 	return number * factor, nil
 }
 
-// parseInteger reads a whole number from least to most.
-func parseInteger(text string, least, most int) (int, error) {
+// parseInteger parses a whole number between lowest and highest, inclusive.
+func parseInteger(text string, lowest, highest int) (int, error) {
 	number, err := strconv.Atoi(text)
-	if err != nil || number < least || number > most {
-		return 0, &ValueError{text, fmt.Sprintf("whole number from %d to %d", least, most)}
+	if err != nil || number < lowest || number > highest {
+		return 0, &ValueError{text, fmt.Sprintf("whole number from %d to %d", lowest, highest)}
 	}
 	return number, nil
 }
--- a/internal/haproxy/variable.go
+++ b/internal/haproxy/variable.go
@@ -2,17 +2,18 @@
 
 import "strings"
 
-// expansion is the value of a variable.
+// expansion is the result of expanding a variable.
 type expansion struct {
 	text   string
 	isList bool // ${NAME[*]}: each word is an argument of its own
-	length int  // of the variable in the line, in bytes
+	length int  // length of the variable's reference in the line, in bytes
 }
 
+// listSuffix follows the name of a variable whose words become separate arguments.
 const listSuffix = "[*]"
 
-// expandVariable expands the $NAME, ${NAME}, ${NAME-default} or ${NAME[*]} that text begins with. A variable that is not
-// given and has no default is an error, because its value cannot be guessed.
+// expandVariable expands the $NAME, ${NAME}, ${NAME-default} or ${NAME[*]} at the beginning of text. A variable that is not given
+// and has no default is an error, because its value cannot be guessed.
 func expandVariable(text string, variables map[string]string) (expansion, error) {
 	begin := len("$")
 	braced := strings.HasPrefix(text, "${")
@@ -24,7 +25,7 @@
 	case end == begin && braced:
 		return expansion{}, classify(ErrSyntax, "a variable without a name")
 	case end == begin:
-		return expansion{text: "$", length: 1}, nil // A dollar without a name stands for itself.
+		return expansion{text: "$", length: 1}, nil // A dollar sign without a name is literal.
 	}
 	name := text[begin:end]
 	value, known := variables[name]
@@ -49,7 +50,7 @@
 	return result, nil
 }
 
-// variableNameEnd returns the end of the name that begins at begin. A name does not begin with a digit.
+// variableNameEnd returns the index after the name that starts at index begin of text. A name does not begin with a digit.
 func variableNameEnd(text string, begin int) int {
 	end := begin
 	for end < len(text) && isNameByte(text[end]) && (end > begin || !isDigit(text[end])) {
