--- a/internal/haproxy/bench_test.go
+++ b/internal/haproxy/bench_test.go
@@ -8,6 +8,7 @@
 	"gingerfork/internal/endpointfile"
 )
 
+// generateConfig returns a configuration with the given number of servers, in backends of up to 1000 servers.
 func generateConfig(servers int) string {
 	var b strings.Builder
 	b.WriteString("defaults\n    mode http\n    balance leastconn\n    default-server inter 2s fall 3\n")
@@ -20,7 +21,7 @@
 	return b.String()
 }
 
-// BenchmarkRead measures whether time and memory grow in proportion to the file's length.
+// BenchmarkRead shows whether time and memory grow linearly with the number of servers.
 func BenchmarkRead(b *testing.B) {
 	for _, n := range []int{10, 1000, 100000} {
 		text := generateConfig(n)
@@ -36,24 +37,24 @@
 	}
 }
 
-// BenchmarkReload measures a changed weight among 10,000 servers.
+// BenchmarkReload measures applying a changed weight of one among 10,000 servers.
 func BenchmarkReload(b *testing.B) {
-	var all []endpointfile.Backend
+	var backends []endpointfile.Backend
 	for i := range 10000 {
-		all = append(all, endpointfile.Backend{ID: uint32(i + 1), Name: fmt.Sprint("s", i), Addr: "h:1", Weight: 1})
+		backends = append(backends, endpointfile.Backend{ID: uint32(i + 1), Name: fmt.Sprint("s", i), Addr: "h:1", Weight: 1})
 	}
-	f := endpointfile.New(endpointfile.Settings{DrainPeriod: 1, MaxLossShare: 0.5})
-	if _, err := f.Apply(0, all); err != nil {
+	file := endpointfile.New(endpointfile.Settings{DrainPeriod: 1, MaxLossShare: 0.5})
+	if _, err := file.Apply(0, backends); err != nil {
 		b.Fatal(err)
 	}
 	changed := 0
 	for b.Loop() {
-		all[77].Weight++
-		c, err := f.Apply(1, all)
+		backends[77].Weight++
+		changes, err := file.Apply(1, backends)
 		if err != nil {
 			b.Fatal(err)
 		}
-		changed += len(c)
+		changed += len(changes)
 	}
 	b.ReportMetric(float64(changed)/float64(b.N), "entries/reload")
 }
--- a/internal/haproxy/fault_test.go
+++ b/internal/haproxy/fault_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestFaultKinds checks that errors.Is finds the kind of a fault.
+// TestFaultKinds checks that each text has one fault and that errors.Is finds its kind.
 func TestFaultKinds(t *testing.T) {
 	for text, kind := range map[string]error{
 		"backend a\nserver x 1.1.1.1:1\nmode 'http":                         ErrSyntax,
@@ -24,7 +24,7 @@
 	} {
 		got := read(text)
 		if len(got.Faults) != 1 || !errors.Is(got.Faults[0], kind) {
-			t.Errorf("%q: %v, a fault of kind %q wanted", text, got.Faults, kind)
+			t.Errorf("%q: got faults %v, want one of kind %q", text, got.Faults, kind)
 		}
 	}
 }
@@ -33,26 +33,26 @@
 func TestValueError(t *testing.T) {
 	got := read("backend a\nserver x 1.1.1.1:1 weight 257")
 	if len(got.Faults) != 1 {
-		t.Fatalf("faults %v, one wanted", got.Faults)
+		t.Fatalf("got faults %v, want one", got.Faults)
 	}
 	var value *ValueError
 	if !errors.As(got.Faults[0], &value) {
-		t.Fatalf("%v holds no ValueError", got.Faults[0])
+		t.Fatalf("%v does not wrap a ValueError", got.Faults[0])
 	}
 	if value.Value != "257" {
-		t.Errorf("value %q, 257 wanted", value.Value)
+		t.Errorf("got value %q, want 257", value.Value)
 	}
 }
 
-// TestServersErrors checks the errors of an import whose servers cannot be listed.
+// TestServersErrors checks the errors of Import.Servers for files with a fault and for a pool that does not exist.
 func TestServersErrors(t *testing.T) {
 	_, err := read("backend a\nmode tcp").Servers("a")
 	var faults FaultsError
 	if !errors.As(err, &faults) || len(faults) != 1 || !errors.Is(err, ErrNoServer) {
-		t.Errorf("%v, a FaultsError with an ErrNoServer wanted", err)
+		t.Errorf("got error %v, want a FaultsError with an ErrNoServer", err)
 	}
 	_, err = read("backend a\nserver x 1.1.1.1:1").Servers("b")
 	if !errors.Is(err, ErrNoPool) {
-		t.Errorf("%v, ErrNoPool wanted", err)
+		t.Errorf("got error %v, want ErrNoPool", err)
 	}
 }
--- a/internal/haproxy/import_test.go
+++ b/internal/haproxy/import_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestForbiddenNames checks that a name or an address which would become other lines of the written files is refused.
+// TestForbiddenNames checks that names and addresses with a line end or another forbidden character are refused. Written to the
+// settings or to an endpoint list, such a name would change the meaning of the file, for example by adding a line.
 func TestForbiddenNames(t *testing.T) {
 	for text, want := range map[string]string{
 		"backend \"a\\nproxies\"\nserver s 1.1.1.1:1\n":                         `a.cfg:1: "\n" is not permitted in the name of a backend`,
@@ -18,12 +19,12 @@
 	} {
 		got := read(text)
 		if len(got.Faults) == 0 || !strings.HasPrefix(got.Faults[0].String(), want) {
-			t.Errorf("%q: %v, %s wanted", text, got.Faults, want)
+			t.Errorf("%q: got faults %v, want %s", text, got.Faults, want)
 		}
 	}
 }
 
-// TestFaults checks that each fault is reported once, at its line.
+// TestFaults checks that each fault is reported once and at its line.
 func TestFaults(t *testing.T) {
 	for text, want := range map[string]string{
 		"backend a\nserver x 1.1.1.1:1\nserver x 1.1.1.2:1":                    "a.cfg:3: server x is listed twice in a, first at line 2",
@@ -54,28 +55,28 @@
 	} {
 		got := read(text)
 		if len(got.Faults) != 1 || !strings.HasPrefix(got.Faults[0].String(), want) {
-			t.Errorf("%q: %v, %s wanted", text, got.Faults, want)
+			t.Errorf("%q: got faults %v, want %s", text, got.Faults, want)
 		}
 	}
 }
 
-// TestDefaults checks that anonymous defaults change in mid-file, that from names defaults, and that a section's own lines
-// override what it inherits.
+// TestDefaults checks that a section inherits from the last defaults section before it, or from the one that it names with from,
+// and that its own lines override what it inherits.
 func TestDefaults(t *testing.T) {
 	got := read("defaults\ndefault-server weight 5\nbackend a\nserver x 1.1.1.1:1\ndefaults base\ndefault-server weight 7 disabled\nbackend b\nserver x 1.1.1.1:1 enabled\n" +
 		"defaults more from base\nbalance leastconn\nbackend c from more\ndefault-server no-disabled\nserver x 1.1.1.1:1 weight 9\nserver y 1.1.1.1:2\n")
 	want := []string{"x 1.1.1.1:1 5 open", "x 1.1.1.1:1 7 open", "x 1.1.1.1:1 9 open; y 1.1.1.1:2 7 open"}
 	for i, p := range got.Pools {
 		if formatServers(p) != want[i] {
-			t.Errorf("%s: %s, %s wanted", p.Name, formatServers(p), want[i])
+			t.Errorf("pool %s: got servers %s, want %s", p.Name, formatServers(p), want[i])
 		}
 	}
 	if len(got.Pools) != 3 || len(got.Faults) > 0 || got.Pools[2].Pick != "pair" {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v, want 3 pools without faults, the last with pick policy pair", got)
 	}
 }
 
-// requireAllReported checks that each word of each line is in a note, or its line has a fault.
+// requireAllReported checks that each word of each line is part of a note or that its line has a fault.
 func requireAllReported(check interface{ Fatalf(string, ...any) }, got Import) {
 	reported := map[Position]bool{}
 	for _, note := range got.Notes {
@@ -93,14 +94,15 @@
 		for _, line := range file.Lines {
 			for _, token := range line.Tokens {
 				if !reported[Position{file.Name, line.Line, token.Column}] && !faulty[Position{file.Name, line.Line, 0}] {
-					check.Fatalf("%s: nothing is reported of %q", line.Position, token.Text)
+					check.Fatalf("%s: no note or fault for %q", line.Position, token.Text)
 				}
 			}
 		}
 	}
 }
 
-// TestEveryWordIsReported checks samples and mutations of them.
+// TestEveryWordIsReported checks that every word of the samples and of mutated samples is reported, and that the text of mutated
+// samples is kept unchanged.
 func TestEveryWordIsReported(t *testing.T) {
 	files, err := samples.ReadDir("samples")
 	if err != nil {
@@ -109,7 +111,7 @@
 	var names []string
 	for _, f := range files {
 		requireAllReported(t, read(sample(t, f.Name())))
-		if f.Name() != "many.cfg" { // long, and of one kind
+		if f.Name() != "many.cfg" { // It is long and repeats one kind of line.
 			names = append(names, f.Name())
 		}
 	}
@@ -123,13 +125,13 @@
 		got := read(text)
 		requireAllReported(check, got)
 		if back := got.Files[0].Text(); back != text {
-			check.Fatalf("written back %q", back)
+			check.Fatalf("text %q was kept as %q", text, back)
 		}
 	})
 }
 
-// TestWeightsAreImported checks that generated files import to the weights that they were made with, and that the same text
-// gives the same result again.
+// TestWeightsAreImported checks that the pools of generated files have the weights in the files, and that importing the same text
+// twice gives the same endpoint list and settings.
 func TestWeightsAreImported(t *testing.T) {
 	rapid.Check(t, func(check *rapid.T) {
 		var file, want strings.Builder
@@ -143,70 +145,70 @@
 				fmt.Fprintf(&want, "%d/%d=%d ", pool, server, weight)
 			}
 		}
-		one, two := read(file.String()), read(file.String())
+		first, second := read(file.String()), read(file.String())
 		var got strings.Builder
-		for i, pool := range one.Pools {
+		for i, pool := range first.Pools {
 			for number, server := range pool.Servers {
 				fmt.Fprintf(&got, "%d/%d=%d ", i, number, server.Weight)
 			}
-			if pool.List() != two.Pools[i].List() || pool.Settings(one.Routes) != two.Pools[i].Settings(two.Routes) {
-				check.Fatal("the same text was written otherwise")
+			if pool.List() != second.Pools[i].List() || pool.Settings(first.Routes) != second.Pools[i].Settings(second.Routes) {
+				check.Fatal("importing the same text twice gave different results")
 			}
 		}
-		if got.String() != want.String() || len(one.Faults) > 0 {
-			check.Fatalf("%s, %s wanted; %v", got.String(), want.String(), one.Faults)
+		if got.String() != want.String() || len(first.Faults) > 0 {
+			check.Fatalf("got weights %s, want %s; faults %v", got.String(), want.String(), first.Faults)
 		}
 	})
 }
 
-// TestImportIsStable checks that a list that is written as HAProxy configuration and imported again is the same.
+// TestImportIsStable checks that endpoint lists that are written as HAProxy configuration and imported again are the same.
 func TestImportIsStable(t *testing.T) {
 	files, err := samples.ReadDir("samples")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, file := range files {
-		one := read(sample(t, file.Name()))
-		if len(one.Faults) > 0 {
+		first := read(sample(t, file.Name()))
+		if len(first.Faults) > 0 {
 			continue
 		}
-		var b strings.Builder
-		for _, p := range one.Pools {
-			fmt.Fprintf(&b, "backend %s\n", p.Name)
-			for _, s := range p.Listed() {
-				fmt.Fprintf(&b, "server %s %s weight %d\n", s.Name, s.Addr, s.Weight)
+		var config strings.Builder
+		for _, pool := range first.Pools {
+			fmt.Fprintf(&config, "backend %s\n", pool.Name)
+			for _, server := range pool.Listed() {
+				fmt.Fprintf(&config, "server %s %s weight %d\n", server.Name, server.Addr, server.Weight)
 			}
 		}
-		two := read(b.String())
-		if d := Diff(one, two); len(two.Faults) > 0 || len(d) > 0 || len(one.Pools) != len(two.Pools) {
-			t.Errorf("%s: %v %v", file.Name(), two.Faults, d)
+		second := read(config.String())
+		if changes := Diff(first, second); len(second.Faults) > 0 || len(changes) > 0 || len(first.Pools) != len(second.Pools) {
+			t.Errorf("%s: got %d pools, want %d; faults %v, changes %v", file.Name(), len(second.Pools), len(first.Pools), second.Faults, changes)
 		}
-		for i, p := range one.Pools {
-			if a, b := p.Numbers(), two.Pools[i].Numbers(); a[p.Listed()[0].Name] != b[p.Listed()[0].Name] {
-				t.Errorf("%s, pool %s: other numbers", file.Name(), p.Name)
+		for i, pool := range first.Pools {
+			if before, after := pool.Numbers(), second.Pools[i].Numbers(); before[pool.Listed()[0].Name] != after[pool.Listed()[0].Name] {
+				t.Errorf("%s: the number of the first server of pool %s changed", file.Name(), pool.Name)
 			}
 		}
 	}
 }
 
-// TestDiff checks the changes between two imports, and that servers keep their numbers.
+// TestDiff checks the changes between two imports, and that servers that are in both keep their numbers.
 func TestDiff(t *testing.T) {
 	old := read("backend a\nserver x 1.1.1.1:1 weight 2\nserver y 1.1.1.2:1\nserver z 1.1.1.3:1\n")
-	now := read("backend a\nserver x 1.1.1.1:1 weight 3\nserver z 1.1.1.3:1\nserver n 1.1.1.4:1\nbackend b\nserver z 1.1.1.3:1\n")
-	var all []string
-	for _, c := range Diff(old, now) {
-		all = append(all, fmt.Sprintf("%s/%s %q %q", c.Pool, c.Server, c.Before, c.After))
+	current := read("backend a\nserver x 1.1.1.1:1 weight 3\nserver z 1.1.1.3:1\nserver n 1.1.1.4:1\nbackend b\nserver z 1.1.1.3:1\n")
+	var changes []string
+	for _, change := range Diff(old, current) {
+		changes = append(changes, fmt.Sprintf("%s/%s %q %q", change.Pool, change.Server, change.Before, change.After))
 	}
 	want := `a/n "" "weight 1 addr 1.1.1.4:1 state open"; a/x "weight 2 addr 1.1.1.1:1 state open" "weight 3 addr 1.1.1.1:1 state open"; a/y "weight 1 addr 1.1.1.2:1 state open" ""; b/z "" "weight 1 addr 1.1.1.3:1 state open"`
-	if got := strings.Join(all, "; "); got != want {
-		t.Errorf("%s\n%s wanted", got, want)
+	if got := strings.Join(changes, "; "); got != want {
+		t.Errorf("got %s\nwant %s", got, want)
 	}
-	if a, b := old.Pools[0].Numbers(), now.Pools[0].Numbers(); a["x"] != b["x"] || a["z"] != b["z"] {
-		t.Error("servers that stayed have other numbers")
+	if before, after := old.Pools[0].Numbers(), current.Pools[0].Numbers(); before["x"] != after["x"] || before["z"] != after["z"] {
+		t.Error("the numbers of servers that are in both imports changed")
 	}
 }
 
-// FuzzRead checks that every word of any text is reported and that the file is kept as it was.
+// FuzzRead checks that every word of any text is reported and that the text of the file is kept unchanged.
 func FuzzRead(f *testing.F) {
 	for _, name := range []string{"webfarm.cfg", "backups.cfg", "blocks.cfg"} {
 		f.Add(sample(f, name))
@@ -215,7 +217,7 @@
 		got := read(text)
 		requireAllReported(t, got)
 		if got.Files[0].Text() != text {
-			t.Fatal("it is not written back as it was")
+			t.Fatal("the text of the file was changed")
 		}
 	})
 }
--- a/internal/haproxy/lex_test.go
+++ b/internal/haproxy/lex_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestLexer checks quotes, escapes, variables and comments as the manual's 2.2 and 2.3 have them.
+// TestLexer checks quotes, escapes, variables and comments (manual, 2.2 and 2.3).
 func TestLexer(t *testing.T) {
 	for input, want := range map[string]string{
 		`a b`:                              "a|b",
@@ -27,7 +27,7 @@
 			got = joinWords(file.Lines[0])
 		}
 		if got != want || len(faults) > 0 {
-			t.Errorf("%s: %q, %q wanted; %v", input, got, want, faults)
+			t.Errorf("%s: got %q, want %q; faults %v", input, got, want, faults)
 		}
 	}
 	for input, want := range map[string]string{
@@ -35,12 +35,13 @@
 		`a "${}"`: "without a name", strings.Repeat("x ", 65): "65 arguments",
 	} {
 		if _, faults := lexFile("a", "fine\n"+input+"\nfine\n", map[string]string{"SITE": "x"}); len(faults) != 1 || !strings.Contains(faults[0].Message, want) || faults[0].Line != 2 {
-			t.Errorf("%s: %v", input, faults)
+			t.Errorf("%s: got faults %v, want one at line 2 that contains %q", input, faults, want)
 		}
 	}
 }
 
-// FuzzLex checks that a line that is written again with every argument quoted is read as the same arguments.
+// FuzzLex checks that the text of a file is kept unchanged, and that a line whose arguments are written again in quotes is read as
+// the same arguments.
 func FuzzLex(f *testing.F) {
 	files, err := samples.ReadDir("samples")
 	if err != nil {
@@ -51,23 +52,23 @@
 			f.Add(sample(f, entry.Name()))
 		}
 	}
-	env := map[string]string{"SITE": "perth", "LIST": "a b", "EMPTY": ""}
+	variables := map[string]string{"SITE": "perth", "LIST": "a b", "EMPTY": ""}
 	f.Fuzz(func(t *testing.T, text string) {
-		file, _ := lexFile("a", text, env)
+		file, _ := lexFile("a", text, variables)
 		if file.Text() != text {
-			t.Fatal("it is not written back as it was")
+			t.Fatal("the text of the file was changed")
 		}
 		for _, line := range file.Lines {
 			var quoted strings.Builder
 			for _, token := range line.Tokens {
 				quoted.WriteString(` "` + strings.NewReplacer(`\`, `\\`, `"`, `\"`, `$`, `\$`).Replace(token.Text) + `"`)
 			}
-			again, faults := lexFile("b", quoted.String(), env)
+			again, faults := lexFile("b", quoted.String(), variables)
 			if strings.ContainsAny(quoted.String(), "\n\r") {
-				continue // a line end in an argument can only be written by an escape
+				continue // A line end in an argument can be written only as an escape sequence, which this test does not do.
 			}
 			if len(faults) > 0 || len(again.Lines) != 1 || joinWords(again.Lines[0]) != joinWords(line) {
-				t.Fatalf("%q became %q: %v %v", line.Words(), quoted.String(), again.Lines, faults)
+				t.Fatalf("%q was written as %q and read as %v, faults %v", line.Words(), quoted.String(), again.Lines, faults)
 			}
 		}
 	})
--- a/internal/haproxy/recording_draw_test.go
+++ b/internal/haproxy/recording_draw_test.go
@@ -8,20 +8,23 @@
 	"strings"
 )
 
-// recordingDraw draws files from a seeded source, so that the same files come on every run and machine.
+// recordingDraw draws files from a seeded random source, so that they are the same on every run and machine. Any change of the
+// draws or their order changes the checksums of TestRecording.
 type recordingDraw struct{ *rand.Rand }
 
+// oneOf draws one of the choices.
 func (d recordingDraw) oneOf(choices ...string) string { return choices[d.IntN(len(choices))] }
 
-func (d recordingDraw) someOf(most int, choices ...string) string {
+// someOf draws up to maxCount of the choices, with repetition, and joins them by blanks.
+func (d recordingDraw) someOf(maxCount int, choices ...string) string {
 	var words []string
-	for range d.IntN(most + 1) {
+	for range d.IntN(maxCount + 1) {
 		words = append(words, d.oneOf(choices...))
 	}
 	return strings.Join(words, " ")
 }
 
-// mutation changes a few places of a sample.
+// mutation draws one of the texts and changes up to six places in it.
 func (d recordingDraw) mutation(texts []string) string {
 	text := d.oneOf(texts...)
 	for range 1 + d.IntN(6) {
@@ -36,7 +39,7 @@
 	return text
 }
 
-// file composes sections of lines with right and wrong words.
+// file draws a file with sections of valid and invalid lines.
 func (d recordingDraw) file() string {
 	var text strings.Builder
 	if d.IntN(20) == 0 {
@@ -62,8 +65,10 @@
 	return text.String()
 }
 
+// name draws the name of a backend.
 func (d recordingDraw) name() string { return d.oneOf("a", "b", "c", "d", "web") }
 
+// section draws the line that begins a section.
 func (d recordingDraw) section() string {
 	switch d.IntN(12) {
 	case 0:
@@ -78,8 +83,10 @@
 	return "backend " + d.oneOf(d.name(), d.name(), d.name(), d.name()+" from base", d.name()+" from more", d.name()+" beside", "", `"a\nb"`)
 }
 
+// value draws the value of an option.
 func (d recordingDraw) value() string { return d.oneOf(recordingValues...) }
 
+// line draws a line of a proxy section.
 func (d recordingDraw) line() string {
 	switch d.IntN(22) {
 	case 0, 1, 2, 3, 4, 5:
@@ -110,12 +117,14 @@
 	return d.oneOf(slices.Sorted(maps.Keys(unsupportedKeywords))...) + " " + d.someOf(2, "a", "'b c'")
 }
 
+// serverWords draws the words of a server or server-template line after the keyword.
 func (d recordingDraw) serverWords() string {
 	count := d.oneOf("", "", "", d.oneOf(" 2", " 1-3", " "+d.value()))
 	name := fmt.Sprint(" s", d.IntN(60))
 	return d.oneOf(name, name, name, name, name, name, name, name, ` "s\n"`, "") + count + " " + d.oneOf("h:1", "h:2", "10.0.0.1:80", "h:3", d.value()) + d.options()
 }
 
+// options draws up to three options of a server line, each after a blank.
 func (d recordingDraw) options() string {
 	var text strings.Builder
 	for range d.IntN(4) {
@@ -124,6 +133,7 @@
 	return text.String()
 }
 
+// option draws an option of a server line.
 func (d recordingDraw) option() string {
 	switch d.IntN(10) {
 	case 0:
@@ -146,6 +156,7 @@
 	return word
 }
 
+// criterion draws the match of an ACL: a sample fetch with its flags and patterns.
 func (d recordingDraw) criterion() string {
 	fetch := d.oneOf("path", "path_beg", "path_end", "path_sub", "path_reg", "method", "method_beg", "hdr(host)", "hdr_beg(host)", "hdr(accept)", "req.hdr(origin)",
 		"hdr(x)", "hdr", "src", "path,lower", "hdr(a,b)", "hdr(", "")
@@ -153,6 +164,7 @@
 	return fetch + flags + " " + d.someOf(3, "/a", "/b", "GET", "'a b'", "host.example", "-x", `"a\tb"`)
 }
 
+// routeCondition draws the condition of a use_backend or use-server line, or none.
 func (d recordingDraw) routeCondition() string {
 	if d.IntN(6) == 0 {
 		return ""
@@ -165,6 +177,7 @@
 	return text
 }
 
+// condition draws the condition of an .if or .elif line.
 func (d recordingDraw) condition() string {
 	text := d.oneOf("", "!", "(")
 	for i := range 1 + d.IntN(3) {
--- a/internal/haproxy/recording_test.go
+++ b/internal/haproxy/recording_test.go
@@ -12,12 +12,14 @@
 	"testing"
 )
 
-var updateRecording = flag.Bool("update-recording", false, "write testdata/recording.sum anew instead of comparing with it")
+var updateRecording = flag.Bool("update-recording", false, "write testdata/recording.sum instead of comparing with it")
 
+// recordingFile has a checksum for each entry that TestRecording records.
 const recordingFile = "testdata/recording.sum"
 
-// TestRecording holds all that the importer writes to a stored checksum: each sample, the page of keywords, and files that
-// are drawn from a fixed seed, by groups, so that a difference can be found.
+// TestRecording compares checksums of all that the importer writes with stored ones, so that no change of its output goes
+// unnoticed. The inputs are the samples, the page of keywords, single values, files at the importer's limits, and files that are
+// drawn with fixed seeds. The drawn files are divided into groups with a checksum each, so that a difference can be located.
 func TestRecording(t *testing.T) {
 	var sums strings.Builder
 	entry := func(name string, write func(io.Writer)) {
@@ -40,16 +42,16 @@
 	entry("page", WriteKeywords)
 	entry("values", recordValues)
 	entry("bounds", recordBounds)
-	const groups, perGroup = 20, 200
+	const groups, filesPerGroup = 20, 200
 	for group := range groups {
 		draw := recordingDraw{rand.New(rand.NewPCG(uint64(group), 1))}
 		entry(fmt.Sprintf("mutated %d", group), func(out io.Writer) {
-			for range perGroup {
+			for range filesPerGroup {
 				recordImport(out, []Source{{"a.cfg", draw.mutation(texts)}}, recordingEnvironment())
 			}
 		})
 		entry(fmt.Sprintf("composed %d", group), func(out io.Writer) {
-			for range perGroup {
+			for range filesPerGroup {
 				sources := []Source{{"a.cfg", draw.file()}}
 				if draw.IntN(4) == 0 {
 					sources = append(sources, Source{"b.cfg", draw.file()})
@@ -61,6 +63,7 @@
 	compareRecording(t, sums.String())
 }
 
+// compareRecording compares checksums with the stored ones, or stores them if the flag update-recording is set.
 func compareRecording(t *testing.T, sums string) {
 	t.Helper()
 	if *updateRecording {
@@ -73,17 +76,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wanted, got := strings.Split(string(want), "\n"), strings.Split(sums, "\n")
-	if len(wanted) != len(got) {
-		t.Fatalf("%d recorded entries, %d wanted", len(got), len(wanted))
+	wantLines, gotLines := strings.Split(string(want), "\n"), strings.Split(sums, "\n")
+	if len(wantLines) != len(gotLines) {
+		t.Fatalf("got %d lines of checksums, want %d", len(gotLines), len(wantLines))
 	}
-	for i := range wanted {
-		if got[i] != wanted[i] {
-			t.Errorf("recorded %q, %q wanted", got[i], wanted[i])
+	for i := range wantLines {
+		if gotLines[i] != wantLines[i] {
+			t.Errorf("got checksum %q, want %q", gotLines[i], wantLines[i])
 		}
 	}
 }
 
+// recordingEnvironment returns the environment of the recorded imports.
 func recordingEnvironment() Environment {
 	return Environment{
 		Variables: map[string]string{"SITE": "perth", "LIST": "a b  c", "EMPTY": ""},
@@ -92,19 +96,19 @@
 	}
 }
 
-// recordImport writes all that callers can see of an import.
-func recordImport(out io.Writer, sources []Source, given Environment) {
-	got := Read(sources, given)
-	type report struct {
+// recordImport imports files and writes everything that callers can see of the result.
+func recordImport(out io.Writer, sources []Source, environment Environment) {
+	got := Read(sources, environment)
+	type report struct { // The names of the fields are part of the recorded text.
 		File            string
 		Line, Col       int
 		Text, What, Why string
 	}
 	var reports []report
 	for _, note := range got.Notes {
-		place := note.Line.Position
-		reports = append(reports, report{place.File, place.Line, place.Column, note.Text(), note.Class.String(), note.Reason})
-		fmt.Fprintf(out, "%s: %s: %s: %s\n", place, note.Class, note.Text(), note.Reason)
+		position := note.Line.Position
+		reports = append(reports, report{position.File, position.Line, position.Column, note.Text(), note.Class.String(), note.Reason})
+		fmt.Fprintf(out, "%s: %s: %s: %s\n", position, note.Class, note.Text(), note.Reason)
 		for _, token := range note.Line.Tokens {
 			fmt.Fprintf(out, "%d %t %q ", token.Column, token.Quoted, token.Text)
 		}
@@ -126,11 +130,12 @@
 		recordPool(out, got, pool)
 	}
 	fmt.Fprintln(out, got.Counts())
-	for _, change := range Diff(Read([]Source{{"a.cfg", routedConfig}}, given), got) {
+	for _, change := range Diff(Read([]Source{{"a.cfg", routedConfig}}, environment), got) {
 		fmt.Fprintf(out, "%q %q %q %q\n", change.Pool, change.Server, change.Before, change.After)
 	}
 }
 
+// recordPool writes everything that callers can see of a pool.
 func recordPool(out io.Writer, imported Import, pool Pool) {
 	fmt.Fprintf(out, "%s %d %q %q %q %v %d\n", pool.Position, pool.Column, pool.Name, pool.Mode, pool.Pick, pool.Deadline, pool.Retries)
 	for _, server := range pool.Servers {
@@ -147,7 +152,7 @@
 	}
 }
 
-// recordValues writes what becomes of single values.
+// recordValues writes the results of parsing recordingValues as times, sizes and addresses.
 func recordValues(out io.Writer) {
 	for _, value := range recordingValues {
 		duration, err := parseDuration(value)
@@ -159,8 +164,8 @@
 	}
 }
 
-// recordBounds writes what becomes of files at the importer's bounds: the most methods of a pool, the most rows of a route,
-// the deepest condition and the most arguments of a line.
+// recordBounds writes the results of importing files at the limits of the importer and beyond: the number of methods of a pool, the
+// number of conjunctions of a route, the nesting of a condition and the number of arguments of a line.
 func recordBounds(out io.Writer) {
 	for _, count := range []int{64, 65, 70} {
 		var text strings.Builder
@@ -184,6 +189,7 @@
 	recordImport(out, []Source{{"a.cfg", ".if version_atleast(3.0.0.1-dev)\nbackend p\nserver a h:1\n.endif"}}, Environment{})
 }
 
+// recordingValues are valid and invalid times, sizes, addresses and ranges.
 var recordingValues = strings.Fields(`0 1 5 -1 256 257 300 65535 65536 5us 5ms 5s 30s 5m 2h 1d 1x 1k 16K 2m 3g 9999999999999g 99999999999
 	h:1 h:2 10.0.0.1:80 1.1.1.1 h h: :80 [::1]:80 [::1] [::1 [::1]x ::1:80 ipv4@1.1.1.1:1 ipv6@[::1]:1 unix@/a unix@ /run/a abns@x fd@3
 	sockpair@4 quic4@1.1.1.1:443 udp@h:1 tcp4@h:2 rhttp@x h:+1 h:-1 h:1-3 h:3-1 h:x h:70000 *:80 soon 1-3 2 a-b 3-20000`)
--- a/internal/haproxy/routes_test.go
+++ b/internal/haproxy/routes_test.go
@@ -13,6 +13,7 @@
 	"gingerfork/internal/route"
 )
 
+// routedConfig has a frontend with routes to five backends.
 const routedConfig = `frontend www
     acl img path_end -i .png .jpg
     acl adm path_beg /admin
@@ -35,91 +36,94 @@
     server a h:1
 `
 
-// TestRoutes checks where requests go by the routes of a frontend.
+// TestRoutes checks that the imported routes of a frontend send requests to the same backends as HAProxy would.
 func TestRoutes(t *testing.T) {
 	got := read(routedConfig)
 	if len(got.Faults) > 0 || len(got.Routes) != 5 {
-		t.Fatalf("%v %v", got.Faults, got.Routes)
+		t.Fatalf("got faults %v, routes %v, want 5 routes without faults", got.Faults, got.Routes)
 	}
-	for _, n := range got.Notes {
-		if n.Class == Dropped {
-			t.Errorf("not carried: %s: %s", n.Text(), n.Reason)
+	for _, note := range got.Notes {
+		if note.Class == Dropped {
+			t.Errorf("not carried over: %s: %s", note.Text(), note.Reason)
 		}
 	}
 	table := route.NewTable(got.Routes)
-	host := func(h string, more ...string) map[string][]string {
-		m := map[string][]string{"host": {h}}
-		for _, x := range more {
-			m[x] = []string{"1"}
+	headers := func(host string, others ...string) map[string][]string {
+		headers := map[string][]string{"host": {host}}
+		for _, name := range others {
+			headers[name] = []string{"1"}
 		}
-		return m
+		return headers
 	}
 	for _, test := range []struct {
 		request route.Request
 		want    string
 	}{
-		{route.Request{Method: "GET", Path: "/", Headers: host("www.example")}, "tasks"},
-		{route.Request{Method: "GET", Path: "/a.PNG", Headers: host("www.example")}, "static"},
+		{route.Request{Method: "GET", Path: "/", Headers: headers("www.example")}, "tasks"},
+		{route.Request{Method: "GET", Path: "/a.PNG", Headers: headers("www.example")}, "static"},
 		{route.Request{Method: "HEAD", Path: "/a.jpg", Headers: nil}, "static"},
 		{route.Request{Method: "POST", Path: "/a.jpg", Headers: nil}, "writes"},
 		{route.Request{Method: "PUT", Path: "/favicon.ico", Headers: nil}, "static"},
 		{route.Request{Method: "PUT", Path: "/x", Headers: nil}, "writes"},
 		{route.Request{Method: "DELETE", Path: "/x.jpg", Headers: nil}, "tasks"},
-		{route.Request{Method: "GET", Path: "/admin/a.png", Headers: host("www.example")}, "deny"},
-		{route.Request{Method: "GET", Path: "/admin/a.png", Headers: host("www.example", "x-staff")}, "admin"},
-		{route.Request{Method: "GET", Path: "/", Headers: host("ADMIN.example")}, "deny"},
-		{route.Request{Method: "GET", Path: "/Admin", Headers: host("www.example")}, "tasks"},
+		{route.Request{Method: "GET", Path: "/admin/a.png", Headers: headers("www.example")}, "deny"},
+		{route.Request{Method: "GET", Path: "/admin/a.png", Headers: headers("www.example", "x-staff")}, "admin"},
+		{route.Request{Method: "GET", Path: "/", Headers: headers("ADMIN.example")}, "deny"},
+		{route.Request{Method: "GET", Path: "/Admin", Headers: headers("www.example")}, "tasks"},
 	} {
 		if picked, _ := table.Lookup("www", test.request); picked.Pool != test.want {
-			t.Errorf("%v goes to %q, %q wanted", test.request, picked.Pool, test.want)
+			t.Errorf("request %v goes to pool %q, want %q", test.request, picked.Pool, test.want)
 		}
 	}
 }
 
-// TestInexactRoutes checks that a route that cannot be expressed exactly is reported, and so is each route after it in its
-// frontend, which would take the requests that are meant for it.
+// TestInexactRoutes checks that a route that cannot be expressed exactly is not carried over but reported, and so is each route
+// after it in the same frontend: it would also match requests that are meant for the first one.
 func TestInexactRoutes(t *testing.T) {
 	for acl, why := range map[string]string{
 		"path_reg ^/a": "path_reg has no like", "src 10.0.0.0/8": "src has no like", "path_beg -f /etc/paths": "flag -f has no like",
 		"hdr(accept) -m sub html": "may hold several values", "path,lower -m beg /a": "has no like", "path -m reg x": "this match has no like", "method": "no patterns",
 	} {
 		got := read("frontend f\nacl early path /early\nacl x " + acl + "\nuse_backend p if early\nuse_backend p if x\nuse_backend p if early\ndefault_backend p\nbackend p\nserver a h:1\n")
-		var all []string
-		for _, n := range got.Notes {
-			if n.Class == Dropped {
-				all = append(all, fmt.Sprintf("%d %s", n.Line.Line, n.Reason))
+		var reasons []string
+		for _, note := range got.Notes {
+			if note.Class == Dropped {
+				reasons = append(reasons, fmt.Sprintf("%d %s", note.Line.Line, note.Reason))
 			}
 		}
-		text := strings.Join(all, "; ")
+		text := strings.Join(reasons, "; ")
 		if len(got.Faults) > 0 || len(got.Routes) != 1 || !strings.Contains(text, why) || !strings.Contains(text, "6 the use_backend of line 5 stands before it") || !strings.Contains(text, "7 the use_backend of line 5") {
-			t.Errorf("%s: %v; %d routes; %s", acl, got.Faults, len(got.Routes), text)
+			t.Errorf("%s: got faults %v, %d routes, reasons %s", acl, got.Faults, len(got.Routes), text)
 		}
 	}
 }
 
-// drawnACL is a use of an ACL in a drawn condition.
+// drawnACL is the use of an ACL in a drawnCondition.
 type drawnACL struct {
 	name    string
 	negated bool
 }
 
-// drawnCondition is a condition as a disjunction of conjunctions, evaluated straight from the words that it was drawn with.
+// drawnCondition is a disjunction of conjunctions of ACLs. It evaluates itself, as a reference for the importer's parser.
 type drawnCondition struct {
-	prefixes     map[string][]string // of the paths that an ACL matches
+	prefixes     map[string][]string // the path prefixes that an ACL matches, by its name
 	conjunctions [][]drawnACL
 }
 
+// holds reports whether the condition holds for a path.
 func (c drawnCondition) holds(path string) bool {
-	return slices.ContainsFunc(c.conjunctions, func(row []drawnACL) bool {
-		return !slices.ContainsFunc(row, func(acl drawnACL) bool { return c.matches(acl.name, path) == acl.negated })
+	return slices.ContainsFunc(c.conjunctions, func(conjunction []drawnACL) bool {
+		return !slices.ContainsFunc(conjunction, func(acl drawnACL) bool { return c.matches(acl.name, path) == acl.negated })
 	})
 }
 
+// matches reports whether an ACL matches a path.
 func (c drawnCondition) matches(acl, path string) bool {
 	return slices.ContainsFunc(c.prefixes[acl], func(prefix string) bool { return strings.HasPrefix(path, prefix) })
 }
 
-// drawFrontend draws a frontend with one use_backend, its condition, and whether that begins with if or unless.
+// drawFrontend draws a frontend with one use_backend line. It returns the text, the condition of the line, and the keyword if or
+// unless before the condition.
 func drawFrontend(check *rapid.T) (text string, condition drawnCondition, keyword string) {
 	names := []string{"a", "b", "c"}
 	condition.prefixes = map[string][]string{}
@@ -132,41 +136,42 @@
 			fmt.Fprintf(&frontend, "acl %s path_beg %s\n", name, prefix)
 		}
 	}
-	keyword = rapid.SampledFrom([]string{"if", "unless"}).Draw(check, "how")
+	keyword = rapid.SampledFrom([]string{"if", "unless"}).Draw(check, "keyword")
 	fmt.Fprintf(&frontend, "use_backend p %s", keyword)
-	for i := range rapid.IntRange(1, 3).Draw(check, "rows") {
+	for i := range rapid.IntRange(1, 3).Draw(check, "conjunctions") {
 		if i > 0 {
 			frontend.WriteString(" ||")
 		}
-		var row []drawnACL
+		var conjunction []drawnACL
 		for range rapid.IntRange(1, 3).Draw(check, "terms") {
 			acl := drawnACL{rapid.SampledFrom(names).Draw(check, "acl"), rapid.Bool().Draw(check, "not")}
-			row = append(row, acl)
+			conjunction = append(conjunction, acl)
 			frontend.WriteString(map[bool]string{true: " !", false: " "}[acl.negated] + acl.name)
 		}
-		condition.conjunctions = append(condition.conjunctions, row)
+		condition.conjunctions = append(condition.conjunctions, conjunction)
 	}
 	return frontend.String() + "\n", condition, keyword
 }
 
-// TestRouteConditionAgainstReference checks the rows of a route against the condition that they were read from.
+// TestRouteConditionAgainstReference checks that an imported route matches a request exactly if the condition that was drawn for
+// it holds.
 func TestRouteConditionAgainstReference(t *testing.T) {
 	rapid.Check(t, func(check *rapid.T) {
 		frontend, condition, keyword := drawFrontend(check)
 		got := read(frontend + "backend p\nserver a h:1\n")
 		if len(got.Routes) != 1 || len(got.Faults) > 0 {
-			check.Fatalf("%s: %+v", frontend, got)
+			check.Fatalf("%s: got %+v, want one route without faults", frontend, got)
 		}
-		request := route.Request{Path: "/" + rapid.StringMatching("[xyz]{0,3}").Draw(check, "asked")}
+		request := route.Request{Path: "/" + rapid.StringMatching("[xyz]{0,3}").Draw(check, "request path")}
 		want := condition.holds(request.Path) == (keyword == "if")
 		if got.Routes[0].Matches(request) != want {
-			check.Fatalf("%s for %s: %v", frontend, request.Path, got.Routes[0])
+			check.Fatalf("%s: path %s, route %v: Matches is %v, want %v", frontend, request.Path, got.Routes[0], !want, want)
 		}
 	})
 }
 
-// TestRoutesBecomeMethods checks that a pool has the methods of its routes, with the attempts that its retries permit, and
-// that written routes are read back unchanged.
+// TestRoutesBecomeMethods checks that the settings of a pool have the methods of its routes, with the attempts that its retries
+// permit, and that routes are read back unchanged from a route file.
 func TestRoutesBecomeMethods(t *testing.T) {
 	got := read(`defaults
     retries 0
@@ -189,38 +194,38 @@
     server a h:1
 `)
 	if len(got.Faults) > 0 || len(got.Routes) != 6 {
-		t.Fatal(got.Faults, got.Routes)
+		t.Fatalf("got faults %v, routes %v, want 6 routes without faults", got.Faults, got.Routes)
 	}
 	var file strings.Builder
 	for _, r := range got.Routes {
 		fmt.Fprintln(&file, r)
 	}
-	again, faults := route.Read("routes", file.String())
-	if diff := cmp.Diff(got.Routes, again); diff != "" || len(faults) > 0 {
-		t.Error(faults, diff)
+	readBack, faults := route.Read("routes", file.String())
+	if diff := cmp.Diff(got.Routes, readBack); diff != "" || len(faults) > 0 {
+		t.Errorf("reading the route file: faults %v, diff\n%s", faults, diff)
 	}
 	for i, want := range []string{
 		"www-METH_GET-adm idempotent once; www-adm non-idempotent once; www-adm-2 non-idempotent once; both-path-a-b non-idempotent once",
 		"www non-idempotent free", "both non-idempotent once",
 	} {
 		lines, faults := bootstrap.Lex("x", got.Pools[i].Settings(got.Routes))
-		trade, more := bootstrap.Parse("x", lines)
-		if len(faults)+len(more) > 0 {
-			t.Fatal(faults, more)
+		settings, parseFaults := bootstrap.Parse("x", lines)
+		if len(faults)+len(parseFaults) > 0 {
+			t.Fatal(faults, parseFaults)
 		}
-		b := trade.CoordinatorConfig(0)
-		var all []string
-		for m, name := range trade.Methods {
-			method := b.Settings.Methods[m]
-			all = append(all, name+" "+method.Effect+" "+method.MostTries)
+		config := settings.CoordinatorConfig(0)
+		var methods []string
+		for m, name := range settings.Methods {
+			method := config.Settings.Methods[m]
+			methods = append(methods, name+" "+method.Effect+" "+method.MostTries)
 		}
-		if strings.Join(all, "; ") != want {
-			t.Errorf("%s, %s wanted", strings.Join(all, "; "), want)
+		if strings.Join(methods, "; ") != want {
+			t.Errorf("pool %s: got methods %s, want %s", got.Pools[i].Name, strings.Join(methods, "; "), want)
 		}
 	}
 }
 
-// TestTooManyRoutesForMethods checks that more routes to a pool than it may have methods make one method.
+// TestTooManyRoutesForMethods checks that all requests of a pool become one method if its routes would give it too many methods.
 func TestTooManyRoutesForMethods(t *testing.T) {
 	var text strings.Builder
 	text.WriteString("frontend f\n")
@@ -229,6 +234,6 @@
 	}
 	got := read(text.String() + "backend p\nserver a h:1\n")
 	if names, _ := route.Methods(got.Routes, "p"); len(got.Routes) != 70 || len(names) != 1 || !strings.Contains(got.Pools[0].Settings(got.Routes), "method all\n") {
-		t.Error(names, got.Faults)
+		t.Errorf("got %d routes, methods %v, faults %v, want 70 routes and only the method all", len(got.Routes), names, got.Faults)
 	}
 }
--- a/internal/haproxy/traffic_test.go
+++ b/internal/haproxy/traffic_test.go
@@ -16,32 +16,33 @@
 	"gingerfork/internal/trace"
 )
 
-// simulationEpoch is the time at which the simulation starts, in seconds.
+// simulationEpoch is the virtual time in seconds at which the simulation starts.
 const simulationEpoch = 1e6
 
-// Seconds of the simulation: the start-up that is not counted, and what a drain may take before counting goes on.
+// Periods in seconds whose attempts are not counted: the start-up of the simulation, and the time after the commands in which a
+// drain may still be in progress.
 const (
 	startUp    = 3
 	drainGrace = 1
 )
 
-// poolSimulation runs an imported pool in virtual time: a coordinator with the imported settings, an endpoint service with
-// the imported list, emulated backends and front ends.
+// poolSimulation runs an imported pool in virtual time, with a coordinator that has the imported settings, an endpoint service
+// that has the imported list, emulated backends and front ends.
 type poolSimulation struct {
 	network *simnet.Network
 	pool    Pool
-	nodes   []string // in the order in which they start
-	names   map[uint32]string
+	nodes   []string          // in the order in which they start
+	names   map[uint32]string // server names by backend number
 }
 
-// simulatePool runs a pool for some seconds and sends commands to the endpoint service at half time. It returns the number
-// of first attempts by server's name before and after that.
+// simulatePool runs a pool for a number of seconds and sends commands to the endpoint service halfway between the end of the
+// start-up and the end. It returns the number of first attempts to each server, by name, before and after the commands.
 func simulatePool(t *testing.T, pool Pool, seconds float64, commands ...string) (before, after map[string]int) {
 	t.Helper()
 	lines, faults := bootstrap.Lex("out.conf", pool.Settings(nil))
-	settings, more := bootstrap.Parse("out.conf", lines)
-	if len(faults)+len(more) > 0 {
-		t.Fatal(faults, more)
+	settings, parseFaults := bootstrap.Parse("out.conf", lines)
+	if len(faults)+len(parseFaults) > 0 {
+		t.Fatal(faults, parseFaults)
 	}
 	simulation := &poolSimulation{network: simnet.New(5, simulationEpoch, 0.0003, 0.0006), pool: pool, names: map[uint32]string{}}
 	half := simulationEpoch + startUp + (seconds-startUp)/2
@@ -101,6 +102,7 @@
 	}, "list")
 }
 
+// addCoordinator adds a coordinator with the given module settings.
 func (s *poolSimulation) addCoordinator(configAt func(statemachine.Seconds) choice.Config) {
 	s.network.AddNode("c0", "imported", func(now statemachine.Seconds, _ map[string][]byte) statemachine.Machine {
 		config := configAt(now)
@@ -112,6 +114,7 @@
 	}, "c0")
 }
 
+// addFrontEnds adds 12 front ends that send 60 requests a second each.
 func (s *poolSimulation) addFrontEnds(config choice.Config) {
 	methods := fake.MethodConfigs(config.Settings.Methods)
 	for i := range 12 {
@@ -126,39 +129,41 @@
 	}
 }
 
-// chiSquare is the chi-square statistic of counts against weights, with its degrees of freedom and the number of RPCs. A
-// server without a weight must get none.
-func chiSquare(t *testing.T, counts map[string]int, weights map[string]int) (x float64, freedom, n int) {
+// chiSquare returns the chi-square statistic of the RPC counts against the weights, its degrees of freedom and the number of RPCs.
+// It reports an error if a server without a weight got an RPC.
+func chiSquare(t *testing.T, counts map[string]int, weights map[string]int) (statistic float64, freedom, total int) {
 	t.Helper()
-	sum := 0
-	for name, c := range counts {
-		n += c
+	totalWeight := 0
+	for name, count := range counts {
+		total += count
 		if weights[name] == 0 {
-			t.Errorf("%d RPCs went to %q, which is to get none", c, name)
+			t.Errorf("got %d RPCs at server %q, want none", count, name)
 		}
 	}
-	for _, w := range weights {
-		sum += w
+	for _, weight := range weights {
+		totalWeight += weight
 	}
-	for name, w := range weights {
-		if w > 0 {
-			want := float64(n) * float64(w) / float64(sum)
-			x += (float64(counts[name]) - want) * (float64(counts[name]) - want) / want
+	for name, weight := range weights {
+		if weight > 0 {
+			want := float64(total) * float64(weight) / float64(totalWeight)
+			statistic += (float64(counts[name]) - want) * (float64(counts[name]) - want) / want
 			freedom++
 		}
 	}
-	return x, freedom - 1, n
+	return statistic, freedom - 1, total
 }
 
-// TestTrafficFollowsWeights checks that traffic is split as the files declare: chi-square at an error of 0.001 (16.3, 18.5 and 20.5 for 3, 4 and 5 degrees of freedom).
-// The pools fit into one arc each, so that every proxy has all of a pool's servers.
+// TestTrafficFollowsWeights checks that traffic is split in proportion to the weights in the imported files, by a chi-square test
+// with a significance level of 0.001 (limits of 16.3, 18.5 and 20.5 for 3, 4 and 5 degrees of freedom). Each pool fits into one
+// arc, so that every proxy has all servers of the pool.
 func TestTrafficFollowsWeights(t *testing.T) {
-	limit := map[int]float64{1: 10.8, 2: 13.8, 3: 16.3, 4: 18.5, 5: 20.5}
-	check := func(what string, counts, weights map[string]int) {
-		x, f, n := chiSquare(t, counts, weights)
-		t.Logf("%s: chi-square %.1f of %d degrees over %d RPCs", what, x, f, n)
-		if n < 4000 || x > limit[f] || math.IsNaN(x) {
-			t.Errorf("%s: chi-square %.1f of %d degrees over %d RPCs: %v for weights %v", what, x, f, n, counts, weights)
+	limits := map[int]float64{1: 10.8, 2: 13.8, 3: 16.3, 4: 18.5, 5: 20.5} // by degrees of freedom
+	check := func(name string, counts, weights map[string]int) {
+		statistic, freedom, n := chiSquare(t, counts, weights)
+		t.Logf("%s: chi-square %.1f with %d degrees of freedom over %d RPCs", name, statistic, freedom, n)
+		if n < 4000 || statistic > limits[freedom] || math.IsNaN(statistic) {
+			t.Errorf("%s: chi-square %.1f with %d degrees of freedom over %d RPCs, want at most %.1f over at least 4000: counts %v for weights %v",
+				name, statistic, freedom, n, limits[freedom], counts, weights)
 		}
 	}
 	text := "backend a\nserver s1 h:1 weight 1\nserver s2 h:2 weight 16\nserver s3 h:3 weight 100\nserver s4 h:4 weight 256\nserver s5 h:5 weight 31\n" +
@@ -167,18 +172,18 @@
 	if len(got.Faults) > 0 {
 		t.Fatal(got.Faults)
 	}
-	p := got.Pools[0]
-	numbers := p.Numbers()
+	pool := got.Pools[0]
+	numbers := pool.Numbers()
 	weights := map[string]int{"s1": 1, "s2": 16, "s3": 100, "s4": 256, "s5": 31}
-	before, after := simulatePool(t, p, 23, fmt.Sprintf("state %d draining", numbers["s4"]))
+	before, after := simulatePool(t, pool, 23, fmt.Sprintf("state %d draining", numbers["s4"]))
 	check("weights from 1 to 256", before, weights)
 	delete(weights, "s4")
-	check("after the heaviest began to drain", after, weights)
+	check("after the server with the highest weight began to drain", after, weights)
 
 	got = read("backend b\noption allbackups\nserver a h:1 disabled\nserver b h:2 backup weight 10\nserver c h:3 backup weight 30\n")
 	before, _ = simulatePool(t, got.Pools[0], 23)
-	check("backups alone", before, map[string]int{"b": 10, "c": 30})
+	check("backups only", before, map[string]int{"b": 10, "c": 30})
 	before, after = simulatePool(t, got.Pools[0], 23, fmt.Sprintf("weight %d 10", got.Pools[0].Numbers()["c"]))
-	check("before a weight changes", before, map[string]int{"b": 10, "c": 30})
-	check("after it did", after, map[string]int{"b": 10, "c": 10})
+	check("before a weight changed", before, map[string]int{"b": 10, "c": 30})
+	check("after a weight changed", after, map[string]int{"b": 10, "c": 10})
 }
