--- a/internal/haproxy/lex.go
+++ b/internal/haproxy/lex.go
@@ -21,7 +21,7 @@
 	variables map[string]string
 	tokens    []Token
 
-	// The argument that is being read. The other fields are valid only while open is set.
+	// The argument that is being read; argument, begin and quoted are valid only if open is set.
 	argument strings.Builder
 	begin    int // index of its first byte in text
 	quoted   bool
--- a/internal/haproxy/pool.go
+++ b/internal/haproxy/pool.go
@@ -4,8 +4,8 @@
 type Pool struct {
 	Position
 	Name     string
-	Mode     string
-	Pick     string // the pick policy of the settings: lottery, even or pair
+	Mode     string // from the keyword mode; tcp if that is not set
+	Pick     string // pick policy in the settings: lottery, even or pair
 	Servers  []Server
 	Deadline float64 // in seconds, from timeout server; 0 if that is not set
 	Retries  int     // number of retries after the first attempt, as configured
--- a/internal/haproxy/section.go
+++ b/internal/haproxy/section.go
@@ -148,7 +148,7 @@
 	}
 }
 
-// forbiddenCharacter returns the first character of a name that names may not contain (manual, 4), or "". Names are written into
+// forbiddenCharacter returns the first character of a name that is not permitted in names (manual, 4), or "". Names are written into
 // files and logs, whose meaning a line end or a blank in a name would change.
 func forbiddenCharacter(name string) string {
 	for _, character := range name {
