--- a/internal/haproxy/keywords_page.go
+++ b/internal/haproxy/keywords_page.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// WriteKeywords writes the page docs/haproxy-keywords.md, which describes how each keyword is imported. The rows of server options
-// and unsupported keywords come from the tables that the importer itself uses.
+// WriteKeywords writes the page docs/haproxy-keywords.md, which describes how each keyword is imported. The rows of unsupported
+// sections, unsupported keywords and server options come from the tables that the importer itself uses.
 func WriteKeywords(out io.Writer) {
 	fmt.Fprint(out, `# What becomes of HAProxy's keywords
 
--- a/internal/haproxy/traffic_test.go
+++ b/internal/haproxy/traffic_test.go
@@ -114,7 +114,7 @@
 	}, "c0")
 }
 
-// addFrontEnds adds 12 front ends that send 60 requests a second each.
+// addFrontEnds adds 12 front ends, each of which sends 60 RPCs per second.
 func (s *poolSimulation) addFrontEnds(config choice.Config) {
 	methods := fake.MethodConfigs(config.Settings.Methods)
 	for i := range 12 {
