--- a/internal/experiment/measures.go
+++ b/internal/experiment/measures.go
@@ -52,7 +52,7 @@
 	return func(played scenario.Result, _ *report.Report) (share float64) {
 		for _, rule := range played.Report.Rules {
 			if slices.Contains(rules, rule.Rule) {
-				share = max(share, rule.Closest)
+				share = max(share, rule.ClosestShare)
 			}
 		}
 		return share
--- a/internal/haproxy/routes_test.go
+++ b/internal/haproxy/routes_test.go
@@ -217,7 +217,7 @@
 		var methods []string
 		for m, name := range settings.Methods {
 			method := config.Settings.Methods[m]
-			methods = append(methods, name+" "+method.Effect+" "+method.MostTries)
+			methods = append(methods, name+" "+method.Effect+" "+method.RetryLimit)
 		}
 		if strings.Join(methods, "; ") != want {
 			t.Errorf("pool %s: got methods %s, want %s", got.Pools[i].Name, strings.Join(methods, "; "), want)
--- a/internal/haproxy/traffic_test.go
+++ b/internal/haproxy/traffic_test.go
@@ -122,7 +122,7 @@
 		s.network.AddNode(name, "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
 			return fake.NewFrontEnd(fake.FrontEndConfig{
 				Name: name, Zone: "imported", Coordinators: []string{"c0"}, Methods: methods, Rate: 60,
-				Policy: config.Settings.Pick, AvoidFor: 5, ReportPeriod: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
+				Policy: config.Settings.PickPolicy, AvoidDuration: 5, ReportPeriod: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
 			})
 		})
 		s.nodes = append(s.nodes, name)
