--- a/internal/haproxy/block_condition.go
+++ b/internal/haproxy/block_condition.go
@@ -6,19 +6,20 @@
 	"strings"
 )
 
-// defaultVersion is the HAProxy version that conditions are answered for where none is given.
+// defaultVersion is the HAProxy version that version predicates compare with if Environment.Version is empty.
 const defaultVersion = "3.0"
 
-// maxConditionDepth bounds the nesting of a condition, and with it the parser's recursion.
+// maxConditionDepth is the maximum nesting of a condition. It bounds the recursion of the parser.
 const maxConditionDepth = 200
 
-// holds evaluates the condition of an .if or .elif: terms with !, && before ||, and parentheses.
-func (e Environment) holds(text string) (bool, error) {
+// conditionHolds evaluates the condition of an .if or .elif line. The operators are !, && and ||, in decreasing precedence, and
+// parentheses.
+func (e Environment) conditionHolds(text string) (bool, error) {
 	if strings.TrimSpace(text) == "" {
 		return false, nil // An empty condition is false.
 	}
 	p := &conditionParser{environment: e, rest: text}
-	value, err := p.disjunction()
+	value, err := p.parseDisjunction()
 	if err != nil {
 		return value, err
 	}
@@ -31,13 +32,14 @@
 // conditionParser evaluates a condition while it parses it, by recursive descent.
 type conditionParser struct {
 	environment Environment
-	rest        string
-	depth       int
+	rest        string // the text that is not parsed yet
+	depth       int    // number of nested terms that are being parsed
 }
 
+// skipBlanks skips blanks and tabs.
 func (p *conditionParser) skipBlanks() { p.rest = strings.TrimLeft(p.rest, " \t") }
 
-// accept skips the word if it comes next.
+// accept reports whether the next word, after any blanks, is the given one, and skips it if so.
 func (p *conditionParser) accept(word string) bool {
 	p.skipBlanks()
 	rest, found := strings.CutPrefix(p.rest, word)
@@ -47,27 +49,30 @@
 	return found
 }
 
-func (p *conditionParser) disjunction() (bool, error) {
-	value, err := p.conjunction()
+// parseDisjunction evaluates one or more conjunctions that are joined by ||.
+func (p *conditionParser) parseDisjunction() (bool, error) {
+	value, err := p.parseConjunction()
 	for err == nil && p.accept("||") {
 		var operand bool
-		operand, err = p.conjunction()
+		operand, err = p.parseConjunction()
 		value = value || operand
 	}
 	return value, err
 }
 
-func (p *conditionParser) conjunction() (bool, error) {
-	value, err := p.term()
+// parseConjunction evaluates one or more terms that are joined by &&.
+func (p *conditionParser) parseConjunction() (bool, error) {
+	value, err := p.parseTerm()
 	for err == nil && p.accept("&&") {
 		var operand bool
-		operand, err = p.term()
+		operand, err = p.parseTerm()
 		value = value && operand
 	}
 	return value, err
 }
 
-func (p *conditionParser) term() (bool, error) {
+// parseTerm evaluates a negation, a condition in parentheses, a number or a predicate.
+func (p *conditionParser) parseTerm() (bool, error) {
 	p.depth++
 	defer func() { p.depth-- }()
 	if p.depth > maxConditionDepth {
@@ -75,19 +80,20 @@
 	}
 	switch {
 	case p.accept("!"):
-		value, err := p.term()
+		value, err := p.parseTerm()
 		return !value, err
 	case p.accept("("):
-		value, err := p.disjunction()
+		value, err := p.parseDisjunction()
 		if err == nil && !p.accept(")") {
 			err = classify(ErrSyntax, "a parenthesis is never closed")
 		}
 		return value, err
 	}
-	return p.numberOrPredicate()
+	return p.parseNumberOrPredicate()
 }
 
-func (p *conditionParser) numberOrPredicate() (bool, error) {
+// parseNumberOrPredicate evaluates an integer, which is true unless it is 0, or a predicate with its arguments.
+func (p *conditionParser) parseNumberOrPredicate() (bool, error) {
 	p.skipBlanks()
 	end := 0
 	for end < len(p.rest) && isNameByte(p.rest[end]) {
@@ -112,16 +118,17 @@
 	for i := range arguments {
 		arguments[i] = strings.TrimSpace(arguments[i])
 	}
-	return p.environment.predicate(name, arguments)
+	return p.environment.evaluatePredicate(name, arguments)
 }
 
-// predicateArguments are the numbers of arguments of the predicates that can be answered without a running HAProxy.
-var predicateArguments = map[string]int{
+// predicateArgumentCounts has the number of arguments of each predicate that can be evaluated without a running HAProxy.
+var predicateArgumentCounts = map[string]int{
 	"defined": 1, "feature": 1, "streq": 2, "strneq": 2, "strstr": 2, "version_atleast": 1, "version_before": 1,
 }
 
-func (e Environment) predicate(name string, arguments []string) (bool, error) {
-	expected, known := predicateArguments[name]
+// evaluatePredicate evaluates a predicate of the given name.
+func (e Environment) evaluatePredicate(name string, arguments []string) (bool, error) {
+	expected, known := predicateArgumentCounts[name]
 	switch {
 	case !known:
 		return false, classify(ErrUnsupported, "predicate %s can't be answered at an import", name)
@@ -145,7 +152,7 @@
 	return before == (name == "version_before"), err
 }
 
-// versionBefore tells whether the environment's version is older than another.
+// versionBefore reports whether the environment's HAProxy version is older than another.
 func (e Environment) versionBefore(other string) (bool, error) {
 	current := e.Version
 	if current == "" {
@@ -162,7 +169,8 @@
 	return slices.Compare(currentParts[:], otherParts[:]) < 0, nil
 }
 
-// parseVersion reads a version such as 3.0.1 or 3.0-dev4; what it lacks is 0.
+// parseVersion parses a version such as 3.0.1 or 3.0-dev4. Missing numbers are 0; a suffix after a hyphen is ignored, and so are
+// numbers after the third.
 func parseVersion(text string) (version [3]int, err error) {
 	text, _, _ = strings.Cut(text, "-")
 	parts := strings.Split(text, ".")
--- a/internal/haproxy/blocks.go
+++ b/internal/haproxy/blocks.go
@@ -2,45 +2,46 @@
 
 import "strings"
 
-// Environment is what variables and the conditions of conditional blocks are answered from. The environment of the running
-// process is never read.
+// Environment holds the values that variables and the conditions of conditional blocks are evaluated with. The environment of the
+// running process is never read.
 type Environment struct {
 	Variables map[string]string
-	Version   string   // for version_atleast and version_before; defaultVersion if empty
-	Features  []string // for the predicate feature
+	Version   string   // HAProxy version for the predicates version_atleast and version_before; defaultVersion if empty
+	Features  []string // features for which the predicate feature is true
 }
 
-// block is an .if that is not closed yet.
+// block is a conditional block that is not closed yet.
 type block struct {
-	opened   Position
-	selected bool // the lines of the current branch are kept
-	done     bool // no further branch can be selected
-	enclosed bool // the lines around the block are kept
-	elseSeen bool
+	opened            Position // of the .if
+	selected          bool     // the current branch is selected, so that its lines are kept
+	branchDecided     bool     // no later branch can be selected: one already was, or a condition is faulty
+	enclosingSelected bool     // the lines around the block are kept; otherwise no branch is selected
+	elseSeen          bool
 }
 
-// blockSelector keeps the lines of the branches whose conditions hold (manual, 2.4).
+// blockSelector selects the lines outside blocks and those of the branches whose conditions hold (manual, 2.4).
 type blockSelector struct {
 	report
-	environment Environment
-	open        []block // the innermost last
-	kept        []Line
-	skipped     []Line
+	environment   Environment
+	openBlocks    []block // innermost last
+	selectedLines []Line
+	skippedLines  []Line
 }
 
-// selectBlocks goes through a file's lines and keeps those that the blocks of .if, .elif, .else and .endif select. Messages
-// of .notice, .warning and .diag are reported as notes. An .alert is a fault, because it stops HAProxy from starting.
+// selectBlocks evaluates the .if, .elif, .else and .endif lines of a file and separates the selected lines from the skipped ones.
+// The messages of .notice, .warning and .diag are reported as notes. An .alert is a fault, because it stops HAProxy from starting.
 func selectBlocks(file File, environment Environment) *blockSelector {
 	s := &blockSelector{environment: environment}
 	for _, line := range file.Lines {
 		s.addLine(line)
 	}
-	for _, unclosed := range s.open {
+	for _, unclosed := range s.openBlocks {
 		s.fault(unclosed.opened, ErrSyntax, "an .if that is never closed")
 	}
 	return s
 }
 
+// addLine processes the next line of the file.
 func (s *blockSelector) addLine(line Line) {
 	switch word := line.Word(0); word {
 	case ".if":
@@ -48,77 +49,84 @@
 	case ".elif", ".else", ".endif":
 		s.continueBlock(line)
 	case ".notice", ".warning", ".diag":
-		if s.keeps() {
+		if s.isSelected() {
 			s.note(line, Differs, "said here instead of at HAProxy's start")
 		} else {
-			s.skipped = append(s.skipped, line)
+			s.skippedLines = append(s.skippedLines, line)
 		}
 	case ".alert":
-		if s.keeps() {
+		if s.isSelected() {
 			s.fault(line.Position, ErrAlert, ".alert: %s", directiveArguments(line))
 		} else {
-			s.skipped = append(s.skipped, line)
+			s.skippedLines = append(s.skippedLines, line)
 		}
 	default:
 		switch {
 		case strings.HasPrefix(word, "."):
 			s.fault(line.Position, ErrSyntax, "%s is no word of blocks", word)
-		case s.keeps():
-			s.kept = append(s.kept, line)
+		case s.isSelected():
+			s.selectedLines = append(s.selectedLines, line)
 		default:
-			s.skipped = append(s.skipped, line)
+			s.skippedLines = append(s.skippedLines, line)
 		}
 	}
 }
 
-// keeps tells whether the current line is in selected branches only.
-func (s *blockSelector) keeps() bool { return len(s.open) == 0 || s.open[len(s.open)-1].selected }
+// isSelected reports whether the current line is outside blocks or in a selected branch.
+func (s *blockSelector) isSelected() bool {
+	return len(s.openBlocks) == 0 || s.openBlocks[len(s.openBlocks)-1].selected
+}
 
+// directiveArguments returns the words after a directive such as .if, joined by blanks.
 func directiveArguments(line Line) string { return strings.Join(line.Words()[1:], " ") }
 
+// openBlock processes an .if line.
 func (s *blockSelector) openBlock(line Line) {
-	opened := block{opened: line.Position, enclosed: s.keeps()}
-	if opened.enclosed {
-		s.evaluate(&opened, line)
+	opened := block{opened: line.Position, enclosingSelected: s.isSelected()}
+	if opened.enclosingSelected {
+		s.evaluateBranch(&opened, line)
 	}
-	s.open = append(s.open, opened)
+	s.openBlocks = append(s.openBlocks, opened)
 	s.noteDirective(line)
 }
 
+// continueBlock processes an .elif, .else or .endif line.
 func (s *blockSelector) continueBlock(line Line) {
 	word := line.Word(0)
 	s.noteDirective(line)
-	if len(s.open) == 0 {
+	if len(s.openBlocks) == 0 {
 		s.fault(line.Position, ErrSyntax, "%s without .if", word)
 		return
 	}
-	innermost := &s.open[len(s.open)-1]
+	innermost := &s.openBlocks[len(s.openBlocks)-1]
 	switch {
 	case word == ".endif":
-		s.open = s.open[:len(s.open)-1]
+		s.openBlocks = s.openBlocks[:len(s.openBlocks)-1]
 	case innermost.elseSeen:
 		s.fault(line.Position, ErrSyntax, "%s after .else", word)
 	case word == ".else":
-		innermost.selected = innermost.enclosed && !innermost.done
-		innermost.done, innermost.elseSeen = true, true
+		innermost.selected = innermost.enclosingSelected && !innermost.branchDecided
+		innermost.branchDecided, innermost.elseSeen = true, true
 	default:
 		innermost.selected = false
-		if innermost.enclosed && !innermost.done {
-			s.evaluate(innermost, line)
+		if innermost.enclosingSelected && !innermost.branchDecided {
+			s.evaluateBranch(innermost, line)
 		}
 	}
 }
 
-// evaluate selects the branch if the condition of its .if or .elif holds. After a faulty condition no branch is selected.
-func (s *blockSelector) evaluate(branch *block, line Line) {
-	holds, err := s.environment.holds(directiveArguments(line))
+// evaluateBranch selects the branch that an .if or .elif line begins if its condition holds. After a faulty condition no branch
+// of the block is selected.
+func (s *blockSelector) evaluateBranch(branch *block, line Line) {
+	holds, err := s.environment.conditionHolds(directiveArguments(line))
 	if err != nil {
 		s.fault(line.Position, ErrSyntax, "%s: %w", line.Word(0), err)
 	}
 	branch.selected = holds && err == nil
-	branch.done = branch.selected || err != nil
+	branch.branchDecided = branch.selected || err != nil
 }
 
+// noteDirective reports a line that begins, continues or ends a block.
 func (s *blockSelector) noteDirective(line Line) {
 	s.note(line, Carried, "a block's condition, answered at the import")
 }
--- a/internal/haproxy/endpoints.go
+++ b/internal/haproxy/endpoints.go
@@ -6,8 +6,8 @@
 	"gingerfork/internal/endpointfile"
 )
 
-// Servers returns the servers of a pool as the endpoint list takes them. The pool's name may be empty if there is only one.
-// The error is a FaultsError if the files have faults, and ErrNoPool if there is no such pool.
+// Servers returns the listed servers of a pool as entries of an endpoint list. The pool's name may be empty if there is only one
+// pool. The error is a FaultsError if the files have faults, and wraps ErrNoPool if there is no such pool.
 func (i Import) Servers(poolName string) ([]endpointfile.Backend, error) {
 	if len(i.Faults) > 0 {
 		return nil, FaultsError(i.Faults)
@@ -16,13 +16,14 @@
 	for _, pool := range i.Pools {
 		names = append(names, pool.Name)
 		if pool.Name == poolName || poolName == "" && len(i.Pools) == 1 {
-			return pool.listedServers(), nil
+			return pool.endpointListBackends(), nil
 		}
 	}
 	return nil, classify(ErrNoPool, "no pool %q among %s", poolName, strings.Join(names, ", "))
 }
 
-func (p Pool) listedServers() []endpointfile.Backend {
+// endpointListBackends returns the listed servers of the pool as entries of an endpoint list.
+func (p Pool) endpointListBackends() []endpointfile.Backend {
 	numbers := p.Numbers()
 	listed := p.Listed()
 	servers := make([]endpointfile.Backend, 0, len(listed))
@@ -38,5 +39,6 @@
 	return servers
 }
 
-// listedWeight is the server's weight on the endpoint list, where a draining server has a weight as well.
+// listedWeight returns the server's weight on the endpoint list. It is at least 1, because a draining server, whose weight in
+// HAProxy is 0, has a weight on the list as well.
 func (s Server) listedWeight() int { return max(1, s.Weight) }
--- a/internal/haproxy/keywords_page.go
+++ b/internal/haproxy/keywords_page.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// WriteKeywords writes the page docs/haproxy-keywords.md, which says what becomes of each keyword, from the importer's own
-// tables.
+// WriteKeywords writes the page docs/haproxy-keywords.md, which describes how each keyword is imported. The rows of unsupported
+// sections, unsupported keywords and server options come from the tables that the importer itself uses.
 func WriteKeywords(out io.Writer) {
 	fmt.Fprint(out, `# What becomes of HAProxy's keywords
 
@@ -57,6 +57,6 @@
 	fmt.Fprint(out, "\n## Options of server lines\n\n| option | values | what becomes of it | why |\n| --- | --- | --- | --- |\n")
 	for _, word := range slices.Sorted(maps.Keys(serverOptions)) {
 		option := serverOptions[word]
-		fmt.Fprintf(out, "| %s | %d | %s | %s |\n", word, option.values, option.class, option.reason)
+		fmt.Fprintf(out, "| %s | %d | %s | %s |\n", word, option.valueCount, option.class, option.reason)
 	}
 }
