--- a/internal/haproxy/endpoints.go
+++ b/internal/haproxy/endpoints.go
@@ -24,8 +24,8 @@
 
 // endpointListBackends returns the listed servers of the pool as entries of an endpoint list.
 func (p Pool) endpointListBackends() []endpointfile.Backend {
-	numbers := p.Numbers()
-	listed := p.Listed()
+	numbers := p.ServerNumbers()
+	listed := p.ListedServers()
 	servers := make([]endpointfile.Backend, 0, len(listed))
 	for _, server := range listed {
 		servers = append(servers, endpointfile.Backend{
--- a/internal/haproxy/import_test.go
+++ b/internal/haproxy/import_test.go
@@ -151,7 +151,7 @@
 			for number, server := range pool.Servers {
 				fmt.Fprintf(&got, "%d/%d=%d ", i, number, server.Weight)
 			}
-			if pool.List() != second.Pools[i].List() || pool.Settings(first.Routes) != second.Pools[i].Settings(second.Routes) {
+			if pool.EndpointList() != second.Pools[i].EndpointList() || pool.Settings(first.Routes) != second.Pools[i].Settings(second.Routes) {
 				check.Fatal("importing the same text twice gave different results")
 			}
 		}
@@ -175,7 +175,7 @@
 		var config strings.Builder
 		for _, pool := range first.Pools {
 			fmt.Fprintf(&config, "backend %s\n", pool.Name)
-			for _, server := range pool.Listed() {
+			for _, server := range pool.ListedServers() {
 				fmt.Fprintf(&config, "server %s %s weight %d\n", server.Name, server.Addr, server.Weight)
 			}
 		}
@@ -184,7 +184,7 @@
 			t.Errorf("%s: got %d pools, want %d; faults %v, changes %v", file.Name(), len(second.Pools), len(first.Pools), second.Faults, changes)
 		}
 		for i, pool := range first.Pools {
-			if before, after := pool.Numbers(), second.Pools[i].Numbers(); before[pool.Listed()[0].Name] != after[pool.Listed()[0].Name] {
+			if before, after := pool.ServerNumbers(), second.Pools[i].ServerNumbers(); before[pool.ListedServers()[0].Name] != after[pool.ListedServers()[0].Name] {
 				t.Errorf("%s: the number of the first server of pool %s changed", file.Name(), pool.Name)
 			}
 		}
@@ -203,7 +203,7 @@
 	if got := strings.Join(changes, "; "); got != want {
 		t.Errorf("got %s\nwant %s", got, want)
 	}
-	if before, after := old.Pools[0].Numbers(), current.Pools[0].Numbers(); before["x"] != after["x"] || before["z"] != after["z"] {
+	if before, after := old.Pools[0].ServerNumbers(), current.Pools[0].ServerNumbers(); before["x"] != after["x"] || before["z"] != after["z"] {
 		t.Error("the numbers of servers that are in both imports changed")
 	}
 }
--- a/internal/haproxy/list.go
+++ b/internal/haproxy/list.go
@@ -11,10 +11,10 @@
 	"gingerfork/internal/bootstrap"
 )
 
-// Numbers returns the number of each server on the endpoint list, by server name. A number is a hash of the pool's and the
+// ServerNumbers returns the number of each server on the endpoint list, by server name. A number is a hash of the pool's and the
 // server's name, so that a server keeps it when others are added or removed. Where two hashes collide, the server whose name
 // sorts later takes the next free number. Number 0 is not used.
-func (p Pool) Numbers() map[string]uint32 {
+func (p Pool) ServerNumbers() map[string]uint32 {
 	names := make([]string, 0, len(p.Servers))
 	for _, server := range p.Servers {
 		names = append(names, server.Name)
@@ -31,14 +31,14 @@
 	return numbers
 }
 
-// List returns the pool's endpoint list. After a comment it has one line for each listed server:
+// EndpointList returns the pool's endpoint list. After a comment it has one line for each listed server:
 //
 //	server NUMBER NAME weight WEIGHT addr ADDRESS state open|draining
-func (p Pool) List() string {
+func (p Pool) EndpointList() string {
 	var list strings.Builder
 	fmt.Fprintf(&list, "# pool %q, from %q line %d\n", p.Name, p.File, p.Line)
-	numbers := p.Numbers()
-	for _, server := range p.Listed() {
+	numbers := p.ServerNumbers()
+	for _, server := range p.ListedServers() {
 		fmt.Fprintf(&list, "server %d %s weight %d addr %s state %s\n",
 			numbers[server.Name], bootstrap.Quote(server.Name), server.listedWeight(), bootstrap.Quote(server.Addr), server.State)
 	}
--- a/internal/haproxy/pool.go
+++ b/internal/haproxy/pool.go
@@ -26,8 +26,8 @@
 // defaultRetries is the number of retries that HAProxy makes if none is configured (manual, 4.2 retries).
 const defaultRetries = 3
 
-// Listed returns the servers that are on the endpoint list: all except those whose state is Unused.
-func (p Pool) Listed() (servers []Server) {
+// ListedServers returns the servers that are on the endpoint list: all except those whose state is Unused.
+func (p Pool) ListedServers() (servers []Server) {
 	for _, server := range p.Servers {
 		if server.State != Unused {
 			servers = append(servers, server)
--- a/internal/haproxy/samples_test.go
+++ b/internal/haproxy/samples_test.go
@@ -34,7 +34,7 @@
 // formatServers returns name, address, weight and state of the listed servers of a pool.
 func formatServers(p Pool) string {
 	var servers []string
-	for _, s := range p.Listed() {
+	for _, s := range p.ListedServers() {
 		servers = append(servers, fmt.Sprintf("%s %s %d %s", s.Name, s.Addr, s.Weight, s.State))
 	}
 	return strings.Join(servers, "; ")
--- a/internal/haproxy/traffic_test.go
+++ b/internal/haproxy/traffic_test.go
@@ -79,8 +79,8 @@
 // addBackends adds an emulated backend for each listed server, and the endpoint service that lists them.
 func (s *poolSimulation) addBackends() {
 	var endpoints []fake.Endpoint
-	numbers := s.pool.Numbers()
-	for _, server := range s.pool.Listed() {
+	numbers := s.pool.ServerNumbers()
+	for _, server := range s.pool.ListedServers() {
 		backend := numbers[server.Name]
 		s.names[backend] = server.Name
 		s.nodes = append(s.nodes, server.Name)
@@ -173,7 +173,7 @@
 		t.Fatal(got.Faults)
 	}
 	pool := got.Pools[0]
-	numbers := pool.Numbers()
+	numbers := pool.ServerNumbers()
 	weights := map[string]int{"s1": 1, "s2": 16, "s3": 100, "s4": 256, "s5": 31}
 	before, after := simulatePool(t, pool, 23, fmt.Sprintf("state %d draining", numbers["s4"]))
 	check("weights from 1 to 256", before, weights)
@@ -183,7 +183,7 @@
 	got = read("backend b\noption allbackups\nserver a h:1 disabled\nserver b h:2 backup weight 10\nserver c h:3 backup weight 30\n")
 	before, _ = simulatePool(t, got.Pools[0], 23)
 	check("backups only", before, map[string]int{"b": 10, "c": 30})
-	before, after = simulatePool(t, got.Pools[0], 23, fmt.Sprintf("weight %d 10", got.Pools[0].Numbers()["c"]))
+	before, after = simulatePool(t, got.Pools[0], 23, fmt.Sprintf("weight %d 10", got.Pools[0].ServerNumbers()["c"]))
 	check("before a weight changed", before, map[string]int{"b": 10, "c": 30})
 	check("after a weight changed", after, map[string]int{"b": 10, "c": 10})
 }
