--- a/internal/measure/emulator.go
+++ b/internal/measure/emulator.go
@@ -17,52 +17,54 @@
 )
 
 const (
-	capacitySpan     = 5 * time.Second // of one attempt
-	capacityWarmUp   = 1.5             // seconds in which lag does not count, as connections are opened
-	minCapacityRate  = 2000.0          // RPCs a second of the first attempt
-	maxCapacityRate  = 200000
-	capacityRateStep = 1.6 // from one attempt to the next
-	modelBatch       = 1000
+	capacityDuration   = 5 * time.Second // of one load test
+	capacityWarmUp     = 1.5             // seconds in which schedule lag is ignored, because connections are being opened
+	minCapacityRate    = 2000.0          // RPCs per second of the first load test
+	maxCapacityRate    = 200000
+	capacityRateFactor = 1.6  // from the rate of one load test to that of the next
+	modelBatchSize     = 1000 // RPCs between two reads of the clock
 )
 
-// capacityResult is the outcome of one attempt at how much the emulator serves on sockets.
+// capacityResult is the outcome of one load test of the emulator on sockets.
 type capacityResult struct {
 	Backends, Loops int
-	Rate, Answered  float64 // RPCs a second that were sent and answered
-	Cores           float64 // in use, by sending and serving together
-	ServerLag       float64 // seconds, the most on the backends' side
-	ClientLag       float64 // seconds, the most on the senders' side
-	Invalid         bool    // the emulation did not keep up
+	Rate, Answered  float64 // RPCs per second, requested and answered
+	Cores           float64 // CPU cores in use, by load generator and backends together
+	ServerLag       float64 // seconds, the maximum of the backends
+	ClientLag       float64 // seconds, the maximum of the load generator
+	Invalid         bool    // backends or load generator fell behind schedule
 }
 
-// tryCapacity sends RPCs to a fleet of emulated backends in this process over loopback sockets.
-func tryCapacity(ctx context.Context, backends, loops int, rate float64, span time.Duration) (capacityResult, error) {
+// measureCapacity sends RPCs at a rate to emulated backends on several event loops. Backends and load generator run in this process
+// and communicate over loopback sockets.
+func measureCapacity(ctx context.Context, backends, loops int, rate float64, duration time.Duration) (capacityResult, error) {
 	capacity := capacityResult{Backends: backends, Loops: loops, Rate: rate}
 	fleet, err := startBackendLoops(ctx, backends, loops)
 	if err != nil {
 		return capacity, err
 	}
 	defer fleet.stop()
-	before := processCPU()
-	sent, err := load.Run(ctx, capacityLoad(rate, fleet.addrs, span))
+	cpuBefore := processCPU()
+	sent, err := load.Run(ctx, capacityLoadConfig(rate, fleet.addrs, duration))
 	if err != nil {
-		return capacity, fmt.Errorf("ask for %.0f RPCs a second: %w", rate, err)
+		return capacity, fmt.Errorf("send %.0f RPCs per second: %w", rate, err)
 	}
-	capacity.Cores = (processCPU() - before) / span.Seconds()
-	served := fleet.stop()
-	capacity.ServerLag, capacity.ClientLag = served.Max, sent.ScheduleLag.Max
-	capacity.Invalid = sent.ScheduleLag.Invalid() || served.Invalid()
+	capacity.Cores = (processCPU() - cpuBefore) / duration.Seconds()
+	serverLag := fleet.stop()
+	capacity.ServerLag, capacity.ClientLag = serverLag.Max, sent.ScheduleLag.Max
+	capacity.Invalid = sent.ScheduleLag.Invalid() || serverLag.Invalid()
 	answered := 0
 	for _, second := range sent.Seconds {
 		answered += second.InTime + second.Late
 	}
-	capacity.Answered = float64(answered) / span.Seconds()
+	capacity.Answered = float64(answered) / duration.Seconds()
 	return capacity, nil
 }
 
-func capacityLoad(rate float64, backends []string, span time.Duration) load.Config {
+// capacityLoadConfig returns the configuration of a load generator that sends to the given backend addresses.
+func capacityLoadConfig(rate float64, backends []string, duration time.Duration) load.Config {
 	return load.Config{
-		Proxies: 4, Rate: rate, Backends: backends, Duration: span, Seed: 1,
+		Proxies: 4, Rate: rate, Backends: backends, Duration: duration, Seed: 1,
 		Methods: []invariant.Method{{Name: "read", Criticality: 1, SoftDeadline: 0.5}},
 		FrontEnd: fake.FrontEndConfig{
 			Methods: []fake.MethodConfig{{Name: "read", Criticality: 1, SoftDeadline: 0.5, Deadline: 2, Share: 1}},
@@ -71,7 +73,7 @@
 	}
 }
 
-// processCPU returns the CPU time that this process has used, in seconds; 0 if the system does not tell.
+// processCPU returns the CPU time in seconds that this process has used, or 0 if it can't be determined.
 func processCPU() float64 {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -80,14 +82,15 @@
 	return float64(usage.Utime.Sec+usage.Stime.Sec) + float64(usage.Utime.Usec+usage.Stime.Usec)/microsecondsPerSecond
 }
 
-// backendLoops are emulated backends on several event loops.
+// backendLoops is a set of emulated backends that are distributed over several event loops.
 type backendLoops struct {
 	cancel context.CancelFunc
 	loops  []*eventloop.Loop
 	addrs  []string
-	lags   []report.ScheduleLag // by loop; each loop writes its own until it has ended
+	lags   []report.ScheduleLag // by loop; each loop writes only its own element, until it has ended
 }
 
+// startBackendLoops starts emulated backends on count event loops. The caller has to call stop.
 func startBackendLoops(ctx context.Context, backends, count int) (*backendLoops, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	started := &backendLoops{cancel: cancel, lags: make([]report.ScheduleLag, count)}
@@ -108,7 +111,7 @@
 		loop, err := eventloop.Start(ctx, eventloop.Bootstrap{Machine: fleet, Listen: listen})
 		if err != nil {
 			started.stop()
-			return nil, fmt.Errorf("start %d servers: %w", backends, err)
+			return nil, fmt.Errorf("start %d backends: %w", backends, err)
 		}
 		started.loops = append(started.loops, loop)
 		started.addrs = append(started.addrs, loop.Addrs()...)
@@ -116,25 +119,26 @@
 	return started, nil
 }
 
-// stop ends the loops, waits for them, and returns how far they fell behind. It may be called again.
+// stop ends the loops, waits for them, and returns their schedule lag. It may be called more than once.
 func (b *backendLoops) stop() (lag report.ScheduleLag) {
 	b.cancel()
 	for _, loop := range b.loops {
-		_ = loop.Wait() // the error is that of the context
+		_ = loop.Wait() // returns the error of the canceled context
 	}
-	for _, other := range b.lags {
-		lag.Merge(other)
+	for _, loopLag := range b.lags {
+		lag.Merge(loopLag)
 	}
 	return lag
 }
 
-// emulatorFigures takes the figures of the last part of docs/results-emulator.md.
-func emulatorFigures(ctx context.Context, out io.Writer) error {
-	fmt.Fprintln(out, "\n| model alone, one core | RPCs a second |\n| --- | --- |")
+// measureEmulator measures how many RPCs the emulator can execute: its model alone, on sockets, and in virtual time. The results are
+// in the last part of docs/results-emulator.md.
+func measureEmulator(ctx context.Context, out io.Writer) error {
+	fmt.Fprintln(out, "\n| model alone, one core | RPCs per second |\n| --- | --- |")
 	for _, utilization := range []float64{0.3, 0.9} {
-		fmt.Fprintf(out, "| at a load of %.1f | %.0f |\n", utilization, modelRate(utilization))
+		fmt.Fprintf(out, "| at a utilization of %.1f | %.0f |\n", utilization, measureModelRate(utilization))
 	}
-	fmt.Fprintln(out, "\n| servers | loops | RPCs a second asked | answered | cores used, both sides | RPCs a second and core | servers at most ms late | asking at most ms late | verdict |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+	fmt.Fprintln(out, "\n| backends | loops | RPCs per second requested | answered | cores used by both sides | RPCs per second and core | backends' maximum lag ms | load generator's maximum lag ms | verdict |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, size := range []struct{ backends, loops int }{{50, 1}, {50, 2}, {500, 1}, {2000, 1}} {
 		if err := writeCapacity(ctx, out, size.backends, size.loops); err != nil {
 			return err
@@ -143,10 +147,10 @@
 	return writeSimulationSpeed(out)
 }
 
-// writeCapacity raises the rate until the emulation does not keep up, and writes a row for each attempt.
+// writeCapacity runs load tests at increasing rates until the emulation falls behind schedule, and writes a table row for each.
 func writeCapacity(ctx context.Context, out io.Writer, backends, loops int) error {
-	for rate := minCapacityRate; rate < maxCapacityRate; rate *= capacityRateStep {
-		capacity, err := tryCapacity(ctx, backends, loops, rate, capacitySpan)
+	for rate := minCapacityRate; rate < maxCapacityRate; rate *= capacityRateFactor {
+		capacity, err := measureCapacity(ctx, backends, loops, rate, capacityDuration)
 		if err != nil {
 			return err
 		}
@@ -164,46 +168,47 @@
 	return nil
 }
 
-// writeSimulationSpeed writes how fast fleets of several sizes play in virtual time.
+// writeSimulationSpeed measures how fast scenarios with fleets of several sizes are played in virtual time.
 func writeSimulationSpeed(out io.Writer) error {
-	const rate = 5.0 // RPCs a second of each front end
-	fmt.Fprintln(out, "\n| virtual time, servers / proxies | RPCs a second | virtual seconds a second, one core | steps a second |\n| --- | --- | --- | --- |")
+	const rate = 5.0 // RPCs per second of each front end
+	fmt.Fprintln(out, "\n| virtual time, backends / proxies | RPCs per second | virtual seconds per second, one core | steps per second |\n| --- | --- | --- | --- |")
 	for _, size := range []fleetSize{{10, 30}, {100, 300}, {1000, 3000}} {
 		text := fmt.Sprintf("day size\nsettings region.conf\nlength 10s\ncoordinators 2\nservers %d capacity 30\nfrontends %d rate %g\nmix 70%% 30%%\n", size.backends, size.frontEnds, rate)
-		played, err := scenario.Read("size.day", text, scenario.File)
+		sized, err := scenario.Read("size.day", text, scenario.File)
 		if err != nil {
 			return err
 		}
 		start := time.Now()
-		result, err := scenario.PlayVirtual(played, scenario.Options{})
+		result, err := scenario.PlayVirtual(sized, scenario.Options{})
 		if err != nil {
 			return err
 		}
 		seconds := time.Since(start).Seconds()
-		fmt.Fprintf(out, "| %d / %d | %.0f | %.2f | %.0f |\n", size.backends, size.frontEnds, float64(size.frontEnds)*rate, played.Duration/seconds,
+		fmt.Fprintf(out, "| %d / %d | %.0f | %.2f | %.0f |\n", size.backends, size.frontEnds, float64(size.frontEnds)*rate, sized.Duration/seconds,
 			float64(result.MachineSteps)/seconds)
 	}
 	return nil
 }
 
-// modelRate returns how many RPCs a second of real time the model of a backend serves, without sockets, at a utilization.
-func modelRate(utilization float64) float64 {
+// measureModelRate returns how many RPCs per second of real time the model of a backend executes without sockets. utilization is the
+// offered load as a share of the modeled backend's capacity.
+func measureModelRate(utilization float64) float64 {
 	config := emulator.Config{
 		Backend: 1, Cores: 4, Speed: 1, Work: []emulator.Work{{Mean: 0.02}}, QueueLimit: 1000, CancelPolicy: emulator.DropQueued, Seed: 1,
 	}
 	model := emulator.NewModel(config, 0)
 	model.Connect(1, "")
 	random := emulator.NewRandom(2)
-	rate := utilization * config.Capacity([]float64{1})
+	arrivalRate := utilization * config.Capacity([]float64{1})
 	start, now, rpcs := time.Now(), 0.0, 0
 	for time.Since(start) < time.Second {
-		for range modelBatch {
-			next := now + random.Interarrival(rate)
-			for model.NextTimer() <= next {
+		for range modelBatchSize {
+			arrival := now + random.Interarrival(arrivalRate)
+			for model.NextTimer() <= arrival {
 				now = model.NextTimer()
 				model.Advance(now)
 			}
-			now = next
+			now = arrival
 			rpcs++
 			model.Advance(now)
 			model.Submit(1, emulator.RPC{ID: uint64(rpcs), TimeLeft: 2})
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -19,36 +19,37 @@
 	"gingerfork/internal/trace"
 )
 
-// fleetSize is the size of a fleet.
+// fleetSize has the numbers of backends and front ends of a fleet.
 type fleetSize struct{ backends, frontEnds int }
 
-// fleet is a coordinator process with its endpoint service, backends and front ends, which run in this process.
+// fleet is a coordinator in a process of its own, with an endpoint service, backends and front ends, which run on event loops of this
+// process.
 type fleet struct {
-	clock     *eventloop.Clock
-	dir       string // for the coordinator's settings and state
-	serve     []string
-	cmd       *exec.Cmd
-	exited    chan struct{} // closed when cmd has ended
-	endpoints *eventloop.Loop
-	backends  *eventloop.Loop // nil if none is run
-	frontEnds *eventloop.Loop
+	clock              *eventloop.Clock
+	dir                string   // temporary folder of the coordinator's settings and state
+	coordinatorCommand []string // command line that runs a coordinator if the path of a settings file is appended
+	coordinator        *exec.Cmd
+	coordinatorExited  chan struct{} // closed when the coordinator process has ended
+	endpoints          *eventloop.Loop
+	backends           *eventloop.Loop // nil if no backends run
+	frontEnds          *eventloop.Loop
 
 	mu      sync.Mutex
 	records []trace.Record // since the last call of takeRecords
 }
 
 const (
-	coordinatorName = "c0"
-	settingsName    = coordinatorName + ".conf"
-	noState         = "-"    // the coordinator persists nothing
-	stateName       = "kept" // the folder of the coordinator's state, within that of the fleet
-	loopbackAddr    = "127.0.0.1:0"
-	unusedAddr      = "127.0.0.1:1" // of backends that are not run
-	firstPort       = 12000         // of the coordinator
-	ports           = 15000         // from which one is chosen by process ID
+	coordinatorName  = "c0"
+	settingsFileName = coordinatorName + ".conf"
+	noState          = "-"    // value of the setting state if the coordinator persists nothing
+	stateFolderName  = "kept" // folder of the coordinator's state, relative to the settings file
+	loopbackAddr     = "127.0.0.1:0"
+	unusedAddr       = "127.0.0.1:1" // address of backends that are listed but do not run
+	firstPort        = 12000         // lowest port of the coordinator
+	portCount        = 15000         // number of ports, of which the process ID selects one
 )
 
-const settings = `instance c0
+const settingsTemplate = `instance c0
   zone a
   listen %s
   list-service %s
@@ -81,16 +82,16 @@
   deadline 2500ms
 `
 
-// startFleet starts a fleet whose coordinator persists nothing. serve is the command that runs a coordinator when the name of a settings
-// file is added. rate is the RPCs a second of each front end; at 0, backends are in the list but are not run. The caller has to
-// call stop.
-func startFleet(ctx context.Context, serve []string, backends, frontEnds int, rate float64) (*fleet, error) {
-	return startFleetWithState(ctx, serve, fleetSize{backends, frontEnds}, rate, noState)
+// startFleet starts a fleet whose coordinator persists nothing. coordinatorCommand is a command line that runs a coordinator if the
+// path of a settings file is appended to it. rate is the RPCs per second of each front end; if it is 0, backends are in the endpoint
+// list but do not run. The caller has to call stop.
+func startFleet(ctx context.Context, coordinatorCommand []string, backends, frontEnds int, rate float64) (*fleet, error) {
+	return startFleetWithState(ctx, coordinatorCommand, fleetSize{backends, frontEnds}, rate, noState)
 }
 
-// startFleetWithState starts a fleet whose coordinator persists its state in a folder, or noState.
-func startFleetWithState(ctx context.Context, serve []string, size fleetSize, rate float64, state string) (started *fleet, err error) {
-	started = &fleet{clock: eventloop.NewClock(), serve: serve}
+// startFleetWithState is like startFleet, but the coordinator persists its state in the folder state, unless that is noState.
+func startFleetWithState(ctx context.Context, coordinatorCommand []string, size fleetSize, rate float64, state string) (started *fleet, err error) {
+	started = &fleet{clock: eventloop.NewClock(), coordinatorCommand: coordinatorCommand}
 	defer func() {
 		if err != nil {
 			started.stop()
@@ -102,26 +103,26 @@
 	if err = started.startEndpoints(ctx, size.backends, rate); err != nil {
 		return nil, err
 	}
-	addr := fmt.Sprintf("127.0.0.1:%d", firstPort+os.Getpid()%ports)
-	file := filepath.Join(started.dir, settingsName)
-	text := fmt.Sprintf(settings, addr, started.endpoints.Addrs()[0], state, size.frontEnds)
-	if err = os.WriteFile(file, []byte(text), 0o644); err != nil {
+	coordinatorAddr := fmt.Sprintf("127.0.0.1:%d", firstPort+os.Getpid()%portCount)
+	settingsFile := filepath.Join(started.dir, settingsFileName)
+	settingsText := fmt.Sprintf(settingsTemplate, coordinatorAddr, started.endpoints.Addrs()[0], state, size.frontEnds)
+	if err = os.WriteFile(settingsFile, []byte(settingsText), 0o644); err != nil {
 		return nil, err
 	}
-	parsed, err := bootstrap.Read(file)
+	parsed, err := bootstrap.Read(settingsFile)
 	if err != nil {
 		return nil, err
 	}
 	if err = started.startCoordinator(); err != nil {
 		return nil, err
 	}
-	if err = started.startFrontEnds(ctx, size.frontEnds, addr, rate, parsed); err != nil {
+	if err = started.startFrontEnds(ctx, size.frontEnds, coordinatorAddr, rate, parsed); err != nil {
 		return nil, err
 	}
 	return started, nil
 }
 
-// startEndpoints starts the backends, if they are run, and the endpoint service.
+// startEndpoints starts the endpoint service and, if rate is above 0, the backends.
 func (f *fleet) startEndpoints(ctx context.Context, count int, rate float64) (err error) {
 	endpoints := make([]fake.Endpoint, 0, count)
 	for i := range count {
@@ -140,7 +141,7 @@
 	return err
 }
 
-// startBackends starts a backend for each endpoint and fills in its address.
+// startBackends starts a backend for each endpoint and sets the endpoint's address.
 func (f *fleet) startBackends(ctx context.Context, endpoints []fake.Endpoint) (err error) {
 	machine := fake.NewMultiplexer()
 	listen := make([]string, 0, len(endpoints))
@@ -159,6 +160,7 @@
 	return nil
 }
 
+// startFrontEnds starts count front ends that connect to the address coordinator. parsed has the methods that they call.
 func (f *fleet) startFrontEnds(ctx context.Context, count int, coordinator string, rate float64, parsed *bootstrap.Settings) (err error) {
 	machine := fake.NewMultiplexer()
 	for i := range count {
@@ -171,23 +173,23 @@
 	return err
 }
 
-// startCoordinator starts the coordinator process. stop or restart ends it.
+// startCoordinator starts the coordinator process, which stop or restart ends.
 func (f *fleet) startCoordinator() error {
-	cmd := exec.Command(f.serve[0], append(slices.Clone(f.serve[1:]), filepath.Join(f.dir, settingsName))...)
-	cmd.Stderr = io.Discard
-	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("start a coordinator: %w", err)
+	process := exec.Command(f.coordinatorCommand[0], append(slices.Clone(f.coordinatorCommand[1:]), filepath.Join(f.dir, settingsFileName))...)
+	process.Stderr = io.Discard
+	if err := process.Start(); err != nil {
+		return fmt.Errorf("start the coordinator: %w", err)
 	}
 	exited := make(chan struct{})
-	f.cmd, f.exited = cmd, exited
+	f.coordinator, f.coordinatorExited = process, exited
 	go func() {
-		_ = cmd.Wait() // it is ended by a signal, which is no error here
+		_ = process.Wait() // the process is ended by a signal, which is not an error here
 		close(exited)
 	}()
 	return nil
 }
 
-// record keeps trace records, but for those of finished RPCs, which no figure needs.
+// record stores trace records. It drops those of finished RPCs, which no measurement uses.
 func (f *fleet) record(records []trace.Record) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -198,7 +200,7 @@
 	}
 }
 
-// takeRecords returns what was recorded since the last call.
+// takeRecords returns the records that were stored since the last call.
 func (f *fleet) takeRecords() []trace.Record {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -207,17 +209,17 @@
 	return records
 }
 
-// stop ends all that was started, waits for it, and removes the fleet's folder.
+// stop ends everything that was started, waits for it, and removes the fleet's folder.
 func (f *fleet) stop() {
 	for _, loop := range []*eventloop.Loop{f.frontEnds, f.backends, f.endpoints} {
 		if loop != nil {
 			loop.Stop()
-			_ = loop.Wait() // the figures are taken by now
+			_ = loop.Wait() // an error no longer matters: the measurement is complete
 		}
 	}
-	if f.exited != nil {
-		_ = f.cmd.Process.Signal(syscall.SIGTERM) // fails if it has exited already
-		<-f.exited
+	if f.coordinatorExited != nil {
+		_ = f.coordinator.Process.Signal(syscall.SIGTERM) // fails if it has exited already
+		<-f.coordinatorExited
 	}
-	_ = os.RemoveAll(f.dir) // a temporary folder: the system removes what remains
+	_ = os.RemoveAll(f.dir) // errors are ignored: the operating system cleans up temporary folders
 }
--- a/internal/measure/idle.go
+++ b/internal/measure/idle.go
@@ -10,55 +10,56 @@
 const (
 	idleBackends    = 100
 	idleJoinTimeout = 180 * time.Second
-	idleSettleTime  = 3 * time.Second // after the last join
-	idleSpan        = 8               // seconds over which the use is measured
+	idleSettleTime  = 3 * time.Second // from the last join until the measurement starts
+	idleSpanSeconds = 8               // duration over which the usage is measured
 	bytesPerKiB     = 1 << 10
 	bytesPerMiB     = 1 << 20
 )
 
-// idleUse is what a coordinator uses for proxies that send no RPCs.
-type idleUse struct {
-	cpu    float64 // seconds in idleSpan
-	memory int     // bytes
+// idleUsage is the CPU time and memory of a coordinator whose proxies send no RPCs.
+type idleUsage struct {
+	cpuSeconds  float64 // used within idleSpanSeconds
+	memoryBytes int     // resident
 }
 
-// idle measures the coordinator's CPU and memory by the number of idle proxies.
-func idle(ctx context.Context, out io.Writer, serve []string) error {
-	fmt.Fprintln(out, "\n| idle proxies | memory MiB | KiB a proxy beyond the first row | CPU % of a core | us of CPU a proxy and second |\n| --- | --- | --- | --- | --- |")
+// measureIdle measures the coordinator's CPU time and memory for several numbers of idle proxies.
+func measureIdle(ctx context.Context, out io.Writer, coordinatorCommand []string) error {
+	fmt.Fprintln(out, "\n| idle proxies | memory MiB | KiB per proxy beyond the first row | CPU % of a core | us of CPU per proxy and second |\n| --- | --- | --- | --- | --- |")
 	sizes := []int{100, 1000, 4000, 8000}
-	baseMemory := 0 // of the first row
+	baseMemory := 0 // bytes, in the first row
 	for i, proxies := range sizes {
-		use, err := idleFleet(ctx, serve, proxies)
+		usage, err := measureFleetIdle(ctx, coordinatorCommand, proxies)
 		if err != nil {
 			return err
 		}
-		perProxy := 0.0 // KiB
+		memoryPerProxy := 0.0 // KiB
 		if i == 0 {
-			baseMemory = use.memory
+			baseMemory = usage.memoryBytes
 		} else {
-			perProxy = float64(use.memory-baseMemory) / float64(proxies-sizes[0]) / bytesPerKiB
+			memoryPerProxy = float64(usage.memoryBytes-baseMemory) / float64(proxies-sizes[0]) / bytesPerKiB
 		}
-		fmt.Fprintf(out, "| %d | %.0f | %.1f | %.1f | %.0f |\n", proxies, float64(use.memory)/bytesPerMiB, perProxy, 100*use.cpu/idleSpan,
-			microsecondsPerSecond*use.cpu/idleSpan/float64(proxies))
+		fmt.Fprintf(out, "| %d | %.0f | %.1f | %.1f | %.0f |\n", proxies, float64(usage.memoryBytes)/bytesPerMiB, memoryPerProxy, 100*usage.cpuSeconds/idleSpanSeconds,
+			microsecondsPerSecond*usage.cpuSeconds/idleSpanSeconds/float64(proxies))
 	}
 	return nil
 }
 
-func idleFleet(ctx context.Context, serve []string, proxies int) (idleUse, error) {
-	fleet, err := startFleet(ctx, serve, idleBackends, proxies, 0)
+// measureFleetIdle starts a fleet and measures its coordinator while the proxies are idle.
+func measureFleetIdle(ctx context.Context, coordinatorCommand []string, proxies int) (idleUsage, error) {
+	fleet, err := startFleet(ctx, coordinatorCommand, idleBackends, proxies, 0)
 	if err != nil {
-		return idleUse{}, fmt.Errorf("start %d: %w", proxies, err)
+		return idleUsage{}, fmt.Errorf("start a fleet with %d proxies: %w", proxies, err)
 	}
 	defer fleet.stop()
-	if _, err := fleet.joined(proxies, idleJoinTimeout); err != nil {
-		return idleUse{}, err
+	if _, err := fleet.waitForJoins(proxies, idleJoinTimeout); err != nil {
+		return idleUsage{}, err
 	}
 	time.Sleep(idleSettleTime)
-	before, _, err := fleet.used()
+	cpuBefore, _, err := fleet.coordinatorUsage()
 	if err != nil {
-		return idleUse{}, err
+		return idleUsage{}, err
 	}
-	time.Sleep(idleSpan * time.Second)
-	after, memory, err := fleet.used()
-	return idleUse{cpu: after - before, memory: memory}, err
+	time.Sleep(idleSpanSeconds * time.Second)
+	cpuAfter, memoryBytes, err := fleet.coordinatorUsage()
+	return idleUsage{cpuSeconds: cpuAfter - cpuBefore, memoryBytes: memoryBytes}, err
 }
--- a/internal/measure/joins.go
+++ b/internal/measure/joins.go
@@ -12,11 +12,11 @@
 	joinTimeout  = 120 * time.Second
 )
 
-// joins measures how long it takes until proxies that join at once all have a table.
-func joins(ctx context.Context, out io.Writer, serve []string) error {
-	fmt.Fprintln(out, "\n| proxies at once | servers | all have a table after ms | joins a second |\n| --- | --- | --- | --- |")
+// measureJoins measures, for several numbers of proxies that join at the same time, how long it takes until all have a table.
+func measureJoins(ctx context.Context, out io.Writer, coordinatorCommand []string) error {
+	fmt.Fprintln(out, "\n| proxies joining at once | backends | all have a table after ms | joins per second |\n| --- | --- | --- | --- |")
 	for _, proxies := range []int{100, 300, 1000, 3000} {
-		seconds, err := joinFleet(ctx, serve, proxies)
+		seconds, err := measureFleetJoins(ctx, coordinatorCommand, proxies)
 		if err != nil {
 			return err
 		}
@@ -25,11 +25,12 @@
 	return nil
 }
 
-func joinFleet(ctx context.Context, serve []string, proxies int) (seconds float64, err error) {
-	fleet, err := startFleet(ctx, serve, joinBackends, proxies, 0)
+// measureFleetJoins starts a fleet and returns the seconds from the first join until all proxies have a table.
+func measureFleetJoins(ctx context.Context, coordinatorCommand []string, proxies int) (seconds float64, err error) {
+	fleet, err := startFleet(ctx, coordinatorCommand, joinBackends, proxies, 0)
 	if err != nil {
-		return 0, fmt.Errorf("start %d: %w", proxies, err)
+		return 0, fmt.Errorf("start a fleet with %d proxies: %w", proxies, err)
 	}
 	defer fleet.stop()
-	return fleet.joined(proxies, joinTimeout)
+	return fleet.waitForJoins(proxies, joinTimeout)
 }
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -1,6 +1,6 @@
-// Package measure takes the figures of docs/performance.md: a coordinator process on loopback sockets, with fleets of fake proxies
-// and emulated backends of several sizes. The figures hold for one machine; what is worth quoting is how they grow, and ratios
-// within one run.
+// Package measure runs the measurements whose results are in docs/performance.md: a coordinator process on loopback sockets with
+// fleets of fake proxies and emulated backends of several sizes. Absolute values hold for one machine only; what can be compared is
+// how they grow with the size of the fleet, and ratios of values from the same run.
 package measure
 
 import (
@@ -14,40 +14,40 @@
 	microsecondsPerSecond = 1e6
 )
 
-// Run takes the figures with the given names (drains, joins, idle, emulator, retries, store; none: all) and writes them as
-// Markdown tables. serve is the command that runs a coordinator when the name of a settings file is added. picture, if not nil,
-// gets the plot of the figure retries as a PNG.
-func Run(ctx context.Context, out io.Writer, serve, names []string, picture io.Writer) error {
-	for _, figure := range []struct {
+// Run runs the measurements with the given names (drains, joins, idle, emulator, retries, store), or all if there are no names, and
+// writes the results as Markdown tables. coordinatorCommand is a command line that runs a coordinator if the path of a settings
+// file is appended to it. The plot of the measurement retries is written to picture as a PNG, unless picture is nil.
+func Run(ctx context.Context, out io.Writer, coordinatorCommand, names []string, picture io.Writer) error {
+	for _, measurement := range []struct {
 		name string
-		take func() error
+		run  func() error
 	}{
-		{"store", func() error { return store(ctx, out, serve) }},
-		{"drains", func() error { return drains(ctx, out, serve) }},
-		{"joins", func() error { return joins(ctx, out, serve) }},
-		{"idle", func() error { return idle(ctx, out, serve) }},
-		{"emulator", func() error { return emulatorFigures(ctx, out) }},
-		{"retries", func() error { return retries(out, picture) }},
+		{"store", func() error { return measureStore(ctx, out, coordinatorCommand) }},
+		{"drains", func() error { return measureDrains(ctx, out, coordinatorCommand) }},
+		{"joins", func() error { return measureJoins(ctx, out, coordinatorCommand) }},
+		{"idle", func() error { return measureIdle(ctx, out, coordinatorCommand) }},
+		{"emulator", func() error { return measureEmulator(ctx, out) }},
+		{"retries", func() error { return measureRetries(out, picture) }},
 	} {
-		if len(names) > 0 && !slices.Contains(names, figure.name) {
+		if len(names) > 0 && !slices.Contains(names, measurement.name) {
 			continue
 		}
-		if err := figure.take(); err != nil {
+		if err := measurement.run(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// quantile returns a quantile, from 0 to 1, of sorted figures; 0 if there are none.
-func quantile(sorted []float64, share float64) float64 {
+// quantile returns a quantile of sorted values, or 0 if there are none. level is from 0 to 1: 0.5 is the median, 1 the maximum.
+func quantile(sorted []float64, level float64) float64 {
 	if len(sorted) == 0 {
 		return 0
 	}
-	return sorted[min(len(sorted)-1, int(share*float64(len(sorted))))]
+	return sorted[min(len(sorted)-1, int(level*float64(len(sorted))))]
 }
 
-// milliseconds returns a quantile of sorted seconds in milliseconds.
-func milliseconds(sorted []float64, share float64) float64 {
-	return millisecondsPerSecond * quantile(sorted, share)
+// quantileMilliseconds returns a quantile in milliseconds of sorted values in seconds.
+func quantileMilliseconds(sorted []float64, level float64) float64 {
+	return millisecondsPerSecond * quantile(sorted, level)
 }
--- a/internal/measure/observe.go
+++ b/internal/measure/observe.go
@@ -14,37 +14,38 @@
 )
 
 const (
-	pollInterval  = 20 * time.Millisecond
-	drainWait     = 700 * time.Millisecond // from when a backend drains until the outcome is read
-	reopenWait    = 100 * time.Millisecond // from when a backend is open again until the next one drains
-	ticksPerSec   = 100                    // of the CPU times in /proc
-	userField     = 11                     // fields of /proc/PID/stat after the name of the command
-	systemField   = 12
-	residentField = 21
+	pollInterval        = 20 * time.Millisecond  // between two reads of the recorded trace
+	drainWait           = 700 * time.Millisecond // from the start of a drain until its outcome is read
+	reopenWait          = 100 * time.Millisecond // from the reopening of a backend until the next one drains
+	clockTicksPerSecond = 100                    // unit of the CPU times in /proc/PID/stat
+	userTimeField       = 11                     // index of a field of /proc/PID/stat, counted after the command name
+	systemTimeField     = 12
+	residentPagesField  = 21
 )
 
-var errStat = errors.New("the process's figures can't be read")
+var errProcessStat = errors.New("can't parse /proc/PID/stat of the coordinator")
 
-// joined waits until a number of proxies have applied a table, and returns the seconds from the first join until then.
-func (f *fleet) joined(proxies int, timeout time.Duration) (seconds float64, err error) {
-	joined := 0.0 // when the first proxy did
+// waitForJoins waits until the given number of proxies have applied a table, and returns the seconds from the first join to the last
+// of these tables.
+func (f *fleet) waitForJoins(proxies int, timeout time.Duration) (seconds float64, err error) {
+	firstJoin := 0.0
 	applied, last := f.waitForTables(proxies, timeout, func(record trace.Record) bool {
-		if record.Kind == trace.ProxyJoined && joined == 0 {
-			joined = record.Time
+		if record.Kind == trace.ProxyJoined && firstJoin == 0 {
+			firstJoin = record.Time
 		}
 		return true
 	})
 	if applied < proxies {
 		return 0, fmt.Errorf("%d of %d proxies have a table after %v", applied, proxies, timeout)
 	}
-	return last - joined, nil
+	return last - firstJoin, nil
 }
 
-// restart kills the coordinator, starts it again, and returns the seconds from its start until a number of proxies have applied a
-// table.
+// restart kills the coordinator, starts it again, and returns the seconds from its start until the given number of proxies have
+// applied a new table.
 func (f *fleet) restart(proxies int, timeout time.Duration) (seconds float64, err error) {
-	_ = f.cmd.Process.Kill() // fails if it has exited already
-	<-f.exited
+	_ = f.coordinator.Process.Kill() // fails if it has exited already
+	<-f.coordinatorExited
 	f.takeRecords()
 	start := f.clock.Now()
 	if err := f.startCoordinator(); err != nil {
@@ -52,37 +53,37 @@
 	}
 	applied, last := f.waitForTables(proxies, timeout, func(record trace.Record) bool { return record.Time > start })
 	if applied < proxies {
-		return 0, fmt.Errorf("%d of %d proxies have a table %v after a restart", applied, proxies, timeout)
+		return 0, fmt.Errorf("%d of %d proxies have a table %v after the coordinator's restart", applied, proxies, timeout)
 	}
 	return last - start, nil
 }
 
-// waitForTables waits until a number of proxies have applied a table, or until the timeout. It returns how many have, and when the
-// last one did. Records for which counts is false are ignored.
-func (f *fleet) waitForTables(proxies int, timeout time.Duration, counts func(trace.Record) bool) (applied int, last float64) {
-	parties := map[string]bool{}
+// waitForTables waits until the given number of proxies have applied a table, or until the timeout. It returns how many have, and the
+// time when the last one did. Records for which isRelevant returns false are ignored.
+func (f *fleet) waitForTables(proxies int, timeout time.Duration, isRelevant func(trace.Record) bool) (applied int, last float64) {
+	proxiesWithTable := map[string]bool{}
 	for deadline := time.Now().Add(timeout); ; time.Sleep(pollInterval) {
 		for _, record := range f.takeRecords() {
-			if counts(record) && record.Kind == trace.PushApplied && !parties[record.Party] {
-				parties[record.Party] = true
+			if isRelevant(record) && record.Kind == trace.PushApplied && !proxiesWithTable[record.Party] {
+				proxiesWithTable[record.Party] = true
 				last = max(last, record.Time)
 			}
 		}
-		if len(parties) >= proxies || time.Now().After(deadline) {
-			return len(parties), last
+		if len(proxiesWithTable) >= proxies || time.Now().After(deadline) {
+			return len(proxiesWithTable), last
 		}
 	}
 }
 
-// drains drains backends one after another. It returns, sorted, the seconds from when the coordinator was notified until the last
-// proxy that had the backend had applied its exclusion, after which none can send there; and how many RPCs were sent there in
-// between.
-func (f *fleet) drains(count int) (latencies []float64, sent int) {
+// drainBackends drains the first count backends one after another. It returns the sorted latencies in seconds, each from when the
+// coordinator received the new state of the backend until the last proxy had applied the push that excludes the backend, after which
+// no proxy can send there. sent is the number of RPCs that were sent to draining backends.
+func (f *fleet) drainBackends(count int) (latencies []float64, sent int) {
 	for backend := 1; backend <= count; backend++ {
 		f.takeRecords()
 		f.endpoints.SendCommand(fmt.Sprintf("state %d draining", backend))
 		time.Sleep(drainWait)
-		latency, sentMeanwhile, notified := drainOutcome(f.takeRecords(), backend)
+		latency, sentMeanwhile, notified := findDrainOutcome(f.takeRecords(), backend)
 		sent += sentMeanwhile
 		if notified {
 			latencies = append(latencies, latency)
@@ -94,10 +95,11 @@
 	return latencies, sent
 }
 
-// drainOutcome reads from a trace how long the drain of a backend took, and how many RPCs were sent there meanwhile.
-func drainOutcome(records []trace.Record, backend int) (latency float64, sent int, notified bool) {
+// findDrainOutcome finds in a trace the latency of a backend's drain in seconds, and the number of RPCs sent to the backend after the
+// coordinator was notified. notified is false if the trace shows no delivery to the coordinator.
+func findDrainOutcome(records []trace.Record, backend int) (latency float64, sent int, notified bool) {
 	start, last := 0.0, 0.0
-	exclusion := fmt.Sprint("withdraw ", backend) // as traces have it
+	exclusion := fmt.Sprint("withdraw ", backend) // as written in the text of trace.PushApplied
 	for _, record := range records {
 		switch {
 		case record.Kind == trace.EndpointsDelivered && record.Coordinator == coordinatorName && start == 0:
@@ -111,31 +113,32 @@
 	return max(0, last-start), sent, start > 0
 }
 
-// used returns what the coordinator process has used so far: seconds of CPU, and its resident memory in bytes.
-func (f *fleet) used() (cpu float64, memory int, err error) {
-	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", f.cmd.Process.Pid))
+// coordinatorUsage returns the CPU time that the coordinator process has used since its start, in seconds, and its resident memory in
+// bytes.
+func (f *fleet) coordinatorUsage() (cpuSeconds float64, memoryBytes int, err error) {
+	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", f.coordinator.Process.Pid))
 	if err != nil {
 		return 0, 0, err
 	}
-	_, rest, ok := strings.Cut(string(stat), ") ") // the name of the command, in parentheses, may have blanks
+	_, rest, ok := strings.Cut(string(stat), ") ") // the command name, in parentheses, may contain blanks
 	fields := strings.Fields(rest)
-	if !ok || len(fields) <= residentField {
-		return 0, 0, errStat
+	if !ok || len(fields) <= residentPagesField {
+		return 0, 0, errProcessStat
 	}
-	user, userErr := strconv.ParseFloat(fields[userField], 64)
-	system, systemErr := strconv.ParseFloat(fields[systemField], 64)
-	pages, pagesErr := strconv.Atoi(fields[residentField])
+	userTicks, userErr := strconv.ParseFloat(fields[userTimeField], 64)
+	systemTicks, systemErr := strconv.ParseFloat(fields[systemTimeField], 64)
+	pages, pagesErr := strconv.Atoi(fields[residentPagesField])
 	if err := errors.Join(userErr, systemErr, pagesErr); err != nil {
-		return 0, 0, fmt.Errorf("%w: %w", errStat, err)
+		return 0, 0, fmt.Errorf("%w: %w", errProcessStat, err)
 	}
-	return (user + system) / ticksPerSec, pages * os.Getpagesize(), nil
+	return (userTicks + systemTicks) / clockTicksPerSecond, pages * os.Getpagesize(), nil
 }
 
-// storeBytes returns the size of the files of the coordinator's store.
+// storeBytes returns the total size in bytes of the files of the coordinator's store.
 func (f *fleet) storeBytes() (bytes int64) {
-	names, _ := filepath.Glob(filepath.Join(f.dir, stateName, "store", "*")) // the pattern is valid
+	names, _ := filepath.Glob(filepath.Join(f.dir, stateFolderName, "store", "*")) // the pattern is valid
 	for _, name := range names {
-		if info, err := os.Stat(name); err == nil { // it may have been replaced meanwhile
+		if info, err := os.Stat(name); err == nil { // the coordinator may have removed the file meanwhile
 			bytes += info.Size()
 		}
 	}
--- a/internal/measure/retries.go
+++ b/internal/measure/retries.go
@@ -12,34 +12,34 @@
 	"gingerfork/internal/trace"
 )
 
-// The fleet that is overloaded.
+// The overloaded fleet.
 const (
 	stormBackends        = 100
 	stormFrontEnds       = 300
-	stormBackendCapacity = 30.0 // RPCs a second
-	stormCapacity        = stormBackends * stormBackendCapacity
-	stormStart           = 5 // seconds at the start that do not count
-	hangSeeds            = 6
-	hangOffered          = 0.9 // of the capacity
+	stormBackendCapacity = 30.0                                 // RPCs per second
+	stormFleetCapacity   = stormBackends * stormBackendCapacity // RPCs per second
+	stormWarmUp          = 5                                    // seconds from the start of the run that are not evaluated
+	hangSeedCount        = 6
+	hangOfferedLoad      = 0.9 // share of the capacity
 )
 
-// storm is one point of the retry storm: what was offered, and what came of it.
-type storm struct {
-	Offered          float64 // by clients that do not retry, as a share of the capacity
+// stormRun is a run of a scenario with a retry storm: its parameters and, after play, its results.
+type stormRun struct {
+	Offered          float64 // offered load without the clients' retries, as a share of the capacity
 	AdmissionControl bool
 	ClientRetries    bool
-	Hanging          bool // a tenth of the backends hang for a while
+	Hanging          bool // a tenth of the backends hang for 8 s
 	Seed             uint64
 
-	RPCs       float64 // a second, those of clients that retry among them
-	Attempts   float64 // a second, at backends
-	Goodput    float64 // RPCs a second that were answered within the soft deadline
-	Service    float64
-	Violations int // of rules
+	RPCs       float64 // per second, including the clients' retries
+	Attempts   float64 // per second, at backends
+	Goodput    float64 // RPCs per second that were answered within the soft deadline
+	Service    float64 // criticality answered within the soft deadline, as a share of the criticality offered, over the whole run
+	Violations int     // of the rules that internal/invariant checks, over the whole run
 }
 
-// scenario returns the scenario of the point.
-func (s storm) scenario() (*scenario.Scenario, error) {
+// scenario returns the scenario to be played.
+func (s stormRun) scenario() (*scenario.Scenario, error) {
 	var text strings.Builder
 	fmt.Fprintf(&text, "day storm\nsettings storm.conf\nlength 40s\nseed %d\ncoordinators 2\nservers %d capacity %g\nfrontends %d rate %g uneven 0.5\nmix 70%% 30%%\n",
 		s.Seed, stormBackends, stormBackendCapacity, stormFrontEnds, s.Offered*stormBackends*stormBackendCapacity/stormFrontEnds)
@@ -58,21 +58,21 @@
 	})
 }
 
-// play plays the point in virtual time and fills in what came of it.
-func (s *storm) play() error {
-	played, err := s.scenario()
+// play plays the scenario in virtual time and sets the results.
+func (s *stormRun) play() error {
+	storm, err := s.scenario()
 	if err != nil {
 		return err
 	}
-	result, err := scenario.PlayVirtual(played, scenario.Options{})
+	result, err := scenario.PlayVirtual(storm, scenario.Options{})
 	if err != nil {
 		return err
 	}
-	methods := played.Limits().Methods
+	methods := storm.Limits().Methods
 	start := math.Inf(1)
 	for _, record := range result.Records {
 		start = min(start, record.Time)
-		if record.Time-record.Value < start+stormStart {
+		if record.Time-record.Value < start+stormWarmUp {
 			continue
 		}
 		switch record.Kind {
@@ -85,8 +85,8 @@
 			}
 		}
 	}
-	span := played.Duration - stormStart
-	s.RPCs, s.Goodput, s.Attempts = s.RPCs/span, s.Goodput/span, s.Attempts/span
+	evaluatedSeconds := storm.Duration - stormWarmUp
+	s.RPCs, s.Goodput, s.Attempts = s.RPCs/evaluatedSeconds, s.Goodput/evaluatedSeconds, s.Attempts/evaluatedSeconds
 	s.Service = result.Report.Service.Share()
 	for _, rule := range result.Report.Rules {
 		s.Violations += rule.Violations
@@ -94,9 +94,9 @@
 	return nil
 }
 
-// playAll plays points on all cores and fills in what came of them.
-func playAll(points []storm) error {
-	errs := make([]error, len(points))
+// playStormRuns plays runs on all cores and sets their results.
+func playStormRuns(runs []stormRun) error {
+	errs := make([]error, len(runs))
 	next := make(chan int)
 	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
@@ -104,109 +104,109 @@
 		go func() {
 			defer workers.Done()
 			for i := range next {
-				errs[i] = points[i].play()
+				errs[i] = runs[i].play()
 			}
 		}()
 	}
-	for i := range points {
+	for i := range runs {
 		next <- i
 	}
 	close(next)
 	workers.Wait()
 	for i, err := range errs {
 		if err != nil {
-			return fmt.Errorf("play %v of capacity, seed %d: %w", points[i].Offered, points[i].Seed, err)
+			return fmt.Errorf("play the retry storm at %v of the capacity, seed %d: %w", runs[i].Offered, runs[i].Seed, err)
 		}
 	}
 	return nil
 }
 
-// retries measures the retry storm: goodput by offered load, and what comes of a tenth of the backends that hang at 0.9 of the
-// capacity. picture, if not nil, gets a plot of the goodput as a PNG.
-func retries(out, picture io.Writer) error {
-	if err := goodput(out, picture); err != nil {
+// measureRetries measures retry storms: the goodput by offered load, and the effect of a tenth of the backends hanging at 0.9 of the
+// capacity. A plot of the goodput is written to picture as a PNG, unless picture is nil.
+func measureRetries(out, picture io.Writer) error {
+	if err := measureGoodput(out, picture); err != nil {
 		return err
 	}
-	return hangs(out)
+	return measureHangs(out)
 }
 
-// goodput measures the goodput by offered load.
-func goodput(out, picture io.Writer) error {
+// measureGoodput measures the goodput at several offered loads, with and without admission control and client retries.
+func measureGoodput(out, picture io.Writer) error {
 	offered := []float64{0.2, 0.5, 0.8, 0.9, 1, 1.1, 1.3, 1.6, 2, 2.5, 3}
-	kinds := []storm{
+	variants := []stormRun{
 		{AdmissionControl: true, ClientRetries: true},
 		{AdmissionControl: false, ClientRetries: true},
 		{AdmissionControl: true, ClientRetries: false},
 	}
-	points := make([]storm, 0, len(kinds)*len(offered))
-	for _, point := range kinds {
+	runs := make([]stormRun, 0, len(variants)*len(offered))
+	for _, run := range variants {
 		for _, share := range offered {
-			point.Offered, point.Seed = share, 4
-			points = append(points, point)
+			run.Offered, run.Seed = share, 4
+			runs = append(runs, run)
 		}
 	}
-	if err := playAll(points); err != nil {
+	if err := playStormRuns(runs); err != nil {
 		return err
 	}
-	fmt.Fprintln(out, "| offered, of capacity | RPCs a second that came | tries a second | in time a second, levels | without levels | levels, nobody comes again | rules broken with levels |\n| --- | --- | --- | --- | --- | --- | --- |")
+	fmt.Fprintln(out, "| offered load, share of capacity | RPCs per second with retries | attempts per second | goodput with admission control | goodput without | goodput with, clients don't retry | rule violations with admission control |\n| --- | --- | --- | --- | --- | --- | --- |")
 	count := len(offered)
-	controlled, uncontrolled, withoutRetries := points[:count], points[count:2*count], points[2*count:]
-	peak := 0.0
+	controlled, uncontrolled, withoutRetries := runs[:count], runs[count:2*count], runs[2*count:]
+	peakGoodput := 0.0
 	for i, share := range offered {
-		point := controlled[i]
-		fmt.Fprintf(out, "| %.1f | %.0f | %.0f | %.0f | %.0f | %.0f | %d |\n", share, point.RPCs, point.Attempts, point.Goodput,
-			uncontrolled[i].Goodput, withoutRetries[i].Goodput, point.Violations)
-		peak = max(peak, point.Goodput)
+		run := controlled[i]
+		fmt.Fprintf(out, "| %.1f | %.0f | %.0f | %.0f | %.0f | %.0f | %d |\n", share, run.RPCs, run.Attempts, run.Goodput,
+			uncontrolled[i].Goodput, withoutRetries[i].Goodput, run.Violations)
+		peakGoodput = max(peakGoodput, run.Goodput)
 	}
-	fmt.Fprintf(out, "\nAt 3 times the capacity %.2f of the peak is still answered in time.\n", controlled[count-1].Goodput/peak)
+	fmt.Fprintf(out, "\nAt 3 times the capacity the goodput is %.2f of its peak.\n", controlled[count-1].Goodput/peakGoodput)
 	if picture == nil {
 		return nil
 	}
 	if err := drawGoodput(picture, controlled, uncontrolled, withoutRetries); err != nil {
-		return fmt.Errorf("draw the storm: %w", err)
+		return fmt.Errorf("draw the goodput plot: %w", err)
 	}
 	return nil
 }
 
-// hangs measures what comes of a tenth of the backends that hang.
-func hangs(out io.Writer) error {
-	kinds := []storm{
+// measureHangs measures the effect of a tenth of the backends hanging, with and without admission control and client retries.
+func measureHangs(out io.Writer) error {
+	variants := []stormRun{
 		{AdmissionControl: true},
 		{AdmissionControl: true, Hanging: true},
 		{AdmissionControl: true, ClientRetries: true},
 		{AdmissionControl: true, ClientRetries: true, Hanging: true},
 		{ClientRetries: true, Hanging: true},
 	}
-	points := make([]storm, 0, len(kinds)*hangSeeds)
-	for _, point := range kinds {
-		for seed := range uint64(hangSeeds) {
-			point.Offered, point.Seed = hangOffered, seed+1
-			points = append(points, point)
+	runs := make([]stormRun, 0, len(variants)*hangSeedCount)
+	for _, run := range variants {
+		for seed := range uint64(hangSeedCount) {
+			run.Offered, run.Seed = hangOfferedLoad, seed+1
+			runs = append(runs, run)
 		}
 	}
-	if err := playAll(points); err != nil {
+	if err := playStormRuns(runs); err != nil {
 		return err
 	}
-	fmt.Fprintln(out, "\n| levels | clients come again | a tenth hangs 8 s | came, of offered | tries, of offered | service, mean of 6 seeds | least | rules broken |\n| --- | --- | --- | --- | --- | --- | --- | --- |")
-	for i := 0; i < len(points); i += hangSeeds {
-		writeHang(out, points[i:i+hangSeeds])
+	fmt.Fprintln(out, "\n| admission control | clients retry | a tenth hangs 8 s | RPCs, of offered | attempts, of offered | service, mean of 6 seeds | service, minimum | rule violations |\n| --- | --- | --- | --- | --- | --- | --- | --- |")
+	for i := 0; i < len(runs); i += hangSeedCount {
+		writeHangRow(out, runs[i:i+hangSeedCount])
 	}
 	return nil
 }
 
-// writeHang writes the row of points that differ in their seeds only.
-func writeHang(out io.Writer, points []storm) {
-	rpcs, attempts, mean, least, violations := 0.0, 0.0, 0.0, 1.0, 0
-	for _, point := range points {
-		rpcs += point.RPCs / hangSeeds
-		attempts += point.Attempts / hangSeeds
-		mean += point.Service / hangSeeds
-		least = min(least, point.Service)
-		violations += point.Violations
-	}
-	const offered = hangOffered * stormCapacity
+// writeHangRow writes a table row for runs that differ in their seeds only.
+func writeHangRow(out io.Writer, runs []stormRun) {
+	rpcs, attempts, meanService, minService, violations := 0.0, 0.0, 0.0, 1.0, 0
+	for _, run := range runs {
+		rpcs += run.RPCs / hangSeedCount
+		attempts += run.Attempts / hangSeedCount
+		meanService += run.Service / hangSeedCount
+		minService = min(minService, run.Service)
+		violations += run.Violations
+	}
+	const offered = hangOfferedLoad * stormFleetCapacity
 	yesNo := map[bool]string{true: "yes", false: "no"}
-	kind := points[0]
-	fmt.Fprintf(out, "| %s | %s | %s | %.2f | %.2f | %.3f | %.3f | %d |\n", yesNo[kind.AdmissionControl], yesNo[kind.ClientRetries],
-		yesNo[kind.Hanging], rpcs/offered, attempts/offered, mean, least, violations)
+	parameters := runs[0]
+	fmt.Fprintf(out, "| %s | %s | %s | %.2f | %.2f | %.3f | %.3f | %d |\n", yesNo[parameters.AdmissionControl], yesNo[parameters.ClientRetries],
+		yesNo[parameters.Hanging], rpcs/offered, attempts/offered, meanService, minService, violations)
 }
--- a/internal/measure/store.go
+++ b/internal/measure/store.go
@@ -9,76 +9,78 @@
 )
 
 const (
-	storeRounds      = 3
-	storeDrains      = 8 // in each round
+	storeRounds      = 3 // fleets started for each size, with and without a store
+	storeDrains      = 8 // backends drained in each fleet
 	storeJoinTimeout = 60 * time.Second
 )
 
-// storeFigures are the figures of fleets of one size, with or without a store.
-type storeFigures struct {
-	state    string // the coordinator's folder, or noState
-	drains   []float64
-	restarts []float64 // seconds from the start until all proxies have a table
-	written  int64     // bytes
-	changes  int       // of the state, with which they were written
+// storeMeasurement has the measured values of fleets of one size, either with or without a store.
+type storeMeasurement struct {
+	state          string    // folder of the coordinator's state, or noState
+	drainLatencies []float64 // seconds
+	restartTimes   []float64 // seconds from the start of the coordinator until all proxies have a table
+	writtenBytes   int64     // growth of the store during the drains
+	stateChanges   int       // changes of backend states that caused these writes
 }
 
-// store measures what persistence costs and gains: the same fleet with and without a store, alternating within one run.
-func store(ctx context.Context, out io.Writer, serve []string) error {
-	fmt.Fprintln(out, "| servers | front ends | store | drains | median ms | 99th ms | bytes written a change | exec to all tables ms |\n| --- | --- | --- | --- | --- | --- | --- | --- |")
+// measureStore compares a coordinator that persists its state with one that does not: the latency of drains, the bytes written, and
+// the time that a restart takes. Fleets with and without a store alternate, so that both see the same conditions of the machine.
+func measureStore(ctx context.Context, out io.Writer, coordinatorCommand []string) error {
+	fmt.Fprintln(out, "| backends | front ends | store | drains | median ms | 99th percentile ms | bytes written per change | start to all tables ms |\n| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, size := range []fleetSize{{100, 300}, {300, 800}} {
-		without, with := &storeFigures{state: noState}, &storeFigures{state: stateName}
+		withoutStore, withStore := &storeMeasurement{state: noState}, &storeMeasurement{state: stateFolderName}
 		for range storeRounds {
-			for _, figures := range []*storeFigures{without, with} {
-				if err := figures.take(ctx, serve, size); err != nil {
+			for _, measurement := range []*storeMeasurement{withoutStore, withStore} {
+				if err := measurement.addFleet(ctx, coordinatorCommand, size); err != nil {
 					return err
 				}
 			}
 		}
-		without.write(out, size, "none")
-		with.write(out, size, "kept")
-		writeStoreRatios(out, size, with, without)
+		withoutStore.writeRow(out, size, "none")
+		withStore.writeRow(out, size, "kept")
+		writeStoreRatios(out, size, withStore, withoutStore)
 	}
 	return nil
 }
 
-// take adds the figures of one fleet.
-func (s *storeFigures) take(ctx context.Context, serve []string, size fleetSize) error {
-	fleet, err := startFleetWithState(ctx, serve, size, 0, s.state)
+// addFleet starts a fleet, drains backends, restarts the coordinator, and adds the measured values.
+func (s *storeMeasurement) addFleet(ctx context.Context, coordinatorCommand []string, size fleetSize) error {
+	fleet, err := startFleetWithState(ctx, coordinatorCommand, size, 0, s.state)
 	if err != nil {
-		return fmt.Errorf("start %v: %w", size, err)
+		return fmt.Errorf("start a fleet of %d backends and %d front ends: %w", size.backends, size.frontEnds, err)
 	}
 	defer fleet.stop()
-	if _, err := fleet.joined(size.frontEnds, storeJoinTimeout); err != nil {
+	if _, err := fleet.waitForJoins(size.frontEnds, storeJoinTimeout); err != nil {
 		return err
 	}
-	before := fleet.storeBytes()
-	latencies, _ := fleet.drains(storeDrains)
-	s.drains = append(s.drains, latencies...)
+	bytesBefore := fleet.storeBytes()
+	latencies, _ := fleet.drainBackends(storeDrains)
+	s.drainLatencies = append(s.drainLatencies, latencies...)
 	if s.state != noState {
-		s.written += fleet.storeBytes() - before
-		s.changes += 2 * len(latencies) // each backend was drained and opened again
+		s.writtenBytes += fleet.storeBytes() - bytesBefore
+		s.stateChanges += 2 * len(latencies) // each backend was drained and reopened
 	}
 	seconds, err := fleet.restart(size.frontEnds, storeJoinTimeout)
-	s.restarts = append(s.restarts, seconds)
+	s.restartTimes = append(s.restartTimes, seconds)
 	return err
 }
 
-// write writes the row of the figures; it sorts them.
-func (s *storeFigures) write(out io.Writer, size fleetSize, name string) {
-	slices.Sort(s.drains)
-	slices.Sort(s.restarts)
-	written := "-"
+// writeRow writes a table row with the measured values, which it sorts.
+func (s *storeMeasurement) writeRow(out io.Writer, size fleetSize, name string) {
+	slices.Sort(s.drainLatencies)
+	slices.Sort(s.restartTimes)
+	bytesPerChange := "-"
 	if s.state != noState {
-		written = fmt.Sprintf("%.0f", float64(s.written)/float64(s.changes))
+		bytesPerChange = fmt.Sprintf("%.0f", float64(s.writtenBytes)/float64(s.stateChanges))
 	}
-	fmt.Fprintf(out, "| %d | %d | %s | %d | %.1f | %.1f | %s | %.0f |\n", size.backends, size.frontEnds, name, len(s.drains),
-		milliseconds(s.drains, 0.5), milliseconds(s.drains, 0.99), written, milliseconds(s.restarts, 0.5))
+	fmt.Fprintf(out, "| %d | %d | %s | %d | %.1f | %.1f | %s | %.0f |\n", size.backends, size.frontEnds, name, len(s.drainLatencies),
+		quantileMilliseconds(s.drainLatencies, 0.5), quantileMilliseconds(s.drainLatencies, 0.99), bytesPerChange, quantileMilliseconds(s.restartTimes, 0.5))
 }
 
-// writeStoreRatios writes the ratios of sorted figures with a store to those without.
-func writeStoreRatios(out io.Writer, size fleetSize, with, without *storeFigures) {
+// writeStoreRatios writes a table row with the ratios of the values with a store to those without. Both must be sorted, as writeRow
+// leaves them.
+func writeStoreRatios(out io.Writer, size fleetSize, withStore, withoutStore *storeMeasurement) {
 	fmt.Fprintf(out, "| %d | %d | kept/none | | %.2f | %.2f | | %.2f |\n", size.backends, size.frontEnds,
-		quantile(with.drains, 0.5)/quantile(without.drains, 0.5), quantile(with.drains, 0.99)/quantile(without.drains, 0.99),
-		quantile(with.restarts, 0.5)/quantile(without.restarts, 0.5))
+		quantile(withStore.drainLatencies, 0.5)/quantile(withoutStore.drainLatencies, 0.5), quantile(withStore.drainLatencies, 0.99)/quantile(withoutStore.drainLatencies, 0.99),
+		quantile(withStore.restartTimes, 0.5)/quantile(withoutStore.restartTimes, 0.5))
 }
