--- a/internal/report/builder.go
+++ b/internal/report/builder.go
@@ -12,48 +12,48 @@
 	"gingerfork/internal/trace"
 )
 
-// How RPCs end in a trace; whatever else a trace says, the RPC was aborted.
+// Texts of trace.RPCFinished records. An RPC with any other text was aborted.
 const (
 	outcomeOK       = "ok"
 	outcomeRejected = "pushed back"
 )
 
 const (
-	maxLatency            = 10 * time.Minute
-	latencyDigits         = 3 // significant, that are kept of a latency
-	microsecondsPerSecond = 1e6
-	worstWindow           = 10 // seconds over which the worst service is taken
-	maxBackends           = 1 << 16
+	maxLatency               = 10 * time.Minute
+	latencySignificantDigits = 3 // precision of recorded latencies, in decimal digits
+	microsecondsPerSecond    = 1e6
+	worstWindowSeconds       = 10 // length of the window for which the lowest service is reported
+	maxBackends              = 1 << 16
 )
 
-// methodTotals are the figures of one method over the whole run.
+// methodTotals has the totals of one method over the whole run.
 type methodTotals struct {
 	latencies     *hdrhistogram.Histogram // microseconds
-	offeredWeight float64
-	inTimeWeight  float64
+	offeredWeight float64                 // criticality of all RPCs
+	inTimeWeight  float64                 // criticality of the RPCs answered within the soft deadline
 }
 
-// Builder computes a report from records as they come, and keeps none of them.
+// Builder computes a report incrementally from trace records, without keeping the records.
 type Builder struct {
-	Report  *Report
-	methods []invariant.Method
-	totals  []methodTotals // by method
-	started bool
-	start   float64 // the time of the first record
-	length  float64 // seconds from there to the last record
+	Report   *Report
+	methods  []invariant.Method
+	totals   []methodTotals // by method
+	started  bool
+	start    float64 // time of the first record
+	duration float64 // seconds from start to the last record
 }
 
-// NewBuilder returns a builder of a report on these methods.
+// NewBuilder returns a Builder for records that refer to methods by index.
 func NewBuilder(methods []invariant.Method) *Builder {
 	builder := &Builder{Report: &Report{}, methods: methods}
 	for range methods {
-		histogram := hdrhistogram.New(1, int64(maxLatency/time.Microsecond), latencyDigits)
+		histogram := hdrhistogram.New(1, int64(maxLatency/time.Microsecond), latencySignificantDigits)
 		builder.totals = append(builder.totals, methodTotals{latencies: histogram})
 	}
 	return builder
 }
 
-// Build returns the report on a trace whose records are in the order of time.
+// Build returns the report on a trace whose records are ordered by time.
 func Build(records []trace.Record, methods []invariant.Method) (*Report, error) {
 	builder := NewBuilder(methods)
 	for _, record := range records {
@@ -64,23 +64,23 @@
 	return builder.Finish(), nil
 }
 
-// Add adds a record. Records come roughly in the order of time. The error is that of a record of an unknown method, or of a
-// latency that is out of range.
+// Add adds a record. Records must be roughly ordered by time. It returns an error if the method is unknown or the latency is out of
+// range.
 func (b *Builder) Add(record trace.Record) error {
 	if !b.started {
 		b.started, b.start = true, record.Time
 	}
 	sinceStart := record.Time - b.start
-	b.length = max(b.length, sinceStart)
+	b.duration = max(b.duration, sinceStart)
 	second := max(0, int(sinceStart))
 	for len(b.Report.Seconds) <= second {
 		b.Report.Seconds = append(b.Report.Seconds, Second{})
 	}
-	figures := &b.Report.Seconds[second]
+	bucket := &b.Report.Seconds[second]
 	switch record.Kind {
 	case trace.PushSent:
-		figures.Pushes++
-		figures.Entries += int(record.Value)
+		bucket.Pushes++
+		bucket.Entries += int(record.Value)
 	case trace.FaultInjected:
 		b.Report.Faults = append(b.Report.Faults, Fault{From: sinceStart, To: sinceStart + record.Value, Text: record.Text})
 	case trace.BackendSampled:
@@ -88,39 +88,40 @@
 	case trace.ScheduleDelay:
 		b.Report.ScheduleLag.Observe(record.Value)
 	case trace.RPCFinished:
-		return b.addRPC(figures, record)
+		return b.addRPC(bucket, record)
 	}
 	return nil
 }
 
-func (b *Builder) addRPC(figures *Second, record trace.Record) error {
+// addRPC counts a finished RPC in the bucket of its second and in the totals of its method.
+func (b *Builder) addRPC(bucket *Second, record trace.Record) error {
 	if record.Method >= len(b.methods) {
-		return fmt.Errorf("a record of method %d, of %d", record.Method, len(b.methods))
+		return fmt.Errorf("record of method %d, but there are %d methods", record.Method, len(b.methods))
 	}
 	method, totals := b.methods[record.Method], &b.totals[record.Method]
-	figures.OfferedWeight += method.Criticality
+	bucket.OfferedWeight += method.Criticality
 	totals.offeredWeight += method.Criticality
 	switch record.Text {
 	case outcomeOK:
 		if err := totals.latencies.RecordValue(max(1, int64(record.Value*microsecondsPerSecond))); err != nil {
-			return fmt.Errorf("an answer after %v s: %w", record.Value, err)
+			return fmt.Errorf("record a latency of %v s: %w", record.Value, err)
 		}
 		if record.Value > method.SoftDeadline {
-			figures.Late++
+			bucket.Late++
 			return nil
 		}
-		figures.InTime++
-		figures.InTimeWeight += method.Criticality
+		bucket.InTime++
+		bucket.InTimeWeight += method.Criticality
 		totals.inTimeWeight += method.Criticality
 	case outcomeRejected:
-		figures.Rejected++
+		bucket.Rejected++
 	default:
-		figures.Aborted++
+		bucket.Aborted++
 	}
 	return nil
 }
 
-// addSample adds the state of a backend in a second. A record that is no sample is ignored.
+// addSample stores the state of a backend in a second. Records with an invalid backend or utilization are ignored.
 func (b *Builder) addSample(second int, record trace.Record) {
 	if b.Report.Fleet == nil {
 		b.Report.Fleet = &Fleet{SampleInterval: 1}
@@ -135,13 +136,13 @@
 		return
 	}
 	fleet.backends = max(fleet.backends, backend+1)
-	fleet.set(&fleet.Capacity, second, backend, record.Value)
-	fleet.set(&fleet.Utilization, second, backend, utilization)
-	fleet.set(&fleet.Queued, second, backend, float64(record.Count))
+	fleet.storeSample(&fleet.Capacity, second, backend, record.Value)
+	fleet.storeSample(&fleet.Utilization, second, backend, utilization)
+	fleet.storeSample(&fleet.Queued, second, backend, float64(record.Count))
 }
 
-// set stores a sample and adds rows and columns as needed.
-func (f *Fleet) set(rows *[][]float32, sample, backend int, value float64) {
+// storeSample sets the value of a backend in a sample, and adds rows and columns as needed.
+func (f *Fleet) storeSample(rows *[][]float32, sample, backend int, value float64) {
 	for len(*rows) <= sample {
 		*rows = append(*rows, make([]float32, f.backends))
 	}
@@ -152,23 +153,24 @@
 	(*row)[backend] = float32(value)
 }
 
-// Finish computes the figures of the whole run and returns the report.
+// Finish computes the totals of the whole run and returns the report.
 func (b *Builder) Finish() *Report {
 	for i := range b.Report.Faults {
-		b.Report.Faults[i].To = min(b.Report.Faults[i].To, b.length)
+		b.Report.Faults[i].To = min(b.Report.Faults[i].To, b.duration)
 	}
 	b.finishMethods()
 	b.Report.findWorstWindow()
 	return b.Report
 }
 
+// finishMethods computes the latencies of each method, the method with the lowest service, and the service of the whole run.
 func (b *Builder) finishMethods() {
 	report := b.Report
 	report.Latencies, report.WorstMethod, report.WorstMethodService = nil, "", math.Inf(1)
 	offered, inTime := 0.0, 0.0
 	for i, method := range b.methods {
 		totals := b.totals[i]
-		report.Latencies = append(report.Latencies, totals.latency(method.Name))
+		report.Latencies = append(report.Latencies, totals.latencyQuantiles(method.Name))
 		if totals.offeredWeight > 0 && totals.inTimeWeight/totals.offeredWeight < report.WorstMethodService {
 			report.WorstMethod, report.WorstMethodService = method.Name, totals.inTimeWeight/totals.offeredWeight
 		}
@@ -178,7 +180,8 @@
 	report.Service = serviceShare(inTime, offered)
 }
 
-func (t methodTotals) latency(method string) Latency {
+// latencyQuantiles returns the distribution of the latencies in seconds.
+func (t methodTotals) latencyQuantiles(method string) Latency {
 	quantile := func(percent float64) float64 {
 		return float64(t.latencies.ValueAtQuantile(percent)) / microsecondsPerSecond
 	}
@@ -188,11 +191,12 @@
 	}
 }
 
+// findWorstWindow finds the ten consecutive seconds with the lowest service.
 func (r *Report) findWorstWindow() {
 	r.WorstTenSeconds = 1
-	for start := 0; start+worstWindow <= len(r.Seconds); start++ {
+	for start := 0; start+worstWindowSeconds <= len(r.Seconds); start++ {
 		var sum Second
-		for _, second := range r.Seconds[start : start+worstWindow] {
+		for _, second := range r.Seconds[start : start+worstWindowSeconds] {
 			sum.OfferedWeight += second.OfferedWeight
 			sum.InTimeWeight += second.InTimeWeight
 		}
--- a/internal/report/lag.go
+++ b/internal/report/lag.go
@@ -1,22 +1,22 @@
 package report
 
-// MaxLag is how late, in seconds, an emulated backend or a load generator may do what was due before its figures are in doubt: a
-// fortieth of a soft deadline of 800 ms, which is less than the random variation of a mean wait.
+// MaxLag is the largest delay, in seconds, with which an emulated backend or a load generator may do what was due. A sample above it
+// counts as late. It is a fortieth of a soft deadline of 800 ms, which is less than the random variation of a mean waiting time.
 const MaxLag = 0.02
 
 const (
-	maxLateShare = 0.01 // of the samples, before the figures are invalid
-	maxStall     = 0.25 // seconds, before the figures are invalid
+	maxValidLateShare = 0.01 // share of the samples; above it, the results are invalid
+	maxValidLag       = 0.25 // seconds; above it, the results are invalid
 )
 
-// ScheduleLag is how far emulators and load generators fell behind real time.
+// ScheduleLag tells how far emulators and load generators fell behind schedule.
 type ScheduleLag struct {
-	Samples int     `json:"Looks"` // about one a second and process
+	Samples int     `json:"Looks"` // about one per second and process
 	Late    int     // samples with a lag above MaxLag
 	Max     float64 `json:"Worst"` // seconds
 }
 
-// Observe adds a sample: the largest lag, in seconds, since the last one.
+// Observe adds a sample: the largest lag, in seconds, since the previous sample.
 func (l *ScheduleLag) Observe(lag float64) {
 	l.Samples++
 	if lag > MaxLag {
@@ -32,9 +32,9 @@
 	l.Max = max(l.Max, other.Max)
 }
 
-// LateShare is the share of the samples with a lag above MaxLag.
+// LateShare returns the share of the samples with a lag above MaxLag.
 func (l ScheduleLag) LateShare() float64 { return float64(l.Late) / max(1, float64(l.Samples)) }
 
-// Invalid reports whether the emulation fell so far behind that the figures are its own, not the fleet's: more than one sample in
-// a hundred was late, or it once stalled for a quarter of a second.
-func (l ScheduleLag) Invalid() bool { return l.LateShare() > maxLateShare || l.Max > maxStall }
+// Invalid reports whether the emulation fell so far behind schedule that the results show the emulator rather than the fleet: more
+// than one sample in a hundred was late, or one lag was above a quarter of a second.
+func (l ScheduleLag) Invalid() bool { return l.LateShare() > maxValidLateShare || l.Max > maxValidLag }
--- a/internal/report/picture.go
+++ b/internal/report/picture.go
@@ -14,26 +14,27 @@
 )
 
 var (
-	green = color.RGBA{R: 46, G: 125, B: 50, A: 255}
-	amber = color.RGBA{R: 239, G: 140, B: 0, A: 255}
-	blue  = color.RGBA{R: 21, G: 101, B: 192, A: 255}
-	red   = color.RGBA{R: 198, G: 40, B: 40, A: 255}
-	shade = color.NRGBA{R: 198, G: 40, B: 40, A: 28}
+	green      = color.RGBA{R: 46, G: 125, B: 50, A: 255}
+	amber      = color.RGBA{R: 239, G: 140, B: 0, A: 255}
+	blue       = color.RGBA{R: 21, G: 101, B: 192, A: 255}
+	red        = color.RGBA{R: 198, G: 40, B: 40, A: 255}
+	faultShade = color.NRGBA{R: 198, G: 40, B: 40, A: 28}
 )
 
 const (
-	lineWidth     = 1.4  // points
-	headroom      = 1.25 // the top of an axis over the largest value
-	pictureWidth  = 12 * vg.Inch
-	panelHeight   = 3.25 * vg.Inch
-	panelPadding  = 8 // points
-	rightPadding  = 14
-	maxFaultParts = 300    // the run over this is the least width of a fault, so that a short one can be seen
-	textWidth     = 0.0085 // of a character, as a share of the run
+	lineWidth            = 1.4  // points
+	headroom             = 1.25 // ratio of an axis's maximum to the largest value
+	pictureWidth         = 12 * vg.Inch
+	panelHeight          = 3.25 * vg.Inch
+	panelPadding         = 8 // points
+	panelRightPadding    = 14
+	minFaultWidthDivisor = 300    // a fault is drawn at least as wide as the run divided by this, so that short faults are visible
+	characterWidth       = 0.0085 // approximate width of a character, as a share of the time axis
 )
 
-// WritePNG writes a picture of RPCs by second and how they ended, service by second, and pushes. Faults are shaded, and named in
-// the lowest panel. If backends were sampled, two panels show their capacity and their use.
+// WritePNG writes a picture with panels for the RPCs of each second by outcome, the service of each second, and pushes. Faults are
+// shaded in all of these, and named in the lowest panel. If backends were sampled, two more panels show their capacity and their
+// utilization.
 func (r *Report) WritePNG(out io.Writer, title string) error {
 	rpcs, err := r.rpcPanel(title)
 	if err != nil {
@@ -53,7 +54,7 @@
 	}
 	panels := []*plot.Plot{rpcs, service}
 	if r.Fleet != nil && len(r.Fleet.Utilization) > 0 {
-		r.Fleet.fillRows()
+		r.Fleet.padRows()
 		capacity, err := r.capacityPanel()
 		if err != nil {
 			return err
@@ -63,7 +64,7 @@
 	return writePanels(out, append(panels, pushes, faults))
 }
 
-// writePanels writes panels below each other, with their time axes aligned.
+// writePanels writes panels one below the other as a PNG, with their time axes aligned.
 func writePanels(out io.Writer, panels []*plot.Plot) error {
 	rows := make([][]*plot.Plot, 0, len(panels))
 	for _, panel := range panels {
@@ -74,7 +75,7 @@
 	padding := vg.Points(panelPadding)
 	tiles := draw.Tiles{
 		Rows: len(rows), Cols: 1, PadX: padding, PadY: padding, PadTop: padding, PadBottom: padding, PadLeft: padding,
-		PadRight: vg.Points(rightPadding),
+		PadRight: vg.Points(panelRightPadding),
 	}
 	canvases := plot.Align(rows, tiles, canvas)
 	for i := range rows {
@@ -84,36 +85,37 @@
 	return err
 }
 
-// newPanel returns a panel over the time of the run, with the faults shaded.
+// newPanel returns a panel whose x axis is the time of the run, with faults shaded. top is the maximum of the y axis.
 func (r *Report) newPanel(title, unit string, top float64) *plot.Plot {
-	length := float64(len(r.Seconds))
+	duration := float64(len(r.Seconds))
 	panel := plot.New()
 	panel.Title.Text, panel.Y.Label.Text = title, unit
-	panel.X.Min, panel.X.Max, panel.Y.Min, panel.Y.Max = 0, length, 0, top
+	panel.X.Min, panel.X.Max, panel.Y.Min, panel.Y.Max = 0, duration, 0, top
 	panel.Legend.Top, panel.Legend.Padding, panel.Legend.XOffs = true, vg.Points(2), vg.Points(-6)
 	panel.X.Tick.Marker = secondTicks{}
 	panel.Add(plotter.NewGrid())
 	for _, fault := range r.Faults {
-		to := max(fault.To, fault.From+length/maxFaultParts)
+		to := max(fault.To, fault.From+duration/minFaultWidthDivisor)
 		box, err := plotter.NewPolygon(plotter.XYs{{X: fault.From, Y: 0}, {X: to, Y: 0}, {X: to, Y: top}, {X: fault.From, Y: top}})
 		if err != nil {
-			continue // a fault whose time is not a number cannot be shaded
+			continue // a fault whose time is not a finite number can't be drawn
 		}
-		box.Color, box.Width = shade, 0
+		box.Color, box.Width = faultShade, 0
 		panel.Add(box)
 	}
 	return panel
 }
 
-// series is a line of a panel: a value of each second.
+// series is a line of a panel that shows a value of each second.
 type series struct {
 	name  string
 	color color.Color
 	value func(Second) float64
 }
 
-func (r *Report) addSeries(panel *plot.Plot, all ...series) error {
-	for _, s := range all {
+// addSeries draws lines in a panel and adds them to its legend.
+func (r *Report) addSeries(panel *plot.Plot, lines ...series) error {
+	for _, s := range lines {
 		points := make(plotter.XYs, len(r.Seconds))
 		for i, second := range r.Seconds {
 			points[i].X, points[i].Y = float64(i)+0.5, s.value(second)
@@ -125,6 +127,7 @@
 	return nil
 }
 
+// addLine draws a line in a panel and adds it to its legend.
 func addLine(panel *plot.Plot, name string, lineColor color.Color, points plotter.XYs) error {
 	line, err := plotter.NewLine(points)
 	if err != nil {
@@ -136,8 +139,8 @@
 	return nil
 }
 
-// top is the top of an axis for a value of each second.
-func (r *Report) top(value func(Second) float64) float64 {
+// axisTop returns the maximum of an axis that shows a value of each second.
+func (r *Report) axisTop(value func(Second) float64) float64 {
 	largest := 1.0
 	for _, second := range r.Seconds {
 		largest = max(largest, value(second))
@@ -146,8 +149,8 @@
 }
 
 func (r *Report) rpcPanel(title string) (*plot.Plot, error) {
-	top := r.top(func(s Second) float64 { return float64(s.InTime + s.Late + s.Rejected + s.Aborted) })
-	panel := r.newPanel(title+": RPCs by second, as they ended", "RPCs", top)
+	top := r.axisTop(func(s Second) float64 { return float64(s.InTime + s.Late + s.Rejected + s.Aborted) })
+	panel := r.newPanel(title+": RPCs per second by outcome", "RPCs", top)
 	return panel, r.addSeries(panel,
 		series{"ok in time", green, func(s Second) float64 { return float64(s.InTime) }},
 		series{"ok, late", amber, func(s Second) float64 { return float64(s.Late) }},
@@ -157,54 +160,54 @@
 }
 
 func (r *Report) servicePanel() (*plot.Plot, error) {
-	panel := r.newPanel("service by second", "share", headroom)
+	panel := r.newPanel("service per second", "share", headroom)
 	return panel, r.addSeries(panel, series{"service", green, Second.Service})
 }
 
 func (r *Report) pushPanel() (*plot.Plot, error) {
-	top := r.top(func(s Second) float64 { return float64(max(s.Entries, s.Pushes)) })
-	panel := r.newPanel("orders by second", "lines, messages", top)
+	top := r.axisTop(func(s Second) float64 { return float64(max(s.Entries, s.Pushes)) })
+	panel := r.newPanel("pushes per second", "entries, pushes", top)
 	return panel, r.addSeries(panel,
-		series{"lines", blue, func(s Second) float64 { return float64(s.Entries) }},
-		series{"messages", amber, func(s Second) float64 { return float64(s.Pushes) }},
+		series{"entries", blue, func(s Second) float64 { return float64(s.Entries) }},
+		series{"pushes", amber, func(s Second) float64 { return float64(s.Pushes) }},
 	)
 }
 
-// faultPanel names the faults, one below the other.
+// faultPanel returns a panel with the texts of the faults, one below the other.
 func (r *Report) faultPanel() (*plot.Plot, error) {
-	panel := r.newPanel("troubles", "", float64(len(r.Faults))+0.5)
+	panel := r.newPanel("faults", "", float64(len(r.Faults))+0.5)
 	panel.Y.Tick.Marker = plot.ConstantTicks(nil)
-	panel.X.Label.Text = "seconds of the day"
+	panel.X.Label.Text = "seconds since the start of the run"
 	if len(r.Faults) == 0 {
 		return panel, nil
 	}
-	length := float64(len(r.Seconds))
+	duration := float64(len(r.Seconds))
 	var names plotter.XYLabels
 	for i, fault := range r.Faults {
-		// A name that would run over the right edge begins further left.
-		x := min(fault.From, length*(1-textWidth*float64(len(fault.Text))))
+		// A text that would extend beyond the right edge starts further left.
+		x := min(fault.From, duration*(1-characterWidth*float64(len(fault.Text))))
 		names.XYs = append(names.XYs, plotter.XY{X: max(0, x), Y: float64(len(r.Faults)-i) - 0.6})
 		names.Labels = append(names.Labels, fault.Text)
 	}
 	labels, err := plotter.NewLabels(names)
 	if err != nil {
-		return nil, fmt.Errorf("draw the names of faults: %w", err)
+		return nil, fmt.Errorf("draw the texts of faults: %w", err)
 	}
 	panel.Add(labels)
 	return panel, nil
 }
 
-// maxTicks is the number of ticks on a time axis, about.
-const maxTicks = 12
+// maxTickIntervals limits the number of intervals between ticks on a time axis.
+const maxTickIntervals = 12
 
-// secondTicks puts ticks at round numbers of seconds.
+// secondTicks places ticks at multiples of a round number of seconds.
 type secondTicks struct{}
 
 // Ticks implements plot.Ticker.
 func (secondTicks) Ticks(from, to float64) (ticks []plot.Tick) {
 	step := 1.0
 	for _, longer := range []float64{2, 5, 10, 20, 30, 60, 120, 300, 600, 1800, 3600, 7200, 21600} {
-		if (to-from)/step <= maxTicks {
+		if (to-from)/step <= maxTickIntervals {
 			break
 		}
 		step = longer
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -1,5 +1,5 @@
-// Package report turns the trace of a run into figures by second, latencies by method, and a picture. JSON keys are those that
-// earlier versions wrote.
+// Package report computes statistics of a run from its trace: numbers for each second, latencies by method, and a picture. The JSON
+// keys are the names that earlier versions used, so that reports of all versions can be read in the same way.
 package report
 
 import (
@@ -7,22 +7,23 @@
 	"io"
 )
 
-// Second has what ended, and what was pushed, within one second of the run.
+// Second has the numbers of RPCs that ended and of pushes that were sent in one second of the run.
 type Second struct {
 	InTime        int
 	Late          int
 	Rejected      int `json:"PushedBack"`
 	Aborted       int
 	OfferedWeight float64 `json:"Asked"`    // criticality of the RPCs that ended
-	InTimeWeight  float64 `json:"Weighed"`  // criticality of those that were answered within the soft deadline
-	Pushes        int     `json:"Messages"` // to proxies
-	Entries       int     `json:"Lines"`    // table entries in them
+	InTimeWeight  float64 `json:"Weighed"`  // criticality of the RPCs that were answered within the soft deadline
+	Pushes        int     `json:"Messages"` // sent to proxies
+	Entries       int     `json:"Lines"`    // table entries in these pushes
 }
 
-// Service is the share of the criticality that ended that was answered within the soft deadline; 1 if nothing ended.
+// Service returns the criticality of RPCs answered within the soft deadline as a share of the criticality of all RPCs that ended, or
+// 1 if none ended.
 func (s Second) Service() float64 { return serviceShare(s.InTimeWeight, s.OfferedWeight) }
 
-// serviceShare is the weight answered in time as a share of the weight that ended; 1 if nothing ended.
+// serviceShare returns the weight answered in time as a share of the offered weight, or 1 if nothing was offered.
 func serviceShare(inTime, offered float64) float64 {
 	if offered == 0 {
 		return 1
@@ -33,10 +34,10 @@
 // Fault is a fault that the scenario injected.
 type Fault struct {
 	From, To float64 // seconds from the start of the run
-	Text     string  // as the scenario has it
+	Text     string  // the step of the scenario
 }
 
-// Latency is how long the successful RPCs of a method took, from when they were due.
+// Latency is the distribution of the latencies of a method's successful RPCs, counted from when an RPC was due to be sent.
 type Latency struct {
 	Method        string
 	Count         int64   `json:"N"`
@@ -44,49 +45,49 @@
 	Max           float64 `json:"Worst"` // seconds
 }
 
-// Fleet has the samples of what backends were able to do, and did. Samples are indexed by time and backend.
+// Fleet has samples of the backends' state, indexed by time and backend.
 type Fleet struct {
 	SampleInterval    float64     `json:"Step"`  // seconds
-	Capacity          [][]float32 `json:"Able"`  // RPCs a second that a backend could serve
+	Capacity          [][]float32 `json:"Able"`  // RPCs per second that a backend could serve
 	Utilization       [][]float32 `json:"Busy"`  // share of its cores in use
 	Queued            [][]float32 `json:"Waits"` // RPCs
-	AchievableService float64     `json:"Most"`  // the best service that the faults allowed; 0: unknown
+	AchievableService float64     `json:"Most"`  // upper bound of the service under the injected faults; 0 if unknown
 
-	backends int // the most that any sample has
+	backends int // number of columns of the widest sample
 }
 
-// Report has the figures of a run.
+// Report has the statistics of a run.
 type Report struct {
 	Seconds              []Second
 	Faults               []Fault `json:"Troubles"`
 	Latencies            []Latency
-	WorstTenSeconds      float64 `json:"Worst10"`   // service in the ten seconds with the least
-	WorstTenSecondsStart int     `json:"WorstAt"`   // the second that they begin with
-	WorstMethod          string  `json:"Poorest"`   // the method with the least service
+	WorstTenSeconds      float64 `json:"Worst10"`   // service in the ten consecutive seconds with the lowest
+	WorstTenSecondsStart int     `json:"WorstAt"`   // index of the first of these seconds
+	WorstMethod          string  `json:"Poorest"`   // the method with the lowest service
 	WorstMethodService   float64 `json:"PoorestBy"` // its service
-	Fleet                *Fleet  // nil: backends were not sampled
+	Fleet                *Fleet  // nil if backends were not sampled
 	Service              float64
 	ScheduleLag          ScheduleLag `json:"Behind"`
 }
 
 const millisecondsPerSecond = 1e3
 
-// WriteText writes the figures that a terminal shows.
+// WriteText writes a summary for the terminal.
 func (r *Report) WriteText(out io.Writer) {
 	if r.Fleet != nil && r.Fleet.AchievableService > 0 {
-		fmt.Fprintf(out, "service %.3f of %.3f that the servers' true state allowed\n", r.Service, r.Fleet.AchievableService)
+		fmt.Fprintf(out, "service %.3f, upper bound given the backends' actual state %.3f\n", r.Service, r.Fleet.AchievableService)
 	}
-	fmt.Fprintf(out, "poorest ten seconds from %d s: service %.3f; poorest method %s: %.3f\n",
+	fmt.Fprintf(out, "worst ten seconds from %d s: service %.3f; worst method %s: service %.3f\n",
 		r.WorstTenSecondsStart, r.WorstTenSeconds, r.WorstMethod, r.WorstMethodService)
 	if r.ScheduleLag.Max > 0 {
-		fmt.Fprintf(out, "emulation at most %.1f ms late, more than %.0f ms in %.2f%% of looks\n",
+		fmt.Fprintf(out, "emulation at most %.1f ms behind schedule, more than %.0f ms in %.2f%% of samples\n",
 			millisecondsPerSecond*r.ScheduleLag.Max, millisecondsPerSecond*MaxLag, 100*r.ScheduleLag.LateShare())
 	}
 	if r.ScheduleLag.Invalid() {
-		fmt.Fprintln(out, "VOID: the emulation fell behind; ask for less, or give it more cores")
+		fmt.Fprintln(out, "VOID: the emulation fell behind schedule; reduce the load or use more cores")
 	}
 	for _, latency := range r.Latencies {
-		fmt.Fprintf(out, "%s: %d ok, median %.0f ms, 90th %.0f, 99th %.0f, worst %.0f\n", latency.Method, latency.Count,
+		fmt.Fprintf(out, "%s: %d ok, median %.0f ms, 90th percentile %.0f, 99th %.0f, maximum %.0f\n", latency.Method, latency.Count,
 			millisecondsPerSecond*latency.P50, millisecondsPerSecond*latency.P90, millisecondsPerSecond*latency.P99, millisecondsPerSecond*latency.Max)
 	}
 }
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -14,14 +14,14 @@
 
 var testMethods = []invariant.Method{{Name: "read", Criticality: 1, SoftDeadline: 1}, {Name: "submit", Criticality: 2, SoftDeadline: 0.5}}
 
-// makeRecords returns a trace of 20 s with a fault from 5 s to 10 s, in which one method is answered late.
+// makeRecords returns a trace of 20 s with a fault from 5 s to 10 s, during which the method submit is answered late.
 func makeRecords() (records []trace.Record) {
 	const start = 100
 	for i := range 400 {
 		at := start + float64(i)/20
 		record := trace.Record{Time: at, Kind: trace.RPCFinished, Method: i % 2, Text: "ok", Value: 0.1}
 		if at >= start+5 && at < start+10 && i%2 == 1 {
-			record.Value = 0.7 // late for submit
+			record.Value = 0.7 // above the soft deadline of submit
 		}
 		records = append(records, record)
 		if i == 100 {
@@ -53,15 +53,15 @@
 		t.Errorf("latency %+v", l)
 	}
 	var text strings.Builder
-	if report.WriteText(&text); !strings.Contains(text.String(), "poorest method submit: 0.750") {
+	if report.WriteText(&text); !strings.Contains(text.String(), "worst method submit: service 0.750") {
 		t.Error(text.String())
 	}
 	if _, err := Build([]trace.Record{{Kind: trace.RPCFinished, Method: 2}}, testMethods); err == nil {
-		t.Error("an unknown method was accepted")
+		t.Error("a record of an unknown method was accepted")
 	}
 }
 
-// The JSON keys are those that earlier versions wrote.
+// TestJSONKeys guards against a change of the JSON keys, which are the names that earlier versions used.
 func TestJSONKeys(t *testing.T) {
 	report, err := Build([]trace.Record{
 		{Time: 1, Kind: trace.RPCFinished, Text: "ok", Value: 0.25},
@@ -100,7 +100,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	pixels := map[[3]uint32]int{} // by colour
+	pixels := map[[3]uint32]int{} // by color
 	for y := range picture.Bounds().Dy() {
 		for x := range picture.Bounds().Dx() {
 			r, g, b, _ := picture.At(x, y).RGBA()
@@ -108,6 +108,6 @@
 		}
 	}
 	if pixels[[3]uint32{46, 125, 50}] < 500 || len(pixels) < 10 {
-		t.Fatalf("hardly anything is drawn: %d colours", len(pixels))
+		t.Fatalf("the picture is almost empty: it has %d colors", len(pixels))
 	}
 }
