--- a/internal/experiment/execute.go
+++ b/internal/experiment/execute.go
@@ -13,67 +13,68 @@
 	"time"
 )
 
-// Progress is how far an execution is.
+// Progress tells how many runs of an execution are done, and how long the others will take.
 type Progress struct {
-	Done      int // runs, those that were there before among them
-	Total     int
-	Resumed   int // runs that were there before
-	Remaining time.Duration
+	Done      int           // runs, including resumed ones
+	Total     int           // runs of the plan
+	Resumed   int           // runs that were found in the file of finished runs
+	Remaining time.Duration // estimate
 }
 
-// job is a run that is to be played.
+// job identifies a run to be played.
 type job struct {
 	arm  Arm
 	seed uint64
 }
 
-// execution plays the runs of a plan that are not finished yet.
+// execution is an execution of the runs of a plan that are not finished yet.
 type execution struct {
-	plan       *Plan
-	commit     string
-	file       runsFile
-	start      time.Time
-	resumed    int
-	onProgress func(Progress)
-	fail       context.CancelCauseFunc
+	plan            *Plan
+	commit          string
+	runsFile        runsFile
+	start           time.Time
+	resumed         int
+	onProgress      func(Progress)
+	cancelWithCause context.CancelCauseFunc
 
-	mu   sync.Mutex     // guards file and runs
-	runs map[string]Run // finished, by runKey
+	mu   sync.Mutex     // guards runsFile and runs
+	runs map[string]Run // finished runs by runKey
 }
 
-// Execute plays the runs of a plan that are not among the finished runs in a directory, on a number of workers, and returns all
-// runs in the order of the plan. A run is in the file and synced before it counts, so that after a crash it is not played
-// again. onProgress is called after each run, by one worker at a time. The execution ends with the first error, or with the
-// context; the runs that are finished by then remain in the file.
+// Execute plays the runs of a plan on the given number of workers, except those in the file of finished runs in the directory dir,
+// and returns all runs in the order of the plan. Each run is written to the file and synced before it counts as finished, so that it
+// is not played again after a crash. commit identifies the program; runs of another one are not reused. onProgress is called after
+// each run, by one worker at a time. The execution ends with the first error or when the context is done; the runs that are finished
+// by then remain in the file.
 func (p *Plan) Execute(ctx context.Context, dir, commit string, workers int, onProgress func(Progress)) ([]Run, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, fmt.Errorf("make the folder for results: %w", err)
+		return nil, fmt.Errorf("create the results folder: %w", err)
 	}
 	file, err := os.OpenFile(filepath.Join(dir, RunsName), os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
-		return nil, fmt.Errorf("open the finished runs: %w", err)
+		return nil, fmt.Errorf("open the file of finished runs: %w", err)
 	}
-	defer func() { _ = file.Close() }() // each run was synced before it counted
-	runs, err := p.finished(file, commit)
+	defer func() { _ = file.Close() }() // an error does not matter: each run was synced when it was written
+	runs, err := p.readFinishedRuns(file, commit)
 	if err != nil {
 		return nil, err
 	}
-	inner, cancel := context.WithCancelCause(ctx)
+	workersCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	e := &execution{
-		plan: p, commit: commit, file: file, start: time.Now(), resumed: len(runs), onProgress: onProgress, fail: cancel, runs: runs,
+		plan: p, commit: commit, runsFile: file, start: time.Now(), resumed: len(runs), onProgress: onProgress, cancelWithCause: cancel, runs: runs,
 	}
-	e.playAll(inner, workers)
-	if err := context.Cause(inner); err != nil && (ctx.Err() == nil || !errors.Is(err, ctx.Err())) {
+	e.playAll(workersCtx, workers)
+	if err := context.Cause(workersCtx); err != nil && (ctx.Err() == nil || !errors.Is(err, ctx.Err())) {
 		return nil, err
 	}
 	if ctx.Err() != nil {
-		return nil, fmt.Errorf("ended after %d of %d runs; they are kept, and the same command goes on", len(runs), p.Runs())
+		return nil, fmt.Errorf("interrupted after %d of %d runs; finished runs are kept, and the same command continues with the others", len(runs), p.Runs())
 	}
-	return p.sorted(runs), nil
+	return p.sortRuns(runs), nil
 }
 
-// playAll plays what is not finished yet, and waits for all workers.
+// playAll plays the pending runs and waits for all workers.
 func (e *execution) playAll(ctx context.Context, workers int) {
 	pending := e.pending()
 	jobs := make(chan job)
@@ -98,8 +99,8 @@
 	}
 }
 
-// pending returns the runs that are not finished: all arms of a seed, then those of the next, so that an execution that ends
-// early has complete pairs.
+// pending returns the runs that are not finished: all arms of a seed, then those of the next, so that an execution that ends early
+// has runs of all arms for the same seeds, which can be compared.
 func (e *execution) pending() (jobs []job) {
 	arms := e.plan.Arms()
 	for i := range e.plan.Seeds {
@@ -113,37 +114,38 @@
 	return jobs
 }
 
+// play plays a run, appends it to the file and reports the progress. An error ends the execution.
 func (e *execution) play(next job) {
 	run, err := e.plan.Play(next.arm, next.seed)
 	if err != nil {
-		e.fail(fmt.Errorf("%s, seed %d: %w", e.plan.ArmTitle(next.arm), next.seed, err))
+		e.cancelWithCause(fmt.Errorf("%s, seed %d: %w", e.plan.ArmTitle(next.arm), next.seed, err))
 		return
 	}
 	run.Commit = e.commit
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := appendRun(e.file, run); err != nil {
-		e.fail(fmt.Errorf("write a finished run (%d are kept): %w", len(e.runs), err))
+	if err := appendRun(e.runsFile, run); err != nil {
+		e.cancelWithCause(fmt.Errorf("write a finished run (%d others are kept): %w", len(e.runs), err))
 		return
 	}
 	e.runs[runKey(run.Arm, run.Seed)] = run
 	e.onProgress(e.progress())
 }
 
-// progress expects each remaining run to take as long as those of this execution took.
+// progress returns the progress. It estimates the remaining time from the mean time per run in this execution. The caller must hold mu.
 func (e *execution) progress() Progress {
 	done, total := len(e.runs), e.plan.Runs()
-	perRun := float64(time.Since(e.start)) / float64(done-e.resumed)
-	return Progress{Done: done, Total: total, Resumed: e.resumed, Remaining: time.Duration(perRun * float64(total-done))}
+	nanosecondsPerRun := float64(time.Since(e.start)) / float64(done-e.resumed)
+	return Progress{Done: done, Total: total, Resumed: e.resumed, Remaining: time.Duration(nanosecondsPerRun * float64(total-done))}
 }
 
-// sorted returns runs by arm, in the order of the plan, and by seed.
-func (p *Plan) sorted(runs map[string]Run) []Run {
-	position := map[string]int{}
+// sortRuns returns runs ordered by arm, as in the plan, and then by seed.
+func (p *Plan) sortRuns(runs map[string]Run) []Run {
+	armPositions := map[string]int{}
 	for i, arm := range p.Arms() {
-		position[runKey(arm, 0)] = i
+		armPositions[runKey(arm, 0)] = i
 	}
 	return slices.SortedFunc(maps.Values(runs), func(a, b Run) int {
-		return cmp.Or(cmp.Compare(position[runKey(a.Arm, 0)], position[runKey(b.Arm, 0)]), cmp.Compare(a.Seed, b.Seed))
+		return cmp.Or(cmp.Compare(armPositions[runKey(a.Arm, 0)], armPositions[runKey(b.Arm, 0)]), cmp.Compare(a.Seed, b.Seed))
 	})
 }
--- a/internal/experiment/execute_test.go
+++ b/internal/experiment/execute_test.go
@@ -41,7 +41,7 @@
 	return string(data)
 }
 
-// The same plan gives the same runs and the same report, with one worker or four.
+// The report of a plan is the same with one worker and with four.
 func TestReportDoesNotDependOnWorkers(t *testing.T) {
 	plan := readPlan(t, smallPlan)
 	var reports []string
@@ -61,17 +61,17 @@
 	}
 }
 
-// The settings and the lines that a plan changes take effect.
+// The settings that a plan changes and the lines that it adds take effect in the scenario of an arm.
 func TestScenarioOfArm(t *testing.T) {
-	played, err := readPlan(t, smallPlan).Scenario(Arm{"2", "lottery"}, 9)
-	if err != nil || played.Coordinators != 2 || played.Seed != 9 || played.Settings.Values["pick"] != "lottery" || played.Duration != 12 {
-		t.Errorf("%+v %v", played, err)
+	armScenario, err := readPlan(t, smallPlan).Scenario(Arm{"2", "lottery"}, 9)
+	if err != nil || armScenario.Coordinators != 2 || armScenario.Seed != 9 || armScenario.Settings.Values["pick"] != "lottery" || armScenario.Duration != 12 {
+		t.Errorf("%+v %v", armScenario, err)
 	}
 }
 
-// interrupt executes a plan until five runs are done, truncates the last line of the file of finished runs, and returns how many
-// runs the file had before.
-func interrupt(t *testing.T, plan *Plan, dir string) (finished int) {
+// executeInterrupted executes a plan until five runs are done, then truncates the last line of the file of finished runs as a crash
+// might. It returns how many runs the file had before.
+func executeInterrupted(t *testing.T, plan *Plan, dir string) (finished int) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -80,7 +80,7 @@
 			cancel()
 		}
 	})
-	if err == nil || !strings.Contains(err.Error(), "they are kept") {
+	if err == nil || !strings.Contains(err.Error(), "finished runs are kept") {
 		t.Fatal(err)
 	}
 	lines := readFile(t, dir, RunsName)
@@ -94,8 +94,8 @@
 	return finished
 }
 
-// After a crash, finished runs are not played again, one whose line was truncated is, and the result is that of an execution
-// without a crash.
+// After a crash, finished runs are not played again, but a run whose line was truncated is. The result is that of an execution without
+// a crash. Runs of another plan or program are not reused.
 func TestExecuteResumes(t *testing.T) {
 	plan := readPlan(t, smallPlan)
 	uninterrupted, err := plan.Execute(context.Background(), t.TempDir(), "c", 2, func(Progress) {})
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	finished := interrupt(t, plan, dir)
+	finished := executeInterrupted(t, plan, dir)
 	resumed := -1
 	runs, err := plan.Execute(context.Background(), dir, "c", 2, func(progress Progress) {
 		if resumed < 0 {
@@ -124,7 +124,7 @@
 	}
 }
 
-// requireNoneFinished fails the test if runs in a file are taken for those of another plan or program.
+// requireNoneFinished fails the test if runs in a file are accepted as those of the given plan and program.
 func requireNoneFinished(t *testing.T, name string, plan *Plan, commit string) {
 	t.Helper()
 	file, err := os.OpenFile(name, os.O_RDWR, 0)
@@ -132,7 +132,7 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	if runs, err := plan.finished(file, commit); err != nil || len(runs) > 0 {
+	if runs, err := plan.readFinishedRuns(file, commit); err != nil || len(runs) > 0 {
 		t.Errorf("%d runs of another plan or program were accepted: %v", len(runs), err)
 	}
 }
--- a/internal/experiment/measures.go
+++ b/internal/experiment/measures.go
@@ -8,22 +8,22 @@
 	"gingerfork/internal/scenario"
 )
 
-// The signs of a measure.
+// Values of measure.sign.
 const (
 	moreIsBetter = 1
 	lessIsBetter = -1
 )
 
-const unitOfLimit = "of the limit"
+const unitShareOfLimit = "of the limit"
 
-// measure is a figure of a run.
+// measure computes a value that is reported for each run.
 type measure struct {
-	sign  float64 // moreIsBetter or lessIsBetter
-	unit  string
-	value func(played scenario.Result, figures *report.Report) float64
+	sign    float64 // moreIsBetter or lessIsBetter
+	unit    string
+	compute func(result scenario.Result, runReport *report.Report) float64
 }
 
-// measures are all measures by the names that plans use.
+// measures has all measures by the names that are used in plans.
 var measures = map[string]measure{
 	"service":  {moreIsBetter, "", func(r scenario.Result, _ *report.Report) float64 { return r.Report.Service.Share() }},
 	"worst10":  {moreIsBetter, "", func(_ scenario.Result, f *report.Report) float64 { return f.WorstTenSeconds }},
@@ -31,11 +31,11 @@
 	"lines":    {lessIsBetter, "", func(r scenario.Result, _ *report.Report) float64 { return float64(r.Report.Entries) }},
 	"tries":    {lessIsBetter, "", func(r scenario.Result, _ *report.Report) float64 { return float64(r.Report.Attempts) }},
 	"falls":    {lessIsBetter, "", func(r scenario.Result, _ *report.Report) float64 { return float64(r.Report.Collapses) }},
-	"margin":   {lessIsBetter, unitOfLimit, closest(1, 2, 3, 4, 5)},
-	"margin1":  {lessIsBetter, unitOfLimit, closest(1)},
-	"margin3":  {lessIsBetter, unitOfLimit, closest(3)},
-	"margin4":  {lessIsBetter, unitOfLimit, closest(4)},
-	"margin5":  {lessIsBetter, unitOfLimit, closest(5)},
+	"margin":   {lessIsBetter, unitShareOfLimit, closestToLimit(1, 2, 3, 4, 5)},
+	"margin1":  {lessIsBetter, unitShareOfLimit, closestToLimit(1)},
+	"margin3":  {lessIsBetter, unitShareOfLimit, closestToLimit(3)},
+	"margin4":  {lessIsBetter, unitShareOfLimit, closestToLimit(4)},
+	"margin5":  {lessIsBetter, unitShareOfLimit, closestToLimit(5)},
 	"latency-p50": {lessIsBetter, "ms", func(_ scenario.Result, f *report.Report) float64 {
 		return worstLatency(f, func(l report.Latency) float64 { return l.P50 })
 	}},
@@ -47,10 +47,11 @@
 // Measures returns the names of all measures, sorted.
 func Measures() []string { return slices.Sorted(maps.Keys(measures)) }
 
-// closest returns a function for how close a run came to the limit of one of the rules; 1 is at the limit.
-func closest(rules ...int) func(scenario.Result, *report.Report) float64 {
-	return func(played scenario.Result, _ *report.Report) (share float64) {
-		for _, rule := range played.Report.Rules {
+// closestToLimit returns a function that computes how close a run came to the limit of any of the rules, as a share of that limit;
+// from 1 on the limit was reached.
+func closestToLimit(rules ...int) func(scenario.Result, *report.Report) float64 {
+	return func(result scenario.Result, _ *report.Report) (share float64) {
+		for _, rule := range result.Report.Rules {
 			if slices.Contains(rules, rule.Rule) {
 				share = max(share, rule.Closest)
 			}
@@ -59,10 +60,10 @@
 	}
 }
 
-// worstLatency returns a latency of the method with the largest, in milliseconds.
-func worstLatency(figures *report.Report, quantile func(report.Latency) float64) (seconds float64) {
+// worstLatency returns the largest latency quantile among all methods, in milliseconds.
+func worstLatency(runReport *report.Report, quantile func(report.Latency) float64) (seconds float64) {
 	const millisecondsPerSecond = 1000
-	for _, latency := range figures.Latencies {
+	for _, latency := range runReport.Latencies {
 		seconds = max(seconds, quantile(latency))
 	}
 	return millisecondsPerSecond * seconds
--- a/internal/experiment/parse.go
+++ b/internal/experiment/parse.go
@@ -13,73 +13,76 @@
 	"gingerfork/internal/bootstrap"
 )
 
-// What a plan may ask for at most, and what it gets if it does not ask.
+// Defaults and limits of a plan.
 const (
 	defaultFirstSeed = 1
 	defaultSeeds     = 10
 	maxSeeds         = 1 << 20
 	maxRunsLimit     = 1 << 30
-	firstSeedBits    = 62
+	maxFirstSeedBits = 62
 	planSuffix       = ".plan"
 )
 
-var errSeedsSyntax = errors.New("seeds takes a number, and perhaps: from N")
+var errSeedsSyntax = errors.New("seeds takes a number, optionally followed by: from N")
 
-// parser reads the lines of a plan.
+// parser holds the state of reading a plan.
 type parser struct {
-	plan   *Plan
-	faults bootstrap.Faults
-	seen   map[string]bootstrap.Line // the first line that begins with a word
+	plan       *Plan
+	faults     bootstrap.Faults
+	firstLines map[string]bootstrap.Line // first line of each keyword
 }
 
-// Read reads a plan; files returns scenarios and settings by name. All faults are reported, and a plan is rejected if any of its
-// runs would be void: an arm without a valid scenario, a factor that nothing uses.
+// Read parses a plan; files returns scenario and settings files by name. It reports all faults. A plan is also rejected if runs would
+// be wasted: if an arm has no valid scenario, or if a factor is not used.
 func Read(file, text string, files func(string) ([]byte, error)) (*Plan, error) {
 	lines, faults := bootstrap.Lex(file, text)
-	reader := &parser{
+	planParser := &parser{
 		plan:   &Plan{FirstSeed: defaultFirstSeed, Seeds: defaultSeeds, MaxRuns: defaultMaxRuns, Text: text},
-		faults: faults, seen: map[string]bootstrap.Line{},
+		faults: faults, firstLines: map[string]bootstrap.Line{},
 	}
 	for _, line := range lines {
-		reader.parseLine(line)
+		planParser.parseLine(line)
 	}
-	reader.finish(file)
-	if len(reader.faults) > 0 {
-		reader.faults.Sort()
-		return nil, reader.faults
+	planParser.setDefaultsAndCheck(file)
+	if len(planParser.faults) > 0 {
+		planParser.faults.Sort()
+		return nil, planParser.faults
 	}
-	if err := reader.plan.checkArms(file, files); err != nil {
+	if err := planParser.plan.checkArms(file, files); err != nil {
 		return nil, err
 	}
-	return reader.plan, nil
+	return planParser.plan, nil
 }
 
-func (p *parser) fault(line bootstrap.Line, format string, args ...any) {
+// reportFault records a fault at a line.
+func (p *parser) reportFault(line bootstrap.Line, format string, args ...any) {
 	p.faults = append(p.faults, line.Fault(format, args...))
 }
 
+// parseLine checks that a line may occur here and parses it.
 func (p *parser) parseLine(line bootstrap.Line) {
 	keyword := line.Words[0]
 	repeatable := slices.Contains([]string{"factor", "set", "say"}, keyword)
-	if first, repeated := p.seen[keyword]; repeated && !repeatable {
-		p.fault(line, "%s stands here a second time, first at line %d", keyword, first.Number)
+	if first, repeated := p.firstLines[keyword]; repeated && !repeatable {
+		p.reportFault(line, "%s is repeated, first at line %d", keyword, first.Number)
 		return
 	}
-	p.seen[keyword] = line
+	p.firstLines[keyword] = line
 	if len(line.Words) < 2 {
-		p.fault(line, "%s needs a value", keyword)
+		p.reportFault(line, "%s needs a value", keyword)
 		return
 	}
 	if keyword == "set" && len(line.Words) < 4 {
-		p.fault(line, "set takes a section, a keyword and its value")
+		p.reportFault(line, "set takes a section, a keyword and its value")
 		return
 	}
 	if err := p.parseKeyword(line); err != nil {
-		p.fault(line, "%s: %v", keyword, err)
+		p.reportFault(line, "%s: %v", keyword, err)
 	}
 	p.markUsedFactors(line)
 }
 
+// parseKeyword parses the values of a line by its keyword.
 func (p *parser) parseKeyword(line bootstrap.Line) (err error) {
 	plan, value := p.plan, line.Words[1]
 	switch line.Words[0] {
@@ -100,42 +103,44 @@
 	case "say":
 		plan.additions = append(plan.additions, line)
 	case "scale":
-		plan.scale = value
+		plan.scaleFactor = value
 	case "load":
-		plan.load = value
+		plan.loadFactor = value
 	case "kills":
-		plan.kills = value
+		plan.coordinatorKills = value
 	default:
-		p.fault(line, "%s is no word of a plan: experiment, day, factor, seeds, most, measure, set, say, scale, load, kills", line.Words[0])
+		p.reportFault(line, "unknown keyword %s; a plan has: experiment, day, factor, seeds, most, measure, set, say, scale, load, kills", line.Words[0])
 	}
 	return err
 }
 
+// parseFactor parses: factor NAME VALUE...
 func (p *parser) parseFactor(line bootstrap.Line) {
 	words := line.Words
 	if len(words) < 3 {
-		p.fault(line, "a factor has a name and values")
+		p.reportFault(line, "factor needs a name and at least one value")
 		return
 	}
 	name, values := words[1], words[2:]
 	if slices.ContainsFunc(p.plan.Factors, func(factor Factor) bool { return factor.Name == name }) {
-		p.fault(line, "factor %s once more", name)
+		p.reportFault(line, "factor %s is defined twice", name)
 		return
 	}
 	for i, value := range values {
 		if slices.Contains(values[:i], value) {
-			p.fault(line, "factor %s has the value %s twice", name, value)
+			p.reportFault(line, "factor %s has the value %s twice", name, value)
 		}
 	}
 	p.plan.Factors = append(p.plan.Factors, Factor{Name: name, Values: values})
 }
 
+// parseSeeds parses: seeds COUNT [from FIRST]
 func (p *parser) parseSeeds(words []string) (err error) {
 	if p.plan.Seeds, err = bootstrap.ParseInteger(words[1], 1, maxSeeds); err != nil {
 		return err
 	}
 	if len(words) == 4 && words[2] == "from" {
-		p.plan.FirstSeed, err = strconv.ParseUint(words[3], 10, firstSeedBits)
+		p.plan.FirstSeed, err = strconv.ParseUint(words[3], 10, maxFirstSeedBits)
 		return err
 	}
 	if len(words) != 2 {
@@ -144,16 +149,18 @@
 	return nil
 }
 
+// parseMeasures parses: measure NAME...
 func (p *parser) parseMeasures(line bootstrap.Line) {
 	for _, name := range line.Words[1:] {
 		if _, known := measures[name]; !known {
-			p.fault(line, "%s can't be measured; what can: %s", name, strings.Join(Measures(), ", "))
+			p.reportFault(line, "unknown measure %s; known measures: %s", name, strings.Join(Measures(), ", "))
 			continue
 		}
 		p.plan.Measures = append(p.plan.Measures, name)
 	}
 }
 
+// markUsedFactors marks the factors whose placeholders occur in a line.
 func (p *parser) markUsedFactors(line bootstrap.Line) {
 	for i := range p.plan.Factors {
 		factor := &p.plan.Factors[i]
@@ -162,11 +169,11 @@
 	}
 }
 
-// finish fills in what the plan does not say, and checks the plan as a whole.
-func (p *parser) finish(file string) {
-	plan, whole := p.plan, bootstrap.Line{File: file, Number: 1}
+// setDefaultsAndCheck sets what the plan leaves out, and checks the plan as a whole.
+func (p *parser) setDefaultsAndCheck(file string) {
+	plan, firstLine := p.plan, bootstrap.Line{File: file, Number: 1}
 	if plan.ScenarioName == "" {
-		p.fault(whole, "it names no day (such as: day evening)")
+		p.reportFault(firstLine, "the plan names no scenario; add a line such as: day evening")
 	}
 	if plan.Name == "" {
 		plan.Name = strings.TrimSuffix(file, planSuffix)
@@ -176,16 +183,16 @@
 	}
 	for _, factor := range plan.Factors {
 		if !factor.used {
-			p.fault(whole, "nothing uses the factor %s (such as: say coordinators {%s}); it must stand before what uses it", factor.Name, factor.Name)
+			p.reportFault(firstLine, "factor %s is not used; define it before a line that uses it, such as: say coordinators {%s}", factor.Name, factor.Name)
 		}
 	}
 	if runs := plan.Runs(); runs > plan.MaxRuns && len(p.faults) == 0 {
-		p.fault(whole, "%d runs, %d at most: fewer values or seeds, or say most %d and wait", runs, plan.MaxRuns, runs)
+		p.reportFault(firstLine, "the plan has %d runs, but at most %d are allowed; use fewer values or seeds, or raise the limit with: most %d", runs, plan.MaxRuns, runs)
 	}
 }
 
-// checkArms makes the scenario of each arm, so that none fails later, and keeps the files that this reads: what was read is what
-// is played, and what the hash stands for.
+// checkArms creates the scenario of each arm, so that no run fails later because of its scenario. It keeps the content of the files
+// that it reads, so that exactly this content is played and hashed.
 func (p *Plan) checkArms(file string, files FileReader) error {
 	contents := map[string]string{}
 	p.readFile = func(name string) ([]byte, error) {
@@ -204,7 +211,7 @@
 		if data, known := contents[name]; known {
 			return []byte(data), nil
 		}
-		return nil, fmt.Errorf("%s was not there when the plan was read", name)
+		return nil, fmt.Errorf("%s was not read with the plan", name)
 	}
 	hash := xxhash.New()
 	fmt.Fprintf(hash, "%q", p.Text)
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -1,5 +1,6 @@
-// Package experiment plays a grid of scenarios in virtual time, each combination of the factors on the same seeds, and says what
-// differs: a plan, its runs, their statistics, and a page with plots. docs/model.md says how far to trust it.
+// Package experiment plays variants of a scenario in virtual time and compares them. A plan defines factors and their values; each
+// combination of values is an arm, and all arms are played on the same seeds. The results are statistics of the runs and a page with
+// plots. docs/model.md describes how far they can be trusted.
 package experiment
 
 import (
@@ -9,49 +10,50 @@
 	"gingerfork/internal/bootstrap"
 )
 
-// Factor is a setting that is tried at several values.
+// Factor is a parameter of the plan that takes several values.
 type Factor struct {
 	Name   string
 	Values []string
-	used   bool // a line of the plan refers to it
+	used   bool // whether a line of the plan refers to it
 }
 
-// FileReader returns the content of a scenario or of a settings file by its name.
+// FileReader returns the content of a scenario or settings file by its name.
 type FileReader func(name string) ([]byte, error)
 
-// Plan is what is to be played: a scenario and changes to it, for all combinations of the factors' values, on each seed.
+// Plan defines what is played: a scenario with changes, for each combination of the factors' values and each seed. Texts of the plan
+// may contain placeholders {FACTOR}.
 type Plan struct {
-	Name         string
-	ScenarioName string // the name of the scenario
-	Factors      []Factor
-	FirstSeed    uint64 // seed
-	Seeds        int
-	Measures     []string
-	MaxRuns      int // runs that the plan may have
-	Text         string
-	overrides    []bootstrap.Line // set SECTION KEYWORD VALUE...
-	additions    []bootstrap.Line // say WORD...: lines that are appended to the scenario
-	scale        string           // of the fleet's size
-	load         string           // of the front ends' rate
-	kills        string           // of coordinators, at random times
-	readFile     FileReader
-	hash         string
+	Name             string
+	ScenarioName     string // name of the scenario's file, with or without its suffix; may contain placeholders
+	Factors          []Factor
+	FirstSeed        uint64
+	Seeds            int // number of consecutive seeds
+	Measures         []string
+	MaxRuns          int              // limit of the number of runs
+	Text             string           // content of the plan's file
+	overrides        []bootstrap.Line // lines "set SECTION KEYWORD VALUE...", which change settings
+	additions        []bootstrap.Line // lines "say WORD...", whose words are appended to the scenario as lines
+	scaleFactor      string           // multiplier of the fleet's size; may be empty
+	loadFactor       string           // multiplier of the front ends' rate; may be empty
+	coordinatorKills string           // number of coordinator kills at random times; may be empty
+	readFile         FileReader
+	hash             string
 }
 
-// Arm is one combination of the factors' values, in the order of the factors.
+// Arm is a combination of the factors' values: one value for each factor, in the order of the factors.
 type Arm []string
 
-// defaultMaxRuns is how many runs a plan may have unless it says `most`: an hour or so.
+// defaultMaxRuns is the limit of the number of runs unless the plan has the keyword `most`. So many runs take about an hour.
 const defaultMaxRuns = 5000
 
-// tooManyRuns is where the number of runs is no longer counted.
-const tooManyRuns = 1 << 40
+// maxCountedRuns limits the result of Plan.Runs, so that it can't overflow.
+const maxCountedRuns = 1 << 40
 
-// Hash identifies what is played: the plan, and the scenarios and settings as they were when it was read. Results with another
-// hash are not taken for this plan's.
+// Hash returns a hash of the plan's text and of the scenario and settings files as they were when the plan was read. Runs with
+// another hash are not reused.
 func (p *Plan) Hash() string { return p.hash }
 
-// Arms returns all combinations; the values of the last factor change fastest. The first is the one that others are compared with.
+// Arms returns all arms; the value of the last factor changes fastest. The other arms are compared with the first one.
 func (p *Plan) Arms() []Arm {
 	arms := []Arm{{}}
 	for _, factor := range p.Factors {
@@ -70,26 +72,26 @@
 func (p *Plan) Runs() int {
 	runs := p.Seeds
 	for _, factor := range p.Factors {
-		if runs *= len(factor.Values); runs > tooManyRuns {
-			return tooManyRuns
+		if runs *= len(factor.Values); runs > maxCountedRuns {
+			return maxCountedRuns
 		}
 	}
 	return runs
 }
 
-// ArmTitle returns the name of an arm for people.
+// ArmTitle returns the name of an arm in reports and messages.
 func (p *Plan) ArmTitle(arm Arm) string {
 	values := make([]string, 0, len(p.Factors))
 	for i, factor := range p.Factors {
 		values = append(values, factor.Name+"="+arm[i])
 	}
 	if len(values) == 0 {
-		return "as it is"
+		return "no factors"
 	}
 	return strings.Join(values, " ")
 }
 
-// substitute puts the values of an arm in place of the factors' names in braces.
+// substitute replaces the placeholders in a word by the values of an arm.
 func (p *Plan) substitute(arm Arm, word string) string {
 	for i, factor := range p.Factors {
 		word = strings.ReplaceAll(word, placeholder(factor.Name), arm[i])
@@ -97,4 +99,5 @@
 	return word
 }
 
+// placeholder returns the text that stands for a factor's value in a plan.
 func placeholder(factor string) string { return "{" + factor + "}" }
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	plotWidth    = 16 * vg.Centimeter
-	plotHeight   = 10 * vg.Centimeter
-	legendHeight = 0.07 // of an entry, as a share of the axis
-	dotRadius    = 1    // points
+	plotWidth         = 16 * vg.Centimeter
+	plotHeight        = 10 * vg.Centimeter
+	legendEntryHeight = 0.07 // height of a legend entry, as a share of the y axis
+	dotRadius         = 1    // points
 )
 
-// curve is the line of one combination of all factors but the last.
+// curve has the points that are drawn for one combination of the values of all factors but the last.
 type curve struct {
-	name  string
-	means plotter.XYs
-	bars  plotter.YErrors // the intervals of the means
-	runs  plotter.XYs
+	name      string
+	means     plotter.XYs
+	intervals plotter.YErrors // intervals of the means
+	dots      plotter.XYs
 }
 
-// Plot draws a measure over the values of the last factor: a line for each combination of the others, each run as a dot, and the
-// interval of each mean as a bar.
+// Plot draws a measure by the values of the last factor, with a line through the means for each combination of the other factors'
+// values, a dot for each run, and the interval of each mean as an error bar. file is the path of the picture.
 func (p *Plan) Plot(file, name string, runs []Run) error {
 	picture := plot.New()
 	picture.Title.Text = p.Name + ": " + name
@@ -42,12 +42,12 @@
 		}
 	}
 	picture.Legend.Top, picture.Legend.Left = true, true
-	picture.Y.Max += legendHeight * float64(len(curves)) * (picture.Y.Max - picture.Y.Min) // room for the legend
+	picture.Y.Max += legendEntryHeight * float64(len(curves)) * (picture.Y.Max - picture.Y.Min) // space for the legend
 	return picture.Save(plotWidth, plotHeight, file)
 }
 
-// addAxis labels the axis of the last factor and returns where each of its values lies: at its number if all values are numbers,
-// else at its position.
+// addAxis labels the x axis with the last factor and returns the position of each of its values. If all values are numbers, possibly
+// with a unit, these are the positions; otherwise the values are spaced evenly.
 func (p *Plan) addAxis(picture *plot.Plot) map[string]float64 {
 	if len(p.Factors) == 0 {
 		return nil
@@ -56,7 +56,7 @@
 	picture.X.Label.Text = factor.Name
 	positions := map[string]float64{}
 	for _, value := range factor.Values {
-		number, err := strconv.ParseFloat(strings.TrimRight(value, "%smx"), 64) // percent, seconds, milliseconds, times
+		number, err := strconv.ParseFloat(strings.TrimRight(value, "%smx"), 64) // units: percent, seconds, milliseconds, multiples (x)
 		if err != nil {
 			return nominalAxis(picture, factor.Values)
 		}
@@ -65,6 +65,7 @@
 	return positions
 }
 
+// nominalAxis labels the x axis with values that are not numbers, and returns their positions.
 func nominalAxis(picture *plot.Plot, values []string) map[string]float64 {
 	positions := map[string]float64{}
 	for i, value := range values {
@@ -74,10 +75,10 @@
 	return positions
 }
 
-// curves returns the curves of a measure in the order in which arms come first.
+// curves returns the curves of a measure, ordered by their first arm. positions has the x position of each value of the last factor.
 func (p *Plan) curves(name string, runs []Run, positions map[string]float64) (curves []*curve) {
 	byName := map[string]*curve{}
-	find := func(arm Arm) *curve {
+	findOrAdd := func(arm Arm) *curve {
 		title := p.curveName(arm)
 		if byName[title] == nil {
 			byName[title] = &curve{name: title}
@@ -93,17 +94,17 @@
 	}
 	for _, row := range p.Rows(runs) {
 		if row.Measure == name && row.Mean.Count > 0 {
-			find(row.Arm).addMean(position(row.Arm), row.Mean)
+			findOrAdd(row.Arm).addMean(position(row.Arm), row.Mean)
 		}
 	}
 	for _, run := range runs {
-		c := find(run.Arm)
-		c.runs = append(c.runs, plotter.XY{X: position(run.Arm), Y: run.Figures[name]})
+		c := findOrAdd(run.Arm)
+		c.dots = append(c.dots, plotter.XY{X: position(run.Arm), Y: run.Figures[name]})
 	}
 	return curves
 }
 
-// curveName names the values of all factors but the last.
+// curveName returns the names and values of all factors but the last.
 func (p *Plan) curveName(arm Arm) string {
 	others := max(len(p.Factors)-1, 0)
 	values := make([]string, 0, others)
@@ -113,37 +114,38 @@
 	return strings.Join(values, " ")
 }
 
+// addMean adds a mean and its interval at an x position. An infinite interval is not drawn.
 func (c *curve) addMean(x float64, mean Estimate) {
 	c.means = append(c.means, plotter.XY{X: x, Y: mean.Mean})
 	low, high := mean.Mean-mean.Low, mean.High-mean.Mean
 	if math.IsInf(low, 0) || math.IsInf(high, 0) {
 		low, high = 0, 0
 	}
-	c.bars = append(c.bars, struct{ Low, High float64 }{low, high})
+	c.intervals = append(c.intervals, struct{ Low, High float64 }{low, high})
 }
 
-// draw adds a curve to a picture; its position among the curves gives its colour.
-func (c *curve) draw(picture *plot.Plot, position int) error {
-	lineColor := plotutil.Color(position)
+// draw draws a curve. index is its position among the curves, which determines its color.
+func (c *curve) draw(picture *plot.Plot, index int) error {
+	lineColor := plotutil.Color(index)
 	line, points, err := plotter.NewLinePoints(c.means)
 	if err != nil {
 		return err
 	}
 	line.Color, points.Color, points.Shape = lineColor, lineColor, draw.CircleGlyph{}
-	bars, err := plotter.NewYErrorBars(struct {
+	errorBars, err := plotter.NewYErrorBars(struct {
 		plotter.XYs
 		plotter.YErrors
-	}{c.means, c.bars})
+	}{c.means, c.intervals})
 	if err != nil {
 		return err
 	}
-	bars.Color = lineColor
-	dots, err := plotter.NewScatter(c.runs)
+	errorBars.Color = lineColor
+	dots, err := plotter.NewScatter(c.dots)
 	if err != nil {
 		return err
 	}
 	dots.Color, dots.Radius, dots.Shape = lineColor, vg.Points(dotRadius), draw.CircleGlyph{}
-	picture.Add(dots, line, points, bars)
+	picture.Add(dots, line, points, errorBars)
 	if c.name != "" {
 		picture.Legend.Add(c.name, line)
 	}
--- a/internal/experiment/rows.go
+++ b/internal/experiment/rows.go
@@ -1,36 +1,36 @@
 package experiment
 
-// Row has what a measure shows of an arm.
+// Row has the statistics of one measure for one arm.
 type Row struct {
 	Arm                Arm
 	Measure            string
 	Mean               Estimate
 	Difference         Estimate // from the first arm, paired by seed
 	Verdict            string   // empty for the first arm
-	SeedsNeeded        int      // for a verdict; 0: there is one, or there is no difference
+	SeedsNeeded        int      // estimate of the seeds needed for a clear verdict; 0 if the verdict is clear or the mean difference is 0
 	RunsWithViolations int      // runs in which a rule was violated
 }
 
-// Rows computes the statistics of runs: arm by arm, each measure of it.
+// Rows computes the statistics of runs, a row for each arm and measure, in the order of the plan.
 func (p *Plan) Rows(runs []Run) (rows []Row) {
-	bySeed := map[string]map[uint64]Run{} // by runKey with seed 0
+	runsByArm := map[string]map[uint64]Run{} // by runKey with seed 0, then by seed
 	for _, run := range runs {
 		arm := runKey(run.Arm, 0)
-		if bySeed[arm] == nil {
-			bySeed[arm] = map[uint64]Run{}
+		if runsByArm[arm] == nil {
+			runsByArm[arm] = map[uint64]Run{}
 		}
-		bySeed[arm][run.Seed] = run
+		runsByArm[arm][run.Seed] = run
 	}
 	arms := p.Arms()
-	first := bySeed[runKey(arms[0], 0)]
+	firstArmRuns := runsByArm[runKey(arms[0], 0)]
 	for i, arm := range arms {
 		for _, name := range p.Measures {
-			own := bySeed[runKey(arm, 0)]
+			armRuns := runsByArm[runKey(arm, 0)]
 			if i == 0 {
-				rows = append(rows, p.row(arm, name, own, nil))
+				rows = append(rows, p.computeRow(arm, name, armRuns, nil))
 				continue
 			}
-			row := p.row(arm, name, own, first)
+			row := p.computeRow(arm, name, armRuns, firstArmRuns)
 			row.Verdict, row.SeedsNeeded = Verdict(row.Difference, measures[name].sign)
 			rows = append(rows, row)
 		}
@@ -38,23 +38,23 @@
 	return rows
 }
 
-// row computes a row from the runs of an arm, and those that it is compared with, by seed.
-func (p *Plan) row(arm Arm, name string, own, base map[uint64]Run) Row {
+// computeRow computes a row from the runs of an arm and those of the first arm, each by seed. firstArmRuns is nil for the first arm.
+func (p *Plan) computeRow(arm Arm, name string, armRuns, firstArmRuns map[uint64]Run) Row {
 	row := Row{Arm: arm, Measure: name}
-	var figures, differences []float64
+	var values, differences []float64
 	for i := range p.Seeds {
-		run, finished := own[p.FirstSeed+uint64(i)]
+		run, finished := armRuns[p.FirstSeed+uint64(i)]
 		if !finished {
 			continue
 		}
-		figures = append(figures, run.Figures[name])
+		values = append(values, run.Figures[name])
 		if len(run.ViolatedRules) > 0 {
 			row.RunsWithViolations++
 		}
-		if pair, finished := base[run.Seed]; finished {
-			differences = append(differences, run.Figures[name]-pair.Figures[name])
+		if firstArmRun, finished := firstArmRuns[run.Seed]; finished {
+			differences = append(differences, run.Figures[name]-firstArmRun.Figures[name])
 		}
 	}
-	row.Mean, row.Difference = Bootstrap(figures), Bootstrap(differences)
+	row.Mean, row.Difference = Bootstrap(values), Bootstrap(differences)
 	return row
 }
--- a/internal/experiment/runsfile.go
+++ b/internal/experiment/runsfile.go
@@ -9,30 +9,30 @@
 	"os"
 )
 
-// RunsName is the name of the file of finished runs: a JSON line for each, in the order in which they finished.
+// RunsName is the name of the file of finished runs. It has a line of JSON for each run, in the order in which the runs finished.
 const RunsName = "runs.jsonl"
 
 const maxRunBytes = 1 << 20
 
-// runKey identifies a run within a plan.
+// runKey returns a key that identifies a run within a plan.
 func runKey(arm Arm, seed uint64) string { return fmt.Sprintf("%q %d", []string(arm), seed) }
 
-// finished reads the finished runs of this plan and program, by runKey. A last line that a crash truncated is removed, so that
-// the next run has a line of its own.
-func (p *Plan) finished(file *os.File, commit string) (map[string]Run, error) {
+// readFinishedRuns reads the finished runs of this plan and this version of the program, by runKey. A last line that was left incomplete
+// by a crash is removed from the file, so that the next run starts on a new line.
+func (p *Plan) readFinishedRuns(file *os.File, commit string) (map[string]Run, error) {
 	data, err := io.ReadAll(file)
 	if err != nil {
 		return nil, fmt.Errorf("read the finished runs: %w", err)
 	}
-	complete := bytes.LastIndexByte(data, '\n') + 1
-	if err := file.Truncate(int64(complete)); err != nil {
-		return nil, fmt.Errorf("cut the finished runs' last line: %w", err)
+	completeBytes := bytes.LastIndexByte(data, '\n') + 1
+	if err := file.Truncate(int64(completeBytes)); err != nil {
+		return nil, fmt.Errorf("remove the incomplete last line of the finished runs: %w", err)
 	}
-	if _, err := file.Seek(int64(complete), io.SeekStart); err != nil {
+	if _, err := file.Seek(int64(completeBytes), io.SeekStart); err != nil {
 		return nil, fmt.Errorf("read the finished runs: %w", err)
 	}
 	runs := map[string]Run{}
-	lines := bufio.NewScanner(bytes.NewReader(data[:complete]))
+	lines := bufio.NewScanner(bytes.NewReader(data[:completeBytes]))
 	lines.Buffer(nil, maxRunBytes)
 	for number := 1; lines.Scan(); number++ {
 		var run Run
@@ -46,14 +46,14 @@
 	return runs, lines.Err()
 }
 
-// runsFile is what finished runs are appended to.
+// runsFile is the file of finished runs, as far as appendRun needs it.
 type runsFile interface {
 	io.WriteSeeker
 	Sync() error
 	Truncate(size int64) error
 }
 
-// appendRun appends a run to the file and syncs it. If this fails, what was written of it is removed again.
+// appendRun appends a run to the file and syncs it. If this fails, it removes what was written.
 func appendRun(file runsFile, run Run) error {
 	line, err := json.Marshal(run)
 	if err != nil {
@@ -67,7 +67,7 @@
 		err = file.Sync()
 	}
 	if err != nil {
-		// The first error is the one to report; what cannot be removed is removed as a truncated line when the file is read.
+		// Errors here are ignored, because the first error is returned, and an incomplete line is removed when the file is next read.
 		_ = file.Truncate(offset)
 		_, _ = file.Seek(offset, io.SeekStart)
 	}
--- a/internal/experiment/runsfile_test.go
+++ b/internal/experiment/runsfile_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// fullDisk is a file on a disk with room for a number of bytes.
+// fullDisk is a file on a disk that holds at most capacity bytes.
 type fullDisk struct {
 	data     []byte
 	offset   int64
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// When the disk is full, the file has the runs that were appended, and nothing of the one that failed.
+// If a run can't be appended because the disk is full, the file still ends with the last complete line.
 func TestAppendRunOnFullDisk(t *testing.T) {
 	disk := &fullDisk{capacity: 400}
 	appended := 0
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -11,54 +11,54 @@
 )
 
 const (
-	scenarioSuffix     = ".day"
-	maxKills           = 100000
-	settingIndentation = "    "
+	scenarioSuffix = ".day"
+	maxKills       = 100000
+	settingIndent  = "    "
 )
 
-// Scenario returns the scenario that an arm plays on a seed.
+// Scenario returns the scenario that is played for an arm and a seed.
 func (p *Plan) Scenario(arm Arm, seed uint64) (*scenario.Scenario, error) {
 	name := p.substitute(arm, p.ScenarioName)
 	text, err := p.scenarioText(arm, name)
 	if err != nil {
 		return nil, err
 	}
-	played, err := scenario.Read(name, text, func(file string) ([]byte, error) {
+	armScenario, err := scenario.Read(name, text, func(file string) ([]byte, error) {
 		settings, err := p.readFile(file)
 		if err != nil {
 			return nil, err
 		}
-		return p.override(arm, string(settings))
+		return p.overrideSettings(arm, string(settings))
 	})
 	if err != nil {
 		return nil, err
 	}
-	played.Seed = seed
-	if err := p.adjust(arm, played); err != nil {
+	armScenario.Seed = seed
+	if err := p.adjustFleet(arm, armScenario); err != nil {
 		return nil, err
 	}
-	return played, nil
+	return armScenario, nil
 }
 
-// scenarioText returns the text of a scenario with the plan's additions.
+// scenarioText returns the text of a scenario, found with or without its suffix, with the lines that the plan adds.
 func (p *Plan) scenarioText(arm Arm, name string) (string, error) {
 	base, err := p.readFile(name + scenarioSuffix)
 	if err != nil {
 		if base, err = p.readFile(name); err != nil {
-			return "", fmt.Errorf("day %s: %w", name, err)
+			return "", fmt.Errorf("scenario %s: %w", name, err)
 		}
 	}
 	var text strings.Builder
 	text.Write(base)
 	for _, line := range p.additions {
-		text.WriteString("\n" + strings.Join(p.quoted(arm, line.Words[1:]), " "))
+		text.WriteString("\n" + strings.Join(p.substituteAndQuote(arm, line.Words[1:]), " "))
 	}
 	text.WriteString("\n")
 	return text.String(), nil
 }
 
-// quoted returns words with the values of an arm, quoted as a file needs it.
-func (p *Plan) quoted(arm Arm, words []string) []string {
+// substituteAndQuote replaces placeholders in words by the values of an arm, and quotes the words as files require.
+func (p *Plan) substituteAndQuote(arm Arm, words []string) []string {
 	quoted := make([]string, 0, len(words))
 	for _, word := range words {
 		quoted = append(quoted, bootstrap.Quote(p.substitute(arm, word)))
@@ -66,46 +66,48 @@
 	return quoted
 }
 
-// adjust changes what the plan says of the fleet's size, its load and coordinator kills.
-func (p *Plan) adjust(arm Arm, played *scenario.Scenario) error {
-	scale, err := p.factor(arm, p.scale)
+// adjustFleet applies the plan's fleet size, load and coordinator kills to a scenario.
+func (p *Plan) adjustFleet(arm Arm, armScenario *scenario.Scenario) error {
+	sizeMultiplier, err := p.parseMultiplier(arm, p.scaleFactor)
 	if err != nil {
 		return err
 	}
-	load, err := p.factor(arm, p.load)
+	loadMultiplier, err := p.parseMultiplier(arm, p.loadFactor)
 	if err != nil {
 		return err
 	}
 	kills := 0
-	if p.kills != "" {
-		if kills, err = bootstrap.ParseInteger(p.substitute(arm, p.kills), 0, maxKills); err != nil {
+	if p.coordinatorKills != "" {
+		if kills, err = bootstrap.ParseInteger(p.substitute(arm, p.coordinatorKills), 0, maxKills); err != nil {
 			return err
 		}
 	}
-	if scale != 1 {
-		played.Scale(scale)
+	if sizeMultiplier != 1 {
+		armScenario.Scale(sizeMultiplier)
 	}
-	for i := range played.Proxies {
-		played.Proxies[i].Rate *= load
+	for i := range armScenario.Proxies {
+		armScenario.Proxies[i].Rate *= loadMultiplier
 	}
-	played.AddCoordinatorKills(kills)
+	armScenario.AddCoordinatorKills(kills)
 	return nil
 }
 
-// factor parses a factor above 0, as a number or in percent, which may be above 100%; 1 if there is no text.
-func (p *Plan) factor(arm Arm, text string) (float64, error) {
+// parseMultiplier parses a multiplier after substituting the values of an arm. It must be above 0 and may be a number or a percentage,
+// also above 100%. An empty text means 1.
+func (p *Plan) parseMultiplier(arm Arm, text string) (float64, error) {
 	if text == "" {
 		return 1, nil
 	}
 	text = p.substitute(arm, text)
-	value, err := parseFactorValue(text)
+	value, err := parseNumberOrPercent(text)
 	if err != nil || value <= 0 {
-		return 0, fmt.Errorf("%q is no number above 0", text)
+		return 0, fmt.Errorf("%q is not a number above 0", text)
 	}
 	return value, nil
 }
 
-func parseFactorValue(text string) (float64, error) {
+// parseNumberOrPercent parses a number, or a percentage as a share.
+func parseNumberOrPercent(text string) (float64, error) {
 	percent, ok := strings.CutSuffix(text, "%")
 	if !ok {
 		return bootstrap.ParseNumber(text)
@@ -113,32 +115,33 @@
 	if share, err := bootstrap.ParseShare(text); err == nil {
 		return share, nil
 	}
-	value, err := strconv.ParseFloat(percent, 64) // above 100%
+	value, err := strconv.ParseFloat(percent, 64) // ParseShare rejects shares above 100%
 	return value / 100, err
 }
 
-// override returns a settings file with the plan's settings in place of its own.
-func (p *Plan) override(arm Arm, text string) ([]byte, error) {
+// overrideSettings returns the text of a settings file with the plan's settings in place of its own. A setting that the file does not
+// have is added at the start of its section.
+func (p *Plan) overrideSettings(arm Arm, text string) ([]byte, error) {
 	lines := strings.Split(text, "\n")
 	for _, line := range p.overrides {
 		section, keyword := line.Words[1], line.Words[2]
-		setting := settingIndentation + strings.Join(p.quoted(arm, line.Words[2:]), " ")
-		head, found := overrideSetting(lines, section, keyword, setting)
+		setting := settingIndent + strings.Join(p.substituteAndQuote(arm, line.Words[2:]), " ")
+		sectionStart, found := overrideSetting(lines, section, keyword, setting)
 		if found {
 			continue
 		}
-		if head < 0 {
+		if sectionStart < 0 {
 			return nil, fmt.Errorf("set %s %s: the settings have no such section", section, keyword)
 		}
-		lines = slices.Insert(lines, head+1, setting)
+		lines = slices.Insert(lines, sectionStart+1, setting)
 	}
 	return []byte(strings.Join(lines, "\n")), nil
 }
 
-// overrideSetting replaces a setting wherever it stands in a section. If it stands nowhere, found is false, and head is the
-// position of the section's first line, -1 if there is no such section.
-func overrideSetting(lines []string, section, keyword, setting string) (head int, found bool) {
-	head = -1
+// overrideSetting replaces each occurrence of a setting in a section and in sections of the same name. If there is no occurrence,
+// found is false and sectionStart is the index of the section's first line, or -1 if there is no such section.
+func overrideSetting(lines []string, section, keyword, setting string) (sectionStart int, found bool) {
+	sectionStart = -1
 	inSection := false
 	for i, line := range lines {
 		words := strings.Fields(line)
@@ -146,10 +149,10 @@
 			continue
 		}
 		if bootstrap.IsSection(words[0]) {
-			// The section of a method is named method:NAME; method alone stands for each of them.
+			// A plan refers to the section "method NAME" as method:NAME, and to the sections of all methods as method.
 			inSection = words[0] == section || len(words) > 1 && words[0]+":"+words[1] == section
-			if inSection && head < 0 {
-				head = i
+			if inSection && sectionStart < 0 {
+				sectionStart = i
 			}
 			continue
 		}
@@ -157,5 +160,5 @@
 			lines[i], found = setting, true
 		}
 	}
-	return head, found
+	return sectionStart, found
 }
--- a/internal/experiment/statistics.go
+++ b/internal/experiment/statistics.go
@@ -6,32 +6,32 @@
 	"slices"
 )
 
-// Estimate is a mean with the interval that holds the true mean in about 95 of 100 experiments.
+// Estimate is the mean of a sample with its 95% confidence interval, which contains the true mean in about 95 of 100 experiments.
 type Estimate struct {
 	Count     int
 	Mean      float64
-	Low, High float64 // the interval; infinite if there are too few figures
-	Deviation float64 // the sample's standard deviation
+	Low, High float64 // the interval; infinite if there is only one value
+	Deviation float64 // standard deviation of the sample
 }
 
 const (
-	resamples       = 2000
-	minResampled    = 10  // figures; below, Student's interval is taken
-	minValidShare   = 0.9 // of the resamples whose figures differ; below, Student's interval is taken
-	lowerPercentile = 0.025
-	upperPercentile = 0.975
-	normalQuantile  = 1.959964 // the 97.5th percentile of the normal distribution
+	resampleCount         = 2000
+	minBootstrapSamples   = 10  // with fewer values, Student's interval is used
+	minValidResampleShare = 0.9 // with a smaller share of resamples that contain different values, Student's interval is used
+	lowerQuantile         = 0.025
+	upperQuantile         = 0.975
+	normalQuantile        = 1.959964 // the 97.5th percentile of the normal distribution
 )
 
-// Bootstrap estimates a mean by the studentized bootstrap: the interval is taken from how far the means of resamples lie from
-// the sample's, each in units of its own standard error, which suits skewed figures better than plain percentiles. The random
-// numbers are always the same, so that the same figures give the same interval.
-func Bootstrap(figures []float64) Estimate {
-	estimate := Estimate{Count: len(figures)}
+// Bootstrap estimates a mean by the studentized bootstrap: the interval is computed from the deviations of the means of resamples
+// from the sample's mean, each in units of its own standard error. For skewed values this is more accurate than percentiles of the
+// resampled means. The random numbers are always the same, so that the same values give the same interval.
+func Bootstrap(values []float64) Estimate {
+	estimate := Estimate{Count: len(values)}
 	if estimate.Count == 0 {
 		return estimate
 	}
-	estimate.Mean, estimate.Deviation = meanAndDeviation(figures)
+	estimate.Mean, estimate.Deviation = meanAndDeviation(values)
 	if estimate.Count < 2 {
 		estimate.Low, estimate.High = math.Inf(-1), math.Inf(1)
 		return estimate
@@ -41,67 +41,68 @@
 		return estimate
 	}
 	standardError := estimate.Deviation / math.Sqrt(float64(estimate.Count))
-	half := student(estimate.Count-1) * standardError
-	estimate.Low, estimate.High = estimate.Mean-half, estimate.Mean+half
-	if estimate.Count < minResampled {
-		return estimate // a resample of so few is often all one value, which has no standard error
+	halfWidth := studentQuantile(estimate.Count-1) * standardError
+	estimate.Low, estimate.High = estimate.Mean-halfWidth, estimate.Mean+halfWidth
+	if estimate.Count < minBootstrapSamples {
+		return estimate // resamples of so few values are often constant, and then have no standard error
 	}
-	scores := resample(figures, estimate.Mean)
-	if float64(len(scores)) < resamples*minValidShare {
-		return estimate // few figures differ at all
+	scores := bootstrapScores(values, estimate.Mean)
+	if float64(len(scores)) < resampleCount*minValidResampleShare {
+		return estimate // almost all values are equal
 	}
 	slices.Sort(scores)
-	at := func(quantile float64) float64 { return scores[min(len(scores)-1, int(quantile*float64(len(scores))))] }
-	// A tail that comes from a single outlier is limited to twice Student's interval.
-	estimate.Low = estimate.Mean - min(at(upperPercentile)*standardError, 2*half)
-	estimate.High = estimate.Mean - max(at(lowerPercentile)*standardError, -2*half)
+	scoreAt := func(quantile float64) float64 { return scores[min(len(scores)-1, int(quantile*float64(len(scores))))] }
+	// A single outlier can make a tail very long. Each side is limited to twice that of Student's interval.
+	estimate.Low = estimate.Mean - min(scoreAt(upperQuantile)*standardError, 2*halfWidth)
+	estimate.High = estimate.Mean - max(scoreAt(lowerQuantile)*standardError, -2*halfWidth)
 	return estimate
 }
 
-// resample returns how far the means of resamples lie from a mean, each in units of its own standard error.
-func resample(figures []float64, mean float64) []float64 {
-	random := rand.New(rand.NewPCG(1, uint64(len(figures))))
-	scores := make([]float64, 0, resamples)
-	sample := make([]float64, len(figures))
-	for range resamples {
+// bootstrapScores returns, for each resample, the deviation of its mean from the given mean in units of its own standard error.
+// Resamples without a standard error are left out.
+func bootstrapScores(values []float64, mean float64) []float64 {
+	random := rand.New(rand.NewPCG(1, uint64(len(values))))
+	scores := make([]float64, 0, resampleCount)
+	sample := make([]float64, len(values))
+	for range resampleCount {
 		for i := range sample {
-			sample[i] = figures[random.IntN(len(figures))]
+			sample[i] = values[random.IntN(len(values))]
 		}
 		sampleMean, deviation := meanAndDeviation(sample)
 		if deviation == 0 {
-			continue // all the same: it has no standard error
+			continue // all values are equal
 		}
-		scores = append(scores, (sampleMean-mean)/(deviation/math.Sqrt(float64(len(figures)))))
+		scores = append(scores, (sampleMean-mean)/(deviation/math.Sqrt(float64(len(values)))))
 	}
 	return scores
 }
 
-// student is the 97.5th percentile of Student's distribution, by the expansion of Abramowitz and Stegun (26.7.5), which is within
-// a hundredth from four degrees of freedom on; below that, from their table.
-func student(freedom int) float64 {
-	if table := []float64{0, 12.706, 4.303, 3.182}; freedom < len(table) {
-		return table[freedom]
+// studentQuantile returns the 97.5th percentile of Student's t-distribution. From four degrees of freedom on it uses the expansion
+// 26.7.5 of Abramowitz and Stegun, which is accurate to a hundredth; below that, their table.
+func studentQuantile(degreesOfFreedom int) float64 {
+	if table := []float64{0, 12.706, 4.303, 3.182}; degreesOfFreedom < len(table) {
+		return table[degreesOfFreedom]
 	}
 	const x = normalQuantile
-	v := float64(freedom)
+	v := float64(degreesOfFreedom)
 	x3, x5, x7 := x*x*x, x*x*x*x*x, x*x*x*x*x*x*x
 	return x + (x3+x)/(4*v) + (5*x5+16*x3+3*x)/(96*v*v) + (3*x7+19*x5+17*x3-15*x)/(384*v*v*v)
 }
 
-// meanAndDeviation returns the mean and the sample's standard deviation.
-func meanAndDeviation(figures []float64) (mean, deviation float64) {
-	for _, figure := range figures {
-		mean += figure
+// meanAndDeviation returns the mean and the standard deviation of a sample. The deviation of a single value is 0.
+func meanAndDeviation(values []float64) (mean, deviation float64) {
+	for _, value := range values {
+		mean += value
 	}
-	mean /= float64(len(figures))
-	if len(figures) < 2 {
+	mean /= float64(len(values))
+	if len(values) < 2 {
 		return mean, 0
 	}
-	sum := 0.0
-	for _, figure := range figures {
-		sum += (figure - mean) * (figure - mean)
+	sumOfSquares := 0.0
+	for _, value := range values {
+		sumOfSquares += (value - mean) * (value - mean)
 	}
-	return mean, math.Sqrt(sum / float64(len(figures)-1))
+	return mean, math.Sqrt(sumOfSquares / float64(len(values)-1))
 }
 
 // The verdicts on a difference.
@@ -112,11 +113,12 @@
 	verdictWorse   = "worse"
 )
 
-// maxSeedsNeeded is where the number of seeds that a verdict needs is no longer counted.
+// maxSeedsNeeded limits the number of seeds that Verdict returns.
 const maxSeedsNeeded = 1e9
 
-// Verdict says what a paired difference shows; sign is 1 if more is better, -1 if less is. seedsNeeded is how many seeds it would
-// take to tell, if the difference is what it looks like; 0: it can be told, or there is none.
+// Verdict classifies a paired difference from the first arm; sign is moreIsBetter (1) or lessIsBetter (-1). If the verdict is
+// unclear, seedsNeeded estimates how many seeds would make it clear, assuming that mean and deviation stay as they are. It is 0 if
+// the verdict is clear or the mean is 0.
 func Verdict(difference Estimate, sign float64) (verdict string, seedsNeeded int) {
 	switch {
 	case difference.Count > 0 && difference.Deviation == 0 && difference.Mean == 0:
--- a/internal/experiment/statistics_test.go
+++ b/internal/experiment/statistics_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// The 95% interval holds the true mean in about that many of samples from known distributions, in fewer if samples are small and
-// the distribution has a long tail.
+// The 95% interval contains the true mean for about 95% of samples from known distributions. The bounds of the test allow for fewer,
+// because small samples of a distribution with a long tail give fewer.
 func TestBootstrapCoverage(t *testing.T) {
 	const samples, sampleSize = 400, 20
 	random := rand.New(rand.NewPCG(7, 7))
@@ -19,37 +19,37 @@
 	}{"normal": {random.NormFloat64, 0}, "exponential": {random.ExpFloat64, 1}, "even": {random.Float64, 0.5}} {
 		covered := 0
 		for range samples {
-			figures := make([]float64, sampleSize)
-			for i := range figures {
-				figures[i] = distribution.draw()
+			values := make([]float64, sampleSize)
+			for i := range values {
+				values[i] = distribution.draw()
 			}
-			if e := Bootstrap(figures); e.Low <= distribution.mean && distribution.mean <= e.High {
+			if e := Bootstrap(values); e.Low <= distribution.mean && distribution.mean <= e.High {
 				covered++
 			}
 		}
 		coverage := float64(covered) / samples
 		t.Logf("%s: %.3f", name, coverage)
 		if coverage < 0.91 || coverage > 0.985 {
-			t.Errorf("%s: the interval holds the mean in %.3f of samples", name, coverage)
+			t.Errorf("%s: the interval contains the mean in %.3f of samples", name, coverage)
 		}
 	}
 }
 
-// Shifting or scaling figures shifts and scales the estimate; the verdict is reversed with the sign.
+// Shifting and scaling the values shifts and scales the mean, and reversing the sign reverses the verdict.
 func TestEstimateProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		figures := rapid.SliceOfN(rapid.Float64Range(-10, 10), 2, 12).Draw(t, "figures")
+		values := rapid.SliceOfN(rapid.Float64Range(-10, 10), 2, 12).Draw(t, "figures")
 		factor, shift := rapid.Float64Range(0.5, 3).Draw(t, "factor"), rapid.Float64Range(-5, 5).Draw(t, "shift")
-		checkEstimate(t, figures, factor, shift)
+		checkEstimate(t, values, factor, shift)
 	})
 }
 
-func checkEstimate(rapidT *rapid.T, figures []float64, factor, shift float64) {
-	moved := make([]float64, len(figures))
-	for i, figure := range figures {
-		moved[i] = figure*factor + shift
+func checkEstimate(rapidT *rapid.T, values []float64, factor, shift float64) {
+	transformed := make([]float64, len(values))
+	for i, value := range values {
+		transformed[i] = value*factor + shift
 	}
-	before, after := Bootstrap(figures), Bootstrap(moved)
+	before, after := Bootstrap(values), Bootstrap(transformed)
 	if before.Low > before.Mean+1e-9 && !math.IsInf(before.Low, 0) && before.High < before.Mean {
 		rapidT.Fatalf("%+v", before)
 	}
@@ -64,24 +64,24 @@
 }
 
 func TestStudent(t *testing.T) {
-	for freedom, want := range map[int]float64{1: 12.706, 4: 2.776, 9: 2.262, 30: 2.042} {
-		if got := student(freedom); math.Abs(got-want) > 0.01 {
-			t.Errorf("with %d degrees of freedom: %g, wanted %g", freedom, got, want)
+	for degreesOfFreedom, want := range map[int]float64{1: 12.706, 4: 2.776, 9: 2.262, 30: 2.042} {
+		if got := studentQuantile(degreesOfFreedom); math.Abs(got-want) > 0.01 {
+			t.Errorf("with %d degrees of freedom: %g, wanted %g", degreesOfFreedom, got, want)
 		}
 	}
 }
 
-// One outlier among equal figures makes a wide interval, not an absurd one.
+// One outlier among equal values gives an interval that is wide, but limited.
 func TestBootstrapWithOutlier(t *testing.T) {
-	figures := append(make([]float64, 19), 1)
-	if e := Bootstrap(figures); e.Low < -0.3 || e.High > 0.4 || e.Low > 0 {
+	values := append(make([]float64, 19), 1)
+	if e := Bootstrap(values); e.Low < -0.3 || e.High > 0.4 || e.Low > 0 {
 		t.Errorf("%+v", e)
 	}
 }
 
 func TestVerdict(t *testing.T) {
 	for _, test := range []struct {
-		figures    []float64
+		values     []float64
 		want       string
 		needsSeeds bool
 	}{
@@ -91,9 +91,9 @@
 		{[]float64{1, -1.1, 0.9, -1, 0.5}, "can't tell", true},
 		{[]float64{2, 2, 2}, "better", false},
 	} {
-		got, seeds := Verdict(Bootstrap(test.figures), moreIsBetter)
+		got, seeds := Verdict(Bootstrap(test.values), moreIsBetter)
 		if got != test.want || (seeds > 0) != test.needsSeeds {
-			t.Errorf("%v: %s, %d seeds needed", test.figures, got, seeds)
+			t.Errorf("%v: %s, %d seeds needed", test.values, got, seeds)
 		}
 	}
 }
