--- a/compare/compare_test.go
+++ b/compare/compare_test.go
@@ -1,6 +1,6 @@
-// Package compare holds a one-server change pushed by this project's coordinator against the same change pushed by an
-// existing control-plane cache (go-control-plane's delta cache over gRPC). It is a module of its own, so that the
-// program does not carry what it is compared with. Run it by hand:
+// Package compare benchmarks this project against existing software: the push of a change of one backend against the same push by
+// go-control-plane's delta cache over gRPC, and the store against bbolt and pebble. It is a module of its own, so that the program
+// does not depend on the software that it is compared with. The benchmarks are run by hand:
 //
 //	cd compare && go test -run xxx -bench . -benchtime 20x
 package compare
@@ -39,12 +39,15 @@
 
 const (
 	servers = 100
-	arc     = 6
+	arc     = 6 // backends in the table of each subscriber
 )
 
-// holds is the arc of a subscriber: both sides give it as many servers.
+// holds reports whether a backend is in the table of a subscriber of go-control-plane. Each table has as many backends as an arc of
+// this project's coordinator, so that both sides push to similar numbers of subscribers.
 func holds(subscriber, server int) bool { return (server-subscriber*7%servers+servers)%servers < arc }
 
+// BenchmarkOneServerChange measures the time, the bytes and the subscribers reached per change of one backend, for several numbers of
+// subscribers.
 func BenchmarkOneServerChange(b *testing.B) {
 	for _, n := range []int{100, 300, 1000} {
 		b.Run(fmt.Sprintf("gingerfork/%d", n), func(b *testing.B) { ours(b, n) })
@@ -52,13 +55,15 @@
 	}
 }
 
+// report reports the metrics per change. reached is the number of subscribers that received the changes, summed over all changes.
 func report(b *testing.B, spent time.Duration, bytes, reached int) {
 	b.ReportMetric(float64(spent.Microseconds())/float64(b.N), "us/change")
 	b.ReportMetric(float64(bytes)/float64(b.N), "bytes/change")
 	b.ReportMetric(float64(reached)/float64(b.N), "subscribers/change")
 }
 
-// ours: a coordinator on sockets; a server drains, and the time runs until the last proxy that holds it has applied that.
+// ours benchmarks this project's coordinator on sockets. A change is the drain of a backend; its time ends when the last proxy that has
+// the backend in its table has applied the push.
 func ours(b *testing.B, n int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -94,7 +99,7 @@
 		}), 0)
 	}
 	var mu sync.Mutex
-	held := map[uint32]map[string]bool{} // who has a line, by server
+	held := map[uint32]map[string]bool{} // names of the proxies that have an entry, by backend
 	joined := map[string]bool{}
 	var want int
 	var changing uint32
@@ -137,7 +142,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			b.Fatal("not all joined")
+			b.Fatal("not all proxies have a table after 30 s")
 		}
 	}
 	time.Sleep(500 * time.Millisecond)
@@ -161,17 +166,19 @@
 		select {
 		case <-reached:
 		case <-time.After(20 * time.Second):
-			b.Fatal("a change did not reach all")
+			b.Fatal("a change did not reach all subscribers within 20 s")
 		}
 		spent += time.Since(begin)
 		list.SendCommand(fmt.Sprintf("state %d open", changing))
 		time.Sleep(60 * time.Millisecond)
 	}
 	b.StopTimer()
-	// The return of the server and the lines that take its place are in these bytes too: one change and its undoing.
+	// The bytes include the pushes for the replacement entries and for the reopening of the backend. They are halved, because each
+	// iteration makes a change and reverts it.
 	report(b, spent, (bytes()-before)/2, total)
 }
 
+// counter counts the bytes of the messages that a gRPC server sends.
 type counter struct{ bytes atomic.Int64 }
 
 func (c *counter) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
@@ -183,8 +190,8 @@
 func (c *counter) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
 func (c *counter) HandleConn(context.Context, stats.ConnStats)                       {}
 
-// theirs: a snapshot for each subscriber with one assignment of as many endpoints, served as deltas over gRPC. Which
-// subscribers hold the server is told to it: it decides nothing.
+// theirs benchmarks go-control-plane. Each subscriber has a snapshot with one assignment of arc endpoints, and changes are sent as
+// deltas over gRPC. Unlike this project's coordinator, it does not decide which subscribers have a backend: the benchmark tells it.
 func theirs(b *testing.B, n int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -256,7 +263,7 @@
 			select {
 			case <-got:
 			case <-time.After(20 * time.Second):
-				b.Fatal("a change did not reach all")
+				b.Fatal("a change did not reach all subscribers within 20 s")
 			}
 		}
 	}
--- a/compare/store_test.go
+++ b/compare/store_test.go
@@ -17,13 +17,14 @@
 	"gingerfork/internal/store"
 )
 
-// kv is what the three stores do alike. A batch is durable when commit returns.
+// kv is the interface through which the three stores are compared. A batch is durable when commit returns.
 type kv interface {
 	commit(puts [][2]string) error
-	scan() (n int)
+	scan() (n int) // number of records
 	close() error
 }
 
+// oursKV is this project's store.
 type oursKV struct{ s *store.Store }
 
 func (k oursKV) commit(puts [][2]string) error {
@@ -42,12 +43,13 @@
 }
 func (k oursKV) close() error { return k.s.Close() }
 
+// boltKV is a bbolt database with one bucket.
 type boltKV struct{ d *bbolt.DB }
 
 var bucket = []byte("b")
 
 func (k boltKV) commit(puts [][2]string) error {
-	return k.d.Batch(func(tx *bbolt.Tx) error { // its own way of group commit
+	return k.d.Batch(func(tx *bbolt.Tx) error { // bbolt's group commit
 		b, err := tx.CreateBucketIfNotExists(bucket)
 		for _, p := range puts {
 			if err == nil {
@@ -66,6 +68,7 @@
 }
 func (k boltKV) close() error { return k.d.Close() }
 
+// pebbleKV is a pebble database.
 type pebbleKV struct{ d *pebble.DB }
 
 func (k pebbleKV) commit(puts [][2]string) error {
@@ -91,6 +94,7 @@
 }
 func (k pebbleKV) close() error { return k.d.Close() }
 
+// quietPebble is a pebble logger that writes nothing.
 type quietPebble struct{}
 
 func (quietPebble) Infof(string, ...any)  {}
@@ -98,6 +102,7 @@
 
 var stores = []string{"ours", "bbolt", "pebble"}
 
+// openKV opens a store of a kind in a directory, for the given number of concurrent writers.
 func openKV(t testing.TB, kind, dir string, writers int) kv {
 	t.Helper()
 	switch kind {
@@ -119,7 +124,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// Its batches wait for others to join them; alone that is only delay.
+		// bbolt delays a batch so that others can join it. With a single writer no other batch comes, so the delay is switched off.
 		if d.MaxBatchSize = writers; writers == 1 {
 			d.MaxBatchDelay = 0
 		}
@@ -132,6 +137,7 @@
 	return pebbleKV{d}
 }
 
+// size returns the total size in bytes of the files in a directory.
 func size(dir string) (n int64) {
 	_ = filepath.Walk(dir, func(_ string, i os.FileInfo, err error) error {
 		if err == nil && i.Mode().IsRegular() {
@@ -142,12 +148,14 @@
 	return n
 }
 
-// median of rounds, and its ratio to ours.
+// table collects measured values by row and kind of store, one for each round. It is printed as medians and as the ratios of our
+// store's medians to those of the other stores.
 type table struct {
 	rows  []string
 	cells map[string]map[string][]float64
 }
 
+// note adds the value of one round.
 func (x *table) note(row, kind string, v float64) {
 	if x.cells == nil {
 		x.cells = map[string]map[string][]float64{}
@@ -159,6 +167,7 @@
 	x.cells[row][kind] = append(x.cells[row][kind], v)
 }
 
+// String returns the table in Markdown.
 func (x *table) String() string {
 	var b strings.Builder
 	b.WriteString("\n| | ours | bbolt | pebble | ours/bbolt | ours/pebble |\n| --- | --- | --- | --- | --- | --- |\n")
@@ -173,15 +182,16 @@
 	return b.String()
 }
 
-// TestStores does the same work on the three stores in turn, three rounds in one run, and prints medians and ratios. Run by
-// hand: go test -run TestStores -v -timeout 20m
+// TestStores does the same work on the three stores in turn, in three rounds, and logs medians and ratios. It is run by hand:
+//
+//	go test -run TestStores -v -timeout 20m
 func TestStores(t *testing.T) {
 	var x table
 	value := strings.Repeat("v", 60)
 	for round := range 3 {
 		for _, kind := range stores {
 			base := filepath.Join(t.TempDir(), fmt.Sprint(kind, round))
-			// The coordinator's own pattern: batches of three records, few keys hot.
+			// The coordinator's access pattern: batches of three records, of which few keys are written often.
 			for _, writers := range []int{1, 8, 64} {
 				dir := filepath.Join(base, fmt.Sprint("w", writers))
 				k := openKV(t, kind, dir, writers)
@@ -205,7 +215,7 @@
 					t.Error(err)
 				}
 			}
-			// A list of 100,000 records, loaded in batches of 1,000, then read through.
+			// 100,000 records are loaded in batches of 1,000, then scanned.
 			dir := filepath.Join(base, "load")
 			k := openKV(t, kind, dir, 1)
 			begin := time.Now()
@@ -221,10 +231,11 @@
 			x.note("load of 100,000 records, s", kind, time.Since(begin).Seconds())
 			begin = time.Now()
 			if n := k.scan(); n != 100000 {
-				t.Fatalf("%s: %d records", kind, n)
+				t.Fatalf("%s: the scan returned %d records, want 100000", kind, n)
 			}
-			x.note("scan of them, ms", kind, 1e3*time.Since(begin).Seconds())
-			// Overwrites: space, and the longest pauses of a writer beside compaction. Durable at each thousand.
+			x.note("scan of 100,000 records, ms", kind, 1e3*time.Since(begin).Seconds())
+			// A million overwrites in batches of 1,000, each durable: how much space they take, and how long a writer has to wait while the
+			// store compacts.
 			var waits []float64
 			for i := range 1000 {
 				var puts [][2]string
@@ -238,19 +249,19 @@
 				waits = append(waits, 1e3*time.Since(begin).Seconds())
 			}
 			slices.Sort(waits)
-			x.note("a million overwrites beside them: median batch, ms", kind, waits[len(waits)/2])
-			x.note("the same, 99.9th percentile, ms", kind, waits[len(waits)*999/1000])
-			x.note("space after them, MB", kind, float64(size(dir))/1e6)
+			x.note("a million overwrites with these records present: median batch, ms", kind, waits[len(waits)/2])
+			x.note("a million overwrites: 99.9th percentile batch, ms", kind, waits[len(waits)*999/1000])
+			x.note("space after a million overwrites, MB", kind, float64(size(dir))/1e6)
 			if err := k.close(); err != nil {
 				t.Fatal(err)
 			}
 			begin = time.Now()
 			k = openKV(t, kind, dir, 1)
-			x.note("open again, ms", kind, 1e3*time.Since(begin).Seconds())
+			x.note("reopen, ms", kind, 1e3*time.Since(begin).Seconds())
 			if err := k.close(); err != nil {
 				t.Fatal(err)
 			}
-			// A crash: the files as they stand, opened elsewhere.
+			// Recovery after a crash is simulated by opening a copy of the files of a store that was not closed.
 			for _, n := range []int{1000, 10000} {
 				dir := filepath.Join(base, fmt.Sprint("crash", n))
 				k := openKV(t, kind, dir, 64)
