--- a/internal/experiment/measures.go
+++ b/internal/experiment/measures.go
@@ -61,10 +61,10 @@
 }
 
 // worstLatency returns the largest latency quantile among all methods, in milliseconds.
-func worstLatency(runReport *report.Report, quantile func(report.Latency) float64) (seconds float64) {
+func worstLatency(runReport *report.Report, quantile func(report.Latency) float64) (largest float64) {
 	const millisecondsPerSecond = 1000
 	for _, latency := range runReport.Latencies {
-		seconds = max(seconds, quantile(latency))
+		largest = max(largest, quantile(latency))
 	}
-	return millisecondsPerSecond * seconds
+	return millisecondsPerSecond * largest
 }
--- a/internal/experiment/parse.go
+++ b/internal/experiment/parse.go
@@ -103,9 +103,9 @@
 	case "say":
 		plan.additions = append(plan.additions, line)
 	case "scale":
-		plan.scaleFactor = value
+		plan.fleetMultiplier = value
 	case "load":
-		plan.loadFactor = value
+		plan.loadMultiplier = value
 	case "kills":
 		plan.coordinatorKills = value
 	default:
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -33,8 +33,8 @@
 	Text             string           // content of the plan's file
 	overrides        []bootstrap.Line // lines "set SECTION KEYWORD VALUE...", which change settings
 	additions        []bootstrap.Line // lines "say WORD...", whose words are appended to the scenario as lines
-	scaleFactor      string           // multiplier of the fleet's size; may be empty
-	loadFactor       string           // multiplier of the front ends' rate; may be empty
+	fleetMultiplier  string           // multiplier of the fleet's size; may be empty
+	loadMultiplier   string           // multiplier of the front ends' rate; may be empty
 	coordinatorKills string           // number of coordinator kills at random times; may be empty
 	readFile         FileReader
 	hash             string
@@ -43,7 +43,7 @@
 // Arm is a combination of the factors' values: one value for each factor, in the order of the factors.
 type Arm []string
 
-// defaultMaxRuns is the limit of the number of runs unless the plan has the keyword `most`. So many runs take about an hour.
+// defaultMaxRuns is the limit of the number of runs unless the plan has the keyword `most`. 5000 runs take about an hour.
 const defaultMaxRuns = 5000
 
 // maxCountedRuns limits the result of Plan.Runs, so that it can't overflow.
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -25,10 +25,10 @@
 	name      string
 	means     plotter.XYs
 	intervals plotter.YErrors // intervals of the means
-	dots      plotter.XYs
+	dots      plotter.XYs     // one for each run
 }
 
-// Plot draws a measure by the values of the last factor, with a line through the means for each combination of the other factors'
+// Plot draws the measure name by the values of the last factor, with a line through the means for each combination of the other factors'
 // values, a dot for each run, and the interval of each mean as an error bar. file is the path of the picture.
 func (p *Plan) Plot(file, name string, runs []Run) error {
 	picture := plot.New()
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -68,11 +68,11 @@
 
 // adjustFleet applies the plan's fleet size, load and coordinator kills to a scenario.
 func (p *Plan) adjustFleet(arm Arm, armScenario *scenario.Scenario) error {
-	sizeMultiplier, err := p.parseMultiplier(arm, p.scaleFactor)
+	sizeMultiplier, err := p.parseMultiplier(arm, p.fleetMultiplier)
 	if err != nil {
 		return err
 	}
-	loadMultiplier, err := p.parseMultiplier(arm, p.loadFactor)
+	loadMultiplier, err := p.parseMultiplier(arm, p.loadMultiplier)
 	if err != nil {
 		return err
 	}
--- a/internal/report/builder.go
+++ b/internal/report/builder.go
@@ -22,8 +22,8 @@
 	maxLatency               = 10 * time.Minute
 	latencySignificantDigits = 3 // precision of recorded latencies, in decimal digits
 	microsecondsPerSecond    = 1e6
-	worstWindowSeconds       = 10 // length of the window for which the lowest service is reported
-	maxBackends              = 1 << 16
+	worstWindowSeconds       = 10      // length of the window for which the lowest service is reported
+	maxBackends              = 1 << 16 // samples of backends with larger IDs are ignored
 )
 
 // methodTotals has the totals of one method over the whole run.
@@ -153,7 +153,7 @@
 	(*row)[backend] = float32(value)
 }
 
-// Finish computes the totals of the whole run and returns the report.
+// Finish computes the statistics of the whole run and returns the report.
 func (b *Builder) Finish() *Report {
 	for i := range b.Report.Faults {
 		b.Report.Faults[i].To = min(b.Report.Faults[i].To, b.duration)
@@ -180,7 +180,7 @@
 	report.Service = serviceShare(inTime, offered)
 }
 
-// latencyQuantiles returns the distribution of the latencies in seconds.
+// latencyQuantiles returns the quantiles of the latencies in seconds. method is the method's name.
 func (t methodTotals) latencyQuantiles(method string) Latency {
 	quantile := func(percent float64) float64 {
 		return float64(t.latencies.ValueAtQuantile(percent)) / microsecondsPerSecond
--- a/internal/report/fleet_picture.go
+++ b/internal/report/fleet_picture.go
@@ -35,7 +35,7 @@
 		capacity[i].X, used[i].X = fleet.sampleTime(i), fleet.sampleTime(i)
 		top = max(top, capacity[i].Y)
 	}
-	panel := r.newPanel("capacity of all backends, and the part of it that was used", "RPCs a second", headroom*top)
+	panel := r.newPanel("capacity of all backends, and the part of it that was used", "RPCs per second", headroom*top)
 	if err := addLine(panel, "capacity", blue, capacity); err != nil {
 		return nil, err
 	}
--- a/internal/report/picture.go
+++ b/internal/report/picture.go
@@ -26,8 +26,8 @@
 	headroom             = 1.25 // ratio of an axis's maximum to the largest value
 	pictureWidth         = 12 * vg.Inch
 	panelHeight          = 3.25 * vg.Inch
-	panelPadding         = 8 // points
-	panelRightPadding    = 14
+	panelPadding         = 8      // points
+	panelRightPadding    = 14     // points
 	minFaultWidthDivisor = 300    // a fault is drawn at least as wide as the run divided by this, so that short faults are visible
 	characterWidth       = 0.0085 // approximate width of a character, as a share of the time axis
 )
