--- a/internal/experiment/page.go
+++ b/internal/experiment/page.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// csvCells returns the cells of a run's line, in the order of the columns that CSV writes.
+// csvCells returns the cells of a run's line, in the order of the columns of the header.
 func (p *Plan) csvCells(run Run) []string {
 	cells := []string{run.Plan, quoteCSV(run.Commit)}
 	for _, value := range run.Arm {
