--- a/compare/compare_test.go
+++ b/compare/compare_test.go
@@ -46,8 +46,8 @@
 // this project's coordinator, so that both sides push to similar numbers of subscribers.
 func holds(subscriber, server int) bool { return (server-subscriber*7%servers+servers)%servers < arc }
 
-// BenchmarkOneServerChange measures the time, the bytes and the subscribers reached per change of one backend, for several numbers of
-// subscribers.
+// BenchmarkOneServerChange measures the time, the bytes and the subscribers reached per change of one backend, for several numbers
+// of subscribers.
 func BenchmarkOneServerChange(b *testing.B) {
 	for _, n := range []int{100, 300, 1000} {
 		b.Run(fmt.Sprintf("gingerfork/%d", n), func(b *testing.B) { ours(b, n) })
@@ -62,8 +62,8 @@
 	b.ReportMetric(float64(reached)/float64(b.N), "subscribers/change")
 }
 
-// ours benchmarks this project's coordinator on sockets. A change is the drain of a backend; its time ends when the last proxy that has
-// the backend in its table has applied the push.
+// ours benchmarks this project's coordinator on sockets. A change is the drain of a backend; its time ends when the last proxy
+// that has the backend in its table has applied the push.
 func ours(b *testing.B, n int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/experiment/execute.go
+++ b/internal/experiment/execute.go
@@ -42,10 +42,10 @@
 }
 
 // Execute plays the runs of a plan on the given number of workers, except those in the file of finished runs in the directory dir,
-// and returns all runs in the order of the plan. Each run is written to the file and synced before it counts as finished, so that it
-// is not played again after a crash. commit identifies the program; runs of another one are not reused. onProgress is called after
-// each run, by one worker at a time. The execution ends with the first error or when the context is done; the runs that are finished
-// by then remain in the file.
+// and returns all runs in the order of the plan. Each run is written to the file and synced before it counts as finished, so that
+// it is not played again after a crash. commit identifies the program; runs of another one are not reused. onProgress is called
+// after each run, by one worker at a time. The execution ends with the first error or when the context is done; the runs that are
+// finished by then remain in the file.
 func (p *Plan) Execute(ctx context.Context, dir, commit string, workers int, onProgress func(Progress)) ([]Run, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("create the results folder: %w", err)
@@ -132,7 +132,8 @@
 	e.onProgress(e.progress())
 }
 
-// progress returns the progress. It estimates the remaining time from the mean time per run in this execution. The caller must hold mu.
+// progress returns the progress. It estimates the remaining time from the mean time per run in this execution. The caller must
+// hold mu.
 func (e *execution) progress() Progress {
 	done, total := len(e.runs), e.plan.Runs()
 	nanosecondsPerRun := float64(time.Since(e.start)) / float64(done-e.resumed)
--- a/internal/experiment/execute_test.go
+++ b/internal/experiment/execute_test.go
@@ -94,8 +94,8 @@
 	return finished
 }
 
-// After a crash, finished runs are not played again, but a run whose line was truncated is. The result is that of an execution without
-// a crash. Runs of another plan or program are not reused.
+// After a crash, finished runs are not played again, but a run whose line was truncated is. The result is that of an execution
+// without a crash. Runs of another plan or program are not reused.
 func TestExecuteResumes(t *testing.T) {
 	plan := readPlan(t, smallPlan)
 	uninterrupted, err := plan.Execute(context.Background(), t.TempDir(), "c", 2, func(Progress) {})
--- a/internal/experiment/parse.go
+++ b/internal/experiment/parse.go
@@ -32,8 +32,8 @@
 	firstLines map[string]bootstrap.Line // first line of each keyword
 }
 
-// Read parses a plan; files returns scenario and settings files by name. It reports all faults. A plan is also rejected if runs would
-// be wasted: if an arm has no valid scenario, or if a factor is not used.
+// Read parses a plan; files returns scenario and settings files by name. It reports all faults. A plan is also rejected if runs
+// would be wasted: if an arm has no valid scenario, or if a factor is not used.
 func Read(file, text string, files func(string) ([]byte, error)) (*Plan, error) {
 	lines, faults := bootstrap.Lex(file, text)
 	planParser := &parser{
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -1,6 +1,6 @@
 // Package experiment plays variants of a scenario in virtual time and compares them. A plan defines factors and their values; each
-// combination of values is an arm, and all arms are played on the same seeds. The results are statistics of the runs and a page with
-// plots. docs/model.md describes how far they can be trusted.
+// combination of values is an arm, and all arms are played on the same seeds. The results are statistics of the runs and a page
+// with plots. docs/model.md describes how far they can be trusted.
 package experiment
 
 import (
@@ -20,8 +20,8 @@
 // FileReader returns the content of a scenario or settings file by its name.
 type FileReader func(name string) ([]byte, error)
 
-// Plan defines what is played: a scenario with changes, for each combination of the factors' values and each seed. Texts of the plan
-// may contain placeholders {FACTOR}.
+// Plan defines what is played: a scenario with changes, for each combination of the factors' values and each seed. Texts of the
+// plan may contain placeholders {FACTOR}.
 type Plan struct {
 	Name             string
 	ScenarioName     string // name of the scenario's file, with or without its suffix; may contain placeholders
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -28,8 +28,8 @@
 	dots      plotter.XYs     // one for each run
 }
 
-// Plot draws the measure name by the values of the last factor, with a line through the means for each combination of the other factors'
-// values, a dot for each run, and the interval of each mean as an error bar. file is the path of the picture.
+// Plot draws the measure name by the values of the last factor, with a line through the means for each combination of the other
+// factors' values, a dot for each run, and the interval of each mean as an error bar. file is the path of the picture.
 func (p *Plan) Plot(file, name string, runs []Run) error {
 	picture := plot.New()
 	picture.Title.Text = p.Name + ": " + name
@@ -46,8 +46,8 @@
 	return picture.Save(plotWidth, plotHeight, file)
 }
 
-// addAxis labels the x axis with the last factor and returns the position of each of its values. If all values are numbers, possibly
-// with a unit, these are the positions; otherwise the values are spaced evenly.
+// addAxis labels the x axis with the last factor and returns the position of each of its values. If all values are numbers,
+// possibly with a unit, these are the positions; otherwise the values are spaced evenly.
 func (p *Plan) addAxis(picture *plot.Plot) map[string]float64 {
 	if len(p.Factors) == 0 {
 		return nil
@@ -75,7 +75,8 @@
 	return positions
 }
 
-// curves returns the curves of a measure, ordered by their first arm. positions has the x position of each value of the last factor.
+// curves returns the curves of a measure, ordered by their first arm. positions has the x position of each value of the last
+// factor.
 func (p *Plan) curves(name string, runs []Run, positions map[string]float64) (curves []*curve) {
 	byName := map[string]*curve{}
 	findOrAdd := func(arm Arm) *curve {
--- a/internal/experiment/rows.go
+++ b/internal/experiment/rows.go
@@ -38,7 +38,8 @@
 	return rows
 }
 
-// computeRow computes a row from the runs of an arm and those of the first arm, each by seed. firstArmRuns is nil for the first arm.
+// computeRow computes a row from the runs of an arm and those of the first arm, each by seed. firstArmRuns is nil for the first
+// arm.
 func (p *Plan) computeRow(arm Arm, name string, armRuns, firstArmRuns map[uint64]Run) Row {
 	row := Row{Arm: arm, Measure: name}
 	var values, differences []float64
--- a/internal/experiment/runsfile.go
+++ b/internal/experiment/runsfile.go
@@ -17,8 +17,8 @@
 // runKey returns a key that identifies a run within a plan.
 func runKey(arm Arm, seed uint64) string { return fmt.Sprintf("%q %d", []string(arm), seed) }
 
-// readFinishedRuns reads the finished runs of this plan and this version of the program, by runKey. A last line that was left incomplete
-// by a crash is removed from the file, so that the next run starts on a new line.
+// readFinishedRuns reads the finished runs of this plan and this version of the program, by runKey. A last line that was left
+// incomplete by a crash is removed from the file, so that the next run starts on a new line.
 func (p *Plan) readFinishedRuns(file *os.File, commit string) (map[string]Run, error) {
 	data, err := io.ReadAll(file)
 	if err != nil {
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// parseMultiplier parses a multiplier after substituting the values of an arm. It must be above 0 and may be a number or a percentage,
-// also above 100%. An empty text means 1.
+// parseMultiplier parses a multiplier after substituting the values of an arm. It must be above 0 and may be a number or a
+// percentage, also above 100%. An empty text means 1.
 func (p *Plan) parseMultiplier(arm Arm, text string) (float64, error) {
 	if text == "" {
 		return 1, nil
@@ -119,8 +119,8 @@
 	return value / 100, err
 }
 
-// overrideSettings returns the text of a settings file with the plan's settings in place of its own. A setting that the file does not
-// have is added at the start of its section.
+// overrideSettings returns the text of a settings file with the plan's settings in place of its own. A setting that the file does
+// not have is added at the start of its section.
 func (p *Plan) overrideSettings(arm Arm, text string) ([]byte, error) {
 	lines := strings.Split(text, "\n")
 	for _, line := range p.overrides {
--- a/internal/experiment/statistics_test.go
+++ b/internal/experiment/statistics_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// The 95% interval contains the true mean for about 95% of samples from known distributions. The bounds of the test allow for fewer,
-// because small samples of a distribution with a long tail give fewer.
+// The 95% interval contains the true mean for about 95% of samples from known distributions. The bounds of the test allow for
+// fewer, because small samples of a distribution with a long tail give fewer.
 func TestBootstrapCoverage(t *testing.T) {
 	const samples, sampleSize = 400, 20
 	random := rand.New(rand.NewPCG(7, 7))
--- a/internal/measure/emulator.go
+++ b/internal/measure/emulator.go
@@ -131,8 +131,8 @@
 	return lag
 }
 
-// measureEmulator measures how many RPCs the emulator can execute: its model alone, on sockets, and in virtual time. The results are
-// in the last part of docs/results-emulator.md.
+// measureEmulator measures how many RPCs the emulator can execute: its model alone, on sockets, and in virtual time. The results
+// are in the last part of docs/results-emulator.md.
 func measureEmulator(ctx context.Context, out io.Writer) error {
 	fmt.Fprintln(out, "\n| model alone, one core | RPCs per second |\n| --- | --- |")
 	for _, utilization := range []float64{0.3, 0.9} {
@@ -190,8 +190,8 @@
 	return nil
 }
 
-// measureModelRate returns how many RPCs per second of real time the model of a backend executes without sockets. utilization is the
-// offered load as a share of the modeled backend's capacity.
+// measureModelRate returns how many RPCs per second of real time the model of a backend executes without sockets. utilization is
+// the offered load as a share of the modeled backend's capacity.
 func measureModelRate(utilization float64) float64 {
 	config := emulator.Config{
 		Backend: 1, Cores: 4, Speed: 1, Work: []emulator.Work{{Mean: 0.02}}, QueueLimit: 1000, CancelPolicy: emulator.DropQueued, Seed: 1,
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -22,8 +22,8 @@
 // fleetSize has the numbers of backends and front ends of a fleet.
 type fleetSize struct{ backends, frontEnds int }
 
-// fleet is a coordinator in a process of its own, with an endpoint service, backends and front ends, which run on event loops of this
-// process.
+// fleet is a coordinator in a process of its own, with an endpoint service, backends and front ends, which run on event loops of
+// this process.
 type fleet struct {
 	clock              *eventloop.Clock
 	dir                string   // temporary folder of the coordinator's settings and state
@@ -82,9 +82,9 @@
   deadline 2500ms
 `
 
-// startFleet starts a fleet whose coordinator persists nothing. coordinatorCommand is a command line that runs a coordinator if the
-// path of a settings file is appended to it. rate is the RPCs per second of each front end; if it is 0, backends are in the endpoint
-// list but do not run. The caller has to call stop.
+// startFleet starts a fleet whose coordinator persists nothing. coordinatorCommand is a command line that runs a coordinator if
+// the path of a settings file is appended to it. rate is the RPCs per second of each front end; if it is 0, backends are in the
+// endpoint list but do not run. The caller has to call stop.
 func startFleet(ctx context.Context, coordinatorCommand []string, backends, frontEnds int, rate float64) (*fleet, error) {
 	return startFleetWithState(ctx, coordinatorCommand, fleetSize{backends, frontEnds}, rate, noState)
 }
--- a/internal/measure/observe.go
+++ b/internal/measure/observe.go
@@ -25,8 +25,8 @@
 
 var errProcessStat = errors.New("can't parse /proc/PID/stat of the coordinator")
 
-// waitForJoins waits until the given number of proxies have applied a table, and returns the seconds from the first join to the last
-// of these tables.
+// waitForJoins waits until the given number of proxies have applied a table, and returns the seconds from the first join to the
+// last of these tables.
 func (f *fleet) waitForJoins(proxies int, timeout time.Duration) (seconds float64, err error) {
 	firstJoin := 0.0
 	applied, last := f.waitForTables(proxies, timeout, func(record trace.Record) bool {
@@ -58,8 +58,8 @@
 	return last - start, nil
 }
 
-// waitForTables waits until the given number of proxies have applied a table, or until the timeout. It returns how many have, and the
-// time when the last one did. Records for which isRelevant returns false are ignored.
+// waitForTables waits until the given number of proxies have applied a table, or until the timeout. It returns how many have, and
+// the time when the last one did. Records for which isRelevant returns false are ignored.
 func (f *fleet) waitForTables(proxies int, timeout time.Duration, isRelevant func(trace.Record) bool) (applied int, last float64) {
 	proxiesWithTable := map[string]bool{}
 	for deadline := time.Now().Add(timeout); ; time.Sleep(pollInterval) {
@@ -76,8 +76,8 @@
 }
 
 // drainBackends drains the first count backends one after another. It returns the sorted latencies in seconds, each from when the
-// coordinator received the new state of the backend until the last proxy had applied the push that excludes the backend, after which
-// no proxy can send there. sent is the number of RPCs that were sent to draining backends.
+// coordinator received the new state of the backend until the last proxy had applied the push that excludes the backend, after
+// which no proxy can send there. sent is the number of RPCs that were sent to draining backends.
 func (f *fleet) drainBackends(count int) (latencies []float64, sent int) {
 	for backend := 1; backend <= count; backend++ {
 		f.takeRecords()
@@ -95,8 +95,8 @@
 	return latencies, sent
 }
 
-// findDrainOutcome finds in a trace the latency of a backend's drain in seconds, and the number of RPCs sent to the backend after the
-// coordinator was notified. notified is false if the trace shows no delivery to the coordinator.
+// findDrainOutcome finds in a trace the latency of a backend's drain in seconds, and the number of RPCs sent to the backend after
+// the coordinator was notified. notified is false if the trace shows no delivery to the coordinator.
 func findDrainOutcome(records []trace.Record, backend int) (latency float64, sent int, notified bool) {
 	start, last := 0.0, 0.0
 	exclusion := fmt.Sprint("withdraw ", backend) // as written in the text of trace.PushApplied
@@ -113,8 +113,8 @@
 	return max(0, last-start), sent, start > 0
 }
 
-// coordinatorUsage returns the CPU time that the coordinator process has used since its start, in seconds, and its resident memory in
-// bytes.
+// coordinatorUsage returns the CPU time that the coordinator process has used since its start, in seconds, and its resident memory
+// in bytes.
 func (f *fleet) coordinatorUsage() (cpuSeconds float64, memoryBytes int, err error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", f.coordinator.Process.Pid))
 	if err != nil {
--- a/internal/measure/retries.go
+++ b/internal/measure/retries.go
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// measureRetries measures retry storms: the goodput by offered load, and the effect of a tenth of the backends hanging at 0.9 of the
-// capacity. A plot of the goodput is written to picture as a PNG, unless picture is nil.
+// measureRetries measures retry storms: the goodput by offered load, and the effect of a tenth of the backends hanging at 0.9 of
+// the capacity. A plot of the goodput is written to picture as a PNG, unless picture is nil.
 func measureRetries(out, picture io.Writer) error {
 	if err := measureGoodput(out, picture); err != nil {
 		return err
--- a/internal/report/fleet_picture.go
+++ b/internal/report/fleet_picture.go
@@ -69,8 +69,8 @@
 // Y implements plotter.GridXYZ.
 func (g utilizationGrid) Y(row int) float64 { return float64(row) + 0.5 }
 
-// Z implements plotter.GridXYZ. It returns 0 for a backend without capacity, otherwise a value from 1 for an idle backend to 2 if all
-// cores are busy and at least a second of work is queued.
+// Z implements plotter.GridXYZ. It returns 0 for a backend without capacity, otherwise a value from 1 for an idle backend to 2 if
+// all cores are busy and at least a second of work is queued.
 func (g utilizationGrid) Z(column, row int) float64 {
 	capacity := g.fleet.Capacity[column][row]
 	if capacity <= 0 {
@@ -86,8 +86,8 @@
 // colorsPerHalf is the number of colors in each half of utilizationPalette: without capacity, and with capacity.
 const colorsPerHalf = 64
 
-// utilizationPalette has the colors for the values of utilizationGrid: grey below 1, where a backend has no capacity; from 1 to 2 from
-// white over green and amber to red. It implements palette.Palette.
+// utilizationPalette has the colors for the values of utilizationGrid: grey below 1, where a backend has no capacity; from 1 to 2
+// from white over green and amber to red. It implements palette.Palette.
 type utilizationPalette struct{}
 
 // Colors implements palette.Palette.
--- a/internal/report/lag.go
+++ b/internal/report/lag.go
@@ -1,7 +1,8 @@
 package report
 
-// MaxLag is the largest delay, in seconds, with which an emulated backend or a load generator may do what was due. A sample above it
-// counts as late. It is a fortieth of a soft deadline of 800 ms, which is less than the random variation of a mean waiting time.
+// MaxLag is the largest delay, in seconds, with which an emulated backend or a load generator may do what was due. A sample above
+// it counts as late. It is a fortieth of a soft deadline of 800 ms, which is less than the random variation of a mean waiting
+// time.
 const MaxLag = 0.02
 
 const (
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -19,8 +19,8 @@
 	Entries       int     `json:"Lines"`    // table entries in these pushes
 }
 
-// Service returns the criticality of RPCs answered within the soft deadline as a share of the criticality of all RPCs that ended, or
-// 1 if none ended.
+// Service returns the criticality of RPCs answered within the soft deadline as a share of the criticality of all RPCs that ended,
+// or 1 if none ended.
 func (s Second) Service() float64 { return serviceShare(s.InTimeWeight, s.OfferedWeight) }
 
 // serviceShare returns the weight answered in time as a share of the offered weight, or 1 if nothing was offered.
