--- a/choice/admission.go
+++ b/choice/admission.go
@@ -29,12 +29,12 @@
 // overload that it came from, so it has to be proven that the first attempt was not processed, or the request
 // has a token that surely is remembered until the second attempt.
 func (plan *Planner) normalRetry(method MethodSettings) RetryPolicy {
-	remembered := plan.settings.TryWait*method.SoftDeadline.Or(1) < 0.9*method.Window.Or(0)
+	remembered := plan.settings.TryWait*method.SoftDeadline.Or(1) < 0.9*method.TokenWindow.Or(0)
 	deduplicated := method.Effect == "tokened" && method.Group == "all" && remembered
 	switch {
-	case method.MostTries == "once":
+	case method.RetryLimit == "once":
 		return RetryNever
-	case method.MostTries != "proven" && deduplicated:
+	case method.RetryLimit != "proven" && deduplicated:
 		return RetryOnce
 	default:
 		return RetryIfUnprocessed
--- a/choice/fleet_model_rules_test.go
+++ b/choice/fleet_model_rules_test.go
@@ -102,7 +102,7 @@
 	for _, lines := range m.channelLines {
 		total += lines
 	}
-	if float64(total) > m.planner.config.Settings.ChannelRoom.Or(0) {
+	if float64(total) > m.planner.config.Settings.MaxChannelLines.Or(0) {
 		m.t.Fatalf("%.2f: %d lines wait in the channel", m.now, total)
 	}
 }
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -30,51 +30,51 @@
 	Name         string
 	Effect       string // "idempotent", "tokened" (idempotent with a key) or "non-idempotent"
 	Group        string // which processes recognize a token: "all" of them, or fewer
-	MostTries    string // the limit on retries: "once", "proven" or none
+	RetryLimit   string // the limit on retries: "once", "proven" or none
 	OwnZone      bool   // requests must stay in the proxy's zone
 	Criticality  Number // requests of the lowest one are shed first
 	SoftDeadline Number
 	Deadline     Number
-	Window       Number // how long a token is remembered
+	TokenWindow  Number // how long a token is remembered
 }
 
 // Settings are the site's settings, decoded from the flat form in which the adapters hand them over. What the flat form has
 // beyond these fields is passed over.
 type Settings struct {
-	AskWithin         Number // longest time between two polls of the endpoint list
-	BareLimit         Number // longest time that a proxy may be without a backend
-	ChannelPace       Number // lines a second
-	ChannelRoom       Number // lines that may wait in the channel
-	ColdShare         Number // capacity of a cold backend, as a share of a warm one's
-	Coordinators      Number
-	CrossingPrice     Number // of a request that leaves its zone
-	DrainGrace        Number // after which nothing may reach a draining or gone backend
-	FallMultiple      Number // of its capacity, what pushes a cold backend over
-	FallWindow        Number
-	FeedbackColumns   []string // names of the columns of a load report
-	FeedbackSource    string
-	Intake            Number // lines of reports a second that the module takes
-	LevelKind         string // unit of admission levels: "share", "rate" or "none"
-	Listing           string // "asked" where the endpoint list has to be polled
-	MessageLines      Number // lines that a message costs beside its own
-	Messages          Number // limit on messages to a proxy; 0: none
-	MessagesSpan      Number // within which they are counted
-	Methods           []MethodSettings
-	OnlyDrainingBinds bool // a backend dropped from the list without draining is not bound by the grace
-	Pick              string
-	Probes            bool
-	Proxies           Number
-	PushTime          Number // usual time from a push to its acknowledgement
-	PushTimeWorst     Number
-	ReportPeriod      Number
-	Self              Number // number of this coordinator
-	Slices            Number
-	Strikes           Number // failures in a row after which a proxy avoids a backend for a while
-	Tick              Number // shortest time between two steps
-	TryWait           Number // time after which an attempt counts as failed
-	WarmAfter         Number
-	Zone              string
-	Zones             []string
+	MaxPollInterval       Number // longest time between two polls of the endpoint list
+	MaxTimeWithoutEntry   Number // longest time that a proxy may be without a backend
+	ChannelLinesPerSecond Number // lines a second
+	MaxChannelLines       Number // lines that may wait in the channel
+	ColdCapacityShare     Number // capacity of a cold backend, as a share of a warm one's
+	Coordinators          Number
+	CrossZonePrice        Number // of a request that leaves its zone
+	DrainGrace            Number // after which nothing may reach a draining or gone backend
+	CollapseLoadMultiple  Number // of its capacity, what pushes a cold backend over
+	CollapseWindow        Number
+	FeedbackColumns       []string // names of the columns of a load report
+	FeedbackSource        string
+	MaxReportsPerSecond   Number // lines of reports a second that the module takes
+	LevelKind             string // unit of admission levels: "share", "rate" or "none"
+	EndpointListMode      string // "asked" where the endpoint list has to be polled
+	MessageHeaderLines    Number // lines that a message costs beside its own
+	MessageLimit          Number // limit on messages to a proxy; 0: none
+	MessageLimitSpan      Number // within which they are counted
+	Methods               []MethodSettings
+	ExcludeOnlyDraining   bool // a backend dropped from the list without draining is not bound by the grace
+	PickPolicy            string
+	ProbesAllowed         bool
+	ProxyCount            Number
+	MeanPushTime          Number // usual time from a push to its acknowledgement
+	MaxPushTime           Number
+	ReportPeriod          Number
+	Self                  Number // number of this coordinator
+	SliceCount            Number
+	AvoidAfterFailures    Number // failures in a row after which a proxy avoids a backend for a while
+	Tick                  Number // shortest time between two steps
+	AttemptTimeoutShare   Number // time after which an attempt counts as failed
+	WarmupDuration        Number
+	Zone                  string
+	Zones                 []string
 }
 
 // flatSettings reads single values of the flat form. A value of another type than expected counts as absent.
@@ -121,12 +121,12 @@
 		Name:         f.word(prefix + "name"),
 		Effect:       f.word(prefix + "effect"),
 		Group:        f.word(prefix + "group"),
-		MostTries:    f.word(prefix + "most_tries"),
+		RetryLimit:   f.word(prefix + "most_tries"),
 		OwnZone:      f.flag(prefix + "own_zone"),
 		Criticality:  f.number(prefix + "criticality"),
 		SoftDeadline: f.number(prefix + "soft_deadline"),
 		Deadline:     f.number(prefix + "deadline"),
-		Window:       f.number(prefix + "window"),
+		TokenWindow:  f.number(prefix + "window"),
 	}
 }
 
@@ -134,39 +134,39 @@
 func DecodeSettings(values map[string]any) Settings {
 	flat := flatSettings(values)
 	settings := Settings{
-		AskWithin:         flat.number("ask_within"),
-		BareLimit:         flat.number("bare_limit"),
-		ChannelPace:       flat.number("channel_pace"),
-		ChannelRoom:       flat.number("channel_room"),
-		ColdShare:         flat.number("cold_share"),
-		Coordinators:      flat.number("coordinators"),
-		CrossingPrice:     flat.number("price.crossing"),
-		DrainGrace:        flat.number("drain_grace"),
-		FallMultiple:      flat.number("fall_multiple"),
-		FallWindow:        flat.number("fall_window"),
-		FeedbackColumns:   flat.words("Feedback.Columns"),
-		FeedbackSource:    flat.word("Feedback.Source"),
-		Intake:            flat.number("intake"),
-		LevelKind:         flat.word("level_kind"),
-		Listing:           flat.word("listing"),
-		MessageLines:      flat.number("message_lines"),
-		Messages:          flat.number("messages"),
-		MessagesSpan:      flat.number("messages_span"),
-		OnlyDrainingBinds: flat.flag("only_draining_binds"),
-		Pick:              flat.word("pick"),
-		Probes:            flat.flag("probes"),
-		Proxies:           flat.number("proxies"),
-		PushTime:          flat.number("push_time"),
-		PushTimeWorst:     flat.number("push_time_worst"),
-		ReportPeriod:      flat.number("report_period"),
-		Self:              flat.number("self"),
-		Slices:            flat.number("slices"),
-		Strikes:           flat.number("strikes"),
-		Tick:              flat.number("tick"),
-		TryWait:           flat.number("try_wait"),
-		WarmAfter:         flat.number("warm_after"),
-		Zone:              flat.word("zone"),
-		Zones:             flat.zones(),
+		MaxPollInterval:       flat.number("ask_within"),
+		MaxTimeWithoutEntry:   flat.number("bare_limit"),
+		ChannelLinesPerSecond: flat.number("channel_pace"),
+		MaxChannelLines:       flat.number("channel_room"),
+		ColdCapacityShare:     flat.number("cold_share"),
+		Coordinators:          flat.number("coordinators"),
+		CrossZonePrice:        flat.number("price.crossing"),
+		DrainGrace:            flat.number("drain_grace"),
+		CollapseLoadMultiple:  flat.number("fall_multiple"),
+		CollapseWindow:        flat.number("fall_window"),
+		FeedbackColumns:       flat.words("Feedback.Columns"),
+		FeedbackSource:        flat.word("Feedback.Source"),
+		MaxReportsPerSecond:   flat.number("intake"),
+		LevelKind:             flat.word("level_kind"),
+		EndpointListMode:      flat.word("listing"),
+		MessageHeaderLines:    flat.number("message_lines"),
+		MessageLimit:          flat.number("messages"),
+		MessageLimitSpan:      flat.number("messages_span"),
+		ExcludeOnlyDraining:   flat.flag("only_draining_binds"),
+		PickPolicy:            flat.word("pick"),
+		ProbesAllowed:         flat.flag("probes"),
+		ProxyCount:            flat.number("proxies"),
+		MeanPushTime:          flat.number("push_time"),
+		MaxPushTime:           flat.number("push_time_worst"),
+		ReportPeriod:          flat.number("report_period"),
+		Self:                  flat.number("self"),
+		SliceCount:            flat.number("slices"),
+		AvoidAfterFailures:    flat.number("strikes"),
+		Tick:                  flat.number("tick"),
+		AttemptTimeoutShare:   flat.number("try_wait"),
+		WarmupDuration:        flat.number("warm_after"),
+		Zone:                  flat.word("zone"),
+		Zones:                 flat.zones(),
 	}
 	for i := range int(flat.number("method.n").Or(defaultMethods)) {
 		settings.Methods = append(settings.Methods, flat.method(i))
@@ -223,29 +223,29 @@
 
 func planSettingsOf(settings Settings) planSettings {
 	return planSettings{
-		AskWithin:         settings.AskWithin.Or(defaultAskWithin),
-		ChannelPace:       settings.ChannelPace.Or(defaultChannelPace),
-		ChannelRoom:       settings.ChannelRoom.Or(math.Inf(1)),
-		ColdShare:         settings.ColdShare.Or(defaultColdShare),
-		CrossingPrice:     settings.CrossingPrice.Or(0),
+		AskWithin:         settings.MaxPollInterval.Or(defaultAskWithin),
+		ChannelPace:       settings.ChannelLinesPerSecond.Or(defaultChannelPace),
+		ChannelRoom:       settings.MaxChannelLines.Or(math.Inf(1)),
+		ColdShare:         settings.ColdCapacityShare.Or(defaultColdShare),
+		CrossingPrice:     settings.CrossZonePrice.Or(0),
 		DrainGrace:        settings.DrainGrace.Or(defaultDrainGrace),
-		FallMultiple:      settings.FallMultiple.Or(defaultFallMultiple),
+		FallMultiple:      settings.CollapseLoadMultiple.Or(defaultFallMultiple),
 		LevelKind:         settings.LevelKind,
-		Listing:           settings.Listing,
-		MessageLines:      settings.MessageLines.Or(defaultMessageLines),
-		Messages:          settings.Messages.Or(0),
-		MessagesSpan:      settings.MessagesSpan.Or(defaultMessagesSpan),
+		Listing:           settings.EndpointListMode,
+		MessageLines:      settings.MessageHeaderLines.Or(defaultMessageLines),
+		Messages:          settings.MessageLimit.Or(0),
+		MessagesSpan:      settings.MessageLimitSpan.Or(defaultMessagesSpan),
 		Methods:           settings.Methods,
-		OnlyDrainingBinds: settings.OnlyDrainingBinds,
-		Pick:              settings.Pick,
-		Probes:            settings.Probes,
-		Proxies:           settings.Proxies.Or(defaultProxies),
-		PushTime:          settings.PushTime.Or(defaultPushTime),
-		PushTimeWorst:     settings.PushTimeWorst.Or(defaultPushTimeWorst),
+		OnlyDrainingBinds: settings.ExcludeOnlyDraining,
+		Pick:              settings.PickPolicy,
+		Probes:            settings.ProbesAllowed,
+		Proxies:           settings.ProxyCount.Or(defaultProxies),
+		PushTime:          settings.MeanPushTime.Or(defaultPushTime),
+		PushTimeWorst:     settings.MaxPushTime.Or(defaultPushTimeWorst),
 		ReportPeriod:      settings.ReportPeriod.Or(defaultReportPeriod),
-		Slices:            settings.Slices.Or(0),
-		Strikes:           settings.Strikes.Or(0),
-		TryWait:           settings.TryWait.Or(defaultTryWait),
-		WarmAfter:         settings.WarmAfter.Or(defaultWarmAfter),
+		Slices:            settings.SliceCount.Or(0),
+		Strikes:           settings.AvoidAfterFailures.Or(0),
+		TryWait:           settings.AttemptTimeoutShare.Or(defaultTryWait),
+		WarmAfter:         settings.WarmupDuration.Or(defaultWarmAfter),
 	}
 }
--- a/cmd/gingerfork/check.go
+++ b/cmd/gingerfork/check.go
@@ -53,6 +53,6 @@
 
 // Run prints the reference of all settings keywords, which is docs/settings.md.
 func (settingsCmd) Run(cli *program) error { //nolint:unparam // kong asks for the error
-	fmt.Fprint(cli.out, bootstrap.Document())
+	fmt.Fprint(cli.out, bootstrap.ReferencePage())
 	return nil
 }
--- a/cmd/gingerfork/fake.go
+++ b/cmd/gingerfork/fake.go
@@ -95,17 +95,17 @@
 		return err
 	}
 	config := emulator.Config{
-		Backend:      c.ID,
-		Cores:        c.Workers,
-		Speed:        1,
-		Work:         []emulator.Work{work},
-		QueueLimit:   c.Queue,
-		CancelPolicy: emulator.DropQueued,
-		StartsCold:   c.Cold,
-		ProbeWork:    work.Mean / fakeProbeWorkDivisor,
-		ConnWork:     work.Mean / fakeProbeWorkDivisor,
-		Seed:         c.Seed,
-		KeyStore:     &emulator.KeyStore{},
+		Backend:         c.ID,
+		Cores:           c.Workers,
+		Speed:           1,
+		Work:            []emulator.Work{work},
+		QueueLimit:      c.Queue,
+		CancelPolicy:    emulator.DropQueued,
+		StartsCold:      c.Cold,
+		ProbeWork:       work.Mean / fakeProbeWorkDivisor,
+		ConnWork:        work.Mean / fakeProbeWorkDivisor,
+		Seed:            c.Seed,
+		IdempotencyKeys: &emulator.IdempotencyKeyStore{},
 	}
 	if c.Settings != "" {
 		settings, err := bootstrap.Read(c.Settings)
@@ -113,8 +113,8 @@
 			return err
 		}
 		module := settings.CoordinatorConfig(0).Settings
-		config.ColdSpeed, config.WarmupTime = module.ColdShare.Or(1), module.WarmAfter.Or(0)
-		config.OverloadMultiple, config.OverloadWindow = module.FallMultiple.Or(0), module.FallWindow.Or(0)
+		config.ColdSpeed, config.WarmupTime = module.ColdCapacityShare.Or(1), module.WarmupDuration.Or(0)
+		config.OverloadMultiple, config.OverloadWindow = module.CollapseLoadMultiple.Or(0), module.CollapseWindow.Or(0)
 	}
 	return c.run(ctx, cli, fmt.Sprint("backend-", c.ID), emulator.NewBackend(config), c.Listen)
 }
--- a/cmd/gingerfork/frontend.go
+++ b/cmd/gingerfork/frontend.go
@@ -18,14 +18,14 @@
 // zone, rate, seed and coordinators.
 func frontEndConfig(settings *choice.Settings) fake.FrontEndConfig {
 	return fake.FrontEndConfig{
-		Methods:           fake.MethodConfigs(settings.Methods),
-		Policy:            settings.Pick,
-		FailureLimit:      int(settings.Strikes.Or(0)),
-		AvoidFor:          frontEndAvoidFor,
-		AttemptTimeout:    settings.TryWait.Or(frontEndAttemptTimeout),
-		ApplyTimePerEntry: frontEndApplyTimePerEntry,
-		AdmissionIsRate:   settings.LevelKind == "rate",
-		ReportPeriod:      settings.ReportPeriod.Or(frontEndReportPeriod),
-		ConnectTimeout:    frontEndConnectTimeout,
+		Methods:             fake.MethodConfigs(settings.Methods),
+		Policy:              settings.PickPolicy,
+		FailureLimit:        int(settings.AvoidAfterFailures.Or(0)),
+		AvoidDuration:       frontEndAvoidFor,
+		AttemptTimeoutRatio: settings.AttemptTimeoutShare.Or(frontEndAttemptTimeout),
+		ApplyTimePerEntry:   frontEndApplyTimePerEntry,
+		AdmissionIsRate:     settings.LevelKind == "rate",
+		ReportPeriod:        settings.ReportPeriod.Or(frontEndReportPeriod),
+		ConnectTimeout:      frontEndConnectTimeout,
 	}
 }
--- a/cmd/gingerfork/import.go
+++ b/cmd/gingerfork/import.go
@@ -155,7 +155,7 @@
 		if strings.ContainsAny(pool.Name, "/\\") || strings.HasPrefix(pool.Name, ".") {
 			return fmt.Errorf("pool name %q cannot be used as a file name", pool.Name)
 		}
-		for suffix, text := range map[string]string{".conf": pool.Settings(imported.Routes), ".list": pool.List()} {
+		for suffix, text := range map[string]string{".conf": pool.Settings(imported.Routes), ".list": pool.EndpointList()} {
 			if err := os.WriteFile(filepath.Join(c.Out, pool.Name+suffix), []byte(text), 0o644); err != nil {
 				return fmt.Errorf("write pool %q: %w", pool.Name, err)
 			}
--- a/cmd/gingerfork/load.go
+++ b/cmd/gingerfork/load.go
@@ -129,7 +129,7 @@
 	}{
 		{"swing", c.Swing, scenario.ParsePercent, &config.Shape.DailySwing},
 		{"swing-period", c.SwingPeriod, bootstrap.ParseDuration, &config.Shape.DayLength},
-		{"retry-chance", c.RetryChance, scenario.ParsePercent, &config.ClientRetryChance},
+		{"retry-chance", c.RetryChance, scenario.ParsePercent, &config.ClientRetryProbability},
 		{"retry-backoff", c.RetryBackoff, bootstrap.ParseDuration, &config.ClientRetryBackoff},
 		{"burst", c.Burst, scenario.ParsePercent, &config.Shape.BurstFactor},
 		{"burst-interval", c.BurstInterval, bootstrap.ParseDuration, &config.Shape.BurstInterval},
--- a/cmd/gingerfork/scenario_output.go
+++ b/cmd/gingerfork/scenario_output.go
@@ -75,7 +75,7 @@
 		if rule.Violations > 0 {
 			verdict = fmt.Sprintf("VIOLATED %d times", rule.Violations)
 		}
-		fmt.Fprintf(table, "%d\t%s\t%s\t%.0f%% at %.1f s  %s\n", rule.Rule, rule.Name, verdict, 100*rule.Closest, rule.ClosestTime, rule.ClosestNote)
+		fmt.Fprintf(table, "%d\t%s\t%s\t%.0f%% at %.1f s  %s\n", rule.Rule, rule.Name, verdict, 100*rule.ClosestShare, rule.ClosestTime, rule.ClosestNote)
 	}
 	_ = table.Flush() // ignored as for fmt.Fprint: if the reader closed the pipe, it would not see the error either
 	for _, rule := range result.Report.Rules {
@@ -105,7 +105,7 @@
 	for _, rule := range result.Report.Rules {
 		rules = append(rules, ruleJSON{
 			Rule: rule.Rule, Name: rule.Name, Violations: rule.Violations, FirstTime: rule.FirstTime, Party: rule.Party, Record: rule.Record,
-			Reason: rule.Reason, Closest: rule.Closest, ClosestTime: rule.ClosestTime, ClosestNote: rule.ClosestNote,
+			Reason: rule.Reason, Closest: rule.ClosestShare, ClosestTime: rule.ClosestTime, ClosestNote: rule.ClosestNote,
 		})
 	}
 	service := result.Report.Service
--- a/internal/bench/host/host.go
+++ b/internal/bench/host/host.go
@@ -166,10 +166,10 @@
 	if update.Kind == choice.UpdateFailed {
 		return resolved, nil
 	}
-	if update.List < 0 || update.List >= maxLists || !h.lists[update.List].defined {
-		return resolved, fieldError("Members", "Table", errUndefinedList, update.List)
+	if update.ListNumber < 0 || update.ListNumber >= maxLists || !h.lists[update.ListNumber].defined {
+		return resolved, fieldError("Members", "Table", errUndefinedList, update.ListNumber)
 	}
-	resolved.Endpoints = h.lists[update.List].endpoints
+	resolved.Endpoints = h.lists[update.ListNumber].endpoints
 	return resolved, nil
 }
 
--- a/internal/bench/wire/batch.go
+++ b/internal/bench/wire/batch.go
@@ -41,7 +41,7 @@
 	var mistyped *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &mistyped):
-		return Batch{}, fmt.Errorf("%w: field %s %w", errNotBatch, mistyped.Field, ErrMistyped)
+		return Batch{}, fmt.Errorf("%w: field %s %w", errNotBatch, mistyped.Field, ErrMalformed)
 	case err != nil:
 		return Batch{}, fmt.Errorf("%w: %w", errNotBatch, err)
 	case message.Now == nil:
@@ -84,7 +84,7 @@
 	if name != defineListEvent {
 		event.Coordinator = fields.text("CoordinatorId")
 		if !strings.HasPrefix(event.Coordinator, coordinatorPrefix) {
-			fields.fail("CoordinatorId", ErrMistyped, event.Coordinator)
+			fields.fail("CoordinatorId", ErrMalformed, event.Coordinator)
 		}
 	}
 	event.Body = decodeBody(fields)
--- a/internal/bench/wire/events.go
+++ b/internal/bench/wire/events.go
@@ -24,9 +24,9 @@
 	}
 	// EndpointUpdate is a choice.EndpointUpdate whose endpoints are those of the list that a DefineList defined.
 	EndpointUpdate struct {
-		Kind    choice.UpdateKind
-		Version int64
-		List    int // without a meaning for choice.UpdateFailed
+		Kind       choice.UpdateKind
+		Version    int64
+		ListNumber int // without a meaning for choice.UpdateFailed
 	}
 	// UsageReport is a choice.UsageReport with the name of its method in place of the number.
 	UsageReport struct {
@@ -95,7 +95,7 @@
 	f.required("Conf", &settings)
 	seed, err := strconv.ParseUint(strings.TrimPrefix(entropy.String(), "-"), 10, 64)
 	if err != nil {
-		f.fail("Entropy", ErrMistyped, entropy.String())
+		f.fail("Entropy", ErrMalformed, entropy.String())
 	}
 	return StartInstance{Seed: seed, Settings: FlattenSettings(settings)}
 }
@@ -129,7 +129,7 @@
 	update := EndpointUpdate{Kind: oneOf(f, "Kind", updateKinds)}
 	if update.Kind != choice.UpdateFailed {
 		update.Version = f.integer("Epoch")
-		update.List = f.count("Table")
+		update.ListNumber = f.count("Table")
 	}
 	return update
 }
@@ -152,7 +152,7 @@
 	octets := f.text("Octets")
 	data, err := hex.DecodeString(octets)
 	if err != nil {
-		f.fail("Octets", ErrMistyped, octets)
+		f.fail("Octets", ErrMalformed, octets)
 	}
 	return choice.PeerMessage{From: choice.PeerID(f.integer("From")), Data: data}
 }
--- a/internal/bench/wire/fields.go
+++ b/internal/bench/wire/fields.go
@@ -11,7 +11,7 @@
 // What can be wrong with a field, as the Problem of a FieldError.
 var (
 	ErrMissing      = errors.New("is missing")
-	ErrMistyped     = errors.New("is mistyped")
+	ErrMalformed    = errors.New("is mistyped")
 	ErrUnknownValue = errors.New("has an unknown value")
 )
 
@@ -53,7 +53,7 @@
 		return
 	}
 	if json.Unmarshal(raw, target) != nil {
-		f.fail(field, ErrMistyped, string(raw))
+		f.fail(field, ErrMalformed, string(raw))
 	}
 }
 
--- a/internal/bootstrap/bootstrap_test.go
+++ b/internal/bootstrap/bootstrap_test.go
@@ -81,7 +81,7 @@
 			t.Errorf("%s is %q, want %q", name, got, want)
 		}
 	}
-	if !config.Settings.Probes || settings.Peers[1] != "127.0.0.1:7401" || settings.Text("state") != "here" || settings.Number("handshake") != 5 || settings.Name != "west-1" {
+	if !config.Settings.ProbesAllowed || settings.Peers[1] != "127.0.0.1:7401" || settings.Text("state") != "here" || settings.Number("handshake") != 5 || settings.Name != "west-1" {
 		t.Error(settings)
 	}
 }
@@ -161,7 +161,7 @@
 
 func TestDocument(t *testing.T) {
 	page, err := os.ReadFile("../../docs/settings.md")
-	if err != nil || string(page) != Document() {
+	if err != nil || string(page) != ReferencePage() {
 		t.Fatalf("docs/settings.md is not what the keywords say (%v): go run ./cmd/gingerfork settings > docs/settings.md", err)
 	}
 	for _, k := range keywords {
--- a/internal/bootstrap/check.go
+++ b/internal/bootstrap/check.go
@@ -14,7 +14,7 @@
 func (s *Settings) check() Faults {
 	settings := choice.DecodeSettings(s.Values)
 	faults := s.checkInstance(settings)
-	if settings.PushTimeWorst.Or(0) < settings.PushTime.Or(0) {
+	if settings.MaxPushTime.Or(0) < settings.MeanPushTime.Or(0) {
 		faults = append(faults, s.faultAt("proxies push-time-worst", "push-time-worst is shorter than push-time")...)
 	}
 	return append(faults, s.checkMethods(settings)...)
--- a/internal/bootstrap/document.go
+++ b/internal/bootstrap/document.go
@@ -25,8 +25,8 @@
 
 const tableHead = "| keyword | syntax | range | default | meaning | example |\n| --- | --- | --- | --- | --- | --- |\n"
 
-// Document returns docs/settings.md. It is written from the keywords themselves, so that the two cannot differ.
-func Document() string {
+// ReferencePage returns docs/settings.md. It is written from the keywords themselves, so that the two cannot differ.
+func ReferencePage() string {
 	var page strings.Builder
 	page.WriteString(documentIntroduction)
 	for _, section := range sections {
--- a/internal/configcheck/configcheck.go
+++ b/internal/configcheck/configcheck.go
@@ -20,12 +20,12 @@
 // Warnings returns one sentence for each combination of a coordinator's settings that cannot be met.
 func Warnings(config choice.Config) []string {
 	settings := &config.Settings
-	pace, limit := settings.ChannelPace.Or(0), settings.BareLimit.Or(0)
+	pace, limit := settings.ChannelLinesPerSecond.Or(0), settings.MaxTimeWithoutEntry.Or(0)
 	if pace <= 0 || limit <= 0 {
 		return nil
 	}
-	proxies := settings.Proxies.Or(0) / max(1, settings.Coordinators.Or(1))
-	joinTime := proxies * (settings.MessageLines.Or(0) + entriesPerTable) / pace
+	proxies := settings.ProxyCount.Or(0) / max(1, settings.Coordinators.Or(1))
+	joinTime := proxies * (settings.MessageHeaderLines.Or(0) + entriesPerTable) / pace
 	if joinTime <= joinTimeShare*limit {
 		return nil
 	}
--- a/internal/coordinator/controller.go
+++ b/internal/coordinator/controller.go
@@ -87,8 +87,8 @@
 		endpoints:    endpoints,
 		checkpoint:   checkpointer,
 		pushQueue: pushQueue{
-			entriesPerSecond: settings.ChannelPace.Or(defaultPushRate),
-			overheadEntries:  int(settings.MessageLines.Or(0)),
+			entriesPerSecond: settings.ChannelLinesPerSecond.Or(defaultPushRate),
+			overheadEntries:  int(settings.MessageHeaderLines.Or(0)),
 			maxCatchUp:       stepInterval,
 			nextSendAt:       config.Now,
 		},
--- a/internal/coordinator/harness_test.go
+++ b/internal/coordinator/harness_test.go
@@ -289,7 +289,7 @@
 
 // hello returns the hello of a proxy.
 func hello(name string) proto.Hello {
-	return proto.Hello{Version: proto.Version, Role: proto.RoleProxy, Name: name, Zone: "a", Rate: 10, Fresh: true}
+	return proto.Hello{Version: proto.Version, Role: proto.RoleProxy, Name: name, Zone: "a", Rate: 10, HasNoTables: true}
 }
 
 // listEntry returns an entry of the endpoint list.
--- a/internal/coordinator/persistence_test.go
+++ b/internal/coordinator/persistence_test.go
@@ -106,7 +106,7 @@
 	harness.advance(0.1)
 	restarted := newHarness(t, nil, harness.restartState())
 	proxy := hello("f0")
-	proxy.Fresh, proxy.TablesOf = false, "c0"
+	proxy.HasNoTables, proxy.TablesOf = false, "c0"
 	restarted.step(0.01, opened(1), data(1, proxy))
 	restarted.advance(0.1)
 	pushes := restarted.pushes(1)
--- a/internal/coordinator/proxies.go
+++ b/internal/coordinator/proxies.go
@@ -60,7 +60,7 @@
 	c.streamsByNumber[stream.proxy] = stream
 	c.stats.Joins++
 	c.pendingEvents = append(c.pendingEvents,
-		choice.ProxyJoined{Proxy: stream.proxy, Zone: stream.zone, Rate: joined.hello.Rate, Fresh: joined.hello.Fresh})
+		choice.ProxyJoined{Proxy: stream.proxy, Zone: stream.zone, Rate: joined.hello.Rate, Fresh: joined.hello.HasNoTables})
 }
 
 // allocateNumber returns a free proxy number. It prefers numbers that were used before, so that the decision module's tables
--- a/internal/coordinator/reports.go
+++ b/internal/coordinator/reports.go
@@ -61,7 +61,7 @@
 
 func newReportAggregator(config choice.Config) *reportAggregator {
 	return &reportAggregator{
-		reportsPerSecond: config.Settings.Intake.Or(0),
+		reportsPerSecond: config.Settings.MaxReportsPerSecond.Or(0),
 		period:           config.Settings.ReportPeriod.Or(1),
 		creditedAt:       config.Now,
 		attempts:         map[attemptKey]*pendingReport{},
--- a/internal/coordinator/restart_test.go
+++ b/internal/coordinator/restart_test.go
@@ -278,7 +278,7 @@
 	harness := newStoreHarness(t, folder)
 	for proxy := 1; proxy <= restartProxies; proxy++ {
 		rejoining := hello(fmt.Sprint("f", proxy))
-		rejoining.Fresh, rejoining.TablesOf, rejoining.Nonce = false, "c0", want.lastNonce
+		rejoining.HasNoTables, rejoining.TablesOf, rejoining.Nonce = false, "c0", want.lastNonce
 		conn := statemachine.Conn(proxy)
 		harness.advanceDurably(0.01, opened(conn), data(conn, rejoining))
 	}
--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -49,10 +49,10 @@
 	CacheSize    int     // keys; 0: no cache
 	CacheSavings float64 // share of the work that a cache hit saves
 
-	SampleInterval Seconds // between samples of its state in the trace; 0: none
-	Seed           uint64
-	KeyStore       *KeyStore     // nil: repeated idempotency keys are not detected
-	Executions     *ExecutionLog // nil: executions are not logged
+	SampleInterval  Seconds // between samples of its state in the trace; 0: none
+	Seed            uint64
+	IdempotencyKeys *IdempotencyKeyStore // nil: repeated idempotency keys are not detected
+	Executions      *ExecutionLog        // nil: executions are not logged
 }
 
 // Capacity is the RPCs a second that the backend executes when it is warm, for shares of methods.
--- a/internal/emulator/jobs.go
+++ b/internal/emulator/jobs.go
@@ -88,7 +88,7 @@
 		return
 	}
 	key := started.rpc.IdempotencyKey
-	if key != 0 && m.config.KeyStore != nil && !m.config.KeyStore.FirstUse(key, m.config, m.now) {
+	if key != 0 && m.config.IdempotencyKeys != nil && !m.config.IdempotencyKeys.FirstUse(key, m.config, m.now) {
 		return
 	}
 	m.emit(Executed{started.rpc})
--- a/internal/emulator/keystore.go
+++ b/internal/emulator/keystore.go
@@ -1,11 +1,11 @@
 package emulator
 
-// KeyScope tells which backends share a store of idempotency keys.
-type KeyScope uint8
+// IdempotencyScope tells which backends share a store of idempotency keys.
+type IdempotencyScope uint8
 
 // The scopes of idempotency keys.
 const (
-	AllBackends KeyScope = iota
+	AllBackends IdempotencyScope = iota
 	PerZone
 	PerCell
 	PerBackend
@@ -15,9 +15,9 @@
 // with every RPC.
 const keyStoreExpiryWindows = 10
 
-// KeyStore remembers idempotency keys, so that an RPC is executed once within the window in a scope.
-type KeyStore struct {
-	Scope      KeyScope
+// IdempotencyKeyStore remembers idempotency keys, so that an RPC is executed once within the window in a scope.
+type IdempotencyKeyStore struct {
+	Scope      IdempotencyScope
 	Window     Seconds
 	usedAt     map[scopedKey]Seconds
 	lastExpiry Seconds
@@ -29,7 +29,7 @@
 }
 
 // FirstUse tells whether a key is new in the scope of a backend, and remembers it.
-func (s *KeyStore) FirstUse(idempotencyKey uint64, backend Config, now Seconds) bool {
+func (s *IdempotencyKeyStore) FirstUse(idempotencyKey uint64, backend Config, now Seconds) bool {
 	if s.usedAt == nil {
 		s.usedAt = map[scopedKey]Seconds{}
 	}
@@ -53,7 +53,7 @@
 }
 
 // expire removes the keys that are past the window, now and then.
-func (s *KeyStore) expire(now Seconds) {
+func (s *IdempotencyKeyStore) expire(now Seconds) {
 	if now <= s.lastExpiry+keyStoreExpiryWindows*s.Window+1 {
 		return
 	}
--- a/internal/emulator/keystore_test.go
+++ b/internal/emulator/keystore_test.go
@@ -3,12 +3,12 @@
 import "testing"
 
 // modelsIn makes two backends of different zones and cells that share a key store and an execution log.
-func modelsIn(store *KeyStore, log *ExecutionLog) [2]*Model {
+func modelsIn(store *IdempotencyKeyStore, log *ExecutionLog) [2]*Model {
 	var models [2]*Model
 	for i, zone := range []string{"a", "b"} {
 		config := testConfig(4, Work{Mean: 0.01, Family: Constant})
 		config.Backend, config.Zone, config.Cell = uint32(i+1), zone, i+1
-		config.KeyStore, config.Executions = store, log
+		config.IdempotencyKeys, config.Executions = store, log
 		models[i] = connectedModel(config)
 	}
 	return models
@@ -17,9 +17,9 @@
 // An idempotency key is good for one execution in its scope and window, and the log finds the executions beyond that.
 func TestKeyStoreAndExecutionLog(t *testing.T) {
 	call := RPC{ID: 1, IdempotencyKey: 9, TimeLeft: 1}
-	for scope, repeats := range map[KeyScope]bool{AllBackends: false, PerZone: true, PerCell: true, PerBackend: true} {
+	for scope, repeats := range map[IdempotencyScope]bool{AllBackends: false, PerZone: true, PerCell: true, PerBackend: true} {
 		log := &ExecutionLog{}
-		models := modelsIn(&KeyStore{Scope: scope, Window: 5}, log)
+		models := modelsIn(&IdempotencyKeyStore{Scope: scope, Window: 5}, log)
 		for _, model := range models {
 			model.Submit(1, call)
 			if statuses, _ := advanceUntil(model, 1); statuses[1] != StatusOK {
--- a/internal/endpointservice/fleet_test.go
+++ b/internal/endpointservice/fleet_test.go
@@ -157,7 +157,7 @@
 	f.network.AddNode(name, fleetZone, func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
 		return fake.NewFrontEnd(fake.FrontEndConfig{
 			Name: name, Zone: fleetZone, Coordinators: []string{fmt.Sprint("c", i%coordinators), fmt.Sprint("c", 1-i%coordinators)},
-			Methods: fake.MethodConfigs(settings.Methods), Rate: 15, Policy: settings.Pick, AvoidFor: 5, AttemptTimeout: 0.8,
+			Methods: fake.MethodConfigs(settings.Methods), Rate: 15, Policy: settings.PickPolicy, AvoidDuration: 5, AttemptTimeoutRatio: 0.8,
 			ReportPeriod: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
 		})
 	})
--- a/internal/experiment/measures.go
+++ b/internal/experiment/measures.go
@@ -53,7 +53,7 @@
 	return func(result scenario.Result, _ *report.Report) (share float64) {
 		for _, rule := range result.Report.Rules {
 			if slices.Contains(rules, rule.Rule) {
-				share = max(share, rule.Closest)
+				share = max(share, rule.ClosestShare)
 			}
 		}
 		return share
--- a/internal/fake/attempts.go
+++ b/internal/fake/attempts.go
@@ -87,7 +87,7 @@
 
 func (f *FrontEnd) scheduleAttemptTimeout(now statemachine.Seconds, call *rpc) {
 	attempt := call.attempt
-	timeout := f.config.AttemptTimeout * f.config.Methods[call.method].SoftDeadline
+	timeout := f.config.AttemptTimeoutRatio * f.config.Methods[call.method].SoftDeadline
 	f.timers.schedule(now+timeout, func(now statemachine.Seconds) {
 		if !call.finished && call.attempt == attempt {
 			f.attemptFailed(now, call, true)
@@ -161,7 +161,7 @@
 	} else {
 		record.consecutive++
 		if f.config.FailureLimit > 0 && record.consecutive >= f.config.FailureLimit {
-			record = failureRecord{avoidUntil: now + f.config.AvoidFor}
+			record = failureRecord{avoidUntil: now + f.config.AvoidDuration}
 		}
 	}
 	if record == (failureRecord{}) {
--- a/internal/fake/endpointcommands.go
+++ b/internal/fake/endpointcommands.go
@@ -78,7 +78,7 @@
 	case "restart":
 		endpoint, known = s.everListed[backend]
 		endpoint.State = proto.BackendOpen
-		endpoint.Started = now
+		endpoint.StartedAt = now
 		endpoint.Incarnation++
 		if addr := arguments.text(1); addr != "" {
 			endpoint.Addr = addr
@@ -87,7 +87,7 @@
 		cell, _ := strconv.ParseUint(arguments.text(3), 10, 64) // 0 if malformed, see commandArguments
 		endpoint = Endpoint{
 			Backend: backend, State: proto.BackendOpen, Zone: arguments.text(1), Kind: arguments.text(2), Cell: cell,
-			Weight: arguments.number(4), Addr: arguments.text(5), Started: now, Incarnation: s.version + 1,
+			Weight: arguments.number(4), Addr: arguments.text(5), StartedAt: now, Incarnation: s.version + 1,
 		}
 		known = true
 	}
--- a/internal/fake/endpoints.go
+++ b/internal/fake/endpoints.go
@@ -27,7 +27,7 @@
 	Cell        uint64
 	Weight      float64
 	Addr        string
-	Started     statemachine.Seconds // of its process; 0: long ago
+	StartedAt   statemachine.Seconds // of its process; 0: long ago
 	Incarnation uint64
 }
 
@@ -226,13 +226,13 @@
 func (s *EndpointService) encode(now statemachine.Seconds, client *watcher, endpoint Endpoint) proto.Endpoint {
 	entry := proto.Endpoint{
 		Backend: endpoint.Backend, State: endpoint.State, Kind: endpoint.Kind, Zone: endpoint.Zone, Cell: endpoint.Cell,
-		Weight: endpoint.Weight, StartedLongAgo: endpoint.Started == 0, Incarnation: endpoint.Incarnation, Addr: endpoint.Addr,
+		Weight: endpoint.Weight, StartedLongAgo: endpoint.StartedAt == 0, Incarnation: endpoint.Incarnation, Addr: endpoint.Addr,
 	}
 	if s.RewriteAddr != nil {
 		entry.Addr = s.RewriteAddr(client.name, endpoint.Addr)
 	}
-	if endpoint.Started > 0 {
-		entry.Age = max(0, now-endpoint.Started)
+	if endpoint.StartedAt > 0 {
+		entry.Age = max(0, now-endpoint.StartedAt)
 	}
 	return entry
 }
@@ -269,7 +269,7 @@
 	descriptions := make([]string, 0, len(endpoints))
 	for _, endpoint := range endpoints {
 		state := "god"[endpoint.State] // gone, open, draining
-		descriptions = append(descriptions, fmt.Sprintf("%d:%c:%.3f:%s", endpoint.Backend, state, endpoint.Started, endpoint.Zone))
+		descriptions = append(descriptions, fmt.Sprintf("%d:%c:%.3f:%s", endpoint.Backend, state, endpoint.StartedAt, endpoint.Zone))
 	}
 	return strings.Join(descriptions, " ")
 }
--- a/internal/fake/frontend.go
+++ b/internal/fake/frontend.go
@@ -24,22 +24,22 @@
 	Policy       string        // how backends are picked: even, weight, pair or report
 	// FailureLimit is the number of consecutive failures of a backend after which the front end avoids it for AvoidFor;
 	// 0: it never does.
-	FailureLimit      int
-	AvoidFor          statemachine.Seconds
-	AttemptTimeout    float64              // of an attempt that may be retried, as a share of the soft deadline
-	ApplyTimePerEntry statemachine.Seconds // that it stands still for each entry of a push
-	AdmissionIsRate   bool                 // admission levels are RPCs a second instead of shares
-	ReportPeriod      statemachine.Seconds
-	RecordDelay       bool               // it records in the trace how late it handled arrivals
-	StaticTable       []proto.TableEntry // its one table if it follows no coordinator
-	ConnectTimeout    statemachine.Seconds
-	Seed              uint64
-	// ClientRetryChance is the chance that a client sends a failed RPC again, after about ClientRetryBackoff, which
+	FailureLimit        int
+	AvoidDuration       statemachine.Seconds
+	AttemptTimeoutRatio float64              // of an attempt that may be retried, as a share of the soft deadline
+	ApplyTimePerEntry   statemachine.Seconds // that it stands still for each entry of a push
+	AdmissionIsRate     bool                 // admission levels are RPCs a second instead of shares
+	ReportPeriod        statemachine.Seconds
+	RecordScheduleDelay bool               // it records in the trace how late it handled arrivals
+	StaticTable         []proto.TableEntry // its one table if it follows no coordinator
+	ConnectTimeout      statemachine.Seconds
+	Seed                uint64
+	// ClientRetryProbability is the chance that a client sends a failed RPC again, after about ClientRetryBackoff, which
 	// doubles each time, at most ClientRetryLimit times. Non-idempotent RPCs are only sent again if they were rejected,
 	// which proves that they were not executed.
-	ClientRetryChance  float64
-	ClientRetryBackoff statemachine.Seconds
-	ClientRetryLimit   int
+	ClientRetryProbability float64
+	ClientRetryBackoff     statemachine.Seconds
+	ClientRetryLimit       int
 }
 
 // FrontEnd is a proxy that follows the tables of one coordinator and sends the RPCs of its clients to backends. It
--- a/internal/fake/frontend_test.go
+++ b/internal/fake/frontend_test.go
@@ -173,7 +173,7 @@
 		"if rejected, not answered": {hangingBackend(1), 1, false},
 		"once, not answered":        {hangingBackend(1), 2, true},
 	} {
-		config := FrontEndConfig{Rate: 10, Policy: "lottery", AttemptTimeout: 0.8}
+		config := FrontEndConfig{Rate: 10, Policy: "lottery", AttemptTimeoutRatio: 0.8}
 		got := run(t, 20, config, coordinatorWith(&proto.Admission{Level: 1, Retry: test.policy}, 1, 1), test.first, fastBackend(2))
 		if got.count(func(record trace.Record) bool { return record.Kind == trace.AttemptSent && record.Count > 2 }) > 0 {
 			t.Fatalf("%s: a third attempt", name)
@@ -202,7 +202,7 @@
 func TestFailingBackendIsAvoided(t *testing.T) {
 	config := FrontEndConfig{Rate: 50, Policy: "lottery"}
 	without := run(t, 30, config, coordinatorWith(nil, 1, 1), rejectingBackend(1), fastBackend(2)).attempts[1]
-	config.FailureLimit, config.AvoidFor = 3, 5
+	config.FailureLimit, config.AvoidDuration = 3, 5
 	with := run(t, 30, config, coordinatorWith(nil, 1, 1), rejectingBackend(1), fastBackend(2)).attempts[1]
 	if with*5 > without || with < 6 {
 		t.Errorf("%d attempts at a backend that rejects everything with a failure limit, %d without", with, without)
@@ -230,13 +230,13 @@
 		"non-idempotent, rejected":     {NonIdempotent, rejectingBackend(1), true},
 	} {
 		methods := []MethodConfig{{Name: "m", Repeatability: test.repeatability, Criticality: 1, SoftDeadline: 0.3, Deadline: 0.5, Share: 1}}
-		config := FrontEndConfig{Rate: 10, Policy: "even", Methods: methods, ClientRetryChance: 1, ClientRetryBackoff: 0.1, ClientRetryLimit: 2}
+		config := FrontEndConfig{Rate: 10, Policy: "even", Methods: methods, ClientRetryProbability: 1, ClientRetryBackoff: 0.1, ClientRetryLimit: 2}
 		failures := func() float64 {
 			got := run(t, 30, config, coordinatorWith(nil, 1), test.backend)
 			return float64(got.statuses["aborted"] + got.statuses["pushed back"])
 		}
 		with := failures()
-		config.ClientRetryChance = 0
+		config.ClientRetryProbability = 0
 		without := failures()
 		if ratio := with / without; test.retries && (ratio < 2.7 || ratio > 3.3) || !test.retries && (ratio < 0.8 || ratio > 1.25) {
 			t.Errorf("%s: %.0f RPCs failed, %.0f without client retries", name, with, without)
@@ -267,13 +267,13 @@
 
 // RPCs with one idempotency key are executed once, whichever backends they reach.
 func TestKeyStoreDropsRepeats(t *testing.T) {
-	store := &emulator.KeyStore{Window: 5}
+	store := &emulator.IdempotencyKeyStore{Window: 5}
 	slow := backendWith(1, 2, 50, 100)
-	slow.KeyStore = store
+	slow.IdempotencyKeys = store
 	fast := fastBackend(2)
-	fast.KeyStore = store
+	fast.IdempotencyKeys = store
 	methods := []MethodConfig{{Name: "save", Repeatability: IdempotentWithKey, Criticality: 1, SoftDeadline: 0.3, Deadline: 2, Share: 1}}
-	config := FrontEndConfig{Rate: 20, Policy: "lottery", AttemptTimeout: 0.8, Methods: methods}
+	config := FrontEndConfig{Rate: 20, Policy: "lottery", AttemptTimeoutRatio: 0.8, Methods: methods}
 	got := run(t, 20, config, coordinatorWith(&proto.Admission{Level: 1, Retry: 2}, 1, 1), slow, fast)
 	executions := map[uint64]int{}
 	for _, record := range got.records {
--- a/internal/fake/reports.go
+++ b/internal/fake/reports.go
@@ -82,7 +82,7 @@
 // session if the coordinator was silent for too long.
 func (f *FrontEnd) report(now statemachine.Seconds) {
 	f.timers.schedule(now+f.config.ReportPeriod, f.report)
-	if f.config.RecordDelay {
+	if f.config.RecordScheduleDelay {
 		f.out.Record(trace.Record{Time: now, Kind: trace.ScheduleDelay, Party: f.config.Name, Value: f.clients.maxDelay})
 		f.clients.maxDelay = 0
 	}
--- a/internal/fake/rpc.go
+++ b/internal/fake/rpc.go
@@ -128,7 +128,7 @@
 	if status == proto.StatusOK || !repeatable || call.clientRetries >= f.config.ClientRetryLimit {
 		return
 	}
-	if f.random.Uniform() >= f.config.ClientRetryChance {
+	if f.random.Uniform() >= f.config.ClientRetryProbability {
 		return
 	}
 	doublings := min(call.clientRetries, maxClientBackoffDoublings)
--- a/internal/fake/session.go
+++ b/internal/fake/session.go
@@ -75,7 +75,7 @@
 		f.session.lastReceived = now
 		f.out.Write(f.session.stream, proto.Append(nil, proto.Hello{
 			Version: proto.Version, Role: proto.RoleProxy, Name: f.config.Name, Zone: f.config.Zone, Rate: f.clients.rate,
-			Fresh: f.session.tablesOf == "", TablesOf: f.session.tablesOf, Nonce: f.session.nonce,
+			HasNoTables: f.session.tablesOf == "", TablesOf: f.session.tablesOf, Nonce: f.session.nonce,
 		}))
 	case statemachine.ConnClosed:
 		f.endSession(now, input.Text)
--- a/internal/haproxy/diff.go
+++ b/internal/haproxy/diff.go
@@ -35,7 +35,7 @@
 func (i Import) listings() map[serverKey]string {
 	listings := map[serverKey]string{}
 	for _, pool := range i.Pools {
-		for _, server := range pool.Listed() {
+		for _, server := range pool.ListedServers() {
 			listings[serverKey{pool.Name, server.Name}] = fmt.Sprintf("weight %d addr %s state %s", server.listedWeight(), server.Addr, server.State)
 		}
 	}
--- a/internal/haproxy/endpoints.go
+++ b/internal/haproxy/endpoints.go
@@ -23,8 +23,8 @@
 }
 
 func (p Pool) listedServers() []endpointfile.Backend {
-	numbers := p.Numbers()
-	listed := p.Listed()
+	numbers := p.ServerNumbers()
+	listed := p.ListedServers()
 	servers := make([]endpointfile.Backend, 0, len(listed))
 	for _, server := range listed {
 		servers = append(servers, endpointfile.Backend{
--- a/internal/haproxy/import_test.go
+++ b/internal/haproxy/import_test.go
@@ -149,7 +149,7 @@
 			for number, server := range pool.Servers {
 				fmt.Fprintf(&got, "%d/%d=%d ", i, number, server.Weight)
 			}
-			if pool.List() != two.Pools[i].List() || pool.Settings(one.Routes) != two.Pools[i].Settings(two.Routes) {
+			if pool.EndpointList() != two.Pools[i].EndpointList() || pool.Settings(one.Routes) != two.Pools[i].Settings(two.Routes) {
 				check.Fatal("the same text was written otherwise")
 			}
 		}
@@ -173,7 +173,7 @@
 		var b strings.Builder
 		for _, p := range one.Pools {
 			fmt.Fprintf(&b, "backend %s\n", p.Name)
-			for _, s := range p.Listed() {
+			for _, s := range p.ListedServers() {
 				fmt.Fprintf(&b, "server %s %s weight %d\n", s.Name, s.Addr, s.Weight)
 			}
 		}
@@ -182,7 +182,7 @@
 			t.Errorf("%s: %v %v", file.Name(), two.Faults, d)
 		}
 		for i, p := range one.Pools {
-			if a, b := p.Numbers(), two.Pools[i].Numbers(); a[p.Listed()[0].Name] != b[p.Listed()[0].Name] {
+			if a, b := p.ServerNumbers(), two.Pools[i].ServerNumbers(); a[p.ListedServers()[0].Name] != b[p.ListedServers()[0].Name] {
 				t.Errorf("%s, pool %s: other numbers", file.Name(), p.Name)
 			}
 		}
@@ -201,7 +201,7 @@
 	if got := strings.Join(all, "; "); got != want {
 		t.Errorf("%s\n%s wanted", got, want)
 	}
-	if a, b := old.Pools[0].Numbers(), now.Pools[0].Numbers(); a["x"] != b["x"] || a["z"] != b["z"] {
+	if a, b := old.Pools[0].ServerNumbers(), now.Pools[0].ServerNumbers(); a["x"] != b["x"] || a["z"] != b["z"] {
 		t.Error("servers that stayed have other numbers")
 	}
 }
--- a/internal/haproxy/list.go
+++ b/internal/haproxy/list.go
@@ -11,9 +11,9 @@
 	"gingerfork/internal/bootstrap"
 )
 
-// Numbers returns the number of each server on the endpoint list. It is a hash of the server's name, so that a server keeps
+// ServerNumbers returns the number of each server on the endpoint list. It is a hash of the server's name, so that a server keeps
 // its number when others are added or removed. Where two hashes collide, the server that sorts later takes the next number.
-func (p Pool) Numbers() map[string]uint32 {
+func (p Pool) ServerNumbers() map[string]uint32 {
 	names := make([]string, 0, len(p.Servers))
 	for _, server := range p.Servers {
 		names = append(names, server.Name)
@@ -30,12 +30,12 @@
 	return numbers
 }
 
-// List writes a pool's endpoint list, a line for each server: server NUMBER NAME weight W addr ADDRESS state open|draining.
-func (p Pool) List() string {
+// EndpointList writes a pool's endpoint list, a line for each server: server NUMBER NAME weight W addr ADDRESS state open|draining.
+func (p Pool) EndpointList() string {
 	var list strings.Builder
 	fmt.Fprintf(&list, "# pool %q, from %q line %d\n", p.Name, p.File, p.Line)
-	numbers := p.Numbers()
-	for _, server := range p.Listed() {
+	numbers := p.ServerNumbers()
+	for _, server := range p.ListedServers() {
 		fmt.Fprintf(&list, "server %d %s weight %d addr %s state %s\n",
 			numbers[server.Name], bootstrap.Quote(server.Name), server.listedWeight(), bootstrap.Quote(server.Addr), server.State)
 	}
--- a/internal/haproxy/pool.go
+++ b/internal/haproxy/pool.go
@@ -26,8 +26,8 @@
 // defaultRetries is HAProxy's number of retries where none is set (manual, 4.2 retries).
 const defaultRetries = 3
 
-// Listed returns the servers that the endpoint list shows.
-func (p Pool) Listed() (servers []Server) {
+// ListedServers returns the servers that the endpoint list shows.
+func (p Pool) ListedServers() (servers []Server) {
 	for _, server := range p.Servers {
 		if server.State != Unused {
 			servers = append(servers, server)
--- a/internal/haproxy/recording_test.go
+++ b/internal/haproxy/recording_test.go
@@ -137,7 +137,7 @@
 		fmt.Fprintf(out, "%s %d %q %q %d %t %t %v %d %q %s\n", server.Position, server.Column, server.Name, server.Addr, server.Weight, server.Backup, server.Disabled,
 			server.SlowStart, server.ID, server.Track, server.State)
 	}
-	io.WriteString(out, pool.List()+pool.Settings(imported.Routes))
+	io.WriteString(out, pool.EndpointList()+pool.Settings(imported.Routes))
 	for _, name := range []string{pool.Name, ""} {
 		servers, err := imported.Servers(name)
 		for _, server := range servers {
--- a/internal/haproxy/routes_test.go
+++ b/internal/haproxy/routes_test.go
@@ -212,7 +212,7 @@
 		var all []string
 		for m, name := range trade.Methods {
 			method := b.Settings.Methods[m]
-			all = append(all, name+" "+method.Effect+" "+method.MostTries)
+			all = append(all, name+" "+method.Effect+" "+method.RetryLimit)
 		}
 		if strings.Join(all, "; ") != want {
 			t.Errorf("%s, %s wanted", strings.Join(all, "; "), want)
--- a/internal/haproxy/samples_test.go
+++ b/internal/haproxy/samples_test.go
@@ -32,7 +32,7 @@
 // listed is a pool's endpoint list in short.
 func listed(p Pool) string {
 	var all []string
-	for _, s := range p.Listed() {
+	for _, s := range p.ListedServers() {
 		all = append(all, fmt.Sprintf("%s %s %d %s", s.Name, s.Addr, s.Weight, s.State))
 	}
 	return strings.Join(all, "; ")
--- a/internal/haproxy/traffic_test.go
+++ b/internal/haproxy/traffic_test.go
@@ -78,8 +78,8 @@
 // addBackends adds an emulated backend for each listed server, and the endpoint service that lists them.
 func (s *poolSimulation) addBackends() {
 	var endpoints []fake.Endpoint
-	numbers := s.pool.Numbers()
-	for _, server := range s.pool.Listed() {
+	numbers := s.pool.ServerNumbers()
+	for _, server := range s.pool.ListedServers() {
 		backend := numbers[server.Name]
 		s.names[backend] = server.Name
 		s.nodes = append(s.nodes, server.Name)
@@ -119,7 +119,7 @@
 		s.network.AddNode(name, "imported", func(statemachine.Seconds, map[string][]byte) statemachine.Machine {
 			return fake.NewFrontEnd(fake.FrontEndConfig{
 				Name: name, Zone: "imported", Coordinators: []string{"c0"}, Methods: methods, Rate: 60,
-				Policy: config.Settings.Pick, AvoidFor: 5, ReportPeriod: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
+				Policy: config.Settings.PickPolicy, AvoidDuration: 5, ReportPeriod: 2, ConnectTimeout: 0.25, Seed: uint64(i) + 1,
 			})
 		})
 		s.nodes = append(s.nodes, name)
@@ -168,7 +168,7 @@
 		t.Fatal(got.Faults)
 	}
 	p := got.Pools[0]
-	numbers := p.Numbers()
+	numbers := p.ServerNumbers()
 	weights := map[string]int{"s1": 1, "s2": 16, "s3": 100, "s4": 256, "s5": 31}
 	before, after := simulatePool(t, p, 23, fmt.Sprintf("state %d draining", numbers["s4"]))
 	check("weights from 1 to 256", before, weights)
@@ -178,7 +178,7 @@
 	got = read("backend b\noption allbackups\nserver a h:1 disabled\nserver b h:2 backup weight 10\nserver c h:3 backup weight 30\n")
 	before, _ = simulatePool(t, got.Pools[0], 23)
 	check("backups alone", before, map[string]int{"b": 10, "c": 30})
-	before, after = simulatePool(t, got.Pools[0], 23, fmt.Sprintf("weight %d 10", got.Pools[0].Numbers()["c"]))
+	before, after = simulatePool(t, got.Pools[0], 23, fmt.Sprintf("weight %d 10", got.Pools[0].ServerNumbers()["c"]))
 	check("before a weight changes", before, map[string]int{"b": 10, "c": 30})
 	check("after it did", after, map[string]int{"b": 10, "c": 10})
 }
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -84,8 +84,8 @@
 
 // measure keeps the largest share of a rule's limit that was reached, with a note on what reached it.
 func (c *checker) measure(rule int, share float64, note string, args ...any) {
-	if v := &c.report.Rules[rule-1]; share > v.Closest {
-		v.Closest, v.ClosestTime, v.ClosestNote = share, c.now-c.begin, fmt.Sprintf(note, args...)
+	if v := &c.report.Rules[rule-1]; share > v.ClosestShare {
+		v.ClosestShare, v.ClosestTime, v.ClosestNote = share, c.now-c.begin, fmt.Sprintf(note, args...)
 	}
 }
 
--- a/internal/invariant/coordinator.go
+++ b/internal/invariant/coordinator.go
@@ -145,7 +145,7 @@
 // list service publishes.
 func (c *checker) handleEndpoints(record trace.Record) error {
 	if record.Coordinator == "" {
-		return c.endpoints.update(record, c.limits.OnlyDraining)
+		return c.endpoints.update(record, c.limits.OnlyDrainingBinds)
 	}
 	coord := c.coordinator(record.Coordinator)
 	if coord.partitions > 0 {
@@ -157,7 +157,7 @@
 	if err := c.deliverDelayed(coord, record.Time); err != nil {
 		return err
 	}
-	if err := coord.endpoints.update(record, c.limits.OnlyDraining); err != nil {
+	if err := coord.endpoints.update(record, c.limits.OnlyDrainingBinds); err != nil {
 		return err
 	}
 	coord.updateAvailability(record.Time, c.limits.WarmAfter)
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -41,7 +41,7 @@
 	MaxQueuedEntries      int     // table entries that may wait at a coordinator
 	MaxMessages           int     // messages to a proxy within MessageWindow; 0: any number
 	MessageWindow         float64
-	OnlyDraining          bool    // a backend that is gone without a drain does not bind proxies
+	OnlyDrainingBinds     bool    // a backend that is gone without a drain does not bind proxies
 	EndpointStreamTimeout float64 // silence after which a coordinator gives up its stream to the endpoint list service
 	PollInterval          float64 // a coordinator without a stream must poll within this
 	Methods               []Method
@@ -49,16 +49,16 @@
 
 // Verdict is the result for one rule. Times named First and Record refer to the first violation.
 type Verdict struct {
-	Rule        int
-	Name        string
-	Violations  int
-	FirstTime   float64 // seconds, on the trace's clock
-	Party       string
-	Record      int // index in the trace, from 1
-	Reason      string
-	Closest     float64 // largest share of the limit that was reached; 1 and above: reached
-	ClosestTime float64 // seconds since the start of the run
-	ClosestNote string
+	Rule         int
+	Name         string
+	Violations   int
+	FirstTime    float64 // seconds, on the trace's clock
+	Party        string
+	Record       int // index in the trace, from 1
+	Reason       string
+	ClosestShare float64 // largest share of the limit that was reached; 1 and above: reached
+	ClosestTime  float64 // seconds since the start of the run
+	ClosestNote  string
 }
 
 // Service is what the clients received. Offered and InTime are sums of criticality, the others are numbers of RPCs.
--- a/internal/invariant/rule3_drain.go
+++ b/internal/invariant/rule3_drain.go
@@ -23,7 +23,7 @@
 // proxies.
 func (c *checker) drainNotified(now float64, coord *coordinator, backend uint32) (notifiedTime float64, binding bool) {
 	entry, known := coord.endpoints[backend]
-	binding = known && (entry.state == stateDraining || entry.state == stateGone && !c.limits.OnlyDraining)
+	binding = known && (entry.state == stateDraining || entry.state == stateGone && !c.limits.OnlyDrainingBinds)
 	binding = binding && (!coord.mustPoll || !coord.uncertain[backend])
 	if binding || !coord.mustPoll || now <= coord.pollTime+c.limits.PollInterval {
 		return entry.stateTime, binding
@@ -33,5 +33,5 @@
 	if !known || entry.state == stateOpen {
 		return entry.stateTime, false
 	}
-	return entry.stateTime + c.limits.PollInterval, entry.state == stateDraining || !c.limits.OnlyDraining
+	return entry.stateTime + c.limits.PollInterval, entry.state == stateDraining || !c.limits.OnlyDrainingBinds
 }
--- a/internal/load/config.go
+++ b/internal/load/config.go
@@ -75,7 +75,7 @@
 	proxy.Name = fmt.Sprint("load-", index)
 	proxy.Rate = c.Rate / float64(c.Proxies) * rateFactor
 	proxy.Seed = fake.DeriveSeed(c.Seed, proxy.Name)
-	proxy.RecordDelay = true
+	proxy.RecordScheduleDelay = true
 	proxy.StaticTable = c.staticTable()
 	if len(c.Zones) > 0 {
 		proxy.Zone = c.Zones[index%len(c.Zones)]
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -86,7 +86,7 @@
 		"no duration":           {func(config *Config) { config.Duration = 0 }, errConfig},
 		"no target":             {func(config *Config) { config.Backends = nil }, errConfig},
 		"both kinds of targets": {func(config *Config) { config.Coordinators = []string{"x"} }, errConfig},
-		"a swing without a day": {func(config *Config) { config.FrontEnd.Shape.DailySwing = 0.5 }, traffic.ErrShape},
+		"a swing without a day": {func(config *Config) { config.FrontEnd.Shape.DailySwing = 0.5 }, traffic.ErrInvalidShape},
 	} {
 		config := testConfig([]string{"127.0.0.1:1"})
 		test.spoil(&config)
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -57,7 +57,7 @@
 
 // maxPollInterval returns the longest time allowed between two requests to discovery.
 func (d *discoveryClient) maxPollInterval() statemachine.Seconds {
-	if interval := d.machine.boot.Module.Settings.AskWithin.Or(0); interval > 0 {
+	if interval := d.machine.boot.Module.Settings.MaxPollInterval.Or(0); interval > 0 {
 		return interval
 	}
 	return defaultPollInterval
--- a/internal/platform/idle.go
+++ b/internal/platform/idle.go
@@ -37,7 +37,7 @@
 // usage reports, and 20 times the longest time that an acknowledgement should take.
 func (m *Machine) idleTimeout() statemachine.Seconds {
 	settings := m.boot.Module.Settings
-	return max(idleTimeoutReportPeriods*settings.ReportPeriod.Or(defaultReportPeriod), idleTimeoutPushTimes*settings.PushTimeWorst.Or(defaultPushTimeWorst), minIdleTimeout)
+	return max(idleTimeoutReportPeriods*settings.ReportPeriod.Or(defaultReportPeriod), idleTimeoutPushTimes*settings.MaxPushTime.Or(defaultPushTimeWorst), minIdleTimeout)
 }
 
 // closeIdleStreams closes streams whose peers have gone away without closing them, as after a network partition or the loss
--- a/internal/platform/machine.go
+++ b/internal/platform/machine.go
@@ -92,7 +92,7 @@
 		m.zones[zone] = true
 	}
 	m.stepInterval = settings.Tick.Or(0)
-	m.streams = make([]*stream, min(max(int(settings.Proxies.Or(0)), 0), maxProxies))
+	m.streams = make([]*stream, min(max(int(settings.ProxyCount.Or(0)), 0), maxProxies))
 }
 
 const (
--- a/internal/proto/codec.go
+++ b/internal/proto/codec.go
@@ -84,21 +84,21 @@
 	buf = appendText(buf, m.Name)
 	buf = appendText(buf, m.Zone)
 	buf = appendNumber(buf, m.Rate)
-	buf = appendFlag(buf, m.Fresh)
+	buf = appendFlag(buf, m.HasNoTables)
 	buf = appendText(buf, m.TablesOf)
 	return appendInteger(buf, m.Nonce)
 }
 
 func decodeHello(d *decoder) Message {
 	return Hello{
-		Version:  d.integer(),
-		Role:     decodeEnum(d, roleCount, "role"),
-		Name:     d.text(),
-		Zone:     d.text(),
-		Rate:     d.number(),
-		Fresh:    d.flag(),
-		TablesOf: d.text(),
-		Nonce:    d.nonce(),
+		Version:     d.integer(),
+		Role:        decodeEnum(d, roleCount, "role"),
+		Name:        d.text(),
+		Zone:        d.text(),
+		Rate:        d.number(),
+		HasNoTables: d.flag(),
+		TablesOf:    d.text(),
+		Nonce:       d.nonce(),
 	}
 }
 
--- a/internal/proto/generators_test.go
+++ b/internal/proto/generators_test.go
@@ -65,14 +65,14 @@
 var drawMessage = map[MessageType]func(t *rapid.T) Message{
 	typeHello: func(t *rapid.T) Message {
 		return Hello{
-			Version:  anyInteger.Draw(t, "version"),
-			Role:     Role(rapid.IntRange(0, int(roleCount)-1).Draw(t, "role")),
-			Name:     anyText.Draw(t, "name"),
-			Zone:     anyText.Draw(t, "zone"),
-			Rate:     anyNumber.Draw(t, "rate"),
-			Fresh:    anyFlag.Draw(t, "fresh"),
-			TablesOf: anyText.Draw(t, "tables of"),
-			Nonce:    anyNonce.Draw(t, "nonce"),
+			Version:     anyInteger.Draw(t, "version"),
+			Role:        Role(rapid.IntRange(0, int(roleCount)-1).Draw(t, "role")),
+			Name:        anyText.Draw(t, "name"),
+			Zone:        anyText.Draw(t, "zone"),
+			Rate:        anyNumber.Draw(t, "rate"),
+			HasNoTables: anyFlag.Draw(t, "fresh"),
+			TablesOf:    anyText.Draw(t, "tables of"),
+			Nonce:       anyNonce.Draw(t, "nonce"),
 		}
 	},
 	typeWelcome: func(t *rapid.T) Message {
--- a/internal/proto/messages.go
+++ b/internal/proto/messages.go
@@ -77,14 +77,14 @@
 type (
 	// Hello opens every stream. Name and Zone are those of the opener; the other fields have a meaning for proxies only.
 	Hello struct {
-		Version  uint64
-		Role     Role
-		Name     string
-		Zone     string
-		Rate     float64 // RPCs a second that the proxy usually gets
-		Fresh    bool    // the proxy holds no table of any coordinator
-		TablesOf string  // name of the coordinator whose tables the proxy holds
-		Nonce    uint64  // of the last push of that coordinator that the proxy applied
+		Version     uint64
+		Role        Role
+		Name        string
+		Zone        string
+		Rate        float64 // RPCs a second that the proxy usually gets
+		HasNoTables bool    // the proxy holds no table of any coordinator
+		TablesOf    string  // name of the coordinator whose tables the proxy holds
+		Nonce       uint64  // of the last push of that coordinator that the proxy applied
 	}
 	// Welcome accepts a Hello.
 	Welcome struct {
--- a/internal/proto/wire_test.go
+++ b/internal/proto/wire_test.go
@@ -43,7 +43,7 @@
 		frame   string
 	}{
 		{
-			Hello{Version: 1, Role: RoleWatcher, Name: "f0", Zone: "dc a", Rate: 5.5, Fresh: true, TablesOf: "c1", Nonce: 300},
+			Hello{Version: 1, Role: RoleWatcher, Name: "f0", Zone: "dc a", Rate: 5.5, HasNoTables: true, TablesOf: "c1", Nonce: 300},
 			"000000190101010266300464632061401600000000000001026331ac02",
 		},
 		{
--- a/internal/scenario/emulate.go
+++ b/internal/scenario/emulate.go
@@ -31,12 +31,12 @@
 	return fmt.Sprintf("ports from %d on do not hold a list service and %d servers", e.Port, e.Backends)
 }
 
-// NoPartError is returned by Emulation.Check when the part to play is not one of the parts.
-type NoPartError struct {
+// UnknownPartError is returned by Emulation.Check when the part to play is not one of the parts.
+type UnknownPartError struct {
 	Part, Parts int
 }
 
-func (e *NoPartError) Error() string {
+func (e *UnknownPartError) Error() string {
 	return fmt.Sprintf("part %d of %d does not exist", e.Part, e.Parts)
 }
 
@@ -62,10 +62,10 @@
 func needsMoreThanFleet(step Step) bool {
 	switch step.Target {
 	case TargetBackends:
-		return step.Verb == VerbPartition || step.Verb == VerbIsolate || step.FlapMode == FlapIsolate
+		return step.Verb == VerbPartition || step.Verb == VerbPowerLoss || step.FlapMode == FlapPowerLoss
 	case TargetZone:
 		return step.Verb != VerbLoseZone
-	case TargetList:
+	case TargetEndpointService:
 		return step.Verb == VerbPartition
 	}
 	return true
@@ -91,7 +91,7 @@
 		return &PortRangeError{Port: e.Port, Backends: backends}
 	}
 	if e.Parts < 0 || e.Part > e.Parts || e.Parts > 0 && e.Part < 1 {
-		return &NoPartError{Part: e.Part, Parts: e.Parts}
+		return &UnknownPartError{Part: e.Part, Parts: e.Parts}
 	}
 	return nil
 }
@@ -176,7 +176,7 @@
 }
 
 // startLoop starts an event loop with some backends.
-func (e *emulation) startLoop(ctx context.Context, backends []*participant, store *emulator.KeyStore) error {
+func (e *emulation) startLoop(ctx context.Context, backends []*participant, store *emulator.IdempotencyKeyStore) error {
 	fleet := emulator.NewFleet(e.addTally)
 	config := eventloop.Bootstrap{Machine: fleet, Clock: e.clock, Trace: e.Trace}
 	for _, backend := range backends {
@@ -184,7 +184,7 @@
 		if e.loopCount > 1 || e.Parts > 1 {
 			// What belongs to one loop or process cannot be seen by another.
 			backendConfig.Executions = nil
-			backendConfig.KeyStore = &emulator.KeyStore{Scope: e.Scenario.IdempotencyScope, Window: store.Window}
+			backendConfig.IdempotencyKeys = &emulator.IdempotencyKeyStore{Scope: e.Scenario.IdempotencyScope, Window: store.Window}
 		}
 		fleet.AddBackend(backend.name, backendConfig)
 		config.Listen = append(config.Listen, e.Addr(backend.index))
--- a/internal/scenario/emulate_test.go
+++ b/internal/scenario/emulate_test.go
@@ -17,7 +17,7 @@
 	if err := (Emulation{Scenario: quiet, Port: 65530}).Check(); !errors.As(err, &portRange) || portRange.Backends != 12 {
 		t.Errorf("ports above the range: got error %v, want a PortRangeError", err)
 	}
-	var noPart *NoPartError
+	var noPart *UnknownPartError
 	if err := (Emulation{Scenario: quiet, Port: 20000, Part: 3, Parts: 2}).Check(); !errors.As(err, &noPart) {
 		t.Errorf("part 3 of 2: got error %v, want a NoPartError", err)
 	}
--- a/internal/scenario/link_faults.go
+++ b/internal/scenario/link_faults.go
@@ -14,13 +14,13 @@
 		p.runBackendFault(step)
 		return
 	}
-	pushTime := p.scenario.decodedSettings().PushTime.Or(defaultPushTime)
+	pushTime := p.scenario.decodedSettings().MeanPushTime.Or(defaultPushTime)
 	p.addLinkFault(step, simnet.LinkFault{ExtraLatency: (step.Value - 1) * pushTime}, step.streams())
 }
 
 // runDelay delays endpoint updates, or all that passes on the streams of proxies.
 func (p *player) runDelay(step *runningStep) {
-	if step.Target == TargetList {
+	if step.Target == TargetEndpointService {
 		p.commandList("late %g", step.Value)
 		p.atEnd(step, func() { p.commandList("late 0") })
 		return
@@ -39,7 +39,7 @@
 
 // runListContent lets the endpoint list service show no backend, or one at random.
 func (p *player) runListContent(step *runningStep) {
-	if step.Verb == VerbOne {
+	if step.Verb == VerbListOne {
 		p.commandList("show %d", p.backends[int(p.random.Uniform()*float64(len(p.backends)))].backend)
 	} else {
 		p.commandList("show none")
@@ -128,7 +128,7 @@
 // partitionedLinks matches the links that a partition interrupts.
 func (p *player) partitionedLinks(step *runningStep) linkMatch {
 	switch step.Target {
-	case TargetList:
+	case TargetEndpointService:
 		return func(a, b string) bool { return a == endpointService || b == endpointService }
 	case TargetBackends:
 		selected := step.targetNames()
--- a/internal/scenario/player.go
+++ b/internal/scenario/player.go
@@ -104,7 +104,7 @@
 		return p.proxies
 	case TargetCoordinators:
 		return p.coordinators
-	case TargetList:
+	case TargetEndpointService:
 	}
 	return nil
 }
@@ -122,7 +122,7 @@
 	switch {
 	case step.Duration > 0:
 		return min(step.Duration, remaining)
-	case step.Verb == VerbBreak:
+	case step.Verb == VerbResetStreams:
 		return 0
 	case step.Verb == VerbDeploy:
 		restarts := float64(max(len(step.targets)-1, 0))
--- a/internal/scenario/process_faults.go
+++ b/internal/scenario/process_faults.go
@@ -151,7 +151,7 @@
 // flapDown takes a backend down in the way that the step says; what it returns brings the backend up again.
 func (p *player) flapDown(target *participant, step *runningStep, index int) (restore func()) {
 	switch step.FlapMode {
-	case FlapIsolate:
+	case FlapPowerLoss:
 		return p.isolate(target, step.faultID(index))
 	case FlapHang, FlapFailFast:
 		verb := Verb(step.FlapMode)
--- a/internal/scenario/processes.go
+++ b/internal/scenario/processes.go
@@ -31,7 +31,7 @@
 }
 
 // newBackend makes the next incarnation of an emulated backend; all but the first start cold.
-func (p *player) newBackend(backend *participant, store *emulator.KeyStore) *emulator.Backend {
+func (p *player) newBackend(backend *participant, store *emulator.IdempotencyKeyStore) *emulator.Backend {
 	backend.incarnations++
 	config := p.backendConfig(backend, store)
 	config.StartsCold = backend.incarnations > 1
@@ -41,19 +41,19 @@
 }
 
 // backendConfig is what a backend of its group is.
-func (p *player) backendConfig(backend *participant, store *emulator.KeyStore) emulator.Config {
+func (p *player) backendConfig(backend *participant, store *emulator.IdempotencyKeyStore) emulator.Config {
 	settings, group := p.scenario.decodedSettings(), backend.group
 	work := group.Work
 	work.Mean = float64(group.Workers) / group.Capacity
 	return emulator.Config{
 		Backend: backend.backend, Zone: backend.zone, Cell: group.Cell, Seed: fake.DeriveSeed(p.scenario.Seed, backend.name),
 		Cores: group.Workers, Speed: 1, Work: []emulator.Work{work}, QueueLimit: group.Queue, CancelPolicy: group.CancelMode,
-		ColdSpeed: settings.ColdShare.Or(0.3), WarmupTime: settings.WarmAfter.Or(10),
-		OverloadMultiple: settings.FallMultiple.Or(3), OverloadWindow: settings.FallWindow.Or(1),
+		ColdSpeed: settings.ColdCapacityShare.Or(0.3), WarmupTime: settings.WarmupDuration.Or(10),
+		OverloadMultiple: settings.CollapseLoadMultiple.Or(3), OverloadWindow: settings.CollapseWindow.Or(1),
 		ProbeWork: work.Mean / auxiliaryWorkDivisor, ProbeLimit: maxProbes,
 		ConnWork: work.Mean / auxiliaryWorkDivisor, ConnLimit: group.MaxConnections,
 		ReportsLoad: group.Reports, ReportDelay: group.ReportDelay, ReportNoise: group.ReportNoise,
-		CacheSize: group.CacheKeys, CacheSavings: group.CacheSaving, KeyStore: store, Executions: p.ledger,
+		CacheSize: group.CacheKeys, CacheSavings: group.CacheSaving, IdempotencyKeys: store, Executions: p.ledger,
 	}
 }
 
@@ -65,26 +65,26 @@
 		order = append(order, coordinators[(proxy.index+i)%len(coordinators)])
 	}
 	proxy.incarnations++
-	policy := settings.Pick
+	policy := settings.PickPolicy
 	if proxy.policy != "" {
 		policy = proxy.policy
 	}
 	return fake.NewFrontEnd(fake.FrontEndConfig{
 		Name: proxy.name, Zone: proxy.zone, Coordinators: order, Methods: scenario.proxyMethods(),
 		Rate: proxy.rate, Policy: policy, TrafficStart: p.startTime, Shape: scenario.Shape, Keys: scenario.Keys,
-		FailureLimit: int(settings.Strikes.Or(0)), AvoidFor: scenario.EjectionTime, AttemptTimeout: settings.TryWait.Or(0.8),
+		FailureLimit: int(settings.AvoidAfterFailures.Or(0)), AvoidDuration: scenario.EjectionTime, AttemptTimeoutRatio: settings.AttemptTimeoutShare.Or(0.8),
 		ApplyTimePerEntry: scenario.EntryApplyTime, AdmissionIsRate: settings.LevelKind == "rate", ReportPeriod: settings.ReportPeriod.Or(1),
-		RecordDelay: p.sampleInterval > 0, ConnectTimeout: scenario.ConnectTimeout,
-		ClientRetryChance: scenario.ClientRetryShare, ClientRetryBackoff: scenario.ClientRetryDelay, ClientRetryLimit: scenario.ClientRetryMax,
+		RecordScheduleDelay: p.sampleInterval > 0, ConnectTimeout: scenario.ConnectTimeout,
+		ClientRetryProbability: scenario.ClientRetryShare, ClientRetryBackoff: scenario.ClientRetryDelay, ClientRetryLimit: scenario.ClientRetryMax,
 		Seed: fake.DeriveSeed(scenario.Seed, proxy.name) + uint64(proxy.incarnations),
 	})
 }
 
 // newIdempotencyStore makes what backends share of idempotency keys, as the settings' groups allow.
-func (p *player) newIdempotencyStore() *emulator.KeyStore {
-	store := &emulator.KeyStore{Scope: p.scenario.IdempotencyScope}
+func (p *player) newIdempotencyStore() *emulator.IdempotencyKeyStore {
+	store := &emulator.IdempotencyKeyStore{Scope: p.scenario.IdempotencyScope}
 	for _, method := range p.scenario.decodedSettings().Methods {
-		store.Window = max(store.Window, method.Window.Or(0))
+		store.Window = max(store.Window, method.TokenWindow.Or(0))
 	}
 	return store
 }
--- a/internal/scenario/read_groups.go
+++ b/internal/scenario/read_groups.go
@@ -26,7 +26,7 @@
 	{"runs-on", emulator.IgnoreCancel}, {"skips-wait", emulator.DropQueued}, {"stops", emulator.CancelRunning},
 }
 
-var idempotencyScopes = []namedValue[emulator.KeyScope]{
+var idempotencyScopes = []namedValue[emulator.IdempotencyScope]{
 	{"all", emulator.AllBackends}, {"zone", emulator.PerZone}, {"cell", emulator.PerCell}, {"server", emulator.PerBackend},
 }
 
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -39,7 +39,7 @@
 	ClientRetryMax   int       // retries of one RPC
 	Shape            traffic.Shape
 	Keys             *traffic.Zipf
-	IdempotencyScope emulator.KeyScope // which backends share their idempotency keys
+	IdempotencyScope emulator.IdempotencyScope // which backends share their idempotency keys
 
 	settingsLines []bootstrap.Line
 }
@@ -100,16 +100,16 @@
 func (s *Scenario) Limits() invariant.Limits {
 	settings := s.decodedSettings()
 	limits := invariant.Limits{
-		NoBackendLimit:        settings.BareLimit.Or(1),
+		NoBackendLimit:        settings.MaxTimeWithoutEntry.Or(1),
 		DrainGrace:            settings.DrainGrace.Or(1),
-		WarmAfter:             settings.WarmAfter.Or(1),
-		CollapseWindow:        settings.FallWindow.Or(1),
-		MaxQueuedEntries:      int(settings.ChannelRoom.Or(0)),
-		MaxMessages:           int(settings.Messages.Or(0)),
-		MessageWindow:         settings.MessagesSpan.Or(10),
+		WarmAfter:             settings.WarmupDuration.Or(1),
+		CollapseWindow:        settings.CollapseWindow.Or(1),
+		MaxQueuedEntries:      int(settings.MaxChannelLines.Or(0)),
+		MaxMessages:           int(settings.MessageLimit.Or(0)),
+		MessageWindow:         settings.MessageLimitSpan.Or(10),
 		EndpointStreamTimeout: s.Settings.Number("list-silence"),
-		PollInterval:          settings.AskWithin.Or(10),
-		OnlyDraining:          settings.OnlyDrainingBinds,
+		PollInterval:          settings.MaxPollInterval.Or(10),
+		OnlyDrainingBinds:     settings.ExcludeOnlyDraining,
 	}
 	for i, name := range s.Settings.Methods {
 		method := settings.Methods[i]
@@ -117,7 +117,7 @@
 			Name:              name,
 			NonIdempotent:     method.Effect == "non-idempotent",
 			HasIdempotencyKey: method.Effect == "tokened",
-			DedupWindow:       method.Window.Or(0),
+			DedupWindow:       method.TokenWindow.Or(0),
 			Criticality:       method.Criticality.Or(1),
 			SoftDeadline:      method.SoftDeadline.Or(1),
 		})
--- a/internal/scenario/search_test.go
+++ b/internal/scenario/search_test.go
@@ -43,7 +43,7 @@
 
 // A failing state machine is reported, and minimizing keeps the violation.
 func TestFailuresAndMinimizing(t *testing.T) {
-	r, err := PlayVirtual(readScript(t, tamperScript), Options{Wrap: func(_ string, m statemachine.Machine) statemachine.Machine { return &failingMachine{inner: m} }})
+	r, err := PlayVirtual(readScript(t, tamperScript), Options{WrapCoordinator: func(_ string, m statemachine.Machine) statemachine.Machine { return &failingMachine{inner: m} }})
 	if err != nil || len(r.Failures) == 0 || !strings.Contains(r.Failures[0], "c0: the module failed") {
 		t.Fatal(err, r.Failures)
 	}
--- a/internal/scenario/tampering_test.go
+++ b/internal/scenario/tampering_test.go
@@ -95,7 +95,7 @@
 		"exclusions dropped":                 {3, dropExclusions},
 		"burst of pushes":                    {5, func(*proto.Push) int { return 35 }},
 	} {
-		result, err := PlayVirtual(readScript(t, tamperScript), Options{Wrap: func(_ string, m statemachine.Machine) statemachine.Machine {
+		result, err := PlayVirtual(readScript(t, tamperScript), Options{WrapCoordinator: func(_ string, m statemachine.Machine) statemachine.Machine {
 			return &tamperingCoordinator{m, test.tamper, map[statemachine.Conn]uint64{}}
 		}})
 		if err != nil {
--- a/internal/scenario/virtual.go
+++ b/internal/scenario/virtual.go
@@ -40,8 +40,8 @@
 // Options of a scenario in virtual time; the zero value plays it as it is.
 type Options struct {
 	Log func(t statemachine.Seconds, node string, n statemachine.LogEntry)
-	// Wrap may put another state machine in a coordinator's place, such as one with a deliberate fault.
-	Wrap func(name string, m statemachine.Machine) statemachine.Machine
+	// WrapCoordinator may put another state machine in a coordinator's place, such as one with a deliberate fault.
+	WrapCoordinator func(name string, m statemachine.Machine) statemachine.Machine
 	// Overrides are given to coordinators in place of the settings' own values.
 	Overrides   map[string]any
 	Tables      TableSource
@@ -118,8 +118,8 @@
 	if r.options.Tables == FrozenTables {
 		machine = r.frozen.Wrap(machine)
 	}
-	if r.options.Wrap != nil {
-		machine = r.options.Wrap(target.name, machine)
+	if r.options.WrapCoordinator != nil {
+		machine = r.options.WrapCoordinator(target.name, machine)
 	}
 	return machine
 }
--- a/internal/traffic/shape.go
+++ b/internal/traffic/shape.go
@@ -6,8 +6,8 @@
 	"math"
 )
 
-// ErrShape is wrapped by the errors of Shape.Validate.
-var ErrShape = errors.New("invalid traffic shape")
+// ErrInvalidShape is wrapped by the errors of Shape.Validate.
+var ErrInvalidShape = errors.New("invalid traffic shape")
 
 // Shape is how the rate changes over time, as a factor of the mean rate. The zero value is a constant rate.
 type Shape struct {
@@ -22,13 +22,13 @@
 func (s Shape) Validate() error {
 	switch {
 	case !(s.DailySwing >= 0 && s.DailySwing <= 1):
-		return fmt.Errorf("%w: want a daily swing from 0 to 1, got %v", ErrShape, s.DailySwing)
+		return fmt.Errorf("%w: want a daily swing from 0 to 1, got %v", ErrInvalidShape, s.DailySwing)
 	case s.DailySwing > 0 && !(s.DayLength > 0):
-		return fmt.Errorf("%w: want a day length above 0 with a daily swing, got %v s", ErrShape, s.DayLength)
+		return fmt.Errorf("%w: want a day length above 0 with a daily swing, got %v s", ErrInvalidShape, s.DayLength)
 	case s.BurstInterval > 0 && !(s.BurstLength > 0 && s.BurstLength <= s.BurstInterval):
-		return fmt.Errorf("%w: want a burst length above 0 and up to the interval of %v s, got %v s", ErrShape, s.BurstInterval, s.BurstLength)
+		return fmt.Errorf("%w: want a burst length above 0 and up to the interval of %v s, got %v s", ErrInvalidShape, s.BurstInterval, s.BurstLength)
 	case s.BurstInterval > 0 && !(s.BurstFactor >= 0):
-		return fmt.Errorf("%w: want a burst factor of 0 or more, got %v", ErrShape, s.BurstFactor)
+		return fmt.Errorf("%w: want a burst factor of 0 or more, got %v", ErrInvalidShape, s.BurstFactor)
 	}
 	return nil
 }
--- a/internal/traffic/shape_test.go
+++ b/internal/traffic/shape_test.go
@@ -33,8 +33,8 @@
 
 func TestInvalidShapes(t *testing.T) {
 	for _, shape := range []Shape{{DailySwing: 2}, {DailySwing: 0.1}, {BurstInterval: 1, BurstLength: 2, BurstFactor: 1}, {BurstInterval: 1, BurstLength: 0.5, BurstFactor: -1}} {
-		if err := shape.Validate(); !errors.Is(err, ErrShape) {
-			t.Errorf("%+v: got %v, want %v", shape, err, ErrShape)
+		if err := shape.Validate(); !errors.Is(err, ErrInvalidShape) {
+			t.Errorf("%+v: got %v, want %v", shape, err, ErrInvalidShape)
 		}
 	}
 }
