--- a/internal/experiment/page.go
+++ b/internal/experiment/page.go
@@ -27,8 +27,8 @@
 		plots = append(plots, plotName)
 	}
 	var csv, page strings.Builder
-	p.CSV(&csv, runs)
-	p.Page(&page, runs, plots)
+	p.WriteCSV(&csv, runs)
+	p.WritePage(&page, runs, plots)
 	for name, text := range map[string]string{csvName: csv.String(), pageName: page.String()} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o644); err != nil {
 			return fmt.Errorf("write the report: %w", err)
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// CSV writes a header and a line for each run.
-func (p *Plan) CSV(out io.Writer, runs []Run) {
+// WriteCSV writes a header and a line for each run.
+func (p *Plan) WriteCSV(out io.Writer, runs []Run) {
 	columns := make([]string, 0, len(p.Factors)+len(p.Measures)+4) // 4 more: plan, commit, seed and broken
 	columns = append(columns, "plan", "commit")
 	for _, factor := range p.Factors {
@@ -78,9 +78,9 @@
 	return `"` + strings.ReplaceAll(cell, `"`, `""`) + `"`
 }
 
-// Page writes the report page in Markdown: a table for each measure and its plot, if there is one. plots has the file names of the
+// WritePage writes the report page in Markdown: a table for each measure and its plot, if there is one. plots has the file names of the
 // plots in the order of the measures.
-func (p *Plan) Page(out io.Writer, runs []Run, plots []string) {
+func (p *Plan) WritePage(out io.Writer, runs []Run, plots []string) {
 	fmt.Fprintf(out, "# %s\n\nScenario %s, %d arms, %d seeds from %d, %d runs; plan %s. All values are from simulated backends.\n",
 		p.Name, p.ScenarioName, len(p.Arms()), p.Seeds, p.FirstSeed, len(runs), p.Hash())
 	rows := p.Rows(runs)
--- a/internal/experiment/rows.go
+++ b/internal/experiment/rows.go
@@ -56,6 +56,6 @@
 			differences = append(differences, run.Figures[name]-firstArmRun.Figures[name])
 		}
 	}
-	row.Mean, row.Difference = Bootstrap(values), Bootstrap(differences)
+	row.Mean, row.Difference = EstimateMean(values), EstimateMean(differences)
 	return row
 }
--- a/internal/experiment/statistics.go
+++ b/internal/experiment/statistics.go
@@ -23,10 +23,10 @@
 	normalQuantile        = 1.959964 // the 97.5th percentile of the normal distribution
 )
 
-// Bootstrap estimates a mean by the studentized bootstrap: the interval is computed from the deviations of the means of resamples
+// EstimateMean estimates a mean by the studentized bootstrap: the interval is computed from the deviations of the means of resamples
 // from the sample's mean, each in units of its own standard error. For skewed values this is more accurate than percentiles of the
 // resampled means. The random numbers are always the same, so that the same values give the same interval.
-func Bootstrap(values []float64) Estimate {
+func EstimateMean(values []float64) Estimate {
 	estimate := Estimate{Count: len(values)}
 	if estimate.Count == 0 {
 		return estimate
--- a/internal/experiment/statistics_test.go
+++ b/internal/experiment/statistics_test.go
@@ -23,7 +23,7 @@
 			for i := range values {
 				values[i] = distribution.draw()
 			}
-			if e := Bootstrap(values); e.Low <= distribution.mean && distribution.mean <= e.High {
+			if e := EstimateMean(values); e.Low <= distribution.mean && distribution.mean <= e.High {
 				covered++
 			}
 		}
@@ -49,7 +49,7 @@
 	for i, value := range values {
 		transformed[i] = value*factor + shift
 	}
-	before, after := Bootstrap(values), Bootstrap(transformed)
+	before, after := EstimateMean(values), EstimateMean(transformed)
 	if before.Low > before.Mean+1e-9 && !math.IsInf(before.Low, 0) && before.High < before.Mean {
 		rapidT.Fatalf("%+v", before)
 	}
@@ -74,7 +74,7 @@
 // One outlier among equal values gives an interval that is wide, but limited.
 func TestBootstrapWithOutlier(t *testing.T) {
 	values := append(make([]float64, 19), 1)
-	if e := Bootstrap(values); e.Low < -0.3 || e.High > 0.4 || e.Low > 0 {
+	if e := EstimateMean(values); e.Low < -0.3 || e.High > 0.4 || e.Low > 0 {
 		t.Errorf("%+v", e)
 	}
 }
@@ -91,7 +91,7 @@
 		{[]float64{1, -1.1, 0.9, -1, 0.5}, "can't tell", true},
 		{[]float64{2, 2, 2}, "better", false},
 	} {
-		got, seeds := Verdict(Bootstrap(test.values), moreIsBetter)
+		got, seeds := Verdict(EstimateMean(test.values), moreIsBetter)
 		if got != test.want || (seeds > 0) != test.needsSeeds {
 			t.Errorf("%v: %s, %d seeds needed", test.values, got, seeds)
 		}
