--- a/choice/admission.go
+++ b/choice/admission.go
@@ -29,6 +29,7 @@
 // the timeouts. So a retry needs proof that the first attempt was not processed, or a token that all backends surely still
 // remember at the second attempt.
 func (planner *Planner) normalRetry(method MethodSettings) RetryPolicy {
+	// 0.9 is a margin: the retry must arrive before the token is forgotten.
 	remembered := planner.settings.AttemptTimeoutShare*method.SoftDeadline.Or(1) < 0.9*method.TokenWindow.Or(0)
 	deduplicated := method.Effect == "tokened" && method.Group == "all" && remembered
 	switch {
@@ -55,7 +56,7 @@
 	planner, load := a.planner, a.measure()
 	capacity := planner.openCapacity()
 	a.updateBaseline()
-	a.relativeLatency = load.weightedLatency / max(load.successRate, 1e-9)
+	a.relativeLatency = load.weightedLatency / max(load.successRate, 1e-9) // 1e-9 prevents a division by 0
 	a.avoidedShare = load.avoidedAttempts / load.attempts
 	a.updateLoadFactor()
 	if capacity > 1e-6 { // successes reported while no backend is open, such as after an empty list, have no meaningful rate
@@ -90,7 +91,7 @@
 		successRate := (attempts - failures) * decay / healthWindow
 		load.weightedLatency += successRate * planner.meanLatency[i][zone] / a.shortestSoftDeadline
 		load.successRate += successRate
-		if attempts < minAttempts/2 || decay <= 0.2 {
+		if attempts < minAttempts/2 || decay <= 0.2 { // too few attempts, or too long ago, to judge the backend by
 			continue
 		}
 		load.attempts += attempts
@@ -101,7 +102,7 @@
 	}
 	if !math.IsInf(overloadRatio, 1) && planner.state[i] == BackendOpen {
 		load.judgedBackends++
-		load.overloadedBackends += math.Ceil(min(1, max(0, overloadRatio-1)))
+		load.overloadedBackends += math.Ceil(min(1, max(0, overloadRatio-1))) // adds 1 if overloadRatio is above 1
 	}
 }
 
@@ -110,6 +111,7 @@
 // overloads.
 func (a *admission) updateLoadFactor() {
 	limit := min(maxLoadFactor, minLoadFactor+crossZonePriceFactor*a.planner.settings.CrossZonePrice)
+	// The target is the limit up to a relative latency of 1/4, and falls to minLoadFactor at 1/2.
 	target := minLoadFactor + (limit-minLoadFactor)*min(1, max(0, 2-4*a.relativeLatency))
 	a.loadFactor += loadFactorGain * (target - a.loadFactor)
 }
@@ -128,6 +130,7 @@
 		return
 	}
 	a.overloaded = a.overloaded && now < a.overloadedAt+admissionWindow
+	// The bonus is 0 once the share of overloaded backends is half of overloadedBackendShare or more.
 	a.rateLimit *= limitGrowthFactor + limitGrowthBonus*max(0, 1-2*load.overloadedBackends/load.judgedBackends/overloadedBackendShare)
 }
 
@@ -161,6 +164,7 @@
 		for _, method := range group {
 			arrivalRate += a.arrivalRates[method]
 		}
+		// The rate is at least 0.01, so that a group without arrivals causes no division by 0.
 		share := math.Round(max(minAdmittedShare, 1-excess/max(arrivalRate, 0.01))*admittedShareSteps) / admittedShareSteps
 		for _, method := range group {
 			shares[method] = share
--- a/choice/arcs.go
+++ b/choice/arcs.go
@@ -79,7 +79,7 @@
 	// A backend in slow start gets at most the mean latency factor, because its own has had no time to fall. The rounded-down
 	// warmupFactor is 0 in slow start and 1 after it.
 	meanLatencyFactor := planner.sumOpen(func(i int) float64 { return planner.latencyFactor[i] }) / float64(len(r.openBackends))
-	r.capacity = 1e-9
+	r.capacity = 1e-9 // not 0, because the load bound is divided by it
 	planner.effectiveWeight = make([]float64, len(planner.id))
 	for _, i := range r.openBackends {
 		r.openBackendsByZone[planner.zone[i]] = append(r.openBackendsByZone[planner.zone[i]], i)
@@ -106,7 +106,7 @@
 		// spreads them more evenly.
 		r.planner.assignedLoad = make([]float64, len(r.planner.id))
 	}
-	assignedRate = 1e-9
+	assignedRate = 1e-9 // not 0: with a load bound of 0 the loop in assignArc would not end
 	for _, walk := range walks {
 		if r.prepareWalk(walk) {
 			r.reserveLoad(walk)
@@ -176,7 +176,7 @@
 	planner := r.planner
 	for i := range r.candidates(walk) {
 		weight := planner.warmupFactor[i] * planner.weight[i]
-		if walk.weightLeft < weight/2 && walk.backendsLeft < 0.5 {
+		if walk.weightLeft < weight/2 && walk.backendsLeft < 0.5 { // the arc is full, but for less than half a backend
 			return
 		}
 		load := r.otherCoordinatorsLoad[i] + planner.assignedLoad[i] + walk.loadPerWeight*weight
--- a/choice/backends.go
+++ b/choice/backends.go
@@ -272,7 +272,8 @@
 // fullWeight returns a backend's weight as listed, without its warm-up factor.
 func (planner *Planner) fullWeight(i int) float64 { return planner.weight[i] }
 
-// openCapacity returns the sum of weight × warmupFactor over the open and reachable backends.
+// openCapacity returns the sum of weight × warmupFactor over the open and reachable backends. The added 1e-9 keeps
+// it above 0, because callers divide by it.
 func (planner *Planner) openCapacity() float64 {
 	return 1e-9 + planner.sumOpen(func(i int) float64 {
 		if planner.unreachable(i) {
--- a/choice/channel.go
+++ b/choice/channel.go
@@ -9,8 +9,8 @@
 	lines  int // of all messages of the step
 }
 
-// channel is the actor that keeps account of the outgoing channel, a queue of lines that is shared by the messages to all
-// proxies. It estimates how many lines wait there, and keeps the newest nonce and the mean acknowledgement time.
+// channel is the actor that keeps account of the outgoing channel, a queue of lines (see Settings) that is shared by the
+// messages to all proxies. It estimates how many lines wait there, and keeps the newest nonce and the mean acknowledgement time.
 type channel struct {
 	mailbox
 	planner     *Planner
--- a/choice/doc.go
+++ b/choice/doc.go
@@ -7,7 +7,7 @@
 // admission control and the channel, which is the queue of outgoing lines that all proxies share. A proxy normally has one push
 // in flight at a time; changes before its acknowledgement are combined into the next push.
 //
-// All decisions and all tuned values are in the files that the deploy file lists under "policy": choice.go (the step),
+// All decisions and all tuned values are in the files that deploy/balancer.toml lists under "policy": choice.go (the step),
 // endpoints.go, slowstart.go, ejection.go, arcs.go, exclusion.go, push.go and admission.go. The other files hold the interface
 // (types.go, settings.go), state and arithmetic.
 package choice
--- a/choice/ejection.go
+++ b/choice/ejection.go
@@ -70,6 +70,7 @@
 // moves to them; that of other coordinators' proxies stays where it is.
 func (planner *Planner) canEject(zone, candidate int) bool {
 	openWeight := planner.sumOpen(planner.fullWeight)
+	// The factor of a weight is 1 while the backend is ejected and 0 otherwise, because Ceil rounds any time left up to 1 or more.
 	ejectedWeight := planner.weight[candidate] + planner.sumOpen(func(i int) float64 {
 		return planner.weight[i] * max(0, min(1, math.Ceil(planner.ejectedUntil[i][zone]-planner.now)))
 	})
@@ -92,6 +93,7 @@
 	planner, i := b.planner, b.index
 	silence := planner.newestReportAt - max(planner.lastSuccessAt[i], planner.firstListed[i])
 	successExpected := silence*planner.assignedLoad[i] > minAttempts && !planner.admission.overloaded
+	// The last report on a backend may be a report period older than the newest one on any; half a period is a margin.
 	silent := silence > 1.5*planner.settings.ReportPeriod && successExpected
 	due := planner.settings.ProbesAllowed && planner.state[i] == BackendOpen && planner.now >= planner.nextProbeAt[i]
 	if due && (silent || planner.failedProbes[i] > 0) {
--- a/choice/endpoints.go
+++ b/choice/endpoints.go
@@ -30,7 +30,7 @@
 func (e *endpointWatcher) backOff() {
 	e.failedPolls = min(e.failedPolls+1, maxBackoffDoublings)
 	backoff := min(basePollBackoff*math.Exp2(float64(e.failedPolls)), e.planner.settings.MaxPollInterval/3)
-	e.nextPoll = e.planner.now + backoff*(0.5+e.planner.random())
+	e.nextPoll = e.planner.now + backoff*(0.5+e.planner.random()) // from half the backoff to 1.5 times it
 }
 
 // poll starts a watch of the endpoint list, if the settings say that it has to be polled and none has succeeded since the last
@@ -46,6 +46,7 @@
 func (b *backendActor) applyEndpoint(endpoint Endpoint) {
 	planner, i := b.planner, b.index
 	if endpoint.State != BackendGone {
+		// The weight is at least 1e-3, because a table entry with weight 0 removes the backend.
 		planner.zone[i], planner.weight[i] = planner.zoneOf(endpoint.Zone), max(endpoint.Weight, 1e-3)
 	}
 	if endpoint.State == BackendOpen && endpoint.StartedAt > planner.startedAt[i] {
--- a/choice/proxies.go
+++ b/choice/proxies.go
@@ -13,7 +13,7 @@
 type tableEntry struct {
 	backend      int // index of the backend
 	weight       float64
-	warmupFactor float64 // is contained in the weight
+	warmupFactor float64 // the warm-up factor that weight was multiplied by
 }
 
 // proxyTable is the table of one proxy for some methods.
--- a/choice/push.go
+++ b/choice/push.go
@@ -63,7 +63,7 @@
 	if share >= 1 || p.planner.settings.LevelKind != "rate" {
 		return share
 	}
-	usage := max(p.usage[method], 0.1)
+	usage := max(p.usage[method], 0.1) // so that a method without usage does not get level 0
 	level, sent := share*(usage+burstMarginFactor*math.Sqrt(usage)), p.tables[0].sentLevels[method]
 	if math.Abs(sent-level) < levelTolerance*level {
 		return sent
@@ -74,6 +74,7 @@
 // withinMessageLimit reports whether one more message to a proxy stays within the given share of the message limit.
 func (h *channel) withinMessageLimit(proxy *proxyActor, share float64) bool {
 	limit, span := h.planner.settings.MessageLimit, h.planner.settings.MessageLimitSpan
+	// Messages count for a second longer than the span, which is a margin.
 	old := func(sent Seconds) bool { return sent < h.planner.now-span-1 }
 	proxy.messagesSentAt = slices.DeleteFunc(proxy.messagesSentAt, old)
 	return limit == 0 || float64(len(proxy.messagesSentAt)+1) <= share*limit
--- a/choice/ring.go
+++ b/choice/ring.go
@@ -92,6 +92,7 @@
 // still. Otherwise, when the network between zones fails and a coordinator keeps only the proxies of its own zone, it would
 // direct half of their load to the other zone, whose backends would seem idle.
 func (r *ring) collectWalks() (walks []*arcWalk, usage float64, otherUsage []float64) {
+	// The usage starts above 0, because assignAllArcs divides by it.
 	usage, otherUsage, r.joinedProxies = 1e-9, make([]float64, len(r.planner.zoneIndex)), 0
 	for _, proxy := range r.planner.proxies {
 		if !proxy.joined {
@@ -143,7 +144,7 @@
 func (r *ring) spreadOtherCoordinatorsLoad(otherUsage []float64) {
 	r.otherCoordinatorsLoad = make([]float64, len(r.planner.id))
 	for zone, backends := range r.openBackendsByZone {
-		totalWeight := 1e-9
+		totalWeight := 1e-9 // not 0, because it is a divisor
 		for _, i := range backends {
 			totalWeight += r.planner.effectiveWeight[i]
 		}
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -33,48 +33,49 @@
 	RetryLimit   string // limit on retries: "once" (none), "proven" (only of attempts that were not processed) or "free" (no limit)
 	OwnZone      bool   // requests must stay in the proxy's zone
 	Criticality  Number // requests of the methods with the lowest are shed first
-	SoftDeadline Number
-	Deadline     Number
+	SoftDeadline Number // time within which a response is wanted
+	Deadline     Number // time after which the client cancels the RPC
 	TokenWindow  Number // time for which a token is remembered
 }
 
 // Settings are a site's settings, decoded from the flat form in which the adapters pass them. Other values of the flat form are
-// ignored.
+// ignored. Messages to proxies are measured in lines: a table entry, the admission of a method, an exclusion, the binding of a
+// table and a nonce are one line each.
 type Settings struct {
-	MaxPollInterval       Number // longest time between two polls of the endpoint list
-	MaxTimeWithoutEntry   Number // longest time that a proxy may be without a table entry while an open warm backend is listed
-	ChannelLinesPerSecond Number // lines a second that leave the channel
-	MaxChannelLines       Number // limit on the lines that wait in the channel
-	ColdCapacityShare     Number // capacity that a backend has at least just after its start, as a share of its usual one
-	Coordinators          Number
+	MaxPollInterval       Number   // longest time between two polls of the endpoint list
+	MaxTimeWithoutEntry   Number   // longest time that a proxy may be without a table entry while an open warm backend is listed
+	ChannelLinesPerSecond Number   // lines a second that leave the channel
+	MaxChannelLines       Number   // limit on the lines that wait in the channel
+	ColdCapacityShare     Number   // capacity that a backend has at least just after its start, as a share of its usual one
+	Coordinators          Number   // number of coordinators of the fleet
 	CrossZonePrice        Number   // price of a request that leaves its zone
 	DrainGrace            Number   // time after which no request may be sent to a draining or gone backend
 	CollapseLoadMultiple  Number   // a cold backend collapses under a load above this multiple of its capacity at that time
 	CollapseWindow        Number   // for this long
 	FeedbackColumns       []string // names of the columns of a load report
-	FeedbackSource        string
-	MaxReportsPerSecond   Number // lines of reports a second that the module takes
-	LevelKind             string // unit of admission levels: "share", "rate" (requests a second) or "none" (not applied)
-	EndpointListMode      string // "asked": the endpoint list has to be polled; "pushed": updates are sent without a poll
-	MessageHeaderLines    Number // lines of a message in addition to its own, for its header
-	MessageLimit          Number // limit on the messages to a proxy within MessageLimitSpan; 0: none
-	MessageLimitSpan      Number // time over which messages are counted for the limit
+	FeedbackSource        string   // where load reports come from; empty or "none": there are none
+	MaxReportsPerSecond   Number   // limit on the reports per second that are passed to the module; 0: no limit
+	LevelKind             string   // unit of admission levels: "share", "rate" (requests a second) or "none" (not applied)
+	EndpointListMode      string   // "asked": the endpoint list has to be polled; "pushed": updates are sent without a poll
+	MessageHeaderLines    Number   // lines of a message in addition to its own, for its header
+	MessageLimit          Number   // limit on the messages to a proxy within MessageLimitSpan; 0: none
+	MessageLimitSpan      Number   // time over which messages are counted for the limit
 	Methods               []MethodSettings
-	ExcludeOnlyDraining   bool   // DrainGrace does not apply to a backend that is dropped from the list without draining
-	PickPolicy            string // how proxies pick a backend: "lottery" or "even" (by weight) or "pair" (less busy of two)
-	ProbesAllowed         bool   // backends may be probed
-	ProxyCount            Number // in all, at all coordinators
-	MeanPushTime          Number // mean time of a push from the channel to the proxy
-	MaxPushTime           Number // longest such time
-	ReportPeriod          Number // time between two reports of a proxy
-	Self                  Number // number of this coordinator
-	SliceCount            Number // number of slices; 0: the site has none
-	AvoidAfterFailures    Number // failures in a row after which a proxy avoids a backend for some seconds; 0: never
-	Tick                  Number // shortest time between two steps
-	AttemptTimeoutShare   Number // timeout of an attempt that may be retried, as a share of the soft deadline
-	WarmupDuration        Number // warm-up time: a backend is warm no later than this after its start
-	Zone                  string // of this coordinator
-	Zones                 []string
+	ExcludeOnlyDraining   bool     // DrainGrace does not apply to a backend that is dropped from the list without draining
+	PickPolicy            string   // how proxies pick a backend: "lottery" or "even" (by weight) or "pair" (less busy of two)
+	ProbesAllowed         bool     // backends may be probed
+	ProxyCount            Number   // number of proxies of all coordinators together
+	MeanPushTime          Number   // mean time of a push from the channel to the proxy
+	MaxPushTime           Number   // longest such time
+	ReportPeriod          Number   // time between two reports of a proxy
+	Self                  Number   // number of this coordinator, from 0 to Coordinators-1
+	SliceCount            Number   // number of slices; 0: the site has none
+	AvoidAfterFailures    Number   // failures in a row after which a proxy avoids a backend for some seconds; 0: never
+	Tick                  Number   // shortest time between two steps
+	AttemptTimeoutShare   Number   // timeout of an attempt that may be retried, as a share of the soft deadline
+	WarmupDuration        Number   // warm-up time: a backend is warm no later than this after its start
+	Zone                  string   // of this coordinator
+	Zones                 []string // all zones of the fleet
 }
 
 // flatSettings reads single values of the flat form. A value of an unexpected type counts as absent.
--- a/choice/slowstart.go
+++ b/choice/slowstart.go
@@ -84,8 +84,8 @@
 }
 
 // excludeOverloadedCold excludes the open backends for which overloadsColdBackend holds and reports whether it excluded any. It
-// is better that proxies reject requests than that a backend collapses and doesn't recover. Rule 1, that a proxy must have a
-// usable table entry, allows this because it applies only while a warm backend is listed.
+// is better that proxies reject requests than that a backend collapses and doesn't recover. Rule 1 of package
+// invariant, that a proxy must have a usable table entry, allows this because it applies only while a warm backend is listed.
 func (planner *Planner) excludeOverloadedCold() (changed bool) {
 	for i := range planner.id {
 		if planner.state[i] == BackendOpen && !planner.excluded[i] && planner.overloadsColdBackend(i) {
--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -142,7 +142,7 @@
 
 // If all backends of a zone return cold, they must not get the load above their share that arcs otherwise keep in their zone:
 // the proxies of that zone would bring each cold backend up to 1.5 times its share. Found on an emulated fleet (incident 01),
-// where rule 4 was broken.
+// where rule 4 of package invariant, that no cold backend collapses, was violated.
 func TestColdZoneTakesItsShareOnly(t *testing.T) {
 	fleet := newFleetModel(t, map[string]any{
 		"probes": false, "listing": "pushed", "proxies": 120.0, "channel_room": 1e6, "price.crossing": 0.12,
--- a/internal/bench/host/host_test.go
+++ b/internal/bench/host/host_test.go
@@ -31,7 +31,7 @@
 func TestEachBatchHasOneReply(t *testing.T) {
 	out, err := runLines(t, batchLine(), batchLine(startEvent, cachedListEvents, joinEvent), batchLine())
 	if err != nil || len(out) != 3 || out[0] != `{"orders":[]}` {
-		t.Fatalf("%q %v", out, err)
+		t.Fatalf("three batches: got replies %q and error %v, want three replies, the first without commands", out, err)
 	}
 	for _, want := range []string{`"HandTable":{"CoordinatorId":"coordinator/0","Only":1`, `"Follow"`, `"Seal"`, `"SetWeight"`} {
 		if !strings.Contains(out[1], want) {
@@ -44,7 +44,7 @@
 	stop := `{"Detach":{"CoordinatorId":"coordinator/0"}}`
 	out, err := runLines(t, batchLine(startEvent, cachedListEvents), batchLine(joinEvent, stop), batchLine(startEvent, cachedListEvents, joinEvent, stop, startEvent, cachedListEvents))
 	if err != nil || out[1] != `{"orders":[]}` {
-		t.Fatalf("%q %v", out, err)
+		t.Fatalf("got replies %q and error %v, want no commands in the batch that stops the instance", out, err)
 	}
 	if strings.Contains(out[2], "HandTable") || !strings.Contains(out[2], "Follow") {
 		t.Fatalf("the restarted instance has state of the stopped one: %s", out[2])
@@ -59,7 +59,7 @@
 		strings.ReplaceAll(joinEvent, "coordinator/0", "coordinator/1")))
 	if err != nil || !strings.Contains(out[0], `"Backend":9,"CoordinatorId":"coordinator/0"`) ||
 		!strings.Contains(out[0], `"Backend":10,"CoordinatorId":"coordinator/1"`) {
-		t.Fatalf("%q %v", out, err)
+		t.Fatalf("got replies %q and error %v, want backend 9 for instance 0 and backend 10 for instance 1", out, err)
 	}
 }
 
@@ -92,6 +92,6 @@
 	h.instances["coordinator/0"].planner = nil
 	out, err := h.Answer([]byte(batchLine(joinEvent)))
 	if err != nil || !strings.Contains(string(out), `"Die"`) || !strings.Contains(string(out), "decision module failed") {
-		t.Fatalf("%s %v", out, err)
+		t.Fatalf("got reply %s and error %v, want a Die command with the text of the panic", out, err)
 	}
 }
--- a/internal/checkpoint/codec_test.go
+++ b/internal/checkpoint/codec_test.go
@@ -45,7 +45,7 @@
 		Settings:   "a\nb",
 	}
 	if diff := cmp.Diff(want, got); err != nil || diff != "" {
-		t.Fatal(err, diff)
+		t.Fatalf("decoding failed with error %v, or the decoded state differs from the persisted one (-want +got): %s", err, diff)
 	}
 	if checkpointer.UpdateSettings("a\nb") || !checkpointer.UpdateSettings("c") {
 		t.Error("changed settings were not reported as changed, or unchanged ones were")
@@ -79,7 +79,7 @@
 		"proxy/f 0: 5 7",
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("the records differ from the stored format (-want +got): %s", diff)
 	}
 }
 
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -32,9 +32,9 @@
 }
 
 // Times in the platform's rules. A watch counts as continuous if the next request follows the last response within
-// maxWatchGap. The coordinator is held to know of a change maxNotifyDelay after the change and pollNotifyDelay after the end
-// of a long poll, whether or not it has received a response. So requests must time out earlier than that, even if the
-// settings allow a longer interval between polls.
+// maxWatchGap. The platform assumes that the coordinator knows of a change maxNotifyDelay after the change and
+// pollNotifyDelay after the end of a long poll, whether or not it has received a response. So requests must time out earlier
+// than that, even if the settings allow a longer interval between polls.
 const (
 	maxWatchGap     statemachine.Seconds = 0.2
 	maxNotifyDelay  statemachine.Seconds = 6
@@ -64,13 +64,13 @@
 }
 
 // pollTimeout returns for how long discovery may hold a long poll: half of the maximum poll interval, and never longer than
-// the time after which the coordinator is held to know of a change.
+// the time after which the platform assumes that the coordinator knows of a change.
 func (d *discoveryClient) pollTimeout() statemachine.Seconds {
 	return min(d.maxPollInterval()/2, maxNotifyDelay)
 }
 
 // responseTimeout returns the time limit for a response, to which the hold time of a long poll is added. It leaves time for
-// a retry before the coordinator is held to know of a change.
+// a retry before the platform assumes that the coordinator knows of a change.
 func (d *discoveryClient) responseTimeout() statemachine.Seconds {
 	timeout := max(d.maxPollInterval()/5, pollNotifyDelay/2)
 	if d.longPoll {
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -30,7 +30,7 @@
 			closeConn(conn)
 			conn = test.discovery.accept()
 			if path := conn.readRequest(); path != "/api/targets?since=42&timeout_ms=5000" {
-				t.Errorf("the request on the second connection is %s", path)
+				t.Errorf("the request on the second connection is %s, want a long poll since version 42", path)
 			}
 			test.betweenSteps(func() {
 				if n := test.machine.problemCounts[problemDiscovery]; n > 0 {
@@ -41,7 +41,7 @@
 			conn.reset()
 			conn = test.discovery.accept()
 			if path := conn.readRequest(); path != "/api/targets?since=42&timeout_ms=0" {
-				t.Errorf("the request after the second close is %s", path)
+				t.Errorf("the request after the second close is %s, want one since version 42 with timeout 0", path)
 			}
 		})
 	}
@@ -85,8 +85,8 @@
 	}
 }
 
-// Whatever the maximum poll interval is, the coordinator is held to know of a change 2 s after the end of a long poll. So a
-// request without a response must time out earlier, with time left for a retry.
+// Whatever the maximum poll interval is, the platform assumes that the coordinator knows of a change 2 s after the end of a
+// long poll. So a request without a response must time out earlier, with time left for a retry.
 func TestDiscoveryResponseTimeout(t *testing.T) {
 	for _, interval := range []float64{0, 1, 10, 60, 600} {
 		stepped := newSteppedMachine(t, func(values map[string]any) {
--- a/internal/platform/fake_discovery_test.go
+++ b/internal/platform/fake_discovery_test.go
@@ -26,9 +26,9 @@
 	longPolls              map[statemachine.Conn]fakeLongPoll
 	unread                 map[statemachine.Conn]string
 	listRequestCount       int
-	maxConcurrentLongPolls int // the largest number of long polls that were held at the same time
-	unansweredProbes       map[int]bool
-	probeCount             int
+	maxConcurrentLongPolls int          // the largest number of long polls that were held at the same time
+	unansweredProbes       map[int]bool // which probes get no answer, by probeCount modulo 5
+	probeCount             int          // probes received so far
 }
 
 // fakeLongPoll is a request that is held until the list changes or the deadline passes.
--- a/internal/platform/idle.go
+++ b/internal/platform/idle.go
@@ -18,7 +18,7 @@
 	idleTimeoutReportPeriods = 3
 	idleTimeoutPushTimes     = 20
 	defaultReportPeriod      = 1
-	defaultPushTimeWorst     = 0.3
+	defaultMaxPushTime       = 0.3
 )
 
 // runPeriodicChecks closes connections whose peers have gone away without closing them, and logs changes of backends'
@@ -37,7 +37,7 @@
 // usage reports, and 20 times the longest time that an acknowledgement should take.
 func (m *Machine) idleTimeout() statemachine.Seconds {
 	settings := m.boot.Module.Settings
-	return max(idleTimeoutReportPeriods*settings.ReportPeriod.Or(defaultReportPeriod), idleTimeoutPushTimes*settings.MaxPushTime.Or(defaultPushTimeWorst), minIdleTimeout)
+	return max(idleTimeoutReportPeriods*settings.ReportPeriod.Or(defaultReportPeriod), idleTimeoutPushTimes*settings.MaxPushTime.Or(defaultMaxPushTime), minIdleTimeout)
 }
 
 // closeIdleStreams closes streams whose peers have gone away without closing them, as after a network partition or the loss
--- a/internal/platform/wire/encoder_test.go
+++ b/internal/platform/wire/encoder_test.go
@@ -141,13 +141,13 @@
 		}
 	}
 	if got := string(appendNumber(nil, math.NaN())); got != "0" {
-		t.Errorf("NaN is written as %s", got)
+		t.Errorf("NaN is written as %s, want 0", got)
 	}
 }
 
 // Characters that would end a field or a message are replaced in the reason of a rejection.
 func TestAppendRejectReplacesCharacters(t *testing.T) {
 	if got := string(AppendReject(nil, "what it is=x\r\ny")); got != "reject why=what_it_is_x__y\r\n" {
-		t.Error(got)
+		t.Errorf("the rejection is %q, want spaces, = and the line end replaced by underscores", got)
 	}
 }
