--- a/choice/admission.go
+++ b/choice/admission.go
@@ -123,7 +123,7 @@
 	now := a.planner.now
 	if load.overloadedBackends >= overloadedBackendShare*load.judgedBackends {
 		a.overloaded, a.overloadedAt = true, now
-		if now >= a.limitLoweredAt+admissionWindow/2 {
+		if now >= a.limitLoweredAt+admissionWindow/2 { // lowered at most once in this time
 			floor := minRateLimitShare * a.peakSuccessRatePerWeight * capacity
 			a.limitLoweredAt, a.rateLimit = now, max(min(a.rateLimit, load.successRate*admittedSuccessShare), floor)
 		}
--- a/choice/admission_test.go
+++ b/choice/admission_test.go
@@ -35,7 +35,8 @@
 	}
 	admission := fleet.planner.admission
 	if !admission.overloaded || admission.admittedShares[0] >= 1 || admission.admittedShares[0] > admission.admittedShares[1] {
-		t.Fatalf("overloaded %v, admitted shares %v", admission.overloaded, admission.admittedShares)
+		t.Fatalf("overloaded %v, admitted shares %v; an overload with a share below 1 for method 0, and no lower one for method 1, wanted",
+			admission.overloaded, admission.admittedShares)
 	}
 	for i, id := range fleet.planner.id {
 		if fleet.planner.ejectedUntil[i][0] > fleet.now {
@@ -46,7 +47,7 @@
 		fleet.reportSecond(8, 0.1, nil, nil)
 	}
 	if admission.admittedShares[0] < 1 {
-		t.Fatalf("admission levels after the overload: %v", admission.admittedShares)
+		t.Fatalf("admitted shares after the overload: %v, 1 for method 0 wanted", admission.admittedShares)
 	}
 }
 
@@ -59,7 +60,7 @@
 		fleet.reportSecond(8, 0.1, failing, nil)
 	}
 	if admission := fleet.planner.admission; admission.overloaded || admission.admittedShares[0] < 1 {
-		t.Fatalf("overloaded %v, admitted shares %v", admission.overloaded, admission.admittedShares)
+		t.Fatalf("overloaded %v, admitted shares %v; no overload and shares of 1 wanted", admission.overloaded, admission.admittedShares)
 	}
 }
 
@@ -74,7 +75,7 @@
 	fleet.step(0.1, ProxyLeft{1})
 	fleet.reportSecond(8, 0.1, nil, nil)
 	if !before || fleet.planner.admission.overloadUnlikely {
-		t.Fatalf("overload unlikely before the stream ended: %v, after: %v", before, fleet.planner.admission.overloadUnlikely)
+		t.Fatalf("overload unlikely before the stream ended: %v, after: %v; true and false wanted", before, fleet.planner.admission.overloadUnlikely)
 	}
 }
 
@@ -89,7 +90,7 @@
 		fleet.step(0.5, reports...)
 	}
 	if after := fleet.planner.admission.peakSuccessRatePerWeight; before <= 0 || after > 2*before {
-		t.Fatalf("the peak success rate went from %v to %v", before, after)
+		t.Fatalf("the peak success rate went from %v to %v, at most twice as much wanted", before, after)
 	}
 }
 
--- a/choice/arcs_test.go
+++ b/choice/arcs_test.go
@@ -80,7 +80,7 @@
 	}
 	crossZone, all := fleet.weightAcrossZones()
 	if crossZone > 0.1*all {
-		t.Fatalf("%.0f of %.0f weight is in another zone than the proxy", crossZone, all)
+		t.Fatalf("%.0f of a total weight of %.0f is in another zone than the proxy, at most a tenth wanted", crossZone, all)
 	}
 }
 
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -44,6 +44,6 @@
 	fleet.step(0, fullUpdate(4, 0))
 	commands := fleet.step(1, ProxyJoined{0, "a", 1, true}, SliceOwnership{0, true}, StoredSliceEntry{0, backendID(0), 1})
 	if countCommands[BindTable](commands)+countCommands[SetTableEntry](commands) > 0 {
-		t.Fatalf("commands for tables: %v", commands)
+		t.Fatalf("commands: %v, none for tables wanted", commands)
 	}
 }
--- a/choice/ejection_test.go
+++ b/choice/ejection_test.go
@@ -38,11 +38,11 @@
 	}
 	fleet.acknowledge(3)
 	if tables := fleet.tablesWith(backendID(0)); !ejected() || tables > 0 {
-		t.Fatalf("ejected %v, and in %d tables", ejected(), tables)
+		t.Fatalf("ejected %v, and in %d tables; ejected and in no table wanted", ejected(), tables)
 	}
 	fleet.acknowledgeAll()
 	if tables := fleet.tablesWith(backendID(0)); ejected() || tables == 0 {
-		t.Fatalf("ejected %v, and in %d tables after the ejection", ejected(), tables)
+		t.Fatalf("ejected %v, and in %d tables after the ejection; not ejected and in some table wanted", ejected(), tables)
 	}
 }
 
@@ -93,7 +93,7 @@
 		probes += countCommands[ProbeBackend](fleet.commands)
 	}
 	if probes == 0 || fleet.planner.unreachable(0) {
-		t.Fatalf("without reports: %d probes, unreachable %v", probes, fleet.planner.unreachable(0))
+		t.Fatalf("without reports: %d probes, unreachable %v; some probes and reachable wanted", probes, fleet.planner.unreachable(0))
 	}
 	fleet.step(0.1, ProbeResult{Backend: backendID(0)})
 	fleet.step(0.1, ProbeResult{Backend: backendID(0)})
@@ -116,6 +116,6 @@
 		fleet.step(0.01, AttemptReport{Backend: backendID(0), Zone: "a", Attempts: 40, MeanLatency: 0.9, Span: 1})
 	}
 	if factors := fleet.planner.latencyFactor; factors[0] >= 1 || factors[1] < 1 {
-		t.Fatalf("latency factors %v", factors)
+		t.Fatalf("latency factors %v: that of backend 0 below 1 and that of backend 1 at 1 wanted", factors)
 	}
 }
--- a/choice/exclusion_test.go
+++ b/choice/exclusion_test.go
@@ -17,7 +17,7 @@
 	}
 	commands := fleet.step(0.05, update)
 	if countCommands[SetExclusion](commands) != len(update.Endpoints) || countCommands[SetTableEntry](commands) == 0 {
-		t.Fatalf("commands for the drain of all backends of a table: %v", commands)
+		t.Fatalf("commands for the drain of all backends of a table: %v, %d exclusions and some table entries wanted", commands, len(update.Endpoints))
 	}
 }
 
--- a/choice/fleet_model_rules_test.go
+++ b/choice/fleet_model_rules_test.go
@@ -42,7 +42,7 @@
 		m.t.Fatalf("%.2f s: backend %d is not open, but is neither excluded nor due for exclusion", m.now, backend)
 	}
 	if due > 0 && m.now-due > maxExclusionDelay {
-		m.t.Fatalf("%.2f s: the exclusion of backend %d has been due for %.2f s", m.now, backend, m.now-due)
+		m.t.Fatalf("%.2f s: the exclusion of backend %d has been due for %.2f s, at most %.1f s wanted", m.now, backend, m.now-due, maxExclusionDelay)
 	}
 }
 
@@ -96,7 +96,7 @@
 		}
 	}
 	if recentMessages > messageLimit {
-		m.t.Fatalf("%.2f s: proxy %d was sent %d messages in %d s", m.now, proxy, recentMessages, messageSpan)
+		m.t.Fatalf("%.2f s: proxy %d was sent %d messages in %d s, at most %d wanted", m.now, proxy, recentMessages, messageSpan, messageLimit)
 	}
 }
 
@@ -108,7 +108,7 @@
 		total += lines
 	}
 	if float64(total) > m.planner.config.Settings.MaxChannelLines.Or(0) {
-		m.t.Fatalf("%.2f s: %d lines wait in the channel", m.now, total)
+		m.t.Fatalf("%.2f s: %d lines wait in the channel, which is over the limit of the settings", m.now, total)
 	}
 }
 
--- a/choice/push_test.go
+++ b/choice/push_test.go
@@ -11,7 +11,7 @@
 	fleet.step(0, fullUpdate(8, 0))
 	commands := fleet.step(0.1, ProxyJoined{0, "a", 10, true})
 	if countCommands[BindTable](commands) != 1 || countCommands[SetNonce](commands) != 1 || len(fleet.tables[0]) < minArcSize {
-		t.Fatalf("commands for a join: %v", commands)
+		t.Fatalf("commands for a join: %v, one binding of a table with at least %d entries and one nonce wanted", commands, minArcSize)
 	}
 }
 
--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -70,7 +70,7 @@
 	fleet.restartFirst()
 	fleet.step(0.1)
 	if tables := fleet.tablesWith(backendID(0)); !fleet.planner.admission.overloaded || tables > 0 {
-		t.Fatalf("overloaded %v, the cold backend is in %d tables", fleet.planner.admission.overloaded, tables)
+		t.Fatalf("overloaded %v, the cold backend is in %d tables; an overload and no table wanted", fleet.planner.admission.overloaded, tables)
 	}
 }
 
@@ -85,7 +85,7 @@
 	sole := Endpoint{Backend: 1, State: BackendOpen, Zone: "a", Weight: 1}
 	fleet.step(1.1, EndpointUpdate{Kind: UpdateFull, Endpoints: []Endpoint{sole}})
 	if fleet.planner.warmupFactor[0] >= 1 || fleet.excluded[1] {
-		t.Fatalf("warm-up factor %v, excluded %v", fleet.planner.warmupFactor[0], fleet.excluded[1])
+		t.Fatalf("warm-up factor %v, excluded %v; slow start and no exclusion wanted", fleet.planner.warmupFactor[0], fleet.excluded[1])
 	}
 }
 
--- a/internal/platform/idle.go
+++ b/internal/platform/idle.go
@@ -42,8 +42,8 @@
 
 // closeIdleStreams closes streams whose peers have gone away without closing them, as after a network partition or the loss
 // of a machine. Their proxies use other streams by then, and would count as joined here for as long as TCP keeps the
-// connection open. Nothing is closed while no data comes from any peer, because then this process is the one that is
-// disconnected or was stopped. A proxy that is still there connects again and gets a complete table.
+// connection open. Nothing is closed if no data came from any peer for a quarter of the timeout, because then this process
+// is the one that is disconnected or was stopped. A proxy that is still there connects again and gets a complete table.
 func (m *Machine) closeIdleStreams(now statemachine.Seconds, out *statemachine.Effects) {
 	timeout := m.idleTimeout()
 	if now > m.lastReceived+timeout/4 {
