--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -70,7 +70,7 @@
 	fleet.restartFirst()
 	fleet.step(0.1)
 	if tables := fleet.tablesWith(backendID(0)); !fleet.planner.admission.overloaded || tables > 0 {
-		t.Fatalf("overloaded %v, the cold backend is in %d tables", fleet.planner.admission.overloaded, tables)
+		t.Fatalf("overloaded %v, the cold backend is in %d tables; an overload and no table wanted", fleet.planner.admission.overloaded, tables)
 	}
 }
 
@@ -85,7 +85,7 @@
 	sole := Endpoint{Backend: 1, State: BackendOpen, Zone: "a", Weight: 1}
 	fleet.step(1.1, EndpointUpdate{Kind: UpdateFull, Endpoints: []Endpoint{sole}})
 	if fleet.planner.warmupFactor[0] >= 1 || fleet.excluded[1] {
-		t.Fatalf("warm-up factor %v, excluded %v", fleet.planner.warmupFactor[0], fleet.excluded[1])
+		t.Fatalf("warm-up factor %v, excluded %v; slow start and no exclusion wanted", fleet.planner.warmupFactor[0], fleet.excluded[1])
 	}
 }
 
@@ -142,7 +142,7 @@
 
 // If all backends of a zone return cold, they must not get the load above their share that arcs otherwise keep in their zone:
 // the proxies of that zone would bring each cold backend up to 1.5 times its share. Found on an emulated fleet (incident 01),
-// where rule 4 was broken.
+// where rule 4 of package invariant, that no cold backend collapses, was violated.
 func TestColdZoneTakesItsShareOnly(t *testing.T) {
 	fleet := newFleetModel(t, map[string]any{
 		"probes": false, "listing": "pushed", "proxies": 120.0, "channel_room": 1e6, "price.crossing": 0.12,
--- a/internal/platform/idle.go
+++ b/internal/platform/idle.go
@@ -18,7 +18,7 @@
 	idleTimeoutReportPeriods = 3
 	idleTimeoutPushTimes     = 20
 	defaultReportPeriod      = 1
-	defaultPushTimeWorst     = 0.3
+	defaultMaxPushTime       = 0.3
 )
 
 // runPeriodicChecks closes connections whose peers have gone away without closing them, and logs changes of backends'
@@ -37,13 +37,13 @@
 // usage reports, and 20 times the longest time that an acknowledgement should take.
 func (m *Machine) idleTimeout() statemachine.Seconds {
 	settings := m.boot.Module.Settings
-	return max(idleTimeoutReportPeriods*settings.ReportPeriod.Or(defaultReportPeriod), idleTimeoutPushTimes*settings.MaxPushTime.Or(defaultPushTimeWorst), minIdleTimeout)
+	return max(idleTimeoutReportPeriods*settings.ReportPeriod.Or(defaultReportPeriod), idleTimeoutPushTimes*settings.MaxPushTime.Or(defaultMaxPushTime), minIdleTimeout)
 }
 
 // closeIdleStreams closes streams whose peers have gone away without closing them, as after a network partition or the loss
 // of a machine. Their proxies use other streams by then, and would count as joined here for as long as TCP keeps the
-// connection open. Nothing is closed while no data comes from any peer, because then this process is the one that is
-// disconnected or was stopped. A proxy that is still there connects again and gets a complete table.
+// connection open. Nothing is closed if no data came from any peer for a quarter of the timeout, because then this process
+// is the one that is disconnected or was stopped. A proxy that is still there connects again and gets a complete table.
 func (m *Machine) closeIdleStreams(now statemachine.Seconds, out *statemachine.Effects) {
 	timeout := m.idleTimeout()
 	if now > m.lastReceived+timeout/4 {
