--- a/cmd/gingerfork/frontend.go
+++ b/cmd/gingerfork/frontend.go
@@ -7,7 +7,7 @@
 
 // Defaults of a fake front end for what the settings do not say. Times are in seconds.
 const (
-	frontEndAvoidFor          = 5   // for which a backend is avoided after too many consecutive failures
+	frontEndAvoidDuration     = 5   // for which a backend is avoided after too many consecutive failures
 	frontEndAttemptTimeout    = 0.8 // share of the soft deadline
 	frontEndReportPeriod      = 1
 	frontEndApplyTimePerEntry = 0.0002
@@ -21,7 +21,7 @@
 		Methods:             fake.MethodConfigs(settings.Methods),
 		Policy:              settings.PickPolicy,
 		FailureLimit:        int(settings.AvoidAfterFailures.Or(0)),
-		AvoidDuration:       frontEndAvoidFor,
+		AvoidDuration:       frontEndAvoidDuration,
 		AttemptTimeoutRatio: settings.AttemptTimeoutShare.Or(frontEndAttemptTimeout),
 		ApplyTimePerEntry:   frontEndApplyTimePerEntry,
 		AdmissionIsRate:     settings.LevelKind == "rate",
--- a/internal/bootstrap/parser.go
+++ b/internal/bootstrap/parser.go
@@ -111,7 +111,7 @@
 	setting := findKeyword(p.current.name, word)
 	if setting == nil {
 		candidates := append(keywordNames(p.current.name), sectionNames()...)
-		p.fault(line, "%s is no keyword of %s%s", word, p.current.name, didYouMean(word, candidates))
+		p.fault(line, "%s is not a keyword of %s%s", word, p.current.name, didYouMean(word, candidates))
 		return
 	}
 	if first, repeated := p.current.keywordLines[word]; repeated && setting.Syntax != peerSyntax {
--- a/internal/bootstrap/values.go
+++ b/internal/bootstrap/values.go
@@ -40,7 +40,7 @@
 	if _, err := parseDecimal(word); err == nil {
 		return 0, &ValueError{word, "has no unit, us, ms, s, m or h expected (such as 250ms)"}
 	}
-	return 0, &ValueError{word, "is no time, a number and us, ms, s, m or h expected (such as 250ms)"}
+	return 0, &ValueError{word, "is not a time, a number and us, ms, s, m or h expected (such as 250ms)"}
 }
 
 func isDigit(character byte) bool { return character >= '0' && character <= '9' }
@@ -71,7 +71,7 @@
 func ParseInteger(word string, lowest, highest int) (int, error) {
 	value, err := strconv.Atoi(word)
 	if err != nil || value < lowest || value > highest {
-		return 0, &ValueError{word, fmt.Sprintf("is no whole number from %d to %d", lowest, highest)}
+		return 0, &ValueError{word, fmt.Sprintf("is not a whole number from %d to %d", lowest, highest)}
 	}
 	return value, nil
 }
--- a/internal/emulator/fleetstats.go
+++ b/internal/emulator/fleetstats.go
@@ -25,7 +25,7 @@
 // String returns the statistics as a line of text for people.
 func (s FleetStats) String() string {
 	const percent, msPerSecond = 100, 1e3
-	return fmt.Sprintf("%4.0f s: %d of %d servers up, %d warming up, %d collapsed; capacity %.0f RPCs/s, %d executed; cores %.0f%% busy, %d queued; timers up to %.1f ms late",
+	return fmt.Sprintf("%4.0f s: %d of %d backends up, %d warming up, %d collapsed; capacity %.0f RPCs/s, %d executed; cores %.0f%% busy, %d queued; timers up to %.1f ms late",
 		s.Elapsed, s.Running, s.Backends, s.WarmingUp, s.Collapsed, s.Capacity, s.Executed, percent*s.CoreUsage, s.Queued, msPerSecond*s.MaxDelay)
 }
 
