--- a/cmd/gingerfork/emulate_test.go
+++ b/cmd/gingerfork/emulate_test.go
@@ -96,7 +96,7 @@
 		{[]string{"emulate", tempFile(t, "s.day", quietScenario+"at 1s flap servers 1 by 1s for 2s with silence\n")}, "s.day:7: flap servers"},
 		{[]string{"emulate", tempFile(t, "p.day", quietScenario), "--part", "3/2"}, "part 3 of 2 does not exist"},
 		{[]string{"emulate", tempFile(t, "p.day", quietScenario), "--part", "one"}, "is not K/N"},
-		{[]string{"emulate", tempFile(t, "p.day", quietScenario), "--port", "65534"}, "do not hold"},
+		{[]string{"emulate", tempFile(t, "p.day", quietScenario), "--port", "65534"}, "do not fit into the ports"},
 		{[]string{"emulate", tempFile(t, "w.day", strings.Replace(quietScenario, "noise 10%", "noise ten", 1))}, "w.day:4: noise"},
 		{[]string{"load", "--settings", conf}, "either coordinators or backends"},
 		{[]string{"load", "--settings", conf, "--backend", "127.0.0.1:1", "--swing", "x"}, "swing"},
--- a/internal/fake/command.go
+++ b/internal/fake/command.go
@@ -2,9 +2,10 @@
 
 import "gingerfork/internal/statemachine"
 
-const logWarning = 2 // statemachine.LogWarning
+// logWarning has the value of statemachine.LogWarning.
+const logWarning = 2
 
-// logUnknownCommand logs a scenario's command that a fake does not know.
+// logUnknownCommand logs a command of a scenario that a fake does not know.
 func logUnknownCommand(out *statemachine.Effects, text string) {
 	out.Log(logWarning, "unknown command", "command", text)
 }
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -141,7 +141,7 @@
 		c.startTimes[record.Backend] = record.Time
 		delete(c.coldAttempts, record.Backend)
 	case trace.LoadOffered:
-		c.recordClosest(ruleColdBackend, record.Value, "cold server %d was sent %d RPCs in the collapse window", record.Backend, record.Count)
+		c.recordClosest(ruleColdBackend, record.Value, "cold backend %d was sent %d RPCs in the collapse window", record.Backend, record.Count)
 	case trace.BackendCollapsed:
 		c.checkCollapse(record)
 	case trace.RPCFinished:
--- a/internal/invariant/rule1_availability.go
+++ b/internal/invariant/rule1_availability.go
@@ -16,10 +16,10 @@
 			continue
 		}
 		method := c.limits.Methods[m].Name
-		c.recordClosest(ruleBackendAvailable, (until-from)/c.limits.NoBackendLimit, "%s had no usable server for method %s for %.2f s", name, method, until-from)
+		c.recordClosest(ruleBackendAvailable, (until-from)/c.limits.NoBackendLimit, "%s had no usable backend for method %s for %.2f s", name, method, until-from)
 		if until-from > c.limits.NoBackendLimit && !state.noBackendCounted[m] {
 			state.noBackendCounted[m] = true
-			c.recordViolation(ruleBackendAvailable, name, "no usable server for method %s since %.3f, while %s lists an open, warm one", method, from, state.coordinator)
+			c.recordViolation(ruleBackendAvailable, name, "no usable backend for method %s since %.3f, while %s lists an open, warm one", method, from, state.coordinator)
 		}
 	}
 }
--- a/internal/invariant/rule2_effects.go
+++ b/internal/invariant/rule2_effects.go
@@ -49,7 +49,7 @@
 	method := c.limits.Methods[record.Method]
 	earlier, repeated := c.effects[record.RPCID]
 	if repeated && (method.NonIdempotent || method.HasIdempotencyKey) {
-		c.recordViolation(ruleEffectOnce, fmt.Sprintf("server %d", record.Backend), "%s executed twice: RPC %d, before at %.3f on server %d",
+		c.recordViolation(ruleEffectOnce, fmt.Sprintf("backend %d", record.Backend), "%s executed twice: RPC %d, before at %.3f on backend %d",
 			method.Name, record.RPCID, earlier.time, earlier.backend)
 	}
 	c.effects[record.RPCID] = effect{record.Time, record.Backend}
--- a/internal/invariant/rule3_drain.go
+++ b/internal/invariant/rule3_drain.go
@@ -13,9 +13,9 @@
 		return
 	}
 	elapsed := record.Time - max(notifiedTime, sender.joinTime)
-	c.recordClosest(ruleDrainRespected, elapsed/c.limits.DrainGrace, "%s sent an attempt to server %d %.2f s after %s was notified of its drain or removal", record.Party, record.Backend, elapsed, sender.coordinator)
+	c.recordClosest(ruleDrainRespected, elapsed/c.limits.DrainGrace, "%s sent an attempt to backend %d %.2f s after %s was notified of its drain or removal", record.Party, record.Backend, elapsed, sender.coordinator)
 	if elapsed > c.limits.DrainGrace {
-		c.recordViolation(ruleDrainRespected, record.Party, "attempt to server %d %.3f s after %s was notified of its drain or removal", record.Backend, elapsed, sender.coordinator)
+		c.recordViolation(ruleDrainRespected, record.Party, "attempt to backend %d %.3f s after %s was notified of its drain or removal", record.Backend, elapsed, sender.coordinator)
 	}
 }
 
--- a/internal/invariant/rule4_coldstart.go
+++ b/internal/invariant/rule4_coldstart.go
@@ -60,6 +60,6 @@
 			topSender = name
 		}
 	}
-	c.recordViolation(ruleColdBackend, topSender, "server %d collapsed while cold; %d of %d attempts in the window were sent with knowledge of its start",
+	c.recordViolation(ruleColdBackend, topSender, "backend %d collapsed while cold; %d of %d attempts in the window were sent with knowledge of its start",
 		record.Backend, informedAttempts, len(attempts))
 }
--- a/internal/scenario/emulate.go
+++ b/internal/scenario/emulate.go
@@ -28,7 +28,7 @@
 }
 
 func (e *PortRangeError) Error() string {
-	return fmt.Sprintf("ports from %d on do not hold the list service and %d servers: ports must be %d to %d", e.Port, e.Backends, minPort, maxPort)
+	return fmt.Sprintf("the endpoint service and %[2]d backends do not fit into the ports from %[1]d on: ports must be %[3]d to %[4]d", e.Port, e.Backends, minPort, maxPort)
 }
 
 // UnknownPartError is returned by Emulation.Check if the number of the part to play is not one of the parts.
@@ -131,7 +131,7 @@
 func newEmulation(e Emulation) *emulation {
 	running := &emulation{
 		Emulation: e, player: newPlayer(e.Scenario), clock: eventloop.NewClock(), loopByBackend: map[string]*eventloop.Loop{},
-		tallies: map[int]pendingTally{},
+		pendingStats: map[int]pendingStats{},
 	}
 	running.player.env, running.player.record = running, running.addRecord
 	return running
@@ -179,7 +179,7 @@
 
 // startLoop starts an event loop that runs some of the backends.
 func (e *emulation) startLoop(ctx context.Context, backends []*participant, store *emulator.IdempotencyKeyStore) error {
-	fleet := emulator.NewFleet(e.addTally)
+	fleet := emulator.NewFleet(e.addStats)
 	config := eventloop.Bootstrap{Machine: fleet, Clock: e.clock, Trace: e.Trace}
 	for _, backend := range backends {
 		backendConfig := e.player.backendConfig(backend, store)
@@ -193,7 +193,7 @@
 	}
 	loop, err := eventloop.Start(ctx, config)
 	if err != nil {
-		return fmt.Errorf("emulate servers: %w", err)
+		return fmt.Errorf("emulate backends: %w", err)
 	}
 	e.loops = append(e.loops, loop)
 	for _, backend := range backends {
@@ -210,7 +210,7 @@
 	list := fake.NewEndpointService(e.player.initialEndpoints(func(backend *participant) string { return e.Addr(backend.index) }))
 	loop, err := eventloop.Start(ctx, eventloop.Bootstrap{Machine: list, Listen: []string{e.ListAddr()}, Clock: e.clock})
 	if err != nil {
-		return fmt.Errorf("emulate the list service: %w", err)
+		return fmt.Errorf("emulate the endpoint service: %w", err)
 	}
 	e.endpointService = loop
 	e.loops = append(e.loops, loop)
--- a/internal/scenario/emulation.go
+++ b/internal/scenario/emulation.go
@@ -23,44 +23,44 @@
 	loopCount       int // number of loops that run backends
 	schedule        schedule
 
-	mu      sync.Mutex
-	tallies map[int]pendingTally // by second since the start
+	mu           sync.Mutex
+	pendingStats map[int]pendingStats // by second since the start
 }
 
-// pendingTally is the sum of the figures for one second from the loops that have reported them so far.
-type pendingTally struct {
+// pendingStats is the sum of the statistics of one second from the loops that have reported them so far.
+type pendingStats struct {
 	sum     emulator.FleetStats
 	reports int
 }
 
-// addTally adds the figures of one loop for a second, and calls OnTally with the sum once all loops have reported theirs. It is
+// addStats adds the statistics of one loop for a second, and calls OnTally with the sum once all loops have reported theirs. It is
 // called from the goroutines of the loops.
-func (e *emulation) addTally(tally emulator.FleetStats) {
+func (e *emulation) addStats(stats emulator.FleetStats) {
 	if e.OnTally == nil {
 		return
 	}
-	if sum, complete := e.sumTally(tally); complete {
+	if sum, complete := e.sumStats(stats); complete {
 		e.OnTally(sum)
 	}
 }
 
-// sumTally adds the figures of one loop, and returns the sum of that second and whether it is complete.
-func (e *emulation) sumTally(tally emulator.FleetStats) (emulator.FleetStats, bool) {
+// sumStats adds the statistics of one loop, and returns the sum of that second and whether it is complete.
+func (e *emulation) sumStats(stats emulator.FleetStats) (emulator.FleetStats, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	second := int(tally.Elapsed + 0.5)
-	pending := e.tallies[second]
+	second := int(stats.Elapsed + 0.5)
+	pending := e.pendingStats[second]
 	if pending.reports == 0 {
-		pending.sum = tally
+		pending.sum = stats
 	} else {
-		pending.sum = pending.sum.Add(tally)
+		pending.sum = pending.sum.Add(stats)
 	}
 	pending.reports++
 	if pending.reports == e.loopCount {
-		delete(e.tallies, second)
+		delete(e.pendingStats, second)
 		return pending.sum, true
 	}
-	e.tallies[second] = pending
+	e.pendingStats[second] = pending
 	return pending.sum, false
 }
 
--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -1,4 +1,4 @@
-// Package statemachine defines the interface between the state machines of gingerfork (coordinator, front end, server,
+// Package statemachine defines the interface between the state machines of gingerfork (coordinator, front end, backend,
 // endpoint service, relay) and the drivers that run them.
 //
 // A machine is event-driven: each step receives the current time and the inputs that arrived, and records the requested
@@ -21,7 +21,7 @@
 // DialedBit is the bit that is set in the numbers of connections dialed by the machine.
 const DialedBit Conn = 1 << 63
 
-// Machine is one component of the system, such as a coordinator or a server.
+// Machine is one component of the system, such as a coordinator or a backend.
 type Machine interface {
 	// Step processes the inputs that arrived since the last step, in order. now is never earlier than in the last step. out
 	// is empty when Step is called. The machine must not retain in or out after the call; it may retain the bytes of
