--- a/internal/bootstrap/bootstrap_test.go
+++ b/internal/bootstrap/bootstrap_test.go
@@ -61,7 +61,7 @@
 func TestDecisionSettings(t *testing.T) {
 	settings, faults := parse(t, validSettings)
 	if faults.Err() != nil {
-		t.Fatal(faults)
+		t.Fatalf("valid settings have the faults %v", faults)
 	}
 	config := choice.Config{Settings: choice.DecodeSettings(settings.Values)}
 	for name, want := range map[string]float64{
@@ -83,7 +83,7 @@
 		}
 	}
 	if !config.Settings.ProbesAllowed || settings.Peers[1] != "127.0.0.1:7401" || settings.Text("state") != "here" || settings.Number("handshake") != 5 || settings.Name != "west-1" {
-		t.Error(settings)
+		t.Errorf("probes allowed %v, settings %+v", config.Settings.ProbesAllowed, settings)
 	}
 }
 
@@ -114,13 +114,13 @@
 		_, faults := parse(t, text)
 		faults.Sort()
 		if len(faults) == 0 || !slices.ContainsFunc(faults, func(f Fault) bool { return strings.HasPrefix(f.String(), want) }) {
-			t.Errorf("got %v\nwant %s", faults, want)
+			t.Errorf("got the faults %v\nwant one that begins with %s", faults, want)
 		}
 	}
 	// Parse must report all faults of a file, each as a separate error.
 	_, faults := parse(t, strings.NewReplacer("15s", "15", "pick pair", "pick x", "28%", "x").Replace(validSettings))
 	if faults.Sort(); len(faults) != 3 || faults[0].Line != 11 || faults[1].Line != 12 || faults[2].Line != 18 {
-		t.Error(faults)
+		t.Errorf("got the faults %v, want 3, at lines 11, 12 and 18", faults)
 	}
 	var fault Fault
 	if err := faults.Err(); !errors.As(err, &fault) || fault != faults[0] {
@@ -189,7 +189,7 @@
 		word := rapid.StringMatching(`[a-z "'#\\\t]{0,12}`).Draw(t, "word")
 		lines, faults := Lex("x", "k "+Quote(word))
 		if len(faults) > 0 || len(lines) != 1 || len(lines[0].Words) != 2 || lines[0].Words[1] != word {
-			t.Fatalf("%q: %v %v", word, lines, faults)
+			t.Fatalf("%q was quoted and read as %v, faults %v", word, lines, faults)
 		}
 	})
 }
@@ -206,7 +206,7 @@
 		if len(faults)+len(parseFaults) > 0 {
 			for _, fault := range append(faults, parseFaults...) {
 				if fault.Line < 1 || fault.Message == "" || strings.Contains(fault.Message, "\n") {
-					t.Fatalf("%q", fault)
+					t.Fatalf("the fault %q has no line, or a message that is empty or not one line", fault)
 				}
 			}
 			return
--- a/internal/emulator/faults_test.go
+++ b/internal/emulator/faults_test.go
@@ -27,12 +27,12 @@
 		mustRunCommands(t, model, command)
 		model.Submit(1, RPC{ID: 1, TimeLeft: 9})
 		if statuses, _ := advanceUntil(model, 1); statuses[1] != want || len(statuses) != 1 {
-			t.Errorf("%s: %v", command, statuses)
+			t.Errorf("during %s: got the replies %v, want status %v", command, statuses, want)
 		}
 		mustRunCommands(t, model, "heal")
 		model.Submit(1, RPC{ID: 2, TimeLeft: 9})
 		if statuses, _ := advanceUntil(model, 1.11); statuses[2] != StatusOK || len(statuses) != 1 {
-			t.Errorf("after %s was healed: %v", command, statuses)
+			t.Errorf("after %s was healed: got the replies %v, want one with status OK", command, statuses)
 		}
 	}
 }
--- a/internal/emulator/model_test.go
+++ b/internal/emulator/model_test.go
@@ -272,7 +272,7 @@
 		}
 		_, answered := statuses[1]
 		if answered != (policy != CancelRunning) || statuses[3] != StatusOK {
-			t.Errorf("policy %d: %v", policy, statuses)
+			t.Errorf("policy %d: got the replies %v", policy, statuses)
 		}
 	}
 }
--- a/internal/endpointfile/list_test.go
+++ b/internal/endpointfile/list_test.go
@@ -92,7 +92,7 @@
 	}
 	var loss *LossError
 	if !errors.As(err, &loss) || *loss != (LossError{Lost: 6, Open: 10, MaxShare: 0.5}) {
-		t.Errorf("error %#v", err)
+		t.Errorf("got error %#v, want a LossError for 6 of 10 endpoints", err)
 	}
 	if changed := mustApply(t, list, 4, makeBackends(4, 1)); len(changed) != 10 {
 		t.Fatalf("applied again it changed %v", changed)
--- a/internal/endpointservice/fleet_test.go
+++ b/internal/endpointservice/fleet_test.go
@@ -56,7 +56,7 @@
 	lines, lexFaults := bootstrap.Lex("perth.conf", string(text))
 	settings, parseFaults := bootstrap.Parse("perth.conf", lines)
 	if len(lexFaults)+len(parseFaults) > 0 {
-		t.Fatal(lexFaults, parseFaults)
+		t.Fatalf("perth.conf has the faults %v %v", lexFaults, parseFaults)
 	}
 	return settings
 }
@@ -80,7 +80,7 @@
 	}
 	simulated.network.RunUntil(fleetEpoch + duration)
 	if len(simulated.network.Failures) > 0 {
-		t.Fatal(simulated.network.Failures)
+		t.Fatalf("state machines failed: %v", simulated.network.Failures)
 	}
 	report, err := invariant.Check(simulated.records, (&scenario.Scenario{Settings: simulated.settings}).Limits())
 	if err != nil {
--- a/internal/endpointservice/service_test.go
+++ b/internal/endpointservice/service_test.go
@@ -171,7 +171,7 @@
 	third.requireReceived(1)
 	var loss *endpointfile.LossError
 	if len(third.errors) != 1 || !errors.As(third.errors[0], &loss) {
-		t.Fatal(third.errors)
+		t.Fatalf("got the errors %v, want one LossError", third.errors)
 	}
 	third.step(5.1)
 	third.requireReceived(1, "delta 2-3 4gone1")
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -50,7 +50,7 @@
 		t.Fatal("ConnClosed arrived for a connection that the machine itself closed")
 	}
 	if len(records) != 1 || records[0].Kind != "sample" {
-		t.Fatal(records)
+		t.Fatalf("got the trace records %v, want one of kind sample", records)
 	}
 }
 
--- a/internal/eventloop/persister_test.go
+++ b/internal/eventloop/persister_test.go
@@ -112,7 +112,7 @@
 	t.Helper()
 	found, err := store.Check(folder.Crash(func() bool { return false }))
 	if err != nil || !found.Intact {
-		t.Fatal(found, err)
+		t.Fatalf("the store after the crash is not intact: %v, error %v", found, err)
 	}
 	var records []string
 	found.Each(func(key string, value []byte) { records = append(records, key+"="+string(value)) })
--- a/internal/eventloop/replacefile_test.go
+++ b/internal/eventloop/replacefile_test.go
@@ -18,9 +18,9 @@
 	data, err := os.ReadFile(path)
 	files, _ := os.ReadDir(dir)
 	if string(data) != "two" || err != nil || len(files) != 1 {
-		t.Fatal(string(data), err, files)
+		t.Fatalf("the file contains %q, error %v, the folder %v; want \"two\" and a single file", data, err, files)
 	}
 	if err := replaceFile(filepath.Join(dir, "no", "f"), nil); err == nil || !strings.Contains(err.Error(), "replace") {
-		t.Fatal(err)
+		t.Fatalf("in a missing folder: got error %v, want one that contains replace", err)
 	}
 }
--- a/internal/eventqueue/eventqueue_test.go
+++ b/internal/eventqueue/eventqueue_test.go
@@ -51,7 +51,7 @@
 	}
 	for want := range count {
 		if got := queue.Pop(); got != want {
-			t.Fatalf("got %d, want %d", got, want)
+			t.Fatalf("popped value %d, want %d", got, want)
 		}
 	}
 }
--- a/internal/experiment/execute_test.go
+++ b/internal/experiment/execute_test.go
@@ -49,7 +49,7 @@
 		dir := t.TempDir()
 		runs, err := plan.Execute(context.Background(), dir, "c", workers, func(Progress) {})
 		if err != nil || len(runs) != 12 {
-			t.Fatal(len(runs), err)
+			t.Fatalf("%d workers: %d runs and error %v, want 12 runs", workers, len(runs), err)
 		}
 		if err := plan.WriteReport(dir, runs); err != nil {
 			t.Fatal(err)
@@ -65,7 +65,7 @@
 func TestScenarioOfArm(t *testing.T) {
 	armScenario, err := readPlan(t, smallPlan).Scenario(Arm{"2", "lottery"}, 9)
 	if err != nil || armScenario.Coordinators != 2 || armScenario.Seed != 9 || armScenario.Settings.Values["pick"] != "lottery" || armScenario.Duration != 12 {
-		t.Errorf("%+v %v", armScenario, err)
+		t.Errorf("the scenario of the arm is %+v, error %v", armScenario, err)
 	}
 }
 
@@ -86,7 +86,7 @@
 	lines := readFile(t, dir, RunsName)
 	finished = strings.Count(lines, "\n")
 	if finished < 5 || finished > 6 {
-		t.Fatalf("%d runs in the file", finished)
+		t.Fatalf("%d runs in the file, want 5 or 6", finished)
 	}
 	if err := os.WriteFile(filepath.Join(dir, RunsName), []byte(lines[:len(lines)-20]), 0o644); err != nil {
 		t.Fatal(err)
@@ -117,7 +117,7 @@
 		runs[i].Seconds, uninterrupted[i].Seconds = 0, 0
 	}
 	if diff := cmp.Diff(uninterrupted, runs); diff != "" {
-		t.Error(diff)
+		t.Errorf("the runs differ from those of an execution without a crash: %s", diff)
 	}
 	for _, other := range []struct{ text, commit string }{{smallPlan, "d"}, {smallPlan + "# another\n", "c"}} {
 		requireNoneFinished(t, filepath.Join(dir, RunsName), readPlan(t, other.text), other.commit)
--- a/internal/experiment/parse_test.go
+++ b/internal/experiment/parse_test.go
@@ -37,7 +37,7 @@
 func TestReadPublishedPlans(t *testing.T) {
 	plans, err := filepath.Glob("../../docs/experiments/*.plan")
 	if err != nil || len(plans) < 5 {
-		t.Fatal(plans, err)
+		t.Fatalf("found the plans %v, error %v, want at least 5", plans, err)
 	}
 	for _, file := range plans {
 		text, err := os.ReadFile(file)
--- a/internal/experiment/statistics_test.go
+++ b/internal/experiment/statistics_test.go
@@ -75,7 +75,7 @@
 func TestBootstrapWithOutlier(t *testing.T) {
 	values := append(make([]float64, 19), 1)
 	if e := EstimateMean(values); e.Low < -0.3 || e.High > 0.4 || e.Low > 0 {
-		t.Errorf("%+v", e)
+		t.Errorf("the interval is %v to %v, want it to contain 0 and to be within -0.3 to 0.4", e.Low, e.High)
 	}
 }
 
--- a/internal/haproxy/routes_test.go
+++ b/internal/haproxy/routes_test.go
@@ -211,7 +211,7 @@
 		lines, faults := bootstrap.Lex("x", got.Pools[i].Settings(got.Routes))
 		settings, parseFaults := bootstrap.Parse("x", lines)
 		if len(faults)+len(parseFaults) > 0 {
-			t.Fatal(faults, parseFaults)
+			t.Fatalf("faults in the settings of pool %s: %v %v", got.Pools[i].Name, faults, parseFaults)
 		}
 		config := settings.CoordinatorConfig(0)
 		var methods []string
--- a/internal/haproxy/traffic_test.go
+++ b/internal/haproxy/traffic_test.go
@@ -42,7 +42,7 @@
 	lines, faults := bootstrap.Lex("out.conf", pool.Settings(nil))
 	settings, parseFaults := bootstrap.Parse("out.conf", lines)
 	if len(faults)+len(parseFaults) > 0 {
-		t.Fatal(faults, parseFaults)
+		t.Fatalf("faults in the settings of pool %s: %v %v", pool.Name, faults, parseFaults)
 	}
 	simulation := &poolSimulation{network: simnet.New(5, simulationEpoch, 0.0003, 0.0006), pool: pool, names: map[uint32]string{}}
 	half := simulationEpoch + startUp + (seconds-startUp)/2
@@ -71,7 +71,7 @@
 	}
 	simulation.network.RunUntil(simulationEpoch + seconds)
 	if len(simulation.network.Failures) > 0 {
-		t.Fatal(simulation.network.Failures)
+		t.Fatalf("state machines failed: %v", simulation.network.Failures)
 	}
 	return before, after
 }
@@ -170,7 +170,7 @@
 		"server off h:6 weight 200 disabled\nserver spare h:7 weight 200 backup\nserver slow h:8 weight 0\n"
 	got := read(text)
 	if len(got.Faults) > 0 {
-		t.Fatal(got.Faults)
+		t.Fatalf("got faults %v, want none", got.Faults)
 	}
 	pool := got.Pools[0]
 	numbers := pool.ServerNumbers()
--- a/internal/invariant/checker_test.go
+++ b/internal/invariant/checker_test.go
@@ -120,7 +120,7 @@
 	report, err := Check(joinedProxy(attempt(2, 1, 1, 0, ""), attempt(2, 1, 2, 1, ""), attempt(2, 1, 9, 1, ""), finished(1, 0, "ok", 0.5), finished(2, 1, "ok", 1.5), finished(3, 1, "ok", 1),
 		finished(4, 0, "pushed back", 0), finished(5, 0, "aborted", 2)), limits)
 	if s := report.Service; err != nil || s.Offered != 7 || s.InTime != 3 || s.OK != 3 || s.Late != 1 || s.Rejected != 1 || s.Aborted != 1 || s.Unfinished != 1 || s.Share() != 3.0/7 {
-		t.Fatalf("%+v %v", report.Service, err)
+		t.Fatalf("got service %+v and error %v", report.Service, err)
 	}
 }
 
--- a/internal/proto/proto_test.go
+++ b/internal/proto/proto_test.go
@@ -117,7 +117,7 @@
 	afterHandshake.HandshakeDone()
 	afterHandshake.Feed(big)
 	if m, err := afterHandshake.Next(); err != nil || len(m.(EndpointUpdate).Endpoints) != 100 {
-		t.Fatal(m, err)
+		t.Fatalf("the same frame after the handshake: got %v and error %v, want the message", m, err)
 	}
 }
 
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -54,7 +54,7 @@
 	}
 	var text strings.Builder
 	if report.WriteText(&text); !strings.Contains(text.String(), "worst method submit: service 0.750") {
-		t.Error(text.String())
+		t.Errorf("unexpected summary: %s", text.String())
 	}
 	if _, err := Build([]trace.Record{{Kind: trace.RPCFinished, Method: 2}}, testMethods); err == nil {
 		t.Error("a record of an unknown method was accepted")
--- a/internal/scenario/coordinator_kills_test.go
+++ b/internal/scenario/coordinator_kills_test.go
@@ -14,7 +14,7 @@
 			t.Fatal(err)
 		}
 		if result.Report.Violated() || len(result.Failures) > 0 {
-			t.Errorf("seed %d: %v %v", scenario.Seed, result.Report, result.Failures)
+			t.Errorf("seed %d: report %v, failures %v", scenario.Seed, result.Report, result.Failures)
 		}
 	}
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -69,7 +69,7 @@
 at 4s empty list for 2750ms
 `), Options{})
 	if err != nil || result.Report.Violated() {
-		t.Fatal(err, result.Report.Rules)
+		t.Fatalf("error %v, rules %v", err, result.Report.Rules)
 	}
 	notified := slices.ContainsFunc(result.Records, func(record trace.Record) bool {
 		return record.Kind == trace.PushApplied && strings.HasPrefix(record.Text, "withdraw 1;withdraw 2")
--- a/internal/scenario/search_test.go
+++ b/internal/scenario/search_test.go
@@ -47,7 +47,7 @@
 func TestFailuresAndMinimizing(t *testing.T) {
 	result, err := PlayVirtual(readScript(t, tamperScript), Options{WrapCoordinator: func(_ string, m statemachine.Machine) statemachine.Machine { return &failingMachine{inner: m} }})
 	if err != nil || len(result.Failures) == 0 || !strings.Contains(result.Failures[0], "c0: the module failed") {
-		t.Fatal(err, result.Failures)
+		t.Fatalf("error %v, failures %v", err, result.Failures)
 	}
 	for seed, violation := range knownViolations {
 		script := RandomScript(seed)
--- a/internal/store/failure_test.go
+++ b/internal/store/failure_test.go
@@ -57,7 +57,7 @@
 	}
 	store = open(t, folder.Crash(loseUnsynced))
 	if diff := cmp.Diff(map[string]string{"a": "2", "b": "1"}, contents(store)); diff != "" {
-		t.Error(diff)
+		t.Errorf("the contents found at the next start differ: %s", diff)
 	}
 }
 
@@ -98,7 +98,7 @@
 	compact(t, store)
 	recovered := open(t, folder.Crash(loseUnsynced))
 	if diff := cmp.Diff(map[string]string{"a": "1", "b": "1"}, contents(recovered)); diff != "" {
-		t.Error(diff)
+		t.Errorf("the contents found at the next start differ: %s", diff)
 	}
 }
 
--- a/internal/store/open_test.go
+++ b/internal/store/open_test.go
@@ -105,7 +105,7 @@
 		s := openRepaired(t, fuzzed)
 		recovered := open(t, fuzzed.Crash(loseUnsynced))
 		if diff := cmp.Diff(contents(s), contents(recovered)); diff != "" {
-			t.Fatal(diff)
+			t.Fatalf("the contents after the crash differ: %s", diff)
 		}
 	})
 }
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -19,7 +19,7 @@
 	}
 	got, err := Read(strings.NewReader(string(lines)))
 	if err != nil || len(got) != len(records) {
-		t.Fatal(got, err)
+		t.Fatalf("read %d records and error %v, want %d records", len(got), err, len(records))
 	}
 	for i := range records {
 		if got[i] != records[i] {
@@ -39,7 +39,7 @@
 
 func TestUnknownField(t *testing.T) {
 	if _, err := Parse("1 join wo=3"); !errors.Is(err, ErrUnknownField) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want %v", err, ErrUnknownField)
 	}
 }
 
