--- a/compare/compare_test.go
+++ b/compare/compare_test.go
@@ -38,20 +38,22 @@
 )
 
 const (
-	servers = 100
-	arc     = 6 // backends in the table of each subscriber
+	backendCount = 100
+	arcSize      = 6 // backends in the table of each subscriber
 )
 
 // holds reports whether a backend is in the table of a subscriber of go-control-plane. Each table has as many backends as an arc of
 // this project's coordinator, so that both sides push to similar numbers of subscribers.
-func holds(subscriber, server int) bool { return (server-subscriber*7%servers+servers)%servers < arc }
+func holds(subscriber, backend int) bool {
+	return (backend-subscriber*7%backendCount+backendCount)%backendCount < arcSize
+}
 
 // BenchmarkOneServerChange measures the time, the bytes and the subscribers reached per change of one backend, for several numbers
 // of subscribers.
 func BenchmarkOneServerChange(b *testing.B) {
 	for _, n := range []int{100, 300, 1000} {
-		b.Run(fmt.Sprintf("gingerfork/%d", n), func(b *testing.B) { ours(b, n) })
-		b.Run(fmt.Sprintf("go-control-plane/%d", n), func(b *testing.B) { theirs(b, n) })
+		b.Run(fmt.Sprintf("gingerfork/%d", n), func(b *testing.B) { benchmarkGingerfork(b, n) })
+		b.Run(fmt.Sprintf("go-control-plane/%d", n), func(b *testing.B) { benchmarkControlPlane(b, n) })
 	}
 }
 
@@ -62,49 +64,49 @@
 	b.ReportMetric(float64(reached)/float64(b.N), "subscribers/change")
 }
 
-// ours benchmarks this project's coordinator on sockets. A change is the drain of a backend; its time ends when the last proxy
-// that has the backend in its table has applied the push.
-func ours(b *testing.B, n int) {
+// benchmarkGingerfork benchmarks this project's coordinator on sockets. A change is the drain of a backend; its time ends when the
+// last proxy that has the backend in its table has applied the push.
+func benchmarkGingerfork(b *testing.B, proxyCount int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	values := map[string]any{
 		"listing": "asked", "ask_within": 10.0, "cold_share": 0.3, "warm_after": 10.0, "drain_grace": 2.0, "fall_multiple": 2.5,
-		"channel_room": 1e9, "channel_pace": 1e9, "message_lines": 10.0, "messages": 0.0, "push_time": 0.01, "push_time_worst": 0.3, "proxies": float64(n),
+		"channel_room": 1e9, "channel_pace": 1e9, "message_lines": 10.0, "messages": 0.0, "push_time": 0.01, "push_time_worst": 0.3, "proxies": float64(proxyCount),
 		"level_kind": "none", "report_period": 2.0, "zone": "a", "zones.n": 1.0, "zones.0": "a", "method.n": 1.0, "method.0.name": "read",
 		"method.0.effect": "idempotent", "method.0.soft_deadline": 1.0, "method.0.criticality": 1.0,
 	}
 	clock := eventloop.NewClock()
-	var all []fake.Endpoint
-	for i := range servers {
-		all = append(all, fake.Endpoint{Backend: proto.BackendID(i + 1), State: proto.BackendOpen, Zone: "a", Weight: 1, Incarnation: 1, Addr: "127.0.0.1:1"})
+	var endpoints []fake.Endpoint
+	for i := range backendCount {
+		endpoints = append(endpoints, fake.Endpoint{Backend: proto.BackendID(i + 1), State: proto.BackendOpen, Zone: "a", Weight: 1, Incarnation: 1, Addr: "127.0.0.1:1"})
 	}
-	must := func(l *eventloop.Loop, err error) *eventloop.Loop {
+	mustStart := func(l *eventloop.Loop, err error) *eventloop.Loop {
 		if err != nil {
 			b.Fatal(err)
 		}
 		b.Cleanup(func() { l.Stop(); _ = l.Wait() })
 		return l
 	}
-	list := must(eventloop.Start(ctx, eventloop.Bootstrap{Machine: fake.NewEndpointService(all), Listen: []string{"127.0.0.1:0"}, Clock: clock}))
-	m := coordinator.NewMachine(coordinator.Bootstrap{
-		Name: "c0", Zone: "a", EndpointListAddr: list.Addrs()[0], ModuleConfig: choice.Config{Seed: 1, Now: clock.Now(), Settings: choice.DecodeSettings(values)},
+	endpointLoop := mustStart(eventloop.Start(ctx, eventloop.Bootstrap{Machine: fake.NewEndpointService(endpoints), Listen: []string{"127.0.0.1:0"}, Clock: clock}))
+	machine := coordinator.NewMachine(coordinator.Bootstrap{
+		Name: "c0", Zone: "a", EndpointListAddr: endpointLoop.Addrs()[0], ModuleConfig: choice.Config{Seed: 1, Now: clock.Now(), Settings: choice.DecodeSettings(values)},
 		HandshakeTimeout: 30, ProxyIdleTimeout: 60, EndpointListIdleTimeout: 30, ProbeTimeout: 5, MaxStreams: 20000, MaxProbes: 4,
 	}, nil)
-	c := must(eventloop.Start(ctx, eventloop.Bootstrap{Machine: m, Listen: []string{"127.0.0.1:0"}, Clock: clock}))
+	coordinatorLoop := mustStart(eventloop.Start(ctx, eventloop.Bootstrap{Machine: machine, Listen: []string{"127.0.0.1:0"}, Clock: clock}))
 	proxies := fake.NewMultiplexer()
-	for i := range n {
+	for i := range proxyCount {
 		proxies.Add(fmt.Sprint("f", i), fake.NewFrontEnd(fake.FrontEndConfig{
-			Name: fmt.Sprint("f", i), Zone: "a", Coordinators: c.Addrs(),
+			Name: fmt.Sprint("f", i), Zone: "a", Coordinators: coordinatorLoop.Addrs(),
 			Methods: []fake.MethodConfig{{Name: "read", Share: 1, SoftDeadline: 1, Deadline: 2}}, Policy: "even", ReportPeriod: 2, ConnectTimeout: 1, Seed: uint64(i),
 		}), 0)
 	}
 	var mu sync.Mutex
 	held := map[uint32]map[string]bool{} // names of the proxies that have an entry, by backend
 	joined := map[string]bool{}
-	var want int
+	var awaited int
 	var changing uint32
 	reached := make(chan struct{}, 1)
-	must(eventloop.Start(ctx, eventloop.Bootstrap{Machine: proxies, Clock: clock, Trace: func(records []trace.Record) {
+	mustStart(eventloop.Start(ctx, eventloop.Bootstrap{Machine: proxies, Clock: clock, Trace: func(records []trace.Record) {
 		mu.Lock()
 		defer mu.Unlock()
 		for _, r := range records {
@@ -114,19 +116,19 @@
 			for _, op := range strings.Split(r.Text, ";") {
 				words := strings.Fields(op)
 				if len(words) > 1 && words[0] == "withdraw" && words[1] == fmt.Sprint(changing) {
-					if want--; want == 0 {
+					if awaited--; awaited == 0 {
 						reached <- struct{}{}
 					}
 				}
 				for _, w := range words[1:] {
-					if id, weight, ok := strings.Cut(w, ":"); ok {
-						ep, _ := strconv.Atoi(id)
-						if held[uint32(ep)] == nil {
-							held[uint32(ep)] = map[string]bool{}
+					if idText, weight, ok := strings.Cut(w, ":"); ok {
+						backend, _ := strconv.Atoi(idText)
+						if held[uint32(backend)] == nil {
+							held[uint32(backend)] = map[string]bool{}
 						}
-						held[uint32(ep)][r.Party] = !strings.HasPrefix(weight, "0") || weight != "0"
+						held[uint32(backend)][r.Party] = !strings.HasPrefix(weight, "0") || weight != "0"
 						if weight == "0" || weight == "0!" {
-							delete(held[uint32(ep)], r.Party)
+							delete(held[uint32(backend)], r.Party)
 						}
 					}
 				}
@@ -136,7 +138,7 @@
 	}}))
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		mu.Lock()
-		done := len(joined) == n
+		done := len(joined) == proxyCount
 		mu.Unlock()
 		if done {
 			break
@@ -146,36 +148,36 @@
 		}
 	}
 	time.Sleep(500 * time.Millisecond)
-	bytes := func() int {
+	bytesSent := func() int {
 		got := make(chan int)
-		c.RunBetweenSteps(func() { got <- m.Stats().Bytes })
+		coordinatorLoop.RunBetweenSteps(func() { got <- machine.Stats().Bytes })
 		return <-got
 	}
-	before := bytes()
+	before := bytesSent()
 	var spent time.Duration
 	total := 0
 	b.ResetTimer()
 	for i := range b.N {
 		mu.Lock()
-		changing = uint32(1 + i%servers)
-		want = len(held[changing])
-		total += want
+		changing = uint32(1 + i%backendCount)
+		awaited = len(held[changing])
+		total += awaited
 		mu.Unlock()
 		begin := time.Now()
-		list.SendCommand(fmt.Sprintf("state %d draining", changing))
+		endpointLoop.SendCommand(fmt.Sprintf("state %d draining", changing))
 		select {
 		case <-reached:
 		case <-time.After(20 * time.Second):
 			b.Fatal("a change did not reach all subscribers within 20 s")
 		}
 		spent += time.Since(begin)
-		list.SendCommand(fmt.Sprintf("state %d open", changing))
+		endpointLoop.SendCommand(fmt.Sprintf("state %d open", changing))
 		time.Sleep(60 * time.Millisecond)
 	}
 	b.StopTimer()
 	// The bytes include the pushes for the replacement entries and for the reopening of the backend. They are halved, because each
 	// iteration makes a change and reverts it.
-	report(b, spent, (bytes()-before)/2, total)
+	report(b, spent, (bytesSent()-before)/2, total)
 }
 
 // counter counts the bytes of the messages that a gRPC server sends.
@@ -190,51 +192,52 @@
 func (c *counter) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
 func (c *counter) HandleConn(context.Context, stats.ConnStats)                       {}
 
-// theirs benchmarks go-control-plane. Each subscriber has a snapshot with one assignment of arc endpoints, and changes are sent as
-// deltas over gRPC. Unlike this project's coordinator, it does not decide which subscribers have a backend: the benchmark tells it.
-func theirs(b *testing.B, n int) {
+// benchmarkControlPlane benchmarks go-control-plane. Each subscriber has a snapshot with one assignment of arcSize endpoints, and
+// changes are sent as deltas over gRPC. Unlike this project's coordinator, it does not decide which subscribers have a backend: the
+// benchmark tells it.
+func benchmarkControlPlane(b *testing.B, subscriberCount int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	snapshots := cache.NewSnapshotCache(false, cache.IDHash{}, nil)
 	version := 0
-	assign := func(sub, without int) {
+	assign := func(subscriber, excluded int) {
 		version++
-		cla := &endpoint.ClusterLoadAssignment{ClusterName: "table"}
+		assignment := &endpoint.ClusterLoadAssignment{ClusterName: "table"}
 		lb := &endpoint.LocalityLbEndpoints{}
-		for s := range servers {
-			if holds(sub, s) && s != without {
+		for backend := range backendCount {
+			if holds(subscriber, backend) && backend != excluded {
 				lb.LbEndpoints = append(lb.LbEndpoints, &endpoint.LbEndpoint{
 					LoadBalancingWeight: wrapperspb.UInt32(100),
 					HostIdentifier: &endpoint.LbEndpoint_Endpoint{Endpoint: &endpoint.Endpoint{Address: &core.Address{Address: &core.Address_SocketAddress{
-						SocketAddress: &core.SocketAddress{Address: "127.0.0.1", PortSpecifier: &core.SocketAddress_PortValue{PortValue: uint32(s + 1)}},
+						SocketAddress: &core.SocketAddress{Address: "127.0.0.1", PortSpecifier: &core.SocketAddress_PortValue{PortValue: uint32(backend + 1)}},
 					}}}},
 				})
 			}
 		}
-		cla.Endpoints = []*endpoint.LocalityLbEndpoints{lb}
-		snap, err := cache.NewSnapshot(strconv.Itoa(version), map[resource.Type][]types.Resource{resource.EndpointType: {cla}})
+		assignment.Endpoints = []*endpoint.LocalityLbEndpoints{lb}
+		snapshot, err := cache.NewSnapshot(strconv.Itoa(version), map[resource.Type][]types.Resource{resource.EndpointType: {assignment}})
 		if err == nil {
-			err = snapshots.SetSnapshot(ctx, fmt.Sprint("f", sub), snap)
+			err = snapshots.SetSnapshot(ctx, fmt.Sprint("f", subscriber), snapshot)
 		}
 		if err != nil {
 			b.Fatal(err)
 		}
 	}
-	for i := range n {
+	for i := range subscriberCount {
 		assign(i, -1)
 	}
-	count := &counter{}
-	g := grpc.NewServer(grpc.StatsHandler(count), grpc.MaxConcurrentStreams(1e6))
-	eds.RegisterEndpointDiscoveryServiceServer(g, server.NewServer(ctx, snapshots, nil))
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	sent := &counter{}
+	grpcServer := grpc.NewServer(grpc.StatsHandler(sent), grpc.MaxConcurrentStreams(1e6))
+	eds.RegisterEndpointDiscoveryServiceServer(grpcServer, server.NewServer(ctx, snapshots, nil))
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	go g.Serve(l)
-	defer g.Stop()
-	got := make(chan int, n)
-	for i := range n {
-		conn, err := grpc.NewClient(l.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
+	go grpcServer.Serve(listener)
+	defer grpcServer.Stop()
+	received := make(chan int, subscriberCount)
+	for i := range subscriberCount {
+		conn, err := grpc.NewClient(listener.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -249,42 +252,42 @@
 		}
 		go func() {
 			for {
-				r, err := stream.Recv()
+				response, err := stream.Recv()
 				if err != nil {
 					return
 				}
-				_ = stream.Send(&discovery.DeltaDiscoveryRequest{TypeUrl: resource.EndpointType, ResponseNonce: r.Nonce})
-				got <- i
+				_ = stream.Send(&discovery.DeltaDiscoveryRequest{TypeUrl: resource.EndpointType, ResponseNonce: response.Nonce})
+				received <- i
 			}
 		}()
 	}
 	wait := func(want int) {
 		for range want {
 			select {
-			case <-got:
+			case <-received:
 			case <-time.After(20 * time.Second):
 				b.Fatal("a change did not reach all subscribers within 20 s")
 			}
 		}
 	}
-	wait(n)
+	wait(subscriberCount)
 	time.Sleep(500 * time.Millisecond)
-	before := count.bytes.Load()
+	before := sent.bytes.Load()
 	var spent time.Duration
 	total := 0
 	b.ResetTimer()
 	for i := range b.N {
-		for _, without := range []int{i % servers, -1} {
+		for _, excluded := range []int{i % backendCount, -1} {
 			begin := time.Now()
 			want := 0
-			for sub := range n {
-				if holds(sub, i%servers) {
-					assign(sub, without)
+			for subscriber := range subscriberCount {
+				if holds(subscriber, i%backendCount) {
+					assign(subscriber, excluded)
 					want++
 				}
 			}
 			wait(want)
-			if without >= 0 {
+			if excluded >= 0 {
 				spent += time.Since(begin)
 				total += want
 			}
@@ -292,5 +295,5 @@
 		}
 	}
 	b.StopTimer()
-	report(b, spent, int(count.bytes.Load()-before)/2, total)
+	report(b, spent, int(sent.bytes.Load()-before)/2, total)
 }
--- a/compare/store_test.go
+++ b/compare/store_test.go
@@ -24,10 +24,10 @@
 	close() error
 }
 
-// oursKV is this project's store.
-type oursKV struct{ s *store.Store }
+// gingerforkKV is this project's store.
+type gingerforkKV struct{ s *store.Store }
 
-func (k oursKV) commit(puts [][2]string) error {
+func (k gingerforkKV) commit(puts [][2]string) error {
 	var b store.Batch
 	for _, p := range puts {
 		b.Put(p[0], []byte(p[1]))
@@ -35,13 +35,13 @@
 	return k.s.Commit(&b)
 }
 
-func (k oursKV) scan() (n int) {
+func (k gingerforkKV) scan() (n int) {
 	for range k.s.Scan("") {
 		n++
 	}
 	return n
 }
-func (k oursKV) close() error { return k.s.Close() }
+func (k gingerforkKV) close() error { return k.s.Close() }
 
 // boltKV is a bbolt database with one bucket.
 type boltKV struct{ d *bbolt.DB }
@@ -115,7 +115,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return oursKV{s}
+		return gingerforkKV{s}
 	case "bbolt":
 		if err := os.MkdirAll(dir, 0o755); err != nil {
 			t.Fatal(err)
@@ -155,29 +155,29 @@
 	cells map[string]map[string][]float64
 }
 
-// note adds the value of one round.
-func (x *table) note(row, kind string, v float64) {
-	if x.cells == nil {
-		x.cells = map[string]map[string][]float64{}
+// add adds the value of one round.
+func (t *table) add(row, kind string, v float64) {
+	if t.cells == nil {
+		t.cells = map[string]map[string][]float64{}
 	}
-	if x.cells[row] == nil {
-		x.cells[row] = map[string][]float64{}
-		x.rows = append(x.rows, row)
+	if t.cells[row] == nil {
+		t.cells[row] = map[string][]float64{}
+		t.rows = append(t.rows, row)
 	}
-	x.cells[row][kind] = append(x.cells[row][kind], v)
+	t.cells[row][kind] = append(t.cells[row][kind], v)
 }
 
 // String returns the table in Markdown.
-func (x *table) String() string {
+func (t *table) String() string {
 	var b strings.Builder
 	b.WriteString("\n| | ours | bbolt | pebble | ours/bbolt | ours/pebble |\n| --- | --- | --- | --- | --- | --- |\n")
-	for _, row := range x.rows {
-		var m [3]float64
+	for _, row := range t.rows {
+		var medians [3]float64
 		for i, kind := range stores {
-			all := slices.Sorted(slices.Values(x.cells[row][kind]))
-			m[i] = all[len(all)/2]
+			all := slices.Sorted(slices.Values(t.cells[row][kind]))
+			medians[i] = all[len(all)/2]
 		}
-		fmt.Fprintf(&b, "| %s | %.4g | %.4g | %.4g | %.2f | %.2f |\n", row, m[0], m[1], m[2], m[0]/m[1], m[0]/m[2])
+		fmt.Fprintf(&b, "| %s | %.4g | %.4g | %.4g | %.2f | %.2f |\n", row, medians[0], medians[1], medians[2], medians[0]/medians[1], medians[0]/medians[2])
 	}
 	return b.String()
 }
@@ -186,7 +186,7 @@
 //
 //	go test -run TestStores -v -timeout 20m
 func TestStores(t *testing.T) {
-	var x table
+	var results table
 	value := strings.Repeat("v", 60)
 	for round := range 3 {
 		for _, kind := range stores {
@@ -210,7 +210,7 @@
 					}()
 				}
 				all.Wait()
-				x.note(fmt.Sprintf("durable commits/s, %d writers", writers), kind, float64(writers*each)/time.Since(begin).Seconds())
+				results.add(fmt.Sprintf("durable commits/s, %d writers", writers), kind, float64(writers*each)/time.Since(begin).Seconds())
 				if err := k.close(); err != nil {
 					t.Error(err)
 				}
@@ -228,12 +228,12 @@
 					t.Fatal(err)
 				}
 			}
-			x.note("load of 100,000 records, s", kind, time.Since(begin).Seconds())
+			results.add("load of 100,000 records, s", kind, time.Since(begin).Seconds())
 			begin = time.Now()
 			if n := k.scan(); n != 100000 {
 				t.Fatalf("%s: the scan returned %d records, want 100000", kind, n)
 			}
-			x.note("scan of 100,000 records, ms", kind, 1e3*time.Since(begin).Seconds())
+			results.add("scan of 100,000 records, ms", kind, 1e3*time.Since(begin).Seconds())
 			// A million overwrites in batches of 1,000, each durable: how much space they take, and how long a writer has to wait while the
 			// store compacts.
 			var waits []float64
@@ -249,15 +249,15 @@
 				waits = append(waits, 1e3*time.Since(begin).Seconds())
 			}
 			slices.Sort(waits)
-			x.note("a million overwrites with these records present: median batch, ms", kind, waits[len(waits)/2])
-			x.note("a million overwrites: 99.9th percentile batch, ms", kind, waits[len(waits)*999/1000])
-			x.note("space after a million overwrites, MB", kind, float64(size(dir))/1e6)
+			results.add("a million overwrites with these records present: median batch, ms", kind, waits[len(waits)/2])
+			results.add("a million overwrites: 99.9th percentile batch, ms", kind, waits[len(waits)*999/1000])
+			results.add("space after a million overwrites, MB", kind, float64(size(dir))/1e6)
 			if err := k.close(); err != nil {
 				t.Fatal(err)
 			}
 			begin = time.Now()
 			k = openKV(t, kind, dir, 1)
-			x.note("reopen, ms", kind, 1e3*time.Since(begin).Seconds())
+			results.add("reopen, ms", kind, 1e3*time.Since(begin).Seconds())
 			if err := k.close(); err != nil {
 				t.Fatal(err)
 			}
@@ -283,11 +283,11 @@
 				}
 				begin = time.Now()
 				left := openKV(t, kind, dir+"x", 1)
-				x.note(fmt.Sprintf("open after a crash, %d batches, ms", n), kind, 1e3*time.Since(begin).Seconds())
+				results.add(fmt.Sprintf("open after a crash, %d batches, ms", n), kind, 1e3*time.Since(begin).Seconds())
 				_ = left.close()
 				_ = k.close()
 			}
 		}
 	}
-	t.Log(x.String())
+	t.Log(results.String())
 }
