--- a/internal/scenario/emulate.go
+++ b/internal/scenario/emulate.go
@@ -28,7 +28,7 @@
 }
 
 func (e *PortRangeError) Error() string {
-	return fmt.Sprintf("the endpoint service and %[2]d backends do not fit into the ports from %[1]d on: ports must be %[3]d to %[4]d", e.Port, e.Backends, minPort, maxPort)
+	return fmt.Sprintf("the endpoint service and %d backends do not fit into the ports from %d on: ports must be %d to %d", e.Backends, e.Port, minPort, maxPort)
 }
 
 // UnknownPartError is returned by Emulation.Check if the number of the part to play is not one of the parts.
