--- a/internal/bootstrap/bootstrap_test.go
+++ b/internal/bootstrap/bootstrap_test.go
@@ -61,7 +61,7 @@
 func TestDecisionSettings(t *testing.T) {
 	settings, faults := parse(t, validSettings)
 	if faults.Err() != nil {
-		t.Fatal(faults)
+		t.Fatalf("valid settings have the faults %v", faults)
 	}
 	config := choice.Config{Settings: choice.DecodeSettings(settings.Values)}
 	for name, want := range map[string]float64{
@@ -83,7 +83,7 @@
 		}
 	}
 	if !config.Settings.ProbesAllowed || settings.Peers[1] != "127.0.0.1:7401" || settings.Text("state") != "here" || settings.Number("handshake") != 5 || settings.Name != "west-1" {
-		t.Error(settings)
+		t.Errorf("probes allowed %v, settings %+v", config.Settings.ProbesAllowed, settings)
 	}
 }
 
@@ -94,16 +94,16 @@
 		replaced("zone \"dc a\"", "zone dc"):                     "x.conf:3: zone dc is not among the fleet's zones dc a, dc b",
 		replaced("pick pair", "pick piar"):                       `x.conf:18: pick: "piar" is not one of lottery, even, pair (did you mean pair?)`,
 		replaced("warm-after 15s", "warm-after 15"):              `x.conf:11: warm-after: "15" has no unit`,
-		replaced("warm-after 15s", "warm-after 30%"):             `x.conf:11: warm-after: "30%" is no time`,
+		replaced("warm-after 15s", "warm-after 30%"):             `x.conf:11: warm-after: "30%" is not a time`,
 		replaced("cold-share 28%", "cold-share 280%"):            `x.conf:12: cold-share: "280%" is not a share`,
 		replaced("cold-share 28%", "cold-share 0"):               `x.conf:12: cold-share: 0 is out of range, 0.01 to 1 expected`,
-		replaced("proxy-count 8", "proxy-count -8"):              `x.conf:10: proxy-count: "-8" is no whole number from 1 to 1048576`,
-		replaced("fall-multiple", "fall-multple"):                "x.conf:13: fall-multple is no keyword of fleet (did you mean fall-multiple?)",
+		replaced("proxy-count 8", "proxy-count -8"):              `x.conf:10: proxy-count: "-8" is not a whole number from 1 to 1048576`,
+		replaced("fall-multiple", "fall-multple"):                "x.conf:13: fall-multple is not a keyword of fleet (did you mean fall-multiple?)",
 		replaced("  drain-grace 2100ms\n", ""):                   "x.conf:8: fleet lacks drain-grace (such as: drain-grace 2100ms)",
 		replaced("pace 14100", "pace 14100\n  pace 3"):           "x.conf:25: pace is given a second time, first at x.conf:24",
 		replaced("method submit", "method read"):                 "x.conf:30: method read is given a second time, first at x.conf:25",
 		replaced("deadline 2500ms", "deadline 500ms"):            "x.conf:29: deadline 0.5s of method read is shorter than its soft deadline 1s",
-		replaced("7400", "99999"):                                "x.conf:4: listen: port \"99999\" is no whole number from 0 to 65535",
+		replaced("7400", "99999"):                                "x.conf:4: listen: port \"99999\" is not a whole number from 0 to 65535",
 		replaced("127.0.0.1:7300", "there"):                      `x.conf:5: list-service: "there" is not an address`,
 		replaced("zone \"dc a\"", "zone \"dc a"):                 "x.conf:3: a double quote is never closed",
 		replaced("channel\n", "channel one\n"):                   "x.conf:22: channel takes 0 names, has 1",
@@ -114,13 +114,13 @@
 		_, faults := parse(t, text)
 		faults.Sort()
 		if len(faults) == 0 || !slices.ContainsFunc(faults, func(f Fault) bool { return strings.HasPrefix(f.String(), want) }) {
-			t.Errorf("got %v\nwant %s", faults, want)
+			t.Errorf("got the faults %v\nwant one that begins with %s", faults, want)
 		}
 	}
 	// Parse must report all faults of a file, each as a separate error.
 	_, faults := parse(t, strings.NewReplacer("15s", "15", "pick pair", "pick x", "28%", "x").Replace(validSettings))
 	if faults.Sort(); len(faults) != 3 || faults[0].Line != 11 || faults[1].Line != 12 || faults[2].Line != 18 {
-		t.Error(faults)
+		t.Errorf("got the faults %v, want 3, at lines 11, 12 and 18", faults)
 	}
 	var fault Fault
 	if err := faults.Err(); !errors.As(err, &fault) || fault != faults[0] {
@@ -189,7 +189,7 @@
 		word := rapid.StringMatching(`[a-z "'#\\\t]{0,12}`).Draw(t, "word")
 		lines, faults := Lex("x", "k "+Quote(word))
 		if len(faults) > 0 || len(lines) != 1 || len(lines[0].Words) != 2 || lines[0].Words[1] != word {
-			t.Fatalf("%q: %v %v", word, lines, faults)
+			t.Fatalf("%q was quoted and read as %v, faults %v", word, lines, faults)
 		}
 	})
 }
@@ -206,7 +206,7 @@
 		if len(faults)+len(parseFaults) > 0 {
 			for _, fault := range append(faults, parseFaults...) {
 				if fault.Line < 1 || fault.Message == "" || strings.Contains(fault.Message, "\n") {
-					t.Fatalf("%q", fault)
+					t.Fatalf("the fault %q has no line, or a message that is empty or not one line", fault)
 				}
 			}
 			return
