--- a/cmd/gingerfork/helpers_test.go
+++ b/cmd/gingerfork/helpers_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"bytes"
-	"net"
+	"fmt"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -121,13 +121,25 @@
 	}
 }
 
-// freeAddr returns a loopback address that nothing listens on.
+// freeAddr returns a loopback address for a program under test. A socket bound to it keeps it reserved until the test ends: the
+// system offers the port to nobody else. It never listens, so that clients are refused, not reset, until the program, whose
+// listener sets SO_REUSEADDR, listens there.
 func freeAddr(t *testing.T) string {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer listener.Close()
-	return listener.Addr().String()
+	t.Cleanup(func() { _ = syscall.Close(socket) })
+	if err := syscall.SetsockoptInt(socket, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
+		t.Fatal(err)
+	}
+	if err := syscall.Bind(socket, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	bound, err := syscall.Getsockname(socket)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)
 }
