--- a/choice/admission.go
+++ b/choice/admission.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	admissionWindow        = 4.0  // time constant of the arrival rates and shortest duration of an overload, in seconds
-	evaluationInterval     = 1.0  // seconds between two evaluations of the load
-	overloadFailureShare   = 0.15 // a backend is overloaded above this failure share, as seen from the zone where it is lowest
-	overloadLatencyRatio   = 0.5  // or above this ratio of its mean latency to the shortest soft deadline
-	overloadedBackendShare = 0.5  // the fleet is overloaded if at least this share of its backends is
-	baselineAttempts       = 2.0  // attempts that a backend needs to count for the baseline failure share
-	baselineWindow         = 6.0  // seconds since its last report within which a backend counts for the baseline
-	baselineDivisor        = 4    // the baseline is taken at the best 1/4 of the backends
-	minRateLimitShare      = 0.8  // lower bound of the rate limit, as a share of the fleet's peak success rate
-	admittedSuccessShare   = 0.85 // share of the success rate that is admitted in an overload, so that queues drain
-	limitGrowthFactor      = 1.1  // growth of the rate limit per evaluation after an overload
+	admissionWindow        = 4.0  // seconds: time constant of arrival rates; an overload lasts this long after it was last found
+	evaluationInterval     = 1.0  // seconds between two evaluations of the fleet's load
+	overloadFailureShare   = 0.15 // a backend is overloaded if more than this share of its attempts fail, see measureBackend
+	overloadLatencyRatio   = 0.5  // or if its mean latency is above this share of the methods' shortest soft deadline
+	overloadedBackendShare = 0.5  // the fleet is overloaded if at least this share of its judged backends (see fleetLoad) is
+	baselineAttempts       = 2.0  // decayed count of attempts that a backend needs to count for baselineFailureShare
+	baselineWindow         = 6.0  // seconds for which a backend counts for baselineFailureShare after the last report on it
+	baselineDivisor        = 4    // the baseline is the failure share that is 1/4 up the ascending list of the backends' shares
+	minRateLimitShare      = 0.8  // lower bound of the rate limit in an overload, as a share of the fleet's peak success rate
+	admittedSuccessShare   = 0.85 // in an overload the rate limit falls to this share of the success rate, so that queues drain
+	limitGrowthFactor      = 1.1  // the rate limit is multiplied by this at each evaluation that finds no overload
 	limitGrowthBonus       = 0.3  // is added to limitGrowthFactor if no backend is overloaded, and less if some are
-	loadFactorGain         = 0.2  // smoothing factor of the load factor
-	successRateGain        = 0.3  // smoothing factor of the success rate
+	loadFactorGain         = 0.2  // share of the way to its target that the load factor (see arcs.go) moves per evaluation
+	successRateGain        = 0.3  // weight of the newest rate in successRatePerWeight, a moving average
 	admittedShareSteps     = 20   // admitted shares are rounded to multiples of 1/20
 	minAdmittedShare       = 0.05 // lower bound of a method's admitted share
 )
@@ -117,8 +117,8 @@
 }
 
 // updateLimit detects an overload of the fleet and sets the rate limit. In an overload it lowers the limit to most of the
-// success rate. It doesn't go below minRateLimitShare of the peak rate of such a fleet, because reports arrive late. After an
-// overload it raises the limit.
+// success rate, but not below minRateLimitShare of the peak success rate of a fleet of this capacity, because reports arrive
+// late. After an overload it raises the limit.
 func (a *admission) updateLimit(load fleetLoad, capacity float64) {
 	now := a.planner.now
 	if load.overloadedBackends >= overloadedBackendShare*load.judgedBackends {
--- a/choice/arcs.go
+++ b/choice/arcs.go
@@ -16,17 +16,17 @@
 	minArcSizeChange     = 2    // backends; an arc is not resized by fewer
 	minLoadFactor        = 1.1  // load factor while latency is high
 	maxLoadFactor        = 1.5  // limit on the load factor while latency is low, which keeps more requests in their zone
-	crossZonePriceFactor = 3.5  // increase of the load factor above minLoadFactor, per unit of the cross-zone price
-	boundGrowthFactor    = 1.09 // ratio of successive load bounds that are tried for an arc that is not full
-	maxBoundGrowthFactor = 16   // limit on the growth of the load bound; an arc that is not full then stays so
-	reassignInterval     = 1.0  // seconds between assignments of all arcs, because usage and latency factors drift
-	reassignBatchShare   = 0.12 // share of the joined proxies; when more than these joined or left, all arcs are reassigned
+	crossZonePriceFactor = 3.5  // limit on the load factor, as its excess over minLoadFactor per unit of CrossZonePrice
+	boundGrowthFactor    = 1.09 // ratio of successive bounds on a backend's load that are tried for an arc that is not full
+	maxBoundGrowthFactor = 16   // limit on the bound, as a multiple of maxLoadPerWeight; an arc not full then stays so
+	reassignInterval     = 1.0  // seconds between assignments of all arcs, because proxies' usage and latency factors drift
+	reassignBatchShare   = 0.12 // all arcs are reassigned once more than this share of the joined proxies joined or left
 )
 
 // refreshArcs brings the arcs up to date and reports whether it assigned any. All arcs are reassigned at once after a change of
 // the endpoint list or of a backend's health. A proxy that joins gets an arc that takes the load of the present arcs into
-// account; all arcs are reassigned only after a batch of joins and leaves or after a tick. Reassigning all for each join would
-// take all the time when many proxies join at once.
+// account; all arcs are reassigned only after many joins and leaves (see reassignBatchShare) or after a tick. Reassigning all for
+// each join would take all the time when many proxies join at once.
 func (r *ring) refreshArcs() (changed bool) {
 	overdue := len(r.changedProxies) > 0 && r.planner.now >= r.assignedAt+tickInterval
 	if r.dirty || overdue || float64(len(r.changedProxies)) > reassignBatchShare*float64(r.joinedProxies) {
--- a/choice/backends.go
+++ b/choice/backends.go
@@ -11,13 +11,13 @@
 // until its state is deleted. The second index of two-dimensional slices is the zone of the proxies that sent the reports.
 type backendStates struct {
 	id                     []BackendID
-	zone                   []int     // index of its zone
-	weight                 []float64 // as listed
+	zone                   []int     // index of the zone that it runs in
+	weight                 []float64 // full weight, as in the endpoint list
 	state                  []BackendState
 	startedAt              []Seconds // when its process started, as listed; 0: long ago
 	firstListed            []Seconds // when this instance learned of it
 	ringHash               []uint32  // its place on the ring
-	warmupFactor           []float64 // share of its full weight that slow start allows
+	warmupFactor           []float64 // share of its full weight that slow start allows, see slowstart.go
 	latencyFactor          []float64 // factor from 0 to 1 that reduces the effective weight of slow backends
 	latencyFactorUpdatedAt []Seconds
 	effectiveWeight        []float64   // weight × warmupFactor × latencyFactor, see computeEffectiveWeights
@@ -26,16 +26,16 @@
 	arcCount               []int       // arcs that include it
 	excluded               []bool      // its exclusion was sent and not withdrawn
 	exclusionDueSince      []Seconds   // since when its exclusion has to be sent; 0: it doesn't
-	attempts               [][]float64 // decayed count, as of lastReportAt
-	failures               [][]float64 // decayed count, as of lastReportAt
-	meanLatency            [][]float64 // weighted mean of the successes, in seconds
-	lastReportAt           [][]Seconds
-	ejectedUntil           [][]Seconds // 0: not ejected; negative: the last ejection ended at minus this time
-	consecutiveEjections   [][]int
-	lastSuccessAt          []Seconds // when a successful request or probe was last reported
-	failedProbes           []int     // consecutive
-	nextProbeAt            []Seconds // earliest time of the next probe
-	returnedAt             []Seconds // when it last became reachable again; 0: it always was
+	attempts               [][]float64 // decayed count of the attempts at it, as of lastReportAt
+	failures               [][]float64 // decayed count of the failed attempts, as of lastReportAt
+	meanLatency            [][]float64 // weighted mean latency of the successful attempts, in seconds
+	lastReportAt           [][]Seconds // when the last report on it from the zone arrived
+	ejectedUntil           [][]Seconds // end of its ejection; 0: not ejected; negative: the last ejection ended at minus this time
+	consecutiveEjections   [][]int     // ejections without a longer time between them, see endEjections
+	lastSuccessAt          []Seconds   // when a successful request or probe was last reported
+	failedProbes           []int       // failed probes in a row
+	nextProbeAt            []Seconds   // earliest time of the next probe
+	returnedAt             []Seconds   // when it last became reachable again; 0: it always was
 }
 
 // backendActor is the actor of one backend.
--- a/choice/channel.go
+++ b/choice/channel.go
@@ -6,7 +6,7 @@
 type unackedStep struct {
 	nonce  Nonce
 	sentAt Seconds
-	lines  int // of all messages of the step
+	lines  int // of the step's messages to all proxies
 }
 
 // channel is the actor that keeps account of the outgoing channel, a queue of lines (see Settings) that is shared by the
@@ -16,8 +16,8 @@
 	planner     *Planner
 	nonce       Nonce         // of the newest step with messages
 	meanAckTime Seconds       // exponential moving average of the time from a push to its acknowledgement
-	queuedLines int           // lines of this step so far
-	unacked     []unackedStep // oldest first
+	queuedLines int           // lines of the messages that were queued in this step so far
+	unacked     []unackedStep // earlier steps, oldest first
 }
 
 // handle removes from unacked what has left the channel. Messages leave it in order, so an acknowledgement shows that all
--- a/choice/doc.go
+++ b/choice/doc.go
@@ -7,6 +7,12 @@
 // admission control and the channel, which is the queue of outgoing lines that all proxies share. A proxy normally has one push
 // in flight at a time; changes before its acknowledgement are combined into the next push.
 //
+// Terms: the usage of a proxy is the rate of the RPCs that arrive at it, the load of a backend that of the requests sent to it,
+// both in requests a second. A backend's full weight is its weight in the endpoint list. All proxies must stop sending to an
+// excluded backend, whatever their tables say; an ejected one is left out of the arcs of one zone's proxies because too many
+// requests fail. A push is a message that sends a proxy tables or changes of them. The drain grace, the message limit and the
+// line limit are Settings.DrainGrace, MessageLimit and MaxChannelLines. In measures of load, the fleet is the listed backends.
+//
 // All decisions and all tuned values are in the files that deploy/balancer.toml lists under "policy": choice.go (the step),
 // endpoints.go, slowstart.go, ejection.go, arcs.go, exclusion.go, push.go and admission.go. The other files hold the interface
 // (types.go, settings.go), state and arithmetic.
--- a/choice/ejection.go
+++ b/choice/ejection.go
@@ -5,11 +5,11 @@
 const (
 	healthWindow           = 3.0  // time constant, in seconds, of the decaying counts of attempts and failures
 	oldLatencyWeight       = 0.4  // weight of an earlier success in the mean latency, relative to a new one
-	minAttempts            = 4.0  // attempts that are needed to judge a backend
-	maxFailureShare        = 0.3  // failure share, above the baseline, from which on a backend is ejected
+	minAttempts            = 4.0  // decayed count of attempts, or for latency of successes, that is needed to judge a backend
+	maxFailureShare        = 0.3  // a backend is ejected if its failure share minus baselineFailureShare is above this
 	baseEjectionTime       = 5.0  // duration of the first ejection in seconds; it doubles with each further one, up to 4 times this
-	maxEjectionLoadFactor  = 1.3  // limit on the load of the remaining backends, as a multiple of the peak success rate
-	maxEjectedShare        = 0.65 // limit on the share of the fleet's weight that may be ejected at once, for each zone
+	maxEjectionLoadFactor  = 1.3  // limit on the load of the remaining backends, as a multiple of their peak success rate
+	maxEjectedShare        = 0.65 // limit on the share of the open backends' full weight that is ejected at once for one zone
 	probeInterval          = 1.0  // seconds between two probes of a backend
 	slowLatencyRatio       = 0.3  // a backend is slow if its mean latency is above this share of the shortest soft deadline
 	slowLatencyFleetFactor = 1.2  // and above this multiple of the fleet's mean latency
--- a/choice/endpoints.go
+++ b/choice/endpoints.go
@@ -7,7 +7,7 @@
 
 const (
 	basePollBackoff     = 0.25 // seconds; it is doubled with each failed poll, the first included
-	maxBackoffDoublings = 4
+	maxBackoffDoublings = 4    // failed polls in a row after which the backoff grows no more
 )
 
 // handle applies an endpoint update, or delays the next poll after a failed one, and polls if this is due.
--- a/choice/exclusion.go
+++ b/choice/exclusion.go
@@ -11,7 +11,7 @@
 const restoreTolerance = 1.05
 
 // sendExclusions sends the exclusions that are due, before any tables. If a proxy is near its message limit, exclusions are
-// held back for part of the drain grace and sent together, because an endpoint list may drop its backends one by one.
+// held back for part of Settings.DrainGrace and sent together, because an endpoint list may drop its backends one by one.
 func (planner *Planner) sendExclusions() {
 	oldestDue := math.Inf(1)
 	for _, since := range planner.exclusionDueSince {
--- a/choice/fleetload.go
+++ b/choice/fleetload.go
@@ -11,9 +11,9 @@
 	normalRetry              []RetryPolicy // outside of overloads, by method
 	criticality              []float64     // by method
 	arrivalRates             []float64     // decaying averages in requests a second, by method
-	shortestSoftDeadline     Seconds       // of all methods
-	rateLimit                float64       // requests a second that are admitted in all
-	successRatePerWeight     float64       // mean rate of successes, a second and per unit of open capacity
+	shortestSoftDeadline     Seconds       // the shortest one of all methods
+	rateLimit                float64       // requests a second that are admitted in all; +Inf: all
+	successRatePerWeight     float64       // moving average of the successes a second per unit of openCapacity
 	peakSuccessRatePerWeight float64       // the highest successRatePerWeight so far
 	relativeLatency          float64       // mean latency of the successes, divided by the shortest soft deadline
 	avoidedShare             float64       // estimated share of the attempts at backends that proxies avoid, see AvoidAfterFailures
@@ -59,7 +59,7 @@
 // fleetLoad sums up the recent reports on all backends.
 type fleetLoad struct {
 	successRate        float64 // successes a second
-	weightedLatency    float64 // sum over the backends of success rate times mean latency, in shortest soft deadlines
+	weightedLatency    float64 // sum over the backends of success rate × mean latency in shortest soft deadlines
 	attempts           float64 // decayed count
 	avoidedAttempts    float64 // those that probably were at backends with AvoidAfterFailures failures in a row, which proxies avoid
 	judgedBackends     float64 // open backends with enough attempts to be judged
--- a/choice/planner.go
+++ b/choice/planner.go
@@ -15,9 +15,9 @@
 	backends       []*backendActor   // by index
 	indexOf        map[BackendID]int // indexes of the known backends
 	freeSlots      []int             // unused indexes of backends
-	goneSince      []Seconds         // by index: since when the backend is gone; 0: it is not
-	zoneIndex      map[Zone]int
-	proxies        []*proxyActor // in ascending order of ids
+	goneSince      []Seconds         // by index: since when the backend's state is BackendGone; 0: it is not
+	zoneIndex      map[Zone]int      // indexes of the known zones
+	proxies        []*proxyActor     // in ascending order of ids
 	watcher        *endpointWatcher
 	ring           *ring
 	admission      *admission
@@ -25,7 +25,7 @@
 	readyActors    []actor   // actors with messages, in the order in which they got their first one
 	commands       []Command // of this step so far
 	nextTick       Seconds
-	newestReportAt Seconds       // when the last attempt report arrived
+	newestReportAt Seconds       // when the last attempt report on any backend arrived
 	isolated       bool          // at least half of the open backends seem unreachable, so this instance is assumed to be cut off
 	dirtyProxies   []*proxyActor // proxies that may need a push in this step
 }
@@ -34,8 +34,8 @@
 type endpointWatcher struct {
 	mailbox
 	planner     *Planner
-	nextPoll    Seconds // +Inf: a watch has succeeded
-	failedPolls int     // consecutive, up to maxBackoffDoublings
+	nextPoll    Seconds // when a watch may be started; +Inf: one has succeeded
+	failedPolls int     // failed polls in a row, counted up to maxBackoffDoublings
 }
 
 // New returns an instance of the decision module for the settings of a site.
--- a/choice/proxies.go
+++ b/choice/proxies.go
@@ -43,7 +43,7 @@
 	arcSize            int           // backends in each of its arcs
 	assignedRate       float64       // its usage when arcSize was set, in requests a second
 	assignmentRound    int           // round of the ring in which its arcs were last assigned
-	usage              []float64     // requests a second, by method, at the time of the last report
+	usage              []float64     // decaying average in requests a second, by method, as of usageReportedAt
 	usageReportedAt    []Seconds     // time of the last report, by method
 	tables             []*proxyTable // at most two, see addTables
 	dirty              bool          // it is in dirtyProxies
@@ -51,11 +51,11 @@
 	pushInFlight       bool          // a push is not acknowledged yet
 	pushNonce          Nonce         // of that push
 	leavesChannelAt    Seconds       // when that push has presumably left the channel
-	messagesSentAt     []Seconds     // times of the recent messages that count for the message limit
+	messagesSentAt     []Seconds     // times of the messages that still count for Settings.MessageLimit
 	pendingLines       int           // lines that are queued for it in this step
 	awaitsAck          bool          // this step's message to it is a push, whose acknowledgement is awaited
-	admittedShares     []float64     // by method
-	retryPolicies      []RetryPolicy // by method
+	admittedShares     []float64     // shares of the requests to admit, by method
+	retryPolicies      []RetryPolicy // present ones, sent or not, by method
 }
 
 // proxy returns the actor of a proxy, and creates it if the proxy is not known yet.
--- a/choice/push.go
+++ b/choice/push.go
@@ -5,18 +5,21 @@
 	"slices"
 )
 
+// Two limits apply to pushes: the message limit, on the messages to one proxy within MessageLimitSpan, and the line limit, on the
+// lines that wait in the channel for all proxies. A first table is one sent on a stream on which none was sent yet. Urgent
+// pushes are described at urgent; other pushes are ordinary. Exclusions are not limited; what the shares leave is for them.
 const (
-	usageWindow          = 30.0 // time constant, in seconds, of the decaying average of usage
-	ackTimeoutFactor     = 4.0  // multiple of the mean acknowledgement time after which an unacknowledged table is sent again, whole
-	sendTimeFactor       = 4.0  // multiple of the time to send the lines ahead, after which a push is assumed to have left the channel
-	burstMarginFactor    = 1.0  // margin for bursts above a proxy's mean rate, in square roots of that rate
-	levelTolerance       = 0.15 // relative change of an admission level below which it is not sent again
-	coldTolerance        = 1.3  // a push is urgent if a sent entry exceeds the backend's warm-up factor by more than this factor
-	ordinaryPushShare    = 0.6  // share of the message and line limits that ordinary pushes may use
+	usageWindow          = 30.0 // time constant, in seconds, of the decaying average of a proxy's usage
+	ackTimeoutFactor     = 4.0  // multiple of meanAckTime after leavesChannelAt, when unacknowledged tables are sent again, whole
+	sendTimeFactor       = 4.0  // a push presumably leaves the channel after this multiple of the time to send it and what is ahead
+	burstMarginFactor    = 1.0  // margin of a rate level above a proxy's mean usage of a method, in square roots of that usage
+	levelTolerance       = 0.15 // an admission level is not sent again if it differs from the sent one by less than this share
+	coldTolerance        = 1.3  // urgent: an entry as sent has more than this multiple of its backend's current warm-up factor
+	ordinaryPushShare    = 0.6  // share of the message limit, and of the line limit, up to which ordinary pushes are sent
 	firstTableShare      = 0.4  // share of the line limit for first tables; keeps the queue short when many proxies join at once
 	firstTableDelayShare = 0.25 // share of the drain grace, from the join on, after which a first table may use ordinaryPushShare
-	urgentPushShare      = 0.9  // share of the limits that urgent pushes and lists of exclusions may use; the rest is for exclusions
-	ackTimeGain          = 0.1  // smoothing factor of the mean acknowledgement time
+	urgentPushShare      = 0.9  // share of the message limit for urgent pushes, and of the line limit for lists of exclusions
+	ackTimeGain          = 0.1  // weight of the newest acknowledgement time in meanAckTime
 	messageLossTimeout   = 10.0 // seconds after which an unacknowledged message is assumed lost with its stream
 )
 
--- a/choice/ring.go
+++ b/choice/ring.go
@@ -16,12 +16,12 @@
 	changedProxies        []*proxyActor // joined or left since all arcs were last assigned
 	handledChanges        int           // number of leading entries of changedProxies that were handled
 	assignmentRound       int           // counts the assignments of all arcs
-	assignedAt            Seconds       // time of the last one
-	joinedProxies         int           // proxies that were joined then
+	assignedAt            Seconds       // time of the last assignment of all arcs
+	joinedProxies         int           // proxies that were joined at assignedAt
 	requiredWarmupFactor  float64       // a backend with a lower warm-up factor is in no arc
-	totalEntries          float64       // wanted in all tables together
+	totalEntries          float64       // number of entries wanted in all tables together
 	entriesPerRequestRate float64       // backends in an arc per request a second of the proxy
-	meanWeight            float64       // of an open backend
+	meanWeight            float64       // mean full weight of the open backends
 	capacity              float64       // sum of the effective weights of the reachable backends
 	maxLoadPerWeight      float64       // bound on a backend's load, in requests a second per unit of effective weight
 	otherCoordinatorsLoad []float64     // by backend: load from proxies of other coordinators, in requests a second
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -44,14 +44,14 @@
 type Settings struct {
 	MaxPollInterval       Number   // longest time between two polls of the endpoint list
 	MaxTimeWithoutEntry   Number   // longest time that a proxy may be without a table entry while an open warm backend is listed
-	ChannelLinesPerSecond Number   // lines a second that leave the channel
+	ChannelLinesPerSecond Number   // lines a second that leave the channel (the queue of messages to all proxies)
 	MaxChannelLines       Number   // limit on the lines that wait in the channel
 	ColdCapacityShare     Number   // capacity that a backend has at least just after its start, as a share of its usual one
 	Coordinators          Number   // number of coordinators of the fleet
 	CrossZonePrice        Number   // price of a request that leaves its zone
-	DrainGrace            Number   // time after which no request may be sent to a draining or gone backend
+	DrainGrace            Number   // time after which no request may be sent to a backend that the list has as draining or gone
 	CollapseLoadMultiple  Number   // a cold backend collapses under a load above this multiple of its capacity at that time
-	CollapseWindow        Number   // for this long
+	CollapseWindow        Number   // time under such a load after which a cold backend collapses
 	FeedbackColumns       []string // names of the columns of a load report
 	FeedbackSource        string   // where load reports come from; empty or "none": there are none
 	MaxReportsPerSecond   Number   // limit on the reports per second that are passed to the module; 0: no limit
@@ -66,7 +66,7 @@
 	ProbesAllowed         bool     // backends may be probed
 	ProxyCount            Number   // number of proxies of all coordinators together
 	MeanPushTime          Number   // mean time of a push from the channel to the proxy
-	MaxPushTime           Number   // longest such time
+	MaxPushTime           Number   // longest time of a push from the channel to the proxy
 	ReportPeriod          Number   // time between two reports of a proxy
 	Self                  Number   // number of this coordinator, from 0 to Coordinators-1
 	SliceCount            Number   // number of slices; 0: the site has none
@@ -176,7 +176,7 @@
 	return settings
 }
 
-// Default values of the settings that a site's file may omit.
+// Default values of the settings that a site's settings file may omit, in the units of Settings; times are in seconds.
 const (
 	defaultMaxPollInterval       = 10
 	defaultChannelLinesPerSecond = 1e4
