--- a/choice/admission.go
+++ b/choice/admission.go
@@ -10,11 +10,11 @@
 	admissionWindow        = 4.0  // seconds: time constant of arrival rates; an overload lasts this long after it was last found
 	evaluationInterval     = 1.0  // seconds between two evaluations of the fleet's load
 	overloadFailureShare   = 0.15 // a backend is overloaded if more than this share of its attempts fail, see measureBackend
-	overloadLatencyRatio   = 0.5  // or if its mean latency is above this share of the methods' shortest soft deadline
+	overloadLatencyRatio   = 0.5  // it is also overloaded if its mean latency is above this share of the methods' shortest soft deadline
 	overloadedBackendShare = 0.5  // the fleet is overloaded if at least this share of its judged backends (see fleetLoad) is
 	baselineAttempts       = 2.0  // decayed count of attempts that a backend needs to count for baselineFailureShare
 	baselineWindow         = 6.0  // seconds for which a backend counts for baselineFailureShare after the last report on it
-	baselineDivisor        = 4    // the baseline is the failure share that is 1/4 up the ascending list of the backends' shares
+	baselineDivisor        = 4    // baselineFailureShare is the share that is 1/4 up the ascending list of the backends' failure shares
 	minRateLimitShare      = 0.8  // lower bound of the rate limit in an overload, as a share of the fleet's peak success rate
 	admittedSuccessShare   = 0.85 // in an overload the rate limit falls to this share of the success rate, so that queues drain
 	limitGrowthFactor      = 1.1  // the rate limit is multiplied by this at each evaluation that finds no overload
--- a/choice/estimates.go
+++ b/choice/estimates.go
@@ -7,10 +7,10 @@
 type BackendEstimate struct {
 	Backend      BackendID
 	AttemptRate  float64 // attempts a second, decaying: higher than the average right after a report
-	FailureShare float64 // of the attempts
-	MeanLatency  Seconds // of the successes
+	FailureShare float64 // share of the attempts that failed
+	MeanLatency  Seconds // mean latency of the successful attempts
 	ExpectedRate float64 // requests a second that the tables are expected to bring it
-	Ejected      bool    // from the arcs of one zone or more
+	Ejected      bool    // it is ejected from the arcs of one zone's proxies or more
 	Unreachable  bool    // its last two probes failed, see Planner.unreachable
 }
 
--- a/choice/proxies.go
+++ b/choice/proxies.go
@@ -49,8 +49,8 @@
 	dirty              bool          // it is in dirtyProxies
 	pushWaiting        bool          // it has unsent changes
 	pushInFlight       bool          // a push is not acknowledged yet
-	pushNonce          Nonce         // of that push
-	leavesChannelAt    Seconds       // when that push has presumably left the channel
+	pushNonce          Nonce         // nonce of the push in flight
+	leavesChannelAt    Seconds       // when the push in flight has presumably left the channel
 	messagesSentAt     []Seconds     // times of the messages that still count for Settings.MessageLimit
 	pendingLines       int           // lines that are queued for it in this step
 	awaitsAck          bool          // this step's message to it is a push, whose acknowledgement is awaited
--- a/choice/types.go
+++ b/choice/types.go
@@ -30,7 +30,7 @@
 
 // Config is the configuration of an instance.
 type Config struct {
-	Seed     uint64  // of the random numbers
+	Seed     uint64  // seed of the random numbers
 	Now      Seconds // the time of the start
 	Settings Settings
 }
@@ -101,16 +101,16 @@
 	PushAcknowledged struct {
 		Proxy ProxyID
 		Nonce Nonce
-		Delay Seconds // from the push to its application by the proxy
+		Delay Seconds // from the push until the proxy applied it or, in package coordinator, until the acknowledgement came
 	}
 	// AttemptReport sums up the attempts of a zone's proxies at a backend.
 	AttemptReport struct {
 		Backend     BackendID
-		Zone        Zone // of the proxies
+		Zone        Zone // zone of the proxies
 		Attempts    int
-		Failures    int       // of the attempts
-		MeanLatency Seconds   // of the successes
-		Span        Seconds   // that the report covers
+		Failures    int       // failed ones of the attempts
+		MeanLatency Seconds   // mean latency of the successful attempts
+		Span        Seconds   // duration that the report covers
 		Load        []float64 // as reported by the backend, in the order of Settings.FeedbackColumns
 	}
 	// UsageReport counts the RPCs of one method that arrived at a proxy.
@@ -118,16 +118,16 @@
 		Proxy    ProxyID
 		Method   MethodID
 		RPCs     int
-		Failures int
-		Span     Seconds // that the report covers
+		Failures int     // failed ones of the RPCs
+		Span     Seconds // duration that the report covers
 	}
 	// SliceReport counts the RPCs of one method that arrived for a slice.
 	SliceReport struct {
 		Slice    SliceID
 		Method   MethodID
 		RPCs     int
-		Failures int
-		Span     Seconds // that the report covers
+		Failures int     // failed ones of the RPCs
+		Span     Seconds // duration that the report covers
 	}
 	// SliceOwnership reports that this instance became the owner of a slice, or no longer is.
 	SliceOwnership struct {
--- a/internal/checkpoint/checkpoint.go
+++ b/internal/checkpoint/checkpoint.go
@@ -1,7 +1,8 @@
 // Package checkpoint selects the coordinator state that is persisted for the next start, and decides what must be durable
 // before pushes are sent and acknowledgements are counted. It is a pure state machine: the coordinator reports what it
-// decided and sent and which batches the store has made durable, and takes batches of records to write. The package has no
-// file, clock or goroutine. docs/store.md explains its rules.
+// decided and sent and which batches the store has made durable, and takes batches of records to write. A batch is
+// a set of records that the store writes together; batches are numbered from 1. A drain is the record that the endpoint
+// list took a backend out of service. The package has no file, clock or goroutine. docs/store.md explains its rules.
 package checkpoint
 
 import (
@@ -38,19 +39,19 @@
 	durableBatch uint64 // number of the last batch that is durable
 	storeFailed  bool   // the store does not work, so nothing waits for it
 
-	drains        map[choice.BackendID]Drain
-	pendingDrains []pendingDrain // batches with drains that are not durable yet, oldest first
-	batchHasDrain bool           // the batch being collected records a drain
+	drains        map[choice.BackendID]Drain // the recorded drains
+	pendingDrains []pendingDrain             // batches with drains; these batches are not durable yet, oldest first
+	batchHasDrain bool                       // the batch being collected records a drain
 
 	nonces nonceReservation
 
-	proxies          map[string]Proxy
-	unseenProxies    map[string]bool // recovered, and sent no push since the start
-	dirtyProxies     map[string]bool // changed since the last flush
-	lastProxyFlushAt choice.Seconds
+	proxies          map[string]Proxy // by the proxy's name, as are the next two
+	unseenProxies    map[string]bool  // proxies that were recovered and were sent no push since the start
+	dirtyProxies     map[string]bool  // proxies whose record changed since the last flush (see flushProxies)
+	lastProxyFlushAt choice.Seconds   // time of that flush
 
-	startedAt choice.Seconds
-	settings  string // text of the settings as last persisted
+	startedAt choice.Seconds // when this run of the coordinator started
+	settings  string         // text of the settings as last persisted
 }
 
 // New returns a Checkpointer that continues from the recovered state. If that is nil, nothing is persisted.
--- a/internal/checkpoint/codec.go
+++ b/internal/checkpoint/codec.go
@@ -51,13 +51,13 @@
 
 // State is what the previous run persisted.
 type State struct {
-	HasEndpointList bool // an endpoint list was persisted, possibly an empty one
-	ListVersion     uint64
+	HasEndpointList bool   // an endpoint list was persisted, possibly an empty one
+	ListVersion     uint64 // version of that list
 	Endpoints       map[choice.BackendID]Endpoint
 	Drains          map[choice.BackendID]Drain
 	Proxies         map[string]Proxy // by the proxy's name
-	NonceLimit      uint64           // every lower nonce may have been used
-	Settings        string           // text of the settings
+	NonceLimit      uint64           // every nonce below this may have been used
+	Settings        string           // text of the settings that were in force
 }
 
 func backendKey(prefix string, backend choice.BackendID) string {
--- a/internal/checkpoint/durability.go
+++ b/internal/checkpoint/durability.go
@@ -10,8 +10,8 @@
 // pendingDrain is a batch that records a drain and is not durable yet. Acknowledgements of later pushes are counted only once
 // it is durable: otherwise a crash could lose a drain that was already reported as complete.
 type pendingDrain struct {
-	batch   uint64 // number of the batch
-	takenAt choice.Seconds
+	batch   uint64         // number of the batch
+	takenAt choice.Seconds // when TakeBatch returned it
 }
 
 // waitsUntil returns the time from which acknowledgements no longer wait for this batch.
--- a/internal/coordinator/acknowledgements.go
+++ b/internal/coordinator/acknowledgements.go
@@ -11,14 +11,14 @@
 	wireNonce         uint64         // the nonce that the proxy was sent
 	nonce             choice.Nonce   // the decision module's own nonce
 	step              uint64         // number of the module's step that ordered the push
-	durabilityBarrier uint64         // batch that must be durable before the acknowledgement counts
-	orderedAt         choice.Seconds // time of that step
+	durabilityBarrier uint64         // number of the batch that must be durable before the acknowledgement counts
+	orderedAt         choice.Seconds // time of the step that ordered the push
 }
 
 // heldAcknowledgement is an acknowledgement that was received and not passed on to the decision module yet.
 type heldAcknowledgement struct {
-	step              uint64 // as in inFlightPush
-	durabilityBarrier uint64 // as in inFlightPush
+	step              uint64 // number of the module's step that ordered the push
+	durabilityBarrier uint64 // number of the batch that must be durable before it is passed on
 	acknowledgement   choice.PushAcknowledged
 	stream            *proxyStream
 }
--- a/internal/coordinator/controller.go
+++ b/internal/coordinator/controller.go
@@ -19,11 +19,12 @@
 	defaultPushRate = 1e4
 )
 
-// Stats are counts since the controller was created.
+// Stats are counts since the controller was created. A push is charged, in addition to its table entries, the entries of
+// overhead that Settings.MessageHeaderLines gives.
 type Stats struct {
 	Joins                 int // proxies that joined
 	Pushes                int // pushes that were sent
-	Entries               int // size of these pushes in table entries, with the overhead that is charged for each push
+	Entries               int // size of these pushes in table entries, with overhead
 	Bytes                 int // size of the pushes' frames
 	Steps                 int // steps of the decision module
 	StaleAcknowledgements int // acknowledgements of nonces that were not in flight
@@ -33,8 +34,8 @@
 // controller is the part of a coordinator that knows neither sessions nor the protocol.
 type controller struct {
 	planner      *choice.Planner // the decision module
-	methodCount  int
-	stepInterval choice.Seconds // shortest time from a step of the decision module to one that its timer did not request
+	methodCount  int             // number of methods in the settings
+	stepInterval choice.Seconds  // shortest time from a step of the decision module to one that its timer did not request
 
 	endpoints   *endpointList
 	checkpoint  *checkpoint.Checkpointer
@@ -50,13 +51,13 @@
 	// streamsByNumber is indexed by the proxy's number; nil where no proxy is joined.
 	streamsByNumber []*proxyStream
 
-	pendingEvents        []choice.Event // for the next step of the decision module
+	pendingEvents        []choice.Event // events for the next step of the decision module
 	heldAcknowledgements []heldAcknowledgement
 	timerAt              choice.Seconds // when the decision module's timer fires
-	timer                choice.TimerID
-	step                 uint64 // number of the decision module's last step
-	lastStepAt           choice.Seconds
-	result               stepResult // of the call of handle in progress
+	timer                choice.TimerID // number of that timer
+	step                 uint64         // number of the decision module's last step
+	lastStepAt           choice.Seconds // time of that step
+	result               stepResult     // result of the call of handle in progress, so far
 	stats                Stats
 }
 
--- a/internal/coordinator/endpointclient.go
+++ b/internal/coordinator/endpointclient.go
@@ -9,8 +9,8 @@
 const (
 	// endpointListName names the endpoint list service in the log.
 	endpointListName = "endpoint-list"
-	// maxPendingRequests is the most requests that wait for the session. Further ones are dropped, since the decision module
-	// repeats requests.
+	// maxPendingRequests is the most requests that wait for the session with the service. Further ones are dropped, since the
+	// decision module repeats requests.
 	maxPendingRequests = 4
 )
 
@@ -63,7 +63,7 @@
 	}
 }
 
-// removeEndpointSession removes the session and the requests that wait for it.
+// removeEndpointSession removes the session with the endpoint list service and the requests that wait for it.
 func (m *Machine) removeEndpointSession() {
 	delete(m.sessions, m.endpointSession.conn)
 	m.endpointSession = nil
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -15,8 +15,8 @@
 // endpointList is the endpoint list as last received, with the backends' addresses. The checkpoint has a copy of it for the
 // next start.
 type endpointList struct {
-	version  uint64
-	received bool // false until the first list, received or cached by the previous run
+	version  uint64 // version of the list, as the service numbers it
+	received bool   // false until the first list, received or cached by the previous run
 	backends map[choice.BackendID]*checkpoint.Endpoint
 }
 
--- a/internal/coordinator/events.go
+++ b/internal/coordinator/events.go
@@ -34,14 +34,14 @@
 	endpointListReceived struct{ update proto.EndpointUpdate }
 	// endpointListLost reports that the endpoint list service cannot be reached or that its stream ended.
 	endpointListLost struct{}
-	// batchPersisted reports that all records up to this batch are durable.
+	// batchPersisted reports that all records up to the batch with this number are durable.
 	batchPersisted struct{ batch uint64 }
 	// persistFailed reports that the store currently does not accept records.
 	persistFailed struct{}
 	// probeFinished is the result of a probe: a reply, a failed connection or a timeout.
 	probeFinished struct {
 		backend  choice.BackendID
-		ok, busy bool
+		ok, busy bool // ok: the backend replied that it is well; busy: it replied that it has no capacity for probes
 		latency  choice.Seconds
 	}
 	// peerMessage is a message from another coordinator.
@@ -95,7 +95,7 @@
 		backend  choice.BackendID
 		excluded bool
 		proxies  int    // number of proxies that are sent the change
-		nonce    uint64 // of these pushes, as on the wire; 0 if they have none
+		nonce    uint64 // nonce of the pushes that send the change, as on the wire; 0 if they have none
 	}
 	// probeTarget is a backend to probe.
 	probeTarget struct {
--- a/internal/coordinator/log.go
+++ b/internal/coordinator/log.go
@@ -11,8 +11,8 @@
 // other processes.
 const maxRejectionReasons = 1000
 
-// rejectionLog counts rejections by reason, to limit the number of log messages: the first rejection for a reason is logged,
-// and then each one that doubles their number.
+// rejectionLog counts the sessions that this coordinator rejected, by the reason that the other side is sent. It limits the
+// number of log messages: the first rejection for a reason is logged, and then each one that doubles their number.
 type rejectionLog map[string]int
 
 // count counts a rejection and returns how many there were for this reason, and whether to log this one. All counts start
--- a/internal/coordinator/machine.go
+++ b/internal/coordinator/machine.go
@@ -11,8 +11,8 @@
 
 // Bootstrap is the configuration with which a coordinator is started.
 type Bootstrap struct {
-	Name                    string // of this coordinator, sent in its hello and welcome
-	Zone                    string // of this coordinator, sent in its hello
+	Name                    string // name of this coordinator, sent in its hello and welcome
+	Zone                    string // zone of this coordinator, sent in its hello
 	EndpointListAddr        string
 	Peers                   map[choice.PeerID]string // addresses of the other coordinators
 	ModuleConfig            choice.Config            // of the decision module
@@ -34,13 +34,13 @@
 	sessionsByAge []*session           // oldest first; may include closed sessions
 	lastDialed    statemachine.Conn    // number of the last connection that was dialed
 	lastExpiryAt  statemachine.Seconds // when the sessions were last checked for timeouts
-	rejections    rejectionLog
+	rejections    rejectionLog         // sessions that this coordinator rejected, by reason
 
-	endpointSession *session        // with the endpoint list service; nil if there is none
-	pendingRequests []proto.Message // to be sent to the endpoint list service once the session is established
+	endpointSession *session        // session with the endpoint list service; nil if there is none
+	pendingRequests []proto.Message // to be sent once endpointSession is established
 	probesInFlight  int
-	queuedProbes    []probeTarget
-	peerSessions    map[choice.PeerID]*session // with other coordinators, if this coordinator dialed
+	queuedProbes    []probeTarget              // backends to probe once fewer probes are in flight
+	peerSessions    map[choice.PeerID]*session // sessions with other coordinators that this coordinator dialed
 
 	started      bool   // the first step was taken
 	reloaded     bool   // Reload was called since the last step
--- a/internal/coordinator/proxies.go
+++ b/internal/coordinator/proxies.go
@@ -18,7 +18,7 @@
 type proxyStream struct {
 	id           streamID
 	proxyName    string
-	proxy        choice.ProxyID
+	proxy        choice.ProxyID // the proxy's number
 	zone         choice.Zone
 	queue        []*queuedPush  // pushes to be sent, in order
 	hasUrgent    bool           // queue has an urgent push
@@ -63,8 +63,8 @@
 		choice.ProxyJoined{Proxy: stream.proxy, Zone: stream.zone, Rate: joined.hello.Rate, Fresh: joined.hello.HasNoTables})
 }
 
-// allocateNumber returns a free proxy number. It prefers numbers that were used before, so that the decision module's tables
-// stay small.
+// allocateNumber returns a free proxy number. It prefers numbers that were used before, so that the slices indexed by number
+// stay short.
 func (c *controller) allocateNumber() choice.ProxyID {
 	if n := len(c.freeNumbers); n > 0 {
 		number := c.freeNumbers[n-1]
--- a/internal/coordinator/pushqueue.go
+++ b/internal/coordinator/pushqueue.go
@@ -10,15 +10,15 @@
 // queuedPush is what one step of the decision module changes for one proxy.
 type queuedPush struct {
 	stream            *proxyStream
-	step              uint64         // number of that step
+	step              uint64         // number of the decision module's step that ordered it
 	orderedAt         choice.Seconds // time of that step
 	entries           int            // size that counts for the push rate, in table entries; add adds the overhead
 	ops               []proto.TableOp
 	hasNonce          bool
 	nonce             choice.Nonce // the decision module's own nonce
 	wireNonce         uint64       // the nonce that the proxy is sent
-	durabilityBarrier uint64       // batch that must be durable before its acknowledgement counts
-	urgent            bool         // it excludes a backend
+	durabilityBarrier uint64       // number of the batch that must be durable before its acknowledgement counts
+	urgent            bool         // it excludes a backend at the proxy
 	removed           bool         // it was sent, or its stream was closed
 }
 
@@ -26,13 +26,13 @@
 // of the steps that ordered them. However, a stream with an urgent push goes before all streams without one, together with
 // the pushes that were queued for it earlier. So no push is split, and none overtakes another push of its own stream.
 type pushQueue struct {
-	entriesPerSecond float64
-	overheadEntries  int            // counted for each push in addition to its own table entries
+	entriesPerSecond float64        // the push rate
+	overheadEntries  int            // overhead: counted for each push in addition to its own table entries
 	maxCatchUp       choice.Seconds // how much unused time in the past may be made up for
-	nextSendAt       choice.Seconds
+	nextSendAt       choice.Seconds // earliest time of the next push
 	byStep           []*queuedPush  // in the order of their steps; may include removed pushes
 	urgentStreams    []*proxyStream // streams with an urgent push, in the order in which the push was added
-	queuedEntries    int            // size of all queued pushes
+	queuedEntries    int            // size of all queued pushes in table entries, with overhead
 	maxQueuedEntries int            // the largest value of queuedEntries so far
 }
 
--- a/internal/coordinator/reports.go
+++ b/internal/coordinator/reports.go
@@ -12,7 +12,8 @@
 	// errors. Otherwise a step at exactly the time that nextAt returned could find slightly too little credit and request the
 	// same time again.
 	minCredit = 1 - 1e-6
-	// burstDivisor limits bursts: credit is saved up for at most 1/burstDivisor seconds, or for one report if that is more.
+	// burstDivisor limits bursts of reports to the decision module: credit is saved up for at most 1/burstDivisor seconds, or
+	// for one report if that is more.
 	burstDivisor = 20
 	// attemptGatheringPeriods is how long the attempts at a backend are gathered before they are passed on, in report periods.
 	// Within that time most of a zone's other proxies report, too.
@@ -27,9 +28,9 @@
 	reportsPerSecond float64        // limit of what is passed on; 0 means no limit
 	period           choice.Seconds // the report period
 	credit           float64        // number of reports that may be passed on at creditedAt
-	creditedAt       choice.Seconds
-	queue            reportHeap
-	lastSequence     uint64
+	creditedAt       choice.Seconds // when credit was last updated
+	queue            reportHeap     // all sums that wait
+	lastSequence     uint64         // sequence of the newest pendingReport
 	attempts         map[attemptKey]*pendingReport
 	usage            map[usageKey]*pendingReport
 }
@@ -48,15 +49,15 @@
 // pendingReport is a sum of reports that waits to be passed on.
 type pendingReport struct {
 	readyAt     choice.Seconds // when it may be passed on, if the limit allows
-	sequence    uint64         // orders reports that are ready at the same time
+	sequence    uint64         // order of creation, for reports that are ready at the same time
 	heapIndex   int            // index in the reportHeap
 	from, to    choice.Seconds // time that the summed reports cover
-	isUsage     bool
+	isUsage     bool           // a sum of usage; otherwise of attempts
 	attemptKey  attemptKey     // unless isUsage
 	usageKey    usageKey       // if isUsage
 	count       int            // number of attempts or RPCs
-	failures    int            // number of these that failed
-	meanLatency choice.Seconds // of the attempts that succeeded
+	failures    int            // number of these attempts or RPCs that failed
+	meanLatency choice.Seconds // mean latency of the attempts that succeeded
 }
 
 func newReportAggregator(config choice.Config) *reportAggregator {
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -32,13 +32,13 @@
 type session struct {
 	conn        statemachine.Conn
 	role        sessionRole
-	name        string
+	name        string // name or address of the other side, for the log; empty for probes and before the hello
 	reader      proto.Reader
 	openedAt    statemachine.Seconds
-	lastSeen    statemachine.Seconds // when data was last received; initially openedAt
+	lastSeen    statemachine.Seconds // when data was last received; at first equal to openedAt
 	established bool                 // the handshake is complete; for roleEndpointList and rolePeer only
-	probe       probeTarget          // for roleProbe
-	peer        choice.PeerID        // for rolePeer, if this coordinator dialed
+	probe       probeTarget          // the backend to probe, for roleProbe
+	peer        choice.PeerID        // the other coordinator, for rolePeer if this coordinator dialed
 }
 
 // addSession adds a session with a new connection.
--- a/internal/fanout/commands.go
+++ b/internal/fanout/commands.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// clearTable empties a table, also at its subscribers, and deletes it if it has none.
+// clearTable empties a table, also at its subscribers, and deletes the table if it has no subscribers.
 func (d *Distributor) clearTable(command choice.ClearTable) {
 	t := d.getOrCreateTable(command.Table)
 	clear(t.weights)
--- a/internal/fanout/distributor.go
+++ b/internal/fanout/distributor.go
@@ -32,8 +32,8 @@
 
 // Admission is the admission level and the retry policy of a set of methods.
 type Admission struct {
-	Methods uint64 // bit set of method numbers; 0 means all methods
-	Level   float64
+	Methods uint64  // bit set of method numbers; 0 means all methods
+	Level   float64 // as in choice.SetAdmission
 	Retry   choice.RetryPolicy
 }
 
@@ -60,14 +60,14 @@
 	Proxy              choice.ProxyID
 	exclusionsNotified bool                      // the module sent NotifyExclusions for the proxy
 	sentExclusions     map[choice.BackendID]bool // the backends that the proxy was told are excluded
-	subscriptions      []subscription
-	pending            *Message // the message of the current step; nil if there is none yet
+	subscriptions      []subscription            // the tables that are bound for the proxy
+	pending            *Message                  // the message of the current step; nil if there is none yet
 }
 
 // subscription binds a proxy to a table for a set of methods.
 type subscription struct {
 	table   choice.TableID
-	methods uint64
+	methods uint64 // bit set; 0 means all methods
 }
 
 // ExclusionChange reports that a backend was excluded or restored.
@@ -91,11 +91,11 @@
 	AllMethods uint64
 
 	tables               map[choice.TableID]*table
-	excluded             map[choice.BackendID]bool
-	subscribers          []*Subscriber     // indexed by proxy number; nil where no proxy is joined
-	dirty                []*Subscriber     // with a pending message, in the order in which those were created
-	pendingNotifications []*Subscriber     // proxies of this step's NotifyExclusions commands
-	changes              []ExclusionChange // of this step
+	excluded             map[choice.BackendID]bool // backends that are excluded now
+	subscribers          []*Subscriber             // indexed by proxy number; nil where no proxy is joined
+	dirty                []*Subscriber             // subscribers with a pending message, by the creation of that message
+	pendingNotifications []*Subscriber             // proxies of this step's NotifyExclusions commands
+	changes              []ExclusionChange         // exclusions and restorations of this step
 }
 
 // New returns a Distributor without tables or subscribers.
--- a/internal/fanout/exclusions.go
+++ b/internal/fanout/exclusions.go
@@ -23,9 +23,9 @@
 	d.changes = append(d.changes, change)
 }
 
-// sendExclusion sends an exclusion change to one proxy if it needs it, and returns whether it does. An exclusion is sent if
-// the proxy's tables contain the backend, or if the proxy may use a table of an earlier stream and was notified of the
-// exclusions so far. A restoration is sent if the proxy's tables contain the backend and it was told of the exclusion.
+// sendExclusion sends an exclusion change to one proxy if the proxy needs it, and returns whether it does. An exclusion is
+// sent if the proxy's tables contain the backend, or if the proxy may use a table of an earlier stream and was notified of
+// the exclusions so far. A restoration is sent if the proxy's tables contain the backend and it was told of the exclusion.
 func (d *Distributor) sendExclusion(subscriber *Subscriber, command choice.SetExclusion) bool {
 	canRoute := d.canRouteTo(subscriber, command.Backend)
 	if command.Excluded {
