--- a/choice/admission.go
+++ b/choice/admission.go
@@ -10,11 +10,11 @@
 	admissionWindow        = 4.0  // seconds: time constant of arrival rates; an overload lasts this long after it was last found
 	evaluationInterval     = 1.0  // seconds between two evaluations of the fleet's load
 	overloadFailureShare   = 0.15 // a backend is overloaded if more than this share of its attempts fail, see measureBackend
-	overloadLatencyRatio   = 0.5  // it is also overloaded if its mean latency is above this share of the methods' shortest soft deadline
+	overloadLatencyRatio   = 0.5  // a backend is also overloaded if its mean latency is above this share of shortestSoftDeadline
 	overloadedBackendShare = 0.5  // the fleet is overloaded if at least this share of its judged backends (see fleetLoad) is
 	baselineAttempts       = 2.0  // decayed count of attempts that a backend needs to count for baselineFailureShare
 	baselineWindow         = 6.0  // seconds for which a backend counts for baselineFailureShare after the last report on it
-	baselineDivisor        = 4    // baselineFailureShare is the share that is 1/4 up the ascending list of the backends' failure shares
+	baselineDivisor        = 4    // baselineFailureShare stands 1/4 up the ascending list of the backends' failure shares
 	minRateLimitShare      = 0.8  // lower bound of the rate limit in an overload, as a share of the fleet's peak success rate
 	admittedSuccessShare   = 0.85 // in an overload the rate limit falls to this share of the success rate, so that queues drain
 	limitGrowthFactor      = 1.1  // the rate limit is multiplied by this at each evaluation that finds no overload
@@ -106,8 +106,8 @@
 	}
 }
 
-// updateLoadFactor raises the load factor while latency is low, which saves the cost of requests that leave their zone. It
-// rises only in proportion to that cost, because a zone with more than its share of the load is the first that a burst
+// updateLoadFactor raises the load factor while latency is low, which saves the cost of requests that leave their zone. The
+// factor rises only in proportion to that cost, because a zone with more than its share of the load is the first that a burst
 // overloads.
 func (a *admission) updateLoadFactor() {
 	limit := min(maxLoadFactor, minLoadFactor+crossZonePriceFactor*a.planner.settings.CrossZonePrice)
--- a/choice/backends.go
+++ b/choice/backends.go
@@ -11,31 +11,31 @@
 // until its state is deleted. The second index of two-dimensional slices is the zone of the proxies that sent the reports.
 type backendStates struct {
 	id                     []BackendID
-	zone                   []int     // index of the zone that it runs in
+	zone                   []int     // index of the zone that the backend runs in
 	weight                 []float64 // full weight, as in the endpoint list
 	state                  []BackendState
-	startedAt              []Seconds // when its process started, as listed; 0: long ago
-	firstListed            []Seconds // when this instance learned of it
-	ringHash               []uint32  // its place on the ring
-	warmupFactor           []float64 // share of its full weight that slow start allows, see slowstart.go
+	startedAt              []Seconds // when the backend's process started, as listed; 0: long ago
+	firstListed            []Seconds // when this instance learned of the backend
+	ringHash               []uint32  // place of the backend on the ring, see ring
+	warmupFactor           []float64 // share of the full weight that slow start allows, see slowstart.go
 	latencyFactor          []float64 // factor from 0 to 1 that reduces the effective weight of slow backends
 	latencyFactorUpdatedAt []Seconds
 	effectiveWeight        []float64   // weight × warmupFactor × latencyFactor, see computeEffectiveWeights
 	assignedLoad           []float64   // load from the arcs assigned so far, in requests a second
 	expectedLoad           []float64   // load from the tables, or that after its exclusion is withdrawn, in requests a second
-	arcCount               []int       // arcs that include it
-	excluded               []bool      // its exclusion was sent and not withdrawn
-	exclusionDueSince      []Seconds   // since when its exclusion has to be sent; 0: it doesn't
-	attempts               [][]float64 // decayed count of the attempts at it, as of lastReportAt
+	arcCount               []int       // number of arcs that include the backend
+	excluded               []bool      // the backend's exclusion was sent and not withdrawn
+	exclusionDueSince      []Seconds   // since when the backend's exclusion has to be sent; 0: it doesn't
+	attempts               [][]float64 // decayed count of the attempts at the backend, as of lastReportAt
 	failures               [][]float64 // decayed count of the failed attempts, as of lastReportAt
 	meanLatency            [][]float64 // weighted mean latency of the successful attempts, in seconds
-	lastReportAt           [][]Seconds // when the last report on it from the zone arrived
-	ejectedUntil           [][]Seconds // end of its ejection; 0: not ejected; negative: the last ejection ended at minus this time
+	lastReportAt           [][]Seconds // when the last report on the backend from the zone arrived
+	ejectedUntil           [][]Seconds // end of the ejection; 0: not ejected; negative: the last ejection ended at minus this time
 	consecutiveEjections   [][]int     // ejections without a longer time between them, see endEjections
 	lastSuccessAt          []Seconds   // when a successful request or probe was last reported
 	failedProbes           []int       // failed probes in a row
 	nextProbeAt            []Seconds   // earliest time of the next probe
-	returnedAt             []Seconds   // when it last became reachable again; 0: it always was
+	returnedAt             []Seconds   // when the backend last became reachable again; 0: it always was
 }
 
 // backendActor is the actor of one backend.
--- a/choice/channel.go
+++ b/choice/channel.go
@@ -14,7 +14,7 @@
 type channel struct {
 	mailbox
 	planner     *Planner
-	nonce       Nonce         // of the newest step with messages
+	nonce       Nonce         // nonce of the newest step with messages
 	meanAckTime Seconds       // exponential moving average of the time from a push to its acknowledgement
 	queuedLines int           // lines of the messages that were queued in this step so far
 	unacked     []unackedStep // earlier steps, oldest first
--- a/choice/ejection.go
+++ b/choice/ejection.go
@@ -12,10 +12,10 @@
 	maxEjectedShare        = 0.65 // limit on the share of the open backends' full weight that is ejected at once for one zone
 	probeInterval          = 1.0  // seconds between two probes of a backend
 	slowLatencyRatio       = 0.3  // a backend is slow if its mean latency is above this share of the shortest soft deadline
-	slowLatencyFleetFactor = 1.2  // and above this multiple of the fleet's mean latency
+	slowLatencyFleetFactor = 1.2  // a slow backend's mean latency is also above this multiple of the fleet's mean latency
 	minLatencyFactor       = 0.4  // lower limit of the latency factor
 	latencyFactorDecrease  = 0.85 // the latency factor of a slow backend is multiplied by this in each healthWindow
-	latencyFactorIncrease  = 0.05 // and this is added in each healthWindow once its latency is below slowLatencyRatio
+	latencyFactorIncrease  = 0.05 // added to the latency factor in each healthWindow once latency is below slowLatencyRatio
 )
 
 // applyReport updates a backend's health from a report. A successful request also clears its failed probes, because it is
--- a/choice/fleetload.go
+++ b/choice/fleetload.go
@@ -9,7 +9,7 @@
 	planner                  *Planner
 	admittedShares           []float64     // share of the requests that is admitted, by method
 	normalRetry              []RetryPolicy // outside of overloads, by method
-	criticality              []float64     // by method
+	criticality              []float64     // as in MethodSettings, by method
 	arrivalRates             []float64     // decaying averages in requests a second, by method
 	shortestSoftDeadline     Seconds       // the shortest one of all methods
 	rateLimit                float64       // requests a second that are admitted in all; +Inf: all
@@ -23,7 +23,7 @@
 	overloadedAt             Seconds       // when an overload was last found
 	overloadUnlikely         bool          // there is no overload and no sign of one to come
 	firstReportAt            Seconds       // when enough reports for an evaluation first were there; 0: not yet
-	lastDisconnectAt         Seconds       // when the last stream of a proxy ended
+	lastDisconnectAt         Seconds       // when a stream of any proxy last ended
 	limitLoweredAt           Seconds       // when rateLimit was last lowered
 	nextEvaluation           Seconds
 }
--- a/choice/planner.go
+++ b/choice/planner.go
@@ -12,18 +12,18 @@
 	now         Seconds
 	randomDraws uint32 // number of random numbers drawn so far
 	backendStates
-	backends       []*backendActor   // by index
+	backends       []*backendActor   // actors of the backends, by index
 	indexOf        map[BackendID]int // indexes of the known backends
 	freeSlots      []int             // unused indexes of backends
 	goneSince      []Seconds         // by index: since when the backend's state is BackendGone; 0: it is not
 	zoneIndex      map[Zone]int      // indexes of the known zones
-	proxies        []*proxyActor     // in ascending order of ids
+	proxies        []*proxyActor     // actors of the proxies, in ascending order of ids
 	watcher        *endpointWatcher
 	ring           *ring
 	admission      *admission
 	channel        *channel
 	readyActors    []actor   // actors with messages, in the order in which they got their first one
-	commands       []Command // of this step so far
+	commands       []Command // commands of this step so far
 	nextTick       Seconds
 	newestReportAt Seconds       // when the last attempt report on any backend arrived
 	isolated       bool          // at least half of the open backends seem unreachable, so this instance is assumed to be cut off
--- a/choice/proxies.go
+++ b/choice/proxies.go
@@ -20,7 +20,7 @@
 type proxyTable struct {
 	id         TableID
 	methods    uint64        // bit set of methods
-	zoneLocal  bool          // for methods whose requests must stay in the proxy's zone
+	zoneLocal  bool          // the table is for methods whose requests must stay in the proxy's zone
 	desired    []tableEntry  // entries that the table should have
 	sent       []tableEntry  // entries that the table has once all pushes have arrived
 	sentLevels []float64     // admission levels last sent, by method; -1: none
@@ -32,19 +32,19 @@
 	mailbox
 	planner            *Planner
 	id                 ProxyID
-	zone               int           // index of its zone
-	joined             bool          // its stream is open
+	zone               int           // index of the proxy's zone
+	joined             bool          // the proxy's stream is open
 	joinedAt           Seconds       // when its last stream was opened
 	leftAt             Seconds       // when it was first seen to have left; 0: it is joined
 	tableBound         bool          // it was sent a whole table on this stream
 	exclusionsNotified bool          // it was notified of all exclusions on this stream
 	arcStart           uint32        // hash at which its arcs start on the ring
 	hasStart           bool          // arcStart was chosen
-	arcSize            int           // backends in each of its arcs
-	assignedRate       float64       // its usage when arcSize was set, in requests a second
+	arcSize            int           // number of backends in each of the proxy's arcs
+	assignedRate       float64       // usage of the proxy when arcSize was set, in requests a second
 	assignmentRound    int           // round of the ring in which its arcs were last assigned
 	usage              []float64     // decaying average in requests a second, by method, as of usageReportedAt
-	usageReportedAt    []Seconds     // time of the last report, by method
+	usageReportedAt    []Seconds     // time of the last usage report, by method
 	tables             []*proxyTable // at most two, see addTables
 	dirty              bool          // it is in dirtyProxies
 	pushWaiting        bool          // it has unsent changes
--- a/choice/ring.go
+++ b/choice/ring.go
@@ -25,8 +25,8 @@
 	capacity              float64       // sum of the effective weights of the reachable backends
 	maxLoadPerWeight      float64       // bound on a backend's load, in requests a second per unit of effective weight
 	otherCoordinatorsLoad []float64     // by backend: load from proxies of other coordinators, in requests a second
-	openBackends          []int         // in ring order
-	openBackendsByZone    [][]int       // in ring order, by zone
+	openBackends          []int         // indexes of the open backends, in ring order
+	openBackendsByZone    [][]int       // the same by zone of the backends
 	lastWalk              []*arcWalk    // by backend: the walk that took it last
 }
 
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -35,7 +35,7 @@
 	Criticality  Number // requests of the methods with the lowest are shed first
 	SoftDeadline Number // time within which a response is wanted
 	Deadline     Number // time after which the client cancels the RPC
-	TokenWindow  Number // time for which a token is remembered
+	TokenWindow  Number // time for which backends remember an idempotency key
 }
 
 // Settings are a site's settings, decoded from the flat form in which the adapters pass them. Other values of the flat form are
@@ -59,7 +59,7 @@
 	EndpointListMode      string   // "asked": the endpoint list has to be polled; "pushed": updates are sent without a poll
 	MessageHeaderLines    Number   // lines of a message in addition to its own, for its header
 	MessageLimit          Number   // limit on the messages to a proxy within MessageLimitSpan; 0: none
-	MessageLimitSpan      Number   // time over which messages are counted for the limit
+	MessageLimitSpan      Number   // time over which messages are counted for MessageLimit
 	Methods               []MethodSettings
 	ExcludeOnlyDraining   bool     // DrainGrace does not apply to a backend that is dropped from the list without draining
 	PickPolicy            string   // how proxies pick a backend: "lottery" or "even" (by weight) or "pair" (less busy of two)
@@ -74,7 +74,7 @@
 	Tick                  Number   // shortest time between two steps
 	AttemptTimeoutShare   Number   // timeout of an attempt that may be retried, as a share of the soft deadline
 	WarmupDuration        Number   // warm-up time: a backend is warm no later than this after its start
-	Zone                  string   // of this coordinator
+	Zone                  string   // zone of this coordinator
 	Zones                 []string // all zones of the fleet
 }
 
--- a/choice/types.go
+++ b/choice/types.go
@@ -31,7 +31,7 @@
 // Config is the configuration of an instance.
 type Config struct {
 	Seed     uint64  // seed of the random numbers
-	Now      Seconds // the time of the start
+	Now      Seconds // time at which the instance starts
 	Settings Settings
 }
 
@@ -72,7 +72,7 @@
 	Backend   BackendID
 	Kind      string // kind of machine that it runs on
 	State     BackendState
-	StartedAt Seconds // start of its process; 0: long ago
+	StartedAt Seconds // start of the backend's process; 0: long ago
 	Zone      Zone
 	Weight    float64 // relative capacity
 	Cell      int     // group of backends that may fail together
--- a/internal/checkpoint/checkpoint.go
+++ b/internal/checkpoint/checkpoint.go
@@ -45,10 +45,10 @@
 
 	nonces nonceReservation
 
-	proxies          map[string]Proxy // by the proxy's name, as are the next two
-	unseenProxies    map[string]bool  // proxies that were recovered and were sent no push since the start
-	dirtyProxies     map[string]bool  // proxies whose record changed since the last flush (see flushProxies)
-	lastProxyFlushAt choice.Seconds   // time of that flush
+	proxies          map[string]Proxy // records by the proxy's name
+	unseenProxies    map[string]bool  // names of proxies that were recovered and were sent no push since the start
+	dirtyProxies     map[string]bool  // names of proxies whose record changed since the last flush, see flushProxies
+	lastProxyFlushAt choice.Seconds   // time of the last flush of the proxies' records
 
 	startedAt choice.Seconds // when this run of the coordinator started
 	settings  string         // text of the settings as last persisted
--- a/internal/checkpoint/codec.go
+++ b/internal/checkpoint/codec.go
@@ -38,8 +38,8 @@
 
 // Drain records that the endpoint list took a backend out of service.
 type Drain struct {
-	RecordedAt  choice.Seconds // when the coordinator learned of it
-	Incarnation uint64         // of the backend's process that is drained; 0 if unknown
+	RecordedAt  choice.Seconds // when the coordinator learned of the drain
+	Incarnation uint64         // incarnation of the backend's process that is drained; 0 if unknown
 	Removed     bool           // the backend left the list
 }
 
@@ -52,7 +52,7 @@
 // State is what the previous run persisted.
 type State struct {
 	HasEndpointList bool   // an endpoint list was persisted, possibly an empty one
-	ListVersion     uint64 // version of that list
+	ListVersion     uint64 // version of the persisted endpoint list
 	Endpoints       map[choice.BackendID]Endpoint
 	Drains          map[choice.BackendID]Drain
 	Proxies         map[string]Proxy // by the proxy's name
--- a/internal/checkpoint/durability.go
+++ b/internal/checkpoint/durability.go
@@ -11,7 +11,7 @@
 // it is durable: otherwise a crash could lose a drain that was already reported as complete.
 type pendingDrain struct {
 	batch   uint64         // number of the batch
-	takenAt choice.Seconds // when TakeBatch returned it
+	takenAt choice.Seconds // when TakeBatch returned the batch
 }
 
 // waitsUntil returns the time from which acknowledgements no longer wait for this batch.
--- a/internal/coordinator/acknowledgements.go
+++ b/internal/coordinator/acknowledgements.go
@@ -18,7 +18,7 @@
 // heldAcknowledgement is an acknowledgement that was received and not passed on to the decision module yet.
 type heldAcknowledgement struct {
 	step              uint64 // number of the module's step that ordered the push
-	durabilityBarrier uint64 // number of the batch that must be durable before it is passed on
+	durabilityBarrier uint64 // number of the batch that must be durable before the acknowledgement is passed on
 	acknowledgement   choice.PushAcknowledged
 	stream            *proxyStream
 }
@@ -44,7 +44,7 @@
 }
 
 // releaseAcknowledgements passes acknowledgements on to the decision module, which takes one as proof that all pushes of
-// earlier steps have been sent. Exclusions overtake queued pushes, so their acknowledgements are held until that is true.
+// earlier steps have been sent. Exclusions overtake queued pushes, so an acknowledgement is held until that is true.
 // An acknowledgement is also held until the drains that it covers are durable: a crash must not lose an exclusion that the
 // module takes for completed.
 func (c *controller) releaseAcknowledgements(now choice.Seconds) {
--- a/internal/coordinator/controller.go
+++ b/internal/coordinator/controller.go
@@ -54,9 +54,9 @@
 	pendingEvents        []choice.Event // events for the next step of the decision module
 	heldAcknowledgements []heldAcknowledgement
 	timerAt              choice.Seconds // when the decision module's timer fires
-	timer                choice.TimerID // number of that timer
+	timer                choice.TimerID // number of the decision module's timer
 	step                 uint64         // number of the decision module's last step
-	lastStepAt           choice.Seconds // time of that step
+	lastStepAt           choice.Seconds // time of the decision module's last step
 	result               stepResult     // result of the call of handle in progress, so far
 	stats                Stats
 }
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -22,7 +22,7 @@
 
 // endpointChange is what a frame of the endpoint list service changed.
 type endpointChange struct {
-	update  choice.EndpointUpdate // for the decision module
+	update  choice.EndpointUpdate // the change as told to the decision module
 	changed []checkpoint.Endpoint // backends that are new or differ from before
 	removed []choice.BackendID    // backends that left the list
 }
--- a/internal/coordinator/machine.go
+++ b/internal/coordinator/machine.go
@@ -15,11 +15,11 @@
 	Zone                    string // zone of this coordinator, sent in its hello
 	EndpointListAddr        string
 	Peers                   map[choice.PeerID]string // addresses of the other coordinators
-	ModuleConfig            choice.Config            // of the decision module
-	HandshakeTimeout        statemachine.Seconds     // from the opening of a connection to the end of its handshake
+	ModuleConfig            choice.Config            // configuration of the decision module
+	HandshakeTimeout        statemachine.Seconds     // time from the opening of a connection to the end of its handshake
 	ProxyIdleTimeout        statemachine.Seconds     // after which a silent proxy's stream is closed
 	EndpointListIdleTimeout statemachine.Seconds     // after which a silent endpoint list service's connection is closed
-	ProbeTimeout            statemachine.Seconds     // from the dialing of a probe's connection to the reply
+	ProbeTimeout            statemachine.Seconds     // time from the dialing of a probe's connection to the reply
 	MaxStreams              int                      // limit on sessions of all roles; further incoming connections are rejected
 	MaxProbes               int                      // probes in flight at the same time
 	SettingsText            string                   // text of the settings, which is persisted
@@ -31,13 +31,13 @@
 	controller *controller
 
 	sessions      map[statemachine.Conn]*session
-	sessionsByAge []*session           // oldest first; may include closed sessions
+	sessionsByAge []*session           // all sessions, oldest first; may include closed ones
 	lastDialed    statemachine.Conn    // number of the last connection that was dialed
 	lastExpiryAt  statemachine.Seconds // when the sessions were last checked for timeouts
 	rejections    rejectionLog         // sessions that this coordinator rejected, by reason
 
 	endpointSession *session        // session with the endpoint list service; nil if there is none
-	pendingRequests []proto.Message // to be sent once endpointSession is established
+	pendingRequests []proto.Message // requests to be sent once endpointSession is established
 	probesInFlight  int
 	queuedProbes    []probeTarget              // backends to probe once fewer probes are in flight
 	peerSessions    map[choice.PeerID]*session // sessions with other coordinators that this coordinator dialed
@@ -79,7 +79,7 @@
 type stepContext struct {
 	now     statemachine.Seconds
 	effects *statemachine.Effects
-	events  []event // for the controller
+	events  []event // events for the controller
 }
 
 // raise adds an event for the controller.
--- a/internal/coordinator/module.go
+++ b/internal/coordinator/module.go
@@ -12,7 +12,7 @@
 // must be discarded as a whole, because otherwise only a part of its commands would be carried out.
 type moduleFailure struct {
 	cause any    // value of the panic, or the text for an unknown command
-	stack []byte // of the panic; empty for an unknown command
+	stack []byte // stack of the panic; empty for an unknown command
 }
 
 func (f *moduleFailure) Error() string { return fmt.Sprintf("the decision module failed: %v", f.cause) }
--- a/internal/coordinator/push.go
+++ b/internal/coordinator/push.go
@@ -16,8 +16,8 @@
 	fanout.OpRestore:   proto.OpRestore,
 }
 
-// queuePushes queues one push for each proxy for which the commands of a step changed something. If the step set no nonce, it
-// is nil, and the pushes have no nonce and are not acknowledged.
+// queuePushes queues one push for each proxy for which the commands of a step changed something. If the step set no nonce,
+// nonce is nil, and the pushes have none and are not acknowledged.
 func (c *controller) queuePushes(now choice.Seconds, nonce *choice.SetNonce) {
 	// Backends that the endpoint list took out of service before a restart are excluded, too. This instance of the module did
 	// not run at that time, so it has no commands for them.
--- a/internal/coordinator/pushqueue.go
+++ b/internal/coordinator/pushqueue.go
@@ -10,16 +10,16 @@
 // queuedPush is what one step of the decision module changes for one proxy.
 type queuedPush struct {
 	stream            *proxyStream
-	step              uint64         // number of the decision module's step that ordered it
-	orderedAt         choice.Seconds // time of that step
+	step              uint64         // number of the decision module's step that ordered the push
+	orderedAt         choice.Seconds // time of the step that ordered the push
 	entries           int            // size that counts for the push rate, in table entries; add adds the overhead
 	ops               []proto.TableOp
 	hasNonce          bool
 	nonce             choice.Nonce // the decision module's own nonce
 	wireNonce         uint64       // the nonce that the proxy is sent
 	durabilityBarrier uint64       // number of the batch that must be durable before its acknowledgement counts
-	urgent            bool         // it excludes a backend at the proxy
-	removed           bool         // it was sent, or its stream was closed
+	urgent            bool         // the push excludes a backend at the proxy
+	removed           bool         // the push was sent, or its stream was closed
 }
 
 // pushQueue holds the pushes that wait to be sent. They are sent one after another at the rate in the settings, in the order
@@ -30,7 +30,7 @@
 	overheadEntries  int            // overhead: counted for each push in addition to its own table entries
 	maxCatchUp       choice.Seconds // how much unused time in the past may be made up for
 	nextSendAt       choice.Seconds // earliest time of the next push
-	byStep           []*queuedPush  // in the order of their steps; may include removed pushes
+	byStep           []*queuedPush  // queued pushes in the order of their steps; may include removed ones
 	urgentStreams    []*proxyStream // streams with an urgent push, in the order in which the push was added
 	queuedEntries    int            // size of all queued pushes in table entries, with overhead
 	maxQueuedEntries int            // the largest value of queuedEntries so far
--- a/internal/coordinator/reports.go
+++ b/internal/coordinator/reports.go
@@ -48,7 +48,7 @@
 
 // pendingReport is a sum of reports that waits to be passed on.
 type pendingReport struct {
-	readyAt     choice.Seconds // when it may be passed on, if the limit allows
+	readyAt     choice.Seconds // when the sum may be passed on, if reportsPerSecond allows
 	sequence    uint64         // order of creation, for reports that are ready at the same time
 	heapIndex   int            // index in the reportHeap
 	from, to    choice.Seconds // time that the summed reports cover
