--- a/internal/disk/memory.go
+++ b/internal/disk/memory.go
@@ -38,7 +38,7 @@
 type Op struct {
 	Kind OpKind
 	Name string
-	Size int // bytes to append; 0 for other kinds
+	Size int // number of bytes to append for OpAppend; 0 for other kinds
 }
 
 // Memory is a folder in memory. Besides the current state it tracks what would be on a disk: the synced state, and the
@@ -49,13 +49,13 @@
 	// them to the disk.
 	Before func(Op) error
 
-	mu             sync.Mutex
+	mu             sync.Mutex        // guards the fields below and the contents of the inodes
 	files          map[string]*inode // by name, as processes see them
 	durableFiles   map[string]*inode // by name, as synced to the disk
 	pendingChanges []nameChange      // since the last successful SyncDir
-	locked         bool
-	crashed        bool
-	ops            int // number of operations, without those that Before made fail
+	locked         bool              // a lock that Lock returned is not closed yet
+	crashed        bool              // a crash was simulated: operations return ErrCrashed
+	ops            int               // number of operations so far, without those that Before made fail
 }
 
 // nameChange is a created, renamed or removed file name that is not durable yet.
--- a/internal/disk/memory_file.go
+++ b/internal/disk/memory_file.go
@@ -11,9 +11,9 @@
 
 // inode is the content of a file, independent of its name.
 type inode struct {
-	data  []byte // as processes see it
-	disk  []byte // as it is certain to be on the disk
-	cache []byte // as the simulated kernel cache assumes it to be on the disk
+	data  []byte // the content as processes see it
+	disk  []byte // the content that is certain to be on the disk
+	cache []byte // the content that the simulated kernel cache assumes to be on the disk
 }
 
 // durableInode returns an inode whose content is on the disk. It owns data.
@@ -24,7 +24,7 @@
 // memoryFile is an open file of Memory.
 type memoryFile struct {
 	folder *Memory
-	name   string
+	name   string // under which the file was opened
 	node   *inode
 }
 
--- a/internal/disk/real.go
+++ b/internal/disk/real.go
@@ -10,6 +10,7 @@
 	"syscall"
 )
 
+// Permissions of created folders and files.
 const (
 	folderMode = 0o755
 	fileMode   = 0o644
--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -9,8 +9,8 @@
 // Clock returns the time in seconds since the Unix epoch. It reads the wall clock only when it is created and follows the
 // monotonic clock afterwards, so it never jumps. Machines that share a Clock agree on the time.
 type Clock struct {
-	startSeconds statemachine.Seconds // wall-clock time at start
-	start        time.Time
+	startSeconds statemachine.Seconds // wall-clock time when the clock was created
+	start        time.Time            // the same moment, with its monotonic reading
 }
 
 // NewClock returns a clock that starts at the current wall-clock time.
--- a/internal/eventloop/config.go
+++ b/internal/eventloop/config.go
@@ -9,9 +9,10 @@
 	"gingerfork/internal/trace"
 )
 
+// Defaults of the fields of Bootstrap.
 const (
 	defaultMaxWriteBuffer  = 4 << 20  // bytes per connection
-	defaultMaxPendingInput = 64 << 20 // bytes, of all connections
+	defaultMaxPendingInput = 64 << 20 // bytes, of all connections together
 	defaultDialTimeout     = 5 * time.Second
 	defaultEventLoops      = 1
 )
--- a/internal/eventloop/connection.go
+++ b/internal/eventloop/connection.go
@@ -21,18 +21,18 @@
 
 	// Owned by the machine's goroutine.
 	opened   bool // ConnOpened was passed to the machine
-	released bool // the machine closed or aborted it, and gets no further input for it
+	released bool // the machine closed or aborted the connection, and gets no further input for it
 
 	// Owned by the connection's event loop.
-	slowReader bool // it was reset because its peer did not read
-	closed     bool // gnet has closed it, so another connection may already use its descriptor
+	slowReader bool // the connection was reset because its peer did not read
+	closed     bool // gnet has closed the connection, so another one may already use its file descriptor
 }
 
 // connectionTask is an action on a connection that the connection's event loop carries out.
 type connectionTask struct {
 	connection *connection
-	kind       statemachine.ActionKind
-	data       []byte
+	kind       statemachine.ActionKind // ActionWrite, ActionClose or ActionAbort
+	data       []byte                  // bytes to send; set for ActionWrite
 }
 
 // applyAction carries out one action requested by the machine. It runs on the machine's goroutine.
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// Bounds on the delay before a listener accepts again after an error; the delay doubles with each error in a row.
 const (
 	minAcceptBackoff = time.Millisecond
 	maxAcceptBackoff = 250 * time.Millisecond
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -29,23 +29,23 @@
 	cancel     context.CancelFunc
 	listeners  []net.Listener // in the order of Bootstrap.Listen
 	background sync.WaitGroup // the goroutines of listeners, dials and the persister
-	wake       chan struct{}  // holds one token while the queue may have entries
+	wake       chan struct{}  // holds one token while queue may have entries
 	done       chan struct{}  // closed when the loop has ended
 	err        error          // why the loop ended; valid once done is closed
 
-	mu              sync.Mutex
-	spaceFreed      *sync.Cond // signaled when the queue is emptied, a connection is closed, or the loop stops
-	queue           []queueEntry
+	mu              sync.Mutex        // guards the fields down to stats
+	spaceFreed      *sync.Cond        // on mu; signaled when queue is emptied, a connection is closed, or the loop stops
+	queue           []queueEntry      // inputs and functions for the next step of the machine
 	queuedBytes     int               // bytes of Input.Data in queue
 	connectionCount int               // connections that are open or being dialed
 	lastAccepted    statemachine.Conn // number of the last accepted connection
 	stopping        bool              // no goroutine may wait for spaceFreed any more
 	stats           Stats
 
-	tasksMu sync.Mutex
-	tasks   map[gnet.EventLoop][]connectionTask // pending tasks of each event loop, in order
+	tasksMu sync.Mutex                          // guards tasks
+	tasks   map[gnet.EventLoop][]connectionTask // pending tasks of each event loop, in the order of submission
 
-	connections map[statemachine.Conn]*connection // owned by the machine's goroutine
+	connections map[statemachine.Conn]*connection // by id; owned by the machine's goroutine
 	persister   *persister                        // nil: nothing is persisted
 }
 
--- a/internal/eventloop/persister.go
+++ b/internal/eventloop/persister.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// maxQueuedBytes limits the mutations that wait for the store. It is half the store's limit, so that a batch that is
+	// maxQueuedBytes limits the mutations that wait for the store, in bytes. It is half the store's limit, so that a batch that is
 	// being retried and a full queue fit into one frame of the store together.
 	maxQueuedBytes = store.MaxPayloadBytes / 2
 	// commitRetryDelay is the delay after a commit that failed without writing anything, for example on a full disk.
@@ -27,17 +27,17 @@
 	store  *store.Store
 	report func(statemachine.Input) // receives inputs of kind Persisted and PersistFailed
 
-	wake chan struct{} // holds one token while the queue may have mutations
+	wake chan struct{} // holds one token while queue may have mutations
 
-	mu          sync.Mutex
-	queue       store.Batch
-	queuedBatch uint64 // number of the last of the machine's batches in queue
-	closed      bool   // no more mutations are queued: the queue overflowed, or run has ended
+	mu          sync.Mutex  // guards the fields down to closed
+	queue       store.Batch // mutations that wait for a commit
+	queuedBatch uint64      // number of the last of the machine's batches in queue
+	closed      bool        // no more mutations are queued: queue overflowed, or run has ended
 
 	// Owned by run.
 	current      store.Batch // mutations being committed; a rejected commit is retried together with newer mutations
 	currentBatch uint64      // number of the last of the machine's batches in current
-	stopping     bool        // the loop is ending: the queue is committed once more, without retries
+	stopping     bool        // the loop is ending: queue is committed once more, without retries
 }
 
 func newPersister(s *store.Store, report func(statemachine.Input)) *persister {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -14,13 +14,13 @@
 
 // NodeConfig is the configuration of a coordinator process, from its configuration file and its environment.
 type NodeConfig struct {
-	Name, Listen, Discovery string          // the last two are addresses
+	Name, Listen, Discovery string          // Name of the coordinator; Listen is its own address, Discovery that of the service
 	Seed                    uint64          // of the decision module's random numbers
-	Cores                   float64         // 0: no limit
-	MemoryBytes             int64           // bytes; 0: no limit
-	Sockets                 int             // file descriptors in use at once; 0: no limit
+	Cores                   float64         // processor cores that the process may use; 0: no limit
+	MemoryBytes             int64           // memory that the process may use, in bytes; 0: no limit
+	Sockets                 int             // file descriptors that the process may have open at once; 0: no limit
 	CachedList              json.RawMessage // the last known endpoint list in discovery's format; nil if there is none
-	Settings                map[string]any  // settings of the decision module, by their names with dots
+	Settings                map[string]any  // settings of the decision module, by names such as method.0.name
 }
 
 // Env returns the value of the named environment variable, or "" if it is not set.
@@ -38,12 +38,12 @@
 
 // Limits, units and setting names of the configuration.
 const (
-	minSockets             = 64
+	minSockets             = 64 // smallest valid value of NodeConfig.Sockets other than 0
 	maxMethods             = 63 // sets of methods are bit masks in a uint64
 	bytesPerMB             = 1 << 20
 	hexadecimalBase        = 16
-	settingListing         = "listing"    // how endpoint lists are obtained
-	settingMaxPollInterval = "ask_within" // seconds
+	settingListing         = "listing"    // name of the setting: how endpoint lists are obtained
+	settingMaxPollInterval = "ask_within" // name of the setting: the longest time between two requests to discovery, in seconds
 )
 
 // Errors of ParseNodeConfig.
@@ -176,12 +176,12 @@
 
 // Defaults and bounds of the limits in Bootstrap.
 const (
-	defaultMaxProbes        = 8
-	connectionsPerProbe     = 16 // of the connection limit, for each probe that may be in flight
+	defaultMaxProbes        = 8  // probes in flight
+	connectionsPerProbe     = 16 // Bootstrap.MaxConnections divided by this number limits Bootstrap.MaxProbes
 	defaultMaxResponseBytes = 8 << 20
-	minResponseBytes        = 1 << 18
-	memoryPerResponseByte   = 16 // the longest response is 1/16 of the memory limit
-	handshakeTimeout        = 1  // seconds
+	minResponseBytes        = 1 << 18 // lower bound of Bootstrap.MaxResponseBytes, whatever the memory limit
+	memoryPerResponseByte   = 16      // the longest response of discovery is 1/16 of the memory limit
+	handshakeTimeout        = 1       // seconds
 )
 
 // Bootstrap returns what a Machine is started with at the time now, with its limits derived from the resource limits.
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -15,18 +15,18 @@
 // retry.
 type discoveryClient struct {
 	machine   *Machine
-	addr      string
-	conn      statemachine.Conn // 0: none
-	connected bool
+	addr      string            // of the discovery service
+	conn      statemachine.Conn // connection to addr; 0: none
+	connected bool              // conn is open, no longer being dialed
 
 	active         bool // a request is in flight, or waits for the connection
 	requestSent    bool // the active request was written to the connection
-	longPoll       bool // discovery may hold the active request until there is a change
+	longPoll       bool // the active request is a long poll, which discovery may hold until there is a change
 	fullList       bool // the active request is for the full list
 	fullListWanted bool // the next request must be for the full list
 
-	reused   bool // the connection has carried a complete response before
-	sentAt   statemachine.Seconds
+	reused   bool                 // conn has carried a complete response to an earlier request
+	sentAt   statemachine.Seconds // when the last request was written to conn
 	deadline statemachine.Seconds // for the response to the active request
 	response responseParser
 }
@@ -41,7 +41,7 @@
 	pollNotifyDelay statemachine.Seconds = 2
 )
 
-// defaultPollInterval is the maximum poll interval if the settings have none, because they were written for other platforms.
+// defaultPollInterval is the longest time between two requests to discovery if the settings have none, because they were written for other platforms.
 const defaultPollInterval statemachine.Seconds = 10
 
 // listPath is the path at which discovery serves the endpoint list.
--- a/internal/platform/endpoint_list.go
+++ b/internal/platform/endpoint_list.go
@@ -11,35 +11,35 @@
 // hostDocument is a backend in discovery's JSON format, whose field names it has.
 type hostDocument struct {
 	Host   string      // name of the backend
-	Dial   string      // its address; empty if it has not changed
-	Site   string      // its zone
-	Class  string      // kind of machine that it runs on
-	Block  wholeNumber // group of backends that may fail together
-	Health string      // one of the values below
+	Dial   string      // address of the backend; empty if it has not changed
+	Site   string      // zone of the backend
+	Class  string      // kind of machine that the backend runs on
+	Block  wholeNumber // number of the group of backends that may fail together
+	Health string      // one of healthActive, healthLeaving and healthLeft
 	Share  *float64    // weight; nil stands for defaultWeight
-	BornMs float64     `json:"born_ms"` // start of the process, in milliseconds
+	BornMs float64     `json:"born_ms"` // start of the backend's process, in milliseconds since the Unix epoch
 }
 
 // Values of hostDocument.Health.
 const (
 	healthActive  = "active"
-	healthLeaving = "leaving" // draining: it must get no new requests
-	healthLeft    = "left"    // removed
+	healthLeaving = "leaving" // the backend is draining: it must get no new requests
+	healthLeft    = "left"    // the backend was removed from the endpoint list
 )
 
 // listDocument is an endpoint list in discovery's JSON format: the full list, or the changes since an earlier version. Pointers
 // tell a missing field, which makes the list invalid, from a zero value.
 type listDocument struct {
-	Seq   *wholeNumber    // version
-	Whole bool            // it is the full list
-	Hosts *[]hostDocument // all backends, or those that have changed
+	Seq   *wholeNumber    // version of the list
+	Whole bool            // this is the full list, not the changes
+	Hosts *[]hostDocument // all backends, or those that have changed since the earlier version
 }
 
 // Limits on the values that are accepted from discovery.
 const (
 	maxNameBytes    = 128
-	maxShare        = 1e6
-	maxBornMs       = 1e15
+	maxShare        = 1e6     // of hostDocument.Share
+	maxBornMs       = 1e15    // of hostDocument.BornMs
 	maxExactInteger = 1 << 53 // a float64 represents every integer up to this one
 )
 
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -14,19 +14,19 @@
 
 // endpointRegistry holds the endpoint list and maps the names of backends to the ids that the decision module uses.
 type endpointRegistry struct {
-	version               int64                       // of the loaded list
+	version               int64                       // version of the loaded list
 	loaded                bool                        // a list was loaded
 	consecutiveOlderLists int                         // lists received in a row with a lower version than the loaded one
 	ids                   map[string]choice.BackendID // by name
 	backends              map[choice.BackendID]*backend
-	lastPruned            statemachine.Seconds
+	lastPruned            statemachine.Seconds // when prune last removed backends whose nameRetention has passed
 }
 
 // backend is a backend that is, or recently was, in the endpoint list.
 type backend struct {
 	name      string
 	addr      string
-	endpoint  choice.Endpoint
+	endpoint  choice.Endpoint      // as last listed
 	removedAt statemachine.Seconds // when it was removed from the list; 0 if it is still listed
 }
 
@@ -34,11 +34,11 @@
 	// nameRetention is how long a removed backend's name is kept, in seconds: a minute longer than the decision module may
 	// still refer to the backend.
 	nameRetention = choice.BackendRetention + 60
-	pruneInterval = nameRetention / 16
+	pruneInterval = nameRetention / 16 // shortest time between two searches for names to forget, in seconds
 	// olderListsUntilAccepted is the number of consecutive older lists after which discovery is assumed to have started over,
 	// and a full list is accepted despite its version.
 	olderListsUntilAccepted = 3
-	defaultWeight           = 1
+	defaultWeight           = 1 // of a backend without hostDocument.Share
 )
 
 // errOlderList reports a list with a lower version than the loaded one.
--- a/internal/platform/idle.go
+++ b/internal/platform/idle.go
@@ -10,15 +10,15 @@
 	periodicCheckInterval statemachine.Seconds = 1
 	// pauseThreshold is the time between two periodic checks above which the process is taken to have been stopped meanwhile.
 	pauseThreshold statemachine.Seconds = 3
-	minIdleTimeout statemachine.Seconds = 6
+	minIdleTimeout statemachine.Seconds = 6 // lower bound of idleTimeout
 )
 
-// Factors of the idle timeout, and defaults in seconds for the settings that they multiply.
+// Factors of idleTimeout, and defaults in seconds for the settings that they multiply.
 const (
-	idleTimeoutReportPeriods = 3
-	idleTimeoutPushTimes     = 20
-	defaultReportPeriod      = 1
-	defaultMaxPushTime       = 0.3
+	idleTimeoutReportPeriods = 3   // times the time between two reports of a proxy
+	idleTimeoutPushTimes     = 20  // times the longest time from sending a push to its acknowledgement
+	defaultReportPeriod      = 1   // seconds
+	defaultMaxPushTime       = 0.3 // seconds
 )
 
 // runPeriodicChecks closes connections whose peers have gone away without closing them, and logs changes of backends'
@@ -34,7 +34,7 @@
 }
 
 // idleTimeout returns how long a stream may send nothing while acknowledgements are missing: at least three periods of its
-// usage reports, and 20 times the longest time that an acknowledgement should take.
+// usage reports, 20 times the longest time that an acknowledgement should take, and minIdleTimeout.
 func (m *Machine) idleTimeout() statemachine.Seconds {
 	settings := m.boot.Module.Settings
 	return max(idleTimeoutReportPeriods*settings.ReportPeriod.Or(defaultReportPeriod), idleTimeoutPushTimes*settings.MaxPushTime.Or(defaultMaxPushTime), minIdleTimeout)
--- a/internal/platform/machine.go
+++ b/internal/platform/machine.go
@@ -18,7 +18,7 @@
 	Name       string        // of the coordinator
 	Discovery  string        // address of the discovery service
 	Module     choice.Config // configuration of the decision module
-	CachedList []byte        // the last known endpoint list in discovery's format, empty if there is none
+	CachedList []byte        // the last known endpoint list in discovery's format; empty: none
 	// MaxConnections limits the open connections. Above the limit a new connection makes the Machine close the oldest
 	// connection that has not completed its handshake.
 	MaxConnections   int
@@ -38,8 +38,8 @@
 
 	sessions    map[statemachine.Conn]*session
 	handshaking []*session        // oldest first; may contain sessions that are no longer in their handshake
-	streams     []*stream         // by proxy number; nil for a proxy that is not joined
-	collectors  []*session        // may contain closed ones until the next periodic check
+	streams     []*stream         // by proxy number; nil for a proxy that has no stream
+	collectors  []*session        // sessions of joined collectors; may contain closed ones until the next periodic check
 	lastDialed  statemachine.Conn // the connection number given to the last dialed connection
 
 	// Derived from the settings.
@@ -50,17 +50,17 @@
 
 	events   []choice.Event       // queued for the next step of the decision module
 	timerDue statemachine.Seconds // time of the earliest timer that the decision module has set
-	timerID  choice.TimerID       // of that timer
+	timerID  choice.TimerID       // of the timer due at timerDue
 
 	// Times.
-	lastDecision      statemachine.Seconds // the last step of the decision module
-	lastRestart       statemachine.Seconds // the last replacement of a failed decision module
-	lastReceived      statemachine.Seconds // the last data from a proxy, a collector or a connection in its handshake
+	lastDecision      statemachine.Seconds // when the decision module last ran a step
+	lastRestart       statemachine.Seconds // when a failed decision module was last replaced
+	lastReceived      statemachine.Seconds // when data last came from a proxy, a collector or a connection in its handshake
 	lastPeriodicCheck statemachine.Seconds
 	lastPauseEnd      statemachine.Seconds // the end of the last period in which the process did not run
 
 	pendingReload   *Bootstrap                  // set by Reload until the next step
-	problemCounts   map[problem]int             // counted by logThrottled
+	problemCounts   map[problem]int             // number of times that each problem occurred, counted by logThrottled
 	loggedUnhealthy map[choice.BackendID]string // why the decision module avoids a backend, as last logged
 	stats           Stats
 }
@@ -96,7 +96,7 @@
 }
 
 const (
-	defaultSoftDeadline = 1       // seconds
+	defaultSoftDeadline = 1       // of a method whose settings have none, in seconds
 	maxProxies          = 1 << 16 // the protocol's proxy numbers go up to 65535
 )
 
@@ -131,10 +131,10 @@
 	}
 }
 
-// Bounds on the time until the next step.
+// Bounds on the time until the next step of the Machine.
 const (
 	minWakeDelay statemachine.Seconds = 1e-4
-	maxTimer     statemachine.Seconds = 3600 // used until the decision module sets its next timer
+	maxTimer     statemachine.Seconds = 3600 // from a fired timer on, until the decision module sets its next one
 )
 
 // Step implements statemachine.Machine.
--- a/internal/platform/probes.go
+++ b/internal/platform/probes.go
@@ -15,7 +15,7 @@
 	backend   choice.BackendID
 	endpoint  choice.Endpoint // as listed when the probe started
 	startedAt statemachine.Seconds
-	addr      string
+	addr      string // of the backend when the probe started
 	response  responseParser
 }
 
@@ -27,14 +27,14 @@
 }
 
 const (
-	queuedProbesPerActive = 4 // limit on the queue's length, in multiples of the limit on probes in flight
+	queuedProbesPerActive = 4 // limit on the length of prober.queue, in multiples of Bootstrap.MaxProbes
 	maxProbeResponseBytes = 1 << 14
 )
 
 // Paths at which backends answer probes.
 const (
 	healthPath = "/-/healthy"
-	loadPath   = "/-/load" // the response has a load report
+	loadPath   = "/-/load" // the response contains the backend's load report
 )
 
 // enqueue queues a probe unless one of the same backend is queued. If the queue is full, the probe is dropped: the decision
--- a/internal/platform/push.go
+++ b/internal/platform/push.go
@@ -12,7 +12,7 @@
 type tableChange struct {
 	table      choice.TableID
 	methods    uint64 // bit mask of the methods that the table is bound for; 0 stands for all
-	complete   bool   // the entries replace the whole table
+	complete   bool   // entries replace the whole table
 	entries    []fanout.TableEntry
 	admissions []fanout.Admission
 }
--- a/internal/platform/recovery.go
+++ b/internal/platform/recovery.go
@@ -18,7 +18,7 @@
 	errResponsePanic = errors.New("handling the response panicked")
 )
 
-// restartDelay is the delay before the first step of a restarted decision module if the last restart was less than this
+// restartDelay is the delay before the first step of a restarted decision module if the restart before was less than this
 // time ago.
 const restartDelay statemachine.Seconds = 1
 
--- a/internal/platform/response.go
+++ b/internal/platform/response.go
@@ -22,19 +22,19 @@
 // would have to parse from the start again with each piece that is received.
 type responseParser struct {
 	buffer        []byte // all bytes received
-	maxBytes      int    // limit on the size of the response, kept by reset
+	maxBytes      int    // limit on the size of the response; reset keeps this limit
 	headerScanned int    // number of bytes that were searched for the end of the header
 	headerRead    bool   // the header was parsed
 	chunked       bool
-	contentLength int  // -1 if unknown
+	contentLength int  // of the body in bytes; -1 if unknown
 	offset        int  // in buffer, of the body or, if chunked, of the next chunk
 	inTrailer     bool // the last chunk was passed, and only trailer lines follow
-	parseCount    int  // calls of http.ReadResponse
+	parseCount    int  // number of calls of http.ReadResponse so far
 }
 
 const (
 	maxHeaderBytes      = 1 << 14
-	maxChunkHeaderBytes = 1 << 12 // also of a line in the trailer
+	maxChunkHeaderBytes = 1 << 12 // of the line before a chunk, and of a line in the trailer
 	maxContentLength    = 1 << 40 // a longer response is treated as this long
 )
 
--- a/internal/platform/sessions.go
+++ b/internal/platform/sessions.go
@@ -27,7 +27,7 @@
 	decoder  wire.Decoder
 	stream   *stream // set for roleProxy
 	probe    *probe  // set for roleProbe
-	zone     string  // set for roleCollector
+	zone     string  // whose reports the collector forwards; set for roleCollector
 
 	lastReceived statemachine.Seconds // when data was last received; set for accepted connections
 }
--- a/internal/platform/streams.go
+++ b/internal/platform/streams.go
@@ -17,9 +17,9 @@
 	zone       choice.Zone
 	rate       float64 // RPCs per second that the proxy usually gets, as reported when it joined
 
-	inFlight            []choice.Nonce       // nonces sent on this stream and not acknowledged, oldest first
+	inFlight            []choice.Nonce       // nonces sent on this stream and not acknowledged by the proxy, oldest first
 	unacknowledgedSince statemachine.Seconds // when a nonce was last added to an empty inFlight; unused while that is empty
-	lastReceived        statemachine.Seconds // when data was last received
+	lastReceived        statemachine.Seconds // when data was last received on this stream
 
 	// sentExclusions has the last exclusion state sent on this stream: true for an excluded backend, false for a restored one.
 	// A proxy keeps exclusions across streams, and other coordinators send them as well. So the state of a backend that is
@@ -28,7 +28,7 @@
 	joinedEmpty    bool // the proxy held nothing when it joined; cleared by forgetBackends
 }
 
-// maxNoncesInFlight limits the nonces stored for a proxy that does not acknowledge.
+// maxNoncesInFlight limits the length of stream.inFlight for a proxy that does not acknowledge.
 const maxNoncesInFlight = 256
 
 // join makes a connection the stream of a proxy. A connection that was accepted earlier and holds the stream of the same
--- a/internal/platform/wire/decoder.go
+++ b/internal/platform/wire/decoder.go
@@ -16,8 +16,8 @@
 	// highest limit.
 	MaxBytes int
 
-	buffer []byte
-	start  int // offset in buffer of the first byte that is not decoded yet
+	buffer []byte // received bytes that are not dropped yet
+	start  int    // offset in buffer of the first byte that is not decoded yet
 }
 
 // Feed appends received bytes.
--- a/internal/platform/wire/encoder.go
+++ b/internal/platform/wire/encoder.go
@@ -24,11 +24,11 @@
 	Methods  []string // the methods that the part concerns; none stands for all methods
 	Complete bool     // the entries replace the whole table of the methods
 	Entries  []TableEntry
-	// Admission is nil if the part does not change it.
+	// Admission is nil if the part does not change the methods' admission.
 	Admission *Admission
 	Exclude   []string // names of backends that must not be used
 	Restore   []string // names of excluded backends that may be used again
-	// Nonce is what the proxy must acknowledge, nil if no acknowledgement is wanted.
+	// Nonce is the number that the proxy must return in its Acknowledgement; nil: none is wanted.
 	Nonce *int
 }
 
@@ -74,17 +74,17 @@
 
 // Upper bounds for the encoded size of what is written.
 const (
-	maxFixedPartBytes = 256 // of a part without its lists
-	maxWeightBytes    = 26  // of a weight with its separators
+	maxFixedPartBytes = 256 // of a part without its lists, in bytes
+	maxWeightBytes    = 26  // of a weight with its separators, in bytes
 )
 
 // partSplitter distributes the lists of a part over several parts that do not exceed a size limit.
 type partSplitter struct {
 	methods  []string
-	capacity int // bytes for the lists of one part
-	used     int // bytes used by the lists of current
-	current  Part
-	filled   []Part // the parts before current
+	capacity int    // limit on used
+	used     int    // upper bound for the encoded size of the lists of current, in bytes
+	current  Part   // the part that list elements are added to
+	filled   []Part // the complete parts before current
 }
 
 // splitPart splits a part into parts of at most maxBytes each. Complete is set in the first of them; Admission and Nonce
@@ -182,7 +182,7 @@
 // Range and precision of encoded numbers.
 const (
 	maxEncodedNumber = 1e9
-	encodedDecimals  = 6
+	encodedDecimals  = 6 // digits after the decimal point
 	minEncodedNumber = "0.000001"
 )
 
--- a/internal/platform/wire/fields.go
+++ b/internal/platform/wire/fields.go
@@ -10,12 +10,12 @@
 // Upper limits of received numbers. They are far above any real value, and low enough for sums to stay exact.
 const (
 	maxIdentifier   = 1<<16 - 1 // proxy numbers and nonces
-	maxCountOrRate  = 1e7       // numbers of RPCs, attempts and failures, and RPCs per second
+	maxCountOrRate  = 1e7       // counts of RPCs, attempts and failures, and rates in RPCs per second
 	maxMilliseconds = 3.6e6     // an hour
 )
 
 const (
-	maxNameBytes          = 128 // of the names of zones, backends and methods
+	maxNameBytes          = 128 // limit on the length of the names of zones, backends and methods
 	millisecondsPerSecond = 1000
 )
 
--- a/internal/platform/wire/messages.go
+++ b/internal/platform/wire/messages.go
@@ -8,7 +8,7 @@
 // Limits of the platform.
 const (
 	MaxMessageBytes    = 1 << 20 // size in bytes of a message, or of a part of a push, with its line end
-	MaxPartsPerMessage = 64      // number of parts in one message
+	MaxPartsPerMessage = 64      // number of parts of one push
 )
 
 // Message is a decoded message: a CollectorJoin, ProxyJoin, Acknowledgement, AttemptReport, UsageReport or Heartbeat.
@@ -38,7 +38,7 @@
 	Attempts, Failures int
 	MeanLatency        float64            // of successful attempts, in seconds
 	Span               float64            // the period that the report covers, in seconds
-	Load               map[string]float64 // the load report of the backend, by name of the value; nil if there is none
+	Load               map[string]float64 // the load report of the backend: its values by their names; nil if there is none
 }
 
 // UsageReport sums up the RPCs of one method that arrived at a proxy.
--- a/internal/proto/codec.go
+++ b/internal/proto/codec.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Message types on the wire.
+// Message types, as in the type byte of a frame.
 const (
 	typeHello MessageType = iota + 1
 	typeWelcome
--- a/internal/proto/encoding.go
+++ b/internal/proto/encoding.go
@@ -6,12 +6,12 @@
 	"unicode/utf8"
 )
 
-const float64Size = 8
+const float64Size = 8 // bytes of an encoded floating-point number
 
 // decoder reads the fields of one frame. It keeps the first error, after which every field is read as zero or empty.
 type decoder struct {
-	unread []byte
-	err    error
+	unread []byte // the bytes of the frame that follow the last field read
+	err    error  // the first error
 }
 
 // fail records the first error and drops the unread bytes.
--- a/internal/proto/errors.go
+++ b/internal/proto/errors.go
@@ -12,7 +12,7 @@
 	errNotUTF8   = errors.New("a word is not UTF-8")
 )
 
-// frameSizeError reports a frame with no bytes or more bytes than the limit.
+// frameSizeError reports a frame whose length field is 0 or above the limit; both are in bytes.
 type frameSizeError struct{ size, limit int }
 
 func (e *frameSizeError) Error() string {
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("a frame of unknown type %d", e.messageType)
 }
 
-// trailingBytesError reports bytes after the last field of a message.
+// trailingBytesError reports bytes after the last field of a message; count is their number.
 type trailingBytesError struct{ count int }
 
 func (e *trailingBytesError) Error() string { return fmt.Sprintf("%d bytes too many", e.count) }
--- a/internal/proto/frame.go
+++ b/internal/proto/frame.go
@@ -49,10 +49,10 @@
 // Reader splits a byte stream into messages. The zero value is ready for use, and accepts frames of up to MaxHandshakeFrame
 // bytes until HandshakeDone is called.
 type Reader struct {
-	buffer   []byte
-	consumed int   // bytes at the start of buffer that Next has decoded
-	maxFrame int   // bytes; 0 until HandshakeDone
-	err      error // returned by all calls of Next after the first error
+	buffer   []byte // bytes passed to Feed, without those already dropped
+	consumed int    // bytes at the start of buffer that Next has decoded
+	maxFrame int    // limit on a frame's size in bytes; 0, which stands for MaxHandshakeFrame, until HandshakeDone
+	err      error  // the first error that Next returned; all later calls return it too
 }
 
 // HandshakeDone raises the size limit of frames to MaxFrame.
--- a/internal/proto/messages.go
+++ b/internal/proto/messages.go
@@ -25,8 +25,8 @@
 // Outcomes of an attempt, a probe or an RPC.
 const (
 	StatusOK       Status = iota
-	StatusRejected        // the backend did not run it, so that the RPC may be retried whatever its effect
-	StatusAborted         // the backend may have run it
+	StatusRejected        // the backend did not run the attempt, so that the RPC may be retried whatever its effect
+	StatusAborted         // the backend may have run the attempt
 	statusCount
 )
 
@@ -40,9 +40,9 @@
 
 // Kinds of an EndpointUpdate.
 const (
-	UpdateFull   UpdateKind = iota // the whole list
-	UpdateDelta                    // the changes from BaseVersion to Version
-	UpdateFailed                   // no endpoints: the call failed, or the watch ended
+	UpdateFull   UpdateKind = iota // the whole endpoint list
+	UpdateDelta                    // the endpoints that changed between the list's versions BaseVersion and Version
+	UpdateFailed                   // no endpoints: the request for them failed, or the watch ended
 	updateKindCount
 )
 
@@ -62,7 +62,7 @@
 
 // Kinds of a TableOp.
 const (
-	OpBind      OpKind = iota // replaces a whole table and all exclusions, and assigns the table to some methods
+	OpBind      OpKind = iota // replaces a whole table and all exclusions of the proxy, and assigns the table to some methods
 	OpSetEntry                // sets one entry of a table; weight 0 removes it
 	OpClear                   // removes all entries and admissions of a table
 	OpAdmission               // sets the admission level and the retry policy of some methods
@@ -71,7 +71,7 @@
 	opKindCount
 )
 
-// maxRetryPolicy is the largest number of a retry policy on the wire.
+// maxRetryPolicy is the largest number of a retry policy (Admission.Retry) on the wire.
 const maxRetryPolicy = 3
 
 type (
@@ -85,13 +85,13 @@
 		Rate        float64 // RPCs per second that the proxy usually receives
 		HasNoTables bool    // the proxy holds no table of any coordinator
 		TablesOf    string  // name of the coordinator whose tables the proxy holds
-		Nonce       uint64  // of the last push from that coordinator that the proxy applied
+		Nonce       uint64  // of the last push from the coordinator TablesOf that the proxy applied
 	}
 	// Welcome accepts a Hello.
 	Welcome struct {
 		Version      uint64
 		Name         string
-		ReportPeriod float64  // seconds between two Reports
+		ReportPeriod float64  // seconds between two Reports that the proxy sends
 		Methods      []string // names of the methods, in the order of their numbers
 	}
 	// Reject ends a stream and says why. Either side may send it.
@@ -99,9 +99,9 @@
 	// Push contains the table operations that one step of the coordinator causes for one proxy.
 	Push struct {
 		Sequence      uint64 // number of the push on its stream, from 1 without gaps
-		QueuedEntries uint64 // table entries, with overhead, left in the coordinator's push queue when it sent this push
+		QueuedEntries uint64 // left in the coordinator's queue of pushes when it sent this one: table entries, with each push's overhead in entries
 		HasNonce      bool   // whether the proxy must acknowledge the push, with Nonce
-		Nonce         uint64
+		Nonce         uint64 // unused without HasNonce
 		Ops           []TableOp
 	}
 	// TableOp is one operation of a Push. Which of the other fields it uses depends on Kind.
@@ -117,7 +117,7 @@
 	TableEntry struct {
 		Backend  BackendID
 		Weight   float64
-		Excluded bool // whether the backend is excluded at the time of the push
+		Excluded bool // whether the backend is excluded at the time of the push, so that the proxy sends it nothing
 		Addr     string
 	}
 	// Admission is the admission level and the retry policy of some methods.
@@ -128,13 +128,13 @@
 	}
 	// Acknowledgement reports that the push with this nonce, and all pushes before it, took effect.
 	Acknowledgement struct{ Nonce uint64 }
-	// Reports contains what a proxy measured in the last report period.
+	// Reports contains what a proxy measured in the last report period (Welcome.ReportPeriod).
 	Reports struct {
 		Span     float64 // seconds that the reports cover
 		Usage    []UsageReport
 		Attempts []AttemptReport
 	}
-	// UsageReport counts the RPCs of one method that a proxy received, and those of them that failed.
+	// UsageReport counts the RPCs of one method, given by its number, that a proxy received, and those of them that failed.
 	UsageReport struct{ Method, RPCs, Failures uint64 }
 	// AttemptReport counts the attempts of a proxy at one backend.
 	AttemptReport struct {
@@ -154,22 +154,22 @@
 	// EndpointUpdate contains the endpoint list, the changes in it, or the reason of a failure.
 	EndpointUpdate struct {
 		Kind        UpdateKind
-		BaseVersion uint64 // the version that an UpdateDelta changes
-		Version     uint64
-		Reason      string // of an UpdateFailed
-		Endpoints   []Endpoint
+		BaseVersion uint64     // version of the list that an UpdateDelta changes
+		Version     uint64     // version of the list after the update
+		Reason      string     // of the failure, in an UpdateFailed
+		Endpoints   []Endpoint // of all backends, or of those that an UpdateDelta changes
 	}
 	// Endpoint is the entry of a backend in the endpoint list.
 	Endpoint struct {
 		Backend        BackendID
 		State          BackendState
-		Kind           string // of machine
+		Kind           string // kind of machine that the backend runs on
 		Zone           string
 		Cell           uint64 // number of the group of backends that may fail together
 		Weight         float64
-		StartedLongAgo bool    // the process has been running for a long time, and Age has no meaning
-		Incarnation    uint64  // differs for each start of the process
-		Age            float64 // seconds since the start of the process
+		StartedLongAgo bool    // the backend's process has been running for a long time, and Age has no meaning
+		Incarnation    uint64  // differs for each start of the backend's process
+		Age            float64 // seconds since the start of the backend's process
 		Addr           string
 	}
 	// RPC sends one attempt of an RPC to a backend.
@@ -184,8 +184,8 @@
 	Reply struct {
 		ID      uint64
 		Status  Status
-		HasLoad bool
-		Load    float64 // RPCs that the backend runs or has queued, per core
+		HasLoad bool    // whether Load is set
+		Load    float64 // RPCs that the backend runs or has queued, per core of the backend
 	}
 	// Probe is a health check of a backend.
 	Probe struct{ ID uint64 }
--- a/internal/store/batch.go
+++ b/internal/store/batch.go
@@ -7,15 +7,15 @@
 	"github.com/tidwall/btree"
 )
 
-// Operation codes in a payload. They are part of the file format.
+// Operation codes in the payload of a frame (see frame.go), part of the format of segments and snapshots.
 const (
 	opPut         = 1
 	opDelete      = 2
-	opSnapshotEnd = 3 // end of a snapshot, followed by the number of its keys
-	opCloseMarker = 4 // written by Close: all preceding batches are durable
+	opSnapshotEnd = 3 // in the last frame of a snapshot, followed by the number of the snapshot's keys
+	opCloseMarker = 4 // in the log, written by Close: all preceding batches are durable
 )
 
-// noSnapshotEnd is returned instead of a number of keys for a payload without an opSnapshotEnd.
+// noSnapshotEnd is what decodePayload returns instead of a number of keys for a payload without an opSnapshotEnd.
 const noSnapshotEnd = -1
 
 // errInvalidPayload is a possible cause of a CorruptionError.
@@ -23,8 +23,8 @@
 
 // Batch is a list of changes that is written atomically. The zero Batch is empty.
 type Batch struct {
-	payload []byte // the changes, encoded as in the file
-	changes int    // number of changes
+	payload []byte // the changes, encoded as in the payload of a frame in the log
+	changes int    // number of changes in payload
 }
 
 // Put sets the value of a key. The value is copied.
@@ -109,10 +109,10 @@
 	return snapshotKeys, decoder.err
 }
 
-// payloadDecoder reads the elements of a payload. After the first error uvarint returns 0 and bytes returns nil.
+// payloadDecoder reads the operation codes, lengths, keys and values of a payload. After the first error uvarint returns 0 and bytes returns nil.
 type payloadDecoder struct {
-	rest []byte
-	err  error
+	rest []byte // the part of the payload that is not decoded yet
+	err  error  // errInvalidPayload or nil
 }
 
 // kind reads an operation code. The payload must not be at its end.
--- a/internal/store/check.go
+++ b/internal/store/check.go
@@ -27,21 +27,21 @@
 	Damage     error // a CorruptionError; nil if Intact
 	Files      []FileReport
 	Keys       int
-	Batches    int      // number of batches read from the log
-	Unreadable []string // unreadable parts that are followed by readable batches
-	Recovery   Recovery // set if Intact
+	Batches    int      // number of frames read from segments: batches and close markers
+	Unreadable []string // descriptions of the unreadable parts that are followed by readable batches
+	Recovery   Recovery // what opening the store would report, without RemovedFiles; set if Intact
 
 	storeID       uint64
-	index         *btree.Map[string, []byte]
-	lastSequence  uint64
-	highestNumber uint64 // highest number of any segment or snapshot
+	index         *btree.Map[string, []byte] // the values that could be read, by key
+	lastSequence  uint64                     // sequence number of the last batch that could be read
+	highestNumber uint64                     // highest number of any segment or snapshot
 }
 
 // FileReport describes one file of a store.
 type FileReport struct {
 	Name   string
 	Bytes  int
-	Frames int    // number of frames that were applied
+	Frames int    // number of frames of the file that were applied to the index
 	State  string // one of the states above, or why the file can't be read
 }
 
@@ -85,10 +85,10 @@
 	return report, nil
 }
 
-// salvager reads all intact frames in order and skips damaged parts.
+// salvager reads all intact frames of a store in order and skips damaged parts.
 type salvager struct {
 	*CheckReport
-	names    []string          // of all files, sorted
+	names    []string          // of all files in the store's folder, sorted
 	contents map[string][]byte // of the manifest, segments and snapshots, by name
 	manifest manifest
 	// manifestDamage is the reason why the manifest can't be read; nil if it can.
--- a/internal/store/compaction.go
+++ b/internal/store/compaction.go
@@ -5,7 +5,8 @@
 	"fmt"
 )
 
-// compactionRatio is the ratio of log size to snapshot size above which the log is compacted.
+// compactionRatio is the ratio of log size to snapshot size above which the log is compacted, if the log is also larger
+// than Options.MinCompactionBytes.
 const compactionRatio = 2
 
 // needsCompaction reports whether the log is large enough to be compacted; the caller holds mu.
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -21,15 +21,15 @@
 // The layout ensures that no part of a header that may lie in a sector of its own is all zeros. This distinguishes a sector
 // that was never written from one that was corrupted on the disk.
 const (
-	fileHeaderSize  = 40 // bytes
-	frameHeaderSize = 32 // bytes
-	frameAlignment  = 8  // bytes; every frame starts at a multiple of it
-	paddingByte     = 0xff
-	// MaxPayloadBytes limits the size of the payload of a batch.
+	fileHeaderSize  = 40   // bytes
+	frameHeaderSize = 32   // bytes
+	frameAlignment  = 8    // bytes; every frame starts at a multiple of it
+	paddingByte     = 0xff // fills a file header, and a frame up to the next multiple of frameAlignment
+	// MaxPayloadBytes limits the size of the payload of a batch, in bytes.
 	MaxPayloadBytes = 64 << 20
 )
 
-// Offsets of the fields of a file header.
+// Offsets of the fields of a file header, in bytes from its start.
 const (
 	fileStoreIDOffset  = 8
 	fileNumberOffset   = 16
@@ -38,7 +38,7 @@
 	filePaddingOffset  = 36
 )
 
-// Offsets of the fields of a frame header.
+// Offsets of the fields of a frame header, in bytes from its start.
 const (
 	frameHeaderChecksumOffset  = 4
 	frameLengthOffset          = 8
@@ -147,7 +147,7 @@
 // frame is one batch as read from a file.
 type frame struct {
 	size     int    // bytes, including header and padding
-	sequence uint64 // number of the batch; in a snapshot the number of the frame, from 1
+	sequence uint64 // in the log the sequence number of the batch; in a snapshot the number of the frame, from 1
 	// durable is the sequence number of the last batch that was known to be durable when the frame was written. It proves
 	// whether an earlier frame that is torn was acknowledged.
 	durable uint64
--- a/internal/store/manifest.go
+++ b/internal/store/manifest.go
@@ -38,7 +38,7 @@
 type manifest struct {
 	storeID      uint64
 	snapshot     uint64 // number of the snapshot; 0: none
-	firstSegment uint64 // number of the first segment after the snapshot
+	firstSegment uint64 // number of the first segment after the snapshot; earlier segments are not read
 }
 
 // encode returns the content of the manifest file.
--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -42,11 +42,11 @@
 // Recovery reports what was found when a store was opened.
 type Recovery struct {
 	SnapshotFrames int // number of frames read from the snapshot
-	LogFrames      int // number of frames read from the log after the snapshot
+	LogFrames      int // number of frames read from the segments after the snapshot: batches and close markers
 	Keys           int
-	LastSequence   uint64   // sequence number of the last batch
-	LogBytes       int64    // size of the segments that were read
-	TornBytes      int64    // size of the torn, never acknowledged tail of the log
+	LastSequence   uint64   // sequence number of the last batch in the store
+	LogBytes       int64    // size in bytes of the segments that were read
+	TornBytes      int64    // size in bytes of the torn, never acknowledged tail of the log
 	TornFile       string   // segment in which the torn tail begins; "": none
 	RemovedFiles   []string // files that were no longer needed
 }
@@ -54,7 +54,7 @@
 // recovery reads the store in a folder without changing anything there.
 type recovery struct {
 	folder disk.Folder
-	names  []string // of all files, sorted
+	names  []string // of all files in folder, sorted
 
 	manifest      manifest
 	absent        bool // the folder contains no store
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	snapshotStepBytes = 64 << 10 // approximate payload size that one step writes, in bytes
+	snapshotStepBytes = 64 << 10 // approximate payload size that one step of a snapshotWriter writes, in bytes
 	// snapshotSyncBytes is the number of bytes that are written between two syncs of a snapshot. Frequent small syncs keep a
 	// sync of the log from waiting for a large sync of the snapshot.
 	snapshotSyncBytes = 1 << 20
 )
 
-// snapshotWriter writes a snapshot of the store at one point in time, in steps. The file is not read until the manifest
-// names it.
+// snapshotWriter writes a snapshot of the store at one point in time, in steps. The snapshot's file is not read until the
+// manifest names it.
 type snapshotWriter struct {
 	store         *Store
 	header        fileHeader
-	index         *btree.Map[string, []byte] // copy of the store's index at that time
-	file          disk.File                  // nil before the first step
-	lastKey       string                     // last key written
-	started       bool                       // at least one key was written
-	frames        uint64                     // number of frames written
-	bytes         int64                      // size of the file
-	unsyncedBytes int64                      // bytes written since the last sync
+	index         *btree.Map[string, []byte] // copy of the store's index at the time of the snapshot
+	file          disk.File                  // the snapshot's file; nil before the first step
+	lastKey       string                     // last key written to file
+	started       bool                       // at least one key was written, so lastKey is set
+	frames        uint64                     // number of frames written to file so far
+	bytes         int64                      // size of file so far
+	unsyncedBytes int64                      // bytes written to file since its last sync
 }
 
 // newSnapshotWriter returns a writer for a snapshot of all batches written so far. The copy of the index is copy-on-write,
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -54,7 +54,7 @@
 	folder  disk.Folder
 	lock    io.Closer // exclusive lock of the folder
 
-	mu                      sync.Mutex // not held during a sync; held during at most one append to the log
+	mu                      sync.Mutex // guards the fields down to writeBuffer; held during an append to the log, not during a sync
 	index                   *btree.Map[string, []byte]
 	lastSequence            uint64     // sequence number of the last batch written
 	durable                 uint64     // sequence number of the last durable batch
@@ -62,24 +62,24 @@
 	sealed                  []*segment // earlier segments that may contain batches that are not durable yet
 	broken                  error      // wraps ErrBroken; nil if the store accepts writes
 	closed                  bool
-	logBytes                int64 // size of the segments after the current snapshot
-	snapshotBytes           int64 // size of the current snapshot
-	compactionRetryLogBytes int64 // log size at which a failed compaction is attempted again; 0: none failed
+	logBytes                int64 // size in bytes of the segments after the current snapshot
+	snapshotBytes           int64 // size in bytes of the current snapshot
+	compactionRetryLogBytes int64 // value of logBytes above which a failed compaction is attempted again; 0: none failed
 	stats                   Stats
 	writeBuffer             []byte // encoded frames of the group being written; reused
 
-	syncMu sync.Mutex // serializes syncs
+	syncMu sync.Mutex // serializes syncs of the log; locked before mu
 
-	commitMu    sync.Mutex // guards commitQueue and committing
-	commitQueue []*pendingWrite
-	committing  bool // a caller of Commit is the leader and writes a group
+	commitMu    sync.Mutex      // guards commitQueue and committing
+	commitQueue []*pendingWrite // writes of callers of Commit that no group includes yet
+	committing  bool            // a caller of Commit is the leader and writes a group
 
 	compactionMu sync.Mutex // serializes steps of compactions; guards manifest and compaction
 	manifest     manifest
 	compaction   *snapshotWriter // the snapshot being written; nil: no compaction is in progress
 
 	stop          chan struct{} // closed to end the background goroutine
-	compactionDue chan struct{} // holds one token if a compaction was requested
+	compactionDue chan struct{} // holds one token if a compaction by the background goroutine was requested
 	background    sync.WaitGroup
 }
 
@@ -91,8 +91,8 @@
 	RejectedWrites int
 	BytesWritten   int64 // to the log and snapshots
 	Keys           int
-	LogBytes       int64 // size of the segments after the current snapshot
-	SnapshotBytes  int64 // size of the current snapshot
+	LogBytes       int64 // size in bytes of the segments after the current snapshot
+	SnapshotBytes  int64 // size in bytes of the current snapshot
 }
 
 // Get returns the value of a key. The caller must not modify it.
--- a/internal/store/write.go
+++ b/internal/store/write.go
@@ -8,7 +8,7 @@
 // pendingWrite is a batch that is being written, and its result.
 type pendingWrite struct {
 	batch    *Batch
-	sequence uint64            // set when the batch is encoded
+	sequence uint64            // sequence number of the batch, set when the batch is encoded
 	err      error             // set if the write or sync fails
 	signal   chan commitSignal // wakes the waiting caller of Commit; nil for Write
 }
