--- a/cmd/gingerfork/asyncwriter.go
+++ b/cmd/gingerfork/asyncwriter.go
@@ -10,12 +10,12 @@
 // reader that stops reading must not stop the coordinator. Lines that arrive while the queue is full are dropped and counted.
 type asyncWriter struct {
 	target io.Writer
-	lines  chan []byte
+	lines  chan []byte   // the queue; closed by closeAndFlush
 	done   chan struct{} // closed when all queued lines have been written
 
-	mu      sync.Mutex
-	closed  bool
-	dropped int // lines dropped since the last call of reportDropped
+	mu      sync.Mutex // guards closed, dropped and sends to lines
+	closed  bool       // lines is closed
+	dropped int        // lines dropped since the last call of reportDropped
 }
 
 // newAsyncWriter starts a writer to target that queues at most maxQueuedLines lines. closeAndFlush stops it.
--- a/cmd/gingerfork/emulate.go
+++ b/cmd/gingerfork/emulate.go
@@ -15,7 +15,7 @@
 	"gingerfork/internal/scenario"
 )
 
-// plainProgressSeconds is the number of seconds between two progress lines when the output is not a terminal.
+// plainProgressSeconds is the number of seconds between two progress lines of an emulation when the output is not a terminal.
 const plainProgressSeconds = 5
 
 var (
@@ -91,11 +91,11 @@
 // concurrent use.
 type emulationProgress struct {
 	cli  *program
-	json bool
+	json bool // statistics are printed as JSON, without steps and progress lines
 
-	mu          sync.Mutex
+	mu          sync.Mutex // guards line and scheduleLag
 	line        *progressLine
-	scheduleLag report.ScheduleLag
+	scheduleLag report.ScheduleLag // how far the emulation ran behind its schedule
 }
 
 // printSecond prints the statistics of one second.
--- a/cmd/gingerfork/endpointsource.go
+++ b/cmd/gingerfork/endpointsource.go
@@ -18,12 +18,12 @@
 	"gingerfork/internal/haproxy"
 )
 
-// endpointStatusFile is the name of the file in the state folder that records the result of the last read of the endpoint
-// file.
+// endpointStatusFile is the name of the file in the state folder that records the result of the last read of the
+// HAProxy file named by list-from.
 const endpointStatusFile = "list-from.status"
 
-// Verdicts in the status file: the endpoint list of the file is in use, was rejected by the endpoint service because it
-// would remove too many backends, or could not be read because the file is missing or invalid.
+// Verdicts in the status file on the HAProxy file: its endpoint list is in use, was rejected by the endpoint service because it
+// would remove too many backends, or could not be read because the HAProxy file is missing or invalid.
 const (
 	verdictInForce  = "in force"
 	verdictHeldBack = "held back"
@@ -37,13 +37,13 @@
 // endpointSource runs an endpoint service inside the coordinator's process, for settings that name a HAProxy file
 // (list-from) to read the endpoints from. The methods reload and stop do nothing on nil.
 type endpointSource struct {
-	file    string
-	pool    string // name of the HAProxy backend section
+	file    string // path of the HAProxy file
+	pool    string // name of the backend section in file; empty: its only one
 	dir     string // folder of the status file; empty: no status file is written
 	service *endpointservice.Service
-	loop    *eventloop.Loop
+	loop    *eventloop.Loop // runs service
 	log     *slog.Logger
-	mu      sync.Mutex // held while the status file is written, by reload or by the service's event loop
+	mu      sync.Mutex // guards the status file, which reload and the service's event loop write
 }
 
 // startEndpointSource starts the endpoint source that the settings describe, and reads its file. It returns nil if the
--- a/cmd/gingerfork/experiment.go
+++ b/cmd/gingerfork/experiment.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// experimentProgressInterval is the time between two progress lines when the output is not a terminal.
+	// experimentProgressInterval is the time between two progress lines of an experiment when the output is not a terminal.
 	experimentProgressInterval = 10 * time.Second
 	progressBarWidth           = 30 // characters
 )
@@ -102,7 +102,7 @@
 
 // experimentProgress shows how many runs are finished. It is safe for concurrent use.
 type experimentProgress struct {
-	mu            sync.Mutex
+	mu            sync.Mutex // guards line and lastPlainLine
 	line          *progressLine
 	lastPlainLine time.Time // time of the last line that was printed without a terminal
 }
--- a/cmd/gingerfork/fake.go
+++ b/cmd/gingerfork/fake.go
@@ -18,7 +18,7 @@
 	"gingerfork/internal/trace"
 )
 
-// fakeProbeWorkDivisor is the mean work of an RPC divided by that of a probe or of a new connection.
+// fakeProbeWorkDivisor is the mean work of an RPC at a fake backend divided by the work of a probe, or of a new connection.
 const fakeProbeWorkDivisor = 10
 
 var (
--- a/cmd/gingerfork/frontend.go
+++ b/cmd/gingerfork/frontend.go
@@ -5,13 +5,13 @@
 	"gingerfork/internal/fake"
 )
 
-// Defaults of a fake front end for what the settings do not say. Times are in seconds.
+// Properties of a fake front end that the settings do not have, and defaults of those that they may have. Times are in seconds.
 const (
-	frontEndAvoidDuration     = 5   // for which a backend is avoided after too many consecutive failures
-	frontEndAttemptTimeout    = 0.8 // share of the soft deadline
-	frontEndReportPeriod      = 1
-	frontEndApplyTimePerEntry = 0.0002
-	frontEndConnectTimeout    = 0.25
+	frontEndAvoidDuration     = 5      // for which the front end avoids a backend after too many consecutive failures
+	frontEndAttemptTimeout    = 0.8    // timeout of an attempt as a share of the method's soft deadline
+	frontEndReportPeriod      = 1      // between two reports
+	frontEndApplyTimePerEntry = 0.0002 // for which applying a push pauses the front end, for each table entry of the push
+	frontEndConnectTimeout    = 0.25   // for a connection to a backend
 )
 
 // frontEndConfig returns the configuration that all front ends of a fleet with these settings share. The caller adds name,
--- a/cmd/gingerfork/instance.go
+++ b/cmd/gingerfork/instance.go
@@ -22,16 +22,16 @@
 // restartKeywords are the settings that are read only at the start, so that a change needs a restart.
 var restartKeywords = []string{"listen", "list-service", "state", "list-from", "list-pool", "list-drain", "list-most-lost"}
 
-// errInstanceRenamed is returned when a reloaded file names another instance.
+// errInstanceRenamed is returned when a reloaded settings file has another instance name.
 var errInstanceRenamed = errors.New("a change of the instance name needs a restart")
 
 // instance is one coordinator of the process with its store and its endpoint source.
 type instance struct {
-	file     string
+	file     string              // path of the settings file
 	settings *bootstrap.Settings // as read at the start of the process
 	clock    *eventloop.Clock
-	source   *endpointSource
-	store    *store.Store // nil if the settings name no state folder
+	source   *endpointSource // nil if the settings name no HAProxy file
+	store    *store.Store    // in the state folder; nil if the settings name none
 	machine  *coordinator.Machine
 	loop     *eventloop.Loop
 	log      *slog.Logger
--- a/cmd/gingerfork/node.go
+++ b/cmd/gingerfork/node.go
@@ -25,10 +25,10 @@
 	// addressWait bounds the wait for the listen address while a predecessor that was just killed may still hold it. A
 	// predecessor releases it far sooner, and a restarted coordinator must be ready within 6 s.
 	addressWait     = 4 * time.Second
-	addressRetry    = addressWait / 40 // time between two attempts
-	nodeDialTimeout = 2 * time.Second
+	addressRetry    = addressWait / 40 // time between two attempts to listen
+	nodeDialTimeout = 2 * time.Second  // for each connection that the coordinator dials
 
-	maxQueuedLogLines = 4096
+	maxQueuedLogLines = 4096 // log lines beyond this number that wait for a slow reader are dropped
 	// logFlushTimeout bounds the wait for a slow log reader at the end, because a planned restart follows SIGTERM by SIGKILL.
 	logFlushTimeout = 200 * time.Millisecond
 
@@ -36,7 +36,7 @@
 	writeBufferMemoryDivisor  = 32
 	pendingInputMemoryDivisor = 16
 	largestWriteBuffer        = 4 << 20  // bytes per connection
-	largestPendingInput       = 64 << 20 // bytes
+	largestPendingInput       = 64 << 20 // bytes of all connections together
 )
 
 // errNoConfigurationFile is returned when the environment does not name the configuration file.
@@ -83,7 +83,7 @@
 
 // runningNode is a coordinator on the operators' platform.
 type runningNode struct {
-	initialConfig *platform.NodeConfig // as read at the start of the process, for comparison at a reload
+	initialConfig *platform.NodeConfig // as read at the start of the process, for comparison with the file at a reload
 	machine       *platform.Machine
 	loop          *eventloop.Loop
 	clock         *eventloop.Clock
--- a/cmd/gingerfork/version.go
+++ b/cmd/gingerfork/version.go
@@ -5,7 +5,7 @@
 	"runtime/debug"
 )
 
-// revisionLength is the number of hexadecimal digits of the commit hash that are printed.
+// revisionLength is the number of hexadecimal digits of the commit hash that the version command prints.
 const revisionLength = 12
 
 type versionCmd struct{}
--- a/internal/bench/host/host.go
+++ b/internal/bench/host/host.go
@@ -13,12 +13,13 @@
 )
 
 const (
-	// maxLists is the limit on the endpoint lists that are defined at once. The simulator reuses their numbers.
+	// maxLists is the limit on the endpoint lists that wire.DefineList has defined at once. The simulator reuses their
+	// numbers, which are below this limit.
 	maxLists   = 16
-	bufferSize = 1 << 20 // bytes
+	bufferSize = 1 << 20 // of the input and of the output, in bytes each
 )
 
-// Problems of fields that are well-formed.
+// Values of wire.FieldError.Problem for fields that are well-formed.
 var (
 	errOutOfRange      = errors.New("is out of range")
 	errUndefinedList   = errors.New("names an undefined list")
@@ -28,11 +29,11 @@
 
 // Host holds the running instances and the defined endpoint lists.
 type Host struct {
-	instances map[string]*instance // by coordinator name
-	lists     [maxLists]endpointList
+	instances map[string]*instance   // by coordinator name
+	lists     [maxLists]endpointList // by the number of the list
 }
 
-// endpointList holds the endpoint list of one number, if one is defined.
+// endpointList holds the endpoint list that wire.DefineList has defined under one number, if any.
 type endpointList struct {
 	endpoints []choice.Endpoint
 	defined   bool
--- a/internal/bench/host/instance.go
+++ b/internal/bench/host/instance.go
@@ -11,9 +11,9 @@
 type instance struct {
 	planner *choice.Planner
 	methods map[string]choice.MethodID // by name
-	events  []choice.Event             // for the next step
-	queued  bool                       // it has events in the current batch
-	failure string                     // error message of the panic that ended it; empty if there was none
+	events  []choice.Event             // for the instance's next step
+	queued  bool                       // the instance has events in the current batch
+	failure string                     // error message of the panic that ended the instance; empty if there was none
 }
 
 // startInstance creates an instance. A panic of the module fails the instance.
--- a/internal/bench/wire/batch.go
+++ b/internal/bench/wire/batch.go
@@ -18,13 +18,13 @@
 
 // Batch is one line of input: the events of one moment.
 type Batch struct {
-	Now    choice.Seconds
+	Now    choice.Seconds // time of all events
 	Events []Event
 }
 
 // Event is one event of a batch. Body is one of the types of this package or a choice.Event.
 type Event struct {
-	Coordinator string // name of the instance that it is for; empty for DefineList
+	Coordinator string // name of the instance that the event is for; empty for DefineList
 	Body        any
 }
 
--- a/internal/bench/wire/commands.go
+++ b/internal/bench/wire/commands.go
@@ -14,13 +14,13 @@
 	microsecondsPerMillisecond = 1e3
 )
 
-// Reply holds the commands of one instance.
+// Reply holds the commands of one instance in answer to a batch.
 type Reply struct {
-	Coordinator string
+	Coordinator string // name of the instance
 	Commands    []choice.Command
 }
 
-// InstanceFailed is the command that reports that an instance of the decision module has failed.
+// InstanceFailed is the command that reports that an instance of the decision module has failed; Text says why.
 type InstanceFailed struct{ Text string }
 
 // The bodies of the commands on the wire. Their fields are written in the order in which they are declared, which is the
--- a/internal/bench/wire/events.go
+++ b/internal/bench/wire/events.go
@@ -15,7 +15,7 @@
 		Seed     uint64
 		Settings map[string]any // in the form that choice.DecodeSettings reads
 	}
-	// StopInstance ends an instance.
+	// StopInstance ends the instance that the event is for.
 	StopInstance struct{}
 	// DefineList stores an endpoint list under a number, to which endpoint updates refer.
 	DefineList struct {
@@ -27,7 +27,7 @@
 	EndpointUpdate struct {
 		Kind       choice.UpdateKind
 		Version    int64
-		ListNumber int // number of the list; unused for choice.UpdateFailed
+		ListNumber int // DefineList.Number of the list; unused for choice.UpdateFailed
 	}
 	// UsageReport is a choice.UsageReport whose method is given by name; Report.Method is not set.
 	UsageReport struct {
--- a/internal/bench/wire/fields.go
+++ b/internal/bench/wire/fields.go
@@ -17,10 +17,10 @@
 
 // FieldError is the error for a field of an event that is missing or can't be used.
 type FieldError struct {
-	Event   string
-	Field   string
+	Event   string // name of the event, and of the list in the event if the field is in one
+	Field   string // name of the field on the wire
 	Problem error
-	Value   string // as received; empty for a missing field
+	Value   string // value of the field as received; empty for a missing field
 }
 
 func (e *FieldError) Error() string {
@@ -36,7 +36,7 @@
 // fieldReader decodes the fields of one event and keeps the first error. After an error all further fields are zero.
 type fieldReader struct {
 	event string
-	raw   map[string]json.RawMessage
+	raw   map[string]json.RawMessage // by field name
 	err   error
 }
 
--- a/internal/bench/wire/settings.go
+++ b/internal/bench/wire/settings.go
@@ -51,8 +51,8 @@
 
 // settingPath is the path of a value in the settings.
 type settingPath struct {
-	parts   []string // keys and indexes that lead to the value
-	pattern []string // the same with listIndex in place of each index
+	parts   []string // object keys and list indexes that lead to the value
+	pattern []string // the parts, with listIndex in place of each list index
 }
 
 // child returns the path of a value in the object or list at this path.
--- a/internal/bootstrap/include.go
+++ b/internal/bootstrap/include.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	maxFileBytes    = 4 << 20 // a larger file was presumably not meant as settings
-	maxIncludeDepth = 16      // files below the first one
+	maxFileBytes    = 4 << 20 // of one file; a larger one was presumably not meant as settings
+	maxIncludeDepth = 16      // levels of included files below the first file
 	includeKeyword  = "include"
 )
 
@@ -24,9 +24,9 @@
 // source is a file to read.
 type source struct {
 	path           string
-	displayPath    string   // path in messages
-	enclosingFiles []string // resolved paths of the files through which it is included, the outermost first
-	includedBy     Line     // for faults if the file can't be read; for the first file its line 1
+	displayPath    string   // path of this file in messages
+	enclosingFiles []string // resolved paths of the files through which this one is included, the outermost first
+	includedBy     Line     // include line, for the fault if this file can't be read; for the first file its own line 1
 }
 
 // load returns the lines of the file and of the files that it includes.
--- a/internal/bootstrap/keyword.go
+++ b/internal/bootstrap/keyword.go
@@ -13,7 +13,7 @@
 const (
 	durationSyntax syntax = iota // a number with a unit of time
 	shareSyntax                  // a percentage, or a number from 0 to 1
-	numberSyntax                 // a number of 0 or above
+	numberSyntax                 // a number of 0 or above, with or without a fraction
 	integerSyntax                // a whole number within the keyword's bounds
 	flagSyntax                   // on or off
 	wordSyntax                   // one of the keyword's choices, or any word if it has none
@@ -41,12 +41,12 @@
 	Name         string
 	Syntax       syntax
 	Choices      []string // allowed words of wordSyntax; nil allows any
-	Min          float64  // smallest number; in seconds for a duration
-	Max          float64  // largest number; 0: no bound
-	Default      string   // as it would be given in a file; or required
+	Min          float64  // smallest allowed number; in seconds for a duration, a ratio for a share
+	Max          float64  // largest allowed number, in the unit of Min; 0: no bound
+	Default      string   // value as it would be given in a settings file, or required
 	DecisionName string   // the setting's key in Settings.Values; empty for a setting in Settings.processValues or Settings.Peers
 	Doc          string   // description in docs/settings.md
-	Example      string   // a line that sets the keyword
+	Example      string   // line of a settings file that sets the keyword
 }
 
 // sectionType defines a section of a settings file.
--- a/internal/bootstrap/parser.go
+++ b/internal/bootstrap/parser.go
@@ -14,16 +14,16 @@
 // section is a section as it appears in a file.
 type section struct {
 	name         string
-	arg          string          // name of the instance or method
-	openingLine  Line            // zero for a section that the file does not have
-	keywordLines map[string]Line // the line of each keyword that is given; of a repeated one the last
+	arg          string          // name of the instance or method that the section is for
+	openingLine  Line            // zero for a section that the settings file does not have
+	keywordLines map[string]Line // by keyword, the line that gives it; of a repeated keyword the last
 }
 
 // parser converts lines to settings, one after the other.
 type parser struct {
 	settings *Settings
 	faults   Faults
-	current  *section            // nil before the first section
+	current  *section            // section that the next line belongs to; nil before the first section
 	sections map[string]*section // by section name, or by methodKey
 }
 
--- a/internal/bootstrap/settings.go
+++ b/internal/bootstrap/settings.go
@@ -10,9 +10,9 @@
 
 // Settings are the settings of a coordinator.
 type Settings struct {
-	Name    string         // name of the instance
+	Name    string         // name of the coordinator, from the line that opens the section instance
 	Values  map[string]any // settings of the decision module, in the form that choice.DecodeSettings reads
-	Methods []string       // names, in the order of their numbers
+	Methods []string       // names of the methods, in the order of their numbers
 	Peers   map[int]string // addresses of the other coordinators, by number
 
 	processValues map[string]any  // settings of the program around the decision module, by keyword; times in seconds
--- a/internal/bootstrap/values.go
+++ b/internal/bootstrap/values.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// maxDecimalBytes is the largest length of a number, in bytes.
+// maxDecimalBytes is the largest length of a number as written in a settings file, in bytes.
 const maxDecimalBytes = 24
 
 // ValueError reports a word that can't be parsed as the expected kind of value.
--- a/internal/platform/idle.go
+++ b/internal/platform/idle.go
@@ -16,7 +16,7 @@
 // Factors of idleTimeout, and defaults in seconds for the settings that they multiply.
 const (
 	idleTimeoutReportPeriods = 3   // times the time between two reports of a proxy
-	idleTimeoutPushTimes     = 20  // times the longest time from sending a push to its acknowledgement
+	idleTimeoutPushTimes     = 20  // times the longest time that a push takes to the proxy
 	defaultReportPeriod      = 1   // seconds
 	defaultMaxPushTime       = 0.3 // seconds
 )
--- a/internal/platform/wire/messages.go
+++ b/internal/platform/wire/messages.go
@@ -8,7 +8,7 @@
 // Limits of the platform.
 const (
 	MaxMessageBytes    = 1 << 20 // size in bytes of a message, or of a part of a push, with its line end
-	MaxPartsPerMessage = 64      // number of parts of one push
+	MaxPartsPerMessage = 64      // number of parts of a push in one message
 )
 
 // Message is a decoded message: a CollectorJoin, ProxyJoin, Acknowledgement, AttemptReport, UsageReport or Heartbeat.
