--- a/cmd/gingerfork/endpointsource.go
+++ b/cmd/gingerfork/endpointsource.go
@@ -22,8 +22,8 @@
 // HAProxy file named by list-from.
 const endpointStatusFile = "list-from.status"
 
-// Verdicts in the status file on the HAProxy file: its endpoint list is in use, was rejected by the endpoint service because it
-// would remove too many backends, or could not be read because the HAProxy file is missing or invalid.
+// Verdicts in the status file on the HAProxy file: its endpoint list is in use, was rejected by the endpoint service because
+// it would remove too many backends, or could not be read because the HAProxy file is missing or invalid.
 const (
 	verdictInForce  = "in force"
 	verdictHeldBack = "held back"
@@ -46,7 +46,7 @@
 	mu      sync.Mutex // guards the status file, which reload and the service's event loop write
 }
 
-// startEndpointSource starts the endpoint source that the settings describe, and reads its file. It returns nil if the
+// startEndpointSource starts the endpoint source that the settings describe, and reads its HAProxy file. It returns nil if the
 // settings name no file.
 func startEndpointSource(ctx context.Context, settings *bootstrap.Settings, dir string, clock *eventloop.Clock, log *slog.Logger) (*endpointSource, error) {
 	file := settings.Text("list-from")
@@ -84,8 +84,8 @@
 	return cached, nil
 }
 
-// applied logs whether the endpoint service applied or rejected the endpoints of the file, and updates the status file.
-// changed is the number of endpoints that differ from before.
+// applied logs whether the endpoint service applied or rejected the endpoints of the HAProxy file, and updates the status
+// file. changed is the number of endpoints that differ from before.
 func (s *endpointSource) applied(changed int, err error) {
 	if err != nil {
 		s.log.Error("endpoint file held back, the old endpoint list stays in force", "file", s.file, "cause", err.Error())
@@ -96,8 +96,8 @@
 	s.writeStatus(verdictInForce, fmt.Sprintf("%d servers changed", changed))
 }
 
-// reload reads the file and submits its endpoints to the service. If the file cannot be read or is invalid, the old list
-// stays in use.
+// reload reads the HAProxy file and submits its endpoints to the service. If the file cannot be read or is invalid, the old
+// list stays in use.
 func (s *endpointSource) reload() {
 	if s == nil {
 		return
@@ -123,8 +123,8 @@
 	return haproxy.Read([]haproxy.Source{{Name: s.file, Text: string(text)}}, haproxy.Environment{}).Servers(s.pool)
 }
 
-// writeStatus records the result of the last read of the file, for operators without access to the log. It replaces the
-// status file by a rename, so that a reader never sees a partly written file.
+// writeStatus records the result of the last read of the HAProxy file, for operators without access to the log. It replaces
+// the status file by a rename, so that a reader never sees a partly written file.
 func (s *endpointSource) writeStatus(verdict, reason string) {
 	if s.dir == "" {
 		return
--- a/cmd/gingerfork/frontend.go
+++ b/cmd/gingerfork/frontend.go
@@ -5,7 +5,8 @@
 	"gingerfork/internal/fake"
 )
 
-// Properties of a fake front end that the settings do not have, and defaults of those that they may have. Times are in seconds.
+// Properties of a fake front end that the settings do not have, and defaults of those that the settings may have. Times are
+// in seconds.
 const (
 	frontEndAvoidDuration     = 5      // for which the front end avoids a backend after too many consecutive failures
 	frontEndAttemptTimeout    = 0.8    // timeout of an attempt as a share of the method's soft deadline
--- a/cmd/gingerfork/node.go
+++ b/cmd/gingerfork/node.go
@@ -153,7 +153,7 @@
 }
 
 // reloadConfiguration reads the configuration file again and applies the address of the discovery service; other changes need
-// a restart. If the file cannot be read or is invalid, the old configuration stays in use.
+// a restart. If the configuration file cannot be read or is invalid, the old configuration stays in use.
 func (n *runningNode) reloadConfiguration() {
 	reloaded, err := readNodeConfig()
 	if err != nil {
--- a/cmd/gingerfork/progress.go
+++ b/cmd/gingerfork/progress.go
@@ -24,7 +24,7 @@
 	return line
 }
 
-// show replaces the line by text. Without a terminal it prints text as a new line, but only if plain is true.
+// show replaces the progress line by text. Without a terminal it prints text as a new line, but only if plain is true.
 func (l *progressLine) show(text string, plain bool) {
 	if l.terminal {
 		fmt.Fprintf(l.out, "\r\x1b[K%s", text)
@@ -34,7 +34,7 @@
 	}
 }
 
-// print ends the line and prints text, indented, on a line of its own.
+// print ends the progress line and prints text, indented, on a line of its own.
 func (l *progressLine) print(text string) {
 	l.end()
 	fmt.Fprintln(l.out, "  "+text)
--- a/cmd/gingerfork/scenario_output.go
+++ b/cmd/gingerfork/scenario_output.go
@@ -11,7 +11,7 @@
 	"gingerfork/internal/trace"
 )
 
-// traceBufferSize is the number of bytes of a trace above which the buffer is written to the file.
+// traceBufferSize is the number of buffered bytes of a trace above which writeRecords writes them to the trace's file.
 const traceBufferSize = 1 << 16
 
 // plot draws the plot of a report to a PNG file.
--- a/cmd/gingerfork/serve.go
+++ b/cmd/gingerfork/serve.go
@@ -82,8 +82,8 @@
 	return allSettings, err
 }
 
-// claimSettings records in owners that file uses its name, listen address and state folder. The error names those that
-// another file uses already.
+// claimSettings records in owners that the settings file uses its name, listen address and state folder. The error names those
+// that another settings file uses already.
 func claimSettings(owners map[string]string, file string, settings *bootstrap.Settings) (err error) {
 	for _, claim := range []struct{ keyword, value string }{
 		{"name", settings.Name},
--- a/internal/bootstrap/suggest.go
+++ b/internal/bootstrap/suggest.go
@@ -25,8 +25,9 @@
 	return ""
 }
 
-// editDistance returns the smallest number of edits that change source into target (optimal string alignment distance). An edit
-// inserts, deletes or replaces a byte, or swaps two neighbouring ones. For words longer than maxComparedBytes it returns that.
+// editDistance returns the smallest number of edits that change source into target (optimal string alignment distance). An
+// edit inserts, deletes or replaces a byte, or swaps two neighbouring ones. If a word is longer than maxComparedBytes,
+// maxComparedBytes is returned.
 func editDistance(source, target string) int {
 	if len(source) > maxComparedBytes || len(target) > maxComparedBytes {
 		return maxComparedBytes
--- a/internal/disk/crash.go
+++ b/internal/disk/crash.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Crash simulates a crash of the computer and returns the folder that is found after the restart; this folder returns
-// ErrCrashed from then on. survives is called once for each unsynced change: each name change, each changed file size and
-// each written sector. It decides whether that change has reached the disk. The order of the calls depends only on the
-// operations that were performed.
+// Crash simulates a crash of the computer and returns the folder that is found after the restart; operations on m and its
+// files return ErrCrashed from then on. survives is called once for each unsynced change: each name change, each changed file
+// size and each written sector. Its result decides whether that change or sector has reached the disk. The order of the calls
+// depends only on the operations that were performed.
 func (m *Memory) Crash(survives func() bool) *Memory {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/eventloop/persister.go
+++ b/internal/eventloop/persister.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// maxQueuedBytes limits the mutations that wait for the store, in bytes. It is half the store's limit, so that a batch that is
-	// being retried and a full queue fit into one frame of the store together.
+	// maxQueuedBytes limits the mutations that wait for the store, in bytes. It is half the store's limit, so that a batch
+	// that is being retried and a full queue fit into one frame of the store together.
 	maxQueuedBytes = store.MaxPayloadBytes / 2
 	// commitRetryDelay is the delay after a commit that failed without writing anything, for example on a full disk.
 	commitRetryDelay = time.Second
--- a/internal/platform/decision.go
+++ b/internal/platform/decision.go
@@ -70,7 +70,7 @@
 	return nonce
 }
 
-// push sends one proxy its message of a decision step. It does nothing if that stream has ended since.
+// push sends one proxy its message of a decision step. It does nothing if the proxy's stream has ended since the step.
 func (m *Machine) push(now statemachine.Seconds, message *fanout.Message, nonce *choice.SetNonce, out *statemachine.Effects) {
 	receiver := m.streams[message.To.Proxy]
 	if receiver == nil || receiver.subscriber != message.To {
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -41,7 +41,8 @@
 	pollNotifyDelay statemachine.Seconds = 2
 )
 
-// defaultPollInterval is the longest time between two requests to discovery if the settings have none, because they were written for other platforms.
+// defaultPollInterval is the longest time between two requests to discovery if the settings have none, because they were
+// written for other platforms.
 const defaultPollInterval statemachine.Seconds = 10
 
 // listPath is the path at which discovery serves the endpoint list.
@@ -101,7 +102,7 @@
 	d.startRequest(now, false, true, out)
 }
 
-// startRequest makes a request active and sends it, or opens a connection that it is sent on.
+// startRequest makes a request active and sends it, or opens the connection on which to send it.
 func (d *discoveryClient) startRequest(now statemachine.Seconds, longPoll, fullList bool, out *statemachine.Effects) {
 	d.active, d.requestSent, d.longPoll, d.fullList = true, false, longPoll, fullList
 	d.deadline = now + d.responseTimeout()
@@ -247,9 +248,9 @@
 }
 
 // changeAddress continues at another address. The loaded list is kept. The first request to the new address asks for all
-// changes since that list, or for the full list, so that nothing is lost of a request that was active. It is sent without
-// waiting for the backoff after failures: the backoff was for the former address, and a change of address must not delay
-// endpoint updates.
+// changes since that list, or for the full list, so that nothing is lost of a request that was active. That request to the new
+// address is sent without waiting for the backoff after failures: the backoff was for the former address, and a change of
+// address must not delay endpoint updates.
 func (d *discoveryClient) changeAddress(now statemachine.Seconds, addr string, out *statemachine.Effects) {
 	if addr == d.addr {
 		return
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -97,8 +97,8 @@
 }
 
 // checkVersion rejects a list that is older than the loaded one, since it comes from an instance of discovery that lags
-// behind. After that the full list is requested; if it is still older after several requests, discovery must have started
-// over, and the list is accepted.
+// behind. After that the full list is requested; if the full list is still older after several requests, discovery must have
+// started over, and the list is accepted.
 func (r *endpointRegistry) checkVersion(version int64, whole bool) error {
 	if !r.loaded || version >= r.version {
 		return nil
--- a/internal/platform/machine.go
+++ b/internal/platform/machine.go
@@ -1,8 +1,8 @@
 // Package platform implements a coordinator for the operators' platform: it runs one instance of the decision module (package
-// choice) and speaks the platform's protocol. Like package coordinator it is a state machine that an event loop drives, and
-// it uses package fanout to turn the module's commands into one message per proxy. It neither limits the rate of its
-// messages nor aggregates reports: the platform's channel and collectors do this, and the module allows for it. See
-// docs/platform.md for the details.
+// choice) and speaks the platform's protocol. Like package coordinator it is a state machine that an event loop drives, and it
+// uses package fanout to turn the module's commands into one message per proxy. It neither limits the rate of its messages nor
+// aggregates reports: the platform's channel, which carries the messages to the proxies, and its collectors, which forward the
+// reports of a zone's proxies, do this, and the module allows for it. See docs/platform.md for the details.
 package platform
 
 import (
@@ -66,7 +66,7 @@
 }
 
 // New returns a Machine. If the cached endpoint list is invalid, New returns an error together with a Machine that works
-// without the list.
+// without that list.
 func New(boot Bootstrap) (*Machine, error) {
 	m := &Machine{
 		boot: boot, endpoints: newEndpointRegistry(), sessions: map[statemachine.Conn]*session{}, lastDialed: statemachine.DialedBit,
--- a/internal/proto/messages.go
+++ b/internal/proto/messages.go
@@ -99,7 +99,7 @@
 	// Push contains the table operations that one step of the coordinator causes for one proxy.
 	Push struct {
 		Sequence      uint64 // number of the push on its stream, from 1 without gaps
-		QueuedEntries uint64 // left in the coordinator's queue of pushes when it sent this one: table entries, with each push's overhead in entries
+		QueuedEntries uint64 // table entries, with each push's overhead, left in the coordinator's push queue when it sent this one
 		HasNonce      bool   // whether the proxy must acknowledge the push, with Nonce
 		Nonce         uint64 // unused without HasNonce
 		Ops           []TableOp
--- a/internal/store/batch.go
+++ b/internal/store/batch.go
@@ -109,7 +109,8 @@
 	return snapshotKeys, decoder.err
 }
 
-// payloadDecoder reads the operation codes, lengths, keys and values of a payload. After the first error uvarint returns 0 and bytes returns nil.
+// payloadDecoder reads the operation codes, lengths, keys and values of a payload. After the first error uvarint returns 0
+// and bytes returns nil.
 type payloadDecoder struct {
 	rest []byte // the part of the payload that is not decoded yet
 	err  error  // errInvalidPayload or nil
--- a/internal/store/compaction.go
+++ b/internal/store/compaction.go
@@ -76,7 +76,7 @@
 	return false, s.finishCompaction(writer)
 }
 
-// finishCompaction makes the snapshot current by replacing the manifest, and removes the files that it replaces.
+// finishCompaction makes the snapshot current by replacing the manifest, and removes the files that the snapshot replaces.
 func (s *Store) finishCompaction(writer *snapshotWriter) error {
 	next := s.manifest
 	next.snapshot = writer.header.number
--- a/internal/store/manifest.go
+++ b/internal/store/manifest.go
@@ -105,7 +105,7 @@
 }
 
 // replaceManifest makes another manifest current: it writes and syncs a temporary file, renames it and syncs the folder.
-// The files named by the old manifest must be kept until it has returned without an error.
+// The files named by the old manifest must be kept until replaceManifest has returned without an error.
 func (s *Store) replaceManifest(next manifest) error {
 	// The file exists only after a crash or a failed call. If it can't be removed, Create fails.
 	_ = s.folder.Remove(temporaryManifestName)
--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -14,7 +14,7 @@
 	size   int64 // bytes, including the header
 }
 
-// close closes the file. It is called only after the segment was synced or the store is broken.
+// close closes the segment's file. It is called only after the segment was synced or the store is broken.
 func (s *segment) close() {
 	_ = s.file.Close() // durable data was synced, so a failed close loses none of it
 }
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -104,7 +104,7 @@
 	return binary.AppendUvarint(append(batch.payload, opSnapshotEnd), uint64(w.index.Len())), false
 }
 
-// append appends data to the file and updates the byte counts.
+// append appends data to the snapshot's file and updates bytes and unsyncedBytes.
 func (w *snapshotWriter) append(data []byte) error {
 	if _, err := w.file.Append(data); err != nil {
 		return err
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// abort removes the file. The log is kept, with one more segment than before the compaction.
+// abort removes the snapshot's file. The log is kept, with one more segment than before the compaction.
 func (w *snapshotWriter) abort() {
 	if w.file == nil {
 		return
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,10 @@
 // Package store implements a durable key-value store: a write-ahead log of checksummed batches, an index in memory, and
 // snapshots that limit the size of the log. docs/store.md describes the format and its design.
 //
+// The log consists of numbered files, the segments. A snapshot is a file with all keys at one point in time; the segments after
+// it hold the later batches. The manifest is a file that names the current snapshot and the first segment after it. Segments
+// and snapshots consist of frames, each with a header and a payload, such as the changes of a batch.
+//
 // Batches are atomic. A batch is durable once a later Sync has succeeded. Until then it is visible to reads, but a crash
 // may lose it together with all batches written after it.
 package store
@@ -54,7 +58,8 @@
 	folder  disk.Folder
 	lock    io.Closer // exclusive lock of the folder
 
-	mu                      sync.Mutex // guards the fields down to writeBuffer; held during an append to the log, not during a sync
+	// mu guards the fields down to writeBuffer. It is not held during a sync, and during at most one append to the log.
+	mu                      sync.Mutex
 	index                   *btree.Map[string, []byte]
 	lastSequence            uint64     // sequence number of the last batch written
 	durable                 uint64     // sequence number of the last durable batch
@@ -95,7 +100,7 @@
 	SnapshotBytes  int64 // size in bytes of the current snapshot
 }
 
-// Get returns the value of a key. The caller must not modify it.
+// Get returns the value of a key. The caller must not modify the value.
 func (s *Store) Get(key string) ([]byte, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
