--- a/internal/bootstrap/keyword.go
+++ b/internal/bootstrap/keyword.go
@@ -42,7 +42,7 @@
 	Syntax       syntax
 	Choices      []string // allowed words of wordSyntax; nil allows any
 	Min          float64  // smallest allowed number; in seconds for a duration, a ratio for a share
-	Max          float64  // largest allowed number, in the unit of Min; 0: no bound
+	Max          float64  // largest allowed number, in the unit of Min; 0: no bound, but integerSyntax and peerSyntax need one
 	Default      string   // value as it would be given in a settings file, or required
 	DecisionName string   // the setting's key in Settings.Values; empty for a setting in Settings.processValues or Settings.Peers
 	Doc          string   // description in docs/settings.md
--- a/internal/platform/machine.go
+++ b/internal/platform/machine.go
@@ -22,9 +22,9 @@
 	// MaxConnections limits the open connections. Above the limit a new connection makes the Machine close the oldest
 	// connection that has not completed its handshake.
 	MaxConnections   int
-	MaxProbes        int // limit on the probes in flight
-	MaxResponseBytes int // limit on the size of a response of discovery
-	HandshakeTimeout statemachine.Seconds
+	MaxProbes        int                  // limit on the number of probes in flight
+	MaxResponseBytes int                  // limit on the size of a response of discovery, in bytes
+	HandshakeTimeout statemachine.Seconds // from opening a connection until its peer must have joined
 }
 
 // Machine is the coordinator's state machine. It implements statemachine.Machine.
@@ -36,11 +36,11 @@
 	discovery   discoveryClient
 	probes      prober
 
-	sessions    map[statemachine.Conn]*session
-	handshaking []*session        // oldest first; may contain sessions that are no longer in their handshake
-	streams     []*stream         // by proxy number; nil for a proxy that has no stream
-	collectors  []*session        // sessions of joined collectors; may contain closed ones until the next periodic check
-	lastDialed  statemachine.Conn // the connection number given to the last dialed connection
+	sessions    map[statemachine.Conn]*session // of all connections
+	handshaking []*session                     // sessions in their handshake, oldest first; may contain some that are no longer in it
+	streams     []*stream                      // by proxy number; nil for a proxy that has no stream
+	collectors  []*session                     // sessions of joined collectors; may contain closed ones until the next periodic check
+	lastDialed  statemachine.Conn              // the connection number given to the last dialed connection
 
 	// Derived from the settings.
 	methods         []string             // names, by method number
--- a/internal/platform/probes.go
+++ b/internal/platform/probes.go
@@ -19,7 +19,8 @@
 	response  responseParser
 }
 
-// prober executes the probes that the decision module orders. It limits the number of probes in flight and the time of each.
+// prober executes the probes that the decision module orders. It limits the number of probes in flight and the duration of
+// each.
 type prober struct {
 	machine *Machine
 	queue   []choice.BackendID // backends whose probes have not started, in the order of the commands
--- a/internal/platform/reports.go
+++ b/internal/platform/reports.go
@@ -52,7 +52,8 @@
 	return invalidMessage("report", "it came before a joining")
 }
 
-// handleUsageReport passes a usage report of a proxy to the decision module. It comes from the proxy itself or a collector.
+// handleUsageReport passes a usage report of a proxy to the decision module. peer is that proxy or a collector that forwards
+// the report.
 func (m *Machine) handleUsageReport(peer *session, report wire.UsageReport) error {
 	if peer.role == roleProxy && report.Proxy != int(peer.stream.proxy) {
 		return invalidMessage("usage report", "it is of another proxy")
--- a/internal/platform/response.go
+++ b/internal/platform/response.go
@@ -23,11 +23,11 @@
 type responseParser struct {
 	buffer        []byte // all bytes received
 	maxBytes      int    // limit on the size of the response; reset keeps this limit
-	headerScanned int    // number of bytes that were searched for the end of the header
+	headerScanned int    // number of bytes of buffer that were searched for the end of the header
 	headerRead    bool   // the header was parsed
 	chunked       bool
 	contentLength int  // of the body in bytes; -1 if unknown
-	offset        int  // in buffer, of the body or, if chunked, of the next chunk
+	offset        int  // offset in buffer of the body or, if chunked, of the next chunk
 	inTrailer     bool // the last chunk was passed, and only trailer lines follow
 	parseCount    int  // number of calls of http.ReadResponse so far
 }
--- a/internal/platform/wire/encoder.go
+++ b/internal/platform/wire/encoder.go
@@ -15,7 +15,7 @@
 
 // Admission is the admission level and the retry policy of some of a table's methods.
 type Admission struct {
-	Level       float64 // a share, or requests per second, as the settings say
+	Level       float64 // share of the RPCs admitted, or RPCs per second; the setting level_kind says which
 	RetryPolicy int     // the platform's number for the policy, the same as in choice.RetryPolicy
 }
 
@@ -32,7 +32,7 @@
 	Nonce *int
 }
 
-// maxReasonBytes is the limit on the length of the reason in a rejection.
+// maxReasonBytes is the limit on the length of the reason that a rejected peer is sent.
 const maxReasonBytes = 200
 
 // AppendHeartbeatReply appends the reply to a Heartbeat.
