--- a/internal/configcheck/configcheck.go
+++ b/internal/configcheck/configcheck.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	// entriesPerTable is the approximate number of entries in a proxy's first table: the backends of an arc and the admission
-	// levels, as measured by docs/experiments/rejoin.plan. Larger arcs need more. The cost of the message itself, in entries,
-	// is the setting message-lines.
+	// entriesPerTable is the approximate number of entries in a proxy's first table: the backends of its arc (those that the
+	// decision module assigns to the proxy) and the admission levels, as measured by docs/experiments/rejoin.plan. Larger arcs
+	// need more. The cost of the message itself, in entries, is the setting message-lines.
 	entriesPerTable = 8
-	// joinTimeShare is the largest share of bare-limit that may pass until all proxies that join at once have their tables.
+	// joinTimeShare is the largest share of the setting bare-limit (the longest time that a proxy may have no table entry) that
+	// may pass until all proxies of the coordinator, joining it at once, have their tables.
 	// The rest is a margin for other work at the same time.
 	joinTimeShare = 0.5
 )
--- a/internal/platform/machine.go
+++ b/internal/platform/machine.go
@@ -37,7 +37,7 @@
 	probes      prober
 
 	sessions    map[statemachine.Conn]*session // of all connections
-	handshaking []*session                     // sessions in their handshake, oldest first; may contain some that are no longer in it
+	handshaking []*session                     // oldest session first; may contain sessions that are no longer in their handshake
 	streams     []*stream                      // by proxy number; nil for a proxy that has no stream
 	collectors  []*session                     // sessions of joined collectors; may contain closed ones until the next periodic check
 	lastDialed  statemachine.Conn              // the connection number given to the last dialed connection
