--- a/internal/store/compaction.go
+++ b/internal/store/compaction.go
@@ -5,7 +5,8 @@
 	"fmt"
 )
 
-// compactionRatio is the ratio of log size to snapshot size above which the log is compacted.
+// compactionRatio is the ratio of log size to snapshot size above which the log is compacted, if the log is also larger
+// than Options.MinCompactionBytes.
 const compactionRatio = 2
 
 // needsCompaction reports whether the log is large enough to be compacted; the caller holds mu.
@@ -75,7 +76,7 @@
 	return false, s.finishCompaction(writer)
 }
 
-// finishCompaction makes the snapshot current by replacing the manifest, and removes the files that it replaces.
+// finishCompaction makes the snapshot current by replacing the manifest, and removes the files that the snapshot replaces.
 func (s *Store) finishCompaction(writer *snapshotWriter) error {
 	next := s.manifest
 	next.snapshot = writer.header.number
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,10 @@
 // Package store implements a durable key-value store: a write-ahead log of checksummed batches, an index in memory, and
 // snapshots that limit the size of the log. docs/store.md describes the format and its design.
 //
+// The log consists of numbered files, the segments. A snapshot is a file with all keys at one point in time; the segments after
+// it hold the later batches. The manifest is a file that names the current snapshot and the first segment after it. Segments
+// and snapshots consist of frames, each with a header and a payload, such as the changes of a batch.
+//
 // Batches are atomic. A batch is durable once a later Sync has succeeded. Until then it is visible to reads, but a crash
 // may lose it together with all batches written after it.
 package store
@@ -54,7 +58,8 @@
 	folder  disk.Folder
 	lock    io.Closer // exclusive lock of the folder
 
-	mu                      sync.Mutex // not held during a sync; held during at most one append to the log
+	// mu guards the fields down to writeBuffer. It is not held during a sync, and during at most one append to the log.
+	mu                      sync.Mutex
 	index                   *btree.Map[string, []byte]
 	lastSequence            uint64     // sequence number of the last batch written
 	durable                 uint64     // sequence number of the last durable batch
@@ -62,24 +67,24 @@
 	sealed                  []*segment // earlier segments that may contain batches that are not durable yet
 	broken                  error      // wraps ErrBroken; nil if the store accepts writes
 	closed                  bool
-	logBytes                int64 // size of the segments after the current snapshot
-	snapshotBytes           int64 // size of the current snapshot
-	compactionRetryLogBytes int64 // log size at which a failed compaction is attempted again; 0: none failed
+	logBytes                int64 // size in bytes of the segments after the current snapshot
+	snapshotBytes           int64 // size in bytes of the current snapshot
+	compactionRetryLogBytes int64 // value of logBytes above which a failed compaction is attempted again; 0: none failed
 	stats                   Stats
 	writeBuffer             []byte // encoded frames of the group being written; reused
 
-	syncMu sync.Mutex // serializes syncs
+	syncMu sync.Mutex // serializes syncs of the log; locked before mu
 
-	commitMu    sync.Mutex // guards commitQueue and committing
-	commitQueue []*pendingWrite
-	committing  bool // a caller of Commit is the leader and writes a group
+	commitMu    sync.Mutex      // guards commitQueue and committing
+	commitQueue []*pendingWrite // writes of callers of Commit that no group includes yet
+	committing  bool            // a caller of Commit is the leader and writes a group
 
 	compactionMu sync.Mutex // serializes steps of compactions; guards manifest and compaction
 	manifest     manifest
 	compaction   *snapshotWriter // the snapshot being written; nil: no compaction is in progress
 
 	stop          chan struct{} // closed to end the background goroutine
-	compactionDue chan struct{} // holds one token if a compaction was requested
+	compactionDue chan struct{} // holds one token if a compaction by the background goroutine was requested
 	background    sync.WaitGroup
 }
 
@@ -91,11 +96,11 @@
 	RejectedWrites int
 	BytesWritten   int64 // to the log and snapshots
 	Keys           int
-	LogBytes       int64 // size of the segments after the current snapshot
-	SnapshotBytes  int64 // size of the current snapshot
+	LogBytes       int64 // size in bytes of the segments after the current snapshot
+	SnapshotBytes  int64 // size in bytes of the current snapshot
 }
 
-// Get returns the value of a key. The caller must not modify it.
+// Get returns the value of a key. The caller must not modify the value.
 func (s *Store) Get(key string) ([]byte, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
