--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -23,7 +23,7 @@
 	readers       map[statemachine.Conn]*proto.Reader // of the open connections
 	out           *statemachine.Effects               // of the current step
 	nextSampleAt  Seconds
-	maxTimerDelay Seconds // the longest delay of a timer since the last sample
+	maxTimerDelay Seconds // how late a timer was handled at most, since the last sample in the trace
 }
 
 // NewBackend returns a backend whose emulated process starts at the first step.
--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -20,8 +20,8 @@
 	Zone         string
 	Cell         int
 	Cores        int
-	Speed        float64 // of a core: seconds of work that it does per second
-	Work         []Work  // by method; the last also applies to all further methods
+	Speed        float64 // seconds of work that one core does per second
+	Work         []Work  // by index of the method; the last also applies to all further methods
 	QueueLimit   int     // RPCs that may wait for a core
 	CancelPolicy CancelPolicy
 
@@ -30,12 +30,12 @@
 	StartsCold bool
 	ColdSpeed  float64
 	WarmupTime Seconds
-	// A backend that is warming up collapses if the work that arrives within OverloadWindow exceeds OverloadMultiple times
-	// what it can do in that time. With an OverloadWindow of 0 it never collapses.
+	// A backend that is warming up collapses if the work that arrives within OverloadWindow exceeds the overload bound:\n\t// overloadSlackRPCs RPCs of mean work more than OverloadMultiple times
+	// what the backend can do in that time. With an OverloadWindow of 0 it never collapses.
 	OverloadMultiple float64
 	OverloadWindow   Seconds
 
-	ConnLimit  int     // 0: unlimited
+	ConnLimit  int     // open connections that are accepted; 0: unlimited
 	ConnWork   Seconds // work of accepting a connection
 	ProbeWork  Seconds // work of a probe
 	ProbeLimit int     // concurrent probes; 0: unlimited
@@ -46,8 +46,8 @@
 	ReportDelay Seconds
 	ReportNoise float64
 
-	CacheSize    int     // keys; 0: no cache
-	CacheSavings float64 // share of the work that a cache hit saves
+	CacheSize    int     // keys that the cache holds; 0: no cache
+	CacheSavings float64 // share of an RPC's work that a cache hit saves
 
 	SampleInterval  Seconds // between samples of the backend's state in the trace; 0: no samples
 	Seed            uint64
--- a/internal/emulator/connections.go
+++ b/internal/emulator/connections.go
@@ -2,9 +2,9 @@
 
 // clientConn is a connection of a client.
 type clientConn struct {
-	coordinator string // whose tables the client uses
+	coordinator string // name of the coordinator whose tables the client uses
 	handshaking bool   // a fault delays the end of the handshake
-	pendingRPCs []RPC  // that arrived during the handshake
+	pendingRPCs []RPC  // RPCs that arrived during the handshake
 }
 
 // Connect opens a connection of a client that uses the tables of a coordinator, or rejects it if the backend has collapsed
--- a/internal/emulator/effects.go
+++ b/internal/emulator/effects.go
@@ -19,7 +19,7 @@
 	Method         int
 	IdempotencyKey uint64  // 0: none
 	CacheKey       uint64  // 0: none
-	TimeLeft       Seconds // until the client's deadline
+	TimeLeft       Seconds // from the RPC's arrival until the client's deadline
 }
 
 // Effect is an output of a model, one of the types below. The driver of the model performs or records it.
@@ -43,8 +43,8 @@
 	}
 	// OverloadApproached says that a backend that is warming up came closer to its collapse than ever before.
 	OverloadApproached struct {
-		Ratio float64 // of the work that arrived within the overload window to the work above which the backend collapses
-		RPCs  int     // that arrived within the overload window
+		Ratio float64 // work that arrived within Config.OverloadWindow, divided by the work above which the backend collapses
+		RPCs  int     // RPCs that arrived within Config.OverloadWindow
 	}
 	// Collapsed says that the backend was overloaded while it was warming up. It has stopped working for good.
 	Collapsed struct{}
--- a/internal/emulator/executionlog.go
+++ b/internal/emulator/executionlog.go
@@ -8,7 +8,7 @@
 type ExecutionLog struct {
 	first       map[uint64]Execution // by RPC ID
 	Repeated    []RepeatedExecution  // the first maxRepeatedExecutions
-	RepeatCount int                  // of all repeated executions
+	RepeatCount int                  // number of all repeated executions, including those that are not in Repeated
 }
 
 // Execution is where and when an RPC was executed.
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -24,14 +24,14 @@
 // faults is the set of faults in force.
 type faults struct {
 	hangCount       int     // hang faults in force; no work is done while there are any
-	slowdown        float64 // factor on the time that work takes
+	slowdown        float64 // by which the time that work takes is multiplied; 1: none
 	failAll         bool    // every RPC fails
-	failShare       float64 // of the RPCs, at random
+	failShare       float64 // share of the RPCs that fail, picked at random
 	failingMethod   int     // all RPCs of this method fail; noMethod: none
 	failClientsOf   string  // the RPCs of clients that use this coordinator's tables fail; empty: none
-	expensiveFactor float64 // on the work of a share of the RPCs; 0: none are expensive
-	handshakeDelay  Seconds // from the opening of a connection until its RPCs are handled
-	connLimit       int     // 0: as configured
+	expensiveFactor float64 // by which the work of expensiveShare of the RPCs is multiplied; 0: none are expensive
+	handshakeDelay  Seconds // from the opening of a connection until the RPCs on the connection are handled
+	connLimit       int     // open connections that are accepted; 0: Config.ConnLimit
 }
 
 func noFaults() faults {
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -29,12 +29,12 @@
 // command that injects or heals a fault, see Model.command. The name * addresses all backends. Fleet implements
 // statemachine.Machine.
 type Fleet struct {
-	processes   []*process // by listener
+	processes   []*process // by the number of the fleet's listener
 	byName      map[string]*process
 	byConn      map[statemachine.Conn]*process
 	wakeups     wakeup.Queue[*process]
-	startedAt   statemachine.Seconds // time of the first step; 0 before it
-	stats       FleetStats           // of the current interval
+	startedAt   statemachine.Seconds // time of the fleet's first step; 0 before that step
+	stats       FleetStats           // since the previous call of onStats
 	nextStatsAt statemachine.Seconds
 	onStats     func(FleetStats)
 }
@@ -43,7 +43,7 @@
 type process struct {
 	name    string
 	config  Config
-	starts  int      // how often it was started
+	starts  int      // how often the process was started
 	backend *Backend // nil while the process is killed
 	conns   map[statemachine.Conn]bool
 	inputs  []statemachine.Input
--- a/internal/emulator/fleetstats.go
+++ b/internal/emulator/fleetstats.go
@@ -9,16 +9,16 @@
 // FleetStats has the statistics of a fleet: what it did within about a second, and its state at the end. It is printed as
 // JSON, whose keys are the names of the fields.
 type FleetStats struct {
-	Elapsed       Seconds // since the fleet's start
+	Elapsed       Seconds // since the first step of this fleet of emulated backends
 	Backends      int
 	Running       int     // backends whose processes run
-	WarmingUp     int     // of the running ones
-	Collapsed     int     // of the running ones
+	WarmingUp     int     // running backends that are warming up
+	Collapsed     int     // running backends that have collapsed
 	Capacity      float64 // RPCs per second that the fleet can execute at present
-	CoreUsage     float64 // share of the cores that are busy
-	Queued        int     // jobs that wait for a core
-	Executed      int     // RPCs whose execution began within the second
-	OverloadRatio float64 // the largest share of its overload bound that a warming backend reached; above 1 it collapses
+	CoreUsage     float64 // share of the cores of running backends, without collapsed ones, that are busy
+	Queued        int     // RPCs and overhead jobs that wait for a core
+	Executed      int     // RPCs whose execution began since the previous statistics
+	OverloadRatio float64 // largest ratio of the work that arrived at a warming backend to its overload bound; above 1 the backend collapses
 	MaxDelay      Seconds // the longest time by which a timer was handled late
 }
 
--- a/internal/emulator/jobs.go
+++ b/internal/emulator/jobs.go
@@ -9,9 +9,9 @@
 type job struct {
 	conn            ConnID
 	rpc             RPC
-	deadline        Seconds // of its client
+	deadline        Seconds // time at which the client of the RPC gives up
 	workLeft        Seconds // in seconds on a core of speed 1
-	workLeftAt      Seconds // time that workLeft refers to
+	workLeftAt      Seconds // when workLeft was last computed
 	overhead        bool    // not an RPC: there is no reply
 	timerGeneration int     // number of timers set for it, by which a timer that was replaced is ignored
 	cancelled       bool
--- a/internal/emulator/keystore.go
+++ b/internal/emulator/keystore.go
@@ -5,10 +5,10 @@
 
 // The scopes of idempotency keys.
 const (
-	AllBackends IdempotencyScope = iota // all backends
-	PerZone                             // the backends of a zone
-	PerCell                             // the backends of a cell
-	PerBackend                          // each backend on its own
+	AllBackends IdempotencyScope = iota // keys are shared by all backends
+	PerZone                             // keys are shared by the backends of a zone
+	PerCell                             // keys are shared by the backends of a cell
+	PerBackend                          // each backend has keys of its own
 )
 
 // expiryIntervalWindows is the number of windows between two removals of expired keys. A removal visits all keys, which would
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -3,7 +3,7 @@
 // noLoadReport is the Reply.Load of a backend that does not report its load.
 const noLoadReport = -1
 
-// loadSample is the load at a time, in jobs per core.
+// loadSample is a backend's load at a time: queued and running jobs per core.
 type loadSample struct {
 	at   Seconds
 	load float64
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -18,7 +18,7 @@
 	conns       map[ConnID]*clientConn
 	queue       []*job
 	running     []*job // in the order in which they started
-	probes      int    // in flight
+	probes      int    // probes that are not answered yet
 	cache       cache
 	overload    overloadWindow
 	loadSamples []loadSample // only with a ReportDelay; oldest first
--- a/internal/emulator/warmup.go
+++ b/internal/emulator/warmup.go
@@ -4,11 +4,11 @@
 
 const (
 	// overloadSlackRPCs is the number of RPCs of mean work that is added to the overload bound to allow for random clusters of
-	// arrivals.
+	// arrivals. The overload bound is the work within Config.OverloadWindow above which a warming backend collapses; the\n\t// overload ratio is the work that arrived within that window divided by the bound.
 	overloadSlackRPCs = 2
-	// overloadRatioStep is the increase of the overload ratio at which it is reported again.
+	// overloadRatioStep is by how much the overload ratio must exceed the last reported one to be reported again.
 	overloadRatioStep = 0.05
-	// minWarmupSlope is the increase of the warm-up factor per second below which the factor is treated as constant, since
+	// minWarmupSlope is the increase per second of WarmupFactor below which finishTime treats that factor as constant, since
 	// the solution of the quadratic equation would divide by almost 0.
 	minWarmupSlope = 1e-12
 )
@@ -64,7 +64,7 @@
 type overloadWindow struct {
 	arrivals []arrivedWork // oldest first
 	total    Seconds
-	maxRatio float64 // the largest ratio of total to the overload bound that was reported
+	maxRatio float64 // the last reported overload ratio, total divided by the bound; the largest so far
 }
 
 // arrivedWork is the work of an RPC and its time of arrival.
--- a/internal/endpointfile/errors.go
+++ b/internal/endpointfile/errors.go
@@ -31,8 +31,8 @@
 // LossError is the error for a file that would take a larger share of the open endpoints out of use than the settings allow. The
 // same file is accepted if it is applied again.
 type LossError struct {
-	Lost, Open int     // number of open endpoints that the file takes out of use, and of all open endpoints
-	MaxShare   float64 // that the settings allow
+	Lost, Open int     // Lost: open endpoints that the rejected file would take out of use; Open: all open endpoints
+	MaxShare   float64 // largest share Lost/Open that the settings allow
 }
 
 func (e *LossError) Error() string {
--- a/internal/endpointfile/list.go
+++ b/internal/endpointfile/list.go
@@ -29,7 +29,7 @@
 // Backend is a backend as listed in a file. The JSON keys, and the order of the fields (see fingerprint), are part of the stored
 // format.
 type Backend struct {
-	ID       uint32 `json:"Number"` // by which proxies identify it; derived from the name
+	ID       uint32 `json:"Number"` // ID by which proxies identify the backend; derived from its name
 	Name     string
 	Addr     string
 	Weight   float64
@@ -47,7 +47,7 @@
 
 // Settings are the operator's settings.
 type Settings struct {
-	DrainPeriod  Seconds // from the file in which a backend is missing until its endpoint is removed
+	DrainPeriod  Seconds // seconds from the first file in which a backend is missing until the backend's endpoint is removed
 	MaxLossShare float64 // a file that takes a larger share of the open endpoints out of use has to be applied twice
 }
 
@@ -56,7 +56,7 @@
 	settings            Settings
 	version             uint64
 	endpoints           map[uint32]*Endpoint
-	rejectedFingerprint string // of the last file that was rejected with a LossError; empty once a file was accepted
+	rejectedFingerprint string // fingerprint of the last file that was rejected with a LossError; empty once a file was accepted
 }
 
 // New returns an empty list.
--- a/internal/endpointservice/service.go
+++ b/internal/endpointservice/service.go
@@ -18,13 +18,13 @@
 // Service is an endpoint list service for backends of one zone. It implements statemachine.Machine.
 type Service struct {
 	name          string
-	zone          string // of all backends
+	zone          string // zone of all backends of the list
 	list          *endpointfile.List
-	submitted     [][]endpointfile.Backend // files to be applied in the next step
+	submitted     [][]endpointfile.Backend // backends of each submitted file that the next step is to apply
 	onApplied     func(changed int, err error)
 	watchers      map[statemachine.Conn]*watcher
 	history       history
-	nextHeartbeat statemachine.Seconds  // when it is due
+	nextHeartbeat statemachine.Seconds  // when the next heartbeat is due
 	effects       *statemachine.Effects // of the current step
 }
 
--- a/internal/endpointservice/watcher.go
+++ b/internal/endpointservice/watcher.go
@@ -19,7 +19,7 @@
 	conn     statemachine.Conn
 	reader   proto.Reader
 	watching bool   // the client wants updates
-	version  uint64 // of the list that the client has; 0: none
+	version  uint64 // version of the list that the client has; 0: none
 }
 
 // watchersByConn returns the watchers in the order of their connections, so that runs are reproducible.
--- a/internal/experiment/execute.go
+++ b/internal/experiment/execute.go
@@ -15,10 +15,10 @@
 
 // Progress tells how many runs of an execution are done, and how long the others will take.
 type Progress struct {
-	Done      int           // runs, including resumed ones
+	Done      int           // finished runs, including resumed ones
 	Total     int           // runs of the plan
 	Resumed   int           // runs that were found in the file of finished runs
-	Remaining time.Duration // estimate
+	Remaining time.Duration // estimated real time until all runs are finished
 }
 
 // job identifies a run to be played.
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -25,7 +25,7 @@
 	name      string
 	means     plotter.XYs
 	intervals plotter.YErrors // intervals of the means
-	dots      plotter.XYs     // one for each run
+	dots      plotter.XYs     // one dot for each run
 }
 
 // Plot draws the measure name by the values of the last factor, with a line through the means for each combination of the other
--- a/internal/experiment/rows.go
+++ b/internal/experiment/rows.go
@@ -5,7 +5,7 @@
 	Arm                Arm
 	Measure            string
 	Mean               Estimate
-	Difference         Estimate // from the first arm, paired by seed
+	Difference         Estimate // mean difference from the plan's first arm, paired by seed
 	Verdict            string   // empty for the first arm
 	SeedsNeeded        int      // estimate of the seeds needed for a clear verdict; 0 if the verdict is clear or the mean difference is 0
 	RunsWithViolations int      // runs in which a rule was violated
--- a/internal/experiment/statistics.go
+++ b/internal/experiment/statistics.go
@@ -10,7 +10,7 @@
 type Estimate struct {
 	Count     int
 	Mean      float64
-	Low, High float64 // the interval; infinite if there is only one value
+	Low, High float64 // bounds of the 95% confidence interval of the mean; infinite if there is only one value
 	Deviation float64 // standard deviation of the sample
 }
 
--- a/internal/fake/admission.go
+++ b/internal/fake/admission.go
@@ -10,7 +10,7 @@
 type admissionState struct {
 	level       float64 // share of the RPCs that are admitted, or RPCs per second
 	retryPolicy retryPolicy
-	tokens      float64 // in the bucket; an admitted RPC takes 1
+	tokens      float64 // tokens in the bucket; an admitted RPC takes 1
 	lastRefill  statemachine.Seconds
 }
 
--- a/internal/fake/attempts.go
+++ b/internal/fake/attempts.go
@@ -49,7 +49,7 @@
 // failureRecord counts the failures of a backend's attempts. It is kept when the connection to the backend ends.
 type failureRecord struct {
 	consecutive int
-	avoidUntil  statemachine.Seconds // until when other backends are preferred; 0: not avoided
+	avoidUntil  statemachine.Seconds // until when other backends are preferred to this one; 0: not avoided
 }
 
 // sendAttempt picks a backend and sends it an attempt of an RPC. It returns false if there is no backend to pick; if that was to be
--- a/internal/fake/baseline.go
+++ b/internal/fake/baseline.go
@@ -20,7 +20,7 @@
 // It has no health checks, slow start or admission levels, and does not pace its pushes. It implements statemachine.Machine.
 type BaselineCoordinator struct {
 	name         string
-	listAddr     string // of the endpoint service
+	listAddr     string // address of the endpoint service
 	methods      []string
 	reportPeriod float64 // seconds
 	lastDialed   statemachine.Conn
@@ -41,7 +41,7 @@
 // baselineProxy is a proxy that is connected to the baseline coordinator.
 type baselineProxy struct {
 	reader           proto.Reader
-	joined           bool   // it was welcomed
+	joined           bool   // the coordinator has sent the proxy its welcome
 	lastPushSequence uint64 // sequence number of the last push; 0: none
 }
 
--- a/internal/fake/endpoints.go
+++ b/internal/fake/endpoints.go
@@ -27,8 +27,8 @@
 	Cell        uint64 // group of backends that may fail together
 	Weight      float64
 	Addr        string
-	StartedAt   statemachine.Seconds // start time of its process; 0: long ago
-	Incarnation uint64               // changes with each start of its process
+	StartedAt   statemachine.Seconds // start time of the backend's process; 0: long ago
+	Incarnation uint64               // changes with each start of the backend's process
 }
 
 // EndpointService is a fake endpoint list service with numbered versions, full and incremental updates, and watchers. On command
@@ -51,10 +51,10 @@
 
 // endpointServiceFaults are the faults that commands inject.
 type endpointServiceFaults struct {
-	delay   statemachine.Seconds     // of updates after a change
+	delay   statemachine.Seconds     // time from a change of the list until the watchers are sent updates
 	failing bool                     // every request is answered with a failure
 	stale   bool                     // watchers get no updates after a change
-	visible map[proto.BackendID]bool // the backends that the list shows; nil: all
+	visible map[proto.BackendID]bool // the listed backends that the service shows to watchers; nil: all
 }
 
 // endpointChange is an endpoint as it was after the change that made a version.
@@ -68,8 +68,8 @@
 	conn        statemachine.Conn
 	reader      proto.Reader
 	name        string
-	watching    bool   // it gets updates
-	sentVersion uint64 // last version that it was sent; 0: none, or it needs a full list
+	watching    bool   // the client has asked for the list and gets updates
+	sentVersion uint64 // last version of the list that the client was sent; 0: none, or the client needs a full list
 }
 
 // NewEndpointService returns a service whose first version lists the given endpoints.
--- a/internal/fake/frontend.go
+++ b/internal/fake/frontend.go
@@ -17,7 +17,7 @@
 	Zone         string
 	Coordinators []string // addresses, tried in this order
 	Methods      []MethodConfig
-	Rate         float64              // RPCs per second that clients send to it
+	Rate         float64              // RPCs per second that clients send to the front end
 	TrafficStart statemachine.Seconds // start of the traffic shape's first day; 0: at the first step
 	Shape        traffic.Shape        // how the rate changes over time
 	Keys         *traffic.Zipf        // distribution of cache keys; nil: RPCs have none
@@ -28,12 +28,12 @@
 	// 0: it never avoids one.
 	FailureLimit        int
 	AvoidDuration       statemachine.Seconds
-	AttemptTimeoutRatio float64              // of an attempt that may be retried, as a multiple of the soft deadline
+	AttemptTimeoutRatio float64              // timeout of an attempt that may be retried, as a multiple of the method's soft deadline
 	ApplyTimePerEntry   statemachine.Seconds // for which applying a push pauses the front end, for each entry of the push
 	AdmissionIsRate     bool                 // admission levels are RPCs per second instead of shares
 	ReportPeriod        statemachine.Seconds
 	RecordScheduleDelay bool               // write to the trace how late the front end handled arrivals
-	StaticTable         []proto.TableEntry // its only table if it follows no coordinator; nil: it follows one
+	StaticTable         []proto.TableEntry // the front end's only table if it follows no coordinator; nil: it follows one
 	ConnectTimeout      statemachine.Seconds
 	Seed                uint64
 	// ClientRetryProbability is the probability that a client sends a failed RPC again, at most ClientRetryLimit times. The client
@@ -52,7 +52,7 @@
 	timers     timers
 	out        *statemachine.Effects
 	started    bool
-	lastDialed statemachine.Conn // number of the last connection that it dialed
+	lastDialed statemachine.Conn // number of the last connection that the front end dialed
 
 	clientTraffic clientTraffic
 	session       session
@@ -61,7 +61,7 @@
 
 	tables        map[uint64]*table        // by table number
 	methodTables  []*table                 // the table that each method uses; nil: none yet
-	excluded      map[proto.BackendID]bool // gets no attempts, whatever the tables say
+	excluded      map[proto.BackendID]bool // backends that get no attempts, whatever the tables say
 	failures      map[proto.BackendID]failureRecord
 	pool          connPool
 	rpcs          map[uint64]*rpc // unfinished RPCs by ID
--- a/internal/fake/method.go
+++ b/internal/fake/method.go
@@ -25,7 +25,7 @@
 	Criticality   float64
 	SoftDeadline  statemachine.Seconds
 	Deadline      statemachine.Seconds
-	Share         float64 // of the RPCs, 0 to 1
+	Share         float64 // share of the front end's RPCs that are of this method, 0 to 1
 }
 
 // Defaults of a method's settings, the same as those of the coordinator.
--- a/internal/fake/pool.go
+++ b/internal/fake/pool.go
@@ -21,10 +21,10 @@
 	id             statemachine.Conn
 	established    bool
 	reader         proto.Reader
-	attempts       map[uint64]*rpc // in flight, by attempt ID
-	queued         []uint64        // attempts to be written once the connection is established
+	attempts       map[uint64]*rpc // RPCs whose attempts are in flight on the connection, by attempt ID
+	queued         []uint64        // IDs of attempts that are written once the connection is established
 	reportedLoad   float64
-	loadReportedAt statemachine.Seconds // 0: never
+	loadReportedAt statemachine.Seconds // when the backend last reported its load; 0: never
 }
 
 // add adds a connection to both indexes.
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -10,7 +10,7 @@
 // Relay forwards bytes between clients and targets, with one listener for each target. On command it injects network faults into
 // the traffic of single listeners. It implements statemachine.Machine.
 type Relay struct {
-	targets    []string    // address, by listener
+	targets    []string    // address of the target, by listener
 	faults     []linkFault // by listener
 	pairs      map[statemachine.Conn]*connPair
 	lastDialed statemachine.Conn
@@ -23,7 +23,7 @@
 	// partitioned holds traffic until the partition ends and then delivers it, as a network that recovers does.
 	partitioned bool
 	reset       bool                 // reset open and new connections
-	latency     statemachine.Seconds // that the relay adds, one way
+	latency     statemachine.Seconds // time that the relay adds to the delivery of data, one way
 	bandwidth   float64              // bytes per second of each connection pair and direction; 0: unlimited
 }
 
@@ -38,8 +38,8 @@
 	listener     int
 	ends         [2]statemachine.Conn
 	established  bool
-	pendingData  [][]byte                // from the client, while the connection to the target is not established
-	heldSegments []segment               // held during a partition, sorted by sequence
+	pendingData  [][]byte                // data from the client, kept until the connection to the target is established
+	heldSegments []segment               // segments held during a partition, sorted by sequence
 	lastSequence int                     // sequence number of the pair's last segment
 	nextSendAt   [2]statemachine.Seconds // by sending end: the earliest time at which the next segment may be sent on
 }
--- a/internal/fake/reports.go
+++ b/internal/fake/reports.go
@@ -11,7 +11,7 @@
 
 // reportSamples are the counts for the next usage and attempt reports.
 type reportSamples struct {
-	usage    []proto.UsageReport // by method
+	usage    []proto.UsageReport // by index of the method
 	attempts map[proto.BackendID]*attemptCounts
 	since    statemachine.Seconds // start of the reported time span
 }
@@ -19,7 +19,7 @@
 // attemptCounts counts the finished attempts at a backend.
 type attemptCounts struct {
 	total, failed uint64
-	totalLatency  statemachine.Seconds // sum over the successful attempts
+	totalLatency  statemachine.Seconds // sum of the latencies of the successful attempts
 }
 
 func newReportSamples(methodCount int) reportSamples {
--- a/internal/fake/rpc.go
+++ b/internal/fake/rpc.go
@@ -20,8 +20,8 @@
 	finished       bool
 	clientRetries  int // number of earlier RPCs of which this is the client's retry
 
-	attemptID     uint64       // of the attempt in flight; 0: none
-	conn          *backendConn // of the attempt in flight
+	attemptID     uint64       // ID of the attempt in flight; 0: none
+	conn          *backendConn // connection of the attempt in flight
 	attemptSentAt statemachine.Seconds
 	attemptCount  int // attempts sent so far
 	triedBackends []proto.BackendID
@@ -33,7 +33,7 @@
 	rate   float64 // RPCs per second
 	// arrivalGeneration counts scheduled arrivals. The timer of an arrival that was replaced has a lower number and is ignored.
 	arrivalGeneration uint64
-	maxDelay          statemachine.Seconds // by which an arrival was handled late, since the last report
+	maxDelay          statemachine.Seconds // longest time by which an arrival was handled late, since the last ScheduleDelay record in the trace
 	idPrefix          uint64               // upper 32 bits of RPC IDs
 }
 
--- a/internal/fake/session.go
+++ b/internal/fake/session.go
@@ -21,15 +21,15 @@
 type session struct {
 	conn                statemachine.Conn // 0: none
 	joined              bool              // the coordinator has welcomed the front end
-	coordinator         string            // name in the last welcome
+	coordinator         string            // name of the coordinator that sent the last welcome
 	tablesFrom          string            // name of the coordinator whose tables are in use; empty: none
 	lastAckedNonce      uint64            // nonce of the last acknowledged push
 	lastPushSequence    uint64            // sequence number of the last push on this connection
-	coordinatorIndex    int               // of the address to dial; the index modulo the number of addresses is used
+	coordinatorIndex    int               // index in FrontEndConfig.Coordinators of the address to dial, modulo the number of addresses
 	consecutiveFailures int               // failed dials and lost connections since the last welcome
 	reader              proto.Reader
 	lastReceivedAt      statemachine.Seconds
-	pendingPushes       []proto.Push // received during a pause and applied when it ends
+	pendingPushes       []proto.Push // pushes received during a pause and applied when the pause ends
 }
 
 // dialCoordinator dials the coordinator whose turn it is.
--- a/internal/haproxy/blocks.go
+++ b/internal/haproxy/blocks.go
@@ -12,7 +12,7 @@
 
 // block is a conditional block that is not closed yet.
 type block struct {
-	opened            Position // of the .if
+	opened            Position // position of the .if that opened the block
 	selected          bool     // the current branch is selected, so that its lines are kept
 	branchDecided     bool     // no later branch can be selected: one already was, or a condition is faulty
 	enclosingSelected bool     // the lines around the block are kept; otherwise no branch is selected
--- a/internal/haproxy/lex.go
+++ b/internal/haproxy/lex.go
@@ -23,7 +23,7 @@
 
 	// The argument that is being read; argument, begin and quoted are valid only if open is set.
 	argument strings.Builder
-	begin    int // index of its first byte in text
+	begin    int // index in text of the argument's first byte
 	quoted   bool
 	open     bool
 }
--- a/internal/haproxy/pool.go
+++ b/internal/haproxy/pool.go
@@ -12,7 +12,7 @@
 
 	index           int  // position among the pools of the import, by which the pool's ports are chosen
 	neverRetries    bool // retry-on names no cause that proves that an RPC never ran, so that no RPC is retried
-	allBackups      bool // option allbackups
+	allBackups      bool // the section has the option allbackups
 	hasFaultyServer bool // a server was left out because of a fault, so that a lack of servers is not reported on top of it
 }
 
--- a/internal/haproxy/server.go
+++ b/internal/haproxy/server.go
@@ -10,11 +10,11 @@
 type Server struct {
 	Position
 	Name      string
-	Addr      string // as written in the endpoint list
+	Addr      string // address as written in the endpoint list that the import generates
 	Weight    int
 	Backup    bool
 	Disabled  bool
-	SlowStart float64 // seconds
+	SlowStart float64 // slowstart of the server, in seconds
 	ID        int     // 0 if none is set
 	Track     string  // the server whose health state this one shares, as NAME or POOL/NAME; "" if none
 	State     State
--- a/internal/haproxy/settings.go
+++ b/internal/haproxy/settings.go
@@ -12,11 +12,11 @@
 
 // Times in the settings, in seconds: defaults for what the import does not have, and the bounds of what the settings accept.
 const (
-	minWarmAfter        = 10.0 // also used if no server has a slowstart
-	defaultDeadline     = 30.0 // used without timeout server
+	minWarmAfter        = 10.0 // seconds; lowest warm-after, also used if no server has a slowstart
+	defaultDeadline     = 30.0 // seconds; deadline of a pool without timeout server
 	minDeadline         = 0.002
 	maxDeadline         = 3600.0
-	longestSoftDeadline = 1.0 // a soft deadline is half the deadline, but at most this
+	longestSoftDeadline = 1.0 // seconds; a soft deadline is half the deadline, but at most this
 )
 
 // The range of ports in the settings. Each pool takes the next two ports of the range; after the last it starts over.
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -38,11 +38,11 @@
 	recordNumber          int // of the present record, from 1
 	lastAvailabilityCheck float64
 
-	unfinishedRPCs map[uint64]int           // by RPC ID: method of an RPC that was attempted and has not finished
-	firstAttempt   map[uint64]float64       // by RPC ID: time
+	unfinishedRPCs map[uint64]int           // by RPC ID: method index of an RPC that was attempted and has not finished
+	firstAttempt   map[uint64]float64       // by RPC ID: when the first attempt was sent
 	effects        map[uint64]effect        // by RPC ID
-	startTimes     map[uint32]float64       // by backend: its latest cold start
-	coldAttempts   map[uint32][]coldAttempt // by backend: attempts within the collapse window
+	startTimes     map[uint32]float64       // by backend: time of the backend's latest cold start
+	coldAttempts   map[uint32][]coldAttempt // by backend: attempts of the last Limits.CollapseWindow plus coldAttemptSlack seconds
 }
 
 func newChecker(limits Limits) *checker {
--- a/internal/invariant/coordinator.go
+++ b/internal/invariant/coordinator.go
@@ -26,9 +26,9 @@
 // endpoint is an endpoint as one process knows it.
 type endpoint struct {
 	state           byte
-	stateTime       float64 // since when this state is known
+	stateTime       float64 // since when the process knows this state
 	start           float64 // when the backend's process started; 0: long ago
-	startKnownSince float64 // since when this start is known
+	startKnownSince float64 // since when the process knows this start time
 }
 
 // endpointView is an endpoint list as one process knows it, by backend.
@@ -37,15 +37,15 @@
 // coordinator is what a coordinator knows of the endpoint list, as the records show it.
 type coordinator struct {
 	endpoints      endpointView
-	availableSince float64        // since when it has listed an open, warm backend without a break; infinite: it lists none
+	availableSince float64        // since when the coordinator's list has had an open, warm backend without a break; infinite: it has none
 	nextWarmTime   float64        // when the next listed open backend becomes warm; infinite: there is none
-	pausedUntil    float64        // end of the last pause of its process, which learns only then of what arrived meanwhile
-	partitions     int            // number of present partitions between it and the endpoint list service
-	partitionStart float64        // when the first of them began
+	pausedUntil    float64        // end of the last pause of the coordinator's process, which learns only then of what arrived meanwhile
+	partitions     int            // number of present partitions between the coordinator and the endpoint list service
+	partitionStart float64        // when the first of the present partitions began
 	delayed        []trace.Record // endpoint updates that partitions hold back
 
 	mustPoll          bool            // a partition was long enough to end the stream to the endpoint list service
-	pollTime          float64         // when it last polled
+	pollTime          float64         // when the coordinator last polled the endpoint list service
 	uncertainBackends map[uint32]bool // backends in the updates of that partition, which may or may not have arrived
 }
 
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -10,9 +10,9 @@
 const (
 	ruleBackendAvailable = 1 + iota // a proxy lacks a usable backend no longer than the limit
 	ruleEffectOnce                  // no RPC takes effect twice
-	ruleDrainRespected              // no attempt goes to a draining or removed backend after the grace period
+	ruleDrainRespected              // no attempt goes to a draining or removed backend later than Limits.DrainGrace permits
 	ruleColdBackend                 // no cold backend collapses under load that the coordinators caused
-	ruleQueueBounded                // queued table entries and the message rate stay within their bounds
+	ruleQueueBounded                // table entries queued at a coordinator and pushes to a proxy within Limits.MessageWindow stay within their bounds
 	ruleCount            = iota
 )
 
@@ -35,11 +35,11 @@
 // Limits are the limits that the rules hold a run to. Times are in seconds.
 type Limits struct {
 	NoBackendLimit        float64 // longest time that a proxy may lack a usable backend
-	DrainGrace            float64 // longest time that attempts to a draining or removed backend are permitted
+	DrainGrace            float64 // time in which a proxy may still send attempts to a draining or removed backend, from its coordinator's notification or its join
 	WarmAfter             float64 // time from its start after which a backend counts as warm
 	CollapseWindow        float64 // time window over which the load on a cold backend is counted
-	MaxQueuedEntries      int     // table entries that may be queued at a coordinator
-	MaxMessages           int     // messages to a proxy within MessageWindow; 0: unlimited
+	MaxQueuedEntries      int     // table entries that may wait at a coordinator to be pushed
+	MaxMessages           int     // pushes to one proxy within MessageWindow; 0: unlimited
 	MessageWindow         float64
 	OnlyDrainingBinds     bool    // rule 3 does not apply to a backend that was removed without draining
 	EndpointStreamTimeout float64 // silence after which a coordinator gives up its stream to the endpoint list service
@@ -53,11 +53,11 @@
 	Rule         int
 	Name         string
 	Violations   int
-	FirstTime    float64 // seconds, on the clock of the trace
+	FirstTime    float64 // time of the first violation in seconds, on the clock of the trace
 	Party        string  // name of the participant that violated the rule
-	Record       int     // number of the record in the trace, from 1
+	Record       int     // number of the trace record that showed the violation, from 1
 	Reason       string
-	ClosestShare float64 // largest share of the limit that was used; 1 or more: the limit was reached
+	ClosestShare float64 // largest measured value divided by the rule's limit; 1 or more: the limit was reached
 	ClosestTime  float64 // seconds since the start of the run
 	ClosestNote  string
 }
--- a/internal/invariant/proxy.go
+++ b/internal/invariant/proxy.go
@@ -17,18 +17,18 @@
 
 // proxy is the state of a proxy as its records show it.
 type proxy struct {
-	coordinator     string             // the one that it is joined to; "" if there is none
-	joinTime        float64            // when it joined, or when a later partition from its coordinator ended
+	coordinator     string             // name of the coordinator that the proxy is joined to; "": none
+	joinTime        float64            // when the proxy joined its coordinator, or when a later partition from the coordinator ended
 	tables          map[int]proxyTable // by table number
-	tablesFrom      string             // coordinator that bound the tables
+	tablesFrom      string             // name of the coordinator that sent the tables
 	methodTable     []int              // table number of each method, or unboundTable
 	excluded        map[uint32]bool    // backends that the coordinator took out of use
-	lastPushApplied float64            // when it last put a push into effect
-	pushTimes       []float64          // of the pushes within the message window
-	pausedUntil     float64            // end of the last pause of its process
-	partitions      map[string]int     // by coordinator: number of present partitions between it and the proxy
+	lastPushApplied float64            // when the proxy last put a push into effect
+	pushTimes       []float64          // when the pushes of the last Limits.MessageWindow seconds were sent to the proxy, oldest first
+	pausedUntil     float64            // end of the last pause of the proxy's process
+	partitions      map[string]int     // by coordinator's name: number of present partitions between the coordinator and the proxy
 
-	noBackendSince   []float64 // by method: when it lost its last usable backend; infinite while it has one
+	noBackendSince   []float64 // by method: when the method lost its last usable backend; infinite while it has one
 	noBackendCounted []bool    // by method: the present period without a backend was counted as a violation
 }
 
--- a/internal/invariant/rule3_drain.go
+++ b/internal/invariant/rule3_drain.go
@@ -3,7 +3,7 @@
 import "gingerfork/internal/trace"
 
 // checkDrain applies rule 3: once the proxy's coordinator was notified that a backend drains or is gone, the proxy may send
-// attempts to it for no longer than the grace period. The period begins anew when the proxy joins.
+// attempts to the backend for no longer than Limits.DrainGrace. That period begins anew when the proxy joins a coordinator.
 func (c *checker) checkDrain(record trace.Record, sender *proxy) {
 	if sender.connectedTo() == "" {
 		return
--- a/internal/invariant/rule4_coldstart.go
+++ b/internal/invariant/rule4_coldstart.go
@@ -3,10 +3,10 @@
 import "gingerfork/internal/trace"
 
 const (
-	// coldAttemptSlack is how long attempts are kept beyond the collapse window, in seconds, as they take time to arrive at
+	// coldAttemptSlack is how long attempts are kept beyond Limits.CollapseWindow, in seconds, as attempts take time to arrive at
 	// the backend.
 	coldAttemptSlack = 0.1
-	// startTolerance is how long a start time in the endpoint list may precede the one that the backend wrote to the trace, in
+	// startTolerance is how long a backend's start time in the endpoint list may precede the one that the backend wrote to the trace, in
 	// seconds.
 	startTolerance = 1
 )
--- a/internal/invariant/rule5_queue.go
+++ b/internal/invariant/rule5_queue.go
@@ -3,7 +3,7 @@
 import "gingerfork/internal/trace"
 
 // checkPush applies rule 5 to a push: the number of table entries that are queued at the coordinator is bounded, and so is the
-// number of messages to one proxy within the message window.
+// number of pushes to one proxy within Limits.MessageWindow seconds.
 func (c *checker) checkPush(record trace.Record) {
 	c.report.Pushes++
 	c.report.Entries += int(record.Value)
--- a/internal/load/config.go
+++ b/internal/load/config.go
@@ -20,15 +20,15 @@
 
 // Config configures a run of the load generator.
 type Config struct {
-	FrontEnd      fake.FrontEndConfig // for every proxy; Name, Zone, Rate, Coordinators and Seed are set for each
-	Methods       []invariant.Method  // for the report
+	FrontEnd      fake.FrontEndConfig // settings of every proxy; Name, Zone, Rate, Coordinators and Seed are set for each proxy
+	Methods       []invariant.Method  // methods by which the report is computed
 	Proxies       int                 // number of proxies
 	Zones         []string            // assigned to the proxies in turn; may be empty
 	Rate          float64             // RPCs per second of all proxies together
 	RateVariation float64             // coefficient of variation of the proxies' rates
 	Coordinators  []string            // addresses; empty if Backends is set
 	Backends      []string            // addresses, which go into a static table; empty if Coordinators is set
-	Duration      time.Duration       // of the run
+	Duration      time.Duration       // duration of the run
 	EventLoops    int                 // number of event loops; 0: one for each core
 	Seed          uint64
 	OnSecond      func(second int, figures report.Second) // called with the figures of each second once it is over; nil: not called
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -108,9 +108,9 @@
 
 // resultCollector builds the report from the trace records of all event loops, which call it concurrently.
 type resultCollector struct {
-	mutex   sync.Mutex
+	mutex   sync.Mutex // guards builder and err
 	builder *report.Builder
-	err     error // the first one that the builder returned
+	err     error // first error that the builder returned
 }
 
 // add adds trace records to the report.
--- a/internal/measure/drains.go
+++ b/internal/measure/drains.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	drainGrace       = 2.1 // seconds; the same as drain-grace in settingsTemplate
+	drainGrace       = 2.1 // seconds in which attempts to a draining backend are permitted; the same as drain-grace in settingsTemplate
 	drainCount       = 20  // backends drained in each fleet
 	drainFleetRate   = 4   // RPCs per second of each front end
 	drainJoinTimeout = 60 * time.Second
--- a/internal/measure/emulator.go
+++ b/internal/measure/emulator.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	capacityDuration   = 5 * time.Second // of one load test
+	capacityDuration   = 5 * time.Second // duration of one load test
 	capacityWarmUp     = 1.5             // seconds in which schedule lag is ignored, because connections are being opened
 	minCapacityRate    = 2000.0          // RPCs per second of the first load test
 	maxCapacityRate    = 200000
-	capacityRateFactor = 1.6  // from the rate of one load test to that of the next
-	modelBatchSize     = 1000 // RPCs between two reads of the clock
+	capacityRateFactor = 1.6  // ratio of the rate of a load test to that of the one before
+	modelBatchSize     = 1000 // RPCs that measureModelRate submits between two reads of the real clock
 )
 
 // capacityResult is the outcome of one load test of the emulator on sockets.
 type capacityResult struct {
 	Backends, Loops int
-	Rate, Answered  float64 // RPCs per second, requested and answered
+	Rate, Answered  float64 // RPCs per second: Rate as requested, Answered as answered
 	Cores           float64 // CPU cores in use, by load generator and backends together
-	ServerLag       float64 // seconds, the maximum of the backends
-	ClientLag       float64 // seconds, the maximum of the load generator
+	ServerLag       float64 // seconds by which a backend fell behind schedule, at most
+	ClientLag       float64 // seconds by which the load generator fell behind schedule, at most
 	Invalid         bool    // backends or load generator fell behind schedule
 }
 
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -34,8 +34,8 @@
 	backends           *eventloop.Loop // nil if no backends run
 	frontEnds          *eventloop.Loop
 
-	mu      sync.Mutex
-	records []trace.Record // since the last call of takeRecords
+	mu      sync.Mutex     // guards records
+	records []trace.Record // trace records since the last call of takeRecords
 }
 
 const (
--- a/internal/measure/idle.go
+++ b/internal/measure/idle.go
@@ -11,7 +11,7 @@
 	idleBackends    = 100
 	idleJoinTimeout = 180 * time.Second
 	idleSettleTime  = 3 * time.Second // from the last join until the measurement starts
-	idleSpanSeconds = 8               // duration over which the usage is measured
+	idleSpanSeconds = 8               // seconds over which the CPU time is measured
 	bytesPerKiB     = 1 << 10
 	bytesPerMiB     = 1 << 20
 )
@@ -19,7 +19,7 @@
 // idleUsage is the CPU time and memory of a coordinator whose proxies send no RPCs.
 type idleUsage struct {
 	cpuSeconds  float64 // used within idleSpanSeconds
-	memoryBytes int     // resident
+	memoryBytes int     // resident memory of the coordinator's process
 }
 
 // measureIdle measures the coordinator's CPU time and memory for several numbers of idle proxies.
--- a/internal/measure/retries.go
+++ b/internal/measure/retries.go
@@ -20,7 +20,7 @@
 	stormFleetCapacity   = stormBackends * stormBackendCapacity // RPCs per second
 	stormWarmUp          = 5                                    // seconds from the start of the run that are not evaluated
 	hangSeedCount        = 6
-	hangOfferedLoad      = 0.9 // share of the capacity
+	hangOfferedLoad      = 0.9 // offered load as a share of stormFleetCapacity
 )
 
 // stormRun is a run of a scenario with a retry storm: its parameters and, after play, its results.
--- a/internal/optimum/maxflow.go
+++ b/internal/optimum/maxflow.go
@@ -15,7 +15,7 @@
 // next to its reverse edge: the reverse of edge e is e^1.
 type flowGraph struct {
 	firstEdge []int32 // by node: the first edge of its list, or noEdge
-	nextEdge  []int32 // by edge: the next one in the list of the node, or noEdge
+	nextEdge  []int32 // by edge: the next edge in the list of the same node, or noEdge
 	target    []int32 // by edge: the node to which it leads
 	residual  []int64 // by edge: capacity that the flow does not use yet
 	level     []int32 // by node: distance from the source in edges, or unreached
--- a/internal/optimum/optimum.go
+++ b/internal/optimum/optimum.go
@@ -25,7 +25,7 @@
 type Demand struct {
 	Slot   int
 	Zone   string
-	Method int // index of the methods
+	Method int // index of the method in the methods that Solve gets
 	RPCs   float64
 }
 
@@ -34,7 +34,7 @@
 	Slot          int
 	Unsupported   uint64   // bit set of the methods that the backends cannot serve
 	ReachableFrom []string // zones from which the backends can be reached; empty: all
-	RPCs          float64  // that the backends can answer within the slot
+	RPCs          float64  // RPCs that the backends can answer within the slot
 }
 
 // serves reports whether the method and the zone of a demand allow the supply to answer its RPCs.
--- a/internal/report/builder.go
+++ b/internal/report/builder.go
@@ -141,7 +141,7 @@
 	fleet.storeSample(&fleet.Queued, second, backend, float64(record.Count))
 }
 
-// storeSample sets the value of a backend in a sample, and adds rows and columns as needed.
+// storeSample sets the value of a backend in a sample, and adds samples (rows) and backends (columns) as needed.
 func (f *Fleet) storeSample(rows *[][]float32, sample, backend int, value float64) {
 	for len(*rows) <= sample {
 		*rows = append(*rows, make([]float32, f.backends))
--- a/internal/report/lag.go
+++ b/internal/report/lag.go
@@ -6,15 +6,15 @@
 const MaxLag = 0.02
 
 const (
-	maxValidLateShare = 0.01 // share of the samples; above it, the results are invalid
-	maxValidLag       = 0.25 // seconds; above it, the results are invalid
+	maxValidLateShare = 0.01 // share of late samples among all samples; above it, the results are invalid
+	maxValidLag       = 0.25 // largest lag of a sample, in seconds; above it, the results are invalid
 )
 
 // ScheduleLag tells how far emulators and load generators fell behind schedule.
 type ScheduleLag struct {
 	Samples int     `json:"Looks"` // about one per second and process
 	Late    int     // samples with a lag above MaxLag
-	Max     float64 `json:"Worst"` // seconds
+	Max     float64 `json:"Worst"` // largest lag, in seconds
 }
 
 // Observe adds a sample: the largest lag, in seconds, since the previous sample.
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -15,8 +15,8 @@
 	Aborted       int
 	OfferedWeight float64 `json:"Asked"`    // criticality of the RPCs that ended
 	InTimeWeight  float64 `json:"Weighed"`  // criticality of the RPCs that were answered within the soft deadline
-	Pushes        int     `json:"Messages"` // sent to proxies
-	Entries       int     `json:"Lines"`    // table entries in these pushes
+	Pushes        int     `json:"Messages"` // pushes that were sent to proxies
+	Entries       int     `json:"Lines"`    // total size of these pushes: operations, table entries and admission levels
 }
 
 // Service returns the criticality of RPCs answered within the soft deadline as a share of the criticality of all RPCs that ended,
@@ -48,12 +48,12 @@
 // Fleet has samples of the backends' state, indexed by time and backend.
 type Fleet struct {
 	SampleInterval    float64     `json:"Step"`  // seconds
-	Capacity          [][]float32 `json:"Able"`  // RPCs per second that a backend could serve
-	Utilization       [][]float32 `json:"Busy"`  // share of its cores in use
-	Queued            [][]float32 `json:"Waits"` // RPCs
-	AchievableService float64     `json:"Most"`  // upper bound of the service under the injected faults; 0 if unknown
+	Capacity          [][]float32 `json:"Able"`  // RPCs per second that the backend could serve
+	Utilization       [][]float32 `json:"Busy"`  // share of the backend's cores in use
+	Queued            [][]float32 `json:"Waits"` // RPCs queued at the backend
+	AchievableService float64     `json:"Most"`  // upper bound of the run's service (answered share of the offered criticality) under the injected faults; 0 if unknown
 
-	backends int // number of columns of the widest sample
+	backends int // number of backends in the sample that has the most
 }
 
 // Report has the statistics of a run.
@@ -63,8 +63,8 @@
 	Latencies            []Latency
 	WorstTenSeconds      float64 `json:"Worst10"`   // service in the ten consecutive seconds with the lowest
 	WorstTenSecondsStart int     `json:"WorstAt"`   // index of the first of these seconds
-	WorstMethod          string  `json:"Poorest"`   // the method with the lowest service
-	WorstMethodService   float64 `json:"PoorestBy"` // its service
+	WorstMethod          string  `json:"Poorest"`   // name of the method with the lowest service
+	WorstMethodService   float64 `json:"PoorestBy"` // service of that method
 	Fleet                *Fleet  // nil if backends were not sampled
 	Service              float64
 	ScheduleLag          ScheduleLag `json:"Behind"`
--- a/internal/scenario/coordinator_kills.go
+++ b/internal/scenario/coordinator_kills.go
@@ -15,9 +15,9 @@
 
 // Times of the added kills, in seconds.
 const (
-	killMargin    = 3.0 // time at the start and at the end of the scenario without kills
-	minDownTime   = 0.5 // shortest time for which a coordinator is down
-	downTimeRange = 1.0 // by how much that time may be longer
+	killMargin    = 3.0 // time without kills both after the start and before the end of the scenario
+	minDownTime   = 0.5 // shortest time for which a killed coordinator is down
+	downTimeRange = 1.0 // difference between the longest and the shortest time for which a killed coordinator is down
 )
 
 // AddCoordinatorKills adds steps that kill a coordinator, at times that the scenario's seed determines. Each coordinator starts
--- a/internal/scenario/emulate.go
+++ b/internal/scenario/emulate.go
@@ -48,7 +48,7 @@
 	Port        int                       // of the endpoint list service; the backends have the ports after it
 	Part, Parts int                       // number of this process's part, from 1, and of all parts; 0: this process runs everything
 	EventLoops  int                       // number of event loops for the backends; 0: one
-	OnTally     func(emulator.FleetStats) // called with the statistics of each second; may be nil
+	OnTally     func(emulator.FleetStats) // called with the statistics of all backends of this process for each second; may be nil
 	OnStep      func(text string)         // called with each step; may be nil
 	Trace       func([]trace.Record)      // called with records of the trace; may be nil
 }
--- a/internal/scenario/emulation.go
+++ b/internal/scenario/emulation.go
@@ -23,8 +23,8 @@
 	loopCount       int // number of loops that run backends
 	schedule        schedule
 
-	mu           sync.Mutex
-	pendingStats map[int]pendingStats // by second since the start
+	mu           sync.Mutex           // guards pendingStats
+	pendingStats map[int]pendingStats // by the number of the second since the start of the emulation
 }
 
 // pendingStats is the sum of the statistics of one second from the loops that have reported them so far.
--- a/internal/scenario/minimize.go
+++ b/internal/scenario/minimize.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	maxHalvings   = 4 // of the duration in one line of a script
-	maxReductions = 8 // of the number in one line of a script
+	maxHalvings   = 4 // how often the duration in one line of a script is halved at most
+	maxReductions = 8 // how often the number in one line of a script is reduced at most
 	// minHalvedMillis is the shortest duration that is halved, in milliseconds.
 	minHalvedMillis = 500
 	// timeAfterViolation is added to the time of the violation, rounded down to whole seconds, to give the length of a
--- a/internal/scenario/participants.go
+++ b/internal/scenario/participants.go
@@ -24,11 +24,11 @@
 	backend      proto.BackendID // 0: not a backend
 	group        BackendGroup    // of a backend
 	rate         float64         // of a proxy, in RPCs per second
-	policy       string          // of a proxy: how it chooses backends; "": as the settings say
-	up           bool            // whether its process runs
-	incarnations int             // number of its processes so far
-	downCount    int             // number of faults that keep it down at present
-	partitions   int             // of a backend: number of present partitions that separate it from all others
+	policy       string          // of a proxy: how the proxy chooses backends; "": as the settings say
+	up           bool            // whether the participant's process runs
+	incarnations int             // number of the participant's processes so far
+	downCount    int             // number of faults that keep the participant down at present
+	partitions   int             // of a backend: number of present partitions that separate the backend from all other participants
 }
 
 func (p *participant) isBackend() bool { return p.backend > 0 }
--- a/internal/scenario/player.go
+++ b/internal/scenario/player.go
@@ -30,7 +30,7 @@
 // runningStep is a step that is being carried out.
 type runningStep struct {
 	Step
-	faultName string // name of the link faults that it adds
+	faultName string // name of the link faults that the step adds
 	targets   []*participant
 }
 
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -27,19 +27,19 @@
 	Steps        []Step
 
 	EntryApplyTime     float64 // time that a proxy takes to apply one table entry
-	ConnectTimeout     float64 // of proxies
+	ConnectTimeout     float64 // time after which a proxy gives up connecting to a backend
 	EjectionTime       float64 // time for which a proxy avoids a backend after consecutive failures
 	ExitDetectionDelay float64 // time after which the endpoint list service learns that a backend's process ended
 	ZoneLatency        float64 // latency of the simulated network within a zone
 	CrossZoneLatency   float64 // latency of the simulated network between zones
 
-	MethodMix        []float64                 // share of each method in the traffic
+	MethodMix        []float64                 // by method: share of the RPCs of clients
 	ClientRetryShare float64                   // share of the failed RPCs that clients send again
 	ClientRetryDelay float64                   // approximate time before the first retry, doubled with each further one
 	ClientRetryMax   int                       // retries per RPC
 	Shape            traffic.Shape             // variation of the request rate over time
 	Keys             *traffic.Zipf             // distribution of the RPCs' keys; nil: RPCs have no keys
-	IdempotencyScope emulator.IdempotencyScope // which backends share their idempotency keys
+	IdempotencyScope emulator.IdempotencyScope // which backends share a store of idempotency keys
 
 	settingsLines []bootstrap.Line
 }
@@ -52,15 +52,15 @@
 	Capacity       float64       // RPCs per second, when warm
 	Workers        int           // RPCs that a backend executes at once
 	Queue          int           // RPCs that may wait for a worker
-	Weight         float64       // in the endpoint list
+	Weight         float64       // weight of a backend in the endpoint list
 	Work           emulator.Work // distribution of the work of an RPC; its mean follows from Workers and Capacity
 	CancelMode     emulator.CancelPolicy
-	Cell           int     // with which it shares idempotency keys, if they are kept per cell
+	Cell           int     // group of backends that may share idempotency keys, see IdempotencyScope
 	MaxConnections int     // 0: unlimited
 	Reports        bool    // whether replies carry load reports
 	ReportDelay    float64 // age of the load in these reports, in seconds
-	ReportNoise    float64 // coefficient of variation of their error
-	CacheKeys      int     // keys that the cache holds; 0: no cache
+	ReportNoise    float64 // coefficient of variation of the error of the load in these reports
+	CacheKeys      int     // keys that a backend's cache holds; 0: no cache
 	CacheSaving    float64 // share of the work that a cache hit saves
 }
 
@@ -70,7 +70,7 @@
 	Zone          string  // "": assigned to all zones in turn
 	Rate          float64 // mean rate of a proxy, in RPCs per second
 	RateVariation float64 // coefficient of variation of the proxies' rates
-	BackendPolicy string  // how they choose backends; "": as the settings say
+	BackendPolicy string  // how the proxies choose backends; "": as the settings say
 }
 
 // Scale multiplies the numbers of backends and proxies by a factor, also those that steps select; each group keeps at least one.
--- a/internal/scenario/sockets.go
+++ b/internal/scenario/sockets.go
@@ -24,7 +24,7 @@
 // CoordinatorCommand is the command that starts a coordinator's process.
 type CoordinatorCommand struct {
 	Command []string // program and first arguments; the settings file is added as the last argument
-	Env     []string // added to the environment of this process
+	Env     []string // NAME=VALUE, added to the environment variables of this process
 	Dir     string   // folder for settings, state and logs; it must exist
 }
 
@@ -34,14 +34,14 @@
 	player               *player
 	command              CoordinatorCommand
 	clock                *eventloop.Clock
-	ctx                  context.Context // of the event loops, which outlive the caller's context so that shutdown can end them in order
+	ctx                  context.Context // context of the event loops, which outlive the caller's context so that shutdown can end the loops in order
 	nodes                map[string]*node
-	relays               map[string]*relay // by the participant whose connections it forwards
+	relays               map[string]*relay // by name of the participant whose connections the relay forwards
 	linkFaults           []linkFault
 	schedule             schedule
 	coordinatorProcesses sync.WaitGroup // goroutines that wait for coordinators' processes to exit
 
-	mu           sync.Mutex
+	mu           sync.Mutex // guards records, failures and shuttingDown
 	records      []trace.Record
 	failures     []string
 	shuttingDown bool
--- a/internal/scenario/step.go
+++ b/internal/scenario/step.go
@@ -68,22 +68,22 @@
 // Step is one fault or operation of a scenario.
 type Step struct {
 	Source   bootstrap.Line // the script line
-	At       float64        // seconds after the start of the scenario
+	At       float64        // start of the step, in seconds after the start of the scenario
 	Verb     Verb
 	Target   Target
 	Selector Selector
 	Duration float64  // seconds; 0: until the end of the scenario, if the verb permits it
 	Argument string   // the word after "by", with numbers in the form that emulated backends take; "": none
 	Value    float64  // Argument as a number, if it is a share, a factor or a time in seconds
-	FlapMode FlapMode // of VerbFlap
-	Deploy   Deploy   // of VerbDeploy
+	FlapMode FlapMode // only of a step with VerbFlap
+	Deploy   Deploy   // only of a step with VerbDeploy
 }
 
 // Deploy is the schedule of a rolling restart, in seconds.
 type Deploy struct {
-	Drain         float64 // between the beginning of the drain and the end of the process
-	Down          float64 // between the end of the process and its restart
-	Interval      float64 // between the drains of one backend and the next
+	Drain         float64 // seconds between the beginning of a backend's drain and the end of its process
+	Down          float64 // seconds between the end of a backend's process and the restart
+	Interval      float64 // seconds between the beginning of the drains of one backend and the next
 	IntervalGiven bool    // whether the script gives the interval; Scale changes only a given one
 }
 
@@ -115,7 +115,7 @@
 
 // verbSpec describes a verb.
 type verbSpec struct {
-	targets       []Target // those that it applies to
+	targets       []Target // targets that the verb applies to
 	argument      argumentKind
 	needsDuration bool
 	run           func(p *player, step *runningStep) // carries out a step
--- a/internal/scenario/virtual.go
+++ b/internal/scenario/virtual.go
@@ -54,7 +54,7 @@
 	*player
 	options Options
 	network *simnet.Network
-	freezer *fake.TableFreezer // for FrozenTables
+	freezer *fake.TableFreezer // freezes the tables if the run's TableSource is FrozenTables
 	records []trace.Record
 }
 
--- a/internal/simnet/connection.go
+++ b/internal/simnet/connection.go
@@ -32,7 +32,7 @@
 	peer        *connEnd // nil until the connection is accepted
 	// minNextArrival is the earliest time at which the next segment that this end sends may arrive, which keeps segments in order.
 	minNextArrival    statemachine.Seconds
-	heldSegments      []segment // sent during a partition or in transit when it began; sorted by sequence
+	heldSegments      []segment // segments sent during a partition or in transit when it began; sorted by sequence
 	lastSequence      int       // sequence number of the last segment that this end sent
 	open              bool
 	closed            bool
--- a/internal/simnet/link.go
+++ b/internal/simnet/link.go
@@ -17,7 +17,7 @@
 type LinkFault struct {
 	Partitioned  bool                 // no data passes in either direction; data that is sent is held until the fault is removed
 	Reset        bool                 // connections can't be opened, and open ones are reset
-	ExtraLatency statemachine.Seconds // one way, added to the link's own latency
+	ExtraLatency statemachine.Seconds // latency in one direction, added to the link's own latency
 	Bandwidth    float64              // bytes per second of each connection and direction; 0: unlimited
 }
 
--- a/internal/simnet/node.go
+++ b/internal/simnet/node.go
@@ -27,9 +27,9 @@
 	factory NodeFactory
 	files   map[string][]byte
 	disk    *disk.Memory // nil: the node has never opened a store
-	store   *store.Store // opened by this incarnation; nil: none
+	store   *store.Store // store that this incarnation of the process opened; nil: none
 
-	incarnation  int // number of starts of the process; 0: never started
+	incarnation  int // number of starts of the node's process; 0: never started
 	up           bool
 	machine      statemachine.Machine
 	conns        map[statemachine.Conn]*connEnd
@@ -46,7 +46,7 @@
 	scheduledIncarnation int
 	pausedUntil          statemachine.Seconds
 	lastStepAt           statemachine.Seconds
-	stepsAtLastStepTime  int // number of steps at the time lastStepAt
+	stepsAtLastStepTime  int // number of the node's steps at the virtual time lastStepAt
 }
 
 // sortedConns returns the node's ends of its connections, sorted by connection ID.
--- a/internal/traffic/source.go
+++ b/internal/traffic/source.go
@@ -16,7 +16,7 @@
 // Arrival is an RPC that is due.
 type Arrival struct {
 	At     Seconds // when the RPC is due
-	Method int     // index of the method
+	Method int     // index of the RPC's method in the settings
 	Key    uint64  // cache key; 0: none
 }
 
