--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -20,8 +20,8 @@
 type Backend struct {
 	config        Config
 	model         *Model                              // nil before the first step
-	readers       map[statemachine.Conn]*proto.Reader // of the open connections
-	out           *statemachine.Effects               // of the current step
+	readers       map[statemachine.Conn]*proto.Reader // readers of the open connections
+	out           *statemachine.Effects               // effects of the current step
 	nextSampleAt  Seconds
 	maxTimerDelay Seconds // how late a timer was handled at most, since the last sample in the trace
 }
--- a/internal/emulator/cache.go
+++ b/internal/emulator/cache.go
@@ -6,7 +6,8 @@
 // not the last of their key are deleted from that list.
 const cacheCompactionFactor = 4
 
-// minCompactionLength is a number of accesses that is added to that length, so that the lists of small caches are not compacted\n// all the time.
+// minCompactionLength is a number of accesses that is added to that length, so that the lists of small caches are not compacted
+// all the time.
 const minCompactionLength = 16
 
 // cache emulates a least-recently-used cache. It has only the keys, as all that matters is which accesses are hits.
--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -16,7 +16,7 @@
 
 // Config configures an emulated backend.
 type Config struct {
-	Backend      uint32 // its ID
+	Backend      uint32 // ID of the backend
 	Zone         string
 	Cell         int
 	Cores        int
@@ -30,14 +30,15 @@
 	StartsCold bool
 	ColdSpeed  float64
 	WarmupTime Seconds
-	// A backend that is warming up collapses if the work that arrives within OverloadWindow exceeds the overload bound:\n\t// overloadSlackRPCs RPCs of mean work more than OverloadMultiple times
+	// A backend that is warming up collapses if the work that arrives within OverloadWindow exceeds the overload bound:
+	// overloadSlackRPCs RPCs of mean work more than OverloadMultiple times
 	// what the backend can do in that time. With an OverloadWindow of 0 it never collapses.
 	OverloadMultiple float64
 	OverloadWindow   Seconds
 
 	ConnLimit  int     // open connections that are accepted; 0: unlimited
-	ConnWork   Seconds // work of accepting a connection
-	ProbeWork  Seconds // work of a probe
+	ConnWork   Seconds // work of accepting a connection, in seconds on a core of speed 1
+	ProbeWork  Seconds // work of a probe, in seconds on a core of speed 1
 	ProbeLimit int     // concurrent probes; 0: unlimited
 
 	// With ReportsLoad each reply reports the load as it was ReportDelay earlier, multiplied by lognormal noise whose
@@ -49,7 +50,7 @@
 	CacheSize    int     // keys that the cache holds; 0: no cache
 	CacheSavings float64 // share of an RPC's work that a cache hit saves
 
-	SampleInterval  Seconds // between samples of the backend's state in the trace; 0: no samples
+	SampleInterval  Seconds // time between two samples of the backend's state in the trace; 0: no samples
 	Seed            uint64
 	IdempotencyKeys *IdempotencyKeyStore // nil: repeated idempotency keys are not detected
 	Executions      *ExecutionLog        // nil: executions are not logged
--- a/internal/emulator/jobs.go
+++ b/internal/emulator/jobs.go
@@ -9,11 +9,11 @@
 type job struct {
 	conn            ConnID
 	rpc             RPC
-	deadline        Seconds // time at which the client of the RPC gives up
-	workLeft        Seconds // in seconds on a core of speed 1
+	deadline        Seconds // when the client of the RPC gives up; infinite for overhead
+	workLeft        Seconds // work that is not done yet, in seconds on a core of speed 1
 	workLeftAt      Seconds // when workLeft was last computed
 	overhead        bool    // not an RPC: there is no reply
-	timerGeneration int     // number of timers set for it, by which a timer that was replaced is ignored
+	timerGeneration int     // counts the timers that were set for the job, so that a timer that was replaced is recognized and ignored
 	cancelled       bool
 }
 
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -9,7 +9,7 @@
 // Model emulates one backend. Its driver has to call Advance with the current time before it calls any other method.
 type Model struct {
 	config    Config
-	startedAt Seconds // when the process started; earlier than its creation by the warm-up time if it is warm at once
+	startedAt Seconds // when the backend's process started; if it is warm at once, Config.WarmupTime before the model was created
 	now       Seconds
 	random    Random
 	timers    eventqueue.Queue[func()]
@@ -17,11 +17,11 @@
 
 	conns       map[ConnID]*clientConn
 	queue       []*job
-	running     []*job // in the order in which they started
+	running     []*job // jobs on a core, in the order in which they started
 	probes      int    // probes that are not answered yet
 	cache       cache
 	overload    overloadWindow
-	loadSamples []loadSample // only with a ReportDelay; oldest first
+	loadSamples []loadSample // loads from the last one at least Config.ReportDelay old on, oldest first; empty without a ReportDelay
 	faults      faults
 	draining    bool
 	collapsed   bool
--- a/internal/emulator/warmup.go
+++ b/internal/emulator/warmup.go
@@ -4,7 +4,8 @@
 
 const (
 	// overloadSlackRPCs is the number of RPCs of mean work that is added to the overload bound to allow for random clusters of
-	// arrivals. The overload bound is the work within Config.OverloadWindow above which a warming backend collapses; the\n\t// overload ratio is the work that arrived within that window divided by the bound.
+	// arrivals. The overload bound is the work within Config.OverloadWindow above which a warming backend collapses; the
+	// overload ratio is the work that arrived within that window divided by the bound.
 	overloadSlackRPCs = 2
 	// overloadRatioStep is by how much the overload ratio must exceed the last reported one to be reported again.
 	overloadRatioStep = 0.05
--- a/internal/endpointservice/service.go
+++ b/internal/endpointservice/service.go
@@ -25,7 +25,7 @@
 	watchers      map[statemachine.Conn]*watcher
 	history       history
 	nextHeartbeat statemachine.Seconds  // when the next heartbeat is due
-	effects       *statemachine.Effects // of the current step
+	effects       *statemachine.Effects // effects of the current step
 }
 
 // New returns a service. state is the content of the StateFile of an earlier process, or nil. If it cannot be decoded, New returns
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -14,7 +14,7 @@
 type Factor struct {
 	Name   string
 	Values []string
-	used   bool // whether a line of the plan refers to it
+	used   bool // whether a line of the plan refers to the factor
 }
 
 // FileReader returns the content of a scenario or settings file by its name.
@@ -33,8 +33,8 @@
 	Text             string           // content of the plan's file
 	overrides        []bootstrap.Line // lines "set SECTION KEYWORD VALUE...", which change settings
 	additions        []bootstrap.Line // lines "say WORD...", whose words are appended to the scenario as lines
-	fleetMultiplier  string           // multiplier of the fleet's size; may be empty
-	loadMultiplier   string           // multiplier of the front ends' rate; may be empty
+	fleetMultiplier  string           // factor for Scenario.Scale, as text; may be empty
+	loadMultiplier   string           // factor on the rate of the front ends, as text; may be empty
 	coordinatorKills string           // number of coordinator kills at random times; may be empty
 	readFile         FileReader
 	hash             string
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -24,7 +24,7 @@
 type curve struct {
 	name      string
 	means     plotter.XYs
-	intervals plotter.YErrors // intervals of the means
+	intervals plotter.YErrors // confidence intervals of the means
 	dots      plotter.XYs     // one dot for each run
 }
 
--- a/internal/fake/freezer.go
+++ b/internal/fake/freezer.go
@@ -12,7 +12,7 @@
 // had then. A coordinator process that starts later pushes the same tables to the proxies that join again.
 type TableFreezer struct {
 	FreezeAt statemachine.Seconds
-	byProxy  map[string]map[uint64]*frozenTable // by the proxy's name and the table's number
+	byProxy  map[string]map[uint64]*frozenTable // last pushed tables by the proxy's name and the table's number
 	welcome  []byte                             // the encoded welcome of the last coordinator that sent one
 }
 
--- a/internal/fake/frontend.go
+++ b/internal/fake/frontend.go
@@ -29,7 +29,7 @@
 	FailureLimit        int
 	AvoidDuration       statemachine.Seconds
 	AttemptTimeoutRatio float64              // timeout of an attempt that may be retried, as a multiple of the method's soft deadline
-	ApplyTimePerEntry   statemachine.Seconds // for which applying a push pauses the front end, for each entry of the push
+	ApplyTimePerEntry   statemachine.Seconds // time for which the front end pauses to apply a push, for each entry of the push
 	AdmissionIsRate     bool                 // admission levels are RPCs per second instead of shares
 	ReportPeriod        statemachine.Seconds
 	RecordScheduleDelay bool               // write to the trace how late the front end handled arrivals
--- a/internal/fake/multiplexer.go
+++ b/internal/fake/multiplexer.go
@@ -20,8 +20,8 @@
 	members       []*member
 	byName        map[string]*member
 	listeners     []*member                        // the member that each listener belongs to
-	firstListener map[*member]int                  // the multiplexer's number of each member's first listener
-	conns         map[statemachine.Conn]memberConn // by the multiplexer's number of the connection
+	firstListener map[*member]int                  // number, among the multiplexer's listeners, of each member's first listener
+	conns         map[statemachine.Conn]memberConn // by the connection's number outside the multiplexer
 	lastDialed    statemachine.Conn
 	wakeups       wakeup.Queue[*member]
 	memberOut     statemachine.Effects
@@ -31,7 +31,7 @@
 type member struct {
 	name         string
 	machine      statemachine.Machine
-	conns        map[statemachine.Conn]statemachine.Conn // from the member's to the multiplexer's number of a connection
+	conns        map[statemachine.Conn]statemachine.Conn // maps the member's number of a connection to the multiplexer's
 	inputs       []statemachine.Input
 	lastAccepted statemachine.Conn
 	wakeup       *wakeup.Entry[*member]
--- a/internal/fake/rpc.go
+++ b/internal/fake/rpc.go
@@ -18,7 +18,7 @@
 	idempotencyKey uint64 // 0: none
 	cacheKey       uint64 // 0: none
 	finished       bool
-	clientRetries  int // number of earlier RPCs of which this is the client's retry
+	clientRetries  int // how often the client has already sent this RPC before, each time as an RPC of its own
 
 	attemptID     uint64       // ID of the attempt in flight; 0: none
 	conn          *backendConn // connection of the attempt in flight
--- a/internal/haproxy/address.go
+++ b/internal/haproxy/address.go
@@ -13,7 +13,7 @@
 type address struct {
 	Family       string // the prefix before @, "unix" for a path without one, otherwise ""
 	Host         string // for a family without ports, the name of the socket
-	Port         int    // 0 if there is none
+	Port         int    // first or only port; 0 if there is none
 	RelativePort bool   // Port is relative to the port that the client connected to
 	LastPort     int    // the last port of a range, 0 if Port is a single port
 }
--- a/internal/haproxy/fault.go
+++ b/internal/haproxy/fault.go
@@ -50,7 +50,7 @@
 type Fault struct {
 	Position
 	Message string
-	Cause   error // wraps one of the kinds above
+	Cause   error // error that wraps one of the kinds above, such as ErrUnsupported
 }
 
 // newFault returns a fault with the text of its cause as the message.
--- a/internal/haproxy/file.go
+++ b/internal/haproxy/file.go
@@ -19,7 +19,7 @@
 type Token struct {
 	Text   string
 	Column int  // where the argument begins, counted from 1 in bytes
-	Quoted bool // part of it was quoted or escaped, so that it is kept even if it is empty
+	Quoted bool // part of the argument was quoted or escaped, so that an empty argument is kept
 }
 
 // Line is a line with at least one argument; blank lines and comments have none.
--- a/internal/haproxy/proxy_keywords.go
+++ b/internal/haproxy/proxy_keywords.go
@@ -6,7 +6,7 @@
 type proxyLine struct {
 	Line
 	section *section
-	index   int             // index of the line in its section, or notInSection if it is inherited
+	index   int             // index of the line in its section, or notInSection if the line is inherited
 	pool    *Pool           // the pool of a backend or listen section; nil in frontend and defaults sections, which have no servers
 	acls    map[string]bool // names of the ACLs that the section has defined so far
 }
--- a/internal/haproxy/route_condition.go
+++ b/internal/haproxy/route_condition.go
@@ -14,8 +14,8 @@
 
 // aclSet holds the ACLs that a section has defined so far.
 type aclSet struct {
-	termsByName    map[string][]route.Term // an ACL holds if any of its terms does
-	problemsByName map[string]error        // why a route cannot express a match of the ACL
+	termsByName    map[string][]route.Term // by the ACL's name: its terms, of which one must hold for the ACL to hold
+	problemsByName map[string]error        // by the ACL's name: why a route cannot express a match of the ACL
 }
 
 // parseRouteCondition returns the disjunctive normal form of a condition: a list of conjunctions of terms, of which one must hold.
--- a/internal/haproxy/routes.go
+++ b/internal/haproxy/routes.go
@@ -15,12 +15,12 @@
 type routeReader struct {
 	section       *section
 	acls          aclSet
-	problems      map[int]string // why a line is not carried over, by its index in the section
+	problems      map[int]string // why a line is not carried over, by the line's index in the section
 	routes        []route.Route
-	defaultRoute  *route.Route    // from default_backend; nil if there is none
+	defaultRoute  *route.Route    // route from the keyword default_backend; nil if there is none
 	catchAllLine  int             // line number of a route without a condition, after which no route is reached; 0 if there is none
 	blockedReason string          // why no further route is carried over, or ""
-	usedMethods   map[string]bool // method names that are already in use
+	usedMethods   map[string]bool // method names in use: the section's name and those that earlier routes were given
 }
 
 // importRoutes reads the routes of a frontend or listen section. The lines themselves are reported later, by importLines, which
--- a/internal/haproxy/section.go
+++ b/internal/haproxy/section.go
@@ -28,7 +28,7 @@
 type section struct {
 	Position
 	kind, name     string
-	defaults       *section // nil if it inherits nothing
+	defaults       *section // defaults section that the section inherits from; nil if none
 	lines          []Line
 	routeProblems  map[int]string // why the match or route of a line is not carried over, by the line's index in lines
 	defaultServers []Line         // default-server lines that were read so far, those of the inherited defaults first
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -41,12 +41,12 @@
 const (
 	coordinatorName  = "c0"
 	settingsFileName = coordinatorName + ".conf"
-	noState          = "-"    // value of the setting state if the coordinator persists nothing
+	noState          = "-"    // value of the setting `state` if the coordinator persists nothing
 	stateFolderName  = "kept" // folder of the coordinator's state, relative to the settings file
 	loopbackAddr     = "127.0.0.1:0"
 	unusedAddr       = "127.0.0.1:1" // address of backends that are listed but do not run
 	firstPort        = 12000         // lowest port of the coordinator
-	portCount        = 15000         // number of ports, of which the process ID selects one
+	portCount        = 15000         // number of ports from firstPort on, one of which is chosen by the process ID
 )
 
 const settingsTemplate = `instance c0
--- a/internal/measure/observe.go
+++ b/internal/measure/observe.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	pollInterval        = 20 * time.Millisecond  // between two reads of the recorded trace
+	pollInterval        = 20 * time.Millisecond  // time between two reads of the recorded trace
 	drainWait           = 700 * time.Millisecond // from the start of a drain until its outcome is read
 	reopenWait          = 100 * time.Millisecond // from the reopening of a backend until the next one drains
-	clockTicksPerSecond = 100                    // unit of the CPU times in /proc/PID/stat
-	userTimeField       = 11                     // index of a field of /proc/PID/stat, counted after the command name
+	clockTicksPerSecond = 100                    // clock ticks, the unit of the CPU times in /proc/PID/stat, in a second
+	userTimeField       = 11                     // this and the two below: index of a field of /proc/PID/stat, counted from 0 after the command name
 	systemTimeField     = 12
 	residentPagesField  = 21
 )
--- a/internal/measure/retries.go
+++ b/internal/measure/retries.go
@@ -25,17 +25,17 @@
 
 // stormRun is a run of a scenario with a retry storm: its parameters and, after play, its results.
 type stormRun struct {
-	Offered          float64 // offered load without the clients' retries, as a share of the capacity
+	Offered          float64 // offered load without the clients' retries, as a share of stormFleetCapacity
 	AdmissionControl bool
 	ClientRetries    bool
 	Hanging          bool // a tenth of the backends hang for 8 s
 	Seed             uint64
 
-	RPCs       float64 // per second, including the clients' retries
-	Attempts   float64 // per second, at backends
+	RPCs       float64 // RPCs per second at the front ends, including the clients' retries
+	Attempts   float64 // attempts per second at the backends
 	Goodput    float64 // RPCs per second that were answered within the soft deadline
 	Service    float64 // criticality answered within the soft deadline, as a share of the criticality offered, over the whole run
-	Violations int     // of the rules that internal/invariant checks, over the whole run
+	Violations int     // violations of the rules that internal/invariant checks, over the whole run
 }
 
 // scenario returns the scenario to be played.
--- a/internal/measure/store.go
+++ b/internal/measure/store.go
@@ -19,7 +19,7 @@
 	state          string    // folder of the coordinator's state, or noState
 	drainLatencies []float64 // seconds
 	restartTimes   []float64 // seconds from the start of the coordinator until all proxies have a table
-	writtenBytes   int64     // growth of the store during the drains
+	writtenBytes   int64     // bytes by which the coordinator's store grew during the drains
 	stateChanges   int       // changes of backend states that caused these writes
 }
 
--- a/internal/report/fleet_picture.go
+++ b/internal/report/fleet_picture.go
@@ -7,7 +7,8 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// padRows pads all samples (one row each) with zeros to the same number of backends. Early samples are shorter if backends were\n// first sampled later.
+// padRows pads all samples (one row each) with zeros to the same number of backends. Early samples are shorter if backends were
+// first sampled later.
 func (f *Fleet) padRows() {
 	f.backends = max(f.backends, len(f.Utilization[0]))
 	for _, rows := range [][][]float32{f.Capacity, f.Utilization, f.Queued} {
--- a/internal/route/file.go
+++ b/internal/route/file.go
@@ -75,7 +75,7 @@
 // Read parses the text of a route file. It returns all faults of the file, each with its line number.
 func Read(file, text string) (routes []Route, faults bootstrap.Faults) {
 	lines, faults := bootstrap.Lex(file, text)
-	catchAll := map[string]bootstrap.Line{} // by front end: its route without a condition, after which no route is reached
+	catchAll := map[string]bootstrap.Line{} // by front end: line of the front end's route without a condition, after which no route is reached
 	for _, line := range lines {
 		route, err := parse(line.Words)
 		if err != nil {
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -15,8 +15,8 @@
 // index holds the routes of one front end.
 type index struct {
 	routes    []Route
-	unindexed []int            // positions of the routes that do not require an exact value
-	byValue   map[string][]int // positions of the other routes, by Term.key of each value that they require
+	unindexed []int            // positions in routes of those that do not require an exact value
+	byValue   map[string][]int // positions in routes of the others, by Term.key of each value that they require
 	sources   []Term           // the properties whose values are keys of byValue, as terms without patterns
 }
 
--- a/internal/scenario/emulate.go
+++ b/internal/scenario/emulate.go
@@ -50,7 +50,7 @@
 	EventLoops  int                       // number of event loops for the backends; 0: one
 	OnTally     func(emulator.FleetStats) // called with the statistics of all backends of this process for each second; may be nil
 	OnStep      func(text string)         // called with each step; may be nil
-	Trace       func([]trace.Record)      // called with records of the trace; may be nil
+	Trace       func([]trace.Record)      // called with the records of the trace as they are written; may be nil
 }
 
 // ListAddr returns the address of the endpoint list service.
--- a/internal/scenario/emulation.go
+++ b/internal/scenario/emulation.go
@@ -18,7 +18,7 @@
 	player          *player
 	clock           *eventloop.Clock
 	loopByBackend   map[string]*eventloop.Loop // by name of the backend; only those of this process's part
-	endpointService *eventloop.Loop            // nil: the process that plays the first part runs it
+	endpointService *eventloop.Loop            // nil: another process, which plays the first part, runs the service
 	loops           []*eventloop.Loop
 	loopCount       int // number of loops that run backends
 	schedule        schedule
--- a/internal/scenario/groundtruth.go
+++ b/internal/scenario/groundtruth.go
@@ -23,7 +23,7 @@
 	Start       statemachine.Seconds
 	Supply      []optimum.Supply
 	Capacity    [][]float32 // by slot and backend: RPCs per second that the backend can execute
-	Utilization [][]float32 // by slot and backend: share of its cores that is busy
+	Utilization [][]float32 // by slot and backend: share of the backend's cores that is busy
 	Queued      [][]float32 // by slot and backend: RPCs that are queued there
 }
 
--- a/internal/scenario/minimize.go
+++ b/internal/scenario/minimize.go
@@ -19,8 +19,8 @@
 // minimizer simplifies a script as long as the same violation occurs.
 type minimizer struct {
 	violation string
-	lines     []string // of the script
-	result    Result   // of the script
+	lines     []string // lines of the script as simplified so far
+	result    Result   // result of that script
 }
 
 // Minimize simplifies a script as long as the same violation occurs: it removes steps, halves their durations, reduces the fleet
--- a/internal/scenario/player.go
+++ b/internal/scenario/player.go
@@ -24,7 +24,7 @@
 	executionLog *emulator.ExecutionLog // shared by all backends; nil: executions are not logged
 	// sampleInterval is the interval at which backends and proxies record their own state, in seconds; 0: they do not.
 	sampleInterval float64
-	zonePartitions map[string]int // by zone: number of present partitions that separate it from the others
+	zonePartitions map[string]int // by zone: number of present partitions that separate the zone from the others
 }
 
 // runningStep is a step that is being carried out.
--- a/internal/scenario/relay.go
+++ b/internal/scenario/relay.go
@@ -26,8 +26,8 @@
 type relay struct {
 	loop              *eventloop.Loop
 	targetNames       []string
-	addresses         []string // by target
-	lastFaultCommands []string // by target: the last command that set its link's fault
+	addresses         []string // address at which the relay listens, by index of the target in targetNames
+	lastFaultCommands []string // by index of the target: the last command that set the fault of the target's link
 }
 
 // address returns the address at which the relay accepts connections to a target, or one that cannot be reached if the target
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -17,7 +17,7 @@
 // Scenario is the content of a script. Times are in seconds.
 type Scenario struct {
 	Name         string
-	SettingsFile string // name of the file, as given in the script
+	SettingsFile string // name of the settings file, as given in the script
 	Settings     *bootstrap.Settings
 	Duration     float64
 	Seed         uint64
--- a/internal/scenario/sockets.go
+++ b/internal/scenario/sockets.go
@@ -50,10 +50,10 @@
 // node is a participant's process or event loop.
 type node struct {
 	participant *participant
-	addr        string                      // "": it does not listen
+	addr        string                      // address on which the participant listens; "": none
 	newMachine  func() statemachine.Machine // nil: a coordinator, which is a process
 	loop        *eventloop.Loop             // nil: not started, or stopped
-	closingLoop *eventloop.Loop             // of the earlier incarnation, which may still hold the port
+	closingLoop *eventloop.Loop             // loop of the participant's earlier incarnation, which may still hold the port
 	cmd         *exec.Cmd                   // the process of a coordinator; nil: not started, or killed
 	rewriteAddr func(addr string) string    // if set, replaces each address to which the node connects
 }
--- a/internal/scenario/step.go
+++ b/internal/scenario/step.go
@@ -48,7 +48,7 @@
 	TargetProxies         Target = "frontends"
 	TargetCoordinators    Target = "coordinators"
 	TargetEndpointService Target = "list"    // the endpoint list service
-	TargetZone            Target = "zone"    // all of a zone, or its links to others
+	TargetZone            Target = "zone"    // all participants of a zone, or the zone's links to other zones
 	TargetStreams         Target = "streams" // the streams between the selected proxies and coordinators
 )
 
@@ -97,7 +97,7 @@
 	Share   float64 // 0: not given
 	Zone    string  // "": any
 	Kind    string  // "": any
-	Indexes []int   // among the participants of the target's kind, from 0; empty: any
+	Indexes []int   // indexes, from 0, among the participants of the target's kind; empty: any
 }
 
 // argumentKind is the kind of word that a verb expects after "by", as error messages name it.
--- a/internal/simnet/network.go
+++ b/internal/simnet/network.go
@@ -42,7 +42,7 @@
 	faults       []namedFault
 	// sameZoneLatency and crossZoneLatency are the mean one-way latencies of links within a zone and between zones.
 	sameZoneLatency, crossZoneLatency statemachine.Seconds
-	effects                           statemachine.Effects // of the current step
+	effects                           statemachine.Effects // effects of the step that is being carried out
 }
 
 // listener is one address that a node listens on.
--- a/internal/trace/kinds.go
+++ b/internal/trace/kinds.go
@@ -26,7 +26,7 @@
 	LinkRestored       = "heal"    // Party: a proxy or the endpoint list service; Coordinator: the link between the two works again
 	ProcessPaused      = "stall"   // Party: the coordinator or proxy whose process does not run; Value: duration in seconds
 	FaultInjected      = "trouble" // Text: the step of the scenario; Value: duration in seconds
-	ScheduleDelay      = "late"    // Party or Backend: an emulated one; Value: its largest delay behind its own schedule in the last second, in seconds
-	BackendSampled     = "glance"  // Backend; Value: capacity in RPCs per second; Count: queued RPCs; Text: share of its cores that is busy
-	LoadOffered        = "offer"   // Backend: a cold one; Value: work that arrived in the overload window, as a share of what makes the backend collapse; Count: RPCs in that window
+	ScheduleDelay      = "late"    // Party or Backend: an emulated one; Value: by how many seconds it was behind its own schedule at most since its previous such record
+	BackendSampled     = "glance"  // Backend; Value: capacity in RPCs per second; Count: jobs that wait for a core; Text: share of the backend's cores that is busy
+	LoadOffered        = "offer"   // Backend: a cold one; Value: work that arrived within emulator.Config.OverloadWindow, divided by the work that makes the backend collapse; Count: RPCs in that window
 )
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -15,7 +15,7 @@
 	Backend     uint32
 	RPCID       uint64
 	Method      int // index of the method in the settings
-	Nonce       int // of a push, which the proxy repeats in its acknowledgement
+	Nonce       int // number of a push, which the proxy repeats in its acknowledgement
 	Count       int64
 	Value       float64
 	Text        string
@@ -32,7 +32,7 @@
 	nonceKey       = "mark"
 	countKey       = "n"
 	valueKey       = "x"
-	textKey        = "text" // its value is quoted and may contain spaces, so it is always the last field
+	textKey        = "text" // key of the field Text: the value is quoted and may contain spaces, so the field is always the last
 )
 
 // Append appends the record as one line with its newline. Fields with the zero value are left out.
--- a/internal/traffic/shape.go
+++ b/internal/traffic/shape.go
@@ -15,7 +15,7 @@
 	DayLength     Seconds // period of the daily wave
 	BurstInterval Seconds // time from the end of a burst to the end of the next; 0: no bursts
 	BurstLength   Seconds
-	BurstFactor   float64 // by which the rate is multiplied during a burst
+	BurstFactor   float64 // factor by which the rate is multiplied during a burst
 }
 
 // Validate returns an error if the shape is invalid.
