--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -31,8 +31,7 @@
 	ColdSpeed  float64
 	WarmupTime Seconds
 	// A backend that is warming up collapses if the work that arrives within OverloadWindow exceeds the overload bound:
-	// overloadSlackRPCs RPCs of mean work more than OverloadMultiple times
-	// what the backend can do in that time. With an OverloadWindow of 0 it never collapses.
+	// overloadSlackRPCs RPCs of mean work more than OverloadMultiple times what the backend can do in that time. With an OverloadWindow of 0 it never collapses.
 	OverloadMultiple float64
 	OverloadWindow   Seconds
 
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -17,7 +17,7 @@
 const (
 	// expensiveShare is the share of RPCs that the fault "dear" makes expensive.
 	expensiveShare = 0.1
-	// noMethod is the value of failingMethod if no method fails.
+	// noMethod is the value of faults.failingMethod if no method fails.
 	noMethod = -1
 )
 
@@ -120,7 +120,7 @@
 	heal     func(m *Model)
 }
 
-// faultKinds has all faults. Their names are part of the command syntax.
+// faultKinds has all kinds of faults. The names are part of the syntax of the commands to a backend.
 var faultKinds = []faultKind{
 	{
 		name: "hang", argument: noArgument,
--- a/internal/emulator/keystore.go
+++ b/internal/emulator/keystore.go
@@ -11,11 +11,12 @@
 	PerBackend                          // each backend has keys of its own
 )
 
-// expiryIntervalWindows is the number of windows between two removals of expired keys. A removal visits all keys, which would
-// be too slow with every RPC.
+// expiryIntervalWindows is the time between two removals of expired keys, as a multiple of IdempotencyKeyStore.Window. A removal
+// visits all keys, which would be too slow with every RPC.
 const expiryIntervalWindows = 10
 
-// IdempotencyKeyStore stores the idempotency keys of executed RPCs, so that an RPC is executed only once per scope within Window.
+// IdempotencyKeyStore stores the idempotency keys of executed RPCs, so that the backends that share keys according to Scope
+// execute an RPC only once within Window.
 type IdempotencyKeyStore struct {
 	Scope         IdempotencyScope
 	Window        Seconds
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -1,6 +1,6 @@
 package emulator
 
-// noLoadReport is the Reply.Load of a backend that does not report its load.
+// noLoadReport is the value of Reply.Load if the backend does not report its load.
 const noLoadReport = -1
 
 // loadSample is a backend's load at a time: queued and running jobs per core.
--- a/internal/endpointfile/encoding.go
+++ b/internal/endpointfile/encoding.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// storedFormat is the format that Encode writes and Decode accepts.
+// storedFormat is the number of the JSON format of a stored list that Encode writes and Decode accepts.
 const storedFormat = 1
 
 // storedList is the stored form of a list. Its JSON keys are part of the stored format.
--- a/internal/experiment/statistics.go
+++ b/internal/experiment/statistics.go
@@ -113,12 +113,12 @@
 	verdictWorse   = "worse"
 )
 
-// maxSeedsNeeded limits the number of seeds that Verdict returns.
+// maxSeedsNeeded is the highest number of seeds that Verdict returns as seedsNeeded.
 const maxSeedsNeeded = 1e9
 
 // Verdict classifies a paired difference from the first arm; sign is moreIsBetter (1) or lessIsBetter (-1). If the verdict is
-// unclear, seedsNeeded estimates how many seeds would make it clear, assuming that mean and deviation stay as they are. It is 0 if
-// the verdict is clear or the mean is 0.
+// unclear, seedsNeeded estimates how many seeds would make it clear, assuming that mean and deviation stay as they are.
+// seedsNeeded is 0 if the verdict is clear or the mean is 0.
 func Verdict(difference Estimate, sign float64) (verdict string, seedsNeeded int) {
 	switch {
 	case difference.Count > 0 && difference.Deviation == 0 && difference.Mean == 0:
--- a/internal/fake/baseline.go
+++ b/internal/fake/baseline.go
@@ -11,7 +11,7 @@
 const (
 	// baselineReconnectDelay is the time before the baseline coordinator dials the endpoint service again after it lost the connection.
 	baselineReconnectDelay statemachine.Seconds = 0.5
-	// baselineTableNumber is the number of the only table that every proxy gets.
+	// baselineTableNumber is the table number of the only table that every proxy gets.
 	baselineTableNumber = 1
 )
 
--- a/internal/fake/endpoints.go
+++ b/internal/fake/endpoints.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// maxHistoryLength is the maximum number of changes that are kept. When there are more, only the newer half of them is kept.
+	// maxHistoryLength is the maximum number of changes of the list that are kept to answer watchers with changes. When there are
+	// more, only the newer half of them is kept.
 	maxHistoryLength = 4096
 	// heartbeatPeriod is the time between two heartbeats, which are empty updates, to a watcher.
 	heartbeatPeriod statemachine.Seconds = 1
--- a/internal/fake/method.go
+++ b/internal/fake/method.go
@@ -35,7 +35,7 @@
 	defaultDeadline     = 2 // seconds
 )
 
-// repeatabilityByName has the values of the method setting "effect".
+// repeatabilityByName has the repeatability for each value of the method setting "effect".
 var repeatabilityByName = map[string]Repeatability{
 	"idempotent":     Idempotent,
 	"tokened":        IdempotentWithKey,
--- a/internal/fake/session.go
+++ b/internal/fake/session.go
@@ -13,7 +13,8 @@
 	reconnectBackoffStep statemachine.Seconds = 0.1
 	// maxReconnectBackoff is the maximum time until the next dial, without jitter.
 	maxReconnectBackoff statemachine.Seconds = 2
-	// maxSilentReportPeriods is the number of report periods without a message after which a coordinator counts as unreachable.
+	// maxSilentReportPeriods is the number of report periods without a message from the coordinator after which the front end
+	// ends the session.
 	maxSilentReportPeriods = 4
 )
 
--- a/internal/haproxy/fault.go
+++ b/internal/haproxy/fault.go
@@ -20,7 +20,7 @@
 	ErrUnsupported = errors.New("not supported by the import")
 )
 
-// ErrNoPool is the error for a pool name that an import does not have.
+// ErrNoPool is the error for the name of a pool that is not among the pools of an import.
 var ErrNoPool = errors.New("no such pool")
 
 // ValueError is the error for a word that does not have the form that its keyword expects. It wraps ErrValue.
--- a/internal/haproxy/keywords.go
+++ b/internal/haproxy/keywords.go
@@ -7,7 +7,7 @@
 	reason     string // explanation in the notes; may be empty for Carried
 }
 
-// Reasons in the notes of several keywords.
+// Reasons that the notes give for keywords that are not carried over or differ, each for several keywords.
 const (
 	reasonHealthChecks     = "the coordinator judges servers by what proxies meet there, and probes those that are silent"
 	reasonTLS              = "our proxies' own connections to servers"
--- a/internal/haproxy/pool.go
+++ b/internal/haproxy/pool.go
@@ -16,7 +16,7 @@
 	hasFaultyServer bool // a server was left out because of a fault, so that a lack of servers is not reported on top of it
 }
 
-// The pick policies, as written in the settings.
+// The pick policies, by which proxies pick a backend for an RPC, as written in the settings.
 const (
 	pickLottery = "lottery"
 	pickEven    = "even"
--- a/internal/haproxy/retries.go
+++ b/internal/haproxy/retries.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// maxRetries is the highest number of retries that a configuration may set.
+// maxRetries is the highest number of retries that an HAProxy configuration may set.
 const maxRetries = 1000
 
 // importRetries imports the number of retries. If it is above 0, proxies make at most one retry, and only after proof that the RPC
@@ -42,7 +42,7 @@
 	}
 }
 
-// unsafeRetryCauses are the causes after which an RPC may have run.
+// unsafeRetryCauses are the causes on retry-on lines after which an RPC may have run, so that no RPC is retried after them.
 var unsafeRetryCauses = []string{
 	"empty-response", "junk-response", "response-timeout", "0rtt-rejected", "401", "403", "404", "408", "421", "425", "500", "501", "502", "504",
 }
--- a/internal/haproxy/routes.go
+++ b/internal/haproxy/routes.go
@@ -7,7 +7,7 @@
 	"gingerfork/internal/route"
 )
 
-// dynamicNameMarker is contained in a backend name that HAProxy computes for each request.
+// dynamicNameMarker occurs in the backend name of a use_backend line if HAProxy computes that name for each request.
 const dynamicNameMarker = "%["
 
 // routeReader reads the routes of a frontend or listen section in order. After the first route that cannot be expressed exactly,
@@ -116,7 +116,7 @@
 	}
 }
 
-// maxMethodNameBytes is the length in bytes beyond which a method name is not extended with more words of the condition.
+// maxMethodNameBytes is the length in bytes beyond which a method name is not extended with more words of the route's condition.
 const maxMethodNameBytes = 50
 
 // methodName returns the name of the method for a route's requests. It is made of the frontend's name and the words of the
--- a/internal/haproxy/server_options.go
+++ b/internal/haproxy/server_options.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// negation is the prefix that turns an option off.
+// negation is the prefix that turns an option of a server line off.
 const negation = "no-"
 
 // isNegatedOption reports whether a word is a known option with the negation prefix.
--- a/internal/haproxy/settings.go
+++ b/internal/haproxy/settings.go
@@ -19,7 +19,8 @@
 	longestSoftDeadline = 1.0 // seconds; a soft deadline is half the deadline, but at most this
 )
 
-// The range of ports in the settings. Each pool takes the next two ports of the range; after the last it starts over.
+// The range of ports in the settings files. Each pool takes the next two ports of the range; after the last one, the first ports
+// are used again.
 const (
 	firstPort = 7400
 	portCount = 50000
--- a/internal/haproxy/value.go
+++ b/internal/haproxy/value.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// timeUnits are the units of times in seconds (manual, 2.5). A unit whose name ends in the name of another precedes that one.
+// timeUnits are the suffixes of times, each with its length in seconds (manual, 2.5). A unit whose name ends in the name of
+// another precedes that one.
 var timeUnits = []struct {
 	suffix  string
 	seconds float64
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -17,8 +17,8 @@
 	ErrBadEndpoint  = errors.New("malformed endpoint")
 )
 
-// availabilityCheckInterval is the interval, in seconds, at which rule 1 is checked for all proxies, as some may write no record
-// for a long time.
+// availabilityCheckInterval is the interval, in seconds, at which rule 1 is checked for all proxies, as some proxies may write no
+// record for a long time.
 const availabilityCheckInterval = 0.05
 
 // endpointService is the name of the endpoint list service in traces.
--- a/internal/invariant/coordinator.go
+++ b/internal/invariant/coordinator.go
@@ -9,8 +9,8 @@
 	"gingerfork/internal/trace"
 )
 
-// streamTimeoutMargin is how much shorter than the configured timeout, in seconds, a partition may be to count as long enough
-// for a coordinator to give up its stream to the endpoint list service.
+// streamTimeoutMargin is how much shorter than Limits.EndpointStreamTimeout, in seconds, a partition may be to count as long
+// enough for a coordinator to give up its stream to the endpoint list service.
 const streamTimeoutMargin = 1.5
 
 // States of an endpoint in a trace.
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -37,7 +37,7 @@
 	NoBackendLimit        float64 // longest time that a proxy may lack a usable backend
 	DrainGrace            float64 // time in which a proxy may still send attempts to a draining or removed backend, from its coordinator's notification or its join
 	WarmAfter             float64 // time from its start after which a backend counts as warm
-	CollapseWindow        float64 // time window over which the load on a cold backend is counted
+	CollapseWindow        float64 // time before a collapse whose attempts decide whether the coordinators caused it
 	MaxQueuedEntries      int     // table entries that may wait at a coordinator to be pushed
 	MaxMessages           int     // pushes to one proxy within MessageWindow; 0: unlimited
 	MessageWindow         float64
--- a/internal/invariant/rule4_coldstart.go
+++ b/internal/invariant/rule4_coldstart.go
@@ -11,14 +11,14 @@
 	startTolerance = 1
 )
 
-// coldAttempt is an attempt that was sent to a cold backend.
+// coldAttempt is an attempt that was sent to a cold backend, one whose process started cold less than Limits.WarmAfter ago.
 type coldAttempt struct {
 	time        float64
 	proxy       string
 	knewOfStart bool // the proxy's coordinator knew of the backend's latest start and had time to act on it
 }
 
-// recordColdAttempt keeps an attempt to a cold backend for the duration of the collapse window.
+// recordColdAttempt keeps an attempt to a cold backend for the duration of Limits.CollapseWindow.
 func (c *checker) recordColdAttempt(record trace.Record, p *proxy) {
 	start, started := c.startTimes[record.Backend]
 	if !started || record.Time >= start+c.limits.WarmAfter {
@@ -38,9 +38,9 @@
 	c.coldAttempts[record.Backend] = attempts
 }
 
-// checkCollapse applies rule 4 to the collapse of a cold backend. It counts as caused by the coordinators if at least two thirds
-// of the attempts in the window were sent with knowledge of the backend's start. The violation names the proxy that sent the
-// most attempts.
+// checkCollapse applies rule 4 to the collapse of a cold backend. The collapse counts as caused by the coordinators if at least
+// two thirds of the attempts within Limits.CollapseWindow plus coldAttemptSlack were sent with knowledge of the backend's start.
+// The violation names the proxy that sent the most attempts.
 func (c *checker) checkCollapse(record trace.Record) {
 	c.report.Collapses++
 	attempts, informedAttempts := c.coldAttempts[record.Backend], 0
--- a/internal/measure/retries.go
+++ b/internal/measure/retries.go
@@ -12,7 +12,7 @@
 	"gingerfork/internal/trace"
 )
 
-// The overloaded fleet.
+// The fleet of the retry storms, and the runs in which some of its backends hang.
 const (
 	stormBackends        = 100
 	stormFrontEnds       = 300
--- a/internal/report/builder.go
+++ b/internal/report/builder.go
@@ -28,9 +28,9 @@
 
 // methodTotals has the totals of one method over the whole run.
 type methodTotals struct {
-	latencies     *hdrhistogram.Histogram // microseconds
-	offeredWeight float64                 // criticality of all RPCs
-	inTimeWeight  float64                 // criticality of the RPCs answered within the soft deadline
+	latencies     *hdrhistogram.Histogram // latencies of the RPCs, in microseconds
+	offeredWeight float64                 // total criticality of all RPCs that ended
+	inTimeWeight  float64                 // total criticality of the RPCs answered within the soft deadline
 }
 
 // Builder computes a report incrementally from trace records, without keeping the records.
--- a/internal/report/picture.go
+++ b/internal/report/picture.go
@@ -197,7 +197,7 @@
 	return panel, nil
 }
 
-// maxTickIntervals limits the number of intervals between ticks on a time axis.
+// maxTickIntervals is the maximum number of intervals between ticks on a time axis.
 const maxTickIntervals = 12
 
 // secondTicks places ticks at multiples of a round number of seconds.
--- a/internal/scenario/compare.go
+++ b/internal/scenario/compare.go
@@ -15,7 +15,7 @@
 const (
 	Coordinated  TableSource = iota // tables from coordinators, as in production
 	AllBackends                     // one table of all open backends in the endpoint list, from a simple baseline coordinator
-	FrozenTables                    // tables from coordinators that no longer change FreezeDelay seconds after the start
+	FrozenTables                    // tables from coordinators, which do not change any more from FreezeDelay seconds after the start on
 	tableSourceCount
 )
 
@@ -24,7 +24,7 @@
 	return [...]string{"coordinator", "all servers", "frozen", "?"}[min(s, tableSourceCount)]
 }
 
-// FreezeDelay is the time after the start at which FrozenTables freezes the tables, in seconds.
+// FreezeDelay is the time in seconds from the start of the scenario until FrozenTables freezes the tables.
 const FreezeDelay = 4.0
 
 // Comparison holds the results of a scenario with each table source on the same seed, and an upper bound on the service.
--- a/internal/scenario/coordinator_kills.go
+++ b/internal/scenario/coordinator_kills.go
@@ -10,7 +10,8 @@
 	"gingerfork/internal/bootstrap"
 )
 
-// killRandomStream separates the random numbers of added kills from others of the same seed.
+// killRandomStream is the second word of the seed by which added kills are drawn, so that their random numbers differ from others
+// of the same scenario seed.
 const killRandomStream = 3
 
 // Times of the added kills, in seconds.
--- a/internal/scenario/link_faults.go
+++ b/internal/scenario/link_faults.go
@@ -5,7 +5,8 @@
 	"gingerfork/internal/trace"
 )
 
-// defaultPushTime is the usual time that a push takes, in seconds, if the settings give none.
+// defaultPushTime is the usual time in seconds from the sending of a push until its arrival, if the settings give no mean push
+// time.
 const defaultPushTime = 0.1
 
 // runSlow slows backends down, or delays the streams of proxies so that a push takes a multiple of its usual time.
--- a/internal/scenario/processes.go
+++ b/internal/scenario/processes.go
@@ -12,9 +12,10 @@
 )
 
 const (
-	// auxiliaryWorkDivisor is the mean work of an RPC divided by that of a probe or a new connection.
+	// auxiliaryWorkDivisor is the ratio of the mean work of an RPC to the work of answering a health probe or accepting a
+	// connection.
 	auxiliaryWorkDivisor = 10
-	// maxProbes is the number of probes that a backend serves at once.
+	// maxProbes is the number of health probes that a backend serves at once.
 	maxProbes = 10
 )
 
--- a/internal/scenario/read.go
+++ b/internal/scenario/read.go
@@ -8,7 +8,7 @@
 	"gingerfork/internal/bootstrap"
 )
 
-// Upper bounds of a scenario.
+// Upper bounds of the duration and the number of coordinators of a scenario.
 const (
 	maxDuration     = 24 * 60 * 60 // seconds
 	maxCoordinators = 100
--- a/internal/scenario/read_groups.go
+++ b/internal/scenario/read_groups.go
@@ -10,7 +10,7 @@
 	"gingerfork/internal/traffic"
 )
 
-// Upper bounds of numbers in scripts.
+// Upper bounds of numbers in scripts; maxRateVariation is that of a coefficient of variation.
 const (
 	maxGroupSize     = 100000
 	maxCount         = 1e6
@@ -22,12 +22,12 @@
 // backendPolicies are the values of the option pick: how proxies choose among the backends of a table.
 var backendPolicies = []string{"even", "lottery", "pair", "report"}
 
-// cancelModes are the values of the option give-up.
+// cancelModes are the values of the option give-up: what a backend does with a cancelled RPC.
 var cancelModes = []namedValue[emulator.CancelPolicy]{
 	{"runs-on", emulator.IgnoreCancel}, {"skips-wait", emulator.DropQueued}, {"stops", emulator.CancelRunning},
 }
 
-// idempotencyScopes are the values of the statement tokens.
+// idempotencyScopes are the values of the statement tokens: which backends share their idempotency keys.
 var idempotencyScopes = []namedValue[emulator.IdempotencyScope]{
 	{"all", emulator.AllBackends}, {"zone", emulator.PerZone}, {"cell", emulator.PerCell}, {"server", emulator.PerBackend},
 }
--- a/internal/scenario/search.go
+++ b/internal/scenario/search.go
@@ -8,7 +8,8 @@
 	"sync"
 )
 
-// searchRandomStream separates the random numbers of generated scripts from others of the same seed.
+// searchRandomStream is the second word of the seed by which scripts are generated, so that their random numbers differ from
+// others of the same seed.
 const searchRandomStream = 1
 
 // machineFailureViolation is the violation of a run in which a state machine failed.
--- a/internal/scenario/sockets_build.go
+++ b/internal/scenario/sockets_build.go
@@ -18,8 +18,8 @@
 	lastPort  = 32000
 )
 
-// The search for free ports starts at an offset from firstPort that depends on the process ID, so that concurrent processes
-// start at different ports.
+// The search for free ports starts at an offset from firstPort, below maxStartOffset, that is portsPerProcessID times the process
+// ID modulo maxStartOffset, so that concurrent processes start at different ports.
 const (
 	portsPerProcessID = 37
 	maxStartOffset    = 16000
--- a/internal/simnet/connection.go
+++ b/internal/simnet/connection.go
@@ -11,7 +11,7 @@
 	dialTimeoutSeconds = 5
 	// dialRetryIntervalSeconds is the time between two tries of a dial over a partitioned link.
 	dialRetryIntervalSeconds = 0.5
-	// splitProbability is the probability that a segment's data arrives in two pieces.
+	// splitProbability is the probability that a segment, the data of one write, arrives in two pieces.
 	splitProbability = 0.05
 )
 
@@ -24,7 +24,8 @@
 	reasonRefused     = "refused"
 )
 
-// connEnd is one node's end of a connection. It belongs to one incarnation of the node's process.
+// connEnd is one node's end of a connection. It belongs to one incarnation of the node's process, the time from one start of that
+// process until it ends.
 type connEnd struct {
 	node        *node
 	incarnation int // the node's incarnation that opened the end
--- a/internal/simnet/node.go
+++ b/internal/simnet/node.go
@@ -14,8 +14,8 @@
 // incarnations saved.
 type NodeFactory func(now statemachine.Seconds, files map[string][]byte) statemachine.Machine
 
-// maxStepsPerInstant is the maximum number of steps of a node at one virtual time. On a real machine, a node that takes more would
-// use a whole core.
+// maxStepsPerInstant is the maximum number of steps of a node at one virtual time. On a real machine, a node that takes more
+// steps would use a whole core.
 const maxStepsPerInstant = 10000
 
 var errBusyLoop = errors.New("busy loop: too many steps at one moment")
