--- a/internal/emulator/fleetstats.go
+++ b/internal/emulator/fleetstats.go
@@ -6,8 +6,8 @@
 	"gingerfork/internal/trace"
 )
 
-// FleetStats has the statistics of a fleet: what it did within about a second, and its state at the end. It is printed as
-// JSON, whose keys are the names of the fields.
+// FleetStats has the statistics of a fleet of emulated backends: what the backends did within about a second, and their state at
+// the end. It is printed as JSON, whose keys are the names of the fields.
 type FleetStats struct {
 	Elapsed       Seconds // since the first step of this fleet of emulated backends
 	Backends      int
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -9,8 +9,8 @@
 	load float64
 }
 
-// Load returns the number of jobs in flight, how many of them are queued, and the share of the cores that are busy. Besides
-// RPCs it counts the work of connections and probes.
+// Load returns the number of jobs in flight (queued or on a core), how many of them are queued, and the share of the cores that
+// are busy. Besides RPCs it counts the work of connections and probes.
 func (m *Model) Load() (inFlight, queued int, coreUsage float64) {
 	running := len(m.running)
 	return running + len(m.queue), len(m.queue), float64(running) / float64(m.config.Cores)
--- a/internal/emulator/random.go
+++ b/internal/emulator/random.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 )
 
-// randomStream is the second word of the seeds of this package's PCG generators. It makes their numbers differ from those that
-// other packages derive from the same seed.
+// randomStream is the second word of the seeds of this package's PCG generators. This word makes the numbers differ from those
+// that other packages derive from the same seed.
 const randomStream = 0x9e3779b97f4a7c15
 
 // Random draws random numbers that depend only on a seed. It uses PCG because successive values of a cheaper generator, a hash
--- a/internal/emulator/work.go
+++ b/internal/emulator/work.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// minParetoExponent is the exponent up to which the variance of the work is infinite, and with it the mean wait in a queue.
+	// minParetoExponent is the tail exponent up to which the variance of the work, and so the mean wait in a queue, is infinite.
 	minParetoExponent = 2
 	// maxWorkParam is the value that Work.Param must be below.
 	maxWorkParam = 1000
--- a/internal/fake/attempts.go
+++ b/internal/fake/attempts.go
@@ -46,14 +46,14 @@
 	return false
 }
 
-// failureRecord counts the failures of a backend's attempts. It is kept when the connection to the backend ends.
+// failureRecord counts the failures of a backend's attempts. The record is kept when the connection to the backend ends.
 type failureRecord struct {
 	consecutive int
 	avoidUntil  statemachine.Seconds // until when other backends are preferred to this one; 0: not avoided
 }
 
 // sendAttempt picks a backend and sends it an attempt of an RPC. It returns false if there is no backend to pick; if that was to be
-// the first attempt, the RPC is rejected. The reason is that of a retry, or empty.
+// the first attempt, the RPC is rejected. reason is the reason for a retry, or empty.
 func (f *FrontEnd) sendAttempt(now statemachine.Seconds, call *rpc, reason string) bool {
 	entry := f.pickBackend(now, call)
 	if entry == nil {
@@ -86,7 +86,7 @@
 	return true
 }
 
-// scheduleAttemptTimeout has the RPC's current attempt fail if it is still in flight after the attempt timeout.
+// scheduleAttemptTimeout has the RPC's current attempt fail if the attempt is still in flight after the attempt timeout.
 func (f *FrontEnd) scheduleAttemptTimeout(now statemachine.Seconds, call *rpc) {
 	attemptID := call.attemptID
 	timeout := f.config.AttemptTimeoutRatio * f.config.Methods[call.method].SoftDeadline
--- a/internal/fake/endpoints.go
+++ b/internal/fake/endpoints.go
@@ -58,7 +58,7 @@
 	visible map[proto.BackendID]bool // the listed backends that the service shows to watchers; nil: all
 }
 
-// endpointChange is an endpoint as it was after the change that made a version.
+// endpointChange is an endpoint as it was after the change that made a version of the list.
 type endpointChange struct {
 	version  uint64
 	endpoint Endpoint
@@ -121,7 +121,7 @@
 	}
 }
 
-// sendHeartbeats sends every watcher an empty incremental update from the version that it has to the same version.
+// sendHeartbeats sends every watcher an empty incremental update from the version that the watcher has to the same version.
 func (s *EndpointService) sendHeartbeats() {
 	for _, conn := range sortedConns(s.watchers) {
 		if client := s.watchers[conn]; client.watching {
@@ -187,7 +187,7 @@
 	return since == s.version || len(s.history) > 0 && s.history[0].version <= since+1
 }
 
-// notify sends a watcher an update if it does not have the current version and the service is not stale.
+// notify sends a watcher an update if the watcher lacks the current version and the injected fault stale is off.
 func (s *EndpointService) notify(now statemachine.Seconds, client *watcher) {
 	if !s.faults.stale && client.sentVersion != s.version {
 		s.sendUpdate(now, client)
--- a/internal/fake/freezer.go
+++ b/internal/fake/freezer.go
@@ -31,7 +31,7 @@
 	return &frozenCoordinator{freezer: t, inner: coordinator, streams: map[statemachine.Conn]*observedStream{}}
 }
 
-// frozenCoordinator runs a coordinator until it is frozen, and records the tables that the coordinator pushes.
+// frozenCoordinator runs a coordinator until the freezer's FreezeAt, and records the tables that the coordinator pushes.
 type frozenCoordinator struct {
 	freezer *TableFreezer
 	inner   statemachine.Machine
@@ -75,7 +75,7 @@
 	out.WakeBy(c.freezer.FreezeAt)
 }
 
-// readReceived notes the names of proxies. Once the coordinator is frozen, it answers the proxies in its place.
+// readReceived notes the names of proxies. From FreezeAt on it answers the proxies in place of the coordinator.
 func (c *frozenCoordinator) readReceived(conn statemachine.Conn, stream *observedStream, frozen bool, out *statemachine.Effects) {
 	for {
 		message, err := stream.received.Next()
--- a/internal/fake/frontend.go
+++ b/internal/fake/frontend.go
@@ -24,8 +24,8 @@
 	// Policy tells how backends are picked: even (round robin by weight), pair or report; with any other name, such as lottery,
 	// at random by weight.
 	Policy string
-	// FailureLimit is the number of consecutive failures of a backend after which the front end avoids it for AvoidDuration;
-	// 0: it never avoids one.
+	// FailureLimit is the number of consecutive failures of a backend after which the front end avoids that backend for
+	// AvoidDuration; 0: no backend is avoided.
 	FailureLimit        int
 	AvoidDuration       statemachine.Seconds
 	AttemptTimeoutRatio float64              // timeout of an attempt that may be retried, as a multiple of the method's soft deadline
--- a/internal/fake/pool.go
+++ b/internal/fake/pool.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// connLost removes a connection that ended and fails its attempts. On an established connection they may have been executed; on one
-// that was never established none was.
+// connLost removes a connection that ended and fails its attempts. On an established connection the attempts may have been
+// executed; on one that was never established none was.
 func (f *FrontEnd) connLost(now statemachine.Seconds, conn *backendConn) {
 	f.pool.remove(conn)
 	for _, attemptID := range slices.Sorted(maps.Keys(conn.attempts)) {
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -195,7 +195,8 @@
 	logUnknownCommand(r.out, text)
 }
 
-// setFault replaces the fault of a listener, resets its connections if the new fault says so, and ends a partition if it does not.
+// setFault replaces the fault of a listener. Then it resets the listener's connections if the new fault says so, and forwards
+// held segments unless the new fault is a partition.
 func (r *Relay) setFault(now statemachine.Seconds, listener int, fault linkFault) {
 	r.faults[listener] = fault
 	if fault.reset {
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -57,7 +57,7 @@
 	return c
 }
 
-// Check checks a trace against the rules. Its records must be sorted by time. If a record cannot be interpreted, Check returns
+// Check checks a trace against the rules. The records must be sorted by time. If a record cannot be interpreted, Check returns
 // the report up to that record and an error that wraps ErrTimeOrder, ErrUnknownKind, ErrBadOperation or ErrBadEndpoint.
 func Check(records []trace.Record, limits Limits) (Report, error) {
 	checker := newChecker(limits)
--- a/internal/invariant/coordinator.go
+++ b/internal/invariant/coordinator.go
@@ -49,8 +49,8 @@
 	uncertainBackends map[uint32]bool // backends in the updates of that partition, which may or may not have arrived
 }
 
-// restartCoordinator applies the start of a new process. It may know the endpoints that its predecessor knew, but counts as
-// notified of their states no earlier than now.
+// restartCoordinator applies the start of a new process of a coordinator. That process may know the endpoints that its
+// predecessor knew, but counts as notified of their states no earlier than now.
 func (c *checker) restartCoordinator(coord *coordinator, now float64) {
 	coord.pausedUntil, coord.delayed = 0, nil
 	for backend, e := range coord.endpoints {
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,7 +1,7 @@
 // Package invariant checks the trace of a run against the five service rules. For a violated rule it reports when, by which
 // participant and at which record that happened first; for every rule it reports how close the run came to the limit. It
 // depends only on the trace format and on the limits, and shares no code with the coordinator, the decision module or the
-// protocol, so that a defect in those cannot hide its own effect here.
+// protocol, so that a defect in one of those cannot hide its effect here.
 package invariant
 
 import "slices"
--- a/internal/invariant/rule3_drain.go
+++ b/internal/invariant/rule3_drain.go
@@ -28,7 +28,8 @@
 	if binding || !coord.mustPoll || now <= coord.pollTime+c.limits.PollInterval {
 		return entry.stateTime, binding
 	}
-	// The coordinator did not poll in time, so it counts as notified of everything that was published a poll interval ago.
+	// The coordinator did not poll in time, so it counts as notified of all that the service published at least a poll interval
+	// ago.
 	entry, known = c.endpoints[backend]
 	if !known || entry.state == stateOpen {
 		return entry.stateTime, false
--- a/internal/report/builder.go
+++ b/internal/report/builder.go
@@ -28,7 +28,7 @@
 
 // methodTotals has the totals of one method over the whole run.
 type methodTotals struct {
-	latencies     *hdrhistogram.Histogram // latencies of the RPCs, in microseconds
+	latencies     *hdrhistogram.Histogram // latencies of the answered RPCs, in microseconds
 	offeredWeight float64                 // total criticality of all RPCs that ended
 	inTimeWeight  float64                 // total criticality of the RPCs answered within the soft deadline
 }
--- a/internal/scenario/emulate.go
+++ b/internal/scenario/emulate.go
@@ -41,8 +41,8 @@
 }
 
 // Emulation runs the backends and the endpoint list service of a scenario on the loopback address, for coordinators and proxies
-// that the user runs. It may be split over several processes, each of which runs a part of the backends; the process of the first
-// part also runs the endpoint list service.
+// that the user runs. An emulation may be split over several processes, each of which runs a part of the backends; the process of
+// the first part also runs the endpoint list service.
 type Emulation struct {
 	Scenario    *Scenario
 	Port        int                       // of the endpoint list service; the backends have the ports after it
--- a/internal/scenario/environment.go
+++ b/internal/scenario/environment.go
@@ -18,7 +18,7 @@
 	Now() statemachine.Seconds
 	// Schedule schedules a function to run at a time.
 	Schedule(at statemachine.Seconds, run func())
-	// Start starts a participant's process, Kill ends it without warning.
+	// Start starts a participant's process, Kill ends the process without warning.
 	Start(name string)
 	Kill(name string)
 	// Pause keeps a participant's process from running for a duration.
--- a/internal/scenario/groundtruth.go
+++ b/internal/scenario/groundtruth.go
@@ -71,7 +71,7 @@
 	s.scheduleAfter(SampleInterval, s.sample)
 }
 
-// backendCapacity returns the RPCs per second of its fastest method that a backend can execute, and the set of the methods that
+// backendCapacity returns how many RPCs per second a backend can execute of its fastest method, and the set of the methods that
 // it fails.
 func (s *sampler) backendCapacity(machine *emulator.Backend) (maxCapacity float64, unsupported uint64) {
 	for method := range s.scenario.Settings.Methods {
--- a/internal/scenario/step.go
+++ b/internal/scenario/step.go
@@ -87,7 +87,7 @@
 	IntervalGiven bool    // whether the script gives the interval; Scale changes only a given one
 }
 
-// defaultDeploy has the times that a deploy step uses where it gives none.
+// defaultDeploy has the times in seconds that a deploy step uses for those that it does not give.
 var defaultDeploy = Deploy{Drain: 3, Down: 1, Interval: 1}
 
 // Selector selects the participants that a step affects: those that match Zone, Kind and Indexes, or a random subset of them if
--- a/internal/simnet/connection.go
+++ b/internal/simnet/connection.go
@@ -141,7 +141,7 @@
 	}
 }
 
-// notifyClosed removes a closed end and tells its node why it was closed.
+// notifyClosed removes a closed end and tells its node why the connection was closed.
 func (n *Network) notifyClosed(end *connEnd, reason string) {
 	delete(end.node.conns, end.id)
 	n.deliver(end.node, statemachine.Input{Kind: statemachine.ConnClosed, Conn: end.id, Text: reason})
@@ -178,7 +178,7 @@
 	n.Schedule(end.minNextArrival, func() { n.arrive(end, sent) })
 }
 
-// arrive delivers a segment that an end sent. It holds the segment if a partition began while it was in transit.
+// arrive delivers a segment that an end sent. It holds the segment if a partition began while the segment was in transit.
 func (n *Network) arrive(end *connEnd, sent segment) {
 	peer := end.peer
 	if !peer.alive() {
--- a/internal/simnet/storage.go
+++ b/internal/simnet/storage.go
@@ -38,7 +38,7 @@
 }
 
 // persist writes the mutations of a step to the node's store. When the simulated sync is done, after 0.5 to 1.5 times
-// meanSyncSeconds, it reports to the node that the batch is durable or that it failed.
+// meanSyncSeconds, it reports to the node that these mutations, the batch, are durable or that writing or syncing them failed.
 func (n *Network) persist(owner *node, mutations []statemachine.Mutation, batchNumber uint64) {
 	if owner.store == nil || batchNumber == 0 {
 		return
@@ -70,7 +70,8 @@
 	})
 }
 
-// compact compacts a store until there is nothing left to do. An error ends it; the next persisted batch calls it again.
+// compact compacts a store until there is nothing left to do. An error ends the compaction; persist calls compact again after the
+// next batch of mutations.
 func compact(compacted *store.Store) {
 	for {
 		more, err := compacted.Compact(false)
