--- a/internal/haproxy/block_condition.go
+++ b/internal/haproxy/block_condition.go
@@ -9,7 +9,7 @@
 // defaultVersion is the HAProxy version that version predicates compare with if Environment.Version is empty.
 const defaultVersion = "3.0"
 
-// maxConditionDepth is the maximum nesting of a condition. It bounds the recursion of the parser.
+// maxConditionDepth is the maximum nesting of the condition of an .if or .elif line. It bounds the recursion of the parser.
 const maxConditionDepth = 200
 
 // conditionHolds evaluates the condition of an .if or .elif line. The operators are !, && and ||, in decreasing precedence, and
--- a/internal/haproxy/file.go
+++ b/internal/haproxy/file.go
@@ -62,7 +62,7 @@
 	Lines []Line
 }
 
-// Text returns the file's text as it was read.
+// Text returns the file's text as read, before any line was interpreted.
 func (f File) Text() string { return strings.Join(f.Raw, "") }
 
 // maxArguments is the maximum number of arguments of a line (manual, 2.2).
--- a/internal/haproxy/list.go
+++ b/internal/haproxy/list.go
@@ -12,8 +12,8 @@
 )
 
 // ServerNumbers returns the number of each server on the endpoint list, by server name. A number is a hash of the pool's and the
-// server's name, so that a server keeps it when others are added or removed. Where two hashes collide, the server whose name
-// sorts later takes the next free number. Number 0 is not used.
+// server's name, so that a server keeps its number when other servers are added or removed. Where two hashes collide, the server
+// whose name sorts later takes the next free number. Number 0 is not used.
 func (p Pool) ServerNumbers() map[string]uint32 {
 	names := make([]string, 0, len(p.Servers))
 	for _, server := range p.Servers {
--- a/internal/haproxy/pool.go
+++ b/internal/haproxy/pool.go
@@ -104,7 +104,8 @@
 	}
 }
 
-// openBackups sets the first usable backup to Open, or all of them with option allbackups. It reports whether there is one.
+// openBackups sets the first usable backup to Open, or all usable backups with option allbackups. It reports whether there is a
+// usable backup.
 func (p *Pool) openBackups() bool {
 	opened := false
 	for i := range p.Servers {
--- a/internal/haproxy/proxy_keywords.go
+++ b/internal/haproxy/proxy_keywords.go
@@ -49,7 +49,7 @@
 }
 
 // proxyKeywords has the function that imports, checks or reports the lines of each keyword of proxy sections. Known keywords that
-// are not in it are in unsupportedKeywords.
+// are not in proxyKeywords are in unsupportedKeywords.
 var proxyKeywords = map[string]func(*importer, proxyLine){
 	"server":          (*importer).importServer,
 	"server-template": (*importer).importServer,
--- a/internal/haproxy/retries.go
+++ b/internal/haproxy/retries.go
@@ -25,7 +25,7 @@
 }
 
 // importRetryOn imports the causes of retries. HAProxy's default without the line is conn-failure. An RPC that may have run is not
-// retried whatever causes the line names, because no HAProxy configuration tells whether it is idempotent.
+// retried whatever causes the line names, because no HAProxy configuration tells whether the RPC is idempotent.
 func (m *importer) importRetryOn(line proxyLine) {
 	if len(line.Tokens) < 2 {
 		m.fault(line.Position, ErrSyntax, "retry-on without a cause")
--- a/internal/haproxy/routes.go
+++ b/internal/haproxy/routes.go
@@ -65,7 +65,7 @@
 	r.acls.termsByName[name] = append(r.acls.termsByName[name], term)
 }
 
-// readUseBackend adds the route of a use_backend line, or records why it is not carried over.
+// readUseBackend adds the route of a use_backend line, or records why the line is not carried over.
 func (r *routeReader) readUseBackend(index int, line Line) {
 	switch {
 	case r.blockedReason != "":
--- a/internal/haproxy/section.go
+++ b/internal/haproxy/section.go
@@ -34,7 +34,8 @@
 	defaultServers []Line         // default-server lines that were read so far, those of the inherited defaults first
 }
 
-// inheritedLines returns what a section inherits from this defaults section: its lines, after those that it inherits itself.
+// inheritedLines returns what a section inherits from this defaults section: this section's lines, after those that it inherits
+// itself.
 func (s *section) inheritedLines() (lines []Line) {
 	if s.defaults != nil {
 		lines = s.defaults.inheritedLines()
--- a/internal/scenario/emulation.go
+++ b/internal/scenario/emulation.go
@@ -24,10 +24,10 @@
 	schedule        schedule
 
 	mu           sync.Mutex           // guards pendingStats
-	pendingStats map[int]pendingStats // by the number of the second since the start of the emulation
+	pendingStats map[int]pendingStats // by the number of the second: FleetStats.Elapsed, rounded
 }
 
-// pendingStats is the sum of the statistics of one second from the loops that have reported them so far.
+// pendingStats is the sum of the statistics of one second from the event loops of backends that have reported theirs so far.
 type pendingStats struct {
 	sum     emulator.FleetStats
 	reports int
@@ -44,7 +44,7 @@
 	}
 }
 
-// sumStats adds the statistics of one loop, and returns the sum of that second and whether it is complete.
+// sumStats adds the statistics of one loop, and returns the sum of that second and whether all loops have reported theirs.
 func (e *emulation) sumStats(stats emulator.FleetStats) (emulator.FleetStats, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/scenario/minimize.go
+++ b/internal/scenario/minimize.go
@@ -36,7 +36,7 @@
 
 func joinLines(lines []string) string { return strings.Join(lines, "\n") + "\n" }
 
-// keepIfViolated replaces the script by a changed one if the violation still occurs with it, and reports whether it does.
+// keepIfViolated replaces the script by a changed one if the violation still occurs with the latter, and reports whether it does.
 func (m *minimizer) keepIfViolated(lines []string) bool {
 	violation, result, err := playScript(joinLines(lines))
 	if err != nil || violation != m.violation {
--- a/internal/scenario/player.go
+++ b/internal/scenario/player.go
@@ -22,7 +22,7 @@
 	stepCount    int
 	overrides    map[string]any         // values that coordinators get in place of those in the settings
 	executionLog *emulator.ExecutionLog // shared by all backends; nil: executions are not logged
-	// sampleInterval is the interval at which backends and proxies record their own state, in seconds; 0: they do not.
+	// sampleInterval is the interval at which backends and proxies write their own state to the trace, in seconds; 0: never.
 	sampleInterval float64
 	zonePartitions map[string]int // by zone: number of present partitions that separate the zone from the others
 }
@@ -73,8 +73,8 @@
 	p.record(record)
 }
 
-// selectTargets returns the participants that a step affects. If the selector gives a share or a count, it chooses among those
-// that match the other conditions at random, by the scenario's seed.
+// selectTargets returns the participants that a step affects. If the selector gives a share or a count, selectTargets chooses
+// among those that match the other conditions at random, by the scenario's seed.
 func (p *player) selectTargets(target Target, selector Selector) []*participant {
 	var matching []*participant
 	for _, candidate := range p.candidates(target) {
--- a/internal/scenario/process_faults.go
+++ b/internal/scenario/process_faults.go
@@ -43,7 +43,8 @@
 	p.emit(trace.Record{Kind: trace.ProcessKilled, Party: target.name})
 }
 
-// restartProcess ends one fault that keeps a participant down, and starts its process again if it was the last one.
+// restartProcess ends one fault that keeps a participant down, and starts the participant's process again if that fault was the
+// last one.
 func (p *player) restartProcess(target *participant) {
 	target.downCount--
 	if target.downCount > 0 {
--- a/internal/scenario/processes.go
+++ b/internal/scenario/processes.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// newProxy makes the next incarnation of a proxy. It tries the coordinators in turn, starting with the one at its own index, so
-// that proxies spread over the coordinators.
+// newProxy makes the next incarnation of a proxy. The proxy tries the coordinators in turn, starting with that of its own index,
+// so that proxies spread over the coordinators.
 func (p *player) newProxy(proxy *participant, coordinators []string) *fake.FrontEnd {
 	scenario, settings := p.scenario, p.scenario.decodedSettings()
 	order := make([]string, 0, len(coordinators))
--- a/internal/scenario/schedule.go
+++ b/internal/scenario/schedule.go
@@ -22,7 +22,7 @@
 	s.pending = append(s.pending, scheduled{at, run})
 }
 
-// next returns the index of the earliest function, the first added among those of equal times; it returns false if there is none.
+// next returns the index of the earliest function, the first added among those of equal times; false if no function is scheduled.
 func (s *schedule) next() (int, bool) {
 	earliest := -1
 	for i, candidate := range s.pending {
