--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -1,16 +1,16 @@
 package emulator
 
-// noLoadReport is the Reply.Load of a backend that does not report its load.
+// noLoadReport is the value of Reply.Load if the backend does not report its load.
 const noLoadReport = -1
 
-// loadSample is the load at a time, in jobs per core.
+// loadSample is a backend's load at a time: queued and running jobs per core.
 type loadSample struct {
 	at   Seconds
 	load float64
 }
 
-// Load returns the number of jobs in flight, how many of them are queued, and the share of the cores that are busy. Besides
-// RPCs it counts the work of connections and probes.
+// Load returns the number of jobs in flight (queued or on a core), how many of them are queued, and the share of the cores that
+// are busy. Besides RPCs it counts the work of connections and probes.
 func (m *Model) Load() (inFlight, queued int, coreUsage float64) {
 	running := len(m.running)
 	return running + len(m.queue), len(m.queue), float64(running) / float64(m.config.Cores)
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -24,8 +24,8 @@
 type curve struct {
 	name      string
 	means     plotter.XYs
-	intervals plotter.YErrors // intervals of the means
-	dots      plotter.XYs     // one for each run
+	intervals plotter.YErrors // confidence intervals of the means
+	dots      plotter.XYs     // one dot for each run
 }
 
 // Plot draws the measure name by the values of the last factor, with a line through the means for each combination of the other
--- a/internal/fake/endpoints.go
+++ b/internal/fake/endpoints.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// maxHistoryLength is the maximum number of changes that are kept. When there are more, only the newer half of them is kept.
+	// maxHistoryLength is the maximum number of changes of the list that are kept to answer watchers with changes. When there are
+	// more, only the newer half of them is kept.
 	maxHistoryLength = 4096
 	// heartbeatPeriod is the time between two heartbeats, which are empty updates, to a watcher.
 	heartbeatPeriod statemachine.Seconds = 1
@@ -27,8 +28,8 @@
 	Cell        uint64 // group of backends that may fail together
 	Weight      float64
 	Addr        string
-	StartedAt   statemachine.Seconds // start time of its process; 0: long ago
-	Incarnation uint64               // changes with each start of its process
+	StartedAt   statemachine.Seconds // start time of the backend's process; 0: long ago
+	Incarnation uint64               // changes with each start of the backend's process
 }
 
 // EndpointService is a fake endpoint list service with numbered versions, full and incremental updates, and watchers. On command
@@ -51,13 +52,13 @@
 
 // endpointServiceFaults are the faults that commands inject.
 type endpointServiceFaults struct {
-	delay   statemachine.Seconds     // of updates after a change
+	delay   statemachine.Seconds     // time from a change of the list until the watchers are sent updates
 	failing bool                     // every request is answered with a failure
 	stale   bool                     // watchers get no updates after a change
-	visible map[proto.BackendID]bool // the backends that the list shows; nil: all
+	visible map[proto.BackendID]bool // the listed backends that the service shows to watchers; nil: all
 }
 
-// endpointChange is an endpoint as it was after the change that made a version.
+// endpointChange is an endpoint as it was after the change that made a version of the list.
 type endpointChange struct {
 	version  uint64
 	endpoint Endpoint
@@ -68,8 +69,8 @@
 	conn        statemachine.Conn
 	reader      proto.Reader
 	name        string
-	watching    bool   // it gets updates
-	sentVersion uint64 // last version that it was sent; 0: none, or it needs a full list
+	watching    bool   // the client has asked for the list and gets updates
+	sentVersion uint64 // last version of the list that the client was sent; 0: none, or the client needs a full list
 }
 
 // NewEndpointService returns a service whose first version lists the given endpoints.
@@ -120,7 +121,7 @@
 	}
 }
 
-// sendHeartbeats sends every watcher an empty incremental update from the version that it has to the same version.
+// sendHeartbeats sends every watcher an empty incremental update from the version that the watcher has to the same version.
 func (s *EndpointService) sendHeartbeats() {
 	for _, conn := range sortedConns(s.watchers) {
 		if client := s.watchers[conn]; client.watching {
@@ -186,7 +187,7 @@
 	return since == s.version || len(s.history) > 0 && s.history[0].version <= since+1
 }
 
-// notify sends a watcher an update if it does not have the current version and the service is not stale.
+// notify sends a watcher an update if the watcher lacks the current version and the injected fault stale is off.
 func (s *EndpointService) notify(now statemachine.Seconds, client *watcher) {
 	if !s.faults.stale && client.sentVersion != s.version {
 		s.sendUpdate(now, client)
--- a/internal/fake/method.go
+++ b/internal/fake/method.go
@@ -25,7 +25,7 @@
 	Criticality   float64
 	SoftDeadline  statemachine.Seconds
 	Deadline      statemachine.Seconds
-	Share         float64 // of the RPCs, 0 to 1
+	Share         float64 // share of the front end's RPCs that are of this method, 0 to 1
 }
 
 // Defaults of a method's settings, the same as those of the coordinator.
@@ -35,7 +35,7 @@
 	defaultDeadline     = 2 // seconds
 )
 
-// repeatabilityByName has the values of the method setting "effect".
+// repeatabilityByName has the repeatability for each value of the method setting "effect".
 var repeatabilityByName = map[string]Repeatability{
 	"idempotent":     Idempotent,
 	"tokened":        IdempotentWithKey,
--- a/internal/fake/pool.go
+++ b/internal/fake/pool.go
@@ -21,10 +21,10 @@
 	id             statemachine.Conn
 	established    bool
 	reader         proto.Reader
-	attempts       map[uint64]*rpc // in flight, by attempt ID
-	queued         []uint64        // attempts to be written once the connection is established
+	attempts       map[uint64]*rpc // RPCs whose attempts are in flight on the connection, by attempt ID
+	queued         []uint64        // IDs of attempts that are written once the connection is established
 	reportedLoad   float64
-	loadReportedAt statemachine.Seconds // 0: never
+	loadReportedAt statemachine.Seconds // when the backend last reported its load; 0: never
 }
 
 // add adds a connection to both indexes.
@@ -124,8 +124,8 @@
 	}
 }
 
-// connLost removes a connection that ended and fails its attempts. On an established connection they may have been executed; on one
-// that was never established none was.
+// connLost removes a connection that ended and fails its attempts. On an established connection the attempts may have been
+// executed; on one that was never established none was.
 func (f *FrontEnd) connLost(now statemachine.Seconds, conn *backendConn) {
 	f.pool.remove(conn)
 	for _, attemptID := range slices.Sorted(maps.Keys(conn.attempts)) {
--- a/internal/haproxy/fault.go
+++ b/internal/haproxy/fault.go
@@ -20,7 +20,7 @@
 	ErrUnsupported = errors.New("not supported by the import")
 )
 
-// ErrNoPool is the error for a pool name that an import does not have.
+// ErrNoPool is the error for the name of a pool that is not among the pools of an import.
 var ErrNoPool = errors.New("no such pool")
 
 // ValueError is the error for a word that does not have the form that its keyword expects. It wraps ErrValue.
@@ -50,7 +50,7 @@
 type Fault struct {
 	Position
 	Message string
-	Cause   error // wraps one of the kinds above
+	Cause   error // error that wraps one of the kinds above, such as ErrUnsupported
 }
 
 // newFault returns a fault with the text of its cause as the message.
--- a/internal/haproxy/file.go
+++ b/internal/haproxy/file.go
@@ -19,7 +19,7 @@
 type Token struct {
 	Text   string
 	Column int  // where the argument begins, counted from 1 in bytes
-	Quoted bool // part of it was quoted or escaped, so that it is kept even if it is empty
+	Quoted bool // part of the argument was quoted or escaped, so that an empty argument is kept
 }
 
 // Line is a line with at least one argument; blank lines and comments have none.
@@ -62,7 +62,7 @@
 	Lines []Line
 }
 
-// Text returns the file's text as it was read.
+// Text returns the file's text as read, before any line was interpreted.
 func (f File) Text() string { return strings.Join(f.Raw, "") }
 
 // maxArguments is the maximum number of arguments of a line (manual, 2.2).
--- a/internal/haproxy/pool.go
+++ b/internal/haproxy/pool.go
@@ -12,11 +12,11 @@
 
 	index           int  // position among the pools of the import, by which the pool's ports are chosen
 	neverRetries    bool // retry-on names no cause that proves that an RPC never ran, so that no RPC is retried
-	allBackups      bool // option allbackups
+	allBackups      bool // the section has the option allbackups
 	hasFaultyServer bool // a server was left out because of a fault, so that a lack of servers is not reported on top of it
 }
 
-// The pick policies, as written in the settings.
+// The pick policies, by which proxies pick a backend for an RPC, as written in the settings.
 const (
 	pickLottery = "lottery"
 	pickEven    = "even"
@@ -104,7 +104,8 @@
 	}
 }
 
-// openBackups sets the first usable backup to Open, or all of them with option allbackups. It reports whether there is one.
+// openBackups sets the first usable backup to Open, or all usable backups with option allbackups. It reports whether there is a
+// usable backup.
 func (p *Pool) openBackups() bool {
 	opened := false
 	for i := range p.Servers {
--- a/internal/haproxy/proxy_keywords.go
+++ b/internal/haproxy/proxy_keywords.go
@@ -6,7 +6,7 @@
 type proxyLine struct {
 	Line
 	section *section
-	index   int             // index of the line in its section, or notInSection if it is inherited
+	index   int             // index of the line in its section, or notInSection if the line is inherited
 	pool    *Pool           // the pool of a backend or listen section; nil in frontend and defaults sections, which have no servers
 	acls    map[string]bool // names of the ACLs that the section has defined so far
 }
@@ -49,7 +49,7 @@
 }
 
 // proxyKeywords has the function that imports, checks or reports the lines of each keyword of proxy sections. Known keywords that
-// are not in it are in unsupportedKeywords.
+// are not in proxyKeywords are in unsupportedKeywords.
 var proxyKeywords = map[string]func(*importer, proxyLine){
 	"server":          (*importer).importServer,
 	"server-template": (*importer).importServer,
--- a/internal/haproxy/routes.go
+++ b/internal/haproxy/routes.go
@@ -7,7 +7,7 @@
 	"gingerfork/internal/route"
 )
 
-// dynamicNameMarker is contained in a backend name that HAProxy computes for each request.
+// dynamicNameMarker occurs in the backend name of a use_backend line if HAProxy computes that name for each request.
 const dynamicNameMarker = "%["
 
 // routeReader reads the routes of a frontend or listen section in order. After the first route that cannot be expressed exactly,
@@ -15,12 +15,12 @@
 type routeReader struct {
 	section       *section
 	acls          aclSet
-	problems      map[int]string // why a line is not carried over, by its index in the section
+	problems      map[int]string // why a line is not carried over, by the line's index in the section
 	routes        []route.Route
-	defaultRoute  *route.Route    // from default_backend; nil if there is none
+	defaultRoute  *route.Route    // route from the keyword default_backend; nil if there is none
 	catchAllLine  int             // line number of a route without a condition, after which no route is reached; 0 if there is none
 	blockedReason string          // why no further route is carried over, or ""
-	usedMethods   map[string]bool // method names that are already in use
+	usedMethods   map[string]bool // method names in use: the section's name and those that earlier routes were given
 }
 
 // importRoutes reads the routes of a frontend or listen section. The lines themselves are reported later, by importLines, which
@@ -65,7 +65,7 @@
 	r.acls.termsByName[name] = append(r.acls.termsByName[name], term)
 }
 
-// readUseBackend adds the route of a use_backend line, or records why it is not carried over.
+// readUseBackend adds the route of a use_backend line, or records why the line is not carried over.
 func (r *routeReader) readUseBackend(index int, line Line) {
 	switch {
 	case r.blockedReason != "":
@@ -116,7 +116,7 @@
 	}
 }
 
-// maxMethodNameBytes is the length in bytes beyond which a method name is not extended with more words of the condition.
+// maxMethodNameBytes is the length in bytes beyond which a method name is not extended with more words of the route's condition.
 const maxMethodNameBytes = 50
 
 // methodName returns the name of the method for a route's requests. It is made of the frontend's name and the words of the
--- a/internal/haproxy/section.go
+++ b/internal/haproxy/section.go
@@ -28,13 +28,14 @@
 type section struct {
 	Position
 	kind, name     string
-	defaults       *section // nil if it inherits nothing
+	defaults       *section // defaults section that the section inherits from; nil if none
 	lines          []Line
 	routeProblems  map[int]string // why the match or route of a line is not carried over, by the line's index in lines
 	defaultServers []Line         // default-server lines that were read so far, those of the inherited defaults first
 }
 
-// inheritedLines returns what a section inherits from this defaults section: its lines, after those that it inherits itself.
+// inheritedLines returns what a section inherits from this defaults section: this section's lines, after those that it inherits
+// itself.
 func (s *section) inheritedLines() (lines []Line) {
 	if s.defaults != nil {
 		lines = s.defaults.inheritedLines()
--- a/internal/haproxy/settings.go
+++ b/internal/haproxy/settings.go
@@ -12,14 +12,15 @@
 
 // Times in the settings, in seconds: defaults for what the import does not have, and the bounds of what the settings accept.
 const (
-	minWarmAfter        = 10.0 // also used if no server has a slowstart
-	defaultDeadline     = 30.0 // used without timeout server
+	minWarmAfter        = 10.0 // seconds; lowest warm-after, also used if no server has a slowstart
+	defaultDeadline     = 30.0 // seconds; deadline of a pool without timeout server
 	minDeadline         = 0.002
 	maxDeadline         = 3600.0
-	longestSoftDeadline = 1.0 // a soft deadline is half the deadline, but at most this
+	longestSoftDeadline = 1.0 // seconds; a soft deadline is half the deadline, but at most this
 )
 
-// The range of ports in the settings. Each pool takes the next two ports of the range; after the last it starts over.
+// The range of ports in the settings files. Each pool takes the next two ports of the range; after the last one, the first ports
+// are used again.
 const (
 	firstPort = 7400
 	portCount = 50000
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -17,8 +17,8 @@
 	ErrBadEndpoint  = errors.New("malformed endpoint")
 )
 
-// availabilityCheckInterval is the interval, in seconds, at which rule 1 is checked for all proxies, as some may write no record
-// for a long time.
+// availabilityCheckInterval is the interval, in seconds, at which rule 1 is checked for all proxies, as some proxies may write no
+// record for a long time.
 const availabilityCheckInterval = 0.05
 
 // endpointService is the name of the endpoint list service in traces.
@@ -38,11 +38,11 @@
 	recordNumber          int // of the present record, from 1
 	lastAvailabilityCheck float64
 
-	unfinishedRPCs map[uint64]int           // by RPC ID: method of an RPC that was attempted and has not finished
-	firstAttempt   map[uint64]float64       // by RPC ID: time
+	unfinishedRPCs map[uint64]int           // by RPC ID: method index of an RPC that was attempted and has not finished
+	firstAttempt   map[uint64]float64       // by RPC ID: when the first attempt was sent
 	effects        map[uint64]effect        // by RPC ID
-	startTimes     map[uint32]float64       // by backend: its latest cold start
-	coldAttempts   map[uint32][]coldAttempt // by backend: attempts within the collapse window
+	startTimes     map[uint32]float64       // by backend: time of the backend's latest cold start
+	coldAttempts   map[uint32][]coldAttempt // by backend: attempts of the last Limits.CollapseWindow plus coldAttemptSlack seconds
 }
 
 func newChecker(limits Limits) *checker {
@@ -57,7 +57,7 @@
 	return c
 }
 
-// Check checks a trace against the rules. Its records must be sorted by time. If a record cannot be interpreted, Check returns
+// Check checks a trace against the rules. The records must be sorted by time. If a record cannot be interpreted, Check returns
 // the report up to that record and an error that wraps ErrTimeOrder, ErrUnknownKind, ErrBadOperation or ErrBadEndpoint.
 func Check(records []trace.Record, limits Limits) (Report, error) {
 	checker := newChecker(limits)
--- a/internal/invariant/rule3_drain.go
+++ b/internal/invariant/rule3_drain.go
@@ -3,7 +3,7 @@
 import "gingerfork/internal/trace"
 
 // checkDrain applies rule 3: once the proxy's coordinator was notified that a backend drains or is gone, the proxy may send
-// attempts to it for no longer than the grace period. The period begins anew when the proxy joins.
+// attempts to the backend for no longer than Limits.DrainGrace. That period begins anew when the proxy joins a coordinator.
 func (c *checker) checkDrain(record trace.Record, sender *proxy) {
 	if sender.connectedTo() == "" {
 		return
@@ -28,7 +28,8 @@
 	if binding || !coord.mustPoll || now <= coord.pollTime+c.limits.PollInterval {
 		return entry.stateTime, binding
 	}
-	// The coordinator did not poll in time, so it counts as notified of everything that was published a poll interval ago.
+	// The coordinator did not poll in time, so it counts as notified of all that the service published at least a poll interval
+	// ago.
 	entry, known = c.endpoints[backend]
 	if !known || entry.state == stateOpen {
 		return entry.stateTime, false
--- a/internal/report/builder.go
+++ b/internal/report/builder.go
@@ -28,9 +28,9 @@
 
 // methodTotals has the totals of one method over the whole run.
 type methodTotals struct {
-	latencies     *hdrhistogram.Histogram // microseconds
-	offeredWeight float64                 // criticality of all RPCs
-	inTimeWeight  float64                 // criticality of the RPCs answered within the soft deadline
+	latencies     *hdrhistogram.Histogram // latencies of the answered RPCs, in microseconds
+	offeredWeight float64                 // total criticality of all RPCs that ended
+	inTimeWeight  float64                 // total criticality of the RPCs answered within the soft deadline
 }
 
 // Builder computes a report incrementally from trace records, without keeping the records.
@@ -141,7 +141,7 @@
 	fleet.storeSample(&fleet.Queued, second, backend, float64(record.Count))
 }
 
-// storeSample sets the value of a backend in a sample, and adds rows and columns as needed.
+// storeSample sets the value of a backend in a sample, and adds samples (rows) and backends (columns) as needed.
 func (f *Fleet) storeSample(rows *[][]float32, sample, backend int, value float64) {
 	for len(*rows) <= sample {
 		*rows = append(*rows, make([]float32, f.backends))
--- a/internal/scenario/emulate.go
+++ b/internal/scenario/emulate.go
@@ -41,16 +41,16 @@
 }
 
 // Emulation runs the backends and the endpoint list service of a scenario on the loopback address, for coordinators and proxies
-// that the user runs. It may be split over several processes, each of which runs a part of the backends; the process of the first
-// part also runs the endpoint list service.
+// that the user runs. An emulation may be split over several processes, each of which runs a part of the backends; the process of
+// the first part also runs the endpoint list service.
 type Emulation struct {
 	Scenario    *Scenario
 	Port        int                       // of the endpoint list service; the backends have the ports after it
 	Part, Parts int                       // number of this process's part, from 1, and of all parts; 0: this process runs everything
 	EventLoops  int                       // number of event loops for the backends; 0: one
-	OnTally     func(emulator.FleetStats) // called with the statistics of each second; may be nil
+	OnTally     func(emulator.FleetStats) // called with the statistics of all backends of this process for each second; may be nil
 	OnStep      func(text string)         // called with each step; may be nil
-	Trace       func([]trace.Record)      // called with records of the trace; may be nil
+	Trace       func([]trace.Record)      // called with the records of the trace as they are written; may be nil
 }
 
 // ListAddr returns the address of the endpoint list service.
--- a/internal/scenario/emulation.go
+++ b/internal/scenario/emulation.go
@@ -18,16 +18,16 @@
 	player          *player
 	clock           *eventloop.Clock
 	loopByBackend   map[string]*eventloop.Loop // by name of the backend; only those of this process's part
-	endpointService *eventloop.Loop            // nil: the process that plays the first part runs it
+	endpointService *eventloop.Loop            // nil: another process, which plays the first part, runs the service
 	loops           []*eventloop.Loop
 	loopCount       int // number of loops that run backends
 	schedule        schedule
 
-	mu           sync.Mutex
-	pendingStats map[int]pendingStats // by second since the start
+	mu           sync.Mutex           // guards pendingStats
+	pendingStats map[int]pendingStats // by the number of the second: FleetStats.Elapsed, rounded
 }
 
-// pendingStats is the sum of the statistics of one second from the loops that have reported them so far.
+// pendingStats is the sum of the statistics of one second from the event loops of backends that have reported theirs so far.
 type pendingStats struct {
 	sum     emulator.FleetStats
 	reports int
@@ -44,7 +44,7 @@
 	}
 }
 
-// sumStats adds the statistics of one loop, and returns the sum of that second and whether it is complete.
+// sumStats adds the statistics of one loop, and returns the sum of that second and whether all loops have reported theirs.
 func (e *emulation) sumStats(stats emulator.FleetStats) (emulator.FleetStats, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/scenario/groundtruth.go
+++ b/internal/scenario/groundtruth.go
@@ -23,7 +23,7 @@
 	Start       statemachine.Seconds
 	Supply      []optimum.Supply
 	Capacity    [][]float32 // by slot and backend: RPCs per second that the backend can execute
-	Utilization [][]float32 // by slot and backend: share of its cores that is busy
+	Utilization [][]float32 // by slot and backend: share of the backend's cores that is busy
 	Queued      [][]float32 // by slot and backend: RPCs that are queued there
 }
 
@@ -71,7 +71,7 @@
 	s.scheduleAfter(SampleInterval, s.sample)
 }
 
-// backendCapacity returns the RPCs per second of its fastest method that a backend can execute, and the set of the methods that
+// backendCapacity returns how many RPCs per second a backend can execute of its fastest method, and the set of the methods that
 // it fails.
 func (s *sampler) backendCapacity(machine *emulator.Backend) (maxCapacity float64, unsupported uint64) {
 	for method := range s.scenario.Settings.Methods {
--- a/internal/scenario/minimize.go
+++ b/internal/scenario/minimize.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	maxHalvings   = 4 // of the duration in one line of a script
-	maxReductions = 8 // of the number in one line of a script
+	maxHalvings   = 4 // how often the duration in one line of a script is halved at most
+	maxReductions = 8 // how often the number in one line of a script is reduced at most
 	// minHalvedMillis is the shortest duration that is halved, in milliseconds.
 	minHalvedMillis = 500
 	// timeAfterViolation is added to the time of the violation, rounded down to whole seconds, to give the length of a
@@ -19,8 +19,8 @@
 // minimizer simplifies a script as long as the same violation occurs.
 type minimizer struct {
 	violation string
-	lines     []string // of the script
-	result    Result   // of the script
+	lines     []string // lines of the script as simplified so far
+	result    Result   // result of that script
 }
 
 // Minimize simplifies a script as long as the same violation occurs: it removes steps, halves their durations, reduces the fleet
@@ -36,7 +36,7 @@
 
 func joinLines(lines []string) string { return strings.Join(lines, "\n") + "\n" }
 
-// keepIfViolated replaces the script by a changed one if the violation still occurs with it, and reports whether it does.
+// keepIfViolated replaces the script by a changed one if the violation still occurs with the latter, and reports whether it does.
 func (m *minimizer) keepIfViolated(lines []string) bool {
 	violation, result, err := playScript(joinLines(lines))
 	if err != nil || violation != m.violation {
--- a/internal/scenario/player.go
+++ b/internal/scenario/player.go
@@ -22,15 +22,15 @@
 	stepCount    int
 	overrides    map[string]any         // values that coordinators get in place of those in the settings
 	executionLog *emulator.ExecutionLog // shared by all backends; nil: executions are not logged
-	// sampleInterval is the interval at which backends and proxies record their own state, in seconds; 0: they do not.
+	// sampleInterval is the interval at which backends and proxies write their own state to the trace, in seconds; 0: never.
 	sampleInterval float64
-	zonePartitions map[string]int // by zone: number of present partitions that separate it from the others
+	zonePartitions map[string]int // by zone: number of present partitions that separate the zone from the others
 }
 
 // runningStep is a step that is being carried out.
 type runningStep struct {
 	Step
-	faultName string // name of the link faults that it adds
+	faultName string // name of the link faults that the step adds
 	targets   []*participant
 }
 
@@ -73,8 +73,8 @@
 	p.record(record)
 }
 
-// selectTargets returns the participants that a step affects. If the selector gives a share or a count, it chooses among those
-// that match the other conditions at random, by the scenario's seed.
+// selectTargets returns the participants that a step affects. If the selector gives a share or a count, selectTargets chooses
+// among those that match the other conditions at random, by the scenario's seed.
 func (p *player) selectTargets(target Target, selector Selector) []*participant {
 	var matching []*participant
 	for _, candidate := range p.candidates(target) {
--- a/internal/scenario/sockets.go
+++ b/internal/scenario/sockets.go
@@ -24,7 +24,7 @@
 // CoordinatorCommand is the command that starts a coordinator's process.
 type CoordinatorCommand struct {
 	Command []string // program and first arguments; the settings file is added as the last argument
-	Env     []string // added to the environment of this process
+	Env     []string // NAME=VALUE, added to the environment variables of this process
 	Dir     string   // folder for settings, state and logs; it must exist
 }
 
@@ -34,14 +34,14 @@
 	player               *player
 	command              CoordinatorCommand
 	clock                *eventloop.Clock
-	ctx                  context.Context // of the event loops, which outlive the caller's context so that shutdown can end them in order
+	ctx                  context.Context // context of the event loops, which outlive the caller's context so that shutdown can end the loops in order
 	nodes                map[string]*node
-	relays               map[string]*relay // by the participant whose connections it forwards
+	relays               map[string]*relay // by name of the participant whose connections the relay forwards
 	linkFaults           []linkFault
 	schedule             schedule
 	coordinatorProcesses sync.WaitGroup // goroutines that wait for coordinators' processes to exit
 
-	mu           sync.Mutex
+	mu           sync.Mutex // guards records, failures and shuttingDown
 	records      []trace.Record
 	failures     []string
 	shuttingDown bool
@@ -50,10 +50,10 @@
 // node is a participant's process or event loop.
 type node struct {
 	participant *participant
-	addr        string                      // "": it does not listen
+	addr        string                      // address on which the participant listens; "": none
 	newMachine  func() statemachine.Machine // nil: a coordinator, which is a process
 	loop        *eventloop.Loop             // nil: not started, or stopped
-	closingLoop *eventloop.Loop             // of the earlier incarnation, which may still hold the port
+	closingLoop *eventloop.Loop             // loop of the participant's earlier incarnation, which may still hold the port
 	cmd         *exec.Cmd                   // the process of a coordinator; nil: not started, or killed
 	rewriteAddr func(addr string) string    // if set, replaces each address to which the node connects
 }
--- a/internal/simnet/connection.go
+++ b/internal/simnet/connection.go
@@ -11,7 +11,7 @@
 	dialTimeoutSeconds = 5
 	// dialRetryIntervalSeconds is the time between two tries of a dial over a partitioned link.
 	dialRetryIntervalSeconds = 0.5
-	// splitProbability is the probability that a segment's data arrives in two pieces.
+	// splitProbability is the probability that a segment, the data of one write, arrives in two pieces.
 	splitProbability = 0.05
 )
 
@@ -24,7 +24,8 @@
 	reasonRefused     = "refused"
 )
 
-// connEnd is one node's end of a connection. It belongs to one incarnation of the node's process.
+// connEnd is one node's end of a connection. It belongs to one incarnation of the node's process, the time from one start of that
+// process until it ends.
 type connEnd struct {
 	node        *node
 	incarnation int // the node's incarnation that opened the end
@@ -32,7 +33,7 @@
 	peer        *connEnd // nil until the connection is accepted
 	// minNextArrival is the earliest time at which the next segment that this end sends may arrive, which keeps segments in order.
 	minNextArrival    statemachine.Seconds
-	heldSegments      []segment // sent during a partition or in transit when it began; sorted by sequence
+	heldSegments      []segment // segments sent during a partition or in transit when it began; sorted by sequence
 	lastSequence      int       // sequence number of the last segment that this end sent
 	open              bool
 	closed            bool
@@ -140,7 +141,7 @@
 	}
 }
 
-// notifyClosed removes a closed end and tells its node why it was closed.
+// notifyClosed removes a closed end and tells its node why the connection was closed.
 func (n *Network) notifyClosed(end *connEnd, reason string) {
 	delete(end.node.conns, end.id)
 	n.deliver(end.node, statemachine.Input{Kind: statemachine.ConnClosed, Conn: end.id, Text: reason})
@@ -177,7 +178,7 @@
 	n.Schedule(end.minNextArrival, func() { n.arrive(end, sent) })
 }
 
-// arrive delivers a segment that an end sent. It holds the segment if a partition began while it was in transit.
+// arrive delivers a segment that an end sent. It holds the segment if a partition began while the segment was in transit.
 func (n *Network) arrive(end *connEnd, sent segment) {
 	peer := end.peer
 	if !peer.alive() {
