--- a/cmd/gingerfork/load.go
+++ b/cmd/gingerfork/load.go
@@ -121,6 +121,7 @@
 	if err := c.applyMix(config.Methods); err != nil {
 		return config, err
 	}
+	// flags lists flags whose texts are parsed into numbers in config. The last three describe bursts.
 	flags := []struct {
 		name  string
 		text  string
@@ -136,7 +137,7 @@
 		{"burst-duration", c.BurstDuration, bootstrap.ParseDuration, &config.Shape.BurstLength},
 	}
 	if c.Burst == "" {
-		flags = flags[:len(flags)-3] // without --burst, the interval and the duration of bursts are not used
+		flags = flags[:len(flags)-3] // without --burst, drop burst, burst-interval and burst-duration: the traffic has no bursts
 	}
 	for _, flag := range flags {
 		if flag.text == "" {
--- a/internal/bootstrap/parser.go
+++ b/internal/bootstrap/parser.go
@@ -89,7 +89,8 @@
 // Settings.settingLines.
 func methodKey(method string) string { return methodSection + " " + method }
 
-// storeSectionName stores the name of an instance or a method in the settings.
+// storeSectionName stores the name that the opening line of a section gives: that of a section instance, the coordinator's name,
+// in Settings.Name, and that of a section method in Settings.Methods unless it is there already. Other sections are ignored.
 func (p *parser) storeSectionName(opened *section) {
 	switch opened.name {
 	case "instance":
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -170,8 +170,9 @@
 	return listed.Entry, true
 }
 
-// compare compares the list after an update with the previous entries. It returns the entries that are new or differ, and
-// the backends that left the list, which are sorted for a full update.
+// compare compares the list, to which the update is already applied, with the previous entries. It returns the entries that are
+// new or differ, and the backends that left the list. If the update replaced the whole list, removed is sorted by backend ID;
+// if it named only the changed backends, removed has the order of the update.
 func (l *endpointList) compare(
 	previous map[choice.BackendID]*checkpoint.Endpoint, update choice.EndpointUpdate,
 ) (changed []checkpoint.Endpoint, removed []choice.BackendID) {
--- a/internal/haproxy/settings.go
+++ b/internal/haproxy/settings.go
@@ -10,13 +10,14 @@
 	"gingerfork/internal/route"
 )
 
-// Times in the settings, in seconds: defaults for what the import does not have, and the bounds of what the settings accept.
+// Times in seconds that are written to a settings file: values for what the import does not have, and the lowest and highest
+// values that are written for a setting.
 const (
-	minWarmAfter        = 10.0 // seconds; lowest warm-after, also used if no server has a slowstart
-	defaultDeadline     = 30.0 // seconds; deadline of a pool without timeout server
-	minDeadline         = 0.002
-	maxDeadline         = 3600.0
-	longestSoftDeadline = 1.0 // seconds; a soft deadline is half the deadline, but at most this
+	minWarmAfter        = 10.0   // lowest value for the setting warm-after, the longest time from a backend's start until it is warm; also used if no server has a slowstart
+	defaultDeadline     = 30.0   // value for the setting deadline, the time after which the client cancels an RPC, if the pool has no timeout server
+	minDeadline         = 0.002  // lowest value for the setting deadline
+	maxDeadline         = 3600.0 // highest value for the setting deadline
+	longestSoftDeadline = 1.0    // highest value for the setting soft-deadline, the time within which an answer is wanted; otherwise half the deadline
 )
 
 // The range of ports in the settings files. Each pool takes the next two ports of the range; after the last one, the first ports
@@ -71,7 +72,8 @@
 	return settings + p.methodSettings(routes)
 }
 
-// warmAfter returns the warm-up time of the fleet in seconds, and a comment that tells where the value comes from.
+// warmAfter returns the value for the setting warm-after, the longest time in seconds from a backend's start until it is warm, and a
+// comment that tells where the value comes from.
 func (p Pool) warmAfter() (seconds float64, source string) {
 	seconds, source = minWarmAfter, notInImport+": how long your servers warm"
 	for _, server := range p.Servers {
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,18 +1,19 @@
 // Package invariant checks the trace of a run against the five service rules. For a violated rule it reports when, by which
-// participant and at which record that happened first; for every rule it reports how close the run came to the limit. It
-// depends only on the trace format and on the limits, and shares no code with the coordinator, the decision module or the
+// participant and at which record that happened first; for every rule it reports how close the run came to violating it. It
+// depends only on the trace format and on Limits, and shares no code with the coordinator, the decision module or the
 // protocol, so that a defect in one of those cannot hide its effect here.
 package invariant
 
 import "slices"
 
-// Numbers of the rules, as in the documentation for operators.
+// Numbers of the rules, as in the documentation for operators. The comment on each is the condition that must hold. A backend
+// is usable for a method if the method's table at the proxy has it with a weight above 0 and the proxy does not exclude it.
 const (
-	ruleBackendAvailable = 1 + iota // a proxy lacks a usable backend no longer than the limit
-	ruleEffectOnce                  // no RPC takes effect twice
-	ruleDrainRespected              // no attempt goes to a draining or removed backend later than Limits.DrainGrace permits
-	ruleColdBackend                 // no cold backend collapses under load that the coordinators caused
-	ruleQueueBounded                // table entries queued at a coordinator and pushes to a proxy within Limits.MessageWindow stay within their bounds
+	ruleBackendAvailable = 1 + iota // a proxy has no usable backend for a method for at most Limits.NoBackendLimit, while its coordinator lists an open, warm one
+	ruleEffectOnce                  // an RPC is executed at most once, and no retry risks a second time, unless its method is idempotent without a key
+	ruleDrainRespected              // a proxy sends attempts to a draining or removed backend for at most Limits.DrainGrace after the proxy joined and its coordinator was notified
+	ruleColdBackend                 // no backend that started cold less than Limits.WarmAfter ago collapses under load that the coordinators caused
+	ruleQueueBounded                // at most Limits.MaxQueuedEntries table entries are queued at a coordinator, and a proxy gets at most Limits.MaxMessages pushes within Limits.MessageWindow
 	ruleCount            = iota
 )
 
@@ -34,13 +35,13 @@
 
 // Limits are the limits that the rules hold a run to. Times are in seconds.
 type Limits struct {
-	NoBackendLimit        float64 // longest time that a proxy may lack a usable backend
+	NoBackendLimit        float64 // longest time that a proxy may have no usable backend for a method
 	DrainGrace            float64 // time in which a proxy may still send attempts to a draining or removed backend, from its coordinator's notification or its join
 	WarmAfter             float64 // time from its start after which a backend counts as warm
 	CollapseWindow        float64 // time before a collapse whose attempts decide whether the coordinators caused it
 	MaxQueuedEntries      int     // table entries that may wait at a coordinator to be pushed
 	MaxMessages           int     // pushes to one proxy within MessageWindow; 0: unlimited
-	MessageWindow         float64
+	MessageWindow         float64 // time within which pushes to a proxy count towards MaxMessages
 	OnlyDrainingBinds     bool    // rule 3 does not apply to a backend that was removed without draining
 	EndpointStreamTimeout float64 // silence after which a coordinator gives up its stream to the endpoint list service
 	PollInterval          float64 // longest time within which a coordinator without that stream must poll
@@ -48,7 +49,7 @@
 }
 
 // Verdict is the result for one rule. FirstTime, Party, Record and Reason describe the first violation, the last three fields the
-// moment at which the run came closest to the limit.
+// moment at which the run came closest to violating the rule.
 type Verdict struct {
 	Rule         int
 	Name         string
@@ -57,7 +58,7 @@
 	Party        string  // name of the participant that violated the rule
 	Record       int     // number of the trace record that showed the violation, from 1
 	Reason       string
-	ClosestShare float64 // largest measured value divided by the rule's limit; 1 or more: the limit was reached
+	ClosestShare float64 // largest measured value divided by that which Limits allows; for rule 4 the load that a cold backend was sent, divided by the load at which it collapses
 	ClosestTime  float64 // seconds since the start of the run
 	ClosestNote  string
 }
--- a/internal/invariant/rule1_availability.go
+++ b/internal/invariant/rule1_availability.go
@@ -3,8 +3,8 @@
 import "math"
 
 // checkAvailability applies rule 1 up to a time: a proxy that is connected to a coordinator must not lack a usable backend for
-// longer than the limit while that coordinator lists an open, warm one. Time before the proxy joined, or during a pause of its
-// process, does not count. Each period in which a method lacks a usable backend counts as one violation at most.
+// longer than Limits.NoBackendLimit while that coordinator lists an open, warm one. Time before the proxy joined, or during a
+// pause of its process, does not count. Each period in which a method lacks a usable backend counts as one violation at most.
 func (c *checker) checkAvailability(name string, state *proxy, until float64) {
 	if state.connectedTo() == "" {
 		return
--- a/internal/optimum/optimum.go
+++ b/internal/optimum/optimum.go
@@ -3,8 +3,8 @@
 // wastes no capacity, and serves RPCs of high criticality first. No real coordinator achieves it, since information is
 // delayed. The gap is the combined cost of the coordinator's design, of delayed information and of the coordinator's own faults.
 //
-// The bound is computed by maximum flows. RPCs that arrive in a time slot from a zone for a method may be answered in that
-// slot or a later one until their soft deadline, and backends can answer a limited number of RPCs in each slot. The sets of
+// The bound is computed by maximum flows. Time is divided into slots of the same length. RPCs that arrive in a slot from a zone
+// for a method may be answered in that slot or a later one until their soft deadline, and backends can answer a limited number of RPCs in each slot. The sets of
 // RPCs that can all be answered in time are the independent sets of a transversal matroid, on which the greedy choice by
 // weight is optimal. So the largest total criticality that can be answered in time is the sum over the levels of criticality
 // w_1 > w_2 > … of (w_i - w_{i+1}) times the maximum flow of the RPCs with a criticality of at least w_i; the weight after
@@ -52,7 +52,7 @@
 	FeasibleShare float64 // share of the RPCs that an idle backend at full speed can answer in time
 }
 
-// Bound is the result. Its values are sums of the criticality of RPCs.
+// Bound is the result of Solve. Its values are sums of the criticality of RPCs.
 type Bound struct {
 	Offered    float64
 	Achievable float64 // part of Offered that could be answered in time
@@ -73,8 +73,10 @@
 // toFlowUnits converts a number of RPCs to units of flow.
 func toFlowUnits(rpcs float64) int64 { return int64(math.Round(rpcs / rpcsPerFlowUnit)) }
 
-// Solve computes the bound. Its error wraps ErrBadDemand: a demand has a method that is not an index of methods, a negative
-// slot or a negative number of RPCs.
+// Solve computes the total criticality of the RPCs in demand, and an upper bound on the part of it that backends with the
+// capacity in supply can answer in time, up to rounding to rpcsPerFlowUnit. A slot is one of the intervals of the same length into
+// which the run is divided, numbered from 0. Solve returns an error that wraps ErrBadDemand if a demand has a method that is not an index of methods, a
+// negative slot or a negative number of RPCs.
 func Solve(demand []Demand, supply []Supply, methods []Method) (Bound, error) {
 	var bound Bound
 	var levels []float64
--- a/internal/scenario/virtual.go
+++ b/internal/scenario/virtual.go
@@ -26,7 +26,7 @@
 	Records          []trace.Record               // the trace, sorted by time
 	Failures         []string                     // failed state machines and processes: defects of the program, apart from any violated rule
 	MachineSteps     int                          // steps of all state machines; 0 on sockets
-	Truth            *GroundTruth                 // nil unless Options.SampleTruth is set
+	Truth            *GroundTruth                 // samples of the backends; nil unless Options.SampleTruth is set
 	DuplicateEffects []emulator.RepeatedExecution // RPCs that took effect twice, by the backends' own log; nil on sockets
 }
 
@@ -44,9 +44,11 @@
 	// WrapCoordinator, if set, returns the state machine that runs in place of a coordinator's, such as one with a deliberate fault.
 	WrapCoordinator func(name string, coordinator statemachine.Machine) statemachine.Machine
 	// Overrides are values that coordinators get in place of those in the settings.
-	Overrides   map[string]any
-	Tables      TableSource
-	SampleTruth bool // sample the backends' true state
+	Overrides map[string]any
+	Tables    TableSource
+	// SampleTruth stores samples of the capacity, utilization and queue length of the emulated backends in Result.Truth, one for
+	// each SampleInterval of virtual time. They are read from the backends themselves; what coordinators believe may differ.
+	SampleTruth bool
 }
 
 // virtualRun is a run of a scenario in virtual time.
--- a/internal/traffic/shape.go
+++ b/internal/traffic/shape.go
@@ -18,7 +18,7 @@
 	BurstFactor   float64 // factor by which the rate is multiplied during a burst
 }
 
-// Validate returns an error if the shape is invalid.
+// Validate returns an error that wraps ErrInvalidShape if a field has a value that is not permitted.
 func (s Shape) Validate() error {
 	switch {
 	case !(s.DailySwing >= 0 && s.DailySwing <= 1):
@@ -45,7 +45,7 @@
 	return factor
 }
 
-// MaxFactor returns an upper bound of Factor.
+// MaxFactor returns a value that Factor does not exceed at any time, if the shape is valid.
 func (s Shape) MaxFactor() float64 {
 	factor := 1 + s.DailySwing
 	if s.BurstInterval > 0 {
--- a/internal/traffic/source.go
+++ b/internal/traffic/source.go
@@ -6,10 +6,10 @@
 	// arrivalsSeedStream is the second word of the PCG seed. Generators with the same first word and another second one draw
 	// different numbers.
 	arrivalsSeedStream = 0xbb67ae8584caa73b
-	// minRate is the value of the shape's maximum rate, in RPCs per second, at and below which there are no arrivals.
+	// minRate is a threshold in RPCs per second: if the highest rate that a source can reach is not above it, there is no traffic.
 	minRate = 1e-9
-	// maxThinningDraws is the maximum number of candidates that are drawn for one arrival. It ends the search for shapes whose
-	// factor is 0 nearly everywhere.
+	// maxThinningDraws is the maximum number of candidates that are drawn for one arrival. It ends the search if Shape.Factor is
+	// 0 at nearly all times.
 	maxThinningDraws = 100000
 )
 
@@ -43,9 +43,9 @@
 // a Poisson process has no memory, the new draw does not distort the distribution of the arrivals.
 func (s *Source) SetRate(meanRate float64) { s.meanRate = max(meanRate, 0) }
 
-// Next draws the first arrival after a time. It returns false if the rate is 0 or no arrival was found in maxThinningDraws draws.
-// It thins a Poisson process with the shape's maximum rate: a candidate is kept with the probability of the current rate divided
-// by the maximum rate.
+// Next draws the first arrival after a time. It returns false if the highest rate, the mean rate times Shape.MaxFactor, is
+// not above minRate, or if no arrival was found in maxThinningDraws draws. It thins a Poisson process with the highest rate: a
+// candidate is kept with the probability of the current rate divided by the highest.
 func (s *Source) Next(after Seconds) (Arrival, bool) {
 	maxRate := s.meanRate * s.shape.MaxFactor()
 	if !(maxRate > minRate) {
